--- a/crates/consensus/src/clear.rs
+++ b/crates/consensus/src/clear.rs
@@ -6,15 +6,15 @@
 /// or the leader alone.
 impl Consensus {
     /// One that just started and knows of no leader asks all others, round after round.
-    pub(crate) fn who_pulse(&mut self, nowMs: u64) {
+    pub(crate) fn who_pulse(&mut self, now_ms: u64) {
         let waits = self.role == Role::Follower
             && self.leader.is_none()
-            && nowMs < self.startedMs + ELECTION_MIN_MS
+            && now_ms < self.started_ms + ELECTION_MIN_MS
             && self.log.is_member(self.id);
-        if !waits || nowMs < self.whoDueMs {
+        if !waits || now_ms < self.who_due_ms {
             return;
         }
-        self.whoDueMs = nowMs + WHO_MS;
+        self.who_due_ms = now_ms + WHO_MS;
         self.round += 1;
         self.free.clear();
         let (term, round) = (self.term, self.round);
@@ -31,7 +31,7 @@
 
     pub(crate) fn on_who_response(
         &mut self,
-        nowMs: u64,
+        now_ms: u64,
         from: Member,
         term: u64,
         round: u64,
@@ -42,13 +42,13 @@
             return;
         }
         if term > self.term {
-            return self.follow(nowMs, term, None);
+            return self.follow(now_ms, term, None);
         }
         self.free.insert(from.id);
         if self.others().iter().all(|other| self.free.contains(&other.id)) {
             self.round += 1;
             self.freed = true;
-            self.start_pre_vote(nowMs, true);
+            self.start_pre_vote(now_ms, true);
         }
     }
 
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -2,9 +2,9 @@
 use postbarrow_constants::consensus::*;
 
 impl Consensus {
-    pub(crate) fn set_election(&mut self, nowMs: u64) {
+    pub(crate) fn set_election(&mut self, now_ms: u64) {
         let spread = self.random() % ELECTION_SPREAD_MS;
-        self.electionDueMs = nowMs + ELECTION_MIN_MS + spread;
+        self.election_due_ms = now_ms + ELECTION_MIN_MS + spread;
     }
 
     fn majority(&self) -> usize {
@@ -12,16 +12,16 @@
     }
 
     fn vote_ask(&self, term: u64, handed: bool, clear: bool) -> VoteAsk {
-        VoteAsk { term, last: self.log.last(), lastTerm: self.log.last_term(), handed, clear }
+        VoteAsk { term, last: self.log.last(), last_term: self.log.last_term(), handed, clear }
     }
 
     pub(crate) fn others(&self) -> Vec<Member> {
         self.log.members().iter().filter(|member| member.id != self.id).copied().collect()
     }
 
-    pub(crate) fn start_pre_vote(&mut self, nowMs: u64, clear: bool) {
+    pub(crate) fn start_pre_vote(&mut self, now_ms: u64, clear: bool) {
         self.clear = clear;
-        self.set_election(nowMs);
+        self.set_election(now_ms);
         self.set_role(Role::PreCandidate);
         self.leader = None;
         self.votes = [self.id].into();
@@ -30,12 +30,12 @@
             self.send(to, Message::PreVote(ask.clone()));
         }
         if self.votes.len() >= self.majority() {
-            self.start_vote(nowMs, false);
+            self.start_vote(now_ms, false);
         }
     }
 
-    pub(crate) fn start_vote(&mut self, nowMs: u64, handed: bool) {
-        self.set_election(nowMs);
+    pub(crate) fn start_vote(&mut self, now_ms: u64, handed: bool) {
+        self.set_election(now_ms);
         self.set_role(Role::Candidate);
         self.term += 1;
         self.voted = Some(self.id);
@@ -46,30 +46,30 @@
             self.send_after_sync(to, Message::Vote(ask.clone()));
         }
         if self.votes.len() >= self.majority() {
-            self.become_leader(nowMs);
+            self.become_leader(now_ms);
         }
     }
 
     /// A voter that heard a leader lately, or just started and may have, promises nothing.
-    fn bound_to_leader(&self, nowMs: u64) -> bool {
-        let leading = self.role == Role::Leader && nowMs < self.hold_until();
-        leading || nowMs < self.heardMs.max(self.startedMs) + ELECTION_MIN_MS
+    fn bound_to_leader(&self, now_ms: u64) -> bool {
+        let leading = self.role == Role::Leader && now_ms < self.hold_until();
+        leading || now_ms < self.heard_ms.max(self.started_ms) + ELECTION_MIN_MS
     }
 
     fn up_to_date(&self, ask: &VoteAsk) -> bool {
-        (ask.lastTerm, ask.last) >= (self.log.last_term(), self.log.last())
+        (ask.last_term, ask.last) >= (self.log.last_term(), self.log.last())
     }
 
     /// Whether it counts is for the candidate's members to say: a voter that has not heard yet that
     /// it joined must still vote, or the others may lack a majority for ever.
-    pub(crate) fn on_pre_vote(&mut self, nowMs: u64, from: Member, ask: VoteAsk) {
+    pub(crate) fn on_pre_vote(&mut self, now_ms: u64, from: Member, ask: VoteAsk) {
         let granted = ask.term > self.term
-            && (!self.bound_to_leader(nowMs) || self.is_clear(&ask))
+            && (!self.bound_to_leader(now_ms) || self.is_clear(&ask))
             && self.up_to_date(&ask)
             && self.yields_to(&from, &ask);
         if granted && self.role != Role::Leader {
             self.set_role(Role::Follower);
-            self.electionDueMs = self.electionDueMs.max(nowMs + ELECTION_SPREAD_MS);
+            self.election_due_ms = self.election_due_ms.max(now_ms + ELECTION_SPREAD_MS);
         }
         let term = if granted { ask.term } else { self.term };
         self.send(from, Message::PreVoteResponse { term, granted });
@@ -77,20 +77,20 @@
 
     /// Of two that try at once, the one with the longer log goes on, or else the lower number.
     fn yields_to(&self, other: &Member, ask: &VoteAsk) -> bool {
-        let longer = (ask.lastTerm, ask.last) > (self.log.last_term(), self.log.last());
+        let longer = (ask.last_term, ask.last) > (self.log.last_term(), self.log.last());
         !matches!(self.role, Role::PreCandidate | Role::Candidate) || longer || other.id < self.id
     }
 
     pub(crate) fn on_pre_vote_response(
         &mut self,
-        nowMs: u64,
+        now_ms: u64,
         from: Member,
         term: u64,
         granted: bool,
     ) {
         if !granted {
             if term > self.term {
-                self.follow(nowMs, term, None);
+                self.follow(now_ms, term, None);
             }
             return;
         }
@@ -101,31 +101,31 @@
             self.votes.insert(from.id);
         }
         if self.votes.len() >= self.majority() {
-            self.start_vote(nowMs, false);
+            self.start_vote(now_ms, false);
         }
     }
 
-    pub(crate) fn on_vote(&mut self, nowMs: u64, from: Member, ask: VoteAsk) {
-        if self.bound_to_leader(nowMs) && !ask.handed && !self.is_clear(&ask) {
+    pub(crate) fn on_vote(&mut self, now_ms: u64, from: Member, ask: VoteAsk) {
+        if self.bound_to_leader(now_ms) && !ask.handed && !self.is_clear(&ask) {
             return;
         }
         if ask.term > self.term {
-            self.follow(nowMs, ask.term, None);
+            self.follow(now_ms, ask.term, None);
         }
         let free = self.voted.is_none() || self.voted == Some(from.id);
         let granted = ask.term == self.term && free && self.up_to_date(&ask);
         if granted {
             self.voted = Some(from.id);
             self.write_hard();
-            self.set_election(nowMs);
+            self.set_election(now_ms);
         }
         let response = Message::VoteResponse { term: self.term, granted };
         self.send_after_sync(from, response);
     }
 
-    pub(crate) fn on_vote_response(&mut self, nowMs: u64, from: Member, term: u64, granted: bool) {
+    pub(crate) fn on_vote_response(&mut self, now_ms: u64, from: Member, term: u64, granted: bool) {
         if term > self.term {
-            return self.follow(nowMs, term, None);
+            return self.follow(now_ms, term, None);
         }
         if self.role != Role::Candidate || term != self.term || !granted {
             return;
@@ -134,13 +134,13 @@
             self.votes.insert(from.id);
         }
         if self.votes.len() >= self.majority() {
-            self.become_leader(nowMs);
+            self.become_leader(now_ms);
         }
     }
 
-    pub(crate) fn follow(&mut self, nowMs: u64, term: u64, leader: Option<MemberId>) {
+    pub(crate) fn follow(&mut self, now_ms: u64, term: u64, leader: Option<MemberId>) {
         if leader != self.leader {
-            self.leaderOffsetMs = None;
+            self.leader_offset_ms = None;
         }
         if term > self.term {
             self.handing = false;
@@ -153,11 +153,11 @@
         if self.role == Role::Leader {
             self.progress.clear();
             self.learners.clear();
-            self.heardMs = self.heardMs.max(nowMs.saturating_sub(ELECTION_MIN_MS));
+            self.heard_ms = self.heard_ms.max(now_ms.saturating_sub(ELECTION_MIN_MS));
         }
         self.set_role(Role::Follower);
         self.leader = leader;
-        self.set_election(nowMs);
+        self.set_election(now_ms);
     }
 
     pub(crate) fn set_role(&mut self, role: Role) {
@@ -167,7 +167,7 @@
         }
     }
 
-    fn become_leader(&mut self, nowMs: u64) {
+    fn become_leader(&mut self, now_ms: u64) {
         self.set_role(Role::Leader);
         self.freed = false;
         self.leader = Some(self.id);
@@ -175,11 +175,11 @@
         self.handing = false;
         self.progress.clear();
         for member in self.others() {
-            let progress = Progress::new(member, self.log.last() + 1, nowMs);
+            let progress = Progress::new(member, self.log.last() + 1, now_ms);
             self.progress.insert(member.id, progress);
         }
-        self.termStart = self.log.last() + 1;
-        self.append_own(nowMs, vec![Payload::TermStart]);
+        self.term_start = self.log.last() + 1;
+        self.append_own(now_ms, vec![Payload::TermStart]);
     }
 
     /// End of the hold a majority confirmed, by this leader's own send times.
@@ -192,7 +192,7 @@
             .members()
             .iter()
             .filter(|member| member.id != self.id)
-            .map(|member| self.progress.get(&member.id).map_or(0, |known| known.echoMs))
+            .map(|member| self.progress.get(&member.id).map_or(0, |known| known.echo_ms))
             .collect();
         echoes.sort_unstable_by(|a, b| b.cmp(a));
         let needed = self.majority() - usize::from(self.log.is_member(self.id));
@@ -200,7 +200,7 @@
             None => u64::MAX,
             Some(at) => match echoes.get(at) {
                 Some(0) | None => 0,
-                Some(echoMs) => echoMs + CONTROLLER_HOLD_MS,
+                Some(echo_ms) => echo_ms + CONTROLLER_HOLD_MS,
             },
         }
     }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -26,28 +26,28 @@
     commit: u64,
     role: Role,
     leader: Option<MemberId>,
-    heardMs: u64,
-    electionDueMs: u64,
-    startedMs: u64,
+    heard_ms: u64,
+    election_due_ms: u64,
+    started_ms: u64,
     votes: BTreeSet<MemberId>,
     progress: BTreeMap<MemberId, Progress>,
     learners: BTreeMap<MemberId, Member>,
-    beatDueMs: u64,
-    termStart: u64,
+    beat_due_ms: u64,
+    term_start: u64,
     /// This leader's hold is given up for the rest of its term.
     handing: bool,
     /// Least difference seen between this clock and the leader's.
-    leaderOffsetMs: Option<i64>,
+    leader_offset_ms: Option<i64>,
     snapshot: Option<Arc<Snapshot>>,
     incoming: Option<snapshot::Incoming>,
     sequence: u64,
     synced: u64,
     appended: VecDeque<(u64, u64)>,
-    selfMatch: u64,
+    self_match: u64,
     held: VecDeque<(u64, Member, Message)>,
     /// Rounds of asking all others whether they lead, and who said no in this one.
     round: u64,
-    whoDueMs: u64,
+    who_due_ms: u64,
     free: BTreeSet<MemberId>,
     /// This one said that it does not lead, and has heard nobody since who does.
     freed: bool,
@@ -60,27 +60,27 @@
 }
 
 impl Consensus {
-    pub fn new(id: MemberId, recovered: Recovered, seed: u64, nowMs: u64) -> Self {
+    pub fn new(id: MemberId, recovered: Recovered, seed: u64, now_ms: u64) -> Self {
         let log = Log::recovered(&recovered);
         let mut made = Consensus {
             id,
             term: recovered.term,
             voted: recovered.voted,
             commit: log.base(),
-            selfMatch: log.last(),
+            self_match: log.last(),
             log,
             role: Role::Follower,
             leader: None,
-            heardMs: nowMs,
-            electionDueMs: 0,
-            startedMs: nowMs,
+            heard_ms: now_ms,
+            election_due_ms: 0,
+            started_ms: now_ms,
             votes: BTreeSet::new(),
             progress: BTreeMap::new(),
             learners: BTreeMap::new(),
-            beatDueMs: 0,
-            termStart: 0,
+            beat_due_ms: 0,
+            term_start: 0,
             handing: false,
-            leaderOffsetMs: None,
+            leader_offset_ms: None,
             snapshot: recovered.snapshot,
             incoming: None,
             sequence: 0,
@@ -88,7 +88,7 @@
             appended: VecDeque::new(),
             held: VecDeque::new(),
             round: 0,
-            whoDueMs: nowMs,
+            who_due_ms: now_ms,
             free: BTreeSet::new(),
             freed: false,
             clear: false,
@@ -96,7 +96,7 @@
             voters: VOTERS,
             effects: Vec::new(),
         };
-        made.set_election(nowMs);
+        made.set_election(now_ms);
         made
     }
 
@@ -105,49 +105,49 @@
         self.voters = VOTERS.max(2 * losses + 1);
     }
 
-    pub fn handle(&mut self, nowMs: u64, input: Input) -> Vec<Effect> {
+    pub fn handle(&mut self, now_ms: u64, input: Input) -> Vec<Effect> {
         match input {
-            Input::Pulse => self.pulse(nowMs),
+            Input::Pulse => self.pulse(now_ms),
             Input::Synced(sequence) => self.on_synced(sequence),
-            Input::Receive { from, message } => self.receive(nowMs, from, message),
-            Input::Propose(batches) => self.propose(nowMs, batches),
+            Input::Receive { from, message } => self.receive(now_ms, from, message),
+            Input::Propose(batches) => self.propose(now_ms, batches),
             Input::Form(members) => self.form(members),
-            Input::Learner(member) => self.learner(nowMs, member),
+            Input::Learner(member) => self.learner(now_ms, member),
             Input::Compact { index, state } => self.compact(index, state),
-            Input::HandOver(note) => self.hand_over(nowMs, note),
+            Input::HandOver(note) => self.hand_over(now_ms, note),
         }
         std::mem::take(&mut self.effects)
     }
 
-    fn receive(&mut self, nowMs: u64, from: Member, message: Message) {
+    fn receive(&mut self, now_ms: u64, from: Member, message: Message) {
         match message {
-            Message::PreVote(ask) => self.on_pre_vote(nowMs, from, ask),
+            Message::PreVote(ask) => self.on_pre_vote(now_ms, from, ask),
             Message::PreVoteResponse { term, granted } => {
-                self.on_pre_vote_response(nowMs, from, term, granted)
+                self.on_pre_vote_response(now_ms, from, term, granted)
             }
-            Message::Vote(ask) => self.on_vote(nowMs, from, ask),
+            Message::Vote(ask) => self.on_vote(now_ms, from, ask),
             Message::VoteResponse { term, granted } => {
-                self.on_vote_response(nowMs, from, term, granted)
+                self.on_vote_response(now_ms, from, term, granted)
             }
-            Message::Append(append) => self.on_append(nowMs, from, append),
-            Message::AppendResponse(response) => self.on_append_response(nowMs, from, response),
-            Message::Snapshot(part) => self.on_snapshot(nowMs, from, part),
-            Message::SnapshotResponse(got) => self.on_snapshot_response(nowMs, from, got),
+            Message::Append(append) => self.on_append(now_ms, from, append),
+            Message::AppendResponse(response) => self.on_append_response(now_ms, from, response),
+            Message::Snapshot(part) => self.on_snapshot(now_ms, from, part),
+            Message::SnapshotResponse(got) => self.on_snapshot_response(now_ms, from, got),
             Message::Who { round, .. } => self.on_who(from, round),
             Message::WhoResponse { term, round, free } => {
-                self.on_who_response(nowMs, from, term, round, free)
+                self.on_who_response(now_ms, from, term, round, free)
             }
-            Message::TakeOver(ask) => self.on_take_over(nowMs, from, ask),
+            Message::TakeOver(ask) => self.on_take_over(now_ms, from, ask),
         }
     }
 
-    fn pulse(&mut self, nowMs: u64) {
+    fn pulse(&mut self, now_ms: u64) {
         match self.role {
-            Role::Leader => self.leader_pulse(nowMs),
-            _ if nowMs >= self.electionDueMs && self.log.is_member(self.id) => {
-                self.start_pre_vote(nowMs, false)
+            Role::Leader => self.leader_pulse(now_ms),
+            _ if now_ms >= self.election_due_ms && self.log.is_member(self.id) => {
+                self.start_pre_vote(now_ms, false)
             }
-            _ => self.who_pulse(nowMs),
+            _ => self.who_pulse(now_ms),
         }
     }
 
@@ -157,7 +157,7 @@
             if wrote > self.synced {
                 break;
             }
-            self.selfMatch = self.selfMatch.max(last);
+            self.self_match = self.self_match.max(last);
             self.appended.pop_front();
         }
         while self.held.front().is_some_and(|(wrote, _, _)| *wrote <= self.synced) {
@@ -228,7 +228,7 @@
     }
     /// Leader whose own term has committed: everything acknowledged before is applied.
     pub fn is_ready(&self) -> bool {
-        self.role == Role::Leader && self.commit >= self.termStart
+        self.role == Role::Leader && self.commit >= self.term_start
     }
     pub fn log(&self) -> &Log {
         &self.log
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -4,14 +4,14 @@
 /// Entries since a base; the base's members and every later change are kept beside them.
 pub struct Log {
     base: u64,
-    baseTerm: u64,
+    base_term: u64,
     entries: VecDeque<Entry>,
     configs: Vec<(u64, Vec<Member>)>,
 }
 
 impl Log {
     pub fn recovered(recovered: &Recovered) -> Self {
-        let mut log = Log { base: 0, baseTerm: 0, entries: VecDeque::new(), configs: Vec::new() };
+        let mut log = Log { base: 0, base_term: 0, entries: VecDeque::new(), configs: Vec::new() };
         if let Some(snapshot) = &recovered.snapshot {
             log.reset(snapshot);
         }
@@ -25,7 +25,7 @@
 
     pub fn reset(&mut self, snapshot: &Snapshot) {
         self.base = snapshot.index;
-        self.baseTerm = snapshot.term;
+        self.base_term = snapshot.term;
         self.entries.clear();
         self.configs = vec![(snapshot.index, snapshot.members.clone())];
     }
@@ -54,7 +54,7 @@
         while self.base < index {
             let Some(entry) = self.entries.pop_front() else { break };
             self.base = entry.index;
-            self.baseTerm = entry.term;
+            self.base_term = entry.term;
         }
         let kept = self.configs.iter().rposition(|(at, _)| *at <= self.base).unwrap_or(0);
         self.configs.drain(..kept);
@@ -67,12 +67,12 @@
         self.base + self.entries.len() as u64
     }
     pub fn last_term(&self) -> u64 {
-        self.entries.back().map_or(self.baseTerm, |entry| entry.term)
+        self.entries.back().map_or(self.base_term, |entry| entry.term)
     }
 
     pub fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.base {
-            return Some(self.baseTerm);
+            return Some(self.base_term);
         }
         self.get(index).map(|entry| entry.term)
     }
--- a/crates/consensus/src/members.rs
+++ b/crates/consensus/src/members.rs
@@ -15,19 +15,19 @@
         self.write_slot(snapshot);
     }
 
-    pub(crate) fn learner(&mut self, nowMs: u64, member: Member) {
+    pub(crate) fn learner(&mut self, now_ms: u64, member: Member) {
         if self.role != Role::Leader || member.id == self.id {
             return;
         }
         if let Some(known) = self.log.members().iter().find(|known| known.id == member.id) {
             if known.address != member.address && self.log.config_index() <= self.commit {
-                self.move_member(nowMs, member);
+                self.move_member(now_ms, member);
             }
             return;
         }
         let next = self.log.last() + 1;
         self.learners.insert(member.id, member);
-        self.progress.entry(member.id).or_insert_with(|| Progress::new(member, next, nowMs));
+        self.progress.entry(member.id).or_insert_with(|| Progress::new(member, next, now_ms));
     }
 
     /// One step at a time: once a caught-up learner stands ready, the voter silent longest leaves;
@@ -35,43 +35,45 @@
     /// that dies meanwhile can't be missed by a majority of four. And no step is taken that would
     /// leave the log without a majority of those heard lately: not before the learner has been here
     /// for longer than 'lately', for it may stand where one of the others stood a moment ago.
-    pub(crate) fn change_members(&mut self, nowMs: u64) {
+    pub(crate) fn change_members(&mut self, now_ms: u64) {
         if !self.is_ready() || self.log.config_index() > self.commit {
             return;
         }
         let mut members = self.log.members().to_vec();
-        let Some(learner) = self.caught_up(nowMs) else { return };
+        let Some(learner) = self.caught_up(now_ms) else { return };
         if members.len() < self.voters {
             members.push(learner);
         } else {
-            let silentMs = |member: &Member| match self.progress.get(&member.id) {
-                Some(known) => nowMs.saturating_sub(known.heardMs),
+            let silent_ms = |member: &Member| match self.progress.get(&member.id) {
+                Some(known) => now_ms.saturating_sub(known.heard_ms),
                 None => 0,
             };
             let others = members.iter().filter(|member| member.id != self.id);
-            let silentest = others.max_by_key(|member| silentMs(member)).copied();
-            let Some(dead) = silentest.filter(|one| silentMs(one) >= VOTER_DEAD_MS) else { return };
-            let sinceMs = self.progress.get(&learner.id).map_or(nowMs, |known| known.sinceMs);
-            if nowMs < sinceMs + LEARNER_SETTLE_MS {
+            let silentest = others.max_by_key(|member| silent_ms(member)).copied();
+            let Some(dead) = silentest.filter(|one| silent_ms(one) >= VOTER_DEAD_MS) else {
+                return;
+            };
+            let since_ms = self.progress.get(&learner.id).map_or(now_ms, |known| known.since_ms);
+            if now_ms < since_ms + LEARNER_SETTLE_MS {
                 return;
             }
             members.retain(|member| member.id != dead.id);
         }
-        let live = members.iter().filter(|one| one.id == self.id || self.is_heard(nowMs, one.id));
+        let live = members.iter().filter(|one| one.id == self.id || self.is_heard(now_ms, one.id));
         if live.count() > members.len() / 2 {
-            self.propose_members(nowMs, members);
+            self.propose_members(now_ms, members);
         }
     }
 
-    pub(crate) fn is_heard(&self, nowMs: u64, id: MemberId) -> bool {
+    pub(crate) fn is_heard(&self, now_ms: u64, id: MemberId) -> bool {
         let known = self.progress.get(&id);
-        known.is_some_and(|known| nowMs.saturating_sub(known.heardMs) < HEARTBEAT_MS * 4)
+        known.is_some_and(|known| now_ms.saturating_sub(known.heard_ms) < HEARTBEAT_MS * 4)
     }
 
-    fn caught_up(&self, nowMs: u64) -> Option<Member> {
+    fn caught_up(&self, now_ms: u64) -> Option<Member> {
         let caught = |learner: &&Member| {
             self.progress.get(&learner.id).is_some_and(|known| {
-                self.is_heard(nowMs, learner.id)
+                self.is_heard(now_ms, learner.id)
                     && known.matched + LEARNER_LAG_ENTRIES >= self.log.last()
             })
         };
@@ -79,23 +81,23 @@
     }
 
     /// The same disk at another address: the same voters, so one step does.
-    fn move_member(&mut self, nowMs: u64, moved: Member) {
+    fn move_member(&mut self, now_ms: u64, moved: Member) {
         let mut members = self.log.members().to_vec();
         members.retain(|member| member.id != moved.id);
         members.push(moved);
         self.progress.remove(&moved.id);
-        self.propose_members(nowMs, members);
+        self.propose_members(now_ms, members);
     }
 
-    fn propose_members(&mut self, nowMs: u64, members: Vec<Member>) {
-        self.append_own(nowMs, vec![Payload::Members(members.clone())]);
+    fn propose_members(&mut self, now_ms: u64, members: Vec<Member>) {
+        self.append_own(now_ms, vec![Payload::Members(members.clone())]);
         let next = self.log.last() + 1;
         for member in &members {
             self.learners.remove(&member.id);
             if member.id != self.id {
                 self.progress
                     .entry(member.id)
-                    .or_insert_with(|| Progress::new(*member, next, nowMs));
+                    .or_insert_with(|| Progress::new(*member, next, now_ms));
             }
         }
         let learners = &self.learners;
@@ -109,10 +111,14 @@
     }
 
     /// Silence and lag of each known member, for status.
-    pub fn followers(&self, nowMs: u64) -> Vec<(Member, u64, u64)> {
+    pub fn followers(&self, now_ms: u64) -> Vec<(Member, u64, u64)> {
         let last = self.log.last();
         let row = |known: &Progress| {
-            (known.member, nowMs.saturating_sub(known.heardMs), last.saturating_sub(known.matched))
+            (
+                known.member,
+                now_ms.saturating_sub(known.heard_ms),
+                last.saturating_sub(known.matched),
+            )
         };
         self.progress.values().map(row).collect()
     }
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -7,10 +7,10 @@
     pub matched: u64,
     pub next: u64,
     /// Leader's send time of the newest frame this follower answered.
-    pub echoMs: u64,
-    pub heardMs: u64,
+    pub echo_ms: u64,
+    pub heard_ms: u64,
     /// Since when this one is followed.
-    pub sinceMs: u64,
+    pub since_ms: u64,
     pub sending: Option<Sending>,
 }
 
@@ -18,18 +18,18 @@
 pub struct Sending {
     pub index: u64,
     pub offset: u64,
-    pub sentMs: u64,
+    pub sent_ms: u64,
 }
 
 impl Progress {
-    pub fn new(member: Member, next: u64, nowMs: u64) -> Self {
+    pub fn new(member: Member, next: u64, now_ms: u64) -> Self {
         Progress {
             member,
             matched: 0,
             next,
-            echoMs: 0,
-            heardMs: nowMs,
-            sinceMs: nowMs,
+            echo_ms: 0,
+            heard_ms: now_ms,
+            since_ms: now_ms,
             sending: None,
         }
     }
--- a/crates/consensus/src/replicate.rs
+++ b/crates/consensus/src/replicate.rs
@@ -2,13 +2,13 @@
 use postbarrow_constants::consensus::*;
 
 impl Consensus {
-    pub(crate) fn propose(&mut self, nowMs: u64, batches: Vec<Vec<u8>>) {
+    pub(crate) fn propose(&mut self, now_ms: u64, batches: Vec<Vec<u8>>) {
         if self.role == Role::Leader {
-            self.append_own(nowMs, batches.into_iter().map(Payload::Batch).collect());
+            self.append_own(now_ms, batches.into_iter().map(Payload::Batch).collect());
         }
     }
 
-    pub(crate) fn append_own(&mut self, nowMs: u64, payloads: Vec<Payload>) {
+    pub(crate) fn append_own(&mut self, now_ms: u64, payloads: Vec<Payload>) {
         let mut entries = Vec::with_capacity(payloads.len());
         for payload in payloads {
             let entry = Entry { term: self.term, index: self.log.last() + 1, payload };
@@ -17,37 +17,37 @@
         }
         self.write(Write::Append(entries));
         self.appended.push_back((self.sequence, self.log.last()));
-        self.replicate(nowMs);
+        self.replicate(now_ms);
         self.advance_commit();
     }
 
-    pub(crate) fn leader_pulse(&mut self, nowMs: u64) {
-        let silent = self.hold_until().saturating_add(ELECTION_MIN_MS) < nowMs;
-        let settled = self.progress.values().all(|known| known.heardMs + ELECTION_MIN_MS < nowMs);
+    pub(crate) fn leader_pulse(&mut self, now_ms: u64) {
+        let silent = self.hold_until().saturating_add(ELECTION_MIN_MS) < now_ms;
+        let settled = self.progress.values().all(|known| known.heard_ms + ELECTION_MIN_MS < now_ms);
         if silent && settled && !self.progress.is_empty() {
-            return self.follow(nowMs, self.term, None);
+            return self.follow(now_ms, self.term, None);
         }
-        if nowMs >= self.beatDueMs {
-            self.beatDueMs = nowMs + HEARTBEAT_MS;
+        if now_ms >= self.beat_due_ms {
+            self.beat_due_ms = now_ms + HEARTBEAT_MS;
             let ids: Vec<MemberId> = self.progress.keys().copied().collect();
             for id in ids {
-                self.send_append(nowMs, id, true);
+                self.send_append(now_ms, id, true);
             }
-            self.change_members(nowMs);
+            self.change_members(now_ms);
         }
     }
 
-    pub(crate) fn replicate(&mut self, nowMs: u64) {
+    pub(crate) fn replicate(&mut self, now_ms: u64) {
         let ids: Vec<MemberId> = self.progress.keys().copied().collect();
         for id in ids {
-            self.send_append(nowMs, id, false);
+            self.send_append(now_ms, id, false);
         }
     }
 
-    pub(crate) fn send_append(&mut self, nowMs: u64, id: MemberId, beat: bool) {
+    pub(crate) fn send_append(&mut self, now_ms: u64, id: MemberId, beat: bool) {
         let Some(known) = self.progress.get(&id) else { return };
         if known.sending.is_some() || known.next <= self.log.base() {
-            return self.send_snapshot(nowMs, id);
+            return self.send_snapshot(now_ms, id);
         }
         let to = known.member;
         let prev = known.next - 1;
@@ -59,10 +59,10 @@
         let append = Append {
             term: self.term,
             prev,
-            prevTerm: self.log.term_at(prev).unwrap_or(0),
+            prev_term: self.log.term_at(prev).unwrap_or(0),
             entries,
             commit: self.commit,
-            sentMs: nowMs,
+            sent_ms: now_ms,
         };
         if let Some(known) = self.progress.get_mut(&id) {
             known.next = next;
@@ -70,20 +70,20 @@
         self.send(to, Message::Append(append));
     }
 
-    pub(crate) fn on_append(&mut self, nowMs: u64, from: Member, append: Append) {
+    pub(crate) fn on_append(&mut self, now_ms: u64, from: Member, append: Append) {
         if append.term < self.term {
-            let response = AppendResponse { term: self.term, matched: None, hint: 0, sentMs: 0 };
+            let response = AppendResponse { term: self.term, matched: None, hint: 0, sent_ms: 0 };
             return self.send(from, Message::AppendResponse(response));
         }
         if append.term > self.term || self.role != Role::Follower || self.leader != Some(from.id) {
-            self.follow(nowMs, append.term, Some(from.id));
+            self.follow(now_ms, append.term, Some(from.id));
         }
-        self.heardMs = nowMs;
+        self.heard_ms = now_ms;
         self.freed = false;
-        self.note_offset(nowMs, append.sentMs);
-        self.set_election(nowMs);
+        self.note_offset(now_ms, append.sent_ms);
+        self.set_election(now_ms);
         let mut response =
-            AppendResponse { term: self.term, matched: None, hint: 0, sentMs: append.sentMs };
+            AppendResponse { term: self.term, matched: None, hint: 0, sent_ms: append.sent_ms };
         if self.is_fresh() {
             return self.send(from, Message::AppendResponse(response));
         }
@@ -91,7 +91,7 @@
             response.hint = self.commit + 1;
             return self.send(from, Message::AppendResponse(response));
         }
-        if self.log.term_at(append.prev) != Some(append.prevTerm) {
+        if self.log.term_at(append.prev) != Some(append.prev_term) {
             response.hint = self.conflict_hint(append.prev);
             return self.send(from, Message::AppendResponse(response));
         }
@@ -119,7 +119,7 @@
                 Some(_) => {
                     assert!(entry.index > self.commit, "a committed entry is never replaced");
                     self.log.truncate(entry.index);
-                    self.selfMatch = self.selfMatch.min(entry.index - 1);
+                    self.self_match = self.self_match.min(entry.index - 1);
                     for (_, last) in &mut self.appended {
                         *last = (*last).min(entry.index - 1);
                     }
@@ -137,17 +137,17 @@
         }
     }
 
-    pub(crate) fn on_append_response(&mut self, nowMs: u64, from: Member, got: AppendResponse) {
+    pub(crate) fn on_append_response(&mut self, now_ms: u64, from: Member, got: AppendResponse) {
         if got.term > self.term {
-            return self.follow(nowMs, got.term, None);
+            return self.follow(now_ms, got.term, None);
         }
         if self.role != Role::Leader || got.term < self.term {
             return;
         }
         let last = self.log.last();
         let Some(known) = self.progress.get_mut(&from.id) else { return };
-        known.heardMs = nowMs;
-        known.echoMs = known.echoMs.max(got.sentMs);
+        known.heard_ms = now_ms;
+        known.echo_ms = known.echo_ms.max(got.sent_ms);
         match got.matched {
             Some(matched) => {
                 known.matched = known.matched.max(matched);
@@ -155,13 +155,13 @@
                 let more = known.next <= last;
                 self.advance_commit();
                 if more {
-                    self.send_append(nowMs, from.id, false);
+                    self.send_append(now_ms, from.id, false);
                 }
             }
-            None if got.hint == 0 => self.send_snapshot(nowMs, from.id),
+            None if got.hint == 0 => self.send_snapshot(now_ms, from.id),
             None => {
                 known.next = got.hint.clamp(known.matched + 1, last + 1);
-                self.send_append(nowMs, from.id, true);
+                self.send_append(now_ms, from.id, true);
             }
         }
     }
@@ -171,7 +171,7 @@
         let mut matches: Vec<u64> = members
             .iter()
             .map(|member| match self.progress.get(&member.id) {
-                _ if member.id == self.id => self.selfMatch,
+                _ if member.id == self.id => self.self_match,
                 Some(known) => known.matched,
                 None => 0,
             })
--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -29,50 +29,50 @@
         self.appended.push_back((self.sequence, self.log.last()));
     }
 
-    pub(crate) fn send_snapshot(&mut self, nowMs: u64, id: MemberId) {
+    pub(crate) fn send_snapshot(&mut self, now_ms: u64, id: MemberId) {
         let Some(snapshot) = self.snapshot.clone() else { return };
         let Some(known) = self.progress.get_mut(&id) else { return };
         let sending =
-            known.sending.get_or_insert(Sending { index: snapshot.index, offset: 0, sentMs: 0 });
+            known.sending.get_or_insert(Sending { index: snapshot.index, offset: 0, sent_ms: 0 });
         if sending.index != snapshot.index {
-            *sending = Sending { index: snapshot.index, offset: 0, sentMs: 0 };
+            *sending = Sending { index: snapshot.index, offset: 0, sent_ms: 0 };
         }
-        if nowMs < sending.sentMs + SNAPSHOT_RETRY_MS && sending.sentMs > 0 {
+        if now_ms < sending.sent_ms + SNAPSHOT_RETRY_MS && sending.sent_ms > 0 {
             return;
         }
-        sending.sentMs = nowMs;
+        sending.sent_ms = now_ms;
         let offset = sending.offset as usize;
         let to = known.member;
         let end = (offset + SNAPSHOT_CHUNK_BYTES).min(snapshot.state.len());
         let part = SnapshotPart {
             term: self.term,
             index: snapshot.index,
-            indexTerm: snapshot.term,
+            index_term: snapshot.term,
             members: snapshot.members.clone(),
             offset: offset as u64,
             total: snapshot.state.len() as u64,
             bytes: snapshot.state[offset.min(end)..end].to_vec(),
-            sentMs: nowMs,
+            sent_ms: now_ms,
         };
         self.send(to, Message::Snapshot(part));
     }
 
-    pub(crate) fn on_snapshot(&mut self, nowMs: u64, from: Member, part: SnapshotPart) {
+    pub(crate) fn on_snapshot(&mut self, now_ms: u64, from: Member, part: SnapshotPart) {
         if part.term < self.term {
             return;
         }
         if part.term > self.term || self.role != Role::Follower || self.leader != Some(from.id) {
-            self.follow(nowMs, part.term, Some(from.id));
+            self.follow(now_ms, part.term, Some(from.id));
         }
-        self.heardMs = nowMs;
+        self.heard_ms = now_ms;
         self.freed = false;
-        self.set_election(nowMs);
+        self.set_election(now_ms);
         let mut got = SnapshotResponse {
             term: self.term,
             index: part.index,
             received: 0,
             done: part.index <= self.commit && !self.is_fresh(),
-            sentMs: part.sentMs,
+            sent_ms: part.sent_ms,
         };
         if got.done {
             return self.send(from, Message::SnapshotResponse(got));
@@ -91,7 +91,7 @@
         }
         let snapshot = Arc::new(Snapshot {
             index: part.index,
-            term: part.indexTerm,
+            term: part.index_term,
             members: part.members,
             state: incoming.bytes,
         });
@@ -106,33 +106,38 @@
         } else {
             self.log.reset(&snapshot);
             self.appended.clear();
-            self.selfMatch = 0;
+            self.self_match = 0;
         }
         self.commit = snapshot.index;
         self.effects.push(Effect::Restore(snapshot.clone()));
         self.write_slot(snapshot);
     }
 
-    pub(crate) fn on_snapshot_response(&mut self, nowMs: u64, from: Member, got: SnapshotResponse) {
+    pub(crate) fn on_snapshot_response(
+        &mut self,
+        now_ms: u64,
+        from: Member,
+        got: SnapshotResponse,
+    ) {
         if got.term > self.term {
-            return self.follow(nowMs, got.term, None);
+            return self.follow(now_ms, got.term, None);
         }
         if self.role != Role::Leader || got.term < self.term {
             return;
         }
         let Some(known) = self.progress.get_mut(&from.id) else { return };
-        known.heardMs = nowMs;
-        known.echoMs = known.echoMs.max(got.sentMs);
+        known.heard_ms = now_ms;
+        known.echo_ms = known.echo_ms.max(got.sent_ms);
         if got.done {
             known.sending = None;
             known.matched = known.matched.max(got.index);
             known.next = known.matched + 1;
-            return self.send_append(nowMs, from.id, true);
+            return self.send_append(now_ms, from.id, true);
         }
         if let Some(sending) = known.sending.as_mut().filter(|going| going.index == got.index) {
             sending.offset = got.received;
-            sending.sentMs = 0;
-            self.send_snapshot(nowMs, from.id);
+            sending.sent_ms = 0;
+            self.send_snapshot(now_ms, from.id);
         }
     }
 }
--- a/crates/consensus/src/types.rs
+++ b/crates/consensus/src/types.rs
@@ -71,7 +71,7 @@
 pub struct VoteAsk {
     pub term: u64,
     pub last: u64,
-    pub lastTerm: u64,
+    pub last_term: u64,
     /// The leader itself gave up its hold for this one.
     pub handed: bool,
     /// In one round every member said that it does not lead.
@@ -83,10 +83,10 @@
 pub struct Append {
     pub term: u64,
     pub prev: u64,
-    pub prevTerm: u64,
+    pub prev_term: u64,
     pub entries: Vec<Entry>,
     pub commit: u64,
-    pub sentMs: u64,
+    pub sent_ms: u64,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -94,20 +94,20 @@
     pub term: u64,
     pub matched: Option<u64>,
     pub hint: u64,
-    pub sentMs: u64,
+    pub sent_ms: u64,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SnapshotPart {
     pub term: u64,
     pub index: u64,
-    pub indexTerm: u64,
+    pub index_term: u64,
     pub members: Vec<Member>,
     pub offset: u64,
     pub total: u64,
     #[serde(with = "serde_bytes")]
     pub bytes: Vec<u8>,
-    pub sentMs: u64,
+    pub sent_ms: u64,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -116,14 +116,14 @@
     pub index: u64,
     pub received: u64,
     pub done: bool,
-    pub sentMs: u64,
+    pub sent_ms: u64,
 }
 
 /// A leader that has given up its hold for good asks a follower to lead at once.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TakeOver {
     pub term: u64,
-    pub sentMs: u64,
+    pub sent_ms: u64,
     #[serde(with = "serde_bytes")]
     pub note: Vec<u8>,
 }
@@ -200,6 +200,6 @@
     /// The leader's note at its end, and by how much longer than others it was under way.
     Handed {
         note: Vec<u8>,
-        lateMs: u64,
+        late_ms: u64,
     },
 }
--- a/crates/consensus/tests/handover.rs
+++ b/crates/consensus/tests/handover.rs
@@ -8,7 +8,7 @@
 /// Three voters whose frames arrive at once and whose disks sync at once.
 struct Three {
     nodes: Vec<Consensus>,
-    nowMs: u64,
+    now_ms: u64,
     handed: Vec<(u64, Vec<u8>)>,
 }
 
@@ -18,7 +18,8 @@
         let snapshot = Arc::new(Snapshot { index: 0, term: 0, members, state: Vec::new() });
         let recovered = Recovered { snapshot: Some(snapshot), ..Recovered::default() };
         let made = |id| Consensus::new(id, recovered.clone(), 7, 1_000);
-        let mut three = Three { nodes: (1..=3).map(made).collect(), nowMs: 10_000, handed: vec![] };
+        let mut three =
+            Three { nodes: (1..=3).map(made).collect(), now_ms: 10_000, handed: vec![] };
         three.give(1, Input::Pulse);
         three.give(1, Input::Pulse);
         assert_eq!(three.node(1).role(), Role::Leader);
@@ -32,7 +33,7 @@
     fn give(&mut self, to: u64, input: Input) {
         let mut queue = vec![(to, input)];
         while let Some((to, input)) = queue.pop() {
-            let effects = self.nodes[to as usize - 1].handle(self.nowMs, input);
+            let effects = self.nodes[to as usize - 1].handle(self.now_ms, input);
             for effect in effects {
                 match effect {
                     Effect::Send { to: other, message } => {
@@ -52,17 +53,17 @@
 #[test]
 fn a_leader_hands_over_at_once_and_its_hold_ended_first() {
     let mut three = Three::led_by_one();
-    three.nowMs += 100;
+    three.now_ms += 100;
     three.give(1, Input::Pulse);
-    assert!(three.node(1).hold_until() > three.nowMs);
-    let asks = three.nodes[0].handle(three.nowMs, Input::HandOver(vec![9]));
+    assert!(three.node(1).hold_until() > three.now_ms);
+    let asks = three.nodes[0].handle(three.now_ms, Input::HandOver(vec![9]));
     assert_eq!(three.node(1).hold_until(), 0, "nothing is granted while another is asked to lead");
     let Some(Effect::Send { to, message }) = asks.into_iter().next() else {
         panic!("nobody asked")
     };
     three.give(to.id, Input::Receive { from: member(1), message });
     assert_eq!(three.node(to.id).role(), Role::Leader, "without waiting for any promise to end");
-    assert!(three.node(to.id).hold_until() > three.nowMs);
+    assert!(three.node(to.id).hold_until() > three.now_ms);
     assert_eq!(three.node(1).role(), Role::Follower);
     assert_eq!(three.handed, [(to.id, vec![9])]);
 }
@@ -70,9 +71,9 @@
 #[test]
 fn a_hold_given_up_does_not_come_back_in_its_term() {
     let mut three = Three::led_by_one();
-    let _lost = three.nodes[0].handle(three.nowMs, Input::HandOver(Vec::new()));
+    let _lost = three.nodes[0].handle(three.now_ms, Input::HandOver(Vec::new()));
     for _ in 0..5 {
-        three.nowMs += 100;
+        three.now_ms += 100;
         three.give(1, Input::Pulse);
         assert_eq!(three.node(1).hold_until(), 0);
     }
@@ -82,30 +83,30 @@
 fn only_the_present_leader_can_ask_to_take_over() {
     let mut three = Three::led_by_one();
     for (from, term) in [(3, 1), (1, 0), (1, 2)] {
-        let ask = TakeOver { term, sentMs: 0, note: Vec::new() };
+        let ask = TakeOver { term, sent_ms: 0, note: Vec::new() };
         let effects = three.nodes[1].handle(
-            three.nowMs,
+            three.now_ms,
             Input::Receive { from: member(from), message: Message::TakeOver(ask) },
         );
         assert!(effects.is_empty(), "from {from}, term {term}: {effects:?}");
     }
-    let vote = VoteAsk { term: 2, last: 9, lastTerm: 9, handed: false, clear: false };
+    let vote = VoteAsk { term: 2, last: 9, last_term: 9, handed: false, clear: false };
     let message = Message::Vote(vote);
-    let effects = three.nodes[1].handle(three.nowMs, Input::Receive { from: member(3), message });
+    let effects = three.nodes[1].handle(three.now_ms, Input::Receive { from: member(3), message });
     assert!(effects.is_empty(), "a promise to a leader binds unless that leader gave up");
 }
 
 #[test]
 fn a_note_that_was_long_under_way_says_so() {
     let mut three = Three::led_by_one();
-    let ask = TakeOver { term: three.node(1).term(), sentMs: three.nowMs, note: Vec::new() };
-    let lateMs = 2_000;
+    let ask = TakeOver { term: three.node(1).term(), sent_ms: three.now_ms, note: Vec::new() };
+    let late_ms = 2_000;
     let message = Message::TakeOver(ask);
     let effects =
-        three.nodes[1].handle(three.nowMs + lateMs, Input::Receive { from: member(1), message });
+        three.nodes[1].handle(three.now_ms + late_ms, Input::Receive { from: member(1), message });
     let told = effects.iter().find_map(|effect| match effect {
-        Effect::Handed { lateMs, .. } => Some(*lateMs),
+        Effect::Handed { late_ms, .. } => Some(*late_ms),
         _ => None,
     });
-    assert_eq!(told, Some(lateMs));
+    assert_eq!(told, Some(late_ms));
 }
--- a/crates/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -9,7 +9,7 @@
 /// A leader of three whose second member has long been silent, and whose third answers.
 struct Bench {
     node: Consensus,
-    nowMs: u64,
+    now_ms: u64,
 }
 
 impl Bench {
@@ -17,13 +17,13 @@
         let members = (1..=3).map(member).collect();
         let snapshot = Snapshot { index: 0, term: 0, members, state: Vec::new() };
         let recovered = Recovered { snapshot: Some(Arc::new(snapshot)), ..Recovered::default() };
-        let mut bench = Bench { node: Consensus::new(1, recovered, 7, 10_000), nowMs: 10_000 };
+        let mut bench = Bench { node: Consensus::new(1, recovered, 7, 10_000), now_ms: 10_000 };
         while bench.node.role() != Role::Leader {
             bench.pass(&[3]);
-            assert!(bench.nowMs < 20_000, "it never led");
+            assert!(bench.now_ms < 20_000, "it never led");
         }
-        let untilMs = bench.nowMs + VOTER_DEAD_MS + 500;
-        while bench.nowMs < untilMs {
+        let until_ms = bench.now_ms + VOTER_DEAD_MS + 500;
+        while bench.now_ms < until_ms {
             bench.pass(&[3]);
         }
         bench
@@ -31,8 +31,8 @@
 
     /// One pulse, in which these answer everything they are sent and all is synced.
     fn pass(&mut self, answering: &[u64]) {
-        self.nowMs += 20;
-        let mut effects: Vec<Effect> = self.node.handle(self.nowMs, Input::Pulse);
+        self.now_ms += 20;
+        let mut effects: Vec<Effect> = self.node.handle(self.now_ms, Input::Pulse);
         while !effects.is_empty() {
             let mut inputs = Vec::new();
             for effect in effects {
@@ -46,7 +46,7 @@
                 }
             }
             effects =
-                inputs.into_iter().flat_map(|one| self.node.handle(self.nowMs, one)).collect();
+                inputs.into_iter().flat_map(|one| self.node.handle(self.now_ms, one)).collect();
         }
     }
 
@@ -63,14 +63,14 @@
             term: append.term,
             matched: Some(append.prev + append.entries.len() as u64),
             hint: 0,
-            sentMs: append.sentMs,
+            sent_ms: append.sent_ms,
         })),
         Message::Snapshot(part) => Some(Message::SnapshotResponse(SnapshotResponse {
             term: part.term,
             index: part.index,
             received: part.total,
             done: true,
-            sentMs: part.sentMs,
+            sent_ms: part.sent_ms,
         })),
         _ => None,
     }
@@ -79,7 +79,7 @@
 #[test]
 fn nobody_leaves_for_a_learner_that_came_as_another_member_fell_silent() {
     let mut bench = Bench::new();
-    bench.node.handle(bench.nowMs, Input::Learner(member(9)));
+    bench.node.handle(bench.now_ms, Input::Learner(member(9)));
     for _ in 0..400 {
         bench.pass(&[9]);
     }
@@ -96,7 +96,7 @@
 #[test]
 fn a_learner_that_stands_by_takes_the_place_of_the_silent() {
     let mut bench = Bench::new();
-    bench.node.handle(bench.nowMs, Input::Learner(member(9)));
+    bench.node.handle(bench.now_ms, Input::Learner(member(9)));
     for _ in 0..200 {
         bench.pass(&[3, 9]);
     }
--- a/crates/consensus/tests/votes.rs
+++ b/crates/consensus/tests/votes.rs
@@ -6,7 +6,7 @@
     Member { id, address: format!("10.0.0.{id}:1").parse().unwrap() }
 }
 
-fn voter(nowMs: u64, hard: Hard) -> Consensus {
+fn voter(now_ms: u64, hard: Hard) -> Consensus {
     let members = (1..=3).map(member).collect();
     let snapshot = Snapshot { index: 0, term: 0, members, state: Vec::new() };
     let recovered = Recovered {
@@ -15,20 +15,20 @@
         snapshot: Some(Arc::new(snapshot)),
         entries: Vec::new(),
     };
-    Consensus::new(1, recovered, 7, nowMs)
+    Consensus::new(1, recovered, 7, now_ms)
 }
 
-fn receive(node: &mut Consensus, nowMs: u64, from: u64, message: Message) -> Vec<Effect> {
-    node.handle(nowMs, Input::Receive { from: member(from), message })
+fn receive(node: &mut Consensus, now_ms: u64, from: u64, message: Message) -> Vec<Effect> {
+    node.handle(now_ms, Input::Receive { from: member(from), message })
 }
 
 fn ask(term: u64) -> VoteAsk {
-    VoteAsk { term, last: 0, lastTerm: 0, handed: false, clear: false }
+    VoteAsk { term, last: 0, last_term: 0, handed: false, clear: false }
 }
 
 fn append(term: u64) -> Message {
     let entries = Vec::new();
-    Message::Append(Append { term, prev: 0, prevTerm: 0, entries, commit: 0, sentMs: 5 })
+    Message::Append(Append { term, prev: 0, prev_term: 0, entries, commit: 0, sent_ms: 5 })
 }
 
 fn granted(effects: &[Effect]) -> Option<bool> {
@@ -39,12 +39,12 @@
     })
 }
 
-fn sync(node: &mut Consensus, nowMs: u64, effects: &[Effect]) -> Vec<Effect> {
+fn sync(node: &mut Consensus, now_ms: u64, effects: &[Effect]) -> Vec<Effect> {
     let last = effects.iter().rev().find_map(|effect| match effect {
         Effect::Write { sequence, .. } => Some(*sequence),
         _ => None,
     });
-    node.handle(nowMs, Input::Synced(last.expect("something is written")))
+    node.handle(now_ms, Input::Synced(last.expect("something is written")))
 }
 
 const START_MS: u64 = 10_000;
@@ -52,36 +52,36 @@
 #[test]
 fn who_heard_a_leader_promises_nothing_until_its_hold_is_over() {
     let mut node = voter(START_MS, Hard::default());
-    let heardMs = START_MS + 5_000;
-    receive(&mut node, heardMs, 2, append(1));
-    let soonMs = heardMs + ELECTION_MIN_MS - 1;
-    assert!(soonMs > heardMs + CONTROLLER_HOLD_MS, "the hold ends for its holder first");
-    let early = receive(&mut node, soonMs, 3, Message::PreVote(ask(2)));
+    let heard_ms = START_MS + 5_000;
+    receive(&mut node, heard_ms, 2, append(1));
+    let soon_ms = heard_ms + ELECTION_MIN_MS - 1;
+    assert!(soon_ms > heard_ms + CONTROLLER_HOLD_MS, "the hold ends for its holder first");
+    let early = receive(&mut node, soon_ms, 3, Message::PreVote(ask(2)));
     assert_eq!(granted(&early), Some(false));
-    let early = receive(&mut node, soonMs, 3, Message::Vote(ask(2)));
+    let early = receive(&mut node, soon_ms, 3, Message::Vote(ask(2)));
     assert!(early.is_empty(), "not even the term is taken up");
-    let due = receive(&mut node, soonMs + 1, 3, Message::PreVote(ask(2)));
+    let due = receive(&mut node, soon_ms + 1, 3, Message::PreVote(ask(2)));
     assert_eq!(granted(&due), Some(true));
 }
 
 #[test]
 fn who_just_started_may_have_promised_and_waits_as_long() {
     let mut node = voter(START_MS, Hard::default());
-    let soonMs = START_MS + ELECTION_MIN_MS - 1;
-    assert!(receive(&mut node, soonMs, 3, Message::Vote(ask(2))).is_empty());
-    let due = receive(&mut node, soonMs + 1, 3, Message::Vote(ask(2)));
+    let soon_ms = START_MS + ELECTION_MIN_MS - 1;
+    assert!(receive(&mut node, soon_ms, 3, Message::Vote(ask(2))).is_empty());
+    let due = receive(&mut node, soon_ms + 1, 3, Message::Vote(ask(2)));
     assert_eq!(granted(&due), None, "no word before the vote is on disk");
-    assert_eq!(granted(&sync(&mut node, soonMs + 2, &due)), Some(true));
+    assert_eq!(granted(&sync(&mut node, soon_ms + 2, &due)), Some(true));
 }
 
 #[test]
 fn a_vote_outlives_its_process() {
-    let nowMs = START_MS + ELECTION_MIN_MS;
+    let now_ms = START_MS + ELECTION_MIN_MS;
     let mut node = voter(START_MS, Hard { term: 4, voted: Some(2) });
-    let other = receive(&mut node, nowMs, 3, Message::Vote(ask(4)));
+    let other = receive(&mut node, now_ms, 3, Message::Vote(ask(4)));
     assert_eq!(granted(&other), Some(false), "it voted for 2 in this term");
-    let again = receive(&mut node, nowMs, 2, Message::Vote(ask(4)));
-    assert_eq!(granted(&sync(&mut node, nowMs, &again)), Some(true));
+    let again = receive(&mut node, now_ms, 2, Message::Vote(ask(4)));
+    assert_eq!(granted(&sync(&mut node, now_ms, &again)), Some(true));
 }
 
 #[test]
@@ -89,7 +89,7 @@
     let mut node = voter(START_MS, Hard::default());
     let entry = Entry { term: 1, index: 1, payload: Payload::Batch(vec![1]) };
     let append =
-        Append { term: 1, prev: 0, prevTerm: 0, entries: vec![entry], commit: 1, sentMs: 5 };
+        Append { term: 1, prev: 0, prev_term: 0, entries: vec![entry], commit: 1, sent_ms: 5 };
     let effects = receive(&mut node, START_MS, 2, Message::Append(append));
     let said = |effects: &[Effect]| {
         effects.iter().any(|effect| {
@@ -97,13 +97,13 @@
         })
     };
     assert!(!said(&effects), "no yes before the sync");
-    let nowMs = START_MS + 2 * ELECTION_MIN_MS;
+    let now_ms = START_MS + 2 * ELECTION_MIN_MS;
     assert!(said(&sync(&mut node, START_MS, &effects)));
-    let shorter = receive(&mut node, nowMs, 3, Message::Vote(ask(5)));
-    assert_eq!(granted(&sync(&mut node, nowMs, &shorter)), Some(false));
-    let longer = VoteAsk { term: 6, last: 1, lastTerm: 1, handed: false, clear: false };
-    let longer = receive(&mut node, nowMs, 3, Message::Vote(longer));
-    assert_eq!(granted(&sync(&mut node, nowMs, &longer)), Some(true));
+    let shorter = receive(&mut node, now_ms, 3, Message::Vote(ask(5)));
+    assert_eq!(granted(&sync(&mut node, now_ms, &shorter)), Some(false));
+    let longer = VoteAsk { term: 6, last: 1, last_term: 1, handed: false, clear: false };
+    let longer = receive(&mut node, now_ms, 3, Message::Vote(longer));
+    assert_eq!(granted(&sync(&mut node, now_ms, &longer)), Some(true));
 }
 
 fn clear(term: u64) -> VoteAsk {
@@ -138,15 +138,15 @@
 #[test]
 fn a_voter_that_heard_a_leader_since_its_word_is_bound_all_the_same() {
     let mut node = voter(START_MS, Hard::default());
-    let soonMs = START_MS + 100;
-    assert_eq!(granted(&receive(&mut node, soonMs, 3, Message::PreVote(clear(2)))), Some(false));
-    receive(&mut node, soonMs, 3, Message::Who { term: 0, round: 1 });
-    assert_eq!(granted(&receive(&mut node, soonMs, 3, Message::PreVote(ask(2)))), Some(false));
-    assert_eq!(granted(&receive(&mut node, soonMs, 3, Message::PreVote(clear(2)))), Some(true));
-    receive(&mut node, soonMs + 1, 2, append(1));
-    assert_eq!(granted(&receive(&mut node, soonMs, 3, Message::PreVote(clear(2)))), Some(false));
-    assert!(receive(&mut node, soonMs + 2, 3, Message::Vote(clear(2))).is_empty());
-    receive(&mut node, soonMs + 3, 3, Message::Who { term: 0, round: 2 });
-    receive(&mut node, soonMs + 4, 2, append(1));
-    assert!(receive(&mut node, soonMs + 5, 3, Message::Vote(clear(2))).is_empty(), "heard again");
+    let soon_ms = START_MS + 100;
+    assert_eq!(granted(&receive(&mut node, soon_ms, 3, Message::PreVote(clear(2)))), Some(false));
+    receive(&mut node, soon_ms, 3, Message::Who { term: 0, round: 1 });
+    assert_eq!(granted(&receive(&mut node, soon_ms, 3, Message::PreVote(ask(2)))), Some(false));
+    assert_eq!(granted(&receive(&mut node, soon_ms, 3, Message::PreVote(clear(2)))), Some(true));
+    receive(&mut node, soon_ms + 1, 2, append(1));
+    assert_eq!(granted(&receive(&mut node, soon_ms, 3, Message::PreVote(clear(2)))), Some(false));
+    assert!(receive(&mut node, soon_ms + 2, 3, Message::Vote(clear(2))).is_empty());
+    receive(&mut node, soon_ms + 3, 3, Message::Who { term: 0, round: 2 });
+    receive(&mut node, soon_ms + 4, 2, append(1));
+    assert!(receive(&mut node, soon_ms + 5, 3, Message::Vote(clear(2))).is_empty(), "heard again");
 }
--- a/crates/controller/examples/snapshot_cost.rs
+++ b/crates/controller/examples/snapshot_cost.rs
@@ -12,8 +12,8 @@
     for at in 0..tickets as u64 {
         let key = Name::from(format!("made-{:x}-{at}-0123456789abcdef01234567", 0x1234_5678u64));
         let kept = Kept { status: 200, headers: Vec::new(), body: vec![7; KEPT_RESPONSE_BYTES] };
-        let fits = state.keptBytes + kept.size() as u64 <= KEPT_BYTES;
-        state.keptBytes += if fits { kept.size() as u64 } else { 0 };
+        let fits = state.kept_bytes + kept.size() as u64 <= KEPT_BYTES;
+        state.kept_bytes += if fits { kept.size() as u64 } else { 0 };
         let ticket = Ticket {
             key: key.clone(),
             digest: [7; 32],
--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -5,27 +5,27 @@
 use postbarrow_state::{Call, Key, Lock, Name, Outcome, Record, State};
 
 impl ControlNode {
-    pub(crate) fn on_call(&mut self, nowMs: u64, origin: Origin, id: Option<Name>, call: Call) {
+    pub(crate) fn on_call(&mut self, now_ms: u64, origin: Origin, id: Option<Name>, call: Call) {
         if let Err(why) = sound(&call) {
             return self.respond(origin, Response::Refused(why));
         }
         match &call {
             Call::ReadLock { .. } | Call::ReadNumber { .. } | Call::ReadKey { .. } => {
-                if !self.refuse_without_hold(nowMs, origin) {
+                if !self.refuse_without_hold(now_ms, origin) {
                     let outcome = read(self.committed(), &call);
                     self.respond(origin, Response::Outcome(outcome));
                 }
             }
             Call::Watch { sort, prefix, after } => {
-                if !self.refuse_without_hold(nowMs, origin) {
-                    self.on_watch(nowMs, origin, *sort, prefix.clone(), *after);
+                if !self.refuse_without_hold(now_ms, origin) {
+                    self.on_watch(now_ms, origin, *sort, prefix.clone(), *after);
                 }
             }
-            _ => self.on_write(nowMs, origin, id, call),
+            _ => self.on_write(now_ms, origin, id, call),
         }
     }
 
-    fn on_write(&mut self, nowMs: u64, origin: Origin, id: Option<Name>, call: Call) {
+    fn on_write(&mut self, now_ms: u64, origin: Origin, id: Option<Name>, call: Call) {
         let Some(state) = self.current() else { return };
         if let Some(known) = id.as_ref().and_then(|id| state.repeats.get(id)) {
             let outcome = known.as_ref().clone();
@@ -33,15 +33,17 @@
         }
         let full = state.repeats.len() >= REPEATS || state.history.len() >= HISTORY_EVENTS;
         let (outcome, mut records) = decide(state, &call);
-        if let (Outcome::Locked { ttlMs, .. }, Call::Lock { name, .. } | Call::Renew { name, .. }) =
-            (&outcome, &call)
+        if let (
+            Outcome::Locked { ttl_ms, .. },
+            Call::Lock { name, .. } | Call::Renew { name, .. },
+        ) = (&outcome, &call)
         {
-            if !self.holds(nowMs) {
+            if !self.holds(now_ms) {
                 return self.respond(origin, Response::NotController { controller: None });
             }
             if let Some(lead) = &mut self.lead {
-                let dueMs = lead.locksDueMs.entry(name.clone()).or_default();
-                *dueMs = (*dueMs).max(nowMs + ttlMs);
+                let due_ms = lead.locks_due_ms.entry(name.clone()).or_default();
+                *due_ms = (*due_ms).max(now_ms + ttl_ms);
             }
         }
         if records.is_empty() {
@@ -53,34 +55,34 @@
         if let Some(id) = id {
             records.push(Record::Repeat { id, outcome: outcome.clone() });
         }
-        let offset = self.propose(nowMs, records);
+        let offset = self.propose(now_ms, records);
         self.reply_at(offset, origin, Response::Outcome(outcome));
     }
 
     /// Ends locks whose time is up. A controller that stood still gives its holders that time back.
-    pub(crate) fn lock_pulse(&mut self, nowMs: u64, gapMs: u64) {
+    pub(crate) fn lock_pulse(&mut self, now_ms: u64, gap_ms: u64) {
         let open = self.is_open();
         let Some(lead) = &mut self.lead else { return };
-        if gapMs > HEARTBEAT_MS {
-            lead.locksDueMs.values_mut().for_each(|dueMs| *dueMs += gapMs);
+        if gap_ms > HEARTBEAT_MS {
+            lead.locks_due_ms.values_mut().for_each(|due_ms| *due_ms += gap_ms);
         }
         if open {
             return;
         }
         let due: Vec<Name> = lead
-            .locksDueMs
+            .locks_due_ms
             .iter()
-            .filter(|(_, dueMs)| **dueMs <= nowMs)
+            .filter(|(_, due_ms)| **due_ms <= now_ms)
             .map(|(name, _)| name.clone())
             .collect();
         for name in &due {
-            lead.locksDueMs.remove(name);
+            lead.locks_due_ms.remove(name);
         }
         let held = |name: &Name| self.current().is_some_and(|state| state.locks.contains_key(name));
         let freed: Vec<Record> =
             due.into_iter().filter(held).map(|name| Record::LockFreed { name }).collect();
         if !freed.is_empty() {
-            self.propose(nowMs, freed);
+            self.propose(now_ms, freed);
         }
     }
 }
@@ -103,8 +105,8 @@
         within("holder", holder.len(), 1, NAME_BYTES)?;
     }
     match call {
-        Call::Lock { ttlMs, .. } | Call::Renew { ttlMs: Some(ttlMs), .. }
-            if !(LOCK_TTL_LEAST_MS..=LOCK_TTL_MOST_MS).contains(ttlMs) =>
+        Call::Lock { ttl_ms, .. } | Call::Renew { ttl_ms: Some(ttl_ms), .. }
+            if !(LOCK_TTL_LEAST_MS..=LOCK_TTL_MOST_MS).contains(ttl_ms) =>
         {
             Err(format!("ttlMs must be from {LOCK_TTL_LEAST_MS} to {LOCK_TTL_MOST_MS}"))
         }
@@ -139,29 +141,29 @@
 
 /// More time for who holds it. A controller to come knows only the recorded time, so that is never
 /// less than any that was given.
-fn extend(name: &Name, lock: &Lock, ttlMs: u64) -> (Outcome, Vec<Record>) {
-    let outcome = Outcome::Locked { fence: lock.fence, ttlMs };
-    let longer = ttlMs > lock.ttlMs;
+fn extend(name: &Name, lock: &Lock, ttl_ms: u64) -> (Outcome, Vec<Record>) {
+    let outcome = Outcome::Locked { fence: lock.fence, ttl_ms };
+    let longer = ttl_ms > lock.ttl_ms;
     let (name, holder, fence) = (name.clone(), lock.holder.clone(), lock.fence);
-    let record = Record::Lock { name, holder, fence, ttlMs };
+    let record = Record::Lock { name, holder, fence, ttl_ms };
     (outcome, if longer { vec![record] } else { Vec::new() })
 }
 
 fn decide(state: &State, call: &Call) -> (Outcome, Vec<Record>) {
     match call {
-        Call::Lock { name, holder, ttlMs } => match state.locks.get(name) {
-            Some(lock) if lock.holder == *holder => extend(name, lock, *ttlMs),
+        Call::Lock { name, holder, ttl_ms } => match state.locks.get(name) {
+            Some(lock) if lock.holder == *holder => extend(name, lock, *ttl_ms),
             Some(lock) => (Outcome::Held { fence: lock.fence }, Vec::new()),
             None => {
-                let (fence, ttlMs) = (state.fence + 1, *ttlMs);
+                let (fence, ttl_ms) = (state.fence + 1, *ttl_ms);
                 let record =
-                    Record::Lock { name: name.clone(), holder: holder.clone(), fence, ttlMs };
-                (Outcome::Locked { fence, ttlMs }, vec![record])
+                    Record::Lock { name: name.clone(), holder: holder.clone(), fence, ttl_ms };
+                (Outcome::Locked { fence, ttl_ms }, vec![record])
             }
         },
-        Call::Renew { name, holder, fence, ttlMs } => match state.locks.get(name) {
+        Call::Renew { name, holder, fence, ttl_ms } => match state.locks.get(name) {
             Some(lock) if lock.holder == *holder && lock.fence == *fence => {
-                extend(name, lock, ttlMs.unwrap_or(lock.ttlMs))
+                extend(name, lock, ttl_ms.unwrap_or(lock.ttl_ms))
             }
             _ => (Outcome::NotHeld, Vec::new()),
         },
--- a/crates/controller/src/commit.rs
+++ b/crates/controller/src/commit.rs
@@ -9,23 +9,23 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct Kept {
     state: Arc<State>,
-    newsOffset: u64,
+    news_offset: u64,
 }
 
 impl ControlNode {
-    pub(crate) fn on_commit(&mut self, nowMs: u64, entries: Vec<Entry>) {
+    pub(crate) fn on_commit(&mut self, now_ms: u64, entries: Vec<Entry>) {
         for entry in entries {
             match &entry.payload {
                 Payload::TermStart | Payload::Members(_) => self.tail.skip_to(entry.index),
-                Payload::Batch(bytes) => self.on_batch(nowMs, entry.index, bytes),
+                Payload::Batch(bytes) => self.on_batch(now_ms, entry.index, bytes),
             }
         }
         self.answer_committed();
         self.tell_watches();
-        self.continue_open(nowMs);
+        self.continue_open(now_ms);
     }
 
-    fn on_batch(&mut self, nowMs: u64, offset: u64, bytes: &[u8]) {
+    fn on_batch(&mut self, now_ms: u64, offset: u64, bytes: &[u8]) {
         let lines: Vec<Line<Record>> =
             decode(bytes).unwrap_or_else(|error| panic!("log offset {offset}: {error}"));
         let seen = match self.tail.apply(offset, bytes.len(), &lines) {
@@ -33,15 +33,15 @@
             Err(error) => panic!("log offset {offset}: {error}"),
         };
         if self.lead.is_some() {
-            self.note_committed(nowMs, &lines);
+            self.note_committed(now_ms, &lines);
         }
         let news: Vec<Line<Record>> = lines.into_iter().filter(is_news).collect();
         if !news.is_empty() {
-            let entry = NewsEntry { prev: self.newsOffset, offset, bytes: encode(&news) };
+            let entry = NewsEntry { prev: self.news_offset, offset, bytes: encode(&news) };
             self.relay.push(entry);
-            self.newsOffset = offset;
+            self.news_offset = offset;
             if seen != Seen::Pending {
-                self.imageOffset = offset;
+                self.image_offset = offset;
             }
         }
     }
@@ -64,14 +64,14 @@
 
     pub(crate) fn restore(&mut self, snapshot: &Snapshot) {
         let kept = if snapshot.state.is_empty() {
-            Kept { state: Arc::default(), newsOffset: 0 }
+            Kept { state: Arc::default(), news_offset: 0 }
         } else {
             rmp_serde::from_slice(&snapshot.state)
                 .unwrap_or_else(|error| panic!("snapshot {}: {error}", snapshot.index))
         };
         self.tail = Tail::new(snapshot.index, kept.state.as_ref().clone());
-        self.newsOffset = kept.newsOffset;
-        self.imageOffset = kept.newsOffset;
+        self.news_offset = kept.news_offset;
+        self.image_offset = kept.news_offset;
         self.relay.clear();
     }
 
@@ -79,18 +79,18 @@
     /// that takes longer than a hold can spare; each member's own bound keeps them from all
     /// writing their slots at once.
     pub(crate) fn compact(&mut self) {
-        if self.logBytes < self.logBoundBytes || self.tail.is_open() {
+        if self.log_bytes < self.log_bound_bytes || self.tail.is_open() {
             return;
         }
-        self.logBytes = 0;
+        self.log_bytes = 0;
         let index = self.tail.offset().min(self.consensus.commit());
-        let kept = Kept { state: self.tail.image().clone(), newsOffset: self.newsOffset };
+        let kept = Kept { state: self.tail.image().clone(), news_offset: self.news_offset };
         self.effects.push(Effect::Encode(Snap { index, kept }));
     }
 
-    pub(crate) fn on_encoded(&mut self, nowMs: u64, index: u64, state: Vec<u8>) {
+    pub(crate) fn on_encoded(&mut self, now_ms: u64, index: u64, state: Vec<u8>) {
         self.say(format!("snapshot at {index}, {} bytes", state.len()));
-        self.log(nowMs, postbarrow_consensus::Input::Compact { index, state });
+        self.log(now_ms, postbarrow_consensus::Input::Compact { index, state });
     }
 }
 
--- a/crates/controller/src/forget.rs
+++ b/crates/controller/src/forget.rs
@@ -4,16 +4,16 @@
 use postbarrow_transactions::Line;
 
 impl ControlNode {
-    pub(crate) fn note_committed(&mut self, nowMs: u64, lines: &[Line<Record>]) {
+    pub(crate) fn note_committed(&mut self, now_ms: u64, lines: &[Line<Record>]) {
         let era = self.committed().era;
         let Some(lead) = &mut self.lead else { return };
         for line in lines {
             match line {
                 Line::Data(Record::Settled { key, .. }) => {
-                    lead.settledQueue.push_back((era, key.clone()));
+                    lead.settled_queue.push_back((era, key.clone()));
                 }
-                Line::Data(Record::Lock { name, ttlMs, .. }) => {
-                    lead.locksDueMs.insert(name.clone(), nowMs + ttlMs);
+                Line::Data(Record::Lock { name, ttl_ms, .. }) => {
+                    lead.locks_due_ms.insert(name.clone(), now_ms + ttl_ms);
                 }
                 _ => {}
             }
@@ -21,21 +21,21 @@
     }
 
     /// Old settled tickets, repeats and events go by records, so that all replicas agree.
-    pub(crate) fn forget_pulse(&mut self, nowMs: u64) {
+    pub(crate) fn forget_pulse(&mut self, now_ms: u64) {
         if self.is_open() {
             return;
         }
-        let historyMs = self.historyMs;
+        let history_ms = self.history_ms;
         let Some(lead) = &mut self.lead else { return };
-        if nowMs < lead.forgetDueMs {
+        if now_ms < lead.forget_due_ms {
             return;
         }
-        lead.forgetDueMs = nowMs + FORGET_MS;
+        lead.forget_due_ms = now_ms + FORGET_MS;
         let Some(state) = lead.writer.as_ref().map(|writer| writer.current()) else { return };
-        let eras = nowMs.saturating_sub(lead.eraMs) / ERA_MS;
-        lead.eraMs += eras * ERA_MS;
+        let eras = now_ms.saturating_sub(lead.era_ms) / ERA_MS;
+        lead.era_ms += eras * ERA_MS;
         let mut tickets: Vec<Name> = Vec::new();
-        while let Some((era, key)) = lead.settledQueue.front() {
+        while let Some((era, key)) = lead.settled_queue.front() {
             let young = state.era <= era + TICKET_KEEP_MS / ERA_MS;
             if tickets.len() >= FORGET_RECORDS || young {
                 break;
@@ -44,24 +44,24 @@
             if known.is_some_and(|known| known.settled.is_some() && known.era == *era) {
                 tickets.push(key.clone());
             }
-            lead.settledQueue.pop_front();
+            lead.settled_queue.pop_front();
         }
         let old = |(era, _): &&(u64, Name)| state.era > era + REPEAT_KEEP_MS / ERA_MS;
         let repeats: Vec<Name> = state
-            .repeatQueue
+            .repeat_queue
             .iter()
             .take_while(old)
             .take(FORGET_RECORDS)
             .map(|(_, id)| id.clone())
             .collect();
-        lead.historyMarks.push_back((nowMs, state.revision));
-        let mut floor = state.historyFloor;
-        while let Some((atMs, revision)) = lead.historyMarks.front().copied() {
-            if nowMs < atMs + historyMs {
+        lead.history_marks.push_back((now_ms, state.revision));
+        let mut floor = state.history_floor;
+        while let Some((at_ms, revision)) = lead.history_marks.front().copied() {
+            if now_ms < at_ms + history_ms {
                 break;
             }
             floor = floor.max(revision);
-            lead.historyMarks.pop_front();
+            lead.history_marks.pop_front();
         }
         let mut records = Vec::new();
         if eras > 0 {
@@ -77,7 +77,7 @@
             records.push(Record::HistoryTrimmed { floor });
         }
         if !records.is_empty() {
-            self.propose(nowMs, records);
+            self.propose(now_ms, records);
         }
     }
 }
--- a/crates/controller/src/greet.rs
+++ b/crates/controller/src/greet.rs
@@ -9,7 +9,7 @@
 struct Heard {
     member: Member,
     knows: BTreeSet<MemberId>,
-    atMs: u64,
+    at_ms: u64,
 }
 
 /// Addresses that may lead to the others; nobody here is trusted with more than that.
@@ -22,8 +22,8 @@
     pub(crate) guest: bool,
     /// Where those stand that begin the log together; none: any three empty disks may.
     pub(crate) founders: Option<BTreeSet<SocketAddr>>,
-    dueMs: u64,
-    leaderMs: u64,
+    due_ms: u64,
+    leader_ms: u64,
 }
 
 impl Book {
@@ -36,8 +36,8 @@
             formed: false,
             guest: false,
             founders: None,
-            dueMs: 0,
-            leaderMs: 0,
+            due_ms: 0,
+            leader_ms: 0,
         }
     }
 
@@ -58,19 +58,19 @@
 
 impl ControlNode {
     /// Who is new, left out or without a leader for long makes itself known.
-    pub(crate) fn greet_pulse(&mut self, nowMs: u64) {
+    pub(crate) fn greet_pulse(&mut self, now_ms: u64) {
         if self.consensus.leader().is_some() || self.lead.is_some() {
-            self.book.leaderMs = nowMs;
+            self.book.leader_ms = now_ms;
         }
         let member = self.consensus.members().contains(&self.own);
-        let lost = nowMs > self.book.leaderMs + 3 * ELECTION_MIN_MS;
-        if nowMs < self.book.dueMs || (member && !lost) {
+        let lost = now_ms > self.book.leader_ms + 3 * ELECTION_MIN_MS;
+        if now_ms < self.book.due_ms || (member && !lost) {
             return;
         }
-        self.book.dueMs = nowMs + GREET_MS;
+        self.book.due_ms = now_ms + GREET_MS;
         let own = self.own;
         let fresh = self.consensus.is_unbound();
-        self.book.fresh.retain(|_, heard| nowMs < heard.atMs + HEARD_KEEP_MS);
+        self.book.fresh.retain(|_, heard| now_ms < heard.at_ms + HEARD_KEEP_MS);
         let mut knows: BTreeSet<MemberId> = self.book.fresh.keys().copied().collect();
         knows.insert(self.own.id);
         let greet = Greet { member: self.own, fresh, knows: knows.iter().copied().collect() };
@@ -84,14 +84,14 @@
             self.send(address, Message::Introduce);
         }
         if fresh && !self.book.guest {
-            self.try_form(nowMs, knows);
+            self.try_form(now_ms, knows);
         }
     }
 
     /// The lowest of the founders begins the log, once all of them named each other and nobody
     /// reached knows of a log already. Without founders, any three empty disks that named the same
     /// three are.
-    fn try_form(&mut self, nowMs: u64, knows: BTreeSet<MemberId>) {
+    fn try_form(&mut self, now_ms: u64, knows: BTreeSet<MemberId>) {
         let heard = self.book.fresh.values();
         let (ids, wanted): (BTreeSet<MemberId>, usize) = match &self.book.founders {
             None => (knows, VOTERS),
@@ -116,19 +116,19 @@
         members.push(self.own);
         members.sort_unstable();
         self.say(format!("begins a new log of {} members", ids.len()));
-        self.log(nowMs, consensus::Input::Form(members.clone()));
+        self.log(now_ms, consensus::Input::Form(members.clone()));
         let own = self.own;
         for member in members.iter().filter(|member| **member != own) {
             self.send(member.address, Message::Form(members.clone()));
         }
     }
 
-    pub(crate) fn on_greet(&mut self, nowMs: u64, from: SocketAddr, greet: Greet) {
+    pub(crate) fn on_greet(&mut self, now_ms: u64, from: SocketAddr, greet: Greet) {
         self.book.add(from);
         if self.consensus.is_fresh() {
             if greet.fresh {
                 let knows = greet.knows.into_iter().collect();
-                let heard = Heard { member: greet.member, knows, atMs: nowMs };
+                let heard = Heard { member: greet.member, knows, at_ms: now_ms };
                 self.book.fresh.insert(greet.member.id, heard);
             } else {
                 self.book.formed = true;
@@ -139,7 +139,7 @@
         if greet.fresh && begun.contains(&greet.member) && self.consensus.log().base() == 0 {
             return self.send(from, Message::Form(begun));
         }
-        self.log(nowMs, consensus::Input::Learner(greet.member));
+        self.log(now_ms, consensus::Input::Learner(greet.member));
     }
 
     /// Another member stood at this address before, and lost its disk: it leads no more, for its
--- a/crates/controller/src/lead.rs
+++ b/crates/controller/src/lead.rs
@@ -18,29 +18,29 @@
     pub replies: VecDeque<(u64, Origin, Response)>,
     pub waiting: VecDeque<(u64, Origin, Ask)>,
     pub open: Option<Open>,
-    pub locksDueMs: BTreeMap<Name, u64>,
+    pub locks_due_ms: BTreeMap<Name, u64>,
     /// Settled keys by the era of their settlement.
-    pub settledQueue: VecDeque<(u64, Name)>,
-    pub historyMarks: VecDeque<(u64, u64)>,
+    pub settled_queue: VecDeque<(u64, Name)>,
+    pub history_marks: VecDeque<(u64, u64)>,
     pub nodes: BTreeMap<Incarnation, Seen>,
     pub samples: Samples,
     pub walk: Walk,
-    pub heldRows: HeldRows,
-    pub slowList: bool,
+    pub held_rows: HeldRows,
+    pub slow_list: bool,
     pub parked: Vec<Parked>,
-    pub forgetDueMs: u64,
-    pub eraMs: u64,
+    pub forget_due_ms: u64,
+    pub era_ms: u64,
     /// Responses not kept and asks shed for want of space, since this controller leads.
     pub unkept: u64,
     pub shed: u64,
-    pub conditionDueMs: u64,
-    pub longestStallMs: u64,
+    pub condition_due_ms: u64,
+    pub longest_stall_ms: u64,
     /// Since when the hold lasts without a break.
-    pub holdSinceMs: Option<u64>,
+    pub hold_since_ms: Option<u64>,
 }
 
 impl Lead {
-    pub fn new(term: u64, nowMs: u64, listGapMs: u64) -> Self {
+    pub fn new(term: u64, now_ms: u64, list_gap_ms: u64) -> Self {
         Lead {
             term,
             ready: false,
@@ -48,53 +48,53 @@
             replies: VecDeque::new(),
             waiting: VecDeque::new(),
             open: None,
-            locksDueMs: BTreeMap::new(),
-            settledQueue: VecDeque::new(),
-            historyMarks: VecDeque::new(),
+            locks_due_ms: BTreeMap::new(),
+            settled_queue: VecDeque::new(),
+            history_marks: VecDeque::new(),
             nodes: BTreeMap::new(),
             samples: Samples::default(),
-            walk: Walk::new(nowMs, listGapMs),
-            heldRows: HeldRows::new(),
-            slowList: false,
+            walk: Walk::new(now_ms, list_gap_ms),
+            held_rows: HeldRows::new(),
+            slow_list: false,
             parked: Vec::new(),
-            forgetDueMs: 0,
-            eraMs: nowMs,
+            forget_due_ms: 0,
+            era_ms: now_ms,
             unkept: 0,
             shed: 0,
-            conditionDueMs: 0,
-            longestStallMs: 0,
-            holdSinceMs: None,
+            condition_due_ms: 0,
+            longest_stall_ms: 0,
+            hold_since_ms: None,
         }
     }
 }
 
 impl ControlNode {
     /// Once this term's first entry is committed: abort what a dead controller left open, then serve.
-    pub(crate) fn take_over(&mut self, nowMs: u64) {
+    pub(crate) fn take_over(&mut self, now_ms: u64) {
         let Some(lead) = &mut self.lead else { return };
         if lead.ready || !self.consensus.is_ready() {
             return;
         }
         let state = self.tail.image().as_ref().clone();
         lead.ready = true;
-        lead.locksDueMs =
-            state.locks.iter().map(|(name, lock)| (name.clone(), nowMs + lock.ttlMs)).collect();
+        lead.locks_due_ms =
+            state.locks.iter().map(|(name, lock)| (name.clone(), now_ms + lock.ttl_ms)).collect();
         let settled = state.tickets.iter().filter(|(_, ticket)| ticket.settled.is_some());
         let mut settled: Vec<_> = settled.map(|(key, ticket)| (ticket.era, key.clone())).collect();
         settled.sort_unstable();
-        lead.settledQueue = settled.into();
-        lead.historyMarks.push_back((nowMs, state.revision));
-        lead.nodes = state.nodes.keys().map(|node| (*node, Seen::at(nowMs))).collect();
+        lead.settled_queue = settled.into();
+        lead.history_marks.push_back((now_ms, state.revision));
+        lead.nodes = state.nodes.keys().map(|node| (*node, Seen::at(now_ms))).collect();
         let orphans = crate::nodes::open_tickets(&state, |node| !state.nodes.contains_key(&node));
         let aborted = self.tail.open_name().map(str::to_string);
         lead.writer = Some(Writer::new(lead.term, state));
         if self.tail.is_open() {
             let name = aborted.unwrap_or_default();
             self.say(format!("aborts {name:?}, left open by an earlier controller"));
-            self.propose_lines(nowMs, vec![Line::abort("the controller that began it is gone")]);
+            self.propose_lines(now_ms, vec![Line::abort("the controller that began it is gone")]);
         }
         if !orphans.is_empty() {
-            self.propose(nowMs, orphans);
+            self.propose(now_ms, orphans);
         }
     }
 
@@ -118,11 +118,11 @@
     }
 
     /// One atomic batch of records outside any transaction, or of the one that is open.
-    pub(crate) fn propose(&mut self, nowMs: u64, records: Vec<Record>) -> u64 {
-        self.propose_lines(nowMs, records.into_iter().map(Line::Data).collect())
+    pub(crate) fn propose(&mut self, now_ms: u64, records: Vec<Record>) -> u64 {
+        self.propose_lines(now_ms, records.into_iter().map(Line::Data).collect())
     }
 
-    pub(crate) fn propose_lines(&mut self, nowMs: u64, lines: Vec<Line<Record>>) -> u64 {
+    pub(crate) fn propose_lines(&mut self, now_ms: u64, lines: Vec<Line<Record>>) -> u64 {
         let offset = self.consensus.last() + 1;
         let writer = self.lead.as_mut().and_then(|lead| lead.writer.as_mut());
         if let Some(writer) = writer {
@@ -133,7 +133,7 @@
             }
         }
         let bytes = encode(&lines);
-        self.log(nowMs, postbarrow_consensus::Input::Propose(vec![bytes]));
+        self.log(now_ms, postbarrow_consensus::Input::Propose(vec![bytes]));
         offset
     }
 
@@ -160,16 +160,16 @@
         self.lead.as_ref().is_some_and(|lead| lead.open.is_some())
     }
 
-    pub(crate) fn lead_pulse(&mut self, nowMs: u64, gapMs: u64) {
+    pub(crate) fn lead_pulse(&mut self, now_ms: u64, gap_ms: u64) {
         if !self.is_leading() {
             return;
         }
-        self.hold_pulse(nowMs);
-        self.lock_pulse(nowMs, gapMs);
-        self.submit_pulse(nowMs);
-        self.list_pulse(nowMs);
-        self.node_pulse(nowMs);
-        self.forget_pulse(nowMs);
-        self.watch_pulse(nowMs);
+        self.hold_pulse(now_ms);
+        self.lock_pulse(now_ms, gap_ms);
+        self.submit_pulse(now_ms);
+        self.list_pulse(now_ms);
+        self.node_pulse(now_ms);
+        self.forget_pulse(now_ms);
+        self.watch_pulse(now_ms);
     }
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -47,18 +47,18 @@
     own: Member,
     consensus: Consensus,
     tail: Tail<State>,
-    newsOffset: u64,
-    imageOffset: u64,
+    news_offset: u64,
+    image_offset: u64,
     relay: Relay,
     lead: Option<Lead>,
     book: Book,
     stopping: bool,
     handed: Option<Handed>,
-    logBytes: u64,
-    logBoundBytes: u64,
-    lastPulseMs: u64,
-    listGapMs: u64,
-    historyMs: u64,
+    log_bytes: u64,
+    log_bound_bytes: u64,
+    last_pulse_ms: u64,
+    list_gap_ms: u64,
+    history_ms: u64,
     effects: Vec<Effect>,
 }
 
@@ -68,26 +68,26 @@
         recovered: Recovered,
         seeds: &[SocketAddr],
         seed: u64,
-        nowMs: u64,
+        now_ms: u64,
     ) -> Self {
         let snapshot = recovered.snapshot.clone();
-        let logBytes = recovered.entries.iter().map(|entry| entry.size() as u64).sum();
+        let log_bytes = recovered.entries.iter().map(|entry| entry.size() as u64).sum();
         let mut node = ControlNode {
             own,
-            consensus: Consensus::new(own.id, recovered, seed, nowMs),
+            consensus: Consensus::new(own.id, recovered, seed, now_ms),
             tail: Tail::new(0, State::default()),
-            newsOffset: 0,
-            imageOffset: 0,
+            news_offset: 0,
+            image_offset: 0,
             relay: Relay::default(),
             lead: None,
             book: Book::new(seeds, own.address),
             stopping: false,
             handed: None,
-            logBytes,
-            logBoundBytes: LOG_BYTES + own.id % LOG_SPREAD * (LOG_BYTES / LOG_SPREAD),
-            lastPulseMs: nowMs,
-            listGapMs: LIST_GAP_MS,
-            historyMs: HISTORY_KEEP_MS,
+            log_bytes,
+            log_bound_bytes: LOG_BYTES + own.id % LOG_SPREAD * (LOG_BYTES / LOG_SPREAD),
+            last_pulse_ms: now_ms,
+            list_gap_ms: LIST_GAP_MS,
+            history_ms: HISTORY_KEEP_MS,
             effects: Vec::new(),
         };
         if let Some(snapshot) = snapshot {
@@ -96,40 +96,40 @@
         node
     }
 
-    pub fn handle(&mut self, nowMs: u64, input: Input) -> Vec<Effect> {
+    pub fn handle(&mut self, now_ms: u64, input: Input) -> Vec<Effect> {
         match input {
-            Input::Pulse => self.pulse(nowMs),
-            Input::Stop => self.stop(nowMs),
+            Input::Pulse => self.pulse(now_ms),
+            Input::Stop => self.stop(now_ms),
             Input::Seeds(seeds) => self.book.meet(&seeds),
-            Input::Receive(envelope) => self.receive(nowMs, envelope),
-            Input::Synced(sequence) => self.log(nowMs, consensus::Input::Synced(sequence)),
-            Input::Page(result) => self.on_page(nowMs, result),
-            Input::Encoded { index, state } => self.on_encoded(nowMs, index, state),
+            Input::Receive(envelope) => self.receive(now_ms, envelope),
+            Input::Synced(sequence) => self.log(now_ms, consensus::Input::Synced(sequence)),
+            Input::Page(result) => self.on_page(now_ms, result),
+            Input::Encoded { index, state } => self.on_encoded(now_ms, index, state),
         }
-        self.deliver(nowMs);
+        self.deliver(now_ms);
         std::mem::take(&mut self.effects)
     }
 
-    fn receive(&mut self, nowMs: u64, envelope: Envelope) {
+    fn receive(&mut self, now_ms: u64, envelope: Envelope) {
         let Envelope { from, message } = envelope;
         match message {
             Message::Consensus { from, to, message } if to == self.own.id => {
-                self.log(nowMs, consensus::Input::Receive { from, message })
+                self.log(now_ms, consensus::Input::Receive { from, message })
             }
             Message::Consensus { from, to, message: consensus::Message::Who { round, .. } } => {
                 self.vouch(from, to, round)
             }
-            Message::Greet(greet) => self.on_greet(nowMs, from, greet),
-            Message::Form(members) => self.log(nowMs, consensus::Input::Form(members)),
+            Message::Greet(greet) => self.on_greet(now_ms, from, greet),
+            Message::Form(members) => self.log(now_ms, consensus::Input::Form(members)),
             Message::Introduce => self.introduce(from),
             Message::Introduction { control, formed } => self.on_introduction(control, formed),
-            Message::Fresh(ask) => self.on_fresh(nowMs, from, ask),
+            Message::Fresh(ask) => self.on_fresh(now_ms, from, ask),
             Message::Tail { after } => {
                 if self.lead.as_ref().is_some_and(|lead| lead.ready) {
-                    self.relay.on_tail(nowMs, from, after);
+                    self.relay.on_tail(now_ms, from, after);
                 }
             }
-            Message::Ask { key, ask } => self.on_ask(nowMs, Origin { to: from, key }, ask),
+            Message::Ask { key, ask } => self.on_ask(now_ms, Origin { to: from, key }, ask),
             Message::Consensus { .. }
             | Message::FreshResponse { .. }
             | Message::News { .. }
@@ -139,23 +139,23 @@
         }
     }
 
-    fn pulse(&mut self, nowMs: u64) {
-        let gapMs = nowMs.saturating_sub(self.lastPulseMs);
-        self.lastPulseMs = nowMs;
-        self.log(nowMs, consensus::Input::Pulse);
-        self.greet_pulse(nowMs);
+    fn pulse(&mut self, now_ms: u64) {
+        let gap_ms = now_ms.saturating_sub(self.last_pulse_ms);
+        self.last_pulse_ms = now_ms;
+        self.log(now_ms, consensus::Input::Pulse);
+        self.greet_pulse(now_ms);
         if !self.is_leaving() {
-            self.lead_pulse(nowMs, gapMs);
+            self.lead_pulse(now_ms, gap_ms);
         }
-        self.hand_over_pulse(nowMs);
+        self.hand_over_pulse(now_ms);
         self.compact();
     }
 
     /// Runs the log and carries out what it asks for. Writes and sends go out in the log's own
     /// order before anything else, for what a commit sets off may write again.
-    fn log(&mut self, nowMs: u64, input: consensus::Input) {
+    fn log(&mut self, now_ms: u64, input: consensus::Input) {
         let mut later = Vec::new();
-        for effect in self.consensus.handle(nowMs, input) {
+        for effect in self.consensus.handle(now_ms, input) {
             match effect {
                 LogEffect::Send { to, message } => {
                     let message = Message::Consensus { from: self.own, to: to.id, message };
@@ -163,7 +163,7 @@
                 }
                 LogEffect::Write { sequence, write } => {
                     if let consensus::Write::Append(entries) = &write {
-                        self.logBytes +=
+                        self.log_bytes +=
                             entries.iter().map(|entry| entry.size() as u64).sum::<u64>();
                     }
                     self.effects.push(Effect::Write { sequence, write });
@@ -173,37 +173,37 @@
         }
         for effect in later {
             match effect {
-                LogEffect::Commit(entries) => self.on_commit(nowMs, entries),
+                LogEffect::Commit(entries) => self.on_commit(now_ms, entries),
                 LogEffect::Restore(snapshot) => self.restore(&snapshot),
-                LogEffect::Role(role) => self.on_role(nowMs, role),
-                LogEffect::Handed { note, lateMs } => self.on_handed(nowMs, &note, lateMs),
+                LogEffect::Role(role) => self.on_role(now_ms, role),
+                LogEffect::Handed { note, late_ms } => self.on_handed(now_ms, &note, late_ms),
                 LogEffect::Send { .. } | LogEffect::Write { .. } => {}
             }
         }
-        self.take_over(nowMs);
+        self.take_over(now_ms);
     }
 
-    fn on_role(&mut self, nowMs: u64, role: Role) {
+    fn on_role(&mut self, now_ms: u64, role: Role) {
         match role {
             Role::Leader => {
                 self.say(format!("leads term {}", self.consensus.term()));
-                self.lead = Some(Lead::new(self.consensus.term(), nowMs, self.listGapMs));
+                self.lead = Some(Lead::new(self.consensus.term(), now_ms, self.list_gap_ms));
             }
             _ => self.step_down(),
         }
     }
 
-    fn deliver(&mut self, nowMs: u64) {
+    fn deliver(&mut self, now_ms: u64) {
         if !self.lead.as_ref().is_some_and(|lead| lead.ready) {
             return;
         }
-        for deliver in self.relay.deliver(nowMs, self.newsOffset) {
+        for deliver in self.relay.deliver(now_ms, self.news_offset) {
             match deliver {
                 Deliver::News { to, entries } => self.send(to, Message::News { entries }),
                 Deliver::Image { to } => {
                     let state = rmp_serde::to_vec(&self.tail.image().news_only());
                     let state = state.expect("a state encodes into memory");
-                    let offset = self.imageOffset;
+                    let offset = self.image_offset;
                     self.send(to, Message::Image(ImageFrame { offset, state }));
                     self.relay.moved(to, offset);
                 }
@@ -235,11 +235,11 @@
     pub fn is_leading(&self) -> bool {
         self.lead.as_ref().is_some_and(|lead| lead.ready)
     }
-    pub fn holds(&self, nowMs: u64) -> bool {
-        self.is_leading() && nowMs < self.consensus.hold_until()
+    pub fn holds(&self, now_ms: u64) -> bool {
+        self.is_leading() && now_ms < self.consensus.hold_until()
     }
     /// Clients' questions waiting for the open transaction, and the longest wait so far.
     pub fn stall_ms(&self) -> u64 {
-        self.lead.as_ref().map_or(0, |lead| lead.longestStallMs)
+        self.lead.as_ref().map_or(0, |lead| lead.longest_stall_ms)
     }
 }
--- a/crates/controller/src/list.rs
+++ b/crates/controller/src/list.rs
@@ -8,7 +8,7 @@
 
 /// What a page told while a transaction was open.
 pub(crate) struct Held {
-    sinceMs: u64,
+    since_ms: u64,
     leaving: bool,
     rows: Vec<Target>,
     gone: Vec<Name>,
@@ -19,33 +19,33 @@
 
 impl ControlNode {
     /// One duty of the controller alone: walking the platform's list.
-    pub(crate) fn list_pulse(&mut self, nowMs: u64) {
-        self.take_held(nowMs);
-        let holds = self.holds(nowMs);
+    pub(crate) fn list_pulse(&mut self, now_ms: u64) {
+        self.take_held(now_ms);
+        let holds = self.holds(now_ms);
         let Some(lead) = &mut self.lead else { return };
-        if lead.walk.gave_up(nowMs) {
+        if lead.walk.gave_up(now_ms) {
             return self.list_finding("a page never came".into());
         }
-        if holds && let Some((number, cursor)) = lead.walk.next(nowMs) {
+        if holds && let Some((number, cursor)) = lead.walk.next(now_ms) {
             self.effects.push(Effect::Fetch { number, cursor });
         }
     }
 
     /// Changes wait for an open transaction, but one that shows a target leave not for long.
-    fn take_held(&mut self, nowMs: u64) {
-        let late = |held: &Held| held.leaving && nowMs >= held.sinceMs + LEAVING_WAIT_MS;
-        let waits = self.lead.as_ref().is_some_and(|lead| lead.heldRows.iter().any(late));
+    fn take_held(&mut self, now_ms: u64) {
+        let late = |held: &Held| held.leaving && now_ms >= held.since_ms + LEAVING_WAIT_MS;
+        let waits = self.lead.as_ref().is_some_and(|lead| lead.held_rows.iter().any(late));
         if waits && self.is_open() {
-            self.abort_open(nowMs, 503, "a target that leaves waited for it too long");
+            self.abort_open(now_ms, 503, "a target that leaves waited for it too long");
         }
         while !self.is_open() {
             let Some(lead) = &mut self.lead else { return };
-            let Some(held) = lead.heldRows.pop_front() else { return };
-            self.take_rows(nowMs, held);
+            let Some(held) = lead.held_rows.pop_front() else { return };
+            self.take_rows(now_ms, held);
         }
     }
 
-    pub(crate) fn on_page(&mut self, nowMs: u64, result: PageResult) {
+    pub(crate) fn on_page(&mut self, now_ms: u64, result: PageResult) {
         if self.is_leaving() {
             return;
         }
@@ -57,24 +57,24 @@
             Fetched::Page(bytes) => read_page(&bytes).map_err(|findings| findings.to_string()),
             Fetched::Listed(listed) => Ok(listed),
             Fetched::Failed(why) => Err(why),
-            Fetched::Limited { waitMs } => {
-                if lead.walk.on_limited(nowMs, number, waitMs) {
-                    let gapMs = lead.walk.pace.gapMs();
-                    self.list_finding(format!("refuses; asked every {gapMs} ms from now on"));
+            Fetched::Limited { wait_ms } => {
+                if lead.walk.on_limited(now_ms, number, wait_ms) {
+                    let gap_ms = lead.walk.pace.gap_ms();
+                    self.list_finding(format!("refuses; asked every {gap_ms} ms from now on"));
                 }
                 return;
             }
         };
         let failed = match listed {
-            Err(why) => lead.walk.on_failed(nowMs, number, why),
-            Ok(listed) => match lead.walk.on_page(nowMs, number, listed, &known) {
+            Err(why) => lead.walk.on_failed(now_ms, number, why),
+            Ok(listed) => match lead.walk.on_page(now_ms, number, listed, &known) {
                 Taken::Stale => None,
                 Taken::Part(rows) => {
-                    self.hold_rows(nowMs, rows, Vec::new(), Vec::new());
+                    self.hold_rows(now_ms, rows, Vec::new(), Vec::new());
                     None
                 }
                 Taken::Whole { rows, gone, doubtful } => {
-                    self.hold_rows(nowMs, rows, gone, doubtful);
+                    self.hold_rows(now_ms, rows, gone, doubtful);
                     self.tell_bound();
                     None
                 }
@@ -83,22 +83,22 @@
         };
         match failed {
             Some(why) => self.list_finding(why),
-            None => self.list_pulse(nowMs),
+            None => self.list_pulse(now_ms),
         }
     }
 
-    fn hold_rows(&mut self, nowMs: u64, rows: Vec<Target>, gone: Vec<Name>, doubtful: Vec<Name>) {
+    fn hold_rows(&mut self, now_ms: u64, rows: Vec<Target>, gone: Vec<Name>, doubtful: Vec<Name>) {
         let Some(state) = self.current() else { return };
         let leaves = |row: &Target| {
             row.draining && state.targets.get(&row.instance).is_none_or(|known| !known.draining)
         };
         let leaving = !gone.is_empty() || !doubtful.is_empty() || rows.iter().any(leaves);
         let Some(lead) = &mut self.lead else { return };
-        lead.heldRows.push_back(Held { sinceMs: nowMs, leaving, rows, gone, doubtful });
+        lead.held_rows.push_back(Held { since_ms: now_ms, leaving, rows, gone, doubtful });
     }
 
     /// Who may be gone gets no more asks while others of its service are there.
-    fn take_rows(&mut self, nowMs: u64, held: Held) {
+    fn take_rows(&mut self, now_ms: u64, held: Held) {
         let Some(state) = self.current() else { return };
         let mut records = changes(state, held.rows);
         let known = |instance: &Name| state.targets.get(instance);
@@ -115,7 +115,7 @@
             }
         }
         if !records.is_empty() {
-            self.propose(nowMs, records);
+            self.propose(now_ms, records);
         }
     }
 
@@ -130,15 +130,15 @@
     /// A list too slow for the users' bound is told once, with the bound that then holds.
     fn tell_bound(&mut self) {
         let Some(lead) = &mut self.lead else { return };
-        let boundMs = lead.walk.leave_bound_ms();
-        let slow = boundMs > LEAVE_BOUND_MS;
-        if slow != lead.slowList {
-            lead.slowList = slow;
+        let bound_ms = lead.walk.leave_bound_ms();
+        let slow = bound_ms > LEAVE_BOUND_MS;
+        if slow != lead.slow_list {
+            lead.slow_list = slow;
             self.say(match slow {
                 true => format!(
-                    "the platform's list is slow: a leaving target may get asks for {boundMs} ms"
+                    "the platform's list is slow: a leaving target may get asks for {bound_ms} ms"
                 ),
-                false => format!("the platform's list is quick again: {boundMs} ms"),
+                false => format!("the platform's list is quick again: {bound_ms} ms"),
             });
         }
     }
--- a/crates/controller/src/made.rs
+++ b/crates/controller/src/made.rs
@@ -6,16 +6,16 @@
 impl ControlNode {
     /// The list is asked no oftener, events are kept so long, and a slot is written after so many
     /// bytes of log.
-    pub fn with_bounds(mut self, listGapMs: u64, historyMs: u64, logBytes: u64) -> Self {
-        self.listGapMs = listGapMs;
-        self.historyMs = historyMs;
-        self.logBoundBytes = logBytes + self.own.id % LOG_SPREAD * (logBytes / LOG_SPREAD);
+    pub fn with_bounds(mut self, list_gap_ms: u64, history_ms: u64, log_bytes: u64) -> Self {
+        self.list_gap_ms = list_gap_ms;
+        self.history_ms = history_ms;
+        self.log_bound_bytes = log_bytes + self.own.id % LOG_SPREAD * (log_bytes / LOG_SPREAD);
         self
     }
 
     /// Snapshots after other than the usual bytes of log; for tests that must see many.
-    pub fn with_log_bound(mut self, sizeBytes: u64) -> Self {
-        self.logBoundBytes = sizeBytes;
+    pub fn with_log_bound(mut self, size_bytes: u64) -> Self {
+        self.log_bound_bytes = size_bytes;
         self
     }
 
--- a/crates/controller/src/nodes.rs
+++ b/crates/controller/src/nodes.rs
@@ -8,7 +8,7 @@
 
 /// What the controller last heard of one data node.
 pub(crate) struct Seen {
-    pub lastMs: u64,
+    pub last_ms: u64,
     pub published: u64,
     pub version: Option<Name>,
     pub ready: bool,
@@ -17,9 +17,9 @@
 }
 
 impl Seen {
-    pub fn at(nowMs: u64) -> Self {
+    pub fn at(now_ms: u64) -> Self {
         Seen {
-            lastMs: nowMs,
+            last_ms: now_ms,
             published: 0,
             version: None,
             ready: false,
@@ -30,61 +30,61 @@
 }
 
 impl ControlNode {
-    pub(crate) fn on_fresh(&mut self, nowMs: u64, from: SocketAddr, ask: FreshAsk) {
+    pub(crate) fn on_fresh(&mut self, now_ms: u64, from: SocketAddr, ask: FreshAsk) {
         let members: Vec<SocketAddr> =
             self.consensus.members().iter().map(|member| member.address).collect();
-        if !self.holds(nowMs) || !self.knows_targets(nowMs) {
+        if !self.holds(now_ms) || !self.knows_targets(now_ms) {
             let controller = self.consensus.leader().map(|leader| leader.address);
             let controller = controller.filter(|address| *address != self.own.address);
             let fresh = Fresh::NotController { controller, members };
             return self.send(from, Message::FreshResponse { number: ask.number, fresh });
         }
         let number = ask.number;
-        self.register(nowMs, ask);
+        self.register(now_ms, ask);
         let fresh =
-            Fresh::Granted { term: self.consensus.term(), watermark: self.imageOffset, members };
+            Fresh::Granted { term: self.consensus.term(), watermark: self.image_offset, members };
         self.send(from, Message::FreshResponse { number, fresh });
     }
 
     /// What the list showed while nobody held must be known before any node may serve by it.
-    fn knows_targets(&self, nowMs: u64) -> bool {
+    fn knows_targets(&self, now_ms: u64) -> bool {
         let Some(lead) = &self.lead else { return false };
-        let Some(sinceMs) = lead.holdSinceMs else { return false };
-        lead.walk.wholeMs.is_some() || nowMs >= sinceMs + LIST_FIRST_MS
+        let Some(since_ms) = lead.hold_since_ms else { return false };
+        lead.walk.whole_ms.is_some() || now_ms >= since_ms + LIST_FIRST_MS
     }
 
     /// A hold that is gained, or gained again, begins with nothing known: neither what the list
     /// showed meanwhile, nor which nodes asked in vain.
-    pub(crate) fn hold_pulse(&mut self, nowMs: u64) {
-        let holds = self.holds(nowMs);
-        let gained = self.lead.as_ref().is_some_and(|lead| lead.holdSinceMs.is_none());
-        let handed = if holds && gained { self.take_handed(nowMs) } else { None };
+    pub(crate) fn hold_pulse(&mut self, now_ms: u64) {
+        let holds = self.holds(now_ms);
+        let gained = self.lead.as_ref().is_some_and(|lead| lead.hold_since_ms.is_none());
+        let handed = if holds && gained { self.take_handed(now_ms) } else { None };
         let Some(lead) = &mut self.lead else { return };
-        match (holds, lead.holdSinceMs) {
-            (false, _) => lead.holdSinceMs = None,
+        match (holds, lead.hold_since_ms) {
+            (false, _) => lead.hold_since_ms = None,
             (true, None) => {
-                lead.holdSinceMs = Some(nowMs);
-                lead.nodes.values_mut().for_each(|seen| seen.lastMs = nowMs);
+                lead.hold_since_ms = Some(now_ms);
+                lead.nodes.values_mut().for_each(|seen| seen.last_ms = now_ms);
                 match handed {
                     Some(handed) => lead.walk.take(handed),
-                    None => lead.walk.begin_anew(nowMs),
+                    None => lead.walk.begin_anew(now_ms),
                 }
             }
             (true, Some(_)) => {}
         }
     }
 
-    fn register(&mut self, nowMs: u64, ask: FreshAsk) {
+    fn register(&mut self, now_ms: u64, ask: FreshAsk) {
         let known = self.current().and_then(|state| state.nodes.get(&ask.node.incarnation));
         let absent = known.is_none_or(|known| **known != ask.node);
         if absent && !self.is_open() {
             self.say(format!("node {} joins from {}", ask.node.name, ask.node.address));
-            self.propose(nowMs, vec![Record::Node(ask.node.clone())]);
+            self.propose(now_ms, vec![Record::Node(ask.node.clone())]);
         }
         let Some(lead) = &mut self.lead else { return };
-        lead.samples.take(nowMs, ask.recent, ask.seen);
+        lead.samples.take(now_ms, ask.recent, ask.seen);
         let seen = Seen {
-            lastMs: nowMs,
+            last_ms: now_ms,
             published: ask.published,
             version: ask.version,
             ready: ask.ready,
@@ -94,39 +94,39 @@
         lead.nodes.insert(ask.node.incarnation, seen);
     }
 
-    pub(crate) fn node_pulse(&mut self, nowMs: u64) {
+    pub(crate) fn node_pulse(&mut self, now_ms: u64) {
         let open = self.is_open();
         let Some(lead) = &mut self.lead else { return };
-        if open || nowMs < lead.conditionDueMs {
+        if open || now_ms < lead.condition_due_ms {
             return;
         }
-        lead.conditionDueMs = nowMs + FRESH_MS;
+        lead.condition_due_ms = now_ms + FRESH_MS;
         let Some(state) = lead.writer.as_ref().map(|writer| writer.current().clone()) else {
             return;
         };
         lead.nodes.retain(|node, _| state.nodes.contains_key(node));
         for node in state.nodes.keys() {
-            lead.nodes.entry(*node).or_insert_with(|| Seen::at(nowMs));
+            lead.nodes.entry(*node).or_insert_with(|| Seen::at(now_ms));
         }
-        let silent = lead.nodes.iter().filter(|(_, seen)| nowMs > seen.lastMs + NODE_GONE_MS);
+        let silent = lead.nodes.iter().filter(|(_, seen)| now_ms > seen.last_ms + NODE_GONE_MS);
         let mut gone: BTreeSet<Incarnation> = silent.map(|(node, _)| *node).collect();
-        gone.extend(suspected(nowMs, &lead.nodes));
+        gone.extend(suspected(now_ms, &lead.nodes));
         let mut records: Vec<Record> = gone.iter().map(|node| Record::NodeGone(*node)).collect();
         if !gone.is_empty() {
             records.extend(open_tickets(&state, |node| gone.contains(&node)));
             self.say(format!("{} nodes are gone", gone.len()));
         }
-        records.extend(self.target_conditions(nowMs, &state));
+        records.extend(self.target_conditions(now_ms, &state));
         if !records.is_empty() {
-            self.propose(nowMs, records);
+            self.propose(now_ms, records);
         }
     }
 
     /// A target is down while more than half of the heard nodes fail to probe it.
-    fn target_conditions(&self, nowMs: u64, state: &State) -> Vec<Record> {
+    fn target_conditions(&self, now_ms: u64, state: &State) -> Vec<Record> {
         let Some(lead) = &self.lead else { return Vec::new() };
         let heard: Vec<&Seen> =
-            lead.nodes.values().filter(|seen| nowMs <= seen.lastMs + REPORT_KEEP_MS).collect();
+            lead.nodes.values().filter(|seen| now_ms <= seen.last_ms + REPORT_KEEP_MS).collect();
         if heard.is_empty() {
             return Vec::new();
         }
@@ -147,9 +147,9 @@
 }
 
 /// Silent here beyond its hold, and on the ring in the eyes of most of its watchers.
-fn suspected(nowMs: u64, nodes: &BTreeMap<Incarnation, Seen>) -> Vec<Incarnation> {
+fn suspected(now_ms: u64, nodes: &BTreeMap<Incarnation, Seen>) -> Vec<Incarnation> {
     let ring: Vec<Incarnation> = nodes.keys().copied().collect();
-    let silent = nodes.iter().filter(|(_, seen)| nowMs > seen.lastMs + NODE_HOLD_MS * 3 / 2);
+    let silent = nodes.iter().filter(|(_, seen)| now_ms > seen.last_ms + NODE_HOLD_MS * 3 / 2);
     silent
         .filter(|(node, _)| {
             let watchers = watchers(**node, &ring);
--- a/crates/controller/src/operator.rs
+++ b/crates/controller/src/operator.rs
@@ -73,8 +73,8 @@
 
 impl ControlNode {
     /// Exactly what is in force, byte for byte.
-    pub(crate) fn on_show(&mut self, nowMs: u64, origin: Origin) {
-        if self.refuse_without_hold(nowMs, origin) {
+    pub(crate) fn on_show(&mut self, now_ms: u64, origin: Origin) {
+        if self.refuse_without_hold(now_ms, origin) {
             return;
         }
         let state = self.tail.image();
--- a/crates/controller/src/recent.rs
+++ b/crates/controller/src/recent.rs
@@ -7,40 +7,41 @@
 /// Recent asks as nodes told of them, while this controller leads.
 #[derive(Default)]
 pub(crate) struct Samples {
-    sinceMs: Option<u64>,
+    since_ms: Option<u64>,
     kept: VecDeque<(u64, Sample)>,
     seen: VecDeque<(u64, u64)>,
 }
 
 impl Samples {
-    pub fn take(&mut self, nowMs: u64, recent: Vec<Sample>, seen: u64) {
-        self.sinceMs.get_or_insert(nowMs);
-        self.kept.extend(recent.into_iter().map(|sample| (nowMs, sample)));
+    pub fn take(&mut self, now_ms: u64, recent: Vec<Sample>, seen: u64) {
+        self.since_ms.get_or_insert(now_ms);
+        self.kept.extend(recent.into_iter().map(|sample| (now_ms, sample)));
         if seen > 0 {
-            self.seen.push_back((nowMs, seen));
+            self.seen.push_back((now_ms, seen));
         }
-        let old = |atMs: u64| nowMs > atMs + SAMPLES_KEEP_MS;
-        while self.kept.len() > SAMPLES || self.kept.front().is_some_and(|(atMs, _)| old(*atMs)) {
+        let old = |at_ms: u64| now_ms > at_ms + SAMPLES_KEEP_MS;
+        while self.kept.len() > SAMPLES || self.kept.front().is_some_and(|(at_ms, _)| old(*at_ms)) {
             self.kept.pop_front();
         }
-        while self.seen.front().is_some_and(|(atMs, _)| old(*atMs)) {
+        while self.seen.front().is_some_and(|(at_ms, _)| old(*at_ms)) {
             self.seen.pop_front();
         }
     }
 }
 
 impl ControlNode {
-    pub(crate) fn on_recent(&mut self, nowMs: u64, origin: Origin) {
-        if self.refuse_without_hold(nowMs, origin) {
+    pub(crate) fn on_recent(&mut self, now_ms: u64, origin: Origin) {
+        if self.refuse_without_hold(now_ms, origin) {
             return;
         }
         let Some(lead) = &self.lead else { return };
         let samples = &lead.samples;
-        let firstMs = samples.sinceMs.unwrap_or(nowMs).max(nowMs.saturating_sub(SAMPLES_KEEP_MS));
+        let first_ms =
+            samples.since_ms.unwrap_or(now_ms).max(now_ms.saturating_sub(SAMPLES_KEEP_MS));
         let response = Response::Recent {
             samples: samples.kept.iter().map(|(_, sample)| sample.clone()).collect(),
             seen: samples.seen.iter().map(|(_, seen)| seen).sum(),
-            seconds: nowMs.saturating_sub(firstMs).div_ceil(1_000),
+            seconds: now_ms.saturating_sub(first_ms).div_ceil(1_000),
         };
         self.respond(origin, response);
     }
--- a/crates/controller/src/status.rs
+++ b/crates/controller/src/status.rs
@@ -62,8 +62,8 @@
 }
 
 impl ControlNode {
-    pub(crate) fn on_members(&mut self, nowMs: u64, origin: Origin) {
-        if self.refuse_without_hold(nowMs, origin) {
+    pub(crate) fn on_members(&mut self, now_ms: u64, origin: Origin) {
+        if self.refuse_without_hold(now_ms, origin) {
             return;
         }
         let voters = self.consensus.members();
@@ -74,21 +74,21 @@
             silent_ms: 0,
             lag_entries: 0,
         }];
-        for (member, silentMs, lag) in self.consensus.followers(nowMs) {
+        for (member, silent_ms, lag) in self.consensus.followers(now_ms) {
             let voter = voters.iter().any(|known| known.id == member.id);
             members.push(MemberRow {
                 id: format!("{:016x}", member.id),
                 address: member.address.to_string(),
                 role: if voter { "voter".into() } else { "learner".into() },
-                silent_ms: silentMs,
+                silent_ms,
                 lag_entries: lag,
             });
         }
         self.respond(origin, json(200, &MembersTold { members }));
     }
 
-    pub(crate) fn on_status(&mut self, nowMs: u64, origin: Origin) {
-        if self.refuse_without_hold(nowMs, origin) {
+    pub(crate) fn on_status(&mut self, now_ms: u64, origin: Origin) {
+        if self.refuse_without_hold(now_ms, origin) {
             return;
         }
         let state = self.committed();
@@ -104,7 +104,7 @@
                 ready: seen.is_some_and(|seen| seen.ready),
                 published: seen.map_or(0, |seen| seen.published),
                 version: seen.and_then(|seen| seen.version.as_ref()).map(ToString::to_string),
-                silent_ms: seen.map_or(0, |seen| nowMs.saturating_sub(seen.lastMs)),
+                silent_ms: seen.map_or(0, |seen| now_ms.saturating_sub(seen.last_ms)),
             }
         };
         let lead = self.lead.as_ref();
@@ -114,17 +114,17 @@
             term: self.consensus.term(),
             log_end: self.consensus.last(),
             watermark: self.consensus.commit(),
-            news_watermark: self.imageOffset,
-            hold_left_ms: self.consensus.hold_until().saturating_sub(nowMs),
+            news_watermark: self.image_offset,
+            hold_left_ms: self.consensus.hold_until().saturating_sub(now_ms),
             version: state.plan_version().map(str::to_string),
             open_transaction: self.tail.open_name().map(str::to_string),
-            open_ms: writer.and_then(|writer| writer.open_ms(nowMs)),
+            open_ms: writer.and_then(|writer| writer.open_ms(now_ms)),
             longest_stall_ms: self.stall_ms(),
             tickets: state.tickets.len() as u64,
             open_tickets: state.tickets.values().filter(|ticket| ticket.settled.is_none()).count()
                 as u64,
             tickets_most: TICKETS as u64,
-            kept_bytes: state.keptBytes,
+            kept_bytes: state.kept_bytes,
             kept_bytes_most: KEPT_BYTES,
             unkept: lead.map_or(0, |lead| lead.unkept),
             shed: lead.map_or(0, |lead| lead.shed),
@@ -132,7 +132,7 @@
             keys: state.keys.len() as u64,
             numbers: state.numbers.len() as u64,
             revision: state.revision,
-            history_floor: state.historyFloor,
+            history_floor: state.history_floor,
             nodes: state.nodes.values().map(|node| row(node)).collect(),
         };
         self.respond(origin, json(200, &told));
--- a/crates/controller/src/targets.rs
+++ b/crates/controller/src/targets.rs
@@ -27,8 +27,8 @@
 }
 
 impl ControlNode {
-    pub(crate) fn on_targets(&mut self, nowMs: u64, origin: Origin) {
-        if self.refuse_without_hold(nowMs, origin) {
+    pub(crate) fn on_targets(&mut self, now_ms: u64, origin: Origin) {
+        if self.refuse_without_hold(now_ms, origin) {
             return;
         }
         let state = self.committed();
@@ -58,8 +58,8 @@
         let told = TargetsTold {
             targets: rows.collect(),
             list_walked_ms_ago: walk
-                .and_then(|walk| walk.wholeMs)
-                .map(|atMs| nowMs.saturating_sub(atMs)),
+                .and_then(|walk| walk.whole_ms)
+                .map(|at_ms| now_ms.saturating_sub(at_ms)),
             list_finding: walk.and_then(|walk| walk.finding.clone()),
             leave_bound_ms: walk.map(|walk| walk.leave_bound_ms()),
             list_refusals: walk.map_or(0, |walk| walk.pace.refusals),
--- a/crates/controller/src/tickets.rs
+++ b/crates/controller/src/tickets.rs
@@ -4,7 +4,7 @@
 use postbarrow_state::{Kept, Record, Settlement, Ticket};
 
 impl ControlNode {
-    pub(crate) fn on_ticket(&mut self, nowMs: u64, origin: Origin, ticket: Ticket) {
+    pub(crate) fn on_ticket(&mut self, now_ms: u64, origin: Origin, ticket: Ticket) {
         let Some(state) = self.current() else { return };
         if !state.nodes.contains_key(&ticket.node) {
             return self.respond(origin, Response::Refused("the node is not registered".into()));
@@ -27,7 +27,7 @@
             None if full => self.shed(origin),
             None => {
                 let clean = Ticket { settled: None, response: None, ..ticket };
-                let offset = self.propose(nowMs, vec![Record::Ticket(clean)]);
+                let offset = self.propose(now_ms, vec![Record::Ticket(clean)]);
                 self.reply_at(offset, origin, Response::Granted);
             }
         }
@@ -37,7 +37,7 @@
     /// one, so that its late question is not granted any more.
     pub(crate) fn on_settle(
         &mut self,
-        nowMs: u64,
+        now_ms: u64,
         origin: Origin,
         ticket: Ticket,
         settlement: Settlement,
@@ -45,7 +45,7 @@
     ) {
         let Some(state) = self.current() else { return };
         let size = response.as_ref().map_or(0, |kept| kept.size() as u64);
-        let fits = state.keptBytes + size <= KEPT_BYTES;
+        let fits = state.kept_bytes + size <= KEPT_BYTES;
         let response = response.filter(|_| fits);
         let settled = Record::Settled { key: ticket.key.clone(), settlement, response };
         let records = match state.tickets.get(&ticket.key) {
@@ -67,7 +67,7 @@
         if let Some(lead) = self.lead.as_mut().filter(|_| !fits) {
             lead.unkept += 1;
         }
-        let offset = self.propose(nowMs, records);
+        let offset = self.propose(now_ms, records);
         self.reply_at(offset, origin, Response::Settled);
     }
 
--- a/crates/controller/src/types.rs
+++ b/crates/controller/src/types.rs
@@ -30,7 +30,7 @@
     /// A page that was read already.
     Listed(crate::Listed),
     Limited {
-        waitMs: u64,
+        wait_ms: u64,
     },
     Failed(String),
 }
--- a/crates/controller/src/walk.rs
+++ b/crates/controller/src/walk.rs
@@ -11,7 +11,7 @@
 struct Page {
     number: u64,
     cursor: Option<String>,
-    askedMs: u64,
+    asked_ms: u64,
     read: Option<Listed>,
 }
 
@@ -32,8 +32,8 @@
 /// beside each other; what the cursors then say decides which of them count.
 pub(crate) struct Walk {
     number: u64,
-    dueMs: u64,
-    startMs: u64,
+    due_ms: u64,
+    start_ms: u64,
     pages: Vec<Page>,
     /// Cursors and rows, page by page, of the last whole walk.
     chain: Vec<Option<String>>,
@@ -45,20 +45,20 @@
     guesses: bool,
     failures: u32,
     pub pace: Pace,
-    pub wholeMs: Option<u64>,
-    waitMs: u64,
-    cycleMs: u64,
-    pageMs: u64,
-    slowestMs: u64,
+    pub whole_ms: Option<u64>,
+    wait_ms: u64,
+    cycle_ms: u64,
+    page_ms: u64,
+    slowest_ms: u64,
     pub finding: Option<String>,
 }
 
 impl Walk {
-    pub fn new(nowMs: u64, gapMs: u64) -> Self {
+    pub fn new(now_ms: u64, gap_ms: u64) -> Self {
         Walk {
             number: 0,
-            dueMs: nowMs,
-            startMs: nowMs,
+            due_ms: now_ms,
+            start_ms: now_ms,
             pages: Vec::new(),
             chain: Vec::new(),
             order: Vec::new(),
@@ -66,54 +66,54 @@
             shrunk: false,
             guesses: true,
             failures: 0,
-            pace: Pace::new(nowMs, gapMs),
-            wholeMs: None,
-            waitMs: LIST_PAGE_FIRST_WAIT_MS,
-            cycleMs: 0,
-            pageMs: 0,
-            slowestMs: 0,
+            pace: Pace::new(now_ms, gap_ms),
+            whole_ms: None,
+            wait_ms: LIST_PAGE_FIRST_WAIT_MS,
+            cycle_ms: 0,
+            page_ms: 0,
+            slowest_ms: 0,
             finding: None,
         }
     }
 
-    pub fn note(&self, nowMs: u64) -> Note {
+    pub fn note(&self, now_ms: u64) -> Note {
         Note {
-            walkedMs: self.wholeMs.map(|wholeMs| nowMs.saturating_sub(wholeMs)),
+            walked_ms: self.whole_ms.map(|whole_ms| now_ms.saturating_sub(whole_ms)),
             order: self.order.clone(),
             chain: self.chain.clone(),
-            gapMs: self.pace.gapMs(),
-            askedMs: self.pace.asked_ago(nowMs),
+            gap_ms: self.pace.gap_ms(),
+            asked_ms: self.pace.asked_ago(now_ms),
         }
     }
 
     /// Goes on where the controller before left off.
     pub fn take(&mut self, handed: Handed) {
-        let Handed { atMs, note } = handed;
-        self.pace = Pace::handed(atMs, self.pace.least(), note.gapMs, &note.askedMs);
+        let Handed { at_ms, note } = handed;
+        self.pace = Pace::handed(at_ms, self.pace.least(), note.gap_ms, &note.asked_ms);
         self.order = note.order;
         self.chain = note.chain;
-        self.wholeMs = note.walkedMs.map(|walkedMs| atMs.saturating_sub(walkedMs));
-        self.restart(atMs);
+        self.whole_ms = note.walked_ms.map(|walked_ms| at_ms.saturating_sub(walked_ms));
+        self.restart(at_ms);
     }
 
-    pub fn begin_anew(&mut self, nowMs: u64) {
-        self.restart(nowMs);
-        self.wholeMs = None;
+    pub fn begin_anew(&mut self, now_ms: u64) {
+        self.restart(now_ms);
+        self.whole_ms = None;
     }
 
     /// A half walk removes nobody: what it found so far is dropped.
-    pub fn restart(&mut self, dueMs: u64) {
-        self.dueMs = dueMs;
+    pub fn restart(&mut self, due_ms: u64) {
+        self.due_ms = due_ms;
         self.failures = 0;
         self.pages.clear();
     }
 
     /// The next page to ask for, if its time has come.
-    pub fn next(&mut self, nowMs: u64) -> Option<(u64, Option<String>)> {
+    pub fn next(&mut self, now_ms: u64) -> Option<(u64, Option<String>)> {
         let open = self.pages.iter().filter(|page| page.read.is_none()).count();
-        if nowMs < self.dueMs
+        if now_ms < self.due_ms
             || open >= LIST_IN_FLIGHT
-            || !self.pace.permits(nowMs, self.wholeMs.is_none())
+            || !self.pace.permits(now_ms, self.whole_ms.is_none())
         {
             return None;
         }
@@ -124,11 +124,11 @@
             Some(_) => Some(self.chain.get(self.pages.len())?.clone()?),
         };
         if self.pages.is_empty() {
-            self.startMs = nowMs;
+            self.start_ms = now_ms;
         }
         self.number += 1;
-        self.pace.asked(nowMs);
-        let page = Page { number: self.number, cursor, askedMs: nowMs, read: None };
+        self.pace.asked(now_ms);
+        let page = Page { number: self.number, cursor, asked_ms: now_ms, read: None };
         let asked = (page.number, page.cursor.clone());
         self.pages.push(page);
         Some(asked)
@@ -139,29 +139,29 @@
     }
 
     /// A page that takes far longer than others did is asked for again; a slow list is given more.
-    pub fn gave_up(&mut self, nowMs: u64) -> bool {
-        let waitMs = self.waitMs;
-        let late = |page: &Page| page.read.is_none() && nowMs > page.askedMs + waitMs;
+    pub fn gave_up(&mut self, now_ms: u64) -> bool {
+        let wait_ms = self.wait_ms;
+        let late = |page: &Page| page.read.is_none() && now_ms > page.asked_ms + wait_ms;
         let stuck = self.pages.iter().any(late);
         if stuck {
-            self.waitMs = (2 * waitMs).min(LIST_PAGE_WAIT_MS);
-            self.restart(nowMs);
+            self.wait_ms = (2 * wait_ms).min(LIST_PAGE_WAIT_MS);
+            self.restart(now_ms);
         }
         stuck
     }
 
     /// Refused for now: asked for again when the list permits, slower from then on.
-    pub fn on_limited(&mut self, nowMs: u64, number: u64, waitMs: u64) -> bool {
+    pub fn on_limited(&mut self, now_ms: u64, number: u64, wait_ms: u64) -> bool {
         let Some(at) = self.place(number) else { return false };
         self.pages.truncate(at);
-        self.pace.refused(nowMs);
-        self.dueMs = nowMs + waitMs.clamp(LIST_PAUSE_MS, LIST_RETRY_MOST_MS);
+        self.pace.refused(now_ms);
+        self.due_ms = now_ms + wait_ms.clamp(LIST_PAUSE_MS, LIST_RETRY_MOST_MS);
         true
     }
 
     /// A page that failed is asked for again, a few times a walk. One that only a remembered cursor
     /// named says nothing of this walk.
-    pub fn on_failed(&mut self, nowMs: u64, number: u64, why: String) -> Option<String> {
+    pub fn on_failed(&mut self, now_ms: u64, number: u64, why: String) -> Option<String> {
         let at = self.place(number)?;
         if at > 0 && self.pages[at - 1].read.is_none() {
             self.pages.truncate(at);
@@ -170,19 +170,19 @@
         }
         self.failures += 1;
         if self.failures > LIST_TRIES {
-            self.fail(nowMs);
+            self.fail(now_ms);
         } else {
             self.pages.truncate(at);
         }
         Some(why)
     }
 
-    fn fail(&mut self, nowMs: u64) {
+    fn fail(&mut self, now_ms: u64) {
         self.guesses = true;
-        self.restart(nowMs + LIST_AGAIN_MS);
+        self.restart(now_ms + LIST_AGAIN_MS);
     }
 
-    pub fn on_page(&mut self, nowMs: u64, number: u64, listed: Listed, known: &[Name]) -> Taken {
+    pub fn on_page(&mut self, now_ms: u64, number: u64, listed: Listed, known: &[Name]) -> Taken {
         let Some(at) = self.place(number) else { return Taken::Stale };
         let seen = |row: &Target| row.draining || self.is_leaving(&row.instance);
         let rows: Vec<Target> = listed
@@ -191,18 +191,18 @@
             .map(|row| Target { draining: seen(row), ..row.clone() })
             .collect();
         let next = listed.next.clone();
-        self.pageMs = self.pageMs.max(nowMs.saturating_sub(self.pages[at].askedMs));
+        self.page_ms = self.page_ms.max(now_ms.saturating_sub(self.pages[at].asked_ms));
         if self.pages.get(at + 1).is_some_and(|after| after.cursor != next) {
             self.pages.truncate(at + 1);
         }
         self.pages[at].read = Some(listed);
         let before = &self.pages[..=at];
         if next.is_some() && before.iter().any(|page| page.cursor == next) {
-            self.fail(nowMs);
+            self.fail(now_ms);
             return Taken::Failed("its cursors go round".into());
         }
         if self.pages.len() > LIST_PAGES {
-            self.fail(nowMs);
+            self.fail(now_ms);
             return Taken::Failed("has no last page".into());
         }
         let last = self.pages.last().and_then(|page| page.read.as_ref());
@@ -210,7 +210,7 @@
         if !ends || self.pages.iter().any(|page| page.read.is_none()) {
             return Taken::Part(rows);
         }
-        let (gone, doubtful) = self.whole(nowMs, known);
+        let (gone, doubtful) = self.whole(now_ms, known);
         Taken::Whole { rows, gone, doubtful }
     }
 }
--- a/crates/controller/src/walk/absence.rs
+++ b/crates/controller/src/walk/absence.rs
@@ -15,7 +15,7 @@
     /// Who is missing, of those that were known: for certain, or doubtfully. A row may only have been
     /// pushed to a page read before, and a list that shrank sharply may be the list's own trouble:
     /// these need further walks, made at once, to be believed.
-    pub(crate) fn whole(&mut self, nowMs: u64, known: &[Name]) -> (Vec<Name>, Vec<Name>) {
+    pub(crate) fn whole(&mut self, now_ms: u64, known: &[Name]) -> (Vec<Name>, Vec<Name>) {
         let read: Vec<&Listed> = self.pages.iter().filter_map(|page| page.read.as_ref()).collect();
         let rows = || read.iter().flat_map(|listed| &listed.targets);
         let found: BTreeSet<&Name> = rows().map(|row| &row.instance).collect();
@@ -41,20 +41,20 @@
         self.guesses = true;
         self.finding = None;
         if doubtful.is_empty() {
-            self.wholeMs = Some(nowMs);
+            self.whole_ms = Some(now_ms);
         }
-        let tookMs = nowMs.saturating_sub(self.startMs);
+        let took_ms = now_ms.saturating_sub(self.start_ms);
         let count = self.pages.len() as u64;
-        self.cycleMs = LIST_CYCLE_MS.max(count * self.pace.gapMs()).max(tookMs + LIST_PAUSE_MS);
-        self.slowestMs = std::mem::take(&mut self.pageMs);
-        self.waitMs = (4 * self.slowestMs).clamp(LIST_PAGE_FIRST_WAIT_MS, LIST_PAGE_WAIT_MS);
-        let dueMs = match doubtful.is_empty() {
-            true => (nowMs + LIST_PAUSE_MS).max(self.startMs + LIST_CYCLE_MS),
-            false => nowMs,
+        self.cycle_ms = LIST_CYCLE_MS.max(count * self.pace.gap_ms()).max(took_ms + LIST_PAUSE_MS);
+        self.slowest_ms = std::mem::take(&mut self.page_ms);
+        self.wait_ms = (4 * self.slowest_ms).clamp(LIST_PAGE_FIRST_WAIT_MS, LIST_PAGE_WAIT_MS);
+        let due_ms = match doubtful.is_empty() {
+            true => (now_ms + LIST_PAUSE_MS).max(self.start_ms + LIST_CYCLE_MS),
+            false => now_ms,
         };
-        self.restart(dueMs);
+        self.restart(due_ms);
         if self.leave_bound_ms() > LEAVE_BOUND_MS {
-            self.pace.relax(nowMs);
+            self.pace.relax(now_ms);
         }
         (gone, doubtful)
     }
@@ -84,6 +84,6 @@
 
     /// From a mark in the list to the last ask at that target, at worst, with the list as it is.
     pub fn leave_bound_ms(&self) -> u64 {
-        self.cycleMs + self.slowestMs + LEAVING_WAIT_MS + COMMIT_MS + NODE_HOLD_MS
+        self.cycle_ms + self.slowest_ms + LEAVING_WAIT_MS + COMMIT_MS + NODE_HOLD_MS
     }
 }
--- a/crates/controller/src/watches.rs
+++ b/crates/controller/src/watches.rs
@@ -9,13 +9,13 @@
     sort: Sort,
     prefix: Name,
     after: u64,
-    untilMs: u64,
+    until_ms: u64,
 }
 
 impl ControlNode {
     pub(crate) fn on_watch(
         &mut self,
-        nowMs: u64,
+        now_ms: u64,
         origin: Origin,
         sort: Sort,
         prefix: Name,
@@ -26,18 +26,18 @@
             let outcome = Outcome::Events { events: Vec::new(), next: state.revision };
             return self.respond(origin, Response::Outcome(outcome));
         };
-        if after < state.historyFloor || after > state.revision {
-            let outcome = Outcome::TooOld { floor: state.historyFloor };
+        if after < state.history_floor || after > state.revision {
+            let outcome = Outcome::TooOld { floor: state.history_floor };
             return self.respond(origin, Response::Outcome(outcome));
         }
         match events(state, sort, &prefix, after) {
             Some(outcome) => self.respond(origin, Response::Outcome(outcome)),
             None => {
-                let untilMs = nowMs + WATCH_ASK_MS;
+                let until_ms = now_ms + WATCH_ASK_MS;
                 let Some(lead) = &mut self.lead else { return };
                 lead.parked
                     .retain(|other| other.origin.to != origin.to || other.origin.key != origin.key);
-                lead.parked.push(Parked { origin, sort, prefix, after, untilMs });
+                lead.parked.push(Parked { origin, sort, prefix, after, until_ms });
             }
         }
     }
@@ -60,13 +60,13 @@
         }
     }
 
-    pub(crate) fn watch_pulse(&mut self, nowMs: u64) {
-        let holds = self.holds(nowMs);
+    pub(crate) fn watch_pulse(&mut self, now_ms: u64) {
+        let holds = self.holds(now_ms);
         let next = self.committed().revision;
         let Some(lead) = &mut self.lead else { return };
         let (due, parked) = std::mem::take(&mut lead.parked)
             .into_iter()
-            .partition::<Vec<_>, _>(|parked| nowMs >= parked.untilMs);
+            .partition::<Vec<_>, _>(|parked| now_ms >= parked.until_ms);
         lead.parked = parked;
         for parked in due {
             let response = if holds {
--- a/crates/controller/tests/bench/mod.rs
+++ b/crates/controller/tests/bench/mod.rs
@@ -12,7 +12,7 @@
 /// One control node that is its own majority; the test decides when its disk syncs.
 pub struct Bench {
     pub node: ControlNode,
-    pub nowMs: u64,
+    pub now_ms: u64,
     pub lines: Vec<Line<Record>>,
     pub entries: Vec<Entry>,
     pub responses: Vec<(u64, Response)>,
@@ -39,10 +39,10 @@
 
 impl Bench {
     pub fn new(recovered: Recovered) -> Bench {
-        let nowMs = 50_000;
+        let now_ms = 50_000;
         Bench {
-            node: ControlNode::new(member(1), recovered, &[], 7, nowMs),
-            nowMs,
+            node: ControlNode::new(member(1), recovered, &[], 7, now_ms),
+            now_ms,
             lines: Vec::new(),
             entries: Vec::new(),
             responses: Vec::new(),
@@ -64,9 +64,9 @@
         bench
     }
 
-    pub fn bound(&mut self, sizeBytes: u64) {
-        let idle = ControlNode::new(member(1), Recovered::default(), &[], 7, self.nowMs);
-        self.node = std::mem::replace(&mut self.node, idle).with_log_bound(sizeBytes);
+    pub fn bound(&mut self, size_bytes: u64) {
+        let idle = ControlNode::new(member(1), Recovered::default(), &[], 7, self.now_ms);
+        self.node = std::mem::replace(&mut self.node, idle).with_log_bound(size_bytes);
     }
 
     pub fn lead(&mut self) {
@@ -78,7 +78,7 @@
     }
 
     pub fn input(&mut self, input: Input) {
-        for effect in self.node.handle(self.nowMs, input) {
+        for effect in self.node.handle(self.now_ms, input) {
             match effect {
                 Effect::Write { sequence, write } => {
                     self.unsynced = Some(sequence);
@@ -102,8 +102,8 @@
         }
     }
 
-    pub fn pulse(&mut self, passMs: u64) {
-        self.nowMs += passMs;
+    pub fn pulse(&mut self, pass_ms: u64) {
+        self.now_ms += pass_ms;
         self.input(Input::Pulse);
     }
 
@@ -143,7 +143,7 @@
 
     pub fn fresh(&mut self, incarnation: u64) {
         let ask = FreshAsk {
-            number: self.nowMs,
+            number: self.now_ms,
             node: node(incarnation),
             published: 0,
             version: None,
@@ -219,8 +219,8 @@
         version: plan.version.as_str().into(),
         base: plan.base.as_deref().map(Into::into),
         records: plan.records(),
-        dryRun: false,
-        allowEmpty: false,
+        dry_run: false,
+        allow_empty: false,
     }
 }
 
--- a/crates/controller/tests/duties.rs
+++ b/crates/controller/tests/duties.rs
@@ -102,7 +102,7 @@
     assert_eq!(here(&bench).len(), 3, "a half walk removes nobody");
     bench.page(Fetched::Failed("gone".into()));
     assert_eq!(here(&bench).len(), 3, "a broken walk removes nobody");
-    bench.page(Fetched::Limited { waitMs: 1_000 });
+    bench.page(Fetched::Limited { wait_ms: 1_000 });
     bench.rows(&[Bench::row("catalogue-1", "catalogue", false)], None);
     assert_eq!(here(&bench).len(), 3, "a row may only have shifted over a page read before");
     for _ in 1..LIST_MISSES {
@@ -148,17 +148,17 @@
 #[test]
 fn a_lock_has_one_holder_a_rising_fence_and_its_full_time() {
     let mut bench = Bench::serving();
-    let lock = |holder: &str| Call::Lock { name: "l".into(), holder: holder.into(), ttlMs: 1_000 };
+    let lock = |holder: &str| Call::Lock { name: "l".into(), holder: holder.into(), ttl_ms: 1_000 };
     let first = call(&mut bench, 1, lock("a"));
-    assert_eq!(first, Response::Outcome(Outcome::Locked { fence: 1, ttlMs: 1_000 }));
+    assert_eq!(first, Response::Outcome(Outcome::Locked { fence: 1, ttl_ms: 1_000 }));
     assert_eq!(call(&mut bench, 2, lock("b")), Response::Outcome(Outcome::Held { fence: 1 }));
     for _ in 0..45 {
         bench.pulse(20);
         bench.sync();
     }
-    let renew = Call::Renew { name: "l".into(), holder: "a".into(), fence: 1, ttlMs: None };
+    let renew = Call::Renew { name: "l".into(), holder: "a".into(), fence: 1, ttl_ms: None };
     let renewed = call(&mut bench, 3, renew.clone());
-    assert_eq!(renewed, Response::Outcome(Outcome::Locked { fence: 1, ttlMs: 1_000 }));
+    assert_eq!(renewed, Response::Outcome(Outcome::Locked { fence: 1, ttl_ms: 1_000 }));
     for _ in 0..45 {
         bench.pulse(20);
         bench.sync();
@@ -171,24 +171,24 @@
     assert!(!bench.state().locks.contains_key("l"), "its time is up");
     assert_eq!(call(&mut bench, 4, renew), Response::Outcome(Outcome::NotHeld));
     let second = call(&mut bench, 5, lock("b"));
-    assert_eq!(second, Response::Outcome(Outcome::Locked { fence: 2, ttlMs: 1_000 }));
+    assert_eq!(second, Response::Outcome(Outcome::Locked { fence: 2, ttl_ms: 1_000 }));
 }
 
 #[test]
 fn a_new_controller_gives_a_lock_its_full_time_again() {
     let mut bench = Bench::serving();
-    call(&mut bench, 1, Call::Lock { name: "l".into(), holder: "a".into(), ttlMs: 60_000 });
+    call(&mut bench, 1, Call::Lock { name: "l".into(), holder: "a".into(), ttl_ms: 60_000 });
     let entries = bench.entries.clone();
     let mut next = Bench::new(recovered(&[1], entries, bench.node.consensus().term()));
-    next.nowMs = 9_000_000;
+    next.now_ms = 9_000_000;
     next.lead();
-    let leadMs = next.nowMs;
+    let lead_ms = next.now_ms;
     while next.state().locks.contains_key("l") {
         next.pulse(20);
         next.sync();
     }
-    let heldMs = next.nowMs - leadMs;
-    assert!((57_000..=60_100).contains(&heldMs), "{heldMs}");
+    let held_ms = next.now_ms - lead_ms;
+    assert!((57_000..=60_100).contains(&held_ms), "{held_ms}");
 }
 
 #[test]
--- a/crates/controller/tests/space.rs
+++ b/crates/controller/tests/space.rs
@@ -35,25 +35,25 @@
     bench.settle();
     bench.ask(2, ran("k", None));
     bench.settle();
-    let mut passedMs = 0;
+    let mut passed_ms = 0;
     let mut term = 1;
     while !bench.state().tickets.is_empty() {
-        assert!(passedMs < TICKET_KEEP_MS + 12 * ERA_MS, "kept for ever");
+        assert!(passed_ms < TICKET_KEEP_MS + 12 * ERA_MS, "kept for ever");
         for _ in 0..100 {
             bench.pulse(2_000);
             bench.sync();
-            passedMs += 2_000;
+            passed_ms += 2_000;
             let kept = bench.state().tickets.contains_key("k");
-            assert!(kept || passedMs >= TICKET_KEEP_MS, "forgotten after {passedMs} ms");
+            assert!(kept || passed_ms >= TICKET_KEEP_MS, "forgotten after {passed_ms} ms");
         }
         term += 1;
         let entries = bench.entries.clone();
         let mut next = Bench::new(recovered(&[1], entries.clone(), term));
         next.entries = entries;
-        next.nowMs = bench.nowMs;
+        next.now_ms = bench.now_ms;
         bench = next;
         bench.lead();
-        passedMs += 2_000;
+        passed_ms += 2_000;
     }
 }
 
@@ -79,7 +79,7 @@
 
 #[test]
 fn kept_responses_have_one_bound_in_all_and_the_key_is_kept_without() {
-    let state = State { keptBytes: KEPT_BYTES - 1_500, ..State::default() };
+    let state = State { kept_bytes: KEPT_BYTES - 1_500, ..State::default() };
     let mut bench = from_state(state);
     for (at, key) in ["a", "b"].into_iter().enumerate() {
         bench.ask(at as u64, Ask::Ticket(ticket(key, 1)));
@@ -90,7 +90,7 @@
     let response = |key: &str| bench.state().tickets[key].response.is_some();
     assert_eq!((response("a"), response("b")), (true, false));
     assert_eq!(bench.state().tickets["b"].settled, Some(Settlement::Ran));
-    assert_eq!(bench.state().keptBytes, KEPT_BYTES - 500);
+    assert_eq!(bench.state().kept_bytes, KEPT_BYTES - 500);
 }
 
 #[test]
@@ -100,12 +100,12 @@
     bench.ask(2, ran("k", Some(kept(700))));
     bench.ask(3, ran("k", Some(kept(700))));
     bench.settle();
-    assert_eq!(bench.state().keptBytes, 700);
+    assert_eq!(bench.state().kept_bytes, 700);
     bench.pulse(TICKET_KEEP_MS + 2 * ERA_MS);
     bench.settle();
     bench.pulse(FORGET_MS);
     bench.settle();
-    assert_eq!((bench.state().tickets.len(), bench.state().keptBytes), (0, 0));
+    assert_eq!((bench.state().tickets.len(), bench.state().kept_bytes), (0, 0));
 }
 
 #[test]
@@ -131,21 +131,21 @@
     let call = Call::Next { name: "n".into(), by: 1 };
     bench.ask(1, Ask::Call { id: Some("once".into()), call });
     bench.settle();
-    let mut passedMs = 0;
+    let mut passed_ms = 0;
     while bench.state().repeats.contains_key("once") {
-        assert!(passedMs < REPEAT_KEEP_MS + 12 * ERA_MS, "remembered for ever");
+        assert!(passed_ms < REPEAT_KEEP_MS + 12 * ERA_MS, "remembered for ever");
         for _ in 0..22 {
             bench.pulse(2_000);
             bench.sync();
-            passedMs += 2_000;
+            passed_ms += 2_000;
         }
-        let (entries, term) = (bench.entries.clone(), passedMs / 1_000);
+        let (entries, term) = (bench.entries.clone(), passed_ms / 1_000);
         let mut next = Bench::new(recovered(&[1], entries.clone(), term));
-        (next.entries, next.nowMs) = (entries, bench.nowMs);
+        (next.entries, next.now_ms) = (entries, bench.now_ms);
         bench = next;
         bench.lead();
-        passedMs += 2_000;
+        passed_ms += 2_000;
     }
-    assert!(passedMs >= REPEAT_KEEP_MS, "forgotten after {passedMs} ms");
-    assert!(bench.state().repeatQueue.is_empty());
+    assert!(passed_ms >= REPEAT_KEEP_MS, "forgotten after {passed_ms} ms");
+    assert!(bench.state().repeat_queue.is_empty());
 }
--- a/crates/controller/tests/strangers.rs
+++ b/crates/controller/tests/strangers.rs
@@ -30,7 +30,7 @@
     let vote = LogMessage::Vote(postbarrow_consensus::VoteAsk {
         term: 4,
         last: 0,
-        lastTerm: 0,
+        last_term: 0,
         handed: false,
         clear: true,
     });
@@ -46,8 +46,8 @@
     let mut guest =
         postbarrow_controller::ControlNode::new(own, Recovered::default(), &seeds, 7, 0).as_guest();
     let mut sent = Vec::new();
-    for nowMs in (0..4_000).step_by(20) {
-        for effect in guest.handle(nowMs, Input::Pulse) {
+    for now_ms in (0..4_000).step_by(20) {
+        for effect in guest.handle(now_ms, Input::Pulse) {
             if let postbarrow_controller::Effect::Send { message, .. } = effect {
                 sent.push(message);
             }
@@ -64,21 +64,22 @@
 #[test]
 fn a_hold_renewed_for_longer_is_recorded_and_one_renewed_for_less_is_not_shortened() {
     let mut bench = Bench::serving();
-    let mut ask = |key: u64, call: Call, passMs: u64| {
-        (0..passMs / 20).for_each(|_| bench.pulse(20));
+    let mut ask = |key: u64, call: Call, pass_ms: u64| {
+        (0..pass_ms / 20).for_each(|_| bench.pulse(20));
         bench.ask(key, Ask::Call { id: None, call });
         bench.settle();
         let locks = bench.node.committed().locks.clone();
         let said = bench.responses.iter().rev().find(|(known, _)| *known == key);
-        (said.map(|(_, response)| response.clone()), locks.get("l").map(|lock| lock.ttlMs))
+        (said.map(|(_, response)| response.clone()), locks.get("l").map(|lock| lock.ttl_ms))
     };
     let (name, holder) = (Name::from("l"), Name::from("a"));
-    let lock = |holder: &str, ttlMs| Call::Lock { name: "l".into(), holder: holder.into(), ttlMs };
-    let renew = |ttlMs| Call::Renew {
+    let lock =
+        |holder: &str, ttl_ms| Call::Lock { name: "l".into(), holder: holder.into(), ttl_ms };
+    let renew = |ttl_ms| Call::Renew {
         name: name.clone(),
         holder: holder.clone(),
         fence: 1,
-        ttlMs: Some(ttlMs),
+        ttl_ms: Some(ttl_ms),
     };
     assert_eq!(ask(1, lock("a", 1_000), 20).1, Some(1_000));
     assert_eq!(ask(2, renew(5_000), 20).1, Some(5_000), "a new controller must know");
--- a/crates/controller/tests/transactions.rs
+++ b/crates/controller/tests/transactions.rs
@@ -95,7 +95,7 @@
     bench.lead();
     assert_eq!(markers(&bench), ["Abort the controller that began it is gone"]);
     assert_eq!(bench.state().plan_version(), None);
-    assert!(bench.state().planText.is_empty());
+    assert!(bench.state().plan_text.is_empty());
     assert!(!bench.node.tail().is_open());
 }
 
@@ -107,7 +107,7 @@
     bench.submit(2, &plan("v2", Some("v1"), 6_000, "catalogue"));
     bench.ask(3, Ask::Ticket(ticket("k", 1)));
     let (commit, term) = (bench.node.consensus().commit(), bench.node.consensus().term());
-    let prevTerm = bench.node.consensus().log().term_at(commit).unwrap();
+    let prev_term = bench.node.consensus().log().term_at(commit).unwrap();
     let record = Record::Number { name: "n".into(), value: 4 };
     let entry = Entry {
         term: term + 1,
@@ -117,10 +117,10 @@
     let append = Append {
         term: term + 1,
         prev: commit,
-        prevTerm,
+        prev_term,
         entries: vec![entry],
         commit: commit + 1,
-        sentMs: 1,
+        sent_ms: 1,
     };
     let message = LogMessage::Append(append);
     bench.message(Message::Consensus { from: member(2), to: 1, message });
@@ -153,7 +153,7 @@
     let mut bench = Bench::serving();
     bench.submit(1, &plan("v1", None, 1, "nobody"));
     let mut dry = submission(&plan("v1", None, 1, "catalogue"));
-    dry.dryRun = true;
+    dry.dry_run = true;
     bench.ask(2, Ask::Submit(dry));
     bench.settle();
     assert_eq!((bench.status(1), bench.status(2)), (Some(422), Some(200)));
@@ -163,7 +163,7 @@
     assert!(told.contains("\"liveBefore\":0,\"liveAfter\":1"), "{told}");
     assert_eq!(bench.state().plan_version(), None);
     let mut empty = submission(&plan("v1", None, 1, "nobody"));
-    empty.allowEmpty = true;
+    empty.allow_empty = true;
     bench.ask(3, Ask::Submit(empty));
     bench.settle();
     assert_eq!(bench.status(3), Some(200));
--- a/crates/desk/src/lib.rs
+++ b/crates/desk/src/lib.rs
@@ -7,8 +7,8 @@
 
 struct Open {
     ask: Ask,
-    againMs: u64,
-    untilMs: u64,
+    again_ms: u64,
+    until_ms: u64,
     /// Sends to the present controller that got no response.
     unheard: u32,
 }
@@ -28,28 +28,28 @@
 
 impl Desk {
     /// What was learnt of the control plane; a new controller gets every open question at once.
-    pub fn learn(&mut self, nowMs: u64, controller: Option<SocketAddr>, members: &[SocketAddr]) {
+    pub fn learn(&mut self, now_ms: u64, controller: Option<SocketAddr>, members: &[SocketAddr]) {
         if !members.is_empty() {
             self.members = members.to_vec();
         }
         if controller.is_some() && controller != self.controller {
             self.controller = controller;
             for open in self.open.values_mut() {
-                open.againMs = nowMs;
+                open.again_ms = now_ms;
                 open.unheard = 0;
             }
         }
     }
 
-    pub fn ask(&mut self, nowMs: u64, key: u64, ask: Ask, waitMs: u64) -> Vec<Effect> {
-        let untilMs = nowMs.saturating_add(waitMs);
-        let open = Open { ask, againMs: nowMs, untilMs, unheard: 0 };
+    pub fn ask(&mut self, now_ms: u64, key: u64, ask: Ask, wait_ms: u64) -> Vec<Effect> {
+        let until_ms = now_ms.saturating_add(wait_ms);
+        let open = Open { ask, again_ms: now_ms, until_ms, unheard: 0 };
         self.open.insert(key, open);
-        self.pulse(nowMs)
+        self.pulse(now_ms)
     }
 
-    pub fn pulse(&mut self, nowMs: u64) -> Vec<Effect> {
-        self.doubt_the_silent(nowMs);
+    pub fn pulse(&mut self, now_ms: u64) -> Vec<Effect> {
+        self.doubt_the_silent(now_ms);
         let mut effects = Vec::new();
         let mut over = Vec::new();
         let to = self
@@ -57,10 +57,10 @@
             .or_else(|| self.members.get(self.turn % self.members.len().max(1)).copied());
         let mut turned = false;
         for (key, open) in &mut self.open {
-            if nowMs >= open.untilMs {
+            if now_ms >= open.until_ms {
                 over.push(*key);
-            } else if nowMs >= open.againMs {
-                open.againMs = nowMs + ASK_AGAIN_MS;
+            } else if now_ms >= open.again_ms {
+                open.again_ms = now_ms + ASK_AGAIN_MS;
                 open.unheard += 1;
                 if let Some(to) = to {
                     let message = Message::Ask { key: *key, ask: open.ask.clone() };
@@ -80,8 +80,8 @@
     }
 
     /// A controller that left two sends of one question unanswered may be gone.
-    fn doubt_the_silent(&mut self, nowMs: u64) {
-        let due = |open: &&mut Open| open.unheard >= 2 && nowMs >= open.againMs;
+    fn doubt_the_silent(&mut self, now_ms: u64) {
+        let due = |open: &&mut Open| open.unheard >= 2 && now_ms >= open.again_ms;
         let silent: Vec<&mut Open> = self.open.values_mut().filter(due).collect();
         if !silent.is_empty() {
             self.controller = None;
@@ -90,16 +90,16 @@
     }
 
     /// A response to a question that is no longer open is nobody's.
-    pub fn on_response(&mut self, nowMs: u64, key: u64, response: Response) -> Vec<Effect> {
+    pub fn on_response(&mut self, now_ms: u64, key: u64, response: Response) -> Vec<Effect> {
         let Some(open) = self.open.get_mut(&key) else { return Vec::new() };
         match response {
             Response::NotController { controller } => {
                 self.controller = controller;
-                open.againMs = match controller {
-                    Some(_) => nowMs,
-                    None => open.againMs.min(nowMs + ASK_AGAIN_MS / 3),
+                open.again_ms = match controller {
+                    Some(_) => now_ms,
+                    None => open.again_ms.min(now_ms + ASK_AGAIN_MS / 3),
                 };
-                self.pulse(nowMs)
+                self.pulse(now_ms)
             }
             Response::Lost => {
                 self.controller = None;
--- a/crates/downstream/src/body.rs
+++ b/crates/downstream/src/body.rs
@@ -14,38 +14,38 @@
 pub fn read(
     connection: &mut Connection,
     length: Length,
-    mostBytes: u64,
+    most_bytes: u64,
     memory: &Arc<Memory>,
-    deadlineMs: u64,
+    deadline_ms: u64,
 ) -> Result<Body, Reject> {
     let mut reserved = memory.reserve(0).ok_or(FULL)?;
     let mut bytes = Vec::new();
     match length {
         Length::None => {}
-        Length::Sized(sizeBytes) => {
-            if sizeBytes > mostBytes {
+        Length::Sized(size_bytes) => {
+            if size_bytes > most_bytes {
                 return Err(TOO_LARGE);
             }
-            if !reserved.grow(sizeBytes) {
+            if !reserved.grow(size_bytes) {
                 return Err(FULL);
             }
-            connection.take(sizeBytes as usize, &mut bytes, deadlineMs)?;
+            connection.take(size_bytes as usize, &mut bytes, deadline_ms)?;
         }
         Length::Chunked => loop {
-            let sizeBytes = chunk_size(connection, deadlineMs)?;
-            if sizeBytes == 0 {
-                skip_trailers(connection, deadlineMs)?;
+            let size_bytes = chunk_size(connection, deadline_ms)?;
+            if size_bytes == 0 {
+                skip_trailers(connection, deadline_ms)?;
                 break;
             }
-            if sizeBytes > mostBytes.saturating_sub(bytes.len() as u64) {
+            if size_bytes > most_bytes.saturating_sub(bytes.len() as u64) {
                 return Err(TOO_LARGE);
             }
-            if !reserved.grow(sizeBytes) {
+            if !reserved.grow(size_bytes) {
                 return Err(FULL);
             }
-            connection.take(sizeBytes as usize, &mut bytes, deadlineMs)?;
+            connection.take(size_bytes as usize, &mut bytes, deadline_ms)?;
             let mut end = Vec::new();
-            connection.take(2, &mut end, deadlineMs)?;
+            connection.take(2, &mut end, deadline_ms)?;
             if end != b"\r\n" {
                 return Err(BAD_CHUNK);
             }
@@ -58,22 +58,22 @@
 pub const FULL: Reject = Reject { status: 503, why: "this node is full" };
 const BAD_CHUNK: Reject = Reject { status: 400, why: "a chunk is malformed" };
 
-fn chunk_size(connection: &mut Connection, deadlineMs: u64) -> Result<u64, Reject> {
+fn chunk_size(connection: &mut Connection, deadline_ms: u64) -> Result<u64, Reject> {
     loop {
         match httparse::parse_chunk_size(connection.buffered()) {
-            Ok(httparse::Status::Complete((used, sizeBytes))) => {
+            Ok(httparse::Status::Complete((used, size_bytes))) => {
                 connection.consume(used);
-                return Ok(sizeBytes);
+                return Ok(size_bytes);
             }
             Ok(httparse::Status::Partial) if connection.buffered().len() < CHUNK_LINE_BYTES => {
-                connection.more(deadlineMs)?;
+                connection.more(deadline_ms)?;
             }
             _ => return Err(BAD_CHUNK),
         }
     }
 }
 
-fn skip_trailers(connection: &mut Connection, deadlineMs: u64) -> Result<(), Reject> {
+fn skip_trailers(connection: &mut Connection, deadline_ms: u64) -> Result<(), Reject> {
     let mut skipped = 0;
     loop {
         let line = connection.buffered().windows(2).position(|pair| pair == b"\r\n");
@@ -86,7 +86,7 @@
                 connection.consume(at + 2);
                 skipped += at + 2;
             }
-            None => connection.more(deadlineMs)?,
+            None => connection.more(deadline_ms)?,
         }
         if skipped + connection.buffered().len() > 8 * CHUNK_LINE_BYTES {
             return Err(BAD_CHUNK);
--- a/crates/downstream/src/connection.rs
+++ b/crates/downstream/src/connection.rs
@@ -1,7 +1,7 @@
 use crate::head::{self, Head, Reject, passed_on};
 use postbarrow_constants::traffic::*;
 use postbarrow_node::TargetResponse;
-use postbarrow_transport::now_ms;
+use postbarrow_transport::clock_ms;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{IpAddr, TcpStream};
 use std::time::Duration;
@@ -17,14 +17,14 @@
 /// How much and how long a client may take.
 #[derive(Clone, Copy, Debug)]
 pub struct Patience {
-    pub headBytes: usize,
-    pub headWaitMs: u64,
-    pub idleMs: u64,
+    pub head_bytes: usize,
+    pub head_wait_ms: u64,
+    pub idle_ms: u64,
 }
 
 impl Default for Patience {
     fn default() -> Self {
-        Patience { headBytes: HEAD_BYTES, headWaitMs: HEAD_WAIT_MS, idleMs: DOWNSTREAM_IDLE_MS }
+        Patience { head_bytes: HEAD_BYTES, head_wait_ms: HEAD_WAIT_MS, idle_ms: DOWNSTREAM_IDLE_MS }
     }
 }
 
@@ -48,29 +48,29 @@
 
     /// Waits for the next request; an idle connection ends when the node stops.
     pub fn next(&mut self, patience: Patience, stopping: impl Fn() -> bool) -> Next {
-        let idleUntilMs = now_ms() + patience.idleMs;
+        let idle_until_ms = clock_ms() + patience.idle_ms;
         while self.buffered().is_empty() {
-            if stopping() || now_ms() >= idleUntilMs {
+            if stopping() || clock_ms() >= idle_until_ms {
                 return Next::Closed;
             }
             if self.fill().is_err() {
                 return Next::Closed;
             }
         }
-        let deadlineMs = now_ms() + patience.headWaitMs;
+        let deadline_ms = clock_ms() + patience.head_wait_ms;
         loop {
             match head::parse(self.buffered()) {
-                Ok(Some((_, length))) if length > patience.headBytes => {
+                Ok(Some((_, length))) if length > patience.head_bytes => {
                     return Next::Reject(Reject { status: 431, why: "the head is too large" });
                 }
                 Ok(Some((head, length))) => {
                     self.consume(length);
                     return Next::Head(head);
                 }
-                Ok(None) if self.buffered().len() > patience.headBytes => {
+                Ok(None) if self.buffered().len() > patience.head_bytes => {
                     return Next::Reject(Reject { status: 431, why: "the head is too large" });
                 }
-                Ok(None) => match self.more(deadlineMs) {
+                Ok(None) => match self.more(deadline_ms) {
                     Ok(()) => {}
                     Err(reject) if reject == GONE => return Next::Closed,
                     Err(reject) => return Next::Reject(reject),
@@ -115,9 +115,9 @@
         }
     }
 
-    pub fn more(&mut self, deadlineMs: u64) -> Result<(), Reject> {
+    pub fn more(&mut self, deadline_ms: u64) -> Result<(), Reject> {
         loop {
-            if now_ms() >= deadlineMs {
+            if clock_ms() >= deadline_ms {
                 return Err(SLOW);
             }
             match self.fill() {
@@ -132,7 +132,7 @@
         &mut self,
         length: usize,
         into: &mut Vec<u8>,
-        deadlineMs: u64,
+        deadline_ms: u64,
     ) -> Result<(), Reject> {
         let mut left = length;
         loop {
@@ -143,7 +143,7 @@
             if left == 0 {
                 return Ok(());
             }
-            self.more(deadlineMs)?;
+            self.more(deadline_ms)?;
         }
     }
 
@@ -206,10 +206,11 @@
     }
 
     /// A client that takes its response too slowly loses it, and gives back its memory.
-    fn write_slowly(&mut self, bytes: &[u8], wholeBytes: usize) -> std::io::Result<()> {
-        let untilMs = now_ms() + DOWNSTREAM_WRITE_MS + wholeBytes as u64 / DOWNSTREAM_BYTES_PER_MS;
+    fn write_slowly(&mut self, bytes: &[u8], whole_bytes: usize) -> std::io::Result<()> {
+        let until_ms =
+            clock_ms() + DOWNSTREAM_WRITE_MS + whole_bytes as u64 / DOWNSTREAM_BYTES_PER_MS;
         for part in bytes.chunks(WRITE_BYTES) {
-            if now_ms() >= untilMs {
+            if clock_ms() >= until_ms {
                 return Err(ErrorKind::TimedOut.into());
             }
             self.stream.write_all(part)?;
@@ -220,9 +221,9 @@
     /// Lets a client that still sends read its refusal before the connection goes.
     pub fn linger(&mut self) {
         let _ = self.stream.shutdown(std::net::Shutdown::Write);
-        let untilMs = now_ms() + 2 * LOOK_UP_MS;
+        let until_ms = clock_ms() + 2 * LOOK_UP_MS;
         let mut part = [0; READ_BYTES];
-        while now_ms() < untilMs {
+        while clock_ms() < until_ms {
             match self.stream.read(&mut part) {
                 Ok(0) => return,
                 Ok(_) => {}
--- a/crates/membership/src/relay.rs
+++ b/crates/membership/src/relay.rs
@@ -15,7 +15,7 @@
 
 struct Child {
     at: u64,
-    renewedMs: u64,
+    renewed_ms: u64,
 }
 
 pub enum Deliver {
@@ -53,8 +53,8 @@
     }
 
     /// A child says where it is; this subscribes it or renews that.
-    pub fn on_tail(&mut self, nowMs: u64, child: SocketAddr, after: u64) {
-        self.children.insert(child, Child { at: after, renewedMs: nowMs });
+    pub fn on_tail(&mut self, now_ms: u64, child: SocketAddr, after: u64) {
+        self.children.insert(child, Child { at: after, renewed_ms: now_ms });
     }
 
     /// After an image was sent.
@@ -65,8 +65,8 @@
     }
 
     /// What each child lacks, given where the relay itself is.
-    pub fn deliver(&mut self, nowMs: u64, own: u64) -> Vec<Deliver> {
-        self.children.retain(|_, child| nowMs < child.renewedMs + TAIL_KEEP_MS);
+    pub fn deliver(&mut self, now_ms: u64, own: u64) -> Vec<Deliver> {
+        self.children.retain(|_, child| now_ms < child.renewed_ms + TAIL_KEEP_MS);
         let mut out = Vec::new();
         for (to, child) in &mut self.children {
             if child.at >= own {
--- a/crates/membership/src/watch.rs
+++ b/crates/membership/src/watch.rs
@@ -5,33 +5,33 @@
 /// Heartbeats out to this node's watchers, and silence of those it watches.
 #[derive(Default)]
 pub struct Watch {
-    heardMs: BTreeMap<u64, u64>,
-    beatDueMs: u64,
+    heard_ms: BTreeMap<u64, u64>,
+    beat_due_ms: u64,
 }
 
 impl Watch {
     /// Whom to send a heartbeat now, if one is due.
-    pub fn pulse(&mut self, nowMs: u64, own: u64, nodes: &[u64]) -> Vec<u64> {
+    pub fn pulse(&mut self, now_ms: u64, own: u64, nodes: &[u64]) -> Vec<u64> {
         let watched = watched(own, nodes);
-        self.heardMs.retain(|node, _| watched.contains(node));
+        self.heard_ms.retain(|node, _| watched.contains(node));
         for node in watched {
-            self.heardMs.entry(node).or_insert(nowMs);
+            self.heard_ms.entry(node).or_insert(now_ms);
         }
-        if nowMs < self.beatDueMs {
+        if now_ms < self.beat_due_ms {
             return Vec::new();
         }
-        self.beatDueMs = nowMs + RING_BEAT_MS;
+        self.beat_due_ms = now_ms + RING_BEAT_MS;
         watchers(own, nodes)
     }
 
-    pub fn heard(&mut self, nowMs: u64, node: u64) {
-        if let Some(heardMs) = self.heardMs.get_mut(&node) {
-            *heardMs = nowMs;
+    pub fn heard(&mut self, now_ms: u64, node: u64) {
+        if let Some(heard_ms) = self.heard_ms.get_mut(&node) {
+            *heard_ms = now_ms;
         }
     }
 
-    pub fn suspects(&self, nowMs: u64) -> Vec<u64> {
-        let silent = |heardMs: u64| nowMs.saturating_sub(heardMs) > RING_SILENT_MS;
-        self.heardMs.iter().filter(|(_, heard)| silent(**heard)).map(|(node, _)| *node).collect()
+    pub fn suspects(&self, now_ms: u64) -> Vec<u64> {
+        let silent = |heard_ms: u64| now_ms.saturating_sub(heard_ms) > RING_SILENT_MS;
+        self.heard_ms.iter().filter(|(_, heard)| silent(**heard)).map(|(node, _)| *node).collect()
     }
 }
--- a/crates/messages/src/asks.rs
+++ b/crates/messages/src/asks.rs
@@ -30,8 +30,8 @@
     pub version: Name,
     pub base: Option<Name>,
     pub records: Vec<Record>,
-    pub dryRun: bool,
-    pub allowEmpty: bool,
+    pub dry_run: bool,
+    pub allow_empty: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/messages/src/frame.rs
+++ b/crates/messages/src/frame.rs
@@ -6,7 +6,7 @@
 pub enum FrameError {
     Closed,
     Io(std::io::Error),
-    TooLarge { sizeBytes: usize },
+    TooLarge { size_bytes: usize },
     Unreadable(String),
 }
 
@@ -15,7 +15,7 @@
         match self {
             FrameError::Closed => write!(out, "closed"),
             FrameError::Io(error) => write!(out, "{error}"),
-            FrameError::TooLarge { sizeBytes } => write!(out, "frame of {sizeBytes} bytes"),
+            FrameError::TooLarge { size_bytes } => write!(out, "frame of {size_bytes} bytes"),
             FrameError::Unreadable(why) => write!(out, "unreadable frame: {why}"),
         }
     }
@@ -27,11 +27,11 @@
     let mut bytes = vec![0; 4];
     rmp_serde::encode::write(&mut bytes, envelope)
         .map_err(|error| FrameError::Unreadable(error.to_string()))?;
-    let sizeBytes = bytes.len() - 4;
-    if sizeBytes > FRAME_BYTES {
-        return Err(FrameError::TooLarge { sizeBytes });
+    let size_bytes = bytes.len() - 4;
+    if size_bytes > FRAME_BYTES {
+        return Err(FrameError::TooLarge { size_bytes });
     }
-    bytes[..4].copy_from_slice(&(sizeBytes as u32).to_be_bytes());
+    bytes[..4].copy_from_slice(&(size_bytes as u32).to_be_bytes());
     Ok(bytes)
 }
 
@@ -45,13 +45,13 @@
         }
         Err(error) => return Err(FrameError::Io(error)),
     }
-    let sizeBytes = u32::from_be_bytes(head) as usize;
-    if sizeBytes > FRAME_BYTES {
-        return Err(FrameError::TooLarge { sizeBytes });
+    let size_bytes = u32::from_be_bytes(head) as usize;
+    if size_bytes > FRAME_BYTES {
+        return Err(FrameError::TooLarge { size_bytes });
     }
     let mut body = Vec::new();
-    from.take(sizeBytes as u64).read_to_end(&mut body).map_err(FrameError::Io)?;
-    if body.len() < sizeBytes {
+    from.take(size_bytes as u64).read_to_end(&mut body).map_err(FrameError::Io)?;
+    if body.len() < size_bytes {
         return Err(FrameError::Closed);
     }
     rmp_serde::from_slice(&body).map_err(|error| FrameError::Unreadable(error.to_string()))
--- a/crates/messages/tests/garbled.rs
+++ b/crates/messages/tests/garbled.rs
@@ -32,10 +32,10 @@
     let append = postbarrow_consensus::Append {
         term: 3,
         prev: 8,
-        prevTerm: 2,
+        prev_term: 2,
         entries,
         commit: 7,
-        sentMs: 1_000,
+        sent_ms: 1_000,
     };
     let from = postbarrow_consensus::Member { id: 1, address: "10.0.0.1:1".parse().unwrap() };
     let message = postbarrow_consensus::Message::Append(append);
--- a/crates/node/src/course.rs
+++ b/crates/node/src/course.rs
@@ -14,7 +14,7 @@
     target: Option<Arc<Target>>,
     load: Option<Arc<Load>>,
     ticket: Option<Ticket>,
-    askedMs: u64,
+    asked_ms: u64,
     proved: bool,
     /// An earlier go of this ask may have run.
     sent: bool,
@@ -30,7 +30,7 @@
             target: None,
             load: None,
             ticket: None,
-            askedMs: 0,
+            asked_ms: 0,
             proved: false,
             sent: false,
             why: String::new(),
@@ -55,7 +55,7 @@
     }
 
     fn left_ms(&self, now: &Now<'_>) -> u64 {
-        self.go.untilMs.saturating_sub(now.nowMs)
+        self.go.until_ms.saturating_sub(now.now_ms)
     }
 
     fn is_one_time(&self) -> bool {
@@ -64,7 +64,7 @@
 
     fn load_failed(&self, now: &Now<'_>) {
         if let Some(load) = &self.load {
-            load.failed(now.nowMs);
+            load.failed(now.now_ms);
         }
     }
 
@@ -78,7 +78,7 @@
         }
         loop {
             let seed = mix(self.go.seed ^ self.tried.len() as u64);
-            let picked = self.entry.pick(&self.go.zone, &self.tried, now.nowMs, seed);
+            let picked = self.entry.pick(&self.go.zone, &self.tried, now.now_ms, seed);
             let Some((target, load)) = picked else {
                 let why = std::mem::take(&mut self.why);
                 return self.end(Told::NoTarget(why));
@@ -87,7 +87,7 @@
             if now.table.allows(&self.entry.route().service, &target.instance) {
                 self.target = Some(target.clone());
                 self.load = Some(load.clone());
-                return Step::Connect { target, load, waitMs: self.left_ms(now) };
+                return Step::Connect { target, load, wait_ms: self.left_ms(now) };
             }
         }
     }
@@ -97,7 +97,7 @@
         let tries = self.entry.route().tries;
         let most = tries.map_or(most, |tries| tries as usize);
         let nodes = now.table.nodes();
-        if self.tried.len() >= most || !self.entry.budget.take(now.nowMs, nodes) {
+        if self.tried.len() >= most || !self.entry.budget.take(now.now_ms, nodes) {
             let why = std::mem::take(&mut self.why);
             return self.end(Told::GaveUp(why));
         }
@@ -115,7 +115,7 @@
         let Some(target) = &self.target else { return self.end(Told::Unready) };
         if !self.is_one_time() || !self.go.logged {
             return match self.may_pass(now) {
-                true => Step::Pass { waitMs: self.left_ms(now), untilMs: u64::MAX },
+                true => Step::Pass { wait_ms: self.left_ms(now), until_ms: u64::MAX },
                 false => self.next_go(now),
             };
         }
@@ -131,18 +131,18 @@
             era: 0,
         };
         self.ticket = Some(ticket.clone());
-        self.askedMs = now.nowMs;
-        Step::AskTicket { ticket, waitMs: self.left_ms(now).min(TICKET_USE_MS) }
+        self.asked_ms = now.now_ms;
+        Step::AskTicket { ticket, wait_ms: self.left_ms(now).min(TICKET_USE_MS) }
     }
 
     fn on_answered(&mut self, now: &Now<'_>, response: Response) -> Step {
         match response {
             Response::Granted => {
                 self.proved = true;
-                let fresh = now.nowMs < self.askedMs + TICKET_USE_MS;
+                let fresh = now.now_ms < self.asked_ms + TICKET_USE_MS;
                 if fresh && self.may_pass(now) {
-                    let untilMs = self.askedMs + TICKET_USE_MS;
-                    return Step::Pass { waitMs: self.left_ms(now), untilMs };
+                    let until_ms = self.asked_ms + TICKET_USE_MS;
+                    return Step::Pass { wait_ms: self.left_ms(now), until_ms };
                 }
                 self.why = "the ticket came too late for its target".into();
                 self.settle_unsent(now)
@@ -182,7 +182,7 @@
                 ticket: ticket.clone(),
                 settlement: Settlement::Unsent,
                 response: None,
-                waitMs: self.left_ms(now).clamp(1, TICKET_USE_MS),
+                wait_ms: self.left_ms(now).clamp(1, TICKET_USE_MS),
             },
             None => self.extra_go(now),
         }
@@ -200,7 +200,7 @@
             }
             Passed::NotRun(why) => {
                 if let Some(load) = &self.load {
-                    load.turned_away(now.nowMs);
+                    load.turned_away(now.now_ms);
                 }
                 self.why = why;
                 self.extra_go(now)
@@ -235,12 +235,12 @@
 
     fn verdict(&self, told: Told) -> Verdict {
         let about = About {
-            oneTime: self.is_one_time(),
+            one_time: self.is_one_time(),
             keyed: self.go.keyed,
             proved: self.proved,
             sent: self.sent,
         };
-        let key = (about.oneTime && !about.keyed).then(|| self.go.key.clone());
+        let key = (about.one_time && !about.keyed).then(|| self.go.key.clone());
         Verdict { told, about, key }
     }
 }
--- a/crates/node/src/fresh.rs
+++ b/crates/node/src/fresh.rs
@@ -5,43 +5,43 @@
 use std::net::SocketAddr;
 
 struct Grant {
-    sentMs: u64,
+    sent_ms: u64,
     watermark: u64,
 }
 
 /// Questions about freshness, and the holds their answers gave.
 pub(crate) struct FreshBook {
     number: u64,
-    sentMs: BTreeMap<u64, u64>,
+    sent_ms: BTreeMap<u64, u64>,
     grants: VecDeque<Grant>,
     term: u64,
     controller: Option<SocketAddr>,
     members: Vec<SocketAddr>,
     /// Named by others since the last grant; tried, not believed.
     introduced: Vec<SocketAddr>,
-    dueMs: u64,
-    grantedMs: u64,
-    toldHoldMs: u64,
-    pub holdMs: u64,
+    due_ms: u64,
+    granted_ms: u64,
+    told_hold_ms: u64,
+    pub hold_ms: u64,
     /// Whether the log was told last that this node serves.
-    pub saidServes: bool,
+    pub said_serves: bool,
 }
 
 impl FreshBook {
-    pub fn new(nowMs: u64) -> Self {
+    pub fn new(now_ms: u64) -> Self {
         FreshBook {
             number: 0,
-            sentMs: BTreeMap::new(),
+            sent_ms: BTreeMap::new(),
             grants: VecDeque::new(),
             term: 0,
             controller: None,
             members: Vec::new(),
             introduced: Vec::new(),
-            dueMs: nowMs,
-            grantedMs: 0,
-            toldHoldMs: 0,
-            holdMs: NODE_HOLD_MS,
-            saidServes: false,
+            due_ms: now_ms,
+            granted_ms: 0,
+            told_hold_ms: 0,
+            hold_ms: NODE_HOLD_MS,
+            said_serves: false,
         }
     }
 
@@ -61,7 +61,7 @@
     /// Counted from when the question was sent, and only for an image up to its watermark.
     pub fn hold_until(&self, published: u64) -> u64 {
         let covered = self.grants.iter().rev().find(|grant| grant.watermark <= published);
-        covered.map_or(0, |grant| grant.sentMs + self.holdMs)
+        covered.map_or(0, |grant| grant.sent_ms + self.hold_ms)
     }
 
     pub fn watermark(&self) -> u64 {
@@ -74,19 +74,19 @@
 }
 
 impl DataNode {
-    pub(crate) fn fresh_pulse(&mut self, nowMs: u64) {
-        if nowMs < self.fresh.dueMs {
+    pub(crate) fn fresh_pulse(&mut self, now_ms: u64) {
+        if now_ms < self.fresh.due_ms {
             return;
         }
-        if nowMs > self.fresh.grantedMs + FRESH_WAIT_MS {
+        if now_ms > self.fresh.granted_ms + FRESH_WAIT_MS {
             self.fresh.controller = None;
             self.desk.doubt();
         }
         let seeks = self.fresh.controller.is_none();
-        self.fresh.dueMs = nowMs + if seeks { FRESH_SEEK_MS } else { FRESH_MS };
-        let holdMs = self.fresh.holdMs;
-        self.fresh.sentMs.retain(|_, sentMs| nowMs < *sentMs + holdMs);
-        self.fresh.grants.retain(|grant| nowMs < grant.sentMs + holdMs);
+        self.fresh.due_ms = now_ms + if seeks { FRESH_SEEK_MS } else { FRESH_MS };
+        let hold_ms = self.fresh.hold_ms;
+        self.fresh.sent_ms.retain(|_, sent_ms| now_ms < *sent_ms + hold_ms);
+        self.fresh.grants.retain(|grant| now_ms < grant.sent_ms + hold_ms);
         let to = match self.fresh.controller {
             Some(controller) => vec![controller],
             None => {
@@ -103,15 +103,15 @@
         };
         self.fresh.number += 1;
         let number = self.fresh.number;
-        self.fresh.sentMs.insert(number, nowMs);
+        self.fresh.sent_ms.insert(number, now_ms);
         let ask = FreshAsk {
             number,
             node: self.own.clone(),
             published: self.published,
             version: self.tail.image().plan.as_ref().map(|plan| plan.version.clone()),
-            ready: self.is_ready(nowMs),
+            ready: self.is_ready(now_ms),
             failing: self.failing(),
-            suspects: self.watch.suspects(nowMs),
+            suspects: self.watch.suspects(now_ms),
             recent: std::mem::take(&mut self.recent),
             seen: std::mem::take(&mut self.seen),
         };
@@ -121,12 +121,12 @@
     }
 
     /// A sentence whenever this node begins or ceases to serve.
-    pub(crate) fn say_serves(&mut self, nowMs: u64) {
-        let serves = nowMs < self.hold_until() && self.tail.image().plan.is_some();
-        if serves == self.fresh.saidServes {
+    pub(crate) fn say_serves(&mut self, now_ms: u64) {
+        let serves = now_ms < self.hold_until() && self.tail.image().plan.is_some();
+        if serves == self.fresh.said_serves {
             return;
         }
-        self.fresh.saidServes = serves;
+        self.fresh.said_serves = serves;
         let version = self.tail.image().plan_version().unwrap_or_default().to_string();
         self.effects.push(Effect::Say(match serves {
             true => format!("serves, plan {version}"),
@@ -134,26 +134,26 @@
         }));
     }
 
-    pub(crate) fn on_fresh(&mut self, nowMs: u64, from: SocketAddr, number: u64, fresh: Fresh) {
+    pub(crate) fn on_fresh(&mut self, now_ms: u64, from: SocketAddr, number: u64, fresh: Fresh) {
         match fresh {
             Fresh::Granted { term, watermark, members } => {
                 if term < self.fresh.term {
                     return;
                 }
-                let Some(sentMs) = self.fresh.sentMs.get(&number).copied() else { return };
+                let Some(sent_ms) = self.fresh.sent_ms.get(&number).copied() else { return };
                 if term > self.fresh.term || self.fresh.controller != Some(from) {
-                    self.tailDueMs = nowMs;
+                    self.tail_due_ms = now_ms;
                 }
                 self.fresh.term = term;
                 self.fresh.controller = Some(from);
                 self.fresh.members = members;
                 self.fresh.introduced.clear();
-                self.fresh.grantedMs = nowMs;
-                let newer = self.fresh.grants.back().is_none_or(|last| last.sentMs <= sentMs);
+                self.fresh.granted_ms = now_ms;
+                let newer = self.fresh.grants.back().is_none_or(|last| last.sent_ms <= sent_ms);
                 if newer {
-                    self.fresh.grants.push_back(Grant { sentMs, watermark });
+                    self.fresh.grants.push_back(Grant { sent_ms, watermark });
                 }
-                self.desk.learn(nowMs, Some(from), &self.fresh.members);
+                self.desk.learn(now_ms, Some(from), &self.fresh.members);
                 self.tell_hold();
             }
             Fresh::NotController { controller, members } => {
@@ -163,16 +163,16 @@
                 if self.fresh.controller == Some(from) {
                     self.fresh.controller = controller;
                 }
-                self.desk.learn(nowMs, None, &self.fresh.members);
+                self.desk.learn(now_ms, None, &self.fresh.members);
             }
         }
     }
 
     pub(crate) fn tell_hold(&mut self) {
-        let untilMs = self.hold_until();
-        if untilMs > self.fresh.toldHoldMs {
-            self.fresh.toldHoldMs = untilMs;
-            self.effects.push(Effect::Hold { untilMs });
+        let until_ms = self.hold_until();
+        if until_ms > self.fresh.told_hold_ms {
+            self.fresh.told_hold_ms = until_ms;
+            self.effects.push(Effect::Hold { until_ms });
         }
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -28,7 +28,7 @@
     Ask {
         key: u64,
         ask: Ask,
-        waitMs: u64,
+        wait_ms: u64,
     },
     Probed {
         instance: Name,
@@ -60,7 +60,7 @@
     },
     /// The node may serve until then, on its own clock, and no longer.
     Hold {
-        untilMs: u64,
+        until_ms: u64,
     },
     Say(String),
 }
@@ -70,17 +70,17 @@
     seeds: Vec<SocketAddr>,
     tail: Tail<State>,
     published: u64,
-    hasImage: bool,
+    has_image: bool,
     resync: bool,
     relay: Relay,
     watch: Watch,
     desk: Desk,
     fresh: FreshBook,
     failures: BTreeMap<Name, u32>,
-    directUntilMs: u64,
-    behindMs: Option<u64>,
-    tailDueMs: u64,
-    tailedFrom: Option<SocketAddr>,
+    direct_until_ms: u64,
+    behind_ms: Option<u64>,
+    tail_due_ms: u64,
+    tailed_from: Option<SocketAddr>,
     stopping: bool,
     recent: Vec<Sample>,
     seen: u64,
@@ -88,23 +88,23 @@
 }
 
 impl DataNode {
-    pub fn new(own: Node, seeds: Vec<SocketAddr>, nowMs: u64) -> Self {
+    pub fn new(own: Node, seeds: Vec<SocketAddr>, now_ms: u64) -> Self {
         DataNode {
             own,
             seeds,
             tail: Tail::new(0, State::default()),
             published: 0,
-            hasImage: false,
+            has_image: false,
             resync: false,
             relay: Relay::default(),
             watch: Watch::default(),
             desk: Desk::default(),
-            fresh: FreshBook::new(nowMs),
+            fresh: FreshBook::new(now_ms),
             failures: BTreeMap::new(),
-            directUntilMs: 0,
-            behindMs: None,
-            tailDueMs: 0,
-            tailedFrom: None,
+            direct_until_ms: 0,
+            behind_ms: None,
+            tail_due_ms: 0,
+            tailed_from: None,
             stopping: false,
             recent: Vec::new(),
             seen: 0,
@@ -113,17 +113,17 @@
     }
 
     /// Serves so long after an answered question, instead of the usual time.
-    pub fn with_hold(mut self, holdMs: u64) -> Self {
-        self.fresh.holdMs = holdMs;
+    pub fn with_hold(mut self, hold_ms: u64) -> Self {
+        self.fresh.hold_ms = hold_ms;
         self
     }
 
-    pub fn handle(&mut self, nowMs: u64, input: Input) -> Vec<Effect> {
+    pub fn handle(&mut self, now_ms: u64, input: Input) -> Vec<Effect> {
         match input {
-            Input::Pulse => self.pulse(nowMs),
-            Input::Receive(envelope) => self.receive(nowMs, envelope),
-            Input::Ask { key, ask, waitMs } => {
-                let effects = self.desk.ask(nowMs, key, ask, waitMs);
+            Input::Pulse => self.pulse(now_ms),
+            Input::Receive(envelope) => self.receive(now_ms, envelope),
+            Input::Ask { key, ask, wait_ms } => {
+                let effects = self.desk.ask(now_ms, key, ask, wait_ms);
                 self.absorb(effects);
             }
             Input::Probed { instance, sound } => self.on_probed(instance, sound),
@@ -135,14 +135,14 @@
             Input::Seeds(seeds) => self.seeds = seeds,
             Input::Stop => self.stopping = true,
         }
-        self.relay_on(nowMs);
+        self.relay_on(now_ms);
         std::mem::take(&mut self.effects)
     }
 
-    fn receive(&mut self, nowMs: u64, envelope: Envelope) {
+    fn receive(&mut self, now_ms: u64, envelope: Envelope) {
         let Envelope { from, message } = envelope;
         match message {
-            Message::FreshResponse { number, fresh } => self.on_fresh(nowMs, from, number, fresh),
+            Message::FreshResponse { number, fresh } => self.on_fresh(now_ms, from, number, fresh),
             Message::Introduction { control, formed } => {
                 if formed {
                     self.fresh.on_introduction(&control);
@@ -154,15 +154,15 @@
                 self.send(from, Message::Introduction { control, formed });
             }
             Message::Tail { after } => {
-                if self.hasImage {
-                    self.relay.on_tail(nowMs, from, after);
+                if self.has_image {
+                    self.relay.on_tail(now_ms, from, after);
                 }
             }
-            Message::News { entries } => self.on_news(nowMs, entries),
-            Message::Image(frame) => self.on_image(nowMs, frame),
-            Message::Beat { node } => self.watch.heard(nowMs, node),
+            Message::News { entries } => self.on_news(now_ms, entries),
+            Message::Image(frame) => self.on_image(now_ms, frame),
+            Message::Beat { node } => self.watch.heard(now_ms, node),
             Message::Response { key, response } => {
-                let effects = self.desk.on_response(nowMs, key, response);
+                let effects = self.desk.on_response(now_ms, key, response);
                 self.absorb(effects);
             }
             Message::Consensus { .. }
@@ -172,19 +172,19 @@
         }
     }
 
-    fn pulse(&mut self, nowMs: u64) {
-        self.fresh_pulse(nowMs);
-        self.say_serves(nowMs);
-        self.tail_pulse(nowMs);
-        self.ring_pulse(nowMs);
-        let effects = self.desk.pulse(nowMs);
+    fn pulse(&mut self, now_ms: u64) {
+        self.fresh_pulse(now_ms);
+        self.say_serves(now_ms);
+        self.tail_pulse(now_ms);
+        self.ring_pulse(now_ms);
+        let effects = self.desk.pulse(now_ms);
         self.absorb(effects);
     }
 
-    fn ring_pulse(&mut self, nowMs: u64) {
+    fn ring_pulse(&mut self, now_ms: u64) {
         let state = self.tail.image().clone();
         let nodes: Vec<Incarnation> = state.nodes.keys().copied().collect();
-        for watcher in self.watch.pulse(nowMs, self.own.incarnation, &nodes) {
+        for watcher in self.watch.pulse(now_ms, self.own.incarnation, &nodes) {
             if let Some(node) = state.nodes.get(&watcher) {
                 self.send(node.address, Message::Beat { node: self.own.incarnation });
             }
@@ -224,8 +224,8 @@
     pub fn hold_until(&self) -> u64 {
         self.fresh.hold_until(self.published)
     }
-    pub fn is_ready(&self, nowMs: u64) -> bool {
-        !self.stopping && nowMs < self.hold_until() && self.tail.image().plan.is_some()
+    pub fn is_ready(&self, now_ms: u64) -> bool {
+        !self.stopping && now_ms < self.hold_until() && self.tail.image().plan.is_some()
     }
     pub fn published(&self) -> u64 {
         self.published
--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -8,9 +8,9 @@
 
 impl DataNode {
     /// The parent in the tree, or the controller itself while the tree fails this node.
-    fn news_from(&self, nowMs: u64) -> Option<SocketAddr> {
+    fn news_from(&self, now_ms: u64) -> Option<SocketAddr> {
         let controller = self.fresh.controller()?;
-        if nowMs < self.directUntilMs || !self.hasImage || self.resync {
+        if now_ms < self.direct_until_ms || !self.has_image || self.resync {
             return Some(controller);
         }
         let state = self.tail.image();
@@ -19,40 +19,40 @@
         Some(up.map_or(controller, |node| node.address))
     }
 
-    pub(crate) fn tail_pulse(&mut self, nowMs: u64) {
-        let behind = !self.hasImage || self.published < self.fresh.watermark();
-        match (behind, self.behindMs) {
-            (false, _) => self.behindMs = None,
-            (true, None) => self.behindMs = Some(nowMs),
-            (true, Some(sinceMs)) => {
-                if nowMs > sinceMs + RELAY_BEHIND_MS && nowMs >= self.directUntilMs {
-                    self.directUntilMs = nowMs + DIRECT_MS;
-                    self.tailDueMs = nowMs;
+    pub(crate) fn tail_pulse(&mut self, now_ms: u64) {
+        let behind = !self.has_image || self.published < self.fresh.watermark();
+        match (behind, self.behind_ms) {
+            (false, _) => self.behind_ms = None,
+            (true, None) => self.behind_ms = Some(now_ms),
+            (true, Some(since_ms)) => {
+                if now_ms > since_ms + RELAY_BEHIND_MS && now_ms >= self.direct_until_ms {
+                    self.direct_until_ms = now_ms + DIRECT_MS;
+                    self.tail_due_ms = now_ms;
                     self.effects.push(Effect::Say("tails the controller directly".into()));
                 }
             }
         }
-        let from = self.news_from(nowMs);
-        if from != self.tailedFrom {
-            self.tailDueMs = nowMs;
+        let from = self.news_from(now_ms);
+        if from != self.tailed_from {
+            self.tail_due_ms = now_ms;
         }
-        if nowMs < self.tailDueMs {
+        if now_ms < self.tail_due_ms {
             return;
         }
         let Some(from) = from else { return };
-        self.tailedFrom = Some(from);
-        self.tailDueMs = nowMs + if behind { TAIL_AGAIN_MS } else { TAIL_RENEW_MS };
+        self.tailed_from = Some(from);
+        self.tail_due_ms = now_ms + if behind { TAIL_AGAIN_MS } else { TAIL_RENEW_MS };
         let after = if self.resync { 0 } else { self.tail.offset() };
         self.send(from, Message::Tail { after });
     }
 
-    pub(crate) fn on_news(&mut self, nowMs: u64, entries: Vec<NewsEntry>) {
+    pub(crate) fn on_news(&mut self, now_ms: u64, entries: Vec<NewsEntry>) {
         for entry in entries {
             if entry.offset <= self.tail.offset() {
                 continue;
             }
             if entry.prev != self.tail.offset() {
-                self.tailDueMs = self.tailDueMs.min(nowMs + TAIL_AGAIN_MS);
+                self.tail_due_ms = self.tail_due_ms.min(now_ms + TAIL_AGAIN_MS);
                 return;
             }
             let seen = decode(&entry.bytes)
@@ -67,15 +67,15 @@
                     self.effects.push(Effect::Say(format!("news: {error}; fetches an image")));
                     self.tail = Tail::new(0, State::default());
                     self.resync = true;
-                    self.tailDueMs = nowMs;
+                    self.tail_due_ms = now_ms;
                     return;
                 }
             }
         }
     }
 
-    pub(crate) fn on_image(&mut self, nowMs: u64, frame: ImageFrame) {
-        if frame.offset < self.published || (frame.offset <= self.tail.offset() && self.hasImage) {
+    pub(crate) fn on_image(&mut self, now_ms: u64, frame: ImageFrame) {
+        if frame.offset < self.published || (frame.offset <= self.tail.offset() && self.has_image) {
             return;
         }
         match rmp_serde::from_slice::<State>(&frame.state) {
@@ -86,17 +86,17 @@
             }
             Err(error) => {
                 self.effects.push(Effect::Say(format!("image: {error}")));
-                self.tailDueMs = nowMs + TAIL_AGAIN_MS;
+                self.tail_due_ms = now_ms + TAIL_AGAIN_MS;
             }
         }
     }
 
     /// Never an older image than the last; only then may the hold of a newer grant count.
     fn publish(&mut self) {
-        if self.hasImage && self.tail.offset() < self.published {
+        if self.has_image && self.tail.offset() < self.published {
             return;
         }
-        self.hasImage = true;
+        self.has_image = true;
         self.resync = false;
         self.published = self.tail.offset();
         let (state, offset) = (self.tail.image().clone(), self.published);
@@ -104,11 +104,11 @@
         self.tell_hold();
     }
 
-    pub(crate) fn relay_on(&mut self, nowMs: u64) {
-        if !self.hasImage || self.resync {
+    pub(crate) fn relay_on(&mut self, now_ms: u64) {
+        if !self.has_image || self.resync {
             return;
         }
-        for deliver in self.relay.deliver(nowMs, self.tail.offset()) {
+        for deliver in self.relay.deliver(now_ms, self.tail.offset()) {
             match deliver {
                 Deliver::News { to, entries } => self.send(to, Message::News { entries }),
                 Deliver::Image { to } => {
--- a/crates/node/src/step.rs
+++ b/crates/node/src/step.rs
@@ -16,7 +16,7 @@
     /// Its one-time asks get a ticket from the log; else this life's own, under its hold.
     pub logged: bool,
     /// When its client has no more use for a response.
-    pub untilMs: u64,
+    pub until_ms: u64,
     pub seed: u64,
 }
 
@@ -62,22 +62,22 @@
     Connect {
         target: Arc<Target>,
         load: Arc<Load>,
-        waitMs: u64,
+        wait_ms: u64,
     },
     AskTicket {
         ticket: Ticket,
-        waitMs: u64,
+        wait_ms: u64,
     },
-    /// Its first byte goes out before `untilMs`, within the hold, or none does.
+    /// Its first byte goes out before `until_ms`, within the hold, or none does.
     Pass {
-        waitMs: u64,
-        untilMs: u64,
+        wait_ms: u64,
+        until_ms: u64,
     },
     Settle {
         ticket: Ticket,
         settlement: Settlement,
         response: Option<Kept>,
-        waitMs: u64,
+        wait_ms: u64,
     },
     Done {
         verdict: Verdict,
@@ -87,7 +87,7 @@
 
 /// What the driver knows at the moment of an event.
 pub struct Now<'a> {
-    pub nowMs: u64,
+    pub now_ms: u64,
     pub table: &'a Table,
     pub serves: bool,
     /// A number this node never gave before.
--- a/crates/node/src/verdict.rs
+++ b/crates/node/src/verdict.rs
@@ -37,7 +37,7 @@
 /// What decides how sure a node can be that an ask did not run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct About {
-    pub oneTime: bool,
+    pub one_time: bool,
     pub keyed: bool,
     /// The log granted this ask a ticket, so nothing ran under its key before.
     pub proved: bool,
@@ -84,7 +84,7 @@
             Told::Overloaded => (503, "not-run", "this node is full", None),
             Told::Unready => (503, "not-run", "this node is not ready", None),
             Told::NoTarget(why) => (503, "not-run", "no live target", Some(why)),
-            Told::GaveUp(why) if about.oneTime => {
+            Told::GaveUp(why) if about.one_time => {
                 (503, "not-run", "gave up before sending", Some(why))
             }
             Told::GaveUp(why) => (502, "unknown", "no target gave a whole response", Some(why)),
@@ -119,14 +119,14 @@
         detail: Option<String>,
     ) -> TargetResponse {
         let unsure =
-            self.oneTime && self.keyed && !self.proved && outcome == "not-run" && status != 422;
+            self.one_time && self.keyed && !self.proved && outcome == "not-run" && status != 422;
         let (status, outcome) = match (unsure, status) {
             (true, 503) => (504, "unknown"),
             (true, status) => (status, "unknown"),
             (false, status) => (status, outcome),
         };
         let mut response = json(status, outcome, error, detail);
-        let safe = !self.oneTime || self.keyed || outcome == "not-run";
+        let safe = !self.one_time || self.keyed || outcome == "not-run";
         if matches!(status, 429 | 502 | 503 | 504) && safe {
             response.headers.push(("Retry-After".into(), RETRY_AFTER_S.to_string()));
         }
--- a/crates/node/tests/hold.rs
+++ b/crates/node/tests/hold.rs
@@ -13,10 +13,10 @@
 
 struct Bench {
     node: DataNode,
-    nowMs: u64,
+    now_ms: u64,
     asked: Vec<(u64, u64)>,
     tailed: Vec<(SocketAddr, u64)>,
-    askedAt: Vec<SocketAddr>,
+    asked_at: Vec<SocketAddr>,
 }
 
 impl Bench {
@@ -29,15 +29,15 @@
             zone: Name::from("a"),
         };
         let node = DataNode::new(own, vec![address(1)], 10_000);
-        Bench { node, nowMs: 10_000, asked: Vec::new(), tailed: Vec::new(), askedAt: Vec::new() }
+        Bench { node, now_ms: 10_000, asked: Vec::new(), tailed: Vec::new(), asked_at: Vec::new() }
     }
 
     fn input(&mut self, input: Input) {
-        for effect in self.node.handle(self.nowMs, input) {
+        for effect in self.node.handle(self.now_ms, input) {
             match effect {
                 Effect::Send { to, message: Message::Fresh(ask) } => {
-                    self.asked.push((ask.number, self.nowMs));
-                    self.askedAt.push(to);
+                    self.asked.push((ask.number, self.now_ms));
+                    self.asked_at.push(to);
                 }
                 Effect::Send { to, message: Message::Tail { after } } => {
                     self.tailed.push((to, after))
@@ -47,8 +47,8 @@
         }
     }
 
-    fn pulse(&mut self, passMs: u64) {
-        self.nowMs += passMs;
+    fn pulse(&mut self, pass_ms: u64) {
+        self.now_ms += pass_ms;
         self.input(Input::Pulse);
     }
 
@@ -75,13 +75,13 @@
 fn a_hold_counts_from_the_question_and_not_from_its_answer() {
     let mut bench = Bench::new();
     bench.pulse(20);
-    let (number, sentMs) = bench.asked[0];
+    let (number, sent_ms) = bench.asked[0];
     bench.news(0, 4, &[plan("v1")]);
-    bench.nowMs += NODE_HOLD_MS - 10;
+    bench.now_ms += NODE_HOLD_MS - 10;
     bench.granted(number, 1, 4);
-    assert_eq!(bench.node.hold_until(), sentMs + NODE_HOLD_MS);
-    assert!(bench.node.is_ready(bench.nowMs));
-    assert!(!bench.node.is_ready(bench.nowMs + 10), "a woken node does not serve by old news");
+    assert_eq!(bench.node.hold_until(), sent_ms + NODE_HOLD_MS);
+    assert!(bench.node.is_ready(bench.now_ms));
+    assert!(!bench.node.is_ready(bench.now_ms + 10), "a woken node does not serve by old news");
 }
 
 #[test]
@@ -90,11 +90,11 @@
     bench.pulse(20);
     bench.granted(bench.asked[0].0, 1, 6);
     bench.news(0, 4, &[plan("v1")]);
-    assert!(!bench.node.is_ready(bench.nowMs), "published 4 of 6");
+    assert!(!bench.node.is_ready(bench.now_ms), "published 4 of 6");
     bench.news(4, 6, &[Line::begin("v2"), plan("v2")]);
-    assert!(!bench.node.is_ready(bench.nowMs), "a pending delta is not published");
+    assert!(!bench.node.is_ready(bench.now_ms), "a pending delta is not published");
     bench.news(6, 7, &[Line::End]);
-    assert!(bench.node.is_ready(bench.nowMs));
+    assert!(bench.node.is_ready(bench.now_ms));
     assert_eq!(bench.node.image().plan_version(), Some("v2"));
 }
 
@@ -112,7 +112,7 @@
     bench.granted(number, 3, 4);
     assert!(bench.node.hold_until() > first);
     bench.granted(number + 99, 3, 4);
-    assert!(bench.node.hold_until() < bench.nowMs + NODE_HOLD_MS + 1, "nobody asked that");
+    assert!(bench.node.hold_until() < bench.now_ms + NODE_HOLD_MS + 1, "nobody asked that");
 }
 
 #[test]
@@ -141,8 +141,8 @@
     bench.news(0, 4, &[plan("v1")]);
     bench.granted(bench.asked[0].0, 1, 4);
     bench.input(Input::Stop);
-    assert!(!bench.node.is_ready(bench.nowMs));
-    assert!(bench.node.hold_until() > bench.nowMs);
+    assert!(!bench.node.is_ready(bench.now_ms));
+    assert!(bench.node.hold_until() > bench.now_ms);
 }
 
 #[test]
@@ -153,8 +153,8 @@
     bench.granted(bench.asked[0].0, 1, 4);
     bench.pulse(5 * NODE_HOLD_MS);
     bench.hears(Message::Introduction { control: vec![address(44)], formed: true });
-    bench.askedAt.clear();
+    bench.asked_at.clear();
     bench.pulse(FRESH_MS);
-    assert!(bench.askedAt.contains(&address(44)), "{:?}", bench.askedAt);
-    assert!(bench.node.hold_until() < bench.nowMs, "an introduction grants nothing");
+    assert!(bench.asked_at.contains(&address(44)), "{:?}", bench.asked_at);
+    assert!(bench.node.hold_until() < bench.now_ms, "an introduction grants nothing");
 }
--- a/crates/plan/src/aims.rs
+++ b/crates/plan/src/aims.rs
@@ -6,7 +6,7 @@
 pub(crate) struct Aims {
     pub host: Option<CompactString>,
     pub tries: Option<u64>,
-    pub goalMs: Option<u64>,
+    pub goal_ms: Option<u64>,
     pub precedence: u64,
 }
 
@@ -22,7 +22,7 @@
     Aims {
         host: host.map(CompactString::from),
         tries: route.number("tries", 1..=TRIES_MOST, reading),
-        goalMs: route.number("goalMs", 1..=ROUTE_DEADLINE_MOST_MS, reading),
+        goal_ms: route.number("goalMs", 1..=ROUTE_DEADLINE_MOST_MS, reading),
         precedence: route.number("precedence", 0..=PRECEDENCE_MOST, reading).unwrap_or(0),
     }
 }
--- a/crates/plan/src/document.rs
+++ b/crates/plan/src/document.rs
@@ -153,14 +153,14 @@
         kind: kind?,
         service: service?,
         when,
-        bodyBytes: bounds.bodyBytes,
-        ratePerS: bounds.ratePerS,
+        body_bytes: bounds.body_bytes,
+        rate_per_s: bounds.rate_per_s,
         concurrency: bounds.concurrency,
-        deadlineMs: bounds.deadlineMs,
+        deadline_ms: bounds.deadline_ms,
         host: aims.host,
         shares,
         tries: aims.tries,
-        goalMs: aims.goalMs,
+        goal_ms: aims.goal_ms,
         precedence: aims.precedence,
     })
 }
