--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -8,20 +8,20 @@
 pub struct Budget {
     extra: Extra,
     saved: AtomicI64,
-    refilledMs: AtomicU64,
+    refilled_ms: AtomicU64,
 }
 
 /// Extra goes of the whole fleet to one service: per cent of its asks, a second beside, saved up.
 #[derive(Clone, Copy, Debug)]
 pub struct Extra {
     pub percent: u64,
-    pub perS: u64,
+    pub per_s: u64,
     pub saved: u64,
 }
 
 impl Default for Extra {
     fn default() -> Self {
-        Extra { percent: EXTRA_GOES_PERCENT, perS: EXTRA_GOES_PER_S, saved: EXTRA_GOES_SAVED }
+        Extra { percent: EXTRA_GOES_PERCENT, per_s: EXTRA_GOES_PER_S, saved: EXTRA_GOES_SAVED }
     }
 }
 
@@ -40,16 +40,16 @@
     }
 
     /// Takes one extra go if the budget has it.
-    pub fn take(&self, nowMs: u64, nodes: u64) -> bool {
-        let sinceMs = self.refilledMs.load(Relaxed);
-        let pastMs = nowMs.saturating_sub(sinceMs);
-        let first = sinceMs == 0;
-        if (first || pastMs >= 100)
-            && self.refilledMs.compare_exchange(sinceMs, nowMs, Relaxed, Relaxed).is_ok()
+    pub fn take(&self, now_ms: u64, nodes: u64) -> bool {
+        let since_ms = self.refilled_ms.load(Relaxed);
+        let past_ms = now_ms.saturating_sub(since_ms);
+        let first = since_ms == 0;
+        if (first || past_ms >= 100)
+            && self.refilled_ms.compare_exchange(since_ms, now_ms, Relaxed, Relaxed).is_ok()
         {
-            let perMs = self.extra.perS as i64 * ONE_GO / 1_000;
-            let pastMs = if first { 1_000 } else { pastMs.min(60_000) };
-            self.add(perMs * pastMs as i64 / nodes.max(1) as i64, nodes);
+            let per_ms = self.extra.per_s as i64 * ONE_GO / 1_000;
+            let past_ms = if first { 1_000 } else { past_ms.min(60_000) };
+            self.add(per_ms * past_ms as i64 / nodes.max(1) as i64, nodes);
         }
         self.saved
             .fetch_update(Relaxed, Relaxed, |saved| (saved >= ONE_GO).then(|| saved - ONE_GO))
@@ -68,11 +68,11 @@
         let mut taken = 0;
         let asks = 30_000;
         for ask in 0..asks {
-            let nowMs = 1 + ask * 2;
+            let now_ms = 1 + ask * 2;
             let node = &fleet[(ask % nodes) as usize];
             node.on_ask(nodes);
             for _ in 0..3 {
-                taken += u64::from(node.take(nowMs, nodes));
+                taken += u64::from(node.take(now_ms, nodes));
             }
         }
         let seconds = asks * 2 / 1_000;
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -10,36 +10,36 @@
 /// This node's share of a route's rate and concurrency.
 #[derive(Debug)]
 pub struct Limits {
-    ratePerS: Option<u64>,
+    rate_per_s: Option<u64>,
     concurrency: Option<u64>,
-    milliAsks: AtomicI64,
-    refilledMs: AtomicU64,
-    atWork: AtomicU64,
+    milli_asks: AtomicI64,
+    refilled_ms: AtomicU64,
+    at_work: AtomicU64,
 }
 
 impl Limits {
     pub fn new(route: &Route) -> Self {
         Limits {
-            ratePerS: route.ratePerS,
+            rate_per_s: route.rate_per_s,
             concurrency: route.concurrency,
-            milliAsks: AtomicI64::new(0),
-            refilledMs: AtomicU64::new(0),
-            atWork: AtomicU64::new(0),
+            milli_asks: AtomicI64::new(0),
+            refilled_ms: AtomicU64::new(0),
+            at_work: AtomicU64::new(0),
         }
     }
 
-    pub fn enter(&self, nowMs: u64, nodes: u64) -> Result<(), Refusal> {
+    pub fn enter(&self, now_ms: u64, nodes: u64) -> Result<(), Refusal> {
         let nodes = nodes.max(1);
         if let Some(most) = self.concurrency {
             let share = most.div_ceil(nodes);
             let entered =
-                self.atWork.fetch_update(Relaxed, Relaxed, |at| (at < share).then_some(at + 1));
+                self.at_work.fetch_update(Relaxed, Relaxed, |at| (at < share).then_some(at + 1));
             entered.map_err(|_| Refusal::Concurrency)?;
         } else {
-            self.atWork.fetch_add(1, Relaxed);
+            self.at_work.fetch_add(1, Relaxed);
         }
-        if let Some(rate) = self.ratePerS
-            && !self.take(nowMs, rate, nodes)
+        if let Some(rate) = self.rate_per_s
+            && !self.take(now_ms, rate, nodes)
         {
             self.leave();
             return Err(Refusal::Rate);
@@ -48,25 +48,25 @@
     }
 
     pub fn at_work(&self) -> u64 {
-        self.atWork.load(Relaxed)
+        self.at_work.load(Relaxed)
     }
 
     pub fn leave(&self) {
-        self.atWork.fetch_sub(1, Relaxed);
+        self.at_work.fetch_sub(1, Relaxed);
     }
 
-    fn take(&self, nowMs: u64, rate: u64, nodes: u64) -> bool {
+    fn take(&self, now_ms: u64, rate: u64, nodes: u64) -> bool {
         let most = (rate * 1_000 / nodes).max(1_000) as i64;
-        let sinceMs = self.refilledMs.load(Relaxed);
-        let pastMs = if sinceMs == 0 { 1_000 } else { nowMs.saturating_sub(sinceMs) };
-        let more = (rate * pastMs.min(1_000) / nodes) as i64;
+        let since_ms = self.refilled_ms.load(Relaxed);
+        let past_ms = if since_ms == 0 { 1_000 } else { now_ms.saturating_sub(since_ms) };
+        let more = (rate * past_ms.min(1_000) / nodes) as i64;
         let due = more > 0;
-        if due && self.refilledMs.compare_exchange(sinceMs, nowMs, Relaxed, Relaxed).is_ok() {
+        if due && self.refilled_ms.compare_exchange(since_ms, now_ms, Relaxed, Relaxed).is_ok() {
             let _ = self
-                .milliAsks
+                .milli_asks
                 .fetch_update(Relaxed, Relaxed, |saved| Some((saved + more).min(most)));
         }
-        self.milliAsks
+        self.milli_asks
             .fetch_update(Relaxed, Relaxed, |saved| (saved >= 1_000).then(|| saved - 1_000))
             .is_ok()
     }
--- a/crates/routing/src/pick.rs
+++ b/crates/routing/src/pick.rs
@@ -8,61 +8,61 @@
 /// What this node knows of one target's occupancy.
 #[derive(Debug, Default)]
 pub struct Load {
-    atWork: AtomicU64,
+    at_work: AtomicU64,
     /// What a response or a probe told last, without this node's own asks, and when.
     reported: AtomicU64,
-    reportedMs: AtomicU64,
-    failedUntilMs: AtomicU64,
+    reported_ms: AtomicU64,
+    failed_until_ms: AtomicU64,
     /// Failures in a row.
     failures: AtomicU64,
 }
 
 impl Load {
     pub fn enter(&self) {
-        self.atWork.fetch_add(1, Relaxed);
+        self.at_work.fetch_add(1, Relaxed);
     }
     pub fn leave(&self) {
-        self.atWork.fetch_sub(1, Relaxed);
+        self.at_work.fetch_sub(1, Relaxed);
     }
     pub fn at_work(&self) -> u64 {
-        self.atWork.load(Relaxed)
+        self.at_work.load(Relaxed)
     }
     pub fn report(&self, occupancy: u64) {
         self.reported.store(occupancy, Relaxed);
     }
     /// The same from a target with known slots, whose word grows old.
-    pub fn report_at(&self, nowMs: u64, occupancy: u64) {
+    pub fn report_at(&self, now_ms: u64, occupancy: u64) {
         self.reported.store(occupancy, Relaxed);
-        self.reportedMs.store(nowMs, Relaxed);
+        self.reported_ms.store(now_ms, Relaxed);
     }
     /// Asks of others there, as far as is known: what was told drifts towards what is usual.
-    fn others(&self, nowMs: u64, usual: f64) -> f64 {
-        let toldMs = self.reportedMs.load(Relaxed);
-        if toldMs == 0 {
+    fn others(&self, now_ms: u64, usual: f64) -> f64 {
+        let told_ms = self.reported_ms.load(Relaxed);
+        if told_ms == 0 {
             return usual;
         }
-        let age = nowMs.saturating_sub(toldMs) as f64 / REPORT_FADES_MS;
+        let age = now_ms.saturating_sub(told_ms) as f64 / REPORT_FADES_MS;
         usual + (self.reported.load(Relaxed) as f64 - usual) * (-age).exp()
     }
-    pub fn failed(&self, nowMs: u64) {
+    pub fn failed(&self, now_ms: u64) {
         let before = self.failures.fetch_add(1, Relaxed).min(16);
-        let pauseMs = (FAILED_PAUSE_MS << before).min(FAILED_PAUSE_MOST_MS);
-        self.failedUntilMs.store(nowMs + pauseMs, Relaxed);
+        let pause_ms = (FAILED_PAUSE_MS << before).min(FAILED_PAUSE_MOST_MS);
+        self.failed_until_ms.store(now_ms + pause_ms, Relaxed);
     }
     /// It is full, not ill.
-    pub fn turned_away(&self, nowMs: u64) {
-        let untilMs = nowMs + TURNED_AWAY_PAUSE_MS;
-        self.failedUntilMs.fetch_max(untilMs, Relaxed);
+    pub fn turned_away(&self, now_ms: u64) {
+        let until_ms = now_ms + TURNED_AWAY_PAUSE_MS;
+        self.failed_until_ms.fetch_max(until_ms, Relaxed);
     }
     pub fn recovered(&self) {
         self.failures.store(0, Relaxed);
-        self.failedUntilMs.store(0, Relaxed);
+        self.failed_until_ms.store(0, Relaxed);
     }
     fn occupancy(&self) -> u64 {
-        self.atWork.load(Relaxed) + self.reported.load(Relaxed)
+        self.at_work.load(Relaxed) + self.reported.load(Relaxed)
     }
-    fn is_failed(&self, nowMs: u64) -> bool {
-        nowMs < self.failedUntilMs.load(Relaxed)
+    fn is_failed(&self, now_ms: u64) -> bool {
+        now_ms < self.failed_until_ms.load(Relaxed)
     }
 }
 
@@ -81,16 +81,16 @@
     targets: &[Choice],
     zone: &str,
     tried: &[Name],
-    nowMs: u64,
+    now_ms: u64,
     seed: u64,
 ) -> Option<Choice> {
     let fresh = |choice: &&Choice| !tried.contains(&choice.0.instance);
     let sound: Vec<&Choice> =
-        targets.iter().filter(fresh).filter(|choice| !choice.1.is_failed(nowMs)).collect();
+        targets.iter().filter(fresh).filter(|choice| !choice.1.is_failed(now_ms)).collect();
     let all: Vec<&Choice> =
         if sound.is_empty() { targets.iter().filter(fresh).collect() } else { sound };
     if all.iter().all(|choice| choice.0.slots > 0) {
-        return by_slots(&all, zone, nowMs, seed).cloned();
+        return by_slots(&all, zone, now_ms, seed).cloned();
     }
     let near: Vec<&Choice> = all.iter().filter(|choice| choice.0.zone == zone).copied().collect();
     let far = emptier(&all, seed)?;
@@ -102,8 +102,8 @@
 }
 
 /// The target with the most room, as far as this node knows: its own asks and the last reports.
-fn by_slots<'c>(among: &[&'c Choice], zone: &str, nowMs: u64, seed: u64) -> Option<&'c Choice> {
-    let told = among.iter().filter(|choice| choice.1.reportedMs.load(Relaxed) > 0);
+fn by_slots<'c>(among: &[&'c Choice], zone: &str, now_ms: u64, seed: u64) -> Option<&'c Choice> {
+    let told = among.iter().filter(|choice| choice.1.reported_ms.load(Relaxed) > 0);
     let (sum, count) = told
         .fold((0, 0), |(sum, count), choice| (sum + choice.1.reported.load(Relaxed), count + 1));
     let usual = if count == 0 { 0.0 } else { sum as f64 / count as f64 };
@@ -111,7 +111,7 @@
     let mut score = |choice: &Choice| {
         drawn = mix(drawn);
         let chance = (drawn % 1_024) as f64 / 1_024.0 * CHANCE_SLOTS;
-        let asks = choice.1.at_work() as f64 + choice.1.others(nowMs, usual) + 1.0;
+        let asks = choice.1.at_work() as f64 + choice.1.others(now_ms, usual) + 1.0;
         let cold = if choice.0.cold { COLD_TIMES } else { 1.0 };
         let far = if choice.0.zone == zone { 0.0 } else { FAR_SLOTS };
         asks * cold / choice.0.slots as f64 + far + chance
--- a/crates/routing/src/rehearse.rs
+++ b/crates/routing/src/rehearse.rs
@@ -92,8 +92,8 @@
             let moved = labels(&old, &was.service) != labels(&new, &is.service);
             row.change_targets += u64::from(moved);
             row.change_kind += u64::from(was.kind != is.kind);
-            let body = sample.bodyBytes;
-            row.break_body_limit += u64::from(body > is.bodyBytes && body <= was.bodyBytes);
+            let body = sample.body_bytes;
+            row.break_body_limit += u64::from(body > is.body_bytes && body <= was.body_bytes);
         }
         over_rate(&new, &news, recent, told.compared, &mut routes);
         for (route, row) in routes {
@@ -115,7 +115,7 @@
     routes: &mut BTreeMap<String, RouteTraffic>,
 ) {
     for route in &new.state.routes {
-        let Some(most) = route.ratePerS else { continue };
+        let Some(most) = route.rate_per_s else { continue };
         let name = format!("{} {}", route.methods.join(","), route.path);
         let asks = news.get(&name).map_or(&[][..], Vec::as_slice);
         let all = asks.len() as u64 * recent.seen / compared.max(1);
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -29,11 +29,11 @@
     pub state: Arc<State>,
     pub offset: u64,
     entries: Vec<Arc<Entry>>,
-    byFirst: HashMap<Name, Vec<usize>>,
-    anyFirst: Vec<usize>,
+    by_first: HashMap<Name, Vec<usize>>,
+    any_first: Vec<usize>,
     loads: Loads,
     budgets: HashMap<Name, Arc<Budget>>,
-    ruleHeaders: BTreeSet<String>,
+    rule_headers: BTreeSet<String>,
     extra: Extra,
 }
 
@@ -49,18 +49,18 @@
             state: Arc::new(State::default()),
             offset: 0,
             entries: Vec::new(),
-            byFirst: HashMap::new(),
-            anyFirst: Vec::new(),
+            by_first: HashMap::new(),
+            any_first: Vec::new(),
             loads: Loads::new(),
             budgets: HashMap::new(),
-            ruleHeaders: BTreeSet::new(),
+            rule_headers: BTreeSet::new(),
             extra: Extra::default(),
         }
     }
 
     /// Per cent of asks, a second and saved up; tables made from this one keep it.
-    pub fn with_extra(mut self, (percent, perS, saved): (u64, u64, u64)) -> Self {
-        self.extra = Extra { percent, perS, saved };
+    pub fn with_extra(mut self, (percent, per_s, saved): (u64, u64, u64)) -> Self {
+        self.extra = Extra { percent, per_s, saved };
         self
     }
 
@@ -107,30 +107,32 @@
         }
         entries.sort_by(|a, b| {
             let rank = |entry: &Entry| {
-                let anyHost = entry.route().host.is_none();
-                (anyHost, entry.made.pattern.clone(), entry.made.rule.is_none())
+                let any_host = entry.route().host.is_none();
+                (any_host, entry.made.pattern.clone(), entry.made.rule.is_none())
             };
             rank(a).cmp(&rank(b))
         });
-        let mut byFirst: HashMap<Name, Vec<usize>> = HashMap::new();
-        let mut anyFirst = Vec::new();
+        let mut by_first: HashMap<Name, Vec<usize>> = HashMap::new();
+        let mut any_first = Vec::new();
         for (at, entry) in entries.iter().enumerate() {
             match entry.made.pattern.segments.first() {
-                Some(Segment::Literal(first)) => byFirst.entry(first.clone()).or_default().push(at),
-                _ => anyFirst.push(at),
+                Some(Segment::Literal(first)) => {
+                    by_first.entry(first.clone()).or_default().push(at)
+                }
+                _ => any_first.push(at),
             }
         }
         let rules = state.routes.iter().filter_map(|route| route.when.as_deref());
-        let ruleHeaders = rules.flat_map(header_names).collect();
+        let rule_headers = rules.flat_map(header_names).collect();
         Table {
             state,
             offset,
             entries,
-            byFirst,
-            anyFirst,
+            by_first,
+            any_first,
             loads,
             budgets,
-            ruleHeaders,
+            rule_headers,
             extra: old.extra,
         }
     }
@@ -139,10 +141,10 @@
     pub fn find(&self, method: &str, path: &str, headers: &[(String, String)]) -> Found {
         let facts = Facts { method, path, headers };
         let first = path.strip_prefix('/').map_or("", |rest| rest.split('/').next().unwrap_or(""));
-        let named = self.byFirst.get(first).map_or(&[][..], |list| list.as_slice());
+        let named = self.by_first.get(first).map_or(&[][..], |list| list.as_slice());
         let mut others = BTreeSet::new();
         let mut host = None;
-        for at in in_order(named, &self.anyFirst) {
+        for at in in_order(named, &self.any_first) {
             let entry = &self.entries[at];
             if !entry.made.pattern.matches(path) {
                 continue;
@@ -170,7 +172,7 @@
 
     /// Names of the headers that rules read.
     pub fn rule_headers(&self) -> &BTreeSet<String> {
-        &self.ruleHeaders
+        &self.rule_headers
     }
 
     pub fn loads(&self) -> &Loads {
@@ -227,7 +229,7 @@
         self.clone()
     }
 
-    pub fn pick(&self, zone: &str, tried: &[Name], nowMs: u64, seed: u64) -> Option<Choice> {
-        pick(&self.targets, zone, tried, nowMs, seed)
+    pub fn pick(&self, zone: &str, tried: &[Name], now_ms: u64, seed: u64) -> Option<Choice> {
+        pick(&self.targets, zone, tried, now_ms, seed)
     }
 }
--- a/crates/routing/tests/rehearse.rs
+++ b/crates/routing/tests/rehearse.rs
@@ -22,8 +22,8 @@
     Plan::read(text.as_bytes()).unwrap()
 }
 
-fn sample(method: &str, path: &str, bodyBytes: u64) -> Sample {
-    Sample { method: method.into(), path: path.into(), headers: Vec::new(), bodyBytes }
+fn sample(method: &str, path: &str, body_bytes: u64) -> Sample {
+    Sample { method: method.into(), path: path.into(), headers: Vec::new(), body_bytes }
 }
 
 fn recent(samples: Vec<Sample>, seen: u64, seconds: u64) -> Recent {
--- a/crates/routing/tests/slots.rs
+++ b/crates/routing/tests/slots.rs
@@ -13,14 +13,14 @@
         kind: Kind::Lookup,
         service: "s".into(),
         when: None,
-        bodyBytes: 1,
-        ratePerS: None,
+        body_bytes: 1,
+        rate_per_s: None,
         concurrency: None,
-        deadlineMs: 1,
+        deadline_ms: 1,
         host: Some("h.example".into()),
         shares: Vec::new(),
         tries: None,
-        goalMs: None,
+        goal_ms: None,
         precedence: 0,
     }));
     for (at, (name, zone, slots, cold)) in targets.iter().enumerate() {
@@ -45,12 +45,12 @@
 }
 
 /// How often each is chosen in a hundred draws at this time.
-fn chosen(table: &Table, nowMs: u64) -> BTreeMap<String, u32> {
+fn chosen(table: &Table, now_ms: u64) -> BTreeMap<String, u32> {
     let host = [("Host".to_string(), "H.example:8080".to_string())];
     let Found::Route(entry) = table.find("POST", "/a", &host) else { panic!("no route") };
     let mut counts = BTreeMap::new();
     for seed in 0..100 {
-        let (target, _) = entry.pick("a", &[], nowMs, seed).unwrap();
+        let (target, _) = entry.pick("a", &[], now_ms, seed).unwrap();
         *counts.entry(target.instance.to_string()).or_default() += 1;
     }
     counts
--- a/crates/simulation/src/asks.rs
+++ b/crates/simulation/src/asks.rs
@@ -42,11 +42,11 @@
 
 impl World {
     pub fn next_ask(&mut self) {
-        if self.quiet && self.askPauseUs == 0 {
+        if self.quiet && self.ask_pause_us == 0 {
             return;
         }
-        self.nextAsk += 1;
-        let id = self.nextAsk;
+        self.next_ask += 1;
+        let id = self.next_ask;
         let (_, _, service) = SERVICES[self.random.below(3) as usize];
         let keyed = self.random.chance(500);
         self.client_sends(id, service, keyed, 0);
@@ -54,14 +54,14 @@
             self.book.doubled(id);
             self.client_sends(id, service, keyed, 0);
         }
-        let pauseUs = self.random.below(2 * self.askPauseUs) + 1;
-        self.after(pauseUs, Event::NextAsk);
+        let pause_us = self.random.below(2 * self.ask_pause_us) + 1;
+        self.after(pause_us, Event::NextAsk);
     }
 
     /// The platform gives clients to ready nodes; now and then it is a little behind.
     fn client_sends(&mut self, id: u64, service: &'static str, keyed: bool, goes: u32) {
         let any = self.random.chance(50);
-        let behind = |at: usize| any && self.nowUs < self.data[at].readyUs + BEHIND_US;
+        let behind = |at: usize| any && self.now_us < self.data[at].ready_us + BEHIND_US;
         let nodes: Vec<usize> =
             (0..self.data.len()).filter(|at| behind(*at) || self.is_ready(*at)).collect();
         self.book.asked(id, service != "catalogue");
@@ -83,8 +83,8 @@
         if self.data[data].life != life {
             return self.book.told(id, Told::Unreached);
         }
-        let oneTime = service != "catalogue";
-        let about = About { oneTime, keyed, ..About::default() };
+        let one_time = service != "catalogue";
+        let about = About { one_time, keyed, ..About::default() };
         if !self.serves(data) {
             return self
                 .end_ask(ask, Verdict { told: postbarrow_node::Told::Unready, about, key: None });
@@ -96,7 +96,7 @@
             return self
                 .end_ask(ask, Verdict { told: postbarrow_node::Told::NoRoute, about, key: None });
         };
-        let untilMs = self.local_ms(Who::Data(data)) + entry.route().deadlineMs;
+        let until_ms = self.local_ms(Who::Data(data)) + entry.route().deadline_ms;
         let seed = self.random.draw();
         let machine = &mut self.data[data];
         machine.number += 1;
@@ -111,7 +111,7 @@
             node: machine.incarnation,
             zone: machine.zone.clone(),
             logged: true,
-            untilMs,
+            until_ms,
             seed,
         };
         if let Some(run) = self.asks.get_mut(&ask) {
@@ -121,29 +121,29 @@
     }
 
     pub fn go_on(&mut self, ask: u64, data: usize, event: postbarrow_node::Event) {
-        let nowMs = self.local_ms(Who::Data(data));
+        let now_ms = self.local_ms(Who::Data(data));
         let serves = self.serves(data);
         self.data[data].number += 1;
         let number = self.data[data].number;
         let table = self.data[data].table.clone();
         let Some(run) = self.asks.get_mut(&ask) else { return };
         let Some(course) = &mut run.course else { return };
-        let now = Now { nowMs, table: &table, serves, number };
+        let now = Now { now_ms, table: &table, serves, number };
         match course.handle(&now, event) {
             Step::Connect { target, load, .. } => {
                 run.target = Some((target.clone(), load));
                 self.connect(ask, data, &target);
             }
-            Step::AskTicket { ticket, waitMs } => {
-                self.ask_controller(data, Ask::Ticket(ticket), waitMs, Waits::Ask(ask))
+            Step::AskTicket { ticket, wait_ms } => {
+                self.ask_controller(data, Ask::Ticket(ticket), wait_ms, Waits::Ask(ask))
             }
-            Step::Settle { ticket, settlement, response, waitMs } => {
+            Step::Settle { ticket, settlement, response, wait_ms } => {
                 let settle = Ask::Settle { ticket, settlement, response };
-                self.ask_controller(data, settle, waitMs, Waits::Ask(ask));
+                self.ask_controller(data, settle, wait_ms, Waits::Ask(ask));
             }
-            Step::Pass { untilMs, .. } => {
+            Step::Pass { until_ms, .. } => {
                 let life = self.data[data].life;
-                self.after(20, Event::Send { ask, data, life, untilMs });
+                self.after(20, Event::Send { ask, data, life, until_ms });
             }
             Step::Done { verdict, settle } => {
                 if let Some((ticket, settlement, response)) = settle {
--- a/crates/simulation/src/book.rs
+++ b/crates/simulation/src/book.rs
@@ -11,13 +11,13 @@
 
 #[derive(Default)]
 struct Page {
-    oneTime: bool,
+    one_time: bool,
     /// Sent twice at once under one key: what one go is told says nothing of the other.
     doubled: bool,
     told: Vec<Told>,
     runs: Vec<String>,
     /// Runs when the last go was told its end.
-    ranBefore: usize,
+    ran_before: usize,
 }
 
 /// What clients were told and what targets ran, compared at every entry.
@@ -26,13 +26,13 @@
     pages: BTreeMap<u64, Page>,
     pub violations: Vec<String>,
     pub passes: u64,
-    pub ranUs: Vec<u64>,
+    pub ran_us: Vec<u64>,
     /// Plans acknowledged: when, and the offset at which they began.
-    pub inForce: Vec<(u64, u64)>,
+    pub in_force: Vec<(u64, u64)>,
     pub refused: BTreeSet<String>,
     pub acknowledged: BTreeMap<Option<String>, String>,
     pub committed: BTreeMap<u64, u64>,
-    pub longestLeaveUs: u64,
+    pub longest_leave_us: u64,
 }
 
 impl Book {
@@ -42,15 +42,15 @@
         }
     }
 
-    pub fn asked(&mut self, id: u64, oneTime: bool) {
-        self.pages.entry(id).or_default().oneTime = oneTime;
+    pub fn asked(&mut self, id: u64, one_time: bool) {
+        self.pages.entry(id).or_default().one_time = one_time;
     }
 
     pub fn doubled(&mut self, id: u64) {
         self.pages.entry(id).or_default().doubled = true;
     }
 
-    pub fn ran(&mut self, id: u64, instance: &str, kind: &str, service: &str, nowUs: u64) {
+    pub fn ran(&mut self, id: u64, instance: &str, kind: &str, service: &str, now_us: u64) {
         let mut found = Vec::new();
         if kind != service {
             found.push(format!("{instance} got ask {id} of {service}"));
@@ -59,27 +59,27 @@
             None => found.push(format!("{instance} ran ask {id}, which nobody sent")),
             Some(page) => {
                 page.runs.push(instance.to_string());
-                if page.oneTime && page.runs.len() > 1 {
+                if page.one_time && page.runs.len() > 1 {
                     found.push(format!("ask {id} ran at {}", page.runs.join(" and ")));
                 }
-                if page.oneTime && !page.doubled && page.told.last() == Some(&Told::NotRun) {
+                if page.one_time && !page.doubled && page.told.last() == Some(&Told::NotRun) {
                     found.push(format!("ask {id} ran after it was told not run"));
                 }
             }
         }
         found.into_iter().for_each(|text| self.violate(text));
-        self.ranUs.push(nowUs);
+        self.ran_us.push(now_us);
     }
 
     pub fn told(&mut self, id: u64, told: Told) {
         let Some(page) = self.pages.get_mut(&id) else { return };
         page.told.push(told);
         let ran = !page.runs.is_empty();
-        let ran_now = page.runs.len() > page.ranBefore;
-        page.ranBefore = page.runs.len();
-        if told == Told::NotRun && !page.oneTime && ran_now {
+        let ran_now = page.runs.len() > page.ran_before;
+        page.ran_before = page.runs.len();
+        if told == Told::NotRun && !page.one_time && ran_now {
             self.violate(format!("lookup {id} was told not run, but it ran"));
-        } else if told == Told::NotRun && page.oneTime && !page.doubled && ran {
+        } else if told == Told::NotRun && page.one_time && !page.doubled && ran {
             self.violate(format!("ask {id} was told not run, but it ran"));
         } else if told == Told::Ran && !ran {
             self.violate(format!("ask {id} was told a success no target gave"));
@@ -96,7 +96,7 @@
 
     /// Lookups that targets ran, and how many of those runs were extra.
     pub fn extra(&self) -> (usize, usize) {
-        let lookups = self.pages.values().filter(|page| !page.oneTime);
+        let lookups = self.pages.values().filter(|page| !page.one_time);
         lookups.fold((0, 0), |(asked, extra), page| {
             (
                 asked + page.told.len().max(1),
--- a/crates/simulation/src/calls.rs
+++ b/crates/simulation/src/calls.rs
@@ -12,8 +12,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Done {
     pub caller: usize,
-    pub startUs: u64,
-    pub endUs: u64,
+    pub start_us: u64,
+    pub end_us: u64,
     pub call: Call,
     pub outcome: Outcome,
 }
@@ -21,18 +21,18 @@
 #[derive(Clone)]
 struct Open {
     number: u64,
-    startUs: u64,
+    start_us: u64,
     call: Call,
     node: usize,
-    sentUs: u64,
+    sent_us: u64,
 }
 
 #[derive(Default)]
 pub struct Callers {
     pub done: Vec<Done>,
     pub told: Vec<u64>,
-    pub watchFrom: Option<u64>,
-    pub tooOld: u64,
+    pub watch_from: Option<u64>,
+    pub too_old: u64,
     open: BTreeMap<usize, Open>,
     held: BTreeMap<usize, (Name, u64, u64)>,
     holder: Option<(usize, u64)>,
@@ -49,24 +49,24 @@
         self.after(40_000, Event::NextCall { caller });
         if let Some(open) = self.callers.open.get(&caller).cloned() {
             let lost = self.data[open.node].node.is_none();
-            if lost || self.nowUs > open.sentUs + STALE_US {
+            if lost || self.now_us > open.sent_us + STALE_US {
                 self.call_goes(caller, open);
             }
             return;
         }
-        if self.quiet && self.askPauseUs == 0 {
+        if self.quiet && self.ask_pause_us == 0 {
             return;
         }
         let call = match caller {
             WATCHER => {
-                let after = self.callers.told.last().copied().or(self.callers.watchFrom);
+                let after = self.callers.told.last().copied().or(self.callers.watch_from);
                 Call::Watch { sort: Sort::Key, prefix: Name::from(""), after }
             }
             _ => self.some_call(caller),
         };
         self.callers.number += 1;
         let number = self.callers.number;
-        let open = Open { number, startUs: self.nowUs, call, node: 0, sentUs: 0 };
+        let open = Open { number, start_us: self.now_us, call, node: 0, sent_us: 0 };
         self.call_goes(caller, open);
     }
 
@@ -74,7 +74,7 @@
         if let Some((name, fence, _)) = self.callers.held.get(&caller).cloned() {
             let holder = Name::from(format!("caller-{caller}"));
             if self.random.chance(400) {
-                return Call::Renew { name, holder, fence, ttlMs: None };
+                return Call::Renew { name, holder, fence, ttl_ms: None };
             }
             self.lets_go(caller);
             return Call::Free { name, holder, fence };
@@ -93,7 +93,7 @@
             }
             _ => {
                 let holder = Name::from(format!("caller-{caller}"));
-                Call::Lock { name: Name::from("lock"), holder, ttlMs: TTL_MS }
+                Call::Lock { name: Name::from("lock"), holder, ttl_ms: TTL_MS }
             }
         }
     }
@@ -105,7 +105,7 @@
             return;
         }
         open.node = alive[self.random.below(alive.len() as u64) as usize];
-        open.sentUs = self.nowUs;
+        open.sent_us = self.now_us;
         let (node, number, call) = (open.node, open.number, open.call.clone());
         self.callers.open.insert(caller, open);
         let id = Some(Name::from(format!("call-{number}")));
@@ -134,13 +134,13 @@
                     }
                     self.callers.told.push(event.revision);
                 }
-                if self.callers.watchFrom.is_none() {
-                    self.callers.watchFrom = Some(*next);
+                if self.callers.watch_from.is_none() {
+                    self.callers.watch_from = Some(*next);
                 }
             }
-            (_, Outcome::TooOld { .. }) => self.callers.tooOld += 1,
+            (_, Outcome::TooOld { .. }) => self.callers.too_old += 1,
             (Call::Lock { name, .. } | Call::Renew { name, .. }, Outcome::Locked { fence, .. }) => {
-                self.takes(caller, name.clone(), *fence, open.sentUs.min(open.startUs));
+                self.takes(caller, name.clone(), *fence, open.sent_us.min(open.start_us));
             }
             (Call::Renew { .. }, _) => self.lets_go(caller),
             (Call::Put { name, .. } | Call::ReadKey { name }, Outcome::Key(key)) => {
@@ -151,24 +151,24 @@
             }
             _ => {}
         }
-        let (startUs, endUs) = (open.startUs, self.nowUs);
-        self.callers.done.push(Done { caller, startUs, endUs, call: open.call, outcome });
+        let (start_us, end_us) = (open.start_us, self.now_us);
+        self.callers.done.push(Done { caller, start_us, end_us, call: open.call, outcome });
     }
 
     /// A holder counts its time from when it asked.
-    fn takes(&mut self, caller: usize, name: Name, fence: u64, askedUs: u64) {
-        let untilUs = askedUs + TTL_MS * 1_000;
-        if self.nowUs >= untilUs {
+    fn takes(&mut self, caller: usize, name: Name, fence: u64, asked_us: u64) {
+        let until_us = asked_us + TTL_MS * 1_000;
+        if self.now_us >= until_us {
             return;
         }
-        if let Some((other, otherUs)) = self.callers.holder
+        if let Some((other, other_us)) = self.callers.holder
             && other != caller
-            && self.nowUs < otherUs
+            && self.now_us < other_us
         {
             self.book.violate(format!("callers {other} and {caller} hold the lock at once"));
         }
-        self.callers.holder = Some((caller, untilUs));
-        self.callers.held.insert(caller, (name, fence, untilUs));
+        self.callers.holder = Some((caller, until_us));
+        self.callers.held.insert(caller, (name, fence, until_us));
     }
 
     fn lets_go(&mut self, caller: usize) {
--- a/crates/simulation/src/check.rs
+++ b/crates/simulation/src/check.rs
@@ -9,8 +9,8 @@
     pub fn check_control(&mut self, at: usize) {
         let holding: Vec<usize> = (0..self.control.len())
             .filter(|at| {
-                let nowMs = self.local_ms(Who::Control(*at));
-                self.control[*at].node.as_ref().is_some_and(|node| node.holds(nowMs))
+                let now_ms = self.local_ms(Who::Control(*at));
+                self.control[*at].node.as_ref().is_some_and(|node| node.holds(now_ms))
             })
             .collect();
         if holding.len() > 1 {
@@ -75,21 +75,21 @@
     pub fn check_pass(&mut self, ask: u64, at: usize) {
         self.book.passes += 1;
         let began = self.data[at].table.state.plan.as_ref().map_or(0, |plan| plan.offset);
-        let nowUs = self.nowUs;
-        let due = self.book.inForce.iter().filter(|(atUs, _)| atUs + HOLD_US <= nowUs);
+        let now_us = self.now_us;
+        let due = self.book.in_force.iter().filter(|(at_us, _)| at_us + HOLD_US <= now_us);
         if let Some(newest) = due.map(|(_, offset)| *offset).max()
             && began < newest
         {
             self.book.violate(format!("data-{at} passed ask {ask} by an older plan"));
         }
         let Some(target) = self.target_of(ask) else { return };
-        if let Some(leftUs) = self.list.left.get(&target) {
-            let lateUs = nowUs.saturating_sub(*leftUs);
-            let lateUs = lateUs.saturating_sub(self.list.mute_us(*leftUs, nowUs));
-            self.book.longestLeaveUs = self.book.longestLeaveUs.max(lateUs);
-            if lateUs > 2_500_000 {
+        if let Some(left_us) = self.list.left.get(&target) {
+            let late_us = now_us.saturating_sub(*left_us);
+            let late_us = late_us.saturating_sub(self.list.mute_us(*left_us, now_us));
+            self.book.longest_leave_us = self.book.longest_leave_us.max(late_us);
+            if late_us > 2_500_000 {
                 let text =
-                    format!("{target} got an ask {lateUs} us after the list showed it leave");
+                    format!("{target} got an ask {late_us} us after the list showed it leave");
                 self.book.violate(text);
             }
         }
--- a/crates/simulation/src/control.rs
+++ b/crates/simulation/src/control.rs
@@ -20,7 +20,7 @@
     pub address: SocketAddr,
     pub disk: SimDisk,
     pub life: u64,
-    pub offsetMs: u64,
+    pub offset_ms: u64,
     /// By how many thousandths its clock is fast.
     pub rate: u64,
     pub node: Option<ControlNode>,
@@ -32,12 +32,12 @@
 }
 
 impl ControlMachine {
-    pub fn new(address: SocketAddr, offsetMs: u64, rate: u64) -> Self {
+    pub fn new(address: SocketAddr, offset_ms: u64, rate: u64) -> Self {
         ControlMachine {
             address,
             disk: SimDisk::default(),
             life: 0,
-            offsetMs,
+            offset_ms,
             rate,
             node: None,
             storage: None,
@@ -58,7 +58,7 @@
     pub fn start_control(&mut self, at: usize) {
         let seed = self.random.draw();
         let id = self.random.draw().max(1);
-        let nowMs = self.local_ms(Who::Control(at));
+        let now_ms = self.local_ms(Who::Control(at));
         let mut seeds = self.seeds.clone();
         if !seeds.contains(&self.control[at].address) {
             seeds[2] = self.data[0].address;
@@ -81,7 +81,7 @@
         machine.writes.clear();
         machine.syncing = false;
         machine.targets = OrdMap::new();
-        let node = ControlNode::new(own, recovered, &seeds, seed, nowMs);
+        let node = ControlNode::new(own, recovered, &seeds, seed, now_ms);
         machine.node = Some(node.with_log_bound(LOG_BOUND_BYTES));
         let life = machine.life;
         self.after(0, Event::Pulse { who: Who::Control(at), life });
@@ -116,10 +116,10 @@
     }
 
     pub fn control_input(&mut self, at: usize, input: Input) {
-        let nowMs = self.local_ms(Who::Control(at));
+        let now_ms = self.local_ms(Who::Control(at));
         let machine = &mut self.control[at];
         let Some(node) = &mut machine.node else { return };
-        let effects = node.handle(nowMs, input);
+        let effects = node.handle(now_ms, input);
         let (from, life) = (machine.address, machine.life);
         for effect in effects {
             match effect {
@@ -132,11 +132,11 @@
                     machine.writes.push_back((sequence, write));
                     if !machine.syncing {
                         machine.syncing = true;
-                        let tookUs = match self.slowDisks {
+                        let took_us = match self.slow_disks {
                             true => self.random.between(10_000, 50_000),
                             false => self.random.between(300, 4_000),
                         };
-                        self.after(tookUs, Event::Synced { at, life });
+                        self.after(took_us, Event::Synced { at, life });
                     }
                     self.strike_at(at);
                 }
@@ -154,7 +154,7 @@
     /// As the program does: it ends, for it can't promise anything, and is begun again.
     fn disk_failed(&mut self, at: usize, error: &std::io::Error) {
         self.say(Who::Control(at), &format!("ends: {error}"));
-        self.diskFailures += 1;
+        self.disk_failures += 1;
         self.end_control(at, false);
         self.after(AGAIN_US, Event::Start(Who::Control(at)));
     }
--- a/crates/simulation/src/data.rs
+++ b/crates/simulation/src/data.rs
@@ -19,14 +19,14 @@
     pub address: SocketAddr,
     pub zone: Name,
     pub life: u64,
-    pub offsetMs: u64,
+    pub offset_ms: u64,
     /// By how many thousandths its clock is fast.
     pub rate: u64,
     pub node: Option<DataNode>,
     pub table: Arc<Table>,
-    pub holdUntilMs: u64,
+    pub hold_until_ms: u64,
     /// When the platform last saw it ready.
-    pub readyUs: u64,
+    pub ready_us: u64,
     pub incarnation: u64,
     pub number: u64,
     pub waits: BTreeMap<u64, Waits>,
@@ -34,17 +34,17 @@
 }
 
 impl DataMachine {
-    pub fn new(at: usize, offsetMs: u64, rate: u64) -> Self {
+    pub fn new(at: usize, offset_ms: u64, rate: u64) -> Self {
         DataMachine {
             address: address(2, at, 1),
             zone: Name::from(["a", "b", "c"][at % 3]),
             life: 0,
-            offsetMs,
+            offset_ms,
             rate,
             node: None,
             table: Arc::new(Table::empty()),
-            holdUntilMs: 0,
-            readyUs: 0,
+            hold_until_ms: 0,
+            ready_us: 0,
             incarnation: 0,
             number: 0,
             waits: BTreeMap::new(),
@@ -56,7 +56,7 @@
 impl World {
     pub fn start_data(&mut self, at: usize) {
         let incarnation = self.random.draw();
-        let nowMs = self.local_ms(Who::Data(at));
+        let now_ms = self.local_ms(Who::Data(at));
         let mut seeds = self.seeds.clone();
         if at > 0 {
             seeds[2] = self.data[0].address;
@@ -65,7 +65,7 @@
         machine.life += 1;
         machine.incarnation = incarnation;
         machine.table = Arc::new(Table::empty());
-        machine.holdUntilMs = 0;
+        machine.hold_until_ms = 0;
         machine.waits.clear();
         let own = Node {
             incarnation,
@@ -74,7 +74,7 @@
             http: machine.address,
             zone: machine.zone.clone(),
         };
-        machine.node = Some(DataNode::new(own, seeds, nowMs));
+        machine.node = Some(DataNode::new(own, seeds, now_ms));
         let life = machine.life;
         self.after(0, Event::Pulse { who: Who::Data(at), life });
         self.after(200_000, Event::Probe { data: at, life });
@@ -89,21 +89,21 @@
 
     pub fn serves(&self, at: usize) -> bool {
         let machine = &self.data[at];
-        machine.node.is_some() && self.local_ms(Who::Data(at)) < machine.holdUntilMs
+        machine.node.is_some() && self.local_ms(Who::Data(at)) < machine.hold_until_ms
     }
 
     pub fn is_ready(&self, at: usize) -> bool {
-        let nowMs = self.local_ms(Who::Data(at));
-        self.data[at].node.as_ref().is_some_and(|node| node.is_ready(nowMs))
+        let now_ms = self.local_ms(Who::Data(at));
+        self.data[at].node.as_ref().is_some_and(|node| node.is_ready(now_ms))
     }
 
     pub fn data_input(&mut self, at: usize, input: Input) {
-        let (nowUs, nowMs) = (self.nowUs, self.local_ms(Who::Data(at)));
+        let (now_us, now_ms) = (self.now_us, self.local_ms(Who::Data(at)));
         let machine = &mut self.data[at];
         let Some(node) = &mut machine.node else { return };
-        let effects = node.handle(nowMs, input);
-        if node.is_ready(nowMs) {
-            machine.readyUs = nowUs;
+        let effects = node.handle(now_ms, input);
+        if node.is_ready(now_ms) {
+            machine.ready_us = now_us;
         }
         let from = machine.address;
         for effect in effects {
@@ -118,7 +118,7 @@
                     }
                     self.check_published(at);
                 }
-                Effect::Hold { untilMs } => self.data[at].holdUntilMs = untilMs,
+                Effect::Hold { until_ms } => self.data[at].hold_until_ms = until_ms,
                 Effect::Say(text) => self.say(Who::Data(at), &text),
                 Effect::Answer { key, response } => {
                     match self.data[at].waits.remove(&key).unwrap_or(Waits::Nobody) {
@@ -141,14 +141,14 @@
         &mut self,
         at: usize,
         ask: postbarrow_messages::Ask,
-        waitMs: u64,
+        wait_ms: u64,
         waits: Waits,
     ) {
         let machine = &mut self.data[at];
         machine.number += 1;
         let key = machine.number;
         machine.waits.insert(key, waits);
-        self.data_input(at, Input::Ask { key, ask, waitMs });
+        self.data_input(at, Input::Ask { key, ask, wait_ms });
     }
 
     pub fn probe(&mut self, at: usize, life: u64) {
--- a/crates/simulation/src/event.rs
+++ b/crates/simulation/src/event.rs
@@ -56,7 +56,7 @@
         ask: u64,
         data: usize,
         life: u64,
-        untilMs: u64,
+        until_ms: u64,
     },
     Run {
         ask: u64,
@@ -80,7 +80,7 @@
     Leave {
         who: Who,
         life: u64,
-        sinceUs: u64,
+        since_us: u64,
     },
 }
 
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -7,7 +7,7 @@
 
 impl World {
     pub fn bring(&mut self, fault: Fault) {
-        let say = format!("{:.3} fault {fault:?}", self.nowUs as f64 / 1e6);
+        let say = format!("{:.3} fault {fault:?}", self.now_us as f64 / 1e6);
         if let Some(log) = &mut self.log {
             log.push(say);
         }
@@ -52,15 +52,15 @@
                     self.net.cut(other, cut);
                 }
             }
-            Fault::SlowLinks => self.net.slowUs = 30_000,
-            Fault::LossyLinks => self.net.lossPerMille = 100,
+            Fault::SlowLinks => self.net.slow_us = 30_000,
+            Fault::LossyLinks => self.net.loss_per_mille = 100,
             Fault::KillTarget => self.target_goes(|target| target.alive = false),
             Fault::FreezeTarget => self.target_goes(|target| target.frozen = true),
             Fault::DrainTarget => self.drain(),
             Fault::PassAddress => self.pass_address(),
             Fault::Disk(trouble) => self.control[control].disk.set_trouble(Some(trouble)),
-            Fault::SlowDisks => self.slowDisks = true,
-            Fault::FreezeAt(stage) => self.freezeBefore = Some(stage),
+            Fault::SlowDisks => self.slow_disks = true,
+            Fault::FreezeAt(stage) => self.freeze_before = Some(stage),
             Fault::List(trouble) => self.trouble(trouble),
             Fault::KillController => self.end_control(leader.unwrap_or(some), false),
             Fault::SwapCore(at) => self.empty_disk(at, true),
@@ -81,12 +81,12 @@
 
     fn freeze(&mut self, who: Who) {
         self.frozen.entry(who).or_default();
-        let forUs = self.random.between(200_000, 6_000_000);
-        self.after(forUs, Event::Wake(who));
+        let for_us = self.random.between(200_000, 6_000_000);
+        self.after(for_us, Event::Wake(who));
     }
 
     pub fn freeze_before(&mut self, event: &Event) {
-        let Some(stage) = self.freezeBefore else { return };
+        let Some(stage) = self.freeze_before else { return };
         let (data, ask, here) = match event {
             Event::Arrive { data, ask, .. } => (*data, *ask, stage == Stage::Arrived),
             Event::Send { data, ask, .. } => (*data, *ask, stage == Stage::Sending),
@@ -101,12 +101,12 @@
             }
             _ => return,
         };
-        let oneTime = self.asks.get(&ask).is_some_and(|run| run.service != "catalogue");
-        if here && oneTime && !self.frozen.contains_key(&Who::Data(data)) {
-            self.freezeBefore = None;
+        let one_time = self.asks.get(&ask).is_some_and(|run| run.service != "catalogue");
+        if here && one_time && !self.frozen.contains_key(&Who::Data(data)) {
+            self.freeze_before = None;
             self.frozen.insert(Who::Data(data), Vec::new());
-            let forUs = self.random.between(3_000_000, 8_000_000);
-            self.after(forUs, Event::Wake(Who::Data(data)));
+            let for_us = self.random.between(3_000_000, 8_000_000);
+            self.after(for_us, Event::Wake(Who::Data(data)));
         }
     }
 
@@ -198,10 +198,10 @@
     /// All that was brought about ends: processes run, links carry, lists are true.
     pub fn heal(&mut self) {
         self.net.heal();
-        self.slowDisks = false;
+        self.slow_disks = false;
         self.control.iter().for_each(|machine| machine.disk.set_trouble(None));
-        self.freezeBefore = None;
-        self.list.heal(self.nowUs);
+        self.freeze_before = None;
+        self.list.heal(self.now_us);
         let frozen: Vec<Who> = self.frozen.keys().copied().collect();
         frozen.into_iter().for_each(|who| self.wake(who));
         for at in 0..3 {
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -27,13 +27,13 @@
             _ => None,
         };
         if let Some((name, value, write)) = row {
-            highest.entry(name).or_default().push((done.startUs, done.endUs, value, write));
+            highest.entry(name).or_default().push((done.start_us, done.end_us, value, write));
         }
     }
     let mut found = linear::check(&world.callers.done);
     for (name, rows) in &highest {
-        for (startUs, _, value, write) in rows {
-            let before = rows.iter().filter(|(_, endUs, _, _)| endUs < startUs);
+        for (start_us, _, value, write) in rows {
+            let before = rows.iter().filter(|(_, end_us, _, _)| end_us < start_us);
             let most = before.map(|(_, _, value, _)| *value).max().unwrap_or(0);
             if *value < most || (*write && *value == most && most > 0) {
                 found.push(format!("{name}: {value} after {most} was told"));
@@ -48,11 +48,11 @@
     if told.windows(2).any(|pair| pair[0] >= pair[1]) {
         found.push("a watch was told twice or out of order".into());
     }
-    let from = world.callers.watchFrom.unwrap_or(u64::MAX);
+    let from = world.callers.watch_from.unwrap_or(u64::MAX);
     let last = told.last().copied().unwrap_or(0);
     let seen: BTreeSet<u64> = told.iter().copied().collect();
     for put in puts.into_iter().filter(|put| *put > from && *put <= last) {
-        if !seen.contains(&put) && world.callers.tooOld == 0 {
+        if !seen.contains(&put) && world.callers.too_old == 0 {
             found.push(format!("a watch was never told of revision {put}"));
         }
     }
--- a/crates/simulation/src/linear.rs
+++ b/crates/simulation/src/linear.rs
@@ -40,8 +40,8 @@
             return true;
         }
         let left = || history.iter().enumerate().filter(|(at, _)| !taken[*at]);
-        let firstEnd = left().map(|(_, done)| done.endUs).min().unwrap_or(u64::MAX);
-        for (at, done) in left().filter(|(_, done)| done.startUs <= firstEnd) {
+        let first_end = left().map(|(_, done)| done.end_us).min().unwrap_or(u64::MAX);
+        for (at, done) in left().filter(|(_, done)| done.start_us <= first_end) {
             if let Some(next) = step(copy, &done.call, &done.outcome) {
                 let mut then = taken.clone();
                 then[at] = true;
@@ -64,14 +64,14 @@
 
 /// Names whose history no single copy could have given.
 pub fn check(calls: &[Done]) -> Vec<String> {
-    let mut byName: BTreeMap<String, Vec<&Done>> = BTreeMap::new();
+    let mut by_name: BTreeMap<String, Vec<&Done>> = BTreeMap::new();
     for done in calls {
         if let Some(name) = name_of(&done.call) {
-            byName.entry(name).or_default().push(done);
+            by_name.entry(name).or_default().push(done);
         }
     }
-    let bad = byName.into_iter().filter_map(|(name, mut history)| {
-        history.sort_by_key(|done| done.startUs);
+    let bad = by_name.into_iter().filter_map(|(name, mut history)| {
+        history.sort_by_key(|done| done.start_us);
         (!has_order(&history)).then(|| format!("{name}: {} calls have no order", history.len()))
     });
     bad.collect()
@@ -82,23 +82,23 @@
     use super::*;
     use postbarrow_state::Key;
 
-    fn done(startUs: u64, endUs: u64, call: Call, outcome: Outcome) -> Done {
-        Done { caller: 0, startUs, endUs, call, outcome }
+    fn done(start_us: u64, end_us: u64, call: Call, outcome: Outcome) -> Done {
+        Done { caller: 0, start_us, end_us, call, outcome }
     }
 
-    fn next(startUs: u64, endUs: u64, value: u64) -> Done {
+    fn next(start_us: u64, end_us: u64, value: u64) -> Done {
         let call = Call::Next { name: "n".into(), by: 1 };
-        done(startUs, endUs, call, Outcome::Number(value))
+        done(start_us, end_us, call, Outcome::Number(value))
     }
 
-    fn put(startUs: u64, endUs: u64, asked: u64, revision: u64) -> Done {
+    fn put(start_us: u64, end_us: u64, asked: u64, revision: u64) -> Done {
         let call = Call::Put { name: "k".into(), value: vec![], revision: Some(asked) };
-        done(startUs, endUs, call, Outcome::Key(Key { value: vec![], revision }))
+        done(start_us, end_us, call, Outcome::Key(Key { value: vec![], revision }))
     }
 
-    fn read(startUs: u64, endUs: u64, revision: u64) -> Done {
+    fn read(start_us: u64, end_us: u64, revision: u64) -> Done {
         let call = Call::ReadKey { name: "k".into() };
-        done(startUs, endUs, call, Outcome::Key(Key { value: vec![], revision }))
+        done(start_us, end_us, call, Outcome::Key(Key { value: vec![], revision }))
     }
 
     #[test]
--- a/crates/simulation/src/list.rs
+++ b/crates/simulation/src/list.rs
@@ -48,35 +48,35 @@
     glitch: bool,
     /// Times in which it refused or was out of reach, and so showed nothing.
     pub mute: Vec<(u64, u64)>,
-    downUs: Option<u64>,
+    down_us: Option<u64>,
     pub refusals: u64,
 }
 
 impl PlatformList {
-    pub fn heal(&mut self, nowUs: u64) {
+    pub fn heal(&mut self, now_us: u64) {
         self.trouble = Trouble::None;
-        if let Some(sinceUs) = self.downUs.take() {
-            self.mute.push((sinceUs, nowUs));
+        if let Some(since_us) = self.down_us.take() {
+            self.mute.push((since_us, now_us));
         }
         self.rows.remove("a-passing-row");
     }
 
     /// How much of this time it showed nothing.
-    pub fn mute_us(&self, fromUs: u64, toUs: u64) -> u64 {
-        let open = self.downUs.map(|sinceUs| (sinceUs, toUs));
+    pub fn mute_us(&self, from_us: u64, to_us: u64) -> u64 {
+        let open = self.down_us.map(|since_us| (since_us, to_us));
         let spans = self.mute.iter().copied().chain(open);
-        spans.map(|(since, until)| until.min(toUs).saturating_sub(since.max(fromUs))).sum()
+        spans.map(|(since, until)| until.min(to_us).saturating_sub(since.max(from_us))).sum()
     }
 
-    fn takes(&mut self, nowUs: u64, wordUs: u64) -> bool {
+    fn takes(&mut self, now_us: u64, word_us: u64) -> bool {
         let rate = if self.trouble == Trouble::Limited { 5 } else { 8 };
-        self.served.retain(|atUs| nowUs < atUs + WINDOW_US);
+        self.served.retain(|at_us| now_us < at_us + WINDOW_US);
         if self.served.len() >= rate {
             self.refusals += 1;
-            self.mute.push((nowUs, nowUs + wordUs + RETRY_MS * 1_000));
+            self.mute.push((now_us, now_us + word_us + RETRY_MS * 1_000));
             return false;
         }
-        self.served.push_back(nowUs);
+        self.served.push_back(now_us);
         true
     }
 
@@ -107,11 +107,11 @@
 
 impl World {
     pub fn trouble(&mut self, trouble: Trouble) {
-        self.list.heal(self.nowUs);
+        self.list.heal(self.now_us);
         self.list.trouble = trouble;
         self.list.glitch = true;
         if matches!(trouble, Trouble::Down | Trouble::Round | Trouble::Lost) {
-            self.list.downUs = Some(self.nowUs);
+            self.list.down_us = Some(self.now_us);
         }
     }
 
@@ -119,17 +119,17 @@
     pub fn fetch(&mut self, at: usize, number: u64, cursor: Option<String>) {
         let life = self.control[at].life;
         let slow = self.list.trouble == Trouble::Slow;
-        let readUs = if slow {
+        let read_us = if slow {
             self.random.between(50_000, 150_000)
         } else {
             self.random.between(2_000, 50_000)
         };
         let event = Event::ListRead { at, life, number, cursor };
-        match self.list.takes(self.nowUs, readUs) {
-            true => self.after(readUs, event),
+        match self.list.takes(self.now_us, read_us) {
+            true => self.after(read_us, event),
             false => {
-                let result = PageResult { number, fetched: Fetched::Limited { waitMs: RETRY_MS } };
-                self.after(readUs, Event::Page { at, life, result });
+                let result = PageResult { number, fetched: Fetched::Limited { wait_ms: RETRY_MS } };
+                self.after(read_us, Event::Page { at, life, result });
             }
         }
     }
@@ -150,13 +150,13 @@
             self.shift();
         }
         let slow = self.list.trouble == Trouble::Slow;
-        let tookUs = if slow {
+        let took_us = if slow {
             self.random.between(50_000, 150_000)
         } else {
             self.random.between(2_000, 60_000)
         };
         let result = PageResult { number, fetched };
-        self.after(tookUs, Event::Page { at, life, result });
+        self.after(took_us, Event::Page { at, life, result });
     }
 
     fn shift(&mut self) {
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -100,9 +100,9 @@
                     }
                     let mut scenario = Scenario::everything(seed);
                     scenario.count = cli.faults;
-                    scenario.dataNodes = cli.nodes;
+                    scenario.data_nodes = cli.nodes;
                     scenario.targets = cli.targets;
-                    scenario.zoneUs = cli.zone_us;
+                    scenario.zone_us = cli.zone_us;
                     scenario.log = cli.log;
                     scenario.last = cli.kill_controller.then_some(Fault::KillController);
                     let outcome = scenario.run();
@@ -121,7 +121,7 @@
     });
     let outcomes = outcomes.into_inner().unwrap_or_default();
     let failed = outcomes.iter().filter(|outcome| !outcome.violations.is_empty()).count();
-    let mut recovery: Vec<u64> = outcomes.iter().map(|outcome| outcome.recoveryMs).collect();
+    let mut recovery: Vec<u64> = outcomes.iter().map(|outcome| outcome.recovery_ms).collect();
     recovery.sort_unstable();
     let at = |share: usize| recovery.get(recovery.len() * share / 100).copied().unwrap_or(0);
     let sum =
@@ -131,7 +131,7 @@
         outcomes.len(),
         sum(|outcome| outcome.asks),
         sum(|outcome| outcome.told.ran),
-        sum(|outcome| outcome.told.notRun),
+        sum(|outcome| outcome.told.not_run),
         sum(|outcome| outcome.told.unknown),
         sum(|outcome| outcome.plans as usize),
         sum(|outcome| outcome.refusals as usize),
@@ -145,8 +145,8 @@
         "{} writes in {} syncs; {} disk failures; {} list refusals",
         synced(|synced| synced.1),
         synced(|synced| synced.0),
-        sum(|outcome| outcome.diskFailures),
-        sum(|outcome| outcome.listRefusals),
+        sum(|outcome| outcome.disk_failures),
+        sum(|outcome| outcome.list_refusals),
     );
     println!(
         "recovery ms: p50 {} p90 {} p99 {} most {}; longest leave ms {}",
@@ -154,7 +154,7 @@
         at(90),
         at(99),
         recovery.last().copied().unwrap_or(0),
-        outcomes.iter().map(|outcome| outcome.longestLeaveMs).max().unwrap_or(0),
+        outcomes.iter().map(|outcome| outcome.longest_leave_ms).max().unwrap_or(0),
     );
     if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/crates/simulation/src/net.rs
+++ b/crates/simulation/src/net.rs
@@ -7,10 +7,10 @@
 pub struct Net {
     cut: BTreeSet<(IpAddr, IpAddr)>,
     last: BTreeMap<(SocketAddr, SocketAddr), u64>,
-    pub slowUs: u64,
-    pub lossPerMille: u64,
+    pub slow_us: u64,
+    pub loss_per_mille: u64,
     /// Machines of other zones are so much farther; a machine's zone is its number's third.
-    pub zoneUs: u64,
+    pub zone_us: u64,
 }
 
 /// Machines are numbered from one in the last part of their address.
@@ -25,20 +25,20 @@
     /// When a frame arrives, if it does; frames of one link keep their order.
     pub fn arrival(
         &mut self,
-        nowUs: u64,
+        now_us: u64,
         from: SocketAddr,
         to: SocketAddr,
         random: &mut Random,
     ) -> Option<u64> {
-        if self.is_cut(from.ip(), to.ip()) || random.chance(self.lossPerMille) {
+        if self.is_cut(from.ip(), to.ip()) || random.chance(self.loss_per_mille) {
             return None;
         }
-        let far = if zone(from.ip()) == zone(to.ip()) { 0 } else { self.zoneUs };
-        let delayUs = random.between(200, 1_200) + self.slowUs + far;
+        let far = if zone(from.ip()) == zone(to.ip()) { 0 } else { self.zone_us };
+        let delay_us = random.between(200, 1_200) + self.slow_us + far;
         let last = self.last.entry((from, to)).or_default();
-        let atUs = (nowUs + delayUs).max(*last + 1);
-        *last = atUs;
-        Some(atUs)
+        let at_us = (now_us + delay_us).max(*last + 1);
+        *last = at_us;
+        Some(at_us)
     }
 
     pub fn is_cut(&self, from: IpAddr, to: IpAddr) -> bool {
@@ -51,7 +51,7 @@
 
     pub fn heal(&mut self) {
         self.cut.clear();
-        self.slowUs = 0;
-        self.lossPerMille = 0;
+        self.slow_us = 0;
+        self.loss_per_mille = 0;
     }
 }
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -64,10 +64,10 @@
 impl World {
     /// Twenty times a second: looks after open questions; now and then hands over a plan.
     pub fn operate(&mut self) {
-        let nowMs = self.nowUs / 1_000;
+        let now_ms = self.now_us / 1_000;
         let members: Vec<SocketAddr> = self.control.iter().map(|machine| machine.address).collect();
-        self.operator.desk.learn(nowMs, None, &members);
-        let effects = self.operator.desk.pulse(nowMs);
+        self.operator.desk.learn(now_ms, None, &members);
+        let effects = self.operator.desk.pulse(now_ms);
         self.operator_does(effects);
         let idle = self.operator.handed.is_empty();
         if idle && (self.operator.version.is_none() || (!self.quiet && self.random.chance(25))) {
@@ -104,8 +104,8 @@
             version: handed.version.as_str().into(),
             base: handed.base.as_deref().map(Into::into),
             records: plan.records(),
-            dryRun: handed.dry,
-            allowEmpty: self.operator.version.is_none(),
+            dry_run: handed.dry,
+            allow_empty: self.operator.version.is_none(),
         };
         self.operator.key += 1;
         let key = self.operator.key;
@@ -121,13 +121,13 @@
     }
 
     fn operator_asks(&mut self, key: u64, ask: Ask) {
-        let effects = self.operator.desk.ask(self.nowUs / 1_000, key, ask, WAIT_MS);
+        let effects = self.operator.desk.ask(self.now_us / 1_000, key, ask, WAIT_MS);
         self.operator_does(effects);
     }
 
     pub fn operator_hears(&mut self, envelope: Envelope) {
         if let Message::Response { key, response } = envelope.message {
-            let effects = self.operator.desk.on_response(self.nowUs / 1_000, key, response);
+            let effects = self.operator.desk.on_response(self.now_us / 1_000, key, response);
             self.operator_does(effects);
         }
     }
@@ -179,7 +179,7 @@
             .and_then(|rest| rest.split(|c: char| !c.is_ascii_digit()).next()?.parse::<u64>().ok());
         self.operator.acknowledged += 1;
         self.operator.version = Some(handed.version.clone());
-        self.book.inForce.push((self.nowUs, began.unwrap_or(0)));
+        self.book.in_force.push((self.now_us, began.unwrap_or(0)));
         let other = self.book.acknowledged.insert(handed.base.clone(), handed.version.clone());
         if other.is_some_and(|other| other != handed.version) {
             self.book.violate(format!("two plans were acknowledged on base {:?}", handed.base));
--- a/crates/simulation/src/passing.rs
+++ b/crates/simulation/src/passing.rs
@@ -12,7 +12,7 @@
         if let Some(run) = self.asks.get_mut(&ask) {
             run.connected = found;
         }
-        let (tookUs, event) = match self.target_at(target.address) {
+        let (took_us, event) = match self.target_at(target.address) {
             None => (600, postbarrow_node::Event::Unconnected("refused".into())),
             Some(found) if found.frozen => {
                 (800_000, postbarrow_node::Event::Unconnected("no proof in time".into()))
@@ -22,19 +22,19 @@
             }
             Some(_) => (1_200, postbarrow_node::Event::Connected),
         };
-        self.after(tookUs, Event::Go { ask, data, life, event });
+        self.after(took_us, Event::Go { ask, data, life, event });
     }
 
     /// The look right before the first byte, then the bytes.
-    pub fn send(&mut self, ask: u64, data: usize, untilMs: u64) {
+    pub fn send(&mut self, ask: u64, data: usize, until_ms: u64) {
         let life = self.data[data].life;
-        let nowMs = self.local_ms(Who::Data(data));
+        let now_ms = self.local_ms(Who::Data(data));
         let Some((target, load)) = self.asks.get(&ask).and_then(|run| run.target.clone()) else {
             return;
         };
         let service = Name::from(self.asks[&ask].service);
         let allowed = self.data[data].table.allows(&service, &target.instance);
-        if !(allowed && nowMs < untilMs && self.serves(data)) {
+        if !(allowed && now_ms < until_ms && self.serves(data)) {
             let event = postbarrow_node::Event::Passed(Passed::Unsent("the gate is shut".into()));
             return self.after(0, Event::Go { ask, data, life, event });
         }
@@ -42,8 +42,8 @@
         let Some(run) = self.asks.get_mut(&ask) else { return };
         load.enter();
         let Some(instance) = run.connected.clone() else { return };
-        let delayUs = self.random.between(200, 900);
-        self.after(delayUs, Event::Run { ask, data, life, instance });
+        let delay_us = self.random.between(200, 900);
+        self.after(delay_us, Event::Run { ask, data, life, instance });
     }
 
     /// The bytes reach the target, or the connection has broken under way: then nobody can say.
@@ -56,27 +56,27 @@
         let lost = self.random.below(1_000);
         let target = self.targets.iter().find(|target| target.instance == instance);
         let Some((alive, frozen, lossy, kind)) = target.map(|target| {
-            (target.alive, target.frozen, target.lostPerMille, target.service.clone())
+            (target.alive, target.frozen, target.lost_per_mille, target.service.clone())
         }) else {
             return;
         };
         let failed = |late, why: &str| Passed::Unknown { late, why: why.into() };
-        let (tookUs, passed) = if !alive {
+        let (took_us, passed) = if !alive {
             (300, failed(false, "broken"))
         } else if frozen {
-            self.book.ran(id, instance, &kind, service, self.nowUs);
+            self.book.ran(id, instance, &kind, service, self.now_us);
             (4_000_000, failed(true, "late"))
         } else {
-            self.book.ran(id, instance, &kind, service, self.nowUs);
-            let tookUs = self.random.between(1_000, 6_000);
+            self.book.ran(id, instance, &kind, service, self.now_us);
+            let took_us = self.random.between(1_000, 6_000);
             if lost < lossy {
-                (tookUs, failed(false, "the response is lost"))
+                (took_us, failed(false, "the response is lost"))
             } else {
                 let headers = vec![("x-id".to_string(), id.to_string())];
-                (tookUs, Passed::Whole(TargetResponse { status: 200, headers, body: vec![1] }))
+                (took_us, Passed::Whole(TargetResponse { status: 200, headers, body: vec![1] }))
             }
         };
         let event = postbarrow_node::Event::Passed(passed);
-        self.after(tookUs, Event::Go { ask, data, life, event });
+        self.after(took_us, Event::Go { ask, data, life, event });
     }
 }
--- a/crates/simulation/src/random.rs
+++ b/crates/simulation/src/random.rs
@@ -23,7 +23,7 @@
         least + self.below(most - least + 1)
     }
 
-    pub fn chance(&mut self, perMille: u64) -> bool {
-        self.below(1_000) < perMille
+    pub fn chance(&mut self, per_mille: u64) -> bool {
+        self.below(1_000) < per_mille
     }
 }
--- a/crates/simulation/src/roll.rs
+++ b/crates/simulation/src/roll.rs
@@ -11,35 +11,35 @@
 /// Planned stops, as the programs do them: hand over or finish, then end, then begin again.
 impl World {
     pub fn roll_control(&mut self, at: usize) {
-        let (life, sinceUs) = (self.control[at].life, self.nowUs);
+        let (life, since_us) = (self.control[at].life, self.now_us);
         self.control_input(at, ControlInput::Stop);
-        self.after(LOOK_US, Event::Leave { who: Who::Control(at), life, sinceUs });
+        self.after(LOOK_US, Event::Leave { who: Who::Control(at), life, since_us });
     }
 
     pub fn roll_data(&mut self, at: usize) {
-        let (life, sinceUs) = (self.data[at].life, self.nowUs);
+        let (life, since_us) = (self.data[at].life, self.now_us);
         self.data_input(at, DataInput::Stop);
-        self.after(STOP_UNREADY_MS * 1_000, Event::Leave { who: Who::Data(at), life, sinceUs });
+        self.after(STOP_UNREADY_MS * 1_000, Event::Leave { who: Who::Data(at), life, since_us });
     }
 
-    pub fn leave(&mut self, who: Who, life: u64, sinceUs: u64) {
-        let pastMs = (self.nowUs - sinceUs) / 1_000;
+    pub fn leave(&mut self, who: Who, life: u64, since_us: u64) {
+        let past_ms = (self.now_us - since_us) / 1_000;
         let (here, done) = match who {
             Who::Control(at) => {
                 let machine = &self.control[at];
                 let handed = machine.node.as_ref().is_some_and(|node| node.has_handed_over());
-                (machine.life == life, handed || pastMs >= HAND_OVER_MS)
+                (machine.life == life, handed || past_ms >= HAND_OVER_MS)
             }
             Who::Data(at) => {
                 let machine = &self.data[at];
                 let open = machine.node.as_ref().map_or(0, |node| node.open_asks());
                 let at_work = self.asks.values().any(|ask| ask.is_at_work(at));
-                (machine.life == life, (open == 0 && !at_work) || pastMs >= STOP_WAIT_MS)
+                (machine.life == life, (open == 0 && !at_work) || past_ms >= STOP_WAIT_MS)
             }
         };
         match (here, done, who) {
             (false, ..) => {}
-            (true, false, _) => self.after(LOOK_US, Event::Leave { who, life, sinceUs }),
+            (true, false, _) => self.after(LOOK_US, Event::Leave { who, life, since_us }),
             (true, true, Who::Control(at)) => {
                 self.end_control(at, false);
                 self.after(AWAY_US, Event::Start(who));
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -13,7 +13,7 @@
     pub faults: Vec<Fault>,
     /// How many are drawn from `faults`, each healed or overlapped by the next.
     pub count: usize,
-    pub dataNodes: usize,
+    pub data_nodes: usize,
     pub targets: usize,
     pub log: bool,
     /// Brought about after all else is well, and recovered from without help.
@@ -21,22 +21,22 @@
     /// Before any drawn fault: each so many milliseconds after the one before.
     pub script: Vec<(u64, Fault)>,
     /// Of a thousand runs at a target, so many lose their response.
-    pub lostPerMille: u64,
+    pub lost_per_mille: u64,
     /// Zones are so far apart.
-    pub zoneUs: u64,
+    pub zone_us: u64,
 }
 
 #[derive(Debug, Default)]
 pub struct Ends {
     pub ran: usize,
-    pub notRun: usize,
+    pub not_run: usize,
     pub unknown: usize,
 }
 
 #[derive(Debug, Default)]
 pub struct Ended {
     pub violations: Vec<String>,
-    pub recoveryMs: u64,
+    pub recovery_ms: u64,
     pub asks: usize,
     pub told: Ends,
     pub passes: u64,
@@ -45,13 +45,13 @@
     pub calls: usize,
     pub events: usize,
     pub extra: (usize, usize),
-    pub longestLeaveMs: u64,
+    pub longest_leave_ms: u64,
     pub digest: u64,
     pub members: Vec<String>,
     pub snapshots: usize,
     pub synced: (usize, usize),
-    pub diskFailures: usize,
-    pub listRefusals: usize,
+    pub disk_failures: usize,
+    pub list_refusals: usize,
     pub log: Vec<String>,
 }
 
@@ -64,13 +64,13 @@
             seed,
             faults,
             count,
-            dataNodes: 5,
+            data_nodes: 5,
             targets: 12,
             log: false,
             last: None,
             script: Vec::new(),
-            lostPerMille: 5,
-            zoneUs: 0,
+            lost_per_mille: 5,
+            zone_us: 0,
         }
     }
 
@@ -79,45 +79,45 @@
     }
 
     pub fn run(&self) -> Ended {
-        let mut world = World::new(self.seed, self.dataNodes, self.targets);
+        let mut world = World::new(self.seed, self.data_nodes, self.targets);
         if self.log {
             world.log = Some(Vec::new());
         }
-        world.targets.iter_mut().for_each(|target| target.lostPerMille = self.lostPerMille);
-        world.net.zoneUs = self.zoneUs;
+        world.targets.iter_mut().for_each(|target| target.lost_per_mille = self.lost_per_mille);
+        world.net.zone_us = self.zone_us;
         let mut random = Random::new(self.seed ^ 0xfa_017);
         world.run_until(6_000_000);
         let formed = world.is_well();
-        let mut atUs = 6_000_000;
-        for (pauseMs, fault) in &self.script {
-            atUs += pauseMs * 1_000;
-            world.run_until(atUs);
+        let mut at_us = 6_000_000;
+        for (pause_ms, fault) in &self.script {
+            at_us += pause_ms * 1_000;
+            world.run_until(at_us);
             world.after(0, Event::Fault(*fault));
         }
         for _ in 0..self.count {
             let fault = self.faults[random.below(self.faults.len() as u64) as usize];
             world.after(0, Event::Fault(fault));
-            atUs += random.between(300_000, 4_000_000);
-            world.run_until(atUs);
+            at_us += random.between(300_000, 4_000_000);
+            world.run_until(at_us);
             if random.chance(500) {
                 world.after(0, Event::Fault(Fault::Heal));
-                atUs += random.between(200_000, 2_000_000);
-                world.run_until(atUs);
+                at_us += random.between(200_000, 2_000_000);
+                world.run_until(at_us);
             }
         }
         world.quiet = true;
         world.bring(Fault::Heal);
         if let Some(last) = self.last {
-            let settledUs = world.nowUs + 5_000_000;
-            world.run_until(settledUs);
+            let settled_us = world.now_us + 5_000_000;
+            world.run_until(settled_us);
             world.bring(last);
         }
-        let mut outcome = Ended { recoveryMs: recover(&mut world), ..Ended::default() };
-        world.askPauseUs = 0;
-        let endUs = world.nowUs + 6_000_000;
-        world.run_until(endUs);
+        let mut outcome = Ended { recovery_ms: recover(&mut world), ..Ended::default() };
+        world.ask_pause_us = 0;
+        let end_us = world.now_us + 6_000_000;
+        world.run_until(end_us);
         world.show();
-        world.run_until(endUs + 2_000_000);
+        world.run_until(end_us + 2_000_000);
         if !formed {
             outcome.violations.push("no service before any fault".into());
         }
@@ -128,20 +128,20 @@
 
 /// Full service: all nodes ready on one version, and asks of each kind run.
 pub(crate) fn recover(world: &mut World) -> u64 {
-    let startUs = world.nowUs;
-    let mut wellUs = None;
-    while world.nowUs < startUs + 2 * RECOVERY_MS * 1_000 {
-        let nextUs = world.nowUs + 50_000;
-        world.run_until(nextUs);
-        let ran = world.book.ranUs.last().is_some_and(|ranUs| ranUs + 500_000 > world.nowUs);
-        match (world.is_well() && ran, wellUs) {
-            (true, None) => wellUs = Some(world.nowUs),
-            (true, Some(sinceUs)) if world.nowUs > sinceUs + 1_000_000 => break,
-            (false, _) => wellUs = None,
+    let start_us = world.now_us;
+    let mut well_us = None;
+    while world.now_us < start_us + 2 * RECOVERY_MS * 1_000 {
+        let next_us = world.now_us + 50_000;
+        world.run_until(next_us);
+        let ran = world.book.ran_us.last().is_some_and(|ran_us| ran_us + 500_000 > world.now_us);
+        match (world.is_well() && ran, well_us) {
+            (true, None) => well_us = Some(world.now_us),
+            (true, Some(since_us)) if world.now_us > since_us + 1_000_000 => break,
+            (false, _) => well_us = None,
             _ => {}
         }
     }
-    wellUs.map_or(u64::MAX, |wellUs| (wellUs - startUs) / 1_000)
+    well_us.map_or(u64::MAX, |well_us| (well_us - start_us) / 1_000)
 }
 
 impl World {
@@ -157,20 +157,20 @@
 }
 
 pub(crate) fn finish(world: &mut World, outcome: &mut Ended) {
-    if outcome.recoveryMs > RECOVERY_MS {
+    if outcome.recovery_ms > RECOVERY_MS {
         outcome.violations.push(format!("no full service {RECOVERY_MS} ms after the last fault"));
     }
     check_calls(world);
     check_plan(world);
     let (lookups, extra) = world.book.extra();
-    if extra as f64 > lookups as f64 / 5.0 + 3.0 * world.nowUs as f64 / 1e6 {
+    if extra as f64 > lookups as f64 / 5.0 + 3.0 * world.now_us as f64 / 1e6 {
         world.book.violate(format!("{extra} extra goes for {lookups} lookups"));
     }
     outcome.violations.append(&mut world.book.violations);
     outcome.asks = world.book.asks();
     outcome.told = Ends {
         ran: world.book.count(Told::Ran),
-        notRun: world.book.count(Told::NotRun),
+        not_run: world.book.count(Told::NotRun),
         unknown: world.book.count(Told::Unknown),
     };
     outcome.passes = world.book.passes;
@@ -179,7 +179,7 @@
     outcome.calls = world.callers.done.len();
     outcome.events = world.callers.told.len();
     outcome.extra = (lookups, extra);
-    outcome.longestLeaveMs = world.book.longestLeaveUs / 1_000;
+    outcome.longest_leave_ms = world.book.longest_leave_us / 1_000;
     let leader = world
         .control
         .iter()
@@ -189,8 +189,8 @@
     });
     outcome.snapshots = world.snapshots;
     outcome.synced = world.synced;
-    outcome.diskFailures = world.diskFailures;
-    outcome.listRefusals = world.list.refusals as usize;
+    outcome.disk_failures = world.disk_failures;
+    outcome.list_refusals = world.list.refusals as usize;
     outcome.digest = world.digest;
     outcome.log = world.log.take().unwrap_or_default();
 }
--- a/crates/simulation/src/steps.rs
+++ b/crates/simulation/src/steps.rs
@@ -50,7 +50,7 @@
     /// The run's end, or None if the controller had fewer steps to take.
     pub fn run(&self) -> Option<Ended> {
         let mut world = World::new(self.seed, 5, 12);
-        world.askPauseUs = 50_000;
+        world.ask_pause_us = 50_000;
         world.run_until(6_000_000);
         world.quiet = true;
         let Step { what, how, at, .. } = *self;
@@ -66,7 +66,7 @@
         world.run_until(13_000_000);
         let hit = world.strike.take().is_some_and(|strike| strike.hit);
         world.bring(Fault::Heal);
-        let mut ended = Ended { recoveryMs: recover(&mut world), ..Ended::default() };
+        let mut ended = Ended { recovery_ms: recover(&mut world), ..Ended::default() };
         read_back(&mut world, &mut ended, "");
         if what == What::Plan && world.operator.acknowledged < 2 {
             ended.violations.push("the plan was never acknowledged".into());
@@ -82,10 +82,10 @@
 }
 
 fn read_back(world: &mut World, ended: &mut Ended, when: &str) {
-    let untilUs = world.nowUs + 6_000_000;
-    world.run_until(untilUs);
+    let until_us = world.now_us + 6_000_000;
+    world.run_until(until_us);
     world.show();
-    world.run_until(untilUs + 2_000_000);
+    world.run_until(until_us + 2_000_000);
     let last = world.operator.version.as_ref().and_then(|name| world.operator.texts.get(name));
     if last.is_none() || world.operator.shown.as_ref() != last {
         ended.violations.push(format!("the plan acknowledged last does not read back{when}"));
--- a/crates/simulation/src/targets.rs
+++ b/crates/simulation/src/targets.rs
@@ -9,7 +9,7 @@
     pub alive: bool,
     pub frozen: bool,
     /// Of a thousand runs, so many lose their response.
-    pub lostPerMille: u64,
+    pub lost_per_mille: u64,
 }
 
 impl World {
@@ -23,7 +23,7 @@
             address,
             alive: true,
             frozen: false,
-            lostPerMille: 5,
+            lost_per_mille: 5,
         });
         let zone = ["a", "b", "c"][number / 3 % 3];
         let row = Row { service: service.into(), address, zone, draining: false };
@@ -40,6 +40,6 @@
     }
 
     pub fn shows_leaving(&mut self, instance: &str) {
-        self.list.left.entry(instance.to_string()).or_insert(self.nowUs);
+        self.list.left.entry(instance.to_string()).or_insert(self.now_us);
     }
 }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -24,7 +24,7 @@
 
 /// A whole cluster with its surroundings, on one queue of events.
 pub struct World {
-    pub nowUs: u64,
+    pub now_us: u64,
     pub random: Random,
     pub net: Net,
     pub control: Vec<ControlMachine>,
@@ -38,18 +38,18 @@
     pub seeds: Vec<SocketAddr>,
     pub frozen: BTreeMap<Who, Vec<Event>>,
     /// The next node about to take this step of an ask freezes right before it.
-    pub freezeBefore: Option<Stage>,
-    pub nextAsk: u64,
-    pub askPauseUs: u64,
+    pub freeze_before: Option<Stage>,
+    pub next_ask: u64,
+    pub ask_pause_us: u64,
     pub quiet: bool,
     pub log: Option<Vec<String>>,
     pub digest: u64,
     pub snapshots: usize,
-    pub slowDisks: bool,
+    pub slow_disks: bool,
     pub(crate) strike: Option<Strike>,
     /// Syncs that were done, and the writes that shared them.
     pub synced: (usize, usize),
-    pub diskFailures: usize,
+    pub disk_failures: usize,
     queue: BTreeMap<(u64, u64), Event>,
     order: u64,
 }
@@ -59,9 +59,9 @@
 }
 
 impl World {
-    pub fn new(seed: u64, dataNodes: usize, targets: usize) -> World {
+    pub fn new(seed: u64, data_nodes: usize, targets: usize) -> World {
         let mut world = World {
-            nowUs: 1_000_000,
+            now_us: 1_000_000,
             random: Random::new(seed),
             net: Net::default(),
             control: Vec::new(),
@@ -74,29 +74,29 @@
             book: Book::default(),
             seeds: (0..3).map(|at| address(1, at, 1)).collect(),
             frozen: BTreeMap::new(),
-            freezeBefore: None,
-            nextAsk: 0,
-            askPauseUs: 12_000,
+            freeze_before: None,
+            next_ask: 0,
+            ask_pause_us: 12_000,
             quiet: false,
             log: None,
             digest: 0,
             snapshots: 0,
-            slowDisks: false,
+            slow_disks: false,
             strike: None,
             synced: (0, 0),
-            diskFailures: 0,
+            disk_failures: 0,
             queue: BTreeMap::new(),
             order: 0,
         };
         for at in 0..3 {
-            let offsetMs = world.random.below(1_000_000);
+            let offset_ms = world.random.below(1_000_000);
             let rate = world.random.below(RATE_MOST);
-            world.control.push(ControlMachine::new(address(1, at, 1), offsetMs, rate));
+            world.control.push(ControlMachine::new(address(1, at, 1), offset_ms, rate));
         }
-        for at in 0..dataNodes {
-            let offsetMs = world.random.below(1_000_000);
+        for at in 0..data_nodes {
+            let offset_ms = world.random.below(1_000_000);
             let rate = world.random.below(RATE_MOST);
-            world.data.push(DataMachine::new(at, offsetMs, rate));
+            world.data.push(DataMachine::new(at, offset_ms, rate));
         }
         for at in 0..targets {
             world.add_target(["catalogue", "ledger", "photos"][at % 3], None);
@@ -104,7 +104,7 @@
         for at in 0..3 {
             world.start_control(at);
         }
-        for at in 0..dataNodes {
+        for at in 0..data_nodes {
             world.start_data(at);
         }
         world.after(2_500_000, Event::Operate);
@@ -115,49 +115,49 @@
         world
     }
 
-    pub fn after(&mut self, delayUs: u64, event: Event) {
+    pub fn after(&mut self, delay_us: u64, event: Event) {
         self.order += 1;
-        self.queue.insert((self.nowUs + delayUs, self.order), event);
+        self.queue.insert((self.now_us + delay_us, self.order), event);
     }
 
-    fn at(&mut self, atUs: u64, event: Event) {
+    fn at(&mut self, at_us: u64, event: Event) {
         self.order += 1;
-        self.queue.insert((atUs, self.order), event);
+        self.queue.insert((at_us, self.order), event);
     }
 
     /// A process's own clock: it shares neither zero nor rate with any other.
     pub fn local_ms(&self, who: Who) -> u64 {
-        let (offsetMs, rate) = match who {
-            Who::Control(at) => (self.control[at].offsetMs, self.control[at].rate),
-            Who::Data(at) => (self.data[at].offsetMs, self.data[at].rate),
+        let (offset_ms, rate) = match who {
+            Who::Control(at) => (self.control[at].offset_ms, self.control[at].rate),
+            Who::Data(at) => (self.data[at].offset_ms, self.data[at].rate),
         };
-        (self.nowUs + self.nowUs * rate / RATE_SCALE) / 1_000 + offsetMs
+        (self.now_us + self.now_us * rate / RATE_SCALE) / 1_000 + offset_ms
     }
 
     pub fn transmit(&mut self, from: SocketAddr, to: SocketAddr, message: Message) {
-        let arrival = self.net.arrival(self.nowUs, from, to, &mut self.random);
-        if let Some(atUs) = arrival {
-            self.at(atUs, Event::Deliver { to, envelope: Envelope { from, message } });
+        let arrival = self.net.arrival(self.now_us, from, to, &mut self.random);
+        if let Some(at_us) = arrival {
+            self.at(at_us, Event::Deliver { to, envelope: Envelope { from, message } });
         }
     }
 
     pub fn say(&mut self, who: Who, text: &str) {
         if let Some(log) = &mut self.log {
-            log.push(format!("{:.3} {who:?}: {text}", self.nowUs as f64 / 1e6));
+            log.push(format!("{:.3} {who:?}: {text}", self.now_us as f64 / 1e6));
         }
     }
 
-    pub fn run_until(&mut self, untilUs: u64) {
-        while let Some(((atUs, _), _)) = self.queue.first_key_value() {
-            if *atUs > untilUs {
+    pub fn run_until(&mut self, until_us: u64) {
+        while let Some(((at_us, _), _)) = self.queue.first_key_value() {
+            if *at_us > until_us {
                 break;
             }
-            let Some(((atUs, order), event)) = self.queue.pop_first() else { break };
-            self.nowUs = atUs;
-            self.digest = self.digest.rotate_left(5) ^ atUs.wrapping_mul(31) ^ order;
+            let Some(((at_us, order), event)) = self.queue.pop_first() else { break };
+            self.now_us = at_us;
+            self.digest = self.digest.rotate_left(5) ^ at_us.wrapping_mul(31) ^ order;
             self.step(event);
         }
-        self.nowUs = untilUs;
+        self.now_us = until_us;
     }
 
     fn step(&mut self, event: Event) {
@@ -192,9 +192,9 @@
                     self.go_on(ask, data, event);
                 }
             }
-            Event::Send { ask, data, life, untilMs } => {
+            Event::Send { ask, data, life, until_ms } => {
                 if self.data[data].life == life {
-                    self.send(ask, data, untilMs);
+                    self.send(ask, data, until_ms);
                 }
             }
             Event::Run { ask, data, life, instance } => self.run(ask, data, life, &instance),
@@ -205,7 +205,7 @@
             Event::Fault(fault) => self.bring(fault),
             Event::Wake(who) => self.wake(who),
             Event::Start(who) => self.start(who),
-            Event::Leave { who, life, sinceUs } => self.leave(who, life, sinceUs),
+            Event::Leave { who, life, since_us } => self.leave(who, life, since_us),
         }
     }
 
--- a/crates/simulation/tests/failures.rs
+++ b/crates/simulation/tests/failures.rs
@@ -93,7 +93,7 @@
 fn a_disk_lost_twice_in_a_row_leaves_a_majority() {
     for seed in 1..=3 {
         let mut scenario = Scenario::new(seed, &ALL, 0);
-        let swaps = [500, 3_800].map(|pauseMs| (pauseMs, Fault::SwapCore(0)));
+        let swaps = [500, 3_800].map(|pause_ms| (pause_ms, Fault::SwapCore(0)));
         scenario.script = swaps.to_vec();
         check("lost twice", &scenario);
     }
@@ -103,12 +103,12 @@
 fn a_rolling_restart_of_all_processes_drops_and_sheds_nothing() {
     for seed in 1..=6 {
         let mut scenario = Scenario::new(seed, &ALL, 0);
-        scenario.lostPerMille = 0;
-        let data = (0..scenario.dataNodes).map(Fault::RollData);
+        scenario.lost_per_mille = 0;
+        let data = (0..scenario.data_nodes).map(Fault::RollData);
         let control = [0, 1, 2, 0, 1, 2].map(Fault::RollControl);
         scenario.script = data.chain(control).map(|fault| (2_500, fault)).collect();
         let ended = check("rolling", &scenario);
-        assert_eq!((ended.told.notRun, ended.told.unknown), (0, 0), "seed {seed}");
+        assert_eq!((ended.told.not_run, ended.told.unknown), (0, 0), "seed {seed}");
     }
 }
 
@@ -140,7 +140,7 @@
     for seed in 1..=12 {
         let ended = check("everything", &Scenario::everything(seed));
         snapshots += ended.snapshots;
-        told[0] += ended.told.notRun;
+        told[0] += ended.told.not_run;
         told[1] += ended.told.unknown;
         told[2] += ended.plans as usize;
         told[3] += ended.refusals as usize;
@@ -163,7 +163,7 @@
 #[test]
 fn nothing_is_lost_or_late_without_faults() {
     let mut scenario = Scenario::new(5, &ALL, 0);
-    scenario.lostPerMille = 0;
+    scenario.lost_per_mille = 0;
     let ended = check("quiet", &scenario);
-    assert_eq!((ended.told.notRun, ended.told.unknown), (0, 0));
+    assert_eq!((ended.told.not_run, ended.told.unknown), (0, 0));
 }
--- a/crates/startup/src/bounds.rs
+++ b/crates/startup/src/bounds.rs
@@ -7,23 +7,23 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Bounds {
     /// From a mark in the list to the last ask; 0: the product's own.
-    pub drainMs: u64,
+    pub drain_ms: u64,
     /// From a plan's acknowledgement until it is in force on every node.
-    pub inForceMs: u64,
+    pub in_force_ms: u64,
     /// From the wish to stop to the end.
-    pub graceMs: u64,
+    pub grace_ms: u64,
     /// Watch events are kept at least so long.
-    pub historyMs: u64,
+    pub history_ms: u64,
     /// Extra goes: so many per cent of a service's asks, and a number in each window beside.
-    pub extraPercent: u64,
-    pub extraWindowMs: u64,
-    pub extraSlack: u64,
+    pub extra_percent: u64,
+    pub extra_window_ms: u64,
+    pub extra_slack: u64,
     /// Disk machines that may be lost at once.
     pub losses: usize,
-    pub memoryBytes: Option<u64>,
-    pub diskBytes: Option<u64>,
+    pub memory_bytes: Option<u64>,
+    pub disk_bytes: Option<u64>,
     /// Between two questions to the list.
-    pub listGapMs: Option<u64>,
+    pub list_gap_ms: Option<u64>,
 }
 
 /// Of the nearer of both bounds, so much is the node's hold: the rest is for the way of the news.
@@ -42,42 +42,42 @@
 impl Bounds {
     /// How long a node serves on one answer of the controller.
     pub fn hold_ms(&self) -> u64 {
-        let given = [self.drainMs, self.inForceMs].into_iter().filter(|ms| *ms > 0).min();
+        let given = [self.drain_ms, self.in_force_ms].into_iter().filter(|ms| *ms > 0).min();
         given.map_or(NODE_HOLD_MS, |ms| (ms * HOLD_PERCENT / 100).max(NODE_HOLD_MS))
     }
 
     /// How long a stopping node is unready before it closes its door, and when it ends at last.
     pub fn stop_ms(&self) -> (u64, u64) {
-        match self.graceMs {
+        match self.grace_ms {
             0 => (STOP_UNREADY_MS, STOP_UNREADY_MS + STOP_WAIT_MS),
-            graceMs => (graceMs * UNREADY_PERCENT / 100, graceMs * STOP_PERCENT / 100),
+            grace_ms => (grace_ms * UNREADY_PERCENT / 100, grace_ms * STOP_PERCENT / 100),
         }
     }
 
     /// Extra goes of the fleet: per cent of asks, a second, and saved up.
     pub fn extra(&self) -> (u64, u64, u64) {
-        if self.extraWindowMs == 0 {
+        if self.extra_window_ms == 0 {
             return (EXTRA_GOES_PERCENT, EXTRA_GOES_PER_S, EXTRA_GOES_SAVED);
         }
-        let perS = self.extraSlack * 1_000 / self.extraWindowMs / 2;
-        (self.extraPercent, perS, self.extraSlack / 4)
+        let per_s = self.extra_slack * 1_000 / self.extra_window_ms / 2;
+        (self.extra_percent, per_s, self.extra_slack / 4)
     }
 
     pub fn bodies_bytes(&self) -> u64 {
-        let part = self.memoryBytes.map(|bytes| bytes / BODIES_PART);
+        let part = self.memory_bytes.map(|bytes| bytes / BODIES_PART);
         part.map_or(BODIES_BYTES as u64, |part| part.min(BODIES_BYTES as u64))
     }
 
     pub fn log_bytes(&self) -> u64 {
-        self.diskBytes.map_or(LOG_BYTES, |bytes| (bytes / LOG_PART).min(LOG_BYTES))
+        self.disk_bytes.map_or(LOG_BYTES, |bytes| (bytes / LOG_PART).min(LOG_BYTES))
     }
 
     pub fn history_ms(&self) -> u64 {
-        HISTORY_KEEP_MS.max(self.historyMs * 5 / 4)
+        HISTORY_KEEP_MS.max(self.history_ms * 5 / 4)
     }
 
     pub fn list_gap_ms(&self) -> u64 {
-        self.listGapMs.map_or(LIST_GAP_MS, |gapMs| (gapMs * LIST_PART / 100).max(LIST_HURRY_MS))
+        self.list_gap_ms.map_or(LIST_GAP_MS, |gap_ms| (gap_ms * LIST_PART / 100).max(LIST_HURRY_MS))
     }
 }
 
@@ -96,23 +96,30 @@
 
     #[test]
     fn holds_and_stops_stay_within_what_a_deployment_allows() {
-        for (drainMs, inForceMs, graceMs) in [(2_500, 2_000, 6_000), (2_000, 2_000, 3_000)] {
-            let bounds = Bounds { drainMs, inForceMs, graceMs, ..Bounds::default() };
-            assert!(bounds.hold_ms() * 3 <= drainMs.min(inForceMs) * 2, "{}", bounds.hold_ms());
-            let (unreadyMs, endMs) = bounds.stop_ms();
-            assert!(unreadyMs * 2 < endMs && endMs + 200 <= graceMs, "{unreadyMs} {endMs}");
+        for (drain_ms, in_force_ms, grace_ms) in [(2_500, 2_000, 6_000), (2_000, 2_000, 3_000)] {
+            let bounds = Bounds { drain_ms, in_force_ms, grace_ms, ..Bounds::default() };
+            assert!(bounds.hold_ms() * 3 <= drain_ms.min(in_force_ms) * 2, "{}", bounds.hold_ms());
+            let (unready_ms, end_ms) = bounds.stop_ms();
+            assert!(unready_ms * 2 < end_ms && end_ms + 200 <= grace_ms, "{unready_ms} {end_ms}");
         }
-        let bounds =
-            Bounds { extraPercent: 20, extraWindowMs: 10_000, extraSlack: 68, ..Bounds::default() };
-        let (percent, perS, saved) = bounds.extra();
+        let bounds = Bounds {
+            extra_percent: 20,
+            extra_window_ms: 10_000,
+            extra_slack: 68,
+            ..Bounds::default()
+        };
+        let (percent, per_s, saved) = bounds.extra();
         assert_eq!(percent, 20);
-        assert!(perS * 10 + saved <= 68, "{perS} a second, {saved} saved");
-        let quick = Bounds { listGapMs: Some(20), ..Bounds::default() };
+        assert!(per_s * 10 + saved <= 68, "{per_s} a second, {saved} saved");
+        let quick = Bounds { list_gap_ms: Some(20), ..Bounds::default() };
         assert_eq!(quick.list_gap_ms(), 26, "the list's own rate, with a margin");
-        let slow = Bounds { listGapMs: Some(500), ..Bounds::default() };
+        let slow = Bounds { list_gap_ms: Some(500), ..Bounds::default() };
         assert_eq!(slow.list_gap_ms(), 650);
-        let small =
-            Bounds { memoryBytes: Some(64 << 20), diskBytes: Some(64 << 20), ..Bounds::default() };
+        let small = Bounds {
+            memory_bytes: Some(64 << 20),
+            disk_bytes: Some(64 << 20),
+            ..Bounds::default()
+        };
         assert_eq!((small.bodies_bytes(), small.log_bytes()), (16 << 20, 8 << 20));
     }
 }
--- a/crates/state/src/apply.rs
+++ b/crates/state/src/apply.rs
@@ -10,11 +10,11 @@
                 let head = PlanHead { version: version.clone(), base: base.clone(), offset };
                 self.plan = Some(Arc::new(head));
                 self.callers = Callers::default();
-                self.planText.clear();
+                self.plan_text.clear();
                 self.services.clear();
                 self.routes.clear();
             }
-            Record::PlanText(part) => self.planText.push_back(Arc::new(part.clone())),
+            Record::PlanText(part) => self.plan_text.push_back(Arc::new(part.clone())),
             Record::Service(service) => {
                 self.services.insert(service.name.clone(), Arc::new(service.clone()));
             }
@@ -38,47 +38,47 @@
             }
             Record::Ticket(ticket) => {
                 let old = self.tickets.insert(ticket.key.clone(), Arc::new(ticket.clone()));
-                self.keptBytes -= kept_bytes(old.as_ref());
+                self.kept_bytes -= kept_bytes(old.as_ref());
             }
             Record::Settled { key, settlement, response } => {
                 if let Some(ticket) = self.tickets.get_mut(key) {
-                    self.keptBytes -= kept_bytes(Some(ticket));
+                    self.kept_bytes -= kept_bytes(Some(ticket));
                     let settled = Arc::make_mut(ticket);
                     settled.settled = Some(*settlement);
                     settled.response = response.clone().map(Arc::new);
                     settled.era = self.era;
-                    self.keptBytes += kept_bytes(Some(ticket));
+                    self.kept_bytes += kept_bytes(Some(ticket));
                 }
             }
             Record::TicketsForgotten(keys) => {
                 for key in keys {
                     let old = self.tickets.remove(key);
-                    self.keptBytes -= kept_bytes(old.as_ref());
+                    self.kept_bytes -= kept_bytes(old.as_ref());
                 }
             }
             Record::Repeat { id, outcome } => {
                 self.repeats.insert(id.clone(), Arc::new(outcome.clone()));
-                self.repeatQueue.push_back((self.era, id.clone()));
+                self.repeat_queue.push_back((self.era, id.clone()));
             }
             Record::RepeatsForgotten(ids) => {
                 for id in ids {
                     self.repeats.remove(id);
                 }
                 let known = &self.repeats;
-                while self.repeatQueue.front().is_some_and(|(_, id)| !known.contains_key(id)) {
-                    self.repeatQueue.pop_front();
+                while self.repeat_queue.front().is_some_and(|(_, id)| !known.contains_key(id)) {
+                    self.repeat_queue.pop_front();
                 }
             }
             Record::HistoryTrimmed { floor } => {
                 while self.history.front().is_some_and(|event| event.revision <= *floor) {
                     self.history.pop_front();
                 }
-                self.historyFloor = self.historyFloor.max(*floor);
+                self.history_floor = self.history_floor.max(*floor);
             }
             Record::Callers(callers) => self.callers = callers.clone(),
             Record::Era { by } => self.era += by,
-            Record::Lock { name, holder, fence, ttlMs } => {
-                let lock = Lock { holder: holder.clone(), fence: *fence, ttlMs: *ttlMs };
+            Record::Lock { name, holder, fence, ttl_ms } => {
+                let lock = Lock { holder: holder.clone(), fence: *fence, ttl_ms: *ttl_ms };
                 self.locks.insert(name.clone(), lock);
                 self.fence = self.fence.max(*fence);
                 self.tell(name, Change::Locked { fence: *fence });
--- a/crates/state/src/coordination.rs
+++ b/crates/state/src/coordination.rs
@@ -5,7 +5,7 @@
 pub struct Lock {
     pub holder: Name,
     pub fence: u64,
-    pub ttlMs: u64,
+    pub ttl_ms: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -55,14 +55,14 @@
     Lock {
         name: Name,
         holder: Name,
-        ttlMs: u64,
+        ttl_ms: u64,
     },
     /// For as long as it was taken, or as long as asked now.
     Renew {
         name: Name,
         holder: Name,
         fence: u64,
-        ttlMs: Option<u64>,
+        ttl_ms: Option<u64>,
     },
     Free {
         name: Name,
@@ -100,7 +100,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
-    Locked { fence: u64, ttlMs: u64 },
+    Locked { fence: u64, ttl_ms: u64 },
     Held { fence: u64 },
     Freed,
     NotHeld,
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
     pub plan: Option<Arc<PlanHead>>,
-    pub planText: Vector<Arc<Vec<u8>>>,
+    pub plan_text: Vector<Arc<Vec<u8>>>,
     pub services: OrdMap<Name, Arc<Service>>,
     pub routes: Vector<Arc<Route>>,
     pub targets: OrdMap<Name, Arc<Target>>,
@@ -32,17 +32,17 @@
     pub repeats: OrdMap<Name, Arc<Outcome>>,
     pub history: Vector<Arc<Event>>,
     /// Events at and below this revision are no longer told.
-    pub historyFloor: u64,
+    pub history_floor: u64,
     pub revision: u64,
     pub fence: u64,
     #[serde(default)]
     pub era: u64,
     /// Bytes of kept responses in all.
     #[serde(default)]
-    pub keptBytes: u64,
+    pub kept_bytes: u64,
     /// Remembered calls, oldest first, by the era of their result.
     #[serde(default)]
-    pub repeatQueue: Vector<(u64, Name)>,
+    pub repeat_queue: Vector<(u64, Name)>,
     #[serde(default)]
     pub callers: Callers,
 }
@@ -66,7 +66,7 @@
     }
 
     pub fn plan_text(&self) -> Vec<u8> {
-        self.planText.iter().flat_map(|part| part.iter().copied()).collect()
+        self.plan_text.iter().flat_map(|part| part.iter().copied()).collect()
     }
 
     /// Targets of a service by its labels; draining, down and gone ones are not live.
--- a/crates/state/src/records.rs
+++ b/crates/state/src/records.rs
@@ -34,10 +34,10 @@
     pub kind: Kind,
     pub service: Name,
     pub when: Option<String>,
-    pub bodyBytes: u64,
-    pub ratePerS: Option<u64>,
+    pub body_bytes: u64,
+    pub rate_per_s: Option<u64>,
     pub concurrency: Option<u64>,
-    pub deadlineMs: u64,
+    pub deadline_ms: u64,
     /// Only asks for this host; none: for any.
     #[serde(default)]
     pub host: Option<Name>,
@@ -49,7 +49,7 @@
     pub tries: Option<u64>,
     /// Within this time a response has its full worth.
     #[serde(default)]
-    pub goalMs: Option<u64>,
+    pub goal_ms: Option<u64>,
     /// 0 goes first where places run short.
     #[serde(default)]
     pub precedence: u64,
@@ -58,9 +58,9 @@
 /// Bounds of requests; what a plan leaves open is the node's own.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Callers {
-    pub headBytes: Option<u64>,
-    pub headWaitMs: Option<u64>,
-    pub idleMs: Option<u64>,
+    pub head_bytes: Option<u64>,
+    pub head_wait_ms: Option<u64>,
+    pub idle_ms: Option<u64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -174,7 +174,7 @@
         name: Name,
         holder: Name,
         fence: u64,
-        ttlMs: u64,
+        ttl_ms: u64,
     },
     LockFreed {
         name: Name,
--- a/crates/state/src/sample.rs
+++ b/crates/state/src/sample.rs
@@ -7,5 +7,5 @@
     pub method: Name,
     pub path: String,
     pub headers: Vec<(String, String)>,
-    pub bodyBytes: u64,
+    pub body_bytes: u64,
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -19,7 +19,7 @@
     disk: D,
     id: MemberId,
     generation: u64,
-    logBytes: u64,
+    log_bytes: u64,
     sequence: u64,
     synced: u64,
 }
@@ -30,7 +30,7 @@
         for file in SLOTS.iter().chain(&LOGS) {
             disk.truncate(file, 0)?;
         }
-        let mut made = Storage { disk, id, generation: 0, logBytes: 0, sequence: 0, synced: 0 };
+        let mut made = Storage { disk, id, generation: 0, log_bytes: 0, sequence: 0, synced: 0 };
         made.slot(None, Hard::default(), Vec::new())?;
         Ok(made)
     }
@@ -60,9 +60,9 @@
             return Ok(());
         }
         let file = LOGS[self.turn()];
-        self.disk.write(file, self.logBytes, bytes)?;
+        self.disk.write(file, self.log_bytes, bytes)?;
         self.disk.sync(file)?;
-        self.logBytes += bytes.len() as u64;
+        self.log_bytes += bytes.len() as u64;
         self.synced = self.sequence;
         bytes.clear();
         Ok(())
@@ -88,7 +88,7 @@
         self.disk.write(SLOTS[turn], 0, &slot)?;
         self.disk.sync(SLOTS[turn])?;
         self.generation = generation;
-        self.logBytes = bytes.len() as u64;
+        self.log_bytes = bytes.len() as u64;
         self.sequence = 1;
         self.synced = 1;
         Ok(())
@@ -102,7 +102,7 @@
         self.id
     }
     pub fn log_bytes(&self) -> u64 {
-        self.logBytes
+        self.log_bytes
     }
     pub fn into_disk(self) -> D {
         self.disk
--- a/crates/storage/src/recover.rs
+++ b/crates/storage/src/recover.rs
@@ -40,7 +40,7 @@
                 disk,
                 id: body.id,
                 generation: body.generation,
-                logBytes: replayed.bytes,
+                log_bytes: replayed.bytes,
                 sequence: replayed.sequence,
                 synced: replayed.sequence,
             };
--- a/crates/transactions/src/batch.rs
+++ b/crates/transactions/src/batch.rs
@@ -29,14 +29,14 @@
 pub fn split<R: Serialize>(records: Vec<R>) -> Vec<Vec<R>> {
     let mut batches = Vec::new();
     let mut batch = Vec::new();
-    let mut sizeBytes = 0;
+    let mut size_bytes = 0;
     for record in records {
         let length = rmp_serde::to_vec(&record).map_or(0, |bytes| bytes.len());
-        if !batch.is_empty() && sizeBytes + length > BATCH_BYTES {
+        if !batch.is_empty() && size_bytes + length > BATCH_BYTES {
             batches.push(std::mem::take(&mut batch));
-            sizeBytes = 0;
+            size_bytes = 0;
         }
-        sizeBytes += length;
+        size_bytes += length;
         batch.push(record);
     }
     if !batch.is_empty() {
--- a/crates/transactions/src/tail.rs
+++ b/crates/transactions/src/tail.rs
@@ -12,7 +12,7 @@
 #[derive(Clone)]
 struct Pending<I> {
     delta: I,
-    sizeBytes: usize,
+    size_bytes: usize,
     name: Option<String>,
 }
 
@@ -33,7 +33,7 @@
     pub fn apply(
         &mut self,
         offset: u64,
-        sizeBytes: usize,
+        size_bytes: usize,
         lines: &[Line<I::Record>],
     ) -> Result<Seen, String> {
         if offset <= self.offset {
@@ -46,7 +46,7 @@
             let base = || image.clone().unwrap_or_else(|| self.image.as_ref().clone());
             match (line, pending.take()) {
                 (Line::Begin { name }, None) => {
-                    pending = Some(Pending { delta: base(), sizeBytes: 0, name: name.clone() });
+                    pending = Some(Pending { delta: base(), size_bytes: 0, name: name.clone() });
                 }
                 (Line::Data(record), Some(mut open)) => {
                     open.delta.apply(offset, record);
@@ -75,8 +75,8 @@
             }
         }
         if let Some(open) = &mut pending {
-            open.sizeBytes += sizeBytes;
-            if open.sizeBytes > DELTA_BYTES {
+            open.size_bytes += size_bytes;
+            if open.size_bytes > DELTA_BYTES {
                 return Err(format!("offset {offset}: pending delta over {DELTA_BYTES} bytes"));
             }
         }
--- a/crates/transactions/src/writer.rs
+++ b/crates/transactions/src/writer.rs
@@ -9,8 +9,8 @@
 }
 
 struct Open<I> {
-    sinceMs: u64,
-    sizeBytes: usize,
+    since_ms: u64,
+    size_bytes: usize,
     rollback: I,
 }
 
@@ -26,19 +26,19 @@
         Writer { term, current: committed, open: None }
     }
 
-    pub fn begin(&mut self, nowMs: u64, name: &str) -> Result<Line<I::Record>, Refusal> {
+    pub fn begin(&mut self, now_ms: u64, name: &str) -> Result<Line<I::Record>, Refusal> {
         if self.open.is_some() {
             return Err(Refusal::AlreadyOpen);
         }
-        self.open = Some(Open { sinceMs: nowMs, sizeBytes: 0, rollback: self.current.clone() });
+        self.open = Some(Open { since_ms: now_ms, size_bytes: 0, rollback: self.current.clone() });
         Ok(Line::begin(&cut(name)))
     }
 
     /// Counts a batch of the open transaction against the delta's bound.
-    pub fn grow(&mut self, sizeBytes: usize) -> Result<(), Refusal> {
+    pub fn grow(&mut self, size_bytes: usize) -> Result<(), Refusal> {
         let open = self.open.as_mut().ok_or(Refusal::NoneOpen)?;
-        open.sizeBytes += sizeBytes;
-        if open.sizeBytes > DELTA_BYTES { Err(Refusal::OverDelta) } else { Ok(()) }
+        open.size_bytes += size_bytes;
+        if open.size_bytes > DELTA_BYTES { Err(Refusal::OverDelta) } else { Ok(()) }
     }
 
     pub fn apply(&mut self, offset: u64, record: &I::Record) {
@@ -55,12 +55,12 @@
         Ok(Line::abort(reason))
     }
 
-    pub fn is_overdue(&self, nowMs: u64) -> bool {
-        self.open.as_ref().is_some_and(|open| nowMs >= open.sinceMs + TRANSACTION_OPEN_MS)
+    pub fn is_overdue(&self, now_ms: u64) -> bool {
+        self.open.as_ref().is_some_and(|open| now_ms >= open.since_ms + TRANSACTION_OPEN_MS)
     }
 
-    pub fn open_ms(&self, nowMs: u64) -> Option<u64> {
-        self.open.as_ref().map(|open| nowMs.saturating_sub(open.sinceMs))
+    pub fn open_ms(&self, now_ms: u64) -> Option<u64> {
+        self.open.as_ref().map(|open| now_ms.saturating_sub(open.since_ms))
     }
     pub fn current(&self) -> &I {
         &self.current
--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -1,5 +1,5 @@
 /// Milliseconds since boot, sleep included; setting the wall clock does not move it.
-pub fn now_ms() -> u64 {
+pub fn clock_ms() -> u64 {
     let mut time = libc::timespec { tv_sec: 0, tv_nsec: 0 };
     let done = unsafe { libc::clock_gettime(libc::CLOCK_BOOTTIME, &mut time) };
     assert_eq!(done, 0, "the boot-time clock is there on every Linux");
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -6,7 +6,7 @@
 mod slab;
 mod unheard;
 
-pub use clock::{now_ms, random};
+pub use clock::{clock_ms, random};
 pub use link::Links;
 pub use listen::listen;
 pub use slab::Slab;
--- a/crates/transport/src/unheard.rs
+++ b/crates/transport/src/unheard.rs
@@ -7,8 +7,8 @@
 ///
 /// # Errors
 /// The socket takes no such option.
-pub fn give_up_unheard(stream: &TcpStream, waitMs: u64) -> io::Result<()> {
-    let wait = libc::c_uint::try_from(waitMs).unwrap_or(libc::c_uint::MAX);
+pub fn give_up_unheard(stream: &TcpStream, wait_ms: u64) -> io::Result<()> {
+    let wait = libc::c_uint::try_from(wait_ms).unwrap_or(libc::c_uint::MAX);
     let size = size_of::<libc::c_uint>() as libc::socklen_t;
     let place = std::ptr::from_ref(&wait).cast();
     let done = unsafe {
@@ -27,15 +27,15 @@
     fn the_system_takes_the_patience_and_gives_it_back() {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        for waitMs in [400, 0] {
-            give_up_unheard(&stream, waitMs).unwrap();
+        for wait_ms in [400, 0] {
+            give_up_unheard(&stream, wait_ms).unwrap();
             let mut wait: libc::c_uint = 7;
             let mut size = size_of::<libc::c_uint>() as libc::socklen_t;
             let place = std::ptr::from_mut(&mut wait).cast();
             let (level, option) = (libc::IPPROTO_TCP, libc::TCP_USER_TIMEOUT);
             let done =
                 unsafe { libc::getsockopt(stream.as_raw_fd(), level, option, place, &mut size) };
-            assert_eq!((done, u64::from(wait)), (0, waitMs));
+            assert_eq!((done, u64::from(wait)), (0, wait_ms));
         }
     }
 }
--- a/examples/replicated-sum/src/lib.rs
+++ b/examples/replicated-sum/src/lib.rs
@@ -7,7 +7,7 @@
 use postbarrow_constants::consensus::PULSE_MS;
 use postbarrow_messages::{Envelope, Message};
 use postbarrow_storage::{FolderDisk, Opened, Storage, open};
-use postbarrow_transport::{Links, listen, now_ms, random};
+use postbarrow_transport::{Links, clock_ms, listen, random};
 use std::collections::VecDeque;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -62,7 +62,7 @@
         let hand = commands.clone();
         listen(listener, move |envelope| hand.send(Command::Envelope(envelope)).is_ok())?;
         let sum = recovered.snapshot.as_ref().map_or(0, |kept| read(kept));
-        let log = Consensus::new(member.id, recovered, random(), now_ms());
+        let log = Consensus::new(member.id, recovered, random(), clock_ms());
         let links = Links::new(member.address);
         let owner = Owner { log, storage, links, own: member, sum, waits: VecDeque::new() };
         let worker = thread::Builder::new().name("sum".into()).spawn(move || owner.run(&queue))?;
@@ -104,14 +104,14 @@
 
 impl Owner {
     fn run(mut self, queue: &Receiver<Command>) {
-        let mut pulseMs = 0;
+        let mut pulse_ms = 0;
         loop {
-            if now_ms() >= pulseMs {
-                pulseMs = now_ms() + PULSE_MS;
+            if clock_ms() >= pulse_ms {
+                pulse_ms = clock_ms() + PULSE_MS;
                 self.handle(Input::Pulse);
             }
-            let waitMs = pulseMs.saturating_sub(now_ms()).max(1);
-            match queue.recv_timeout(Duration::from_millis(waitMs)) {
+            let wait_ms = pulse_ms.saturating_sub(clock_ms()).max(1);
+            match queue.recv_timeout(Duration::from_millis(wait_ms)) {
                 Ok(Command::Envelope(Envelope { message, .. })) => self.receive(message),
                 Ok(Command::Begin(members)) => self.handle(Input::Form(members)),
                 Ok(Command::Welcome(member)) => self.handle(Input::Learner(member)),
@@ -120,7 +120,7 @@
                     self.handle(Input::Propose(vec![by.to_le_bytes().to_vec()]));
                 }
                 Ok(Command::Read { reply }) => {
-                    let holds = self.log.is_ready() && now_ms() < self.log.hold_until();
+                    let holds = self.log.is_ready() && clock_ms() < self.log.hold_until();
                     let _ = reply.send(holds.then_some(self.sum));
                 }
                 Ok(Command::Add { reply, .. }) => drop(reply.send(None)),
@@ -141,7 +141,7 @@
     fn handle(&mut self, input: Input) {
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
-            for effect in self.log.handle(now_ms(), input) {
+            for effect in self.log.handle(clock_ms(), input) {
                 match effect {
                     Effect::Send { to, message } => {
                         let message = Message::Consensus { from: self.own, to: to.id, message };
--- a/programs/control-plane/src/asker.rs
+++ b/programs/control-plane/src/asker.rs
@@ -28,12 +28,12 @@
     }
 
     /// The controller's response, or `TimedOut` after so many milliseconds.
-    pub fn ask(&self, ask: Ask, waitMs: u64) -> Response {
+    pub fn ask(&self, ask: Ask, wait_ms: u64) -> Response {
         let (reply, response) = sync_channel(1);
-        if self.commands.send(Command::Ask { ask, waitMs, reply }).is_err() {
+        if self.commands.send(Command::Ask { ask, wait_ms, reply }).is_err() {
             return Response::TimedOut;
         }
-        let patience = Duration::from_millis(waitMs + 200);
+        let patience = Duration::from_millis(wait_ms + 200);
         response.recv_timeout(patience).unwrap_or(Response::TimedOut)
     }
 
--- a/programs/control-plane/src/core.rs
+++ b/programs/control-plane/src/core.rs
@@ -4,7 +4,7 @@
 use postbarrow_controller::{ControlNode, Effect, Input, PageResult, Snap};
 use postbarrow_desk::{Desk, Effect as DeskEffect};
 use postbarrow_messages::{Ask, Envelope, Message, Response};
-use postbarrow_transport::{Links, Slab, now_ms};
+use postbarrow_transport::{Links, Slab, clock_ms};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, SyncSender};
@@ -17,7 +17,7 @@
     DiskFailed(String),
     Page(PageResult),
     Encoded { index: u64, state: Vec<u8> },
-    Ask { ask: Ask, waitMs: u64, reply: SyncSender<Response> },
+    Ask { ask: Ask, wait_ms: u64, reply: SyncSender<Response> },
     Seeds(Vec<SocketAddr>),
     End(Sender<()>),
 }
@@ -55,15 +55,15 @@
     }
 
     pub fn run(mut self, queue: Receiver<Command>) {
-        let mut pulseMs = 0;
+        let mut pulse_ms = 0;
         loop {
-            let nowMs = now_ms();
-            if nowMs >= pulseMs {
-                pulseMs = nowMs + PULSE_MS;
-                self.pulse(nowMs);
+            let now_ms = clock_ms();
+            if now_ms >= pulse_ms {
+                pulse_ms = now_ms + PULSE_MS;
+                self.pulse(now_ms);
             }
-            let waitMs = pulseMs.saturating_sub(now_ms()).max(1);
-            match queue.recv_timeout(Duration::from_millis(waitMs)) {
+            let wait_ms = pulse_ms.saturating_sub(clock_ms()).max(1);
+            match queue.recv_timeout(Duration::from_millis(wait_ms)) {
                 Ok(command) => self.work(command),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -71,7 +71,7 @@
             while let Some(envelope) = self.local.pop_front() {
                 self.receive(envelope);
             }
-            if let Some(done) = self.ended(now_ms()) {
+            if let Some(done) = self.ended(clock_ms()) {
                 drop(self.writes);
                 let _ = done.send(());
                 return;
@@ -79,62 +79,62 @@
         }
     }
 
-    fn pulse(&mut self, nowMs: u64) {
-        self.handle(nowMs, Input::Pulse);
+    fn pulse(&mut self, now_ms: u64) {
+        self.handle(now_ms, Input::Pulse);
         let log = self.node.consensus();
         let members: Vec<SocketAddr> = log.members().iter().map(|member| member.address).collect();
         let members = if members.is_empty() { self.node.introduced() } else { members };
         let leader = log.leader().map(|member| member.address);
-        self.desk.learn(nowMs, leader, &members);
-        let effects = self.desk.pulse(nowMs);
+        self.desk.learn(now_ms, leader, &members);
+        let effects = self.desk.pulse(now_ms);
         self.carry_out(effects);
     }
 
     fn work(&mut self, command: Command) {
-        let nowMs = now_ms();
+        let now_ms = clock_ms();
         match command {
             Command::Envelope(envelope) => self.receive(envelope),
-            Command::Synced(sequence) => self.handle(nowMs, Input::Synced(sequence)),
+            Command::Synced(sequence) => self.handle(now_ms, Input::Synced(sequence)),
             Command::DiskFailed(error) => {
                 warn!("disk: {error}; this process ends, for it can't promise anything");
                 std::process::exit(3);
             }
-            Command::Page(page) => self.handle(nowMs, Input::Page(page)),
+            Command::Page(page) => self.handle(now_ms, Input::Page(page)),
             Command::Encoded { index, state } => {
-                self.handle(nowMs, Input::Encoded { index, state })
+                self.handle(now_ms, Input::Encoded { index, state })
             }
-            Command::Ask { ask, waitMs, reply } => {
+            Command::Ask { ask, wait_ms, reply } => {
                 let key = self.asks.insert(reply);
-                let effects = self.desk.ask(nowMs, key, ask, waitMs);
+                let effects = self.desk.ask(now_ms, key, ask, wait_ms);
                 self.carry_out(effects);
             }
-            Command::Seeds(seeds) => self.handle(nowMs, Input::Seeds(seeds)),
+            Command::Seeds(seeds) => self.handle(now_ms, Input::Seeds(seeds)),
             Command::End(done) => {
-                self.ending = Some((nowMs + HAND_OVER_MS, done));
-                self.handle(nowMs, Input::Stop);
+                self.ending = Some((now_ms + HAND_OVER_MS, done));
+                self.handle(now_ms, Input::Stop);
             }
         }
     }
 
     /// Another leads, or nobody could in time.
-    fn ended(&mut self, nowMs: u64) -> Option<Sender<()>> {
-        let (untilMs, _) = self.ending.as_ref()?;
-        let over = nowMs >= *untilMs || self.node.has_handed_over();
+    fn ended(&mut self, now_ms: u64) -> Option<Sender<()>> {
+        let (until_ms, _) = self.ending.as_ref()?;
+        let over = now_ms >= *until_ms || self.node.has_handed_over();
         if over { self.ending.take().map(|(_, done)| done) } else { None }
     }
 
     fn receive(&mut self, envelope: Envelope) {
-        let nowMs = now_ms();
+        let now_ms = clock_ms();
         if let Message::Response { key, response } = envelope.message {
-            let effects = self.desk.on_response(nowMs, key, response);
+            let effects = self.desk.on_response(now_ms, key, response);
             self.carry_out(effects);
         } else {
-            self.handle(nowMs, Input::Receive(envelope));
+            self.handle(now_ms, Input::Receive(envelope));
         }
     }
 
-    fn handle(&mut self, nowMs: u64, input: Input) {
-        for effect in self.node.handle(nowMs, input) {
+    fn handle(&mut self, now_ms: u64, input: Input) {
+        for effect in self.node.handle(now_ms, input) {
             match effect {
                 Effect::Send { to, message } => self.send(to, message),
                 Effect::Write { sequence, write } => self.writes.write(sequence, write),
--- a/programs/control-plane/src/lib.rs
+++ b/programs/control-plane/src/lib.rs
@@ -17,7 +17,7 @@
 use postbarrow_controller::ControlNode;
 use postbarrow_startup::Startup;
 use postbarrow_storage::{FolderDisk, Opened, Storage, open};
-pub use postbarrow_transport::now_ms;
+pub use postbarrow_transport::clock_ms;
 use postbarrow_transport::{listen, random};
 use std::io;
 use std::net::SocketAddr;
@@ -66,7 +66,7 @@
             dialect.clone(),
             commands.clone(),
         )?;
-        let mut node = ControlNode::new(own, recovered, &startup.seeds, random(), now_ms());
+        let mut node = ControlNode::new(own, recovered, &startup.seeds, random(), clock_ms());
         let bounds = &startup.bounds;
         node = node.with_bounds(bounds.list_gap_ms(), bounds.history_ms(), bounds.log_bytes());
         node = node.with_losses(bounds.losses);
@@ -100,9 +100,9 @@
 
     /// Operators get their answers, another controller leads, the disk's queue is done: then it ends.
     pub fn stop(&self) {
-        let untilMs = now_ms() + SUBMIT_WAIT_MS;
+        let until_ms = clock_ms() + SUBMIT_WAIT_MS;
         self.asker.stop();
-        while self.asker.open() > 0 && now_ms() < untilMs {
+        while self.asker.open() > 0 && clock_ms() < until_ms {
             thread::sleep(Duration::from_millis(PULSE_MS));
         }
         thread::sleep(Duration::from_millis(ANSWER_WRITE_MS));
--- a/programs/control-plane/src/list.rs
+++ b/programs/control-plane/src/list.rs
@@ -61,8 +61,8 @@
         429 | 503 => {
             let header = response.headers().get("retry-after");
             let told = header.and_then(|value| value.to_str().ok()?.trim().parse::<f64>().ok());
-            let waitMs = told.map_or(LIST_PAUSE_MS as f64, |waitS| (waitS * 1_000.0).max(0.0));
-            Fetched::Limited { waitMs: waitMs as u64 }
+            let wait_ms = told.map_or(LIST_PAUSE_MS as f64, |wait_s| (wait_s * 1_000.0).max(0.0));
+            Fetched::Limited { wait_ms: wait_ms as u64 }
         }
         status => Fetched::Failed(format!("status {status}")),
     }
--- a/programs/control-plane/src/operator.rs
+++ b/programs/control-plane/src/operator.rs
@@ -36,7 +36,7 @@
 pub fn start(address: SocketAddr, asker: Asker) -> io::Result<SocketAddr> {
     let ask = {
         let asker = asker.clone();
-        move |ask: Ask, waitMs: u64| asker.ask(ask, waitMs)
+        move |ask: Ask, wait_ms: u64| asker.ask(ask, wait_ms)
     };
     let server = Server::new(address, move |request| {
         let _at_work = asker.at_work();
@@ -105,8 +105,8 @@
         version: plan.version.as_str().into(),
         base: plan.base.as_deref().map(Into::into),
         records: plan.records(),
-        dryRun: says("dry-run"),
-        allowEmpty: says("allow-empty"),
+        dry_run: says("dry-run"),
+        allow_empty: says("allow-empty"),
     };
     info!("operator: plan {} with {} routes", plan.version, plan.routes.len());
     answer(with_traffic(ask(Ask::Submit(submission), SUBMIT_WAIT_MS), &traffic))
--- a/programs/data-plane/src/answer.rs
+++ b/programs/data-plane/src/answer.rs
@@ -17,7 +17,7 @@
     /// The connection may be used again.
     pub again: bool,
     /// How long the target keeps it idle, less a margin.
-    pub keepMs: Option<u64>,
+    pub keep_ms: Option<u64>,
 }
 
 /// Parses a response's head if it is whole.
@@ -35,7 +35,7 @@
     let status = parsed.code.unwrap_or(0);
     let mut headers = Vec::with_capacity(parsed.headers.len());
     let (mut sizes, mut chunked, mut coded) = (Vec::new(), false, false);
-    let (mut again, mut keepMs) = (parsed.version == Some(1), None);
+    let (mut again, mut keep_ms) = (parsed.version == Some(1), None);
     for header in parsed.headers.iter() {
         let value =
             std::str::from_utf8(header.value).map_err(|_| "a header is not UTF-8".to_string())?;
@@ -50,7 +50,7 @@
         } else if is("connection") {
             again &= !value.to_ascii_lowercase().contains("close");
         } else if is("keep-alive") {
-            keepMs = keep_ms(value);
+            keep_ms = read_keep_ms(value);
         }
         headers.push((header.name.to_string(), value.to_string()));
     }
@@ -62,13 +62,13 @@
         ([], true, true) => Size::Chunks,
         _ => return Err("its end is not clear".into()),
     };
-    Ok(Some(Parsed { response, length, size, again, keepMs }))
+    Ok(Some(Parsed { response, length, size, again, keep_ms }))
 }
 
-fn keep_ms(value: &str) -> Option<u64> {
+fn read_keep_ms(value: &str) -> Option<u64> {
     let told = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
-    let keepMs = told.trim().parse::<u64>().ok()?.saturating_mul(1_000);
-    Some(keepMs.saturating_sub(TARGET_IDLE_MARGIN_MS).min(TARGET_IDLE_MOST_MS))
+    let keep_ms = told.trim().parse::<u64>().ok()?.saturating_mul(1_000);
+    Some(keep_ms.saturating_sub(TARGET_IDLE_MARGIN_MS).min(TARGET_IDLE_MOST_MS))
 }
 
 /// The next chunk if it is whole: how many bytes it takes in all, and where its own are. An empty
--- a/programs/data-plane/src/ask.rs
+++ b/programs/data-plane/src/ask.rs
@@ -10,7 +10,7 @@
 use postbarrow_node::*;
 use postbarrow_routing::{Entry, Load};
 use postbarrow_state::{Digest, Kind, Name, Target};
-use postbarrow_transport::now_ms;
+use postbarrow_transport::clock_ms;
 use sha2::{Digest as _, Sha256};
 use std::sync::Arc;
 
@@ -20,30 +20,30 @@
     entry: Arc<Entry>,
     head: &Head,
     body: Vec<u8>,
-    startMs: u64,
-    arrivedMs: u64,
+    start_ms: u64,
+    arrived_ms: u64,
 ) -> (TargetResponse, Option<Reserved>) {
     let dialect = shared.dialect.as_ref();
     let key = dialect.key(head);
     let number = shared.number();
     let seed = shared.own.incarnation ^ number;
     let entry = entry.drawn(seed);
-    let untilMs = startMs + entry.route().deadlineMs;
-    let waitMs = dialect.wait_ms(head);
+    let until_ms = start_ms + entry.route().deadline_ms;
+    let wait_ms = dialect.wait_ms(head);
     let logged = dialect.named().is_none();
-    let oneTime = entry.route().kind == Kind::OneTime;
+    let one_time = entry.route().kind == Kind::OneTime;
     let go = Go {
         key: match key {
             Some(key) => Name::from(key),
-            None if oneTime && logged => shared.made_key(),
+            None if one_time && logged => shared.made_key(),
             None => Name::default(),
         },
         keyed: key.is_some(),
-        digest: if oneTime && logged { digest(head, &body) } else { [0; 32] },
+        digest: if one_time && logged { digest(head, &body) } else { [0; 32] },
         logged,
         node: shared.own.incarnation,
         zone: shared.own.zone.clone(),
-        untilMs: waitMs.map_or(untilMs, |waitMs| untilMs.min(arrivedMs + waitMs)),
+        until_ms: wait_ms.map_or(until_ms, |wait_ms| until_ms.min(arrived_ms + wait_ms)),
         seed,
     };
     let service = entry.route().service.clone();
@@ -56,27 +56,27 @@
         upstream: None,
         target: None,
         entered: None,
-        repeatable: !oneTime,
+        repeatable: !one_time,
         memory: None,
     };
     let mut event = Event::Start;
     loop {
         let table = shared.table.load_full();
         let now = Now {
-            nowMs: now_ms(),
+            now_ms: clock_ms(),
             table: &table,
             serves: shared.serves(),
             number: shared.number(),
         };
         event = match course.handle(&now, event) {
-            Step::Connect { target, load, waitMs } => work.connect(target, load, waitMs),
-            Step::AskTicket { ticket, waitMs } => {
-                Event::Answered(shared.ask(Ask::Ticket(ticket), waitMs))
+            Step::Connect { target, load, wait_ms } => work.connect(target, load, wait_ms),
+            Step::AskTicket { ticket, wait_ms } => {
+                Event::Answered(shared.ask(Ask::Ticket(ticket), wait_ms))
             }
-            Step::Pass { waitMs, untilMs } => Event::Passed(work.pass(waitMs, untilMs)),
-            Step::Settle { ticket, settlement, response, waitMs } => {
+            Step::Pass { wait_ms, until_ms } => Event::Passed(work.pass(wait_ms, until_ms)),
+            Step::Settle { ticket, settlement, response, wait_ms } => {
                 let settle = Ask::Settle { ticket, settlement, response };
-                Event::Answered(shared.ask(settle, waitMs))
+                Event::Answered(shared.ask(settle, wait_ms))
             }
             Step::Done { verdict, settle } => {
                 if let Some((ticket, settlement, response)) = settle {
@@ -102,13 +102,13 @@
 }
 
 impl Work<'_> {
-    fn connect(&mut self, target: Arc<Target>, load: Arc<Load>, waitMs: u64) -> Event {
+    fn connect(&mut self, target: Arc<Target>, load: Arc<Load>, wait_ms: u64) -> Event {
         self.entered = Some(Entered::new(load.clone()));
         let kept = self.shared.pools.load().take(&target);
         let named = self.shared.dialect.named().is_some();
         let opened = match kept {
             Some(upstream) => Ok(upstream),
-            None if named => Straight::open(target.address, waitMs).map(Upstream::Straight),
+            None if named => Straight::open(target.address, wait_ms).map(Upstream::Straight),
             None => Proved::open(&target).map(|(proved, occupancy)| {
                 load.report(occupancy);
                 Upstream::Proved(proved)
@@ -124,7 +124,7 @@
         }
     }
 
-    fn pass(&mut self, waitMs: u64, untilMs: u64) -> Passed {
+    fn pass(&mut self, wait_ms: u64, until_ms: u64) -> Passed {
         let (Some(upstream), Some(target), Some(entered)) =
             (self.upstream.take(), &self.target, self.entered.take())
         else {
@@ -134,14 +134,14 @@
             return Passed::Unsent("no space".into());
         };
         let dialect = self.shared.dialect.as_ref();
-        let headers = on_to_target(dialect, self.head, &target.instance, waitMs);
-        let gate = self.gate(target.instance.clone(), untilMs);
+        let headers = on_to_target(dialect, self.head, &target.instance, wait_ms);
+        let gate = self.gate(target.instance.clone(), until_ms);
         let (passed, back) = match (upstream, dialect.named()) {
             (Upstream::Straight(straight), Some(named)) => {
                 let (head, body) = (self.head, &self.body[..]);
                 let headers = &headers;
                 let repeatable = self.repeatable;
-                let sent = Sent { head, headers, body, waitMs, repeatable, gate };
+                let sent = Sent { head, headers, body, wait_ms, repeatable, gate };
                 let (passed, back) = straight.pass(sent, named, &mut memory);
                 (passed, back.map(Upstream::Straight))
             }
@@ -149,7 +149,7 @@
                 proved.gate(gate);
                 let (method, path) = (&self.head.method, &self.head.target);
                 let (passed, back) =
-                    proved.pass(method, path, &headers, &self.body, waitMs, &mut memory);
+                    proved.pass(method, path, &headers, &self.body, wait_ms, &mut memory);
                 (passed, back.map(Upstream::Proved))
             }
             (Upstream::Straight(_), None) => (Passed::Unsent("no name to send".into()), None),
@@ -158,7 +158,7 @@
         if let (Passed::Whole(response), Some(named)) = (&passed, dialect.named())
             && let Some(occupancy) = named.occupancy(response)
         {
-            load.report_at(now_ms(), occupancy.saturating_sub(load.at_work()));
+            load.report_at(clock_ms(), occupancy.saturating_sub(load.at_work()));
         }
         self.memory = Some(memory);
         if let Some(upstream) = back {
@@ -168,11 +168,11 @@
     }
 
     /// Looked at right before the first byte: hold, target and ticket must still stand.
-    fn gate(&self, instance: Name, untilMs: u64) -> Gate {
+    fn gate(&self, instance: Name, until_ms: u64) -> Gate {
         let (shared, service) = (self.shared.clone(), self.service.clone());
         Box::new(move || {
             let allowed = shared.table.load().allows(&service, &instance);
-            allowed && now_ms() < untilMs && shared.serves()
+            allowed && clock_ms() < until_ms && shared.serves()
         })
     }
 }
--- a/programs/data-plane/src/calls.rs
+++ b/programs/data-plane/src/calls.rs
@@ -7,7 +7,7 @@
 use postbarrow_messages::{Ask, Response};
 use postbarrow_node::TargetResponse;
 use postbarrow_state::{Call, Change, Event, Name, Outcome};
-use postbarrow_transport::now_ms;
+use postbarrow_transport::clock_ms;
 use sha2::{Digest, Sha256};
 use std::sync::atomic::Ordering::Relaxed;
 
@@ -127,9 +127,9 @@
 
 /// A long poll; it ends early when the node stops or the client is gone.
 fn watch(shared: &Shared, call: Call, gone: impl Fn() -> bool) -> TargetResponse {
-    let untilMs = now_ms() + WATCH_WAIT_MS;
+    let until_ms = clock_ms() + WATCH_WAIT_MS;
     let first = matches!(call, Call::Watch { after: None, .. });
-    let over = || now_ms() >= untilMs || shared.stopping.load(Relaxed) || gone();
+    let over = || clock_ms() >= until_ms || shared.stopping.load(Relaxed) || gone();
     let mut call = call;
     loop {
         let asked = Ask::Call { id: None, call: call.clone() };
@@ -153,8 +153,8 @@
     let none = Told::default();
     let refused = |text: &str| Some(text.to_string());
     match outcome {
-        Outcome::Locked { fence, ttlMs } => {
-            json(200, &Told { held: Some(true), fence: Some(fence), ttl_ms: Some(ttlMs), ..none })
+        Outcome::Locked { fence, ttl_ms } => {
+            json(200, &Told { held: Some(true), fence: Some(fence), ttl_ms: Some(ttl_ms), ..none })
         }
         Outcome::Held { fence } => {
             let error = refused("another holder has the lock");
--- a/programs/data-plane/src/core.rs
+++ b/programs/data-plane/src/core.rs
@@ -6,7 +6,7 @@
 use postbarrow_node::{DataNode, Effect, Input};
 use postbarrow_routing::Table;
 use postbarrow_state::Name;
-use postbarrow_transport::{Links, Slab, now_ms};
+use postbarrow_transport::{Links, Slab, clock_ms};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::*;
@@ -17,7 +17,7 @@
     Envelope(Envelope),
     Ask {
         ask: Ask,
-        waitMs: u64,
+        wait_ms: u64,
         reply: Option<SyncSender<Response>>,
     },
     Probed {
@@ -28,7 +28,7 @@
     Stop,
     /// Ends once the controller has taken every settlement, or at this time.
     End {
-        untilMs: u64,
+        until_ms: u64,
         done: Sender<()>,
     },
 }
@@ -49,25 +49,25 @@
     }
 
     pub fn run(mut self, queue: Receiver<Command>) {
-        let mut pulseMs = 0;
+        let mut pulse_ms = 0;
         loop {
-            let nowMs = now_ms();
-            if nowMs >= pulseMs {
-                pulseMs = nowMs + PULSE_MS;
+            let now_ms = clock_ms();
+            if now_ms >= pulse_ms {
+                pulse_ms = now_ms + PULSE_MS;
                 let (samples, seen) = self.shared.seen();
                 if seen > 0 {
-                    self.handle(nowMs, Input::Saw { samples, seen });
+                    self.handle(now_ms, Input::Saw { samples, seen });
                 }
-                self.handle(nowMs, Input::Pulse);
+                self.handle(now_ms, Input::Pulse);
             }
-            let waitMs = pulseMs.saturating_sub(now_ms()).max(1);
-            match queue.recv_timeout(Duration::from_millis(waitMs)) {
+            let wait_ms = pulse_ms.saturating_sub(clock_ms()).max(1);
+            match queue.recv_timeout(Duration::from_millis(wait_ms)) {
                 Err(RecvTimeoutError::Disconnected) => return,
                 Ok(command) => self.work(command),
                 Err(RecvTimeoutError::Timeout) => {}
             }
-            if let Some((untilMs, done)) = &self.ending
-                && (self.node.open_asks() == 0 || now_ms() >= *untilMs)
+            if let Some((until_ms, done)) = &self.ending
+                && (self.node.open_asks() == 0 || clock_ms() >= *until_ms)
             {
                 let _ = done.send(());
                 return;
@@ -76,24 +76,24 @@
     }
 
     fn work(&mut self, command: Command) {
-        let nowMs = now_ms();
+        let now_ms = clock_ms();
         match command {
-            Command::Envelope(envelope) => self.handle(nowMs, Input::Receive(envelope)),
-            Command::Ask { ask, waitMs, reply } => {
+            Command::Envelope(envelope) => self.handle(now_ms, Input::Receive(envelope)),
+            Command::Ask { ask, wait_ms, reply } => {
                 let key = self.asks.insert(reply);
-                self.handle(nowMs, Input::Ask { key, ask, waitMs });
+                self.handle(now_ms, Input::Ask { key, ask, wait_ms });
             }
             Command::Probed { instance, sound } => {
-                self.handle(nowMs, Input::Probed { instance, sound })
+                self.handle(now_ms, Input::Probed { instance, sound })
             }
-            Command::Seeds(seeds) => self.handle(nowMs, Input::Seeds(seeds)),
-            Command::Stop => self.handle(nowMs, Input::Stop),
-            Command::End { untilMs, done } => self.ending = Some((untilMs, done)),
+            Command::Seeds(seeds) => self.handle(now_ms, Input::Seeds(seeds)),
+            Command::Stop => self.handle(now_ms, Input::Stop),
+            Command::End { until_ms, done } => self.ending = Some((until_ms, done)),
         }
     }
 
-    fn handle(&mut self, nowMs: u64, input: Input) {
-        for effect in self.node.handle(nowMs, input) {
+    fn handle(&mut self, now_ms: u64, input: Input) {
+        for effect in self.node.handle(now_ms, input) {
             match effect {
                 Effect::Send { to, message } => self.links.send(to, message),
                 Effect::Answer { key, response } => {
@@ -108,7 +108,7 @@
                     self.shared.pools.store(Arc::new(pools));
                     self.shared.table.store(Arc::new(table));
                 }
-                Effect::Hold { untilMs } => self.shared.holdUntilMs.store(untilMs, Release),
+                Effect::Hold { until_ms } => self.shared.hold_until_ms.store(until_ms, Release),
                 Effect::Say(text) => info!("node: {text}"),
             }
         }
--- a/programs/data-plane/src/dialect.rs
+++ b/programs/data-plane/src/dialect.rs
@@ -24,7 +24,7 @@
 /// How targets are spoken to that tell no proof of themselves, but turn away what names another.
 pub trait Named: Send + Sync {
     /// Headers for this target, with the milliseconds that are left.
-    fn headers(&self, head: &Head, instance: &str, leftMs: u64) -> Vec<(String, String)>;
+    fn headers(&self, head: &Head, instance: &str, left_ms: u64) -> Vec<(String, String)>;
     fn heard(&self, head: &Head, response: &TargetResponse, first: bool) -> Heard;
     /// Asks at work and waiting there, if the response tells.
     fn occupancy(&self, response: &TargetResponse) -> Option<u64>;
@@ -77,11 +77,11 @@
     dialect: &dyn Dialect,
     head: &Head,
     instance: &str,
-    leftMs: u64,
+    left_ms: u64,
 ) -> Vec<(String, String)> {
     let mut headers = passed_on(&head.headers);
     if let Some(named) = dialect.named() {
-        for (name, value) in named.headers(head, instance, leftMs) {
+        for (name, value) in named.headers(head, instance, left_ms) {
             headers.retain(|(known, _)| !known.eq_ignore_ascii_case(&name));
             headers.push((name, value));
         }
--- a/programs/data-plane/src/downstream/serve.rs
+++ b/programs/data-plane/src/downstream/serve.rs
@@ -10,7 +10,7 @@
 use postbarrow_node::{About, TargetResponse, Told, Verdict};
 use postbarrow_routing::{Entry, Found, Refusal};
 use postbarrow_state::Kind;
-use postbarrow_transport::now_ms;
+use postbarrow_transport::clock_ms;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
 
@@ -48,9 +48,9 @@
     let table = shared.table.load();
     let (callers, own) = (&table.state.callers, Patience::default());
     Patience {
-        headBytes: callers.headBytes.map_or(own.headBytes, |bytes| bytes as usize),
-        headWaitMs: callers.headWaitMs.unwrap_or(own.headWaitMs),
-        idleMs: callers.idleMs.unwrap_or(own.idleMs),
+        head_bytes: callers.head_bytes.map_or(own.head_bytes, |bytes| bytes as usize),
+        head_wait_ms: callers.head_wait_ms.unwrap_or(own.head_wait_ms),
+        idle_ms: callers.idle_ms.unwrap_or(own.idle_ms),
     }
 }
 
@@ -74,7 +74,7 @@
     shared: &Arc<Shared>,
     head: &Head,
 ) -> Result<(TargetResponse, Option<Reserved>), Unread> {
-    let arrivedMs = now_ms();
+    let arrived_ms = clock_ms();
     match shared.dialect.own_call(head) {
         Some(OwnCall::Ready) => {
             skip_body(connection, shared, head)?;
@@ -90,7 +90,7 @@
         Unread::Refused(shared.dialect.told(Verdict { told, about, key: None }))
     };
     let keyed = shared.dialect.key(head).is_some();
-    let unread = About { oneTime: keyed, keyed, ..About::default() };
+    let unread = About { one_time: keyed, keyed, ..About::default() };
     if !shared.serves() {
         return Err(turned(unread, Told::Unready));
     }
@@ -101,9 +101,9 @@
         Found::NoRoute => return Err(turned(unread, Told::NoRoute)),
         Found::OtherMethods(methods) => return Err(turned(unread, Told::OtherMethods(methods))),
     };
-    let oneTime = entry.route().kind == Kind::OneTime;
-    let about = About { oneTime, keyed, ..About::default() };
-    if oneTime && !ask::is_sound_key(shared.dialect.as_ref(), head) {
+    let one_time = entry.route().kind == Kind::OneTime;
+    let about = About { one_time, keyed, ..About::default() };
+    if one_time && !ask::is_sound_key(shared.dialect.as_ref(), head) {
         let why = "the Idempotency-Key must be one of 1 to 200 printable characters, no colon";
         return Err(Unread::Rejected(Reject { status: 400, why }));
     }
@@ -124,33 +124,33 @@
         Err(Refusal::Rate) => return Err(turned(about, Told::OverRate)),
         Err(Refusal::Concurrency) => return Err(turned(about, Told::OverConcurrency)),
     };
-    let body = match read_body(connection, shared, head, entry.route().bodyBytes) {
+    let body = match read_body(connection, shared, head, entry.route().body_bytes) {
         Err(Unread::Rejected(reject)) if reject == body::TOO_LARGE => {
-            return Err(turned(about, Told::BodyTooLarge(entry.route().bodyBytes)));
+            return Err(turned(about, Told::BodyTooLarge(entry.route().body_bytes)));
         }
         Err(Unread::Rejected(reject)) if reject == body::FULL => {
             return Err(turned(about, Told::Overloaded));
         }
         other => other?,
     };
-    let startMs = if oneTime || !body.bytes.is_empty() { now_ms() } else { arrivedMs };
-    Ok(ask::run(shared, entry, head, body.bytes, startMs, arrivedMs))
+    let start_ms = if one_time || !body.bytes.is_empty() { clock_ms() } else { arrived_ms };
+    Ok(ask::run(shared, entry, head, body.bytes, start_ms, arrived_ms))
 }
 
 fn read_body(
     connection: &mut Connection,
     shared: &Shared,
     head: &Head,
-    mostBytes: u64,
+    most_bytes: u64,
 ) -> Result<body::Body, Unread> {
-    if matches!(head.length, Length::Sized(sizeBytes) if sizeBytes > mostBytes) {
+    if matches!(head.length, Length::Sized(size_bytes) if size_bytes > most_bytes) {
         return Err(Unread::Rejected(body::TOO_LARGE));
     }
     if head.waits && connection.go_on().is_err() {
         return Err(Unread::Rejected(Reject { status: 0, why: "the client is gone" }));
     }
-    let deadlineMs = now_ms() + BODY_WAIT_MS;
-    body::read(connection, head.length, mostBytes, &shared.memory, deadlineMs)
+    let deadline_ms = clock_ms() + BODY_WAIT_MS;
+    body::read(connection, head.length, most_bytes, &shared.memory, deadline_ms)
         .map_err(Unread::Rejected)
 }
 
@@ -161,7 +161,7 @@
 struct Entered(Arc<Entry>);
 
 fn enter(entry: &Arc<Entry>, nodes: u64) -> Result<Entered, Refusal> {
-    entry.made.limits.enter(now_ms(), nodes)?;
+    entry.made.limits.enter(clock_ms(), nodes)?;
     Ok(Entered(entry.clone()))
 }
 
--- a/programs/data-plane/src/fair.rs
+++ b/programs/data-plane/src/fair.rs
@@ -22,8 +22,8 @@
 
 /// While places are plenty anybody may have them. Once half are taken, none may have more than its
 /// share: what is over it is shed, so that the rest stays for others.
-pub fn is_over_share(taken: usize, own: usize, most: usize, sharePercent: usize) -> bool {
-    taken * 2 > most && own * 100 > most * sharePercent
+pub fn is_over_share(taken: usize, own: usize, most: usize, share_percent: usize) -> bool {
+    taken * 2 > most && own * 100 > most * share_percent
 }
 
 /// A count that goes down again when dropped.
--- a/programs/data-plane/src/lib.rs
+++ b/programs/data-plane/src/lib.rs
@@ -25,7 +25,7 @@
 use postbarrow_node::DataNode;
 use postbarrow_startup::Startup;
 use postbarrow_state::{Name, Node};
-use postbarrow_transport::{listen, now_ms, random};
+use postbarrow_transport::{clock_ms, listen, random};
 use share::Shared;
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -38,7 +38,7 @@
 /// A running data-plane node.
 pub struct DataPlane {
     shared: Arc<Shared>,
-    stopMs: (u64, u64),
+    stop_ms: (u64, u64),
 }
 
 impl DataPlane {
@@ -60,8 +60,8 @@
         info!("node: {} is {:016x}, zone {}", own.name, own.incarnation, own.zone);
         let (commands, queue) = channel();
         let shared = Arc::new(Shared::new(own.clone(), dialect, &startup.bounds, commands));
-        let holdMs = startup.bounds.hold_ms();
-        let node = DataNode::new(own, startup.seeds.clone(), now_ms()).with_hold(holdMs);
+        let hold_ms = startup.bounds.hold_ms();
+        let node = DataNode::new(own, startup.seeds.clone(), clock_ms()).with_hold(hold_ms);
         let core = Core::new(node, shared.clone());
         thread::Builder::new().name("node".into()).spawn(move || core.run(queue))?;
         let hand = shared.clone();
@@ -77,7 +77,7 @@
             downstream::listen(TcpListener::bind(condition)?, shared.clone())?;
         }
         downstream::listen(http, shared.clone())?;
-        Ok(DataPlane { shared, stopMs: startup.bounds.stop_ms() })
+        Ok(DataPlane { shared, stop_ms: startup.bounds.stop_ms() })
     }
 
     /// Other addresses that may lead to the control plane.
@@ -98,17 +98,18 @@
         info!("node: stops");
         self.shared.stopping.store(true, SeqCst);
         self.shared.command(Command::Stop);
-        let (unreadyMs, endMs) = self.stopMs;
-        let untilMs = now_ms() + endMs;
-        thread::sleep(Duration::from_millis(unreadyMs));
+        let (unready_ms, end_ms) = self.stop_ms;
+        let until_ms = clock_ms() + end_ms;
+        thread::sleep(Duration::from_millis(unready_ms));
         self.shared.closed.store(true, SeqCst);
         let _woken = TcpStream::connect(self.shared.own.http);
-        while self.shared.downstreams.load(SeqCst) > 0 && now_ms() < untilMs {
+        while self.shared.downstreams.load(SeqCst) > 0 && clock_ms() < until_ms {
             thread::sleep(Duration::from_millis(20));
         }
         let (done, ended) = channel();
-        self.shared.command(Command::End { untilMs, done });
-        let _ = ended.recv_timeout(Duration::from_millis(untilMs.saturating_sub(now_ms()) + 100));
+        self.shared.command(Command::End { until_ms, done });
+        let _ =
+            ended.recv_timeout(Duration::from_millis(until_ms.saturating_sub(clock_ms()) + 100));
         info!("node: ends");
     }
 }
--- a/programs/data-plane/src/probe.rs
+++ b/programs/data-plane/src/probe.rs
@@ -4,7 +4,7 @@
 use postbarrow_constants::nodes::PROBE_MS;
 use postbarrow_constants::traffic::STACK_BYTES;
 use postbarrow_state::{Name, Target};
-use postbarrow_transport::now_ms;
+use postbarrow_transport::clock_ms;
 use std::collections::HashSet;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
@@ -41,7 +41,7 @@
 
 fn watch(shared: &Shared, instance: &Name) {
     loop {
-        let startMs = now_ms();
+        let start_ms = clock_ms();
         let table = shared.table.load_full();
         let Some(target) = table.state.targets.get(instance).cloned() else { return };
         let sound = match probe(shared, &target) {
@@ -60,8 +60,8 @@
         if shared.stopping.load(Relaxed) {
             return;
         }
-        let pauseMs = (startMs + PROBE_MS).saturating_sub(now_ms());
-        thread::sleep(Duration::from_millis(pauseMs));
+        let pause_ms = (start_ms + PROBE_MS).saturating_sub(clock_ms());
+        thread::sleep(Duration::from_millis(pause_ms));
     }
 }
 
--- a/programs/data-plane/src/read_call.rs
+++ b/programs/data-plane/src/read_call.rs
@@ -24,8 +24,8 @@
     let call = match (part, head.method.as_str()) {
         ("locks", "POST") => given.lock(name),
         ("locks", "PUT") => {
-            let ttlMs = given.number("ttlMs");
-            given.held().map(|(holder, fence)| Call::Renew { name, holder, fence, ttlMs })
+            let ttl_ms = given.number("ttlMs");
+            given.held().map(|(holder, fence)| Call::Renew { name, holder, fence, ttl_ms })
         }
         ("locks", "DELETE") => {
             given.held().map(|(holder, fence)| Call::Free { name, holder, fence })
@@ -68,8 +68,8 @@
     }
 
     fn lock(&mut self, name: Name) -> Option<Call> {
-        let (holder, ttlMs) = (self.text("holder"), self.needed("ttlMs"));
-        Some(Call::Lock { name, holder: holder?, ttlMs: ttlMs? })
+        let (holder, ttl_ms) = (self.text("holder"), self.needed("ttlMs"));
+        Some(Call::Lock { name, holder: holder?, ttl_ms: ttl_ms? })
     }
 
     fn held(&mut self) -> Option<(Name, u64)> {
--- a/programs/data-plane/src/share.rs
+++ b/programs/data-plane/src/share.rs
@@ -11,7 +11,7 @@
 use postbarrow_routing::Table;
 use postbarrow_startup::Bounds;
 use postbarrow_state::{Name, Node, Sample};
-use postbarrow_transport::{now_ms, random};
+use postbarrow_transport::{clock_ms, random};
 use sha2::{Digest as _, Sha256};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::*};
@@ -24,7 +24,7 @@
     pub dialect: Arc<dyn Dialect>,
     pub table: ArcSwap<Table>,
     pub pools: ArcSwap<Pools>,
-    pub holdUntilMs: AtomicU64,
+    pub hold_until_ms: AtomicU64,
     pub stopping: AtomicBool,
     /// No new client connections.
     pub closed: AtomicBool,
@@ -58,7 +58,7 @@
             dialect,
             table: ArcSwap::from_pointee(Table::empty().with_extra(bounds.extra())),
             pools: ArcSwap::from_pointee(Pools::default()),
-            holdUntilMs: AtomicU64::new(0),
+            hold_until_ms: AtomicU64::new(0),
             stopping: AtomicBool::new(false),
             closed: AtomicBool::new(false),
             memory: Memory::new(bodies),
@@ -79,7 +79,7 @@
 
     /// The hold is looked at last, right before what it allows.
     pub fn serves(&self) -> bool {
-        now_ms() < self.holdUntilMs.load(Acquire)
+        clock_ms() < self.hold_until_ms.load(Acquire)
     }
 
     pub fn is_ready(&self) -> bool {
@@ -106,8 +106,8 @@
             method: Name::from(&head.method),
             path: head.path().to_string(),
             headers: head.headers.iter().filter(named).cloned().collect(),
-            bodyBytes: match head.length {
-                Length::Sized(sizeBytes) => sizeBytes,
+            body_bytes: match head.length {
+                Length::Sized(size_bytes) => size_bytes,
                 Length::None | Length::Chunked => 0,
             },
         };
@@ -133,19 +133,19 @@
     }
 
     /// Asks the controller and waits for its response or the end of the time.
-    pub fn ask(&self, ask: Ask, waitMs: u64) -> Response {
+    pub fn ask(&self, ask: Ask, wait_ms: u64) -> Response {
         let (reply, response) = sync_channel(1);
-        let waitMs = waitMs.max(1);
-        if self.commands.send(Command::Ask { ask, waitMs, reply: Some(reply) }).is_err() {
+        let wait_ms = wait_ms.max(1);
+        if self.commands.send(Command::Ask { ask, wait_ms, reply: Some(reply) }).is_err() {
             return Response::TimedOut;
         }
-        let patience = Duration::from_millis(waitMs + 200);
+        let patience = Duration::from_millis(wait_ms + 200);
         response.recv_timeout(patience).unwrap_or(Response::TimedOut)
     }
 
     /// Tells the controller; sent again until it is taken, waited for by nobody.
-    pub fn tell(&self, ask: Ask, waitMs: u64) {
-        let _ = self.commands.send(Command::Ask { ask, waitMs, reply: None });
+    pub fn tell(&self, ask: Ask, wait_ms: u64) {
+        let _ = self.commands.send(Command::Ask { ask, wait_ms, reply: None });
     }
 
     pub fn command(&self, command: Command) {
--- a/programs/data-plane/src/straight.rs
+++ b/programs/data-plane/src/straight.rs
@@ -4,7 +4,7 @@
 use postbarrow_downstream::head::Head;
 use postbarrow_downstream::memory::Reserved;
 use postbarrow_node::{Passed, TargetResponse};
-use postbarrow_transport::{give_up_unheard, now_ms};
+use postbarrow_transport::{clock_ms, give_up_unheard};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::os::fd::AsRawFd;
@@ -16,18 +16,18 @@
     stream: TcpStream,
     buffer: Vec<u8>,
     start: usize,
-    waitMs: u64,
-    unheardMs: u64,
+    wait_ms: u64,
+    unheard_ms: u64,
     first: bool,
-    usedMs: u64,
-    keepMs: u64,
+    used_ms: u64,
+    keep_ms: u64,
 }
 
 pub struct Sent<'a> {
     pub head: &'a Head,
     pub headers: &'a [(String, String)],
     pub body: &'a [u8],
-    pub waitMs: u64,
+    pub wait_ms: u64,
     /// Another target may be asked instead, so a machine that hears nothing is left soon.
     pub repeatable: bool,
     pub gate: Gate,
@@ -39,25 +39,25 @@
 }
 
 impl Straight {
-    pub fn open(address: SocketAddr, waitMs: u64) -> Result<Straight, String> {
-        let wait = Duration::from_millis(waitMs.clamp(1, TARGET_CONNECT_MS));
+    pub fn open(address: SocketAddr, wait_ms: u64) -> Result<Straight, String> {
+        let wait = Duration::from_millis(wait_ms.clamp(1, TARGET_CONNECT_MS));
         let open = || {
             let stream = TcpStream::connect_timeout(&address, wait)?;
             stream.set_nodelay(true)?;
             Ok(stream)
         };
         let stream = open().map_err(|error: std::io::Error| format!("connect: {error}"))?;
-        let (buffer, usedMs) = (Vec::new(), now_ms());
-        let keepMs = TARGET_IDLE_MS;
+        let (buffer, used_ms) = (Vec::new(), clock_ms());
+        let keep_ms = TARGET_IDLE_MS;
         Ok(Straight {
             stream,
             buffer,
             start: 0,
-            waitMs: 0,
-            unheardMs: 0,
+            wait_ms: 0,
+            unheard_ms: 0,
             first: true,
-            usedMs,
-            keepMs,
+            used_ms,
+            keep_ms,
         })
     }
 
@@ -68,7 +68,7 @@
         let seen =
             unsafe { libc::recv(self.stream.as_raw_fd(), byte.as_mut_ptr().cast(), 1, flags) };
         let quiet = seen < 0 && std::io::Error::last_os_error().kind() == ErrorKind::WouldBlock;
-        quiet && now_ms() < self.usedMs + self.keepMs
+        quiet && clock_ms() < self.used_ms + self.keep_ms
     }
 
     /// Sends one ask and reads its response. The connection comes back if it may be used again.
@@ -78,7 +78,7 @@
         named: &dyn Named,
         memory: &mut Reserved,
     ) -> (Passed, Option<Straight>) {
-        let untilMs = now_ms() + sent.waitMs.max(1);
+        let until_ms = clock_ms() + sent.wait_ms.max(1);
         let mut out = Vec::with_capacity(512);
         let _ = write!(out, "{} {} HTTP/1.1\r\n", sent.head.method, sent.head.target);
         for (name, value) in sent.headers {
@@ -93,12 +93,12 @@
             return (Passed::Unsent("no longer allowed".into()), None);
         }
         out.extend_from_slice(sent.body);
-        let unheardMs = if sent.repeatable { TARGET_UNHEARD_MS } else { 0 };
-        if unheardMs != self.unheardMs {
-            let _ = give_up_unheard(&self.stream, unheardMs);
-            self.unheardMs = unheardMs;
+        let unheard_ms = if sent.repeatable { TARGET_UNHEARD_MS } else { 0 };
+        if unheard_ms != self.unheard_ms {
+            let _ = give_up_unheard(&self.stream, unheard_ms);
+            self.unheard_ms = unheard_ms;
         }
-        if let Err((bytes, why)) = self.write(&out, untilMs) {
+        if let Err((bytes, why)) = self.write(&out, until_ms) {
             let passed = match bytes {
                 0 => Passed::Unsent(why),
                 _ => Passed::Unknown { late: false, why },
@@ -107,7 +107,7 @@
         }
         drop(out);
         loop {
-            let read = self.read(&sent.head.method, untilMs, memory);
+            let read = self.read(&sent.head.method, until_ms, memory);
             let (response, again) = match read {
                 Ok(read) => read,
                 Err(Unread::Late) => {
@@ -124,7 +124,7 @@
                 Heard::NotRun(why) => Passed::NotRun(why),
                 Heard::Whole => Passed::Whole(response),
             };
-            self.usedMs = now_ms();
+            self.used_ms = clock_ms();
             let clean = again && self.start == self.buffer.len();
             self.buffer = Vec::new();
             self.start = 0;
@@ -132,15 +132,15 @@
         }
     }
 
-    fn write(&mut self, bytes: &[u8], untilMs: u64) -> Result<(), (usize, String)> {
+    fn write(&mut self, bytes: &[u8], until_ms: u64) -> Result<(), (usize, String)> {
         let mut done = 0;
         while done < bytes.len() {
             if done > 0 || bytes.len() > WRITE_BYTES {
-                let leftMs = untilMs.saturating_sub(now_ms());
-                if leftMs == 0 {
+                let left_ms = until_ms.saturating_sub(clock_ms());
+                if left_ms == 0 {
                     return Err((done, "late while sending".into()));
                 }
-                let _ = self.stream.set_write_timeout(Some(Duration::from_millis(leftMs)));
+                let _ = self.stream.set_write_timeout(Some(Duration::from_millis(left_ms)));
             }
             match self.stream.write(&bytes[done..]) {
                 Ok(0) => return Err((done, "closed while sending".into())),
@@ -152,14 +152,14 @@
         Ok(())
     }
 
-    fn more(&mut self, untilMs: u64) -> Result<(), Unread> {
-        let leftMs = untilMs.saturating_sub(now_ms());
-        if leftMs == 0 {
+    fn more(&mut self, until_ms: u64) -> Result<(), Unread> {
+        let left_ms = until_ms.saturating_sub(clock_ms());
+        if left_ms == 0 {
             return Err(Unread::Late);
         }
-        if leftMs > self.waitMs || leftMs + TIMEOUT_SLACK_MS < self.waitMs {
-            self.waitMs = leftMs;
-            let _ = self.stream.set_read_timeout(Some(Duration::from_millis(leftMs)));
+        if left_ms > self.wait_ms || left_ms + TIMEOUT_SLACK_MS < self.wait_ms {
+            self.wait_ms = left_ms;
+            let _ = self.stream.set_read_timeout(Some(Duration::from_millis(left_ms)));
         }
         let had = self.buffer.len();
         self.buffer.resize(had + READ_BYTES, 0);
@@ -179,7 +179,7 @@
     fn read(
         &mut self,
         method: &str,
-        untilMs: u64,
+        until_ms: u64,
         memory: &mut Reserved,
     ) -> Result<(TargetResponse, bool), Unread> {
         let (mut response, again, size) = loop {
@@ -188,11 +188,11 @@
                 Ok(None) if self.buffer.len() - self.start > HEAD_BYTES => {
                     return Err(Unread::Failed("its head is too large".into()));
                 }
-                Ok(None) => self.more(untilMs)?,
+                Ok(None) => self.more(until_ms)?,
                 Ok(Some(parsed)) => {
                     self.start += parsed.length;
-                    if let Some(keepMs) = parsed.keepMs {
-                        self.keepMs = keepMs;
+                    if let Some(keep_ms) = parsed.keep_ms {
+                        self.keep_ms = keep_ms;
                     }
                     if parsed.response.status < 200 {
                         continue;
@@ -209,7 +209,7 @@
                 }
                 self.buffer.reserve(size.saturating_sub(self.buffer.len() - self.start));
                 while self.buffer.len() - self.start < size {
-                    self.more(untilMs)?;
+                    self.more(until_ms)?;
                 }
                 response.body = self.buffer[self.start..self.start + size].to_vec();
                 self.start += size;
@@ -217,7 +217,7 @@
             crate::answer::Size::Chunks => loop {
                 let rest = &self.buffer[self.start..];
                 match crate::answer::chunk(rest).map_err(Unread::Failed)? {
-                    None => self.more(untilMs)?,
+                    None => self.more(until_ms)?,
                     Some((used, part)) => {
                         if !memory.grow(part.len() as u64)
                             || response.body.len() + part.len() > RESPONSE_BYTES
--- a/programs/data-plane/src/tests/crowds.rs
+++ b/programs/data-plane/src/tests/crowds.rs
@@ -69,8 +69,11 @@
     let found = ScriptedTarget::start("s-1", "s", vec![Script::Whole("x")]);
     let rig = Rig::new(vec![target("s-1", "s", found.address)], yes);
     let state = rig.shared.table.load().state.as_ref().clone();
-    let callers =
-        postbarrow_state::Callers { headBytes: Some(300), headWaitMs: Some(50), idleMs: Some(1) };
+    let callers = postbarrow_state::Callers {
+        head_bytes: Some(300),
+        head_wait_ms: Some(50),
+        idle_ms: Some(1),
+    };
     let state = postbarrow_state::State { callers, ..state };
     let table = postbarrow_routing::Table::new(state.into(), 2, &rig.shared.table.load());
     rig.shared.table.store(table.into());
--- a/programs/data-plane/src/tests/named.rs
+++ b/programs/data-plane/src/tests/named.rs
@@ -39,7 +39,7 @@
 }
 
 impl Named for Words {
-    fn headers(&self, _head: &Head, instance: &str, _leftMs: u64) -> Vec<(String, String)> {
+    fn headers(&self, _head: &Head, instance: &str, _left_ms: u64) -> Vec<(String, String)> {
         vec![("For".into(), instance.into())]
     }
     fn heard(&self, head: &Head, response: &TargetResponse, _first: bool) -> Heard {
--- a/programs/data-plane/src/tests/rig.rs
+++ b/programs/data-plane/src/tests/rig.rs
@@ -65,7 +65,7 @@
         });
         let rig = Rig { shared, http, asked };
         rig.publish(targets);
-        rig.shared.holdUntilMs.store(u64::MAX, Relaxed);
+        rig.shared.hold_until_ms.store(u64::MAX, Relaxed);
         downstream::listen(listener, rig.shared.clone()).unwrap();
         rig
     }
@@ -85,14 +85,14 @@
             kind,
             service: service.into(),
             when: None,
-            bodyBytes: 1_000,
-            ratePerS: None,
+            body_bytes: 1_000,
+            rate_per_s: None,
             concurrency: None,
-            deadlineMs: 4_000,
+            deadline_ms: 4_000,
             host: None,
             shares: Vec::new(),
             tries: None,
-            goalMs: None,
+            goal_ms: None,
             precedence: 0,
         };
         state.routes.push_back(Arc::new(route("/look/*", "GET", Kind::Lookup, "s")));
--- a/programs/data-plane/src/upstream.rs
+++ b/programs/data-plane/src/upstream.rs
@@ -7,7 +7,7 @@
 use postbarrow_node::{Passed, TargetResponse};
 use postbarrow_routing::Table;
 use postbarrow_state::{Name, Target};
-use postbarrow_transport::now_ms;
+use postbarrow_transport::clock_ms;
 use std::collections::HashMap;
 use std::io::Read;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
     agent: Agent,
     wire: Arc<Wire>,
     address: SocketAddr,
-    usedMs: u64,
+    used_ms: u64,
 }
 
 /// A connection that may carry asks to the one target it was opened to.
@@ -34,7 +34,7 @@
 impl Upstream {
     fn is_fresh(&self) -> bool {
         match self {
-            Upstream::Proved(proved) => now_ms() < proved.usedMs + IDLE_CONNECTION_MS,
+            Upstream::Proved(proved) => clock_ms() < proved.used_ms + IDLE_CONNECTION_MS,
             Upstream::Straight(straight) => straight.is_fresh(),
         }
     }
@@ -98,7 +98,7 @@
             .build();
         let connector = OnceConnector::new(wire.clone());
         let agent = Agent::with_parts(config, connector, DefaultResolver::default());
-        let mut proved = Proved { agent, wire, address: target.address, usedMs: now_ms() };
+        let mut proved = Proved { agent, wire, address: target.address, used_ms: clock_ms() };
         let occupancy = proved.prove(target)?;
         Ok((proved, occupancy))
     }
@@ -121,7 +121,7 @@
         {
             return Err(format!("another target stands at {}", self.address));
         }
-        self.usedMs = now_ms();
+        self.used_ms = clock_ms();
         Ok(proof.occupancy)
     }
 
@@ -136,7 +136,7 @@
         target: &str,
         headers: &[(String, String)],
         body: &[u8],
-        waitMs: u64,
+        wait_ms: u64,
         memory: &mut Reserved,
     ) -> (Passed, Option<Proved>) {
         let before = self.wire.sent();
@@ -149,7 +149,7 @@
         for (name, value) in headers {
             request = request.header(name, value);
         }
-        let wait = Duration::from_millis(waitMs.max(1));
+        let wait = Duration::from_millis(wait_ms.max(1));
         let sent = if body.is_empty() && matches!(method, "GET" | "HEAD" | "OPTIONS" | "DELETE") {
             request.body(()).map(|request| {
                 let request = self.agent.configure_request(request);
@@ -177,7 +177,7 @@
         };
         match whole(response, method, memory) {
             Ok((response, again)) => {
-                self.usedMs = now_ms();
+                self.used_ms = clock_ms();
                 (Passed::Whole(response), again.then_some(self))
             }
             Err(Some(error)) => (failed(&self.wire, error), None),
--- a/tools/fleet-runner/src/after.rs
+++ b/tools/fleet-runner/src/after.rs
@@ -8,15 +8,15 @@
 pub fn check(fleet: &Fleet, told: &Told) -> Vec<String> {
     let mut violations = Vec::new();
     let mut lags = Vec::new();
-    for (instance, markedMs) in &told.left {
+    for (instance, marked_ms) in &told.left {
         let file = format!("{}/records/{instance}", fleet.folder);
         let text = std::fs::read_to_string(file).unwrap_or_default();
         let last = text.lines().filter_map(|line| line.rsplit(' ').next()?.parse::<u128>().ok());
-        let lagMs = last.max().unwrap_or(0).saturating_sub(*markedMs);
-        lags.push(lagMs);
-        if lagMs > LEFT_MOST_MS {
+        let lag_ms = last.max().unwrap_or(0).saturating_sub(*marked_ms);
+        lags.push(lag_ms);
+        if lag_ms > LEFT_MOST_MS {
             violations
-                .push(format!("{instance} ran an ask {lagMs} ms after the list showed it leave"));
+                .push(format!("{instance} ran an ask {lag_ms} ms after the list showed it leave"));
         }
     }
     println!("fleet: {} faults drawn", told.drawn);
@@ -32,11 +32,11 @@
     if !lags.is_empty() {
         println!("fleet: last ask after the list's mark, ms: {lags:?}");
     }
-    if !told.inForceMs.is_empty() {
-        println!("fleet: acknowledged to in force on every ready node, ms: {:?}", told.inForceMs);
+    if !told.in_force_ms.is_empty() {
+        println!("fleet: acknowledged to in force on every ready node, ms: {:?}", told.in_force_ms);
     }
-    for tookMs in told.inForceMs.iter().filter(|tookMs| **tookMs > IN_FORCE_MOST_MS) {
-        violations.push(format!("a plan took {tookMs} ms to be in force"));
+    for took_ms in told.in_force_ms.iter().filter(|took_ms| **took_ms > IN_FORCE_MOST_MS) {
+        violations.push(format!("a plan took {took_ms} ms to be in force"));
     }
     violations.extend(told.violations.iter().cloned());
     match fleet.get("/plan") {
--- a/tools/fleet-runner/src/clocks.rs
+++ b/tools/fleet-runner/src/clocks.rs
@@ -29,10 +29,10 @@
             }
         }
         let names = [format!("control-{}", seed % 3), format!("data-{node}")];
-        for jumpS in JUMPS_S {
+        for jump_s in JUMPS_S {
             for name in &names {
                 let file = format!("{}/{name}.clock", self.folder);
-                std::fs::write(file, jumpS.to_string()).map_err(|error| error.to_string())?;
+                std::fs::write(file, jump_s.to_string()).map_err(|error| error.to_string())?;
             }
             sleep(Duration::from_millis(PAUSE_MS));
         }
--- a/tools/fleet-runner/src/cuts.rs
+++ b/tools/fleet-runner/src/cuts.rs
@@ -83,10 +83,10 @@
     }
 
     /// The platform's list in trouble for a while.
-    pub fn trouble(&self, word: &str, forMs: u64) -> Result<(), String> {
+    pub fn trouble(&self, word: &str, for_ms: u64) -> Result<(), String> {
         let file = format!("{}/trouble", self.folder);
         std::fs::write(&file, word).map_err(|error| error.to_string())?;
-        sleep(Duration::from_millis(forMs));
+        sleep(Duration::from_millis(for_ms));
         std::fs::write(&file, "").map_err(|error| error.to_string())
     }
 
@@ -119,7 +119,7 @@
 
     /// Its machine comes back empty, at a place that none had before.
     pub fn empty_control(&mut self, at: usize) -> Result<(), String> {
-        let place = self.nextPlace;
+        let place = self.next_place;
         for _ in 0..60 {
             if self.three_voters() {
                 break;
@@ -132,7 +132,7 @@
         self.control[at].kill();
         let folder = format!("{}/control-{at}", self.folder);
         std::fs::remove_dir_all(folder).map_err(|error| error.to_string())?;
-        self.nextPlace += 1;
+        self.next_place += 1;
         let words = self.control_words(at, place)?;
         self.control[at].with_words(words);
         self.control[at].begin()?;
--- a/tools/fleet-runner/src/faults.rs
+++ b/tools/fleet-runner/src/faults.rs
@@ -10,7 +10,7 @@
 #[derive(Default)]
 pub struct Told {
     pub left: Vec<(String, u128)>,
-    pub inForceMs: Vec<u64>,
+    pub in_force_ms: Vec<u64>,
     pub violations: Vec<String>,
     pub plan: String,
     pub drawn: usize,
@@ -132,7 +132,12 @@
     fleet.control.iter().position(|process| named(process.words())).unwrap_or(0)
 }
 
-fn again_data(fleet: &mut Fleet, which: &[usize], signal: i32, pauseMs: u64) -> Result<(), String> {
+fn again_data(
+    fleet: &mut Fleet,
+    which: &[usize],
+    signal: i32,
+    pause_ms: u64,
+) -> Result<(), String> {
     let count = fleet.data.len();
     for at in which {
         fleet.data[at % count].signal(signal);
@@ -140,7 +145,7 @@
     for at in which {
         fleet.data[at % count].reap();
     }
-    sleep(Duration::from_millis(pauseMs));
+    sleep(Duration::from_millis(pause_ms));
     which.iter().try_for_each(|at| fleet.data[at % count].begin())
 }
 
--- a/tools/fleet-runner/src/fleet.rs
+++ b/tools/fleet-runner/src/fleet.rs
@@ -20,9 +20,9 @@
     pub programs: String,
     pub spec: Spec,
     pub version: String,
-    pub nextPort: u16,
-    pub nextPlace: u16,
-    pub targetWords: Vec<String>,
+    pub next_port: u16,
+    pub next_place: u16,
+    pub target_words: Vec<String>,
     pub port: u16,
     _list: Process,
     pub relays: Relays,
@@ -35,7 +35,7 @@
 
 pub struct Submitted {
     pub status: u16,
-    pub tookMs: u64,
+    pub took_ms: u64,
 }
 
 impl Fleet {
@@ -48,12 +48,12 @@
         let list = List::new(&folder);
         list.write()?;
         let words = |text: String| text.split(' ').map(str::to_string).collect::<Vec<String>>();
-        let listWords = words(format!(
+        let list_words = words(format!(
             "list --http 127.0.0.1:{} --file {} --trouble {folder}/trouble",
             cli.port,
             list.file()
         ));
-        let listed = Process::start(&cli.programs, "stand-ins", "list", listWords, &folder)?;
+        let listed = Process::start(&cli.programs, "stand-ins", "list", list_words, &folder)?;
         let config = Agent::config_builder()
             .http_status_as_error(false)
             .proxy(None)
@@ -68,9 +68,9 @@
             programs: cli.programs.clone(),
             spec,
             version: "v1".into(),
-            nextPort: cli.port + 1_000,
-            nextPlace: 3,
-            targetWords: Vec::new(),
+            next_port: cli.port + 1_000,
+            next_place: 3,
+            target_words: Vec::new(),
             port: cli.port,
             _list: listed,
             relays: Relays::default(),
@@ -79,11 +79,11 @@
             zones: Vec::new(),
         };
         if cli.per_mille > 0 {
-            fleet.targetWords =
+            fleet.target_words =
                 words(format!("--faults {} --per-mille {}", cli.target_faults, cli.per_mille));
         }
-        let zoneDelay = fleet.spec.zoneDelay;
-        fleet.relays.rule(|rules| rules.zoneDelay = zoneDelay);
+        let zone_delay = fleet.spec.zone_delay;
+        fleet.relays.rule(|rules| rules.zone_delay = zone_delay);
         for (service, count) in fleet.spec.targets {
             for at in 0..count {
                 fleet.add_target(service, ZONES[at % ZONES.len()], None)?;
@@ -100,7 +100,7 @@
             )?;
             fleet.control.push(process);
         }
-        for at in 0..fleet.spec.dataNodes {
+        for at in 0..fleet.spec.data_nodes {
             let zone = ZONES[at % ZONES.len()];
             let (address, http) = (cli.port + 200 + at as u16, cli.port + 400 + at as u16);
             let words = words(format!(
@@ -147,8 +147,8 @@
         address: Option<String>,
     ) -> Result<String, String> {
         let address = address.unwrap_or_else(|| {
-            self.nextPort += 1;
-            let (told, bound) = (local(self.nextPort), local(self.nextPort + BOUND));
+            self.next_port += 1;
+            let (told, bound) = (local(self.next_port), local(self.next_port + BOUND));
             if let Err(error) = self.relays.bytes(told, bound) {
                 println!("fleet: relay {told}: {error}");
             }
@@ -163,7 +163,7 @@
             self.targets.len()
         );
         let mut words: Vec<String> = text.split(' ').map(str::to_string).collect();
-        words.extend(self.targetWords.iter().cloned());
+        words.extend(self.target_words.iter().cloned());
         let process = Process::start(&self.programs, "stand-ins", &instance, words, &self.folder)?;
         self.targets.insert(instance.clone(), process);
         let row = Row {
@@ -191,8 +191,8 @@
         for address in self.control_http() {
             let sent = self.agent.post(format!("http://{address}/plans")).send(text);
             if let Ok(response) = sent {
-                let tookMs = start.elapsed().as_millis() as u64;
-                return Some(Submitted { status: response.status().as_u16(), tookMs });
+                let took_ms = start.elapsed().as_millis() as u64;
+                return Some(Submitted { status: response.status().as_u16(), took_ms });
             }
         }
         None
--- a/tools/fleet-runner/src/main.rs
+++ b/tools/fleet-runner/src/main.rs
@@ -112,7 +112,7 @@
     let sound = load.wait().map_err(|error| error.to_string())?.success();
     let healed = fleet.wait_ready(20_000);
     match &healed {
-        Ok(tookMs) => println!("fleet: all ready {tookMs} ms after the load's end"),
+        Ok(took_ms) => println!("fleet: all ready {took_ms} ms after the load's end"),
         Err(error) => println!("fleet: violation: {error}"),
     }
     let after = after::check(&fleet, &told);
--- a/tools/fleet-runner/src/plans.rs
+++ b/tools/fleet-runner/src/plans.rs
@@ -17,7 +17,7 @@
     for _ in 0..20 {
         match fleet.submit(&text) {
             Some(submitted) if submitted.status == 200 => {
-                println!("fleet: {version} acknowledged after {} ms", submitted.tookMs);
+                println!("fleet: {version} acknowledged after {} ms", submitted.took_ms);
                 fleet.version = version;
                 told.plan = text;
                 return in_force(fleet, told);
@@ -36,7 +36,7 @@
         let stale =
             fleet.nodes().iter().flatten().any(|(ready, text)| *ready && !text.contains(&wanted));
         if !stale {
-            told.inForceMs.push(start.elapsed().as_millis() as u64);
+            told.in_force_ms.push(start.elapsed().as_millis() as u64);
             return Ok(());
         }
     }
--- a/tools/fleet-runner/src/process.rs
+++ b/tools/fleet-runner/src/process.rs
@@ -76,9 +76,9 @@
     }
 
     /// From now on its files may not grow past so many bytes.
-    pub fn limit_files(&self, sizeBytes: u64) -> Result<(), String> {
+    pub fn limit_files(&self, size_bytes: u64) -> Result<(), String> {
         let child = self.child.as_ref().ok_or("not running")?;
-        let limit = libc::rlimit { rlim_cur: sizeBytes, rlim_max: sizeBytes };
+        let limit = libc::rlimit { rlim_cur: size_bytes, rlim_max: size_bytes };
         let old = std::ptr::null_mut();
         let done = unsafe { libc::prlimit(child.id() as i32, libc::RLIMIT_FSIZE, &limit, old) };
         if done == 0 { Ok(()) } else { Err(std::io::Error::last_os_error().to_string()) }
--- a/tools/fleet-runner/src/ready.rs
+++ b/tools/fleet-runner/src/ready.rs
@@ -19,14 +19,14 @@
         })
     }
 
-    pub fn wait_ready(&self, mostMs: u128) -> Result<u128, String> {
+    pub fn wait_ready(&self, most_ms: u128) -> Result<u128, String> {
         let start = Instant::now();
         loop {
             let ready = self.nodes().iter().flatten().filter(|(ready, _)| *ready).count();
             if ready == self.zones.len() {
                 return Ok(start.elapsed().as_millis());
             }
-            if start.elapsed().as_millis() > mostMs {
+            if start.elapsed().as_millis() > most_ms {
                 return Err(format!("{ready} of {} nodes are ready", self.zones.len()));
             }
             std::thread::sleep(Duration::from_millis(50));
--- a/tools/fleet-runner/src/relay.rs
+++ b/tools/fleet-runner/src/relay.rs
@@ -14,7 +14,7 @@
     pub cut: BTreeSet<(SocketAddr, SocketAddr)>,
     /// Addresses nobody reaches: targets of a zone that is cut off.
     pub dark: BTreeSet<SocketAddr>,
-    pub zoneDelay: Duration,
+    pub zone_delay: Duration,
 }
 
 /// Small TCP relays between the processes: each process is reached through its own.
@@ -99,7 +99,7 @@
             return None;
         }
         let near = rules.zones.get(&from) == rules.zones.get(&to);
-        Some(if near { Duration::ZERO } else { rules.zoneDelay })
+        Some(if near { Duration::ZERO } else { rules.zone_delay })
     }
 }
 
--- a/tools/fleet-runner/src/schedule.rs
+++ b/tools/fleet-runner/src/schedule.rs
@@ -88,7 +88,7 @@
             (0.75, Fault::Plan),
         ]),
         "rolling" => {
-            let nodes = Spec::of(cli)?.dataNodes;
+            let nodes = Spec::of(cli)?.data_nodes;
             let all: Vec<Fault> = (0..nodes)
                 .map(Fault::RollData)
                 .chain((0..3).map(Fault::RollControl))
--- a/tools/fleet-runner/src/spec.rs
+++ b/tools/fleet-runner/src/spec.rs
@@ -4,20 +4,20 @@
 /// A deployment's sizes, from what its operators told.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    pub dataNodes: usize,
+    pub data_nodes: usize,
     pub targets: [(&'static str, usize); 3],
     pub lookups: usize,
     pub postings: usize,
     pub uploads: usize,
     pub calls: usize,
-    pub zoneDelay: Duration,
+    pub zone_delay: Duration,
 }
 
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
 
 impl Spec {
     pub fn of(cli: &Cli) -> Result<Spec, String> {
-        let (dataNodes, sizes, rates, zoneUs) = match cli.deployment.as_str() {
+        let (data_nodes, sizes, rates, zone_us) = match cli.deployment.as_str() {
             "blue-mahoe" => (11, [20, 9, 6], [80, 30, 10, 15], 500),
             "kutch" => (12, [23, 10, 6], [380, 130, 40, 65], 1_000),
             other => return Err(format!("{other} is no deployment")),
@@ -26,13 +26,13 @@
         let [catalogue, ledger, photos] = sizes.map(|size| size * scale);
         let [lookups, postings, uploads, calls] = rates.map(|rate| rate * scale);
         Ok(Spec {
-            dataNodes: dataNodes * scale,
+            data_nodes: data_nodes * scale,
             targets: [("catalogue", catalogue), ("ledger", ledger), ("photos", photos)],
             lookups,
             postings,
             uploads,
             calls,
-            zoneDelay: Duration::from_micros(zoneUs),
+            zone_delay: Duration::from_micros(zone_us),
         })
     }
 }
--- a/tools/fleet-runner/src/words.rs
+++ b/tools/fleet-runner/src/words.rs
@@ -14,7 +14,7 @@
     /// Two of the first three core machines, which may be gone, and a data node that a fault
     /// does not take together with the one that starts.
     pub fn seeds(&self, at: usize) -> String {
-        let count = self.spec.dataNodes;
+        let count = self.spec.data_nodes;
         let other = self.port + 200 + ((at + count / 2) % count) as u16;
         let seeds = [self.port + 100, self.port + 101, other];
         let words = seeds.iter().map(|port| format!("--seed 127.0.0.1:{port}"));
--- a/tools/load-generator/src/book.rs
+++ b/tools/load-generator/src/book.rs
@@ -26,7 +26,7 @@
         let text = std::fs::read_to_string(file?.path())?;
         for line in text.lines() {
             let parts: Vec<&str> = line.split(' ').collect();
-            if let [id, instance, method, digest, target, _atMs] = parts[..] {
+            if let [id, instance, method, digest, target, _at_ms] = parts[..] {
                 runs.push(Run {
                     id: id.into(),
                     instance: instance.into(),
@@ -44,10 +44,10 @@
 pub fn check(asks: &[Ask], runs: &[Run], budget: &Budget) -> Vec<String> {
     let mut violations = Vec::new();
     let known: HashMap<&str, &Ask> = asks.iter().map(|ask| (ask.id.as_str(), ask)).collect();
-    let mut byId: HashMap<&str, Vec<&Run>> = HashMap::new();
+    let mut by_id: HashMap<&str, Vec<&Run>> = HashMap::new();
     let known_runs = runs.iter().filter(|run| !run.id.starts_with(GREEDY));
     for run in known_runs {
-        byId.entry(run.id.as_str()).or_default().push(run);
+        by_id.entry(run.id.as_str()).or_default().push(run);
         let Some(ask) = known.get(run.id.as_str()) else {
             violations.push(format!("{} ran {}, which no client sent", run.instance, run.id));
             continue;
@@ -61,16 +61,16 @@
         }
     }
     for ask in asks {
-        let ran = byId.get(ask.id.as_str()).map_or(&[][..], |runs| runs.as_slice());
+        let ran = by_id.get(ask.id.as_str()).map_or(&[][..], |runs| runs.as_slice());
         if ask.kind != Kind::Lookup && ran.len() > 1 {
             let where_: Vec<&str> = ran.iter().map(|run| run.instance.as_str()).collect();
             violations.push(format!("{} ran {} times: {}", ask.id, ran.len(), where_.join(", ")));
         }
-        let notRun = match ask.kind {
+        let not_run = match ask.kind {
             Kind::Lookup => ask.told.iter().all(|told| *told == Told::NotRun),
             _ => matches!(ask.told.last(), Some(Told::NotRun)),
         };
-        if notRun && !ask.told.is_empty() && !ran.is_empty() {
+        if not_run && !ask.told.is_empty() && !ran.is_empty() {
             violations.push(format!("{} was told not run, but {} ran it", ask.id, ran[0].instance));
         }
         if ask.told.contains(&Told::Ran) && ran.is_empty() {
@@ -81,19 +81,19 @@
         }
     }
     let greedy = runs.iter().filter(|run| run.id.starts_with(GREEDY)).count();
-    violations.extend(over_budget(asks, &byId, greedy, budget));
+    violations.extend(over_budget(asks, &by_id, greedy, budget));
     violations
 }
 
 fn over_budget(
     asks: &[Ask],
-    byId: &HashMap<&str, Vec<&Run>>,
+    by_id: &HashMap<&str, Vec<&Run>>,
     greedy: usize,
     budget: &Budget,
 ) -> Vec<String> {
     let mut counts: BTreeMap<Kind, (usize, usize)> = BTreeMap::new();
     for ask in asks {
-        let ran = byId.get(ask.id.as_str()).map_or(0, Vec::len);
+        let ran = by_id.get(ask.id.as_str()).map_or(0, Vec::len);
         let count = counts.entry(ask.kind).or_default();
         count.0 += ask.told.len();
         count.1 += ran.saturating_sub(ask.told.len());
@@ -132,9 +132,9 @@
             key: None,
             told: vec![told],
             status: 200,
-            tookMs: 1.0,
+            took_ms: 1.0,
             wrong: None,
-            retryAfter: false,
+            retry_after: false,
         }
     }
 
--- a/tools/load-generator/src/calls.rs
+++ b/tools/load-generator/src/calls.rs
@@ -36,15 +36,15 @@
 #[derive(Clone, Debug)]
 pub struct Done {
     pub name: String,
-    pub startMs: f64,
-    pub endMs: f64,
+    pub start_ms: f64,
+    pub end_ms: f64,
     pub sound: bool,
     pub what: What,
 }
 
 impl Done {
-    pub fn tookMs(&self) -> f64 {
-        self.endMs - self.startMs
+    pub fn took_ms(&self) -> f64 {
+        self.end_ms - self.start_ms
     }
 }
 
@@ -83,7 +83,7 @@
     let Some(node) = nodes.pick(seed) else { return };
     let at = (mix(seed) % NAMES) as usize;
     let key = format!("{seed:x}");
-    let startMs = now_ms();
+    let start_ms = now_ms();
     let (name, sound, what) = match seed % 4 {
         0 => {
             let name = format!("numbers/n{at}");
@@ -124,7 +124,7 @@
             (name, put.flatten().is_some(), what)
         }
     };
-    done.push(Done { name, startMs, endMs: now_ms(), sound, what });
+    done.push(Done { name, start_ms, end_ms: now_ms(), sound, what });
 }
 
 fn lock(
@@ -164,11 +164,11 @@
 /// and no two puts leave from the same revision.
 pub fn check(calls: &[Done]) -> Vec<String> {
     let mut violations = Vec::new();
-    let mut byName: HashMap<&str, Vec<&Done>> = HashMap::new();
+    let mut by_name: HashMap<&str, Vec<&Done>> = HashMap::new();
     for done in calls {
-        byName.entry(&done.name).or_default().push(done);
+        by_name.entry(&done.name).or_default().push(done);
     }
-    for (name, list) in byName {
+    for (name, list) in by_name {
         rises(name, &list, &mut violations);
         let mut left: HashMap<u64, usize> = HashMap::new();
         for done in &list {
@@ -197,11 +197,11 @@
     };
     let mut starts: Vec<&Done> = list.iter().copied().filter(|done| seen(done).is_some()).collect();
     let mut ends = starts.clone();
-    starts.sort_by(|a, b| a.startMs.total_cmp(&b.startMs));
-    ends.sort_by(|a, b| a.endMs.total_cmp(&b.endMs));
+    starts.sort_by(|a, b| a.start_ms.total_cmp(&b.start_ms));
+    ends.sort_by(|a, b| a.end_ms.total_cmp(&b.end_ms));
     let (mut highest, mut at) = (0, 0);
     for done in starts {
-        while at < ends.len() && ends[at].endMs < done.startMs {
+        while at < ends.len() && ends[at].end_ms < done.start_ms {
             highest = highest.max(seen(ends[at]).map_or(0, |(value, _)| value));
             at += 1;
         }
@@ -216,8 +216,8 @@
 mod tests {
     use super::*;
 
-    fn done(startMs: f64, endMs: f64, what: What) -> Done {
-        Done { name: "n".into(), startMs, endMs, sound: true, what }
+    fn done(start_ms: f64, end_ms: f64, what: What) -> Done {
+        Done { name: "n".into(), start_ms, end_ms, sound: true, what }
     }
 
     #[test]
--- a/tools/load-generator/src/client.rs
+++ b/tools/load-generator/src/client.rs
@@ -29,10 +29,10 @@
     pub key: Option<String>,
     pub told: Vec<Told>,
     pub status: u16,
-    pub tookMs: f64,
+    pub took_ms: f64,
     /// What was wrong with a response, if anything was.
     pub wrong: Option<String>,
-    pub retryAfter: bool,
+    pub retry_after: bool,
 }
 
 impl Ask {
@@ -46,9 +46,9 @@
             key: None,
             told: Vec::new(),
             status: 0,
-            tookMs: 0.0,
+            took_ms: 0.0,
             wrong: None,
-            retryAfter: false,
+            retry_after: false,
         }
     }
 }
@@ -86,7 +86,7 @@
     let told = match sent {
         Ok(Ok(mut response)) => {
             ask.status = response.status().as_u16();
-            ask.retryAfter = response.headers().contains_key("retry-after");
+            ask.retry_after = response.headers().contains_key("retry-after");
             let text = |name: &str| {
                 let value = response.headers().get(name);
                 value.and_then(|value| value.to_str().ok()).map(str::to_string)
--- a/tools/load-generator/src/greedy.rs
+++ b/tools/load-generator/src/greedy.rs
@@ -21,12 +21,12 @@
 /// asked again at once.
 pub fn start(
     clients: u64,
-    perS: f64,
+    per_s: f64,
     nodes: &Arc<Nodes>,
     ended: &Arc<AtomicBool>,
     told: &Arc<Greedy>,
 ) -> Vec<JoinHandle<()>> {
-    let pause = Duration::from_secs_f64(clients as f64 / perS.max(1.0));
+    let pause = Duration::from_secs_f64(clients as f64 / per_s.max(1.0));
     (0..clients)
         .map(|client| {
             let (nodes, ended, told) = (nodes.clone(), ended.clone(), told.clone());
--- a/tools/load-generator/src/report.rs
+++ b/tools/load-generator/src/report.rs
@@ -9,7 +9,7 @@
     for kind in [Kind::Lookup, Kind::Posting, Kind::Upload] {
         let asks: Vec<_> = asked.asks.iter().filter(|ask| ask.kind == kind).collect();
         let count = |told: Told| asks.iter().filter(|ask| ask.told.last() == Some(&told)).count();
-        let took = asks.iter().filter(|ask| ask.told == [Told::Ran]).map(|ask| ask.tookMs);
+        let took = asks.iter().filter(|ask| ask.told == [Told::Ran]).map(|ask| ask.took_ms);
         let goes: usize = asks.iter().map(|ask| ask.told.len()).sum();
         println!(
             "{kind:?}: {} asks in {goes} goes, {} ran, {} not run, {} unknown, {} pending, {} unreached; {}",
@@ -23,9 +23,9 @@
         );
     }
     let sound = asked.calls.iter().filter(|done| done.sound).count();
-    let took: Vec<f64> = asked.calls.iter().map(|done| done.tookMs()).collect();
+    let took: Vec<f64> = asked.calls.iter().map(|done| done.took_ms()).collect();
     println!("Coordination: {} calls, {sound} answered; {}", asked.calls.len(), percentiles(took));
-    let direct: Vec<f64> = asked.direct.iter().map(|ask| ask.tookMs).collect();
+    let direct: Vec<f64> = asked.direct.iter().map(|ask| ask.took_ms).collect();
     if !direct.is_empty() {
         println!("Direct: {} lookups; {}", direct.len(), percentiles(direct));
     }
--- a/tools/load-generator/src/schedule.rs
+++ b/tools/load-generator/src/schedule.rs
@@ -74,8 +74,8 @@
                 let agent = agent();
                 loop {
                     let at = plan.next.fetch_add(1, Relaxed);
-                    let Some((dueS, work)) = plan.due.get(at as usize) else { break };
-                    let due = Duration::from_secs_f64(*dueS);
+                    let Some((due_s, work)) = plan.due.get(at as usize) else { break };
+                    let due = Duration::from_secs_f64(*due_s);
                     thread::sleep(due.saturating_sub(start.elapsed()));
                     let seed = mix(cli.seed ^ (at << 8));
                     match work {
@@ -109,7 +109,7 @@
     let mut ask = Ask::lookup(id, at);
     let start = Instant::now();
     go(agent, address, &mut ask, &[]);
-    ask.tookMs = start.elapsed().as_secs_f64() * 1_000.0;
+    ask.took_ms = start.elapsed().as_secs_f64() * 1_000.0;
     Some(ask)
 }
 
@@ -137,9 +137,9 @@
         digest: hex(&Sha256::digest(&body)),
         told: Vec::new(),
         status: 0,
-        tookMs: 0.0,
+        took_ms: 0.0,
         wrong: None,
-        retryAfter: false,
+        retry_after: false,
     };
     let start = Instant::now();
     let most = if cli.storm > 0 { cli.storm } else { 4 };
@@ -149,7 +149,7 @@
             None => ask.told.push(Told::Unreached),
         }
         if turn == 0 {
-            ask.tookMs = start.elapsed().as_secs_f64() * 1_000.0;
+            ask.took_ms = start.elapsed().as_secs_f64() * 1_000.0;
         }
         let again = match ask.told.last() {
             Some(Told::Ran) => false,
--- a/tools/load-generator/src/watch.rs
+++ b/tools/load-generator/src/watch.rs
@@ -12,7 +12,7 @@
 pub struct Told {
     pub revisions: Vec<u64>,
     pub from: u64,
-    pub tooOld: bool,
+    pub too_old: bool,
 }
 
 pub fn start(nodes: &Arc<Nodes>, ended: &Arc<AtomicBool>) -> JoinHandle<Told> {
@@ -33,7 +33,7 @@
             let request = agent.get(url).config().timeout_global(Some(Duration::from_secs(2)));
             let Ok(mut response) = request.build().call() else { continue };
             if response.status() == 410 {
-                told.tooOld = true;
+                told.too_old = true;
                 return told;
             }
             let Ok(text) = response.body_mut().with_config().limit(16 << 20).read_to_string()
@@ -68,7 +68,7 @@
 /// Revisions rise without repeats, and no acknowledged put is missing.
 pub fn check(told: &Told, calls: &[Done]) -> Vec<String> {
     let mut violations = Vec::new();
-    if told.tooOld {
+    if told.too_old {
         violations.push("the watch was told too old while it followed".to_string());
     }
     if told.revisions.windows(2).any(|pair| pair[0] >= pair[1]) {
@@ -94,13 +94,13 @@
     fn gaps_and_repeats_are_found() {
         let put = |left| Done {
             name: "k".into(),
-            startMs: 0.0,
-            endMs: 1.0,
+            start_ms: 0.0,
+            end_ms: 1.0,
             sound: true,
             what: What::Put { found: 0, left },
         };
         let told =
-            |revisions: &[u64]| Told { revisions: revisions.to_vec(), from: 0, tooOld: false };
+            |revisions: &[u64]| Told { revisions: revisions.to_vec(), from: 0, too_old: false };
         assert!(check(&told(&[1, 3]), &[put(1), put(3)]).is_empty());
         assert_eq!(check(&told(&[1]), &[put(1), put(3)]).len(), 1);
         assert_eq!(check(&told(&[1, 1, 3]), &[put(1), put(3)]).len(), 1);
