--- a/tools/scale-run/src/runs.rs
+++ b/tools/scale-run/src/runs.rs
@@ -19,32 +19,32 @@
             kind: Kind::Lookup,
             service: Name::from(format!("service-{}", at % services)),
             when: None,
-            bodyBytes: 1_000_000,
-            ratePerS: None,
+            body_bytes: 1_000_000,
+            rate_per_s: None,
             concurrency: None,
-            deadlineMs: 1_500 + version,
+            deadline_ms: 1_500 + version,
             host: Some(Name::from(format!("host{at:05}.example"))),
             shares: Vec::new(),
             tries: Some(2),
-            goalMs: Some(600),
+            goal_ms: Some(600),
             precedence: 1,
         }));
     }
     let text = vec![b'x'; routes * 250];
     records.extend(text.chunks(16_384).map(|part| Record::PlanText(part.to_vec())));
-    Submission { version: name(version), base, records, dryRun: false, allowEmpty: true }
+    Submission { version: name(version), base, records, dry_run: false, allow_empty: true }
 }
 
 /// Hands a plan over; milliseconds to the yes, and to each node's image.
 fn change(world: &mut World, version: u64, routes: usize, services: usize) -> (u64, Vec<u64>) {
-    let startUs = world.nowUs;
+    let start_us = world.now_us;
     world.answers.clear();
     if let Some(leader) = world.leader() {
         world.ask(leader, version, Ask::Submit(submission(version, routes, services)));
     }
     let wanted = Some(Name::from(format!("v{version}")));
     for _ in 0..500 {
-        world.run_until(world.nowUs + 10_000);
+        world.run_until(world.now_us + 10_000);
         if world
             .versions()
             .get(&wanted)
@@ -57,32 +57,32 @@
     let mut times: Vec<u64> = data
         .iter()
         .filter(|process| process.version == wanted)
-        .map(|process| process.publishedUs.saturating_sub(startUs) / 1_000)
+        .map(|process| process.published_us.saturating_sub(start_us) / 1_000)
         .collect();
     times.sort_unstable();
-    let yesMs = world.answers.first().map_or(u64::MAX, |(atUs, _)| (atUs - startUs) / 1_000);
-    (yesMs, times)
+    let yes_ms = world.answers.first().map_or(u64::MAX, |(at_us, _)| (at_us - start_us) / 1_000);
+    (yes_ms, times)
 }
 
 /// Until every node that is up may serve again: milliseconds, and the longest time below nine tenths.
 fn recover(world: &mut World) -> Option<u64> {
-    let startUs = world.nowUs;
+    let start_us = world.now_us;
     let mut shed = false;
-    let mut wellUs = None;
-    while world.nowUs < startUs + 20_000_000 {
-        world.run_until(world.nowUs + 10_000);
+    let mut well_us = None;
+    while world.now_us < start_us + 20_000_000 {
+        world.run_until(world.now_us + 10_000);
         let (up, serving) = world.serving();
         match up == serving {
-            true if shed || world.nowUs > startUs + 3_000_000 => {
-                wellUs.get_or_insert(if shed { world.nowUs - startUs } else { 0 });
-                if world.nowUs > startUs + 3_000_000 {
-                    return wellUs.map(|wellUs| wellUs / 1_000);
+            true if shed || world.now_us > start_us + 3_000_000 => {
+                well_us.get_or_insert(if shed { world.now_us - start_us } else { 0 });
+                if world.now_us > start_us + 3_000_000 {
+                    return well_us.map(|well_us| well_us / 1_000);
                 }
             }
             true => {}
             false => {
                 shed = true;
-                wellUs = None;
+                well_us = None;
             }
         }
     }
@@ -101,10 +101,10 @@
 #[derive(Debug, Default)]
 pub struct Measured {
     /// Of a data node at rest, both ways.
-    pub nodeBytesPerS: f64,
-    pub changedNodes: usize,
-    pub slowestMs: u64,
-    pub recoveredMs: Vec<Option<u64>>,
+    pub node_bytes_per_s: f64,
+    pub changed_nodes: usize,
+    pub slowest_ms: u64,
+    pub recovered_ms: Vec<Option<u64>>,
 }
 
 pub fn one(cli: &Cli, nodes: usize, targets: usize, routes: usize) -> Measured {
@@ -112,12 +112,12 @@
     println!("size,{nodes} nodes,{targets} targets,{routes} routes");
     let mut world = World::new(cli, nodes, targets);
     world.run_until(5_000_000);
-    let (yesMs, times) = change(&mut world, 1, routes, cli.services);
-    println!("first plan,yes ms {yesMs},nodes {}", times.len());
-    world.run_until(world.nowUs + 4_000_000);
+    let (yes_ms, times) = change(&mut world, 1, routes, cli.services);
+    println!("first plan,yes ms {yes_ms},nodes {}", times.len());
+    world.run_until(world.now_us + 4_000_000);
     world.clear();
-    let fromUs = world.nowUs;
-    world.run_until(fromUs + cli.seconds * 1_000_000);
+    let from_us = world.now_us;
+    world.run_until(from_us + cli.seconds * 1_000_000);
     let leader = world.leader();
     let rate = |sum: u64, count: usize| sum as f64 / cli.seconds as f64 / count.max(1) as f64;
     println!("role,count,sent/s,bytes out/s,got/s,bytes in/s,work % of a core");
@@ -134,25 +134,26 @@
             rate(all, members.len())
         };
         if role == "data node" {
-            measured.nodeBytesPerS = sum(|counts| counts.sentBytes) + sum(|counts| counts.gotBytes);
+            measured.node_bytes_per_s =
+                sum(|counts| counts.sent_bytes) + sum(|counts| counts.got_bytes);
         }
         println!(
             "{role},{},{:.1},{:.0},{:.1},{:.0},{:.3}",
             members.len(),
             sum(|counts| counts.sent),
-            sum(|counts| counts.sentBytes),
+            sum(|counts| counts.sent_bytes),
             sum(|counts| counts.got),
-            sum(|counts| counts.gotBytes),
-            sum(|counts| counts.workNs) / 1e7,
+            sum(|counts| counts.got_bytes),
+            sum(|counts| counts.work_ns) / 1e7,
         );
     }
     world.clear();
-    let (yesMs, times) = change(&mut world, 2, routes, cli.services);
-    measured.changedNodes = times.len();
-    measured.slowestMs = times.last().copied().unwrap_or(0);
+    let (yes_ms, times) = change(&mut world, 2, routes, cli.services);
+    measured.changed_nodes = times.len();
+    measured.slowest_ms = times.last().copied().unwrap_or(0);
     let at = |part: usize| times.get(times.len() * part / 100).or(times.last()).copied();
     println!(
-        "change,yes ms {yesMs},p50 {:?},p99 {:?},max {:?},nodes {}",
+        "change,yes ms {yes_ms},p50 {:?},p99 {:?},max {:?},nodes {}",
         at(50),
         at(99),
         times.last(),
@@ -160,7 +161,7 @@
     );
     let data: Vec<usize> = (world.control..world.processes.len()).collect();
     let bytes = |world: &World, at: usize| {
-        world.processes[at].counts.sentBytes + world.processes[at].counts.gotBytes
+        world.processes[at].counts.sent_bytes + world.processes[at].counts.got_bytes
     };
     let all: u64 = data.iter().map(|at| bytes(&world, *at)).sum();
     let most = data.iter().map(|at| bytes(&world, *at)).max().unwrap_or(0);
@@ -174,28 +175,28 @@
         if part > 0 {
             some.iter().for_each(|at| world.start(*at));
         }
-        measured.recoveredMs.push(told(name, recover(&mut world)));
+        measured.recovered_ms.push(told(name, recover(&mut world)));
         some.iter().filter(|_| part == 0).for_each(|at| world.start(*at));
-        world.run_until(world.nowUs + 3_000_000);
+        world.run_until(world.now_us + 3_000_000);
     }
     if cli.zones > 2 {
         world.cut = Some(cli.zones.div_ceil(2));
-        world.run_until(world.nowUs + 5_000_000);
+        world.run_until(world.now_us + 5_000_000);
         let (up, serving) = world.serving();
         println!("parted,{serving} of {up} nodes serve");
         world.cut = None;
-        measured.recoveredMs.push(told("parted halves joined", recover(&mut world)));
+        measured.recovered_ms.push(told("parted halves joined", recover(&mut world)));
     }
     if let Some(leader) = world.leader() {
         world.end(leader);
-        measured.recoveredMs.push(told("controller lost", recover(&mut world)));
+        measured.recovered_ms.push(told("controller lost", recover(&mut world)));
     }
     measured
 }
 
 fn busiest(world: &World) -> Vec<usize> {
     let data = world.control..world.processes.len();
-    let most = data.max_by_key(|at| world.processes[*at].counts.sentBytes);
+    let most = data.max_by_key(|at| world.processes[*at].counts.sent_bytes);
     most.into_iter().filter(|at| !matches!(world.processes[*at].body, Body::Down)).collect()
 }
 
@@ -223,11 +224,11 @@
     fn a_small_size_stays_within_what_a_node_may_spend_and_recovers() {
         let cli = Cli::parse_args_default(&["--seconds", "2"]).unwrap();
         let measured = one(&cli, 20, 60, 30);
-        assert!(measured.nodeBytesPerS < 5_000.0, "{measured:?}");
-        assert_eq!(measured.changedNodes, 20, "{measured:?}");
-        assert!(measured.slowestMs < 2_000, "{measured:?}");
-        assert_eq!(measured.recoveredMs.len(), 4, "{measured:?}");
+        assert!(measured.node_bytes_per_s < 5_000.0, "{measured:?}");
+        assert_eq!(measured.changed_nodes, 20, "{measured:?}");
+        assert!(measured.slowest_ms < 2_000, "{measured:?}");
+        assert_eq!(measured.recovered_ms.len(), 4, "{measured:?}");
         let recovered = |ms: &Option<u64>| ms.is_some_and(|ms| ms < 5_000);
-        assert!(measured.recoveredMs.iter().all(recovered), "{measured:?}");
+        assert!(measured.recovered_ms.iter().all(recovered), "{measured:?}");
     }
 }
--- a/tools/scale-run/src/step.rs
+++ b/tools/scale-run/src/step.rs
@@ -11,7 +11,7 @@
 
 impl World {
     pub(crate) fn step(&mut self, at: usize, life: u64, event: Event) {
-        let nowMs = self.now_ms();
+        let now_ms = self.now_ms();
         let start = Instant::now();
         let mut body = std::mem::replace(&mut self.processes[at].body, Body::Down);
         if matches!(event, Event::Pulse) {
@@ -33,7 +33,7 @@
                         Some(Input::Page(PageResult { number, fetched }))
                     }
                 };
-                let effects = input.map(|input| node.handle(nowMs, input)).unwrap_or_default();
+                let effects = input.map(|input| node.handle(now_ms, input)).unwrap_or_default();
                 for effect in effects {
                     self.control_effect(at, life, effect);
                 }
@@ -44,7 +44,7 @@
                     Event::Frame(frame) => received(&frame).map(NodeInput::Receive),
                     _ => None,
                 };
-                let effects = input.map(|input| node.handle(nowMs, input)).unwrap_or_default();
+                let effects = input.map(|input| node.handle(now_ms, input)).unwrap_or_default();
                 for effect in effects {
                     self.node_effect(at, effect);
                 }
@@ -52,14 +52,14 @@
             Body::Down => {}
         }
         self.processes[at].body = body;
-        self.processes[at].counts.workNs += start.elapsed().as_nanos() as u64;
+        self.processes[at].counts.work_ns += start.elapsed().as_nanos() as u64;
     }
 
     fn control_effect(&mut self, at: usize, life: u64, effect: Effect) {
         match effect {
             Effect::Send { to, message } => self.send(at, to, message),
             Effect::Write { sequence, .. } => {
-                self.push(at, life, self.syncUs, Event::Synced(sequence))
+                self.push(at, life, self.sync_us, Event::Synced(sequence))
             }
             Effect::Fetch { number, cursor } => {
                 let page = cursor.and_then(|cursor| cursor.parse().ok()).unwrap_or(0);
@@ -80,10 +80,10 @@
                 let version = state.plan.as_ref().map(|plan| plan.version.clone());
                 if version != self.processes[at].version {
                     self.processes[at].version = version;
-                    self.processes[at].publishedUs = self.nowUs;
+                    self.processes[at].published_us = self.now_us;
                 }
             }
-            NodeEffect::Hold { untilMs } => self.processes[at].holdUntilMs = untilMs,
+            NodeEffect::Hold { until_ms } => self.processes[at].hold_until_ms = until_ms,
             NodeEffect::Answer { .. } | NodeEffect::Say(_) => {}
         }
     }
@@ -98,12 +98,12 @@
         let Ok(frame) = frame else { return };
         let counts = &mut self.processes[from].counts;
         counts.sent += 1;
-        counts.sentBytes += frame.len() as u64;
+        counts.sent_bytes += frame.len() as u64;
         let Some(at) = self.at.get(&to).copied() else {
             if let Ok(Envelope { message: Message::Response { response, .. }, .. }) =
                 read_frame(&mut &frame[..])
             {
-                self.answers.push((self.nowUs, response));
+                self.answers.push((self.now_us, response));
             }
             return;
         };
@@ -113,17 +113,17 @@
         let (one, other) = (self.processes[from].zone, self.processes[at].zone);
         let half = self.zones.div_ceil(2);
         let region = (one < half) != (other < half);
-        let delayUs = if region {
-            self.regionUs
+        let delay_us = if region {
+            self.region_us
         } else if one == other {
             100
         } else {
-            self.zoneUs
+            self.zone_us
         };
         let counts = &mut self.processes[at].counts;
         counts.got += 1;
-        counts.gotBytes += frame.len() as u64;
+        counts.got_bytes += frame.len() as u64;
         let life = self.processes[at].life;
-        self.push(at, life, delayUs, Event::Frame(frame));
+        self.push(at, life, delay_us, Event::Frame(frame));
     }
 }
--- a/tools/scale-run/src/world.rs
+++ b/tools/scale-run/src/world.rs
@@ -19,10 +19,10 @@
 #[derive(Clone, Default)]
 pub struct Counts {
     pub sent: u64,
-    pub sentBytes: u64,
+    pub sent_bytes: u64,
     pub got: u64,
-    pub gotBytes: u64,
-    pub workNs: u64,
+    pub got_bytes: u64,
+    pub work_ns: u64,
 }
 
 pub struct Process {
@@ -31,9 +31,9 @@
     pub address: SocketAddr,
     pub zone: usize,
     pub counts: Counts,
-    pub holdUntilMs: u64,
+    pub hold_until_ms: u64,
     pub version: Option<Name>,
-    pub publishedUs: u64,
+    pub published_us: u64,
 }
 
 pub(crate) enum Event {
@@ -46,7 +46,7 @@
 
 /// Whole clusters on one simulated network; the processes' protocol parts are the real ones.
 pub struct World {
-    pub nowUs: u64,
+    pub now_us: u64,
     pub processes: Vec<Process>,
     pub control: usize,
     pub losses: usize,
@@ -58,9 +58,9 @@
     events: HashMap<u64, (usize, u64, Event)>,
     sequence: u64,
     pub(crate) targets: Vec<Target>,
-    pub(crate) syncUs: u64,
-    pub(crate) zoneUs: u64,
-    pub(crate) regionUs: u64,
+    pub(crate) sync_us: u64,
+    pub(crate) zone_us: u64,
+    pub(crate) region_us: u64,
 }
 
 pub fn address(at: usize) -> SocketAddr {
@@ -72,7 +72,7 @@
     pub fn new(cli: &Cli, nodes: usize, targets: usize) -> World {
         let zones = cli.zones;
         let mut world = World {
-            nowUs: 1_000_000,
+            now_us: 1_000_000,
             processes: Vec::new(),
             control: cli.control,
             losses: cli.losses,
@@ -84,9 +84,9 @@
             events: HashMap::new(),
             sequence: 0,
             targets: (0..targets).map(|at| target(at, cli)).collect(),
-            syncUs: cli.sync_us,
-            zoneUs: cli.zone_us,
-            regionUs: cli.region_us,
+            sync_us: cli.sync_us,
+            zone_us: cli.zone_us,
+            region_us: cli.region_us,
         };
         for at in 0..cli.control + nodes {
             let zone = at % zones;
@@ -97,9 +97,9 @@
                 address: address(at),
                 zone,
                 counts: Counts::default(),
-                holdUntilMs: 0,
+                hold_until_ms: 0,
                 version: None,
-                publishedUs: 0,
+                published_us: 0,
             });
         }
         for at in 0..world.processes.len() {
@@ -109,21 +109,21 @@
     }
 
     pub fn now_ms(&self) -> u64 {
-        self.nowUs / 1_000
+        self.now_us / 1_000
     }
 
     /// A new life with nothing remembered; control nodes keep no disk here.
     pub fn start(&mut self, at: usize) {
-        let nowMs = self.now_ms();
+        let now_ms = self.now_ms();
         let seeds: Vec<SocketAddr> = (0..self.control.min(3)).map(address).collect();
         let process = &mut self.processes[at];
         process.life += 1;
         process.version = None;
-        process.holdUntilMs = 0;
+        process.hold_until_ms = 0;
         let id = (at as u64 + 1) * 0x9e37_79b9 + process.life;
         process.body = if at < self.control {
             let own = Member { id, address: process.address };
-            let node = ControlNode::new(own, Default::default(), &seeds, id, nowMs);
+            let node = ControlNode::new(own, Default::default(), &seeds, id, now_ms);
             let node = node.with_founders(&seeds).with_losses(self.losses);
             let node = if process.life == 1 { node } else { node.with_known_log() };
             Body::Control(Box::new(node))
@@ -135,39 +135,39 @@
                 http: process.address,
                 zone: Name::from(format!("zone-{}", process.zone)),
             };
-            Body::Data(Box::new(DataNode::new(own, seeds, nowMs)))
+            Body::Data(Box::new(DataNode::new(own, seeds, now_ms)))
         };
         let life = process.life;
-        let spreadUs = (at as u64 * 7_919) % PULSE_US;
-        self.push(at, life, spreadUs, Event::Pulse);
+        let spread_us = (at as u64 * 7_919) % PULSE_US;
+        self.push(at, life, spread_us, Event::Pulse);
     }
 
     pub fn end(&mut self, at: usize) {
         self.processes[at].body = Body::Down;
         self.processes[at].life += 1;
-        self.processes[at].holdUntilMs = 0;
+        self.processes[at].hold_until_ms = 0;
     }
 
-    pub(crate) fn push(&mut self, at: usize, life: u64, inUs: u64, event: Event) {
+    pub(crate) fn push(&mut self, at: usize, life: u64, in_us: u64, event: Event) {
         self.sequence += 1;
-        self.queue.push(Reverse((self.nowUs + inUs, self.sequence)));
+        self.queue.push(Reverse((self.now_us + in_us, self.sequence)));
         self.events.insert(self.sequence, (at, life, event));
     }
 
-    pub fn run_until(&mut self, untilUs: u64) {
-        while let Some(Reverse((atUs, sequence))) = self.queue.peek().copied() {
-            if atUs > untilUs {
+    pub fn run_until(&mut self, until_us: u64) {
+        while let Some(Reverse((at_us, sequence))) = self.queue.peek().copied() {
+            if at_us > until_us {
                 break;
             }
             self.queue.pop();
-            self.nowUs = atUs;
+            self.now_us = at_us;
             if let Some((at, life, event)) = self.events.remove(&sequence)
                 && self.processes[at].life == life
             {
                 self.step(at, life, event);
             }
         }
-        self.nowUs = untilUs;
+        self.now_us = until_us;
     }
 
     pub fn ask(&mut self, at: usize, key: u64, ask: postbarrow_messages::Ask) {
@@ -187,11 +187,11 @@
 
     /// Data nodes up, and how many of them may serve.
     pub fn serving(&self) -> (usize, usize) {
-        let nowMs = self.now_ms();
+        let now_ms = self.now_ms();
         let up =
             self.processes[self.control..].iter().filter(|one| !matches!(one.body, Body::Down));
         let up: Vec<&Process> = up.collect();
-        (up.len(), up.iter().filter(|one| nowMs < one.holdUntilMs).count())
+        (up.len(), up.iter().filter(|one| now_ms < one.hold_until_ms).count())
     }
 
     pub fn versions(&self) -> BTreeMap<Option<Name>, usize> {
--- a/tools/stand-ins/src/fault.rs
+++ b/tools/stand-ins/src/fault.rs
@@ -18,13 +18,13 @@
 }
 
 pub struct Faults {
-    perMille: u64,
+    per_mille: u64,
     kinds: Vec<Fault>,
     state: AtomicU64,
 }
 
 impl Faults {
-    pub fn read(kinds: &str, perMille: u64, seed: u64) -> Result<Self, String> {
+    pub fn read(kinds: &str, per_mille: u64, seed: u64) -> Result<Self, String> {
         let kinds: Result<Vec<Fault>, String> = kinds
             .split(',')
             .filter(|kind| !kind.is_empty())
@@ -38,7 +38,7 @@
                 other => Err(format!("{other} is no fault")),
             })
             .collect();
-        Ok(Faults { perMille, kinds: kinds?, state: AtomicU64::new(seed | 1) })
+        Ok(Faults { per_mille, kinds: kinds?, state: AtomicU64::new(seed | 1) })
     }
 
     pub fn draw(&self) -> Fault {
@@ -46,7 +46,7 @@
         drawn = (drawn ^ (drawn >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         drawn = (drawn ^ (drawn >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         drawn ^= drawn >> 31;
-        if self.kinds.is_empty() || drawn % 1_000 >= self.perMille {
+        if self.kinds.is_empty() || drawn % 1_000 >= self.per_mille {
             return Fault::None;
         }
         self.kinds[(drawn / 1_000) as usize % self.kinds.len()]
--- a/tools/stand-ins/src/list.rs
+++ b/tools/stand-ins/src/list.rs
@@ -45,8 +45,8 @@
             .with_status_code(429)
             .with_additional_header("Retry-After", "1");
     }
-    let slowMs = if word == "slow" { number } else { place.slow_ms };
-    std::thread::sleep(Duration::from_millis(slowMs));
+    let slow_ms = if word == "slow" { number } else { place.slow_ms };
+    std::thread::sleep(Duration::from_millis(slow_ms));
     match word {
         "down" => return Response::text("out of order").with_status_code(500),
         "empty" => {
--- a/tools/stand-ins/src/target.rs
+++ b/tools/stand-ins/src/target.rs
@@ -114,8 +114,8 @@
         _ => 1,
     };
     for _ in 0..runs {
-        let (instance, atMs) = (&target.place.instance, wall_ms());
-        let line = format!("{id} {instance} {} {digest} {} {atMs}\n", ask.method, ask.target);
+        let (instance, at_ms) = (&target.place.instance, wall_ms());
+        let line = format!("{id} {instance} {} {digest} {} {at_ms}\n", ask.method, ask.target);
         (&target.records).write_all(line.as_bytes())?;
     }
     std::thread::sleep(Duration::from_millis(target.place.work_ms));
--- a/tools/stand-ins/src/wire.rs
+++ b/tools/stand-ins/src/wire.rs
@@ -36,14 +36,14 @@
             }
             buffer.drain(..length);
             let sized = ask.header("content-length").and_then(|text| text.parse().ok());
-            let sizeBytes: usize = sized.unwrap_or(0);
-            while buffer.len() < sizeBytes {
+            let size_bytes: usize = sized.unwrap_or(0);
+            while buffer.len() < size_bytes {
                 match stream.read(&mut part)? {
                     0 => return Err(io::ErrorKind::UnexpectedEof.into()),
                     length => buffer.extend_from_slice(&part[..length]),
                 }
             }
-            ask.body = buffer.drain(..sizeBytes).collect();
+            ask.body = buffer.drain(..size_bytes).collect();
             return Ok(Some(ask));
         }
         match stream.read(&mut part)? {
