--- a/crates/downstream/src/head.rs
+++ b/crates/downstream/src/head.rs
@@ -150,45 +150,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn status(text: &str) -> u16 {
-        match parse(text.as_bytes()) {
-            Ok(Some(_)) => 200,
-            Ok(None) => 0,
-            Err(reject) => reject.status,
-        }
-    }
-
-    #[test]
-    fn what_two_readers_could_read_two_ways_is_refused() {
-        let with = |lines: &str| status(&format!("POST /a HTTP/1.1\r\nHost: h\r\n{lines}\r\n"));
-        assert_eq!(with("Content-Length: 3\r\n"), 200);
-        assert_eq!(with("Content-Length: 3\r\nContent-Length: 4\r\n"), 400);
-        assert_eq!(with("Content-Length: 3\r\nContent-Length: 3\r\n"), 400);
-        assert_eq!(with("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n"), 400);
-        assert_eq!(with("Content-Length: +3\r\n"), 400);
-        assert_eq!(with("Content-Length: 99999999999999999999999\r\n"), 400);
-        assert_eq!(with("Transfer-Encoding: gzip, chunked\r\n"), 501);
-        assert_eq!(with("Transfer-Encoding : chunked\r\n"), 400);
-        assert_eq!(with("X: a\r\n b\r\n"), 400);
-        assert_eq!(status("GET /a HTTP/1.1\r\n\r\n"), 400);
-        assert_eq!(status("GET http://h/a HTTP/1.1\r\nHost: h\r\n\r\n"), 400);
-        assert_eq!(status("GET /a HTTP/1.1\r\nHost: h\r\n"), 0);
-    }
-
-    #[test]
-    fn repeated_headers_go_on_and_those_of_the_connection_do_not() {
-        let text = "GET /a%2Fb?c=%20&c HTTP/1.1\r\nHost: h\r\nX-A: 1\r\nx-a: 2\r\nConnection: x-b, close\r\nX-B: 3\r\nTE: x\r\n\r\n";
-        let (head, length) = parse(text.as_bytes()).unwrap().unwrap();
-        assert_eq!(length, text.len());
-        assert_eq!(head.target, "/a%2Fb?c=%20&c");
-        assert!(head.close);
-        let passed: Vec<String> = passed_on(&head.headers)
-            .iter()
-            .map(|(name, value)| format!("{name}={value}"))
-            .collect();
-        assert_eq!(passed, ["Host=h", "X-A=1", "x-a=2"]);
-    }
-}
+mod tests;
--- a/crates/startup/src/bounds.rs
+++ b/crates/startup/src/bounds.rs
@@ -82,44 +82,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_a_deployment_leaves_open_is_the_products_own() {
-        let own = Bounds::default();
-        assert_eq!(own.hold_ms(), NODE_HOLD_MS);
-        assert_eq!(own.stop_ms(), (STOP_UNREADY_MS, STOP_UNREADY_MS + STOP_WAIT_MS));
-        assert_eq!(own.extra(), (EXTRA_GOES_PERCENT, EXTRA_GOES_PER_S, EXTRA_GOES_SAVED));
-        assert_eq!((own.bodies_bytes(), own.log_bytes()), (BODIES_BYTES as u64, LOG_BYTES));
-    }
-
-    #[test]
-    fn holds_and_stops_stay_within_what_a_deployment_allows() {
-        for (drain_ms, in_force_ms, grace_ms) in [(2_500, 2_000, 6_000), (2_000, 2_000, 3_000)] {
-            let bounds = Bounds { drain_ms, in_force_ms, grace_ms, ..Bounds::default() };
-            assert!(bounds.hold_ms() * 3 <= drain_ms.min(in_force_ms) * 2, "{}", bounds.hold_ms());
-            let (unready_ms, end_ms) = bounds.stop_ms();
-            assert!(unready_ms * 2 < end_ms && end_ms + 200 <= grace_ms, "{unready_ms} {end_ms}");
-        }
-        let bounds = Bounds {
-            extra_percent: 20,
-            extra_window_ms: 10_000,
-            extra_slack: 68,
-            ..Bounds::default()
-        };
-        let (percent, per_s, saved) = bounds.extra();
-        assert_eq!(percent, 20);
-        assert!(per_s * 10 + saved <= 68, "{per_s} a second, {saved} saved");
-        let quick = Bounds { list_gap_ms: Some(20), ..Bounds::default() };
-        assert_eq!(quick.list_gap_ms(), 26, "the list's own rate, with a margin");
-        let slow = Bounds { list_gap_ms: Some(500), ..Bounds::default() };
-        assert_eq!(slow.list_gap_ms(), 650);
-        let small = Bounds {
-            memory_bytes: Some(64 << 20),
-            disk_bytes: Some(64 << 20),
-            ..Bounds::default()
-        };
-        assert_eq!((small.bodies_bytes(), small.log_bytes()), (16 << 20, 8 << 20));
-    }
-}
+mod tests;
