--- a/crates/transport/src/slab.rs
+++ b/crates/transport/src/slab.rs
@@ -1,6 +1,10 @@
+//! Continuations by key, of the questions a process waits on.
+
 /// Continuations by key. A key carries its place's generation, so a late response finds nothing
-/// where another ask now waits.
+/// where another ask now waits; and the process's life, so that a response to a question of an
+/// earlier life at the same address finds nothing either.
 pub struct Slab<T> {
+    life: u64,
     places: Vec<Place<T>>,
     free: Vec<u32>,
     count: usize,
@@ -11,13 +15,13 @@
     held: Option<T>,
 }
 
-impl<T> Default for Slab<T> {
-    fn default() -> Self {
-        Slab { places: Vec::new(), free: Vec::new(), count: 0 }
+impl<T> Slab<T> {
+    /// `life` is drawn at random for each process: its keys begin there.
+    pub fn new(life: u64) -> Slab<T> {
+        Slab { life, places: Vec::new(), free: Vec::new(), count: 0 }
     }
-}
 
-impl<T> Slab<T> {
+    /// Keeps a continuation; its key never came before in this life.
     pub fn insert(&mut self, held: T) -> u64 {
         let at = self.free.pop().unwrap_or_else(|| {
             self.places.push(Place { generation: 0, held: None });
@@ -27,11 +31,14 @@
         place.generation = place.generation.wrapping_add(1).max(1);
         place.held = Some(held);
         self.count += 1;
-        (u64::from(place.generation) << 32) | u64::from(at)
+        let number = (u64::from(place.generation) << 32) | u64::from(at);
+        self.life.wrapping_add(number)
     }
 
+    /// Gives back what was kept under this key, once.
     pub fn take(&mut self, key: u64) -> Option<T> {
-        let (generation, at) = ((key >> 32) as u32, key as u32);
+        let number = key.wrapping_sub(self.life);
+        let (generation, at) = ((number >> 32) as u32, number as u32);
         let place = self.places.get_mut(at as usize)?;
         if place.generation != generation {
             return None;
@@ -42,9 +49,12 @@
         Some(held)
     }
 
+    /// How many are kept.
     pub fn len(&self) -> usize {
         self.count
     }
+
+    /// Whether none is kept.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
--- a/programs/control-plane/src/core.rs
+++ b/programs/control-plane/src/core.rs
@@ -4,7 +4,7 @@
 use postbarrow_controller::{ControlNode, Effect, Input, PageResult, Snap};
 use postbarrow_desk::{Desk, Effect as DeskEffect};
 use postbarrow_messages::{Ask, Envelope, Message, Response};
-use postbarrow_transport::{Links, Slab, clock_ms};
+use postbarrow_transport::{Links, Slab, clock_ms, random};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, SyncSender};
@@ -50,7 +50,7 @@
         commands: Sender<Command>,
     ) -> Self {
         let links = Links::new(own);
-        let (desk, asks, local) = (Desk::default(), Slab::default(), VecDeque::new());
+        let (desk, asks, local) = (Desk::default(), Slab::new(random()), VecDeque::new());
         Core { node, own, links, desk, asks, writes, fetches, commands, local, ending: None }
     }
 
