--- a/crates/controller/src/asks.rs
+++ b/crates/controller/src/asks.rs
@@ -28,14 +28,16 @@
         }
     }
 
-    /// Nothing is interleaved with an open transaction; a repeat of a waiting question is dropped.
+    /// Nothing is interleaved with an open transaction; a repeat of a waiting question is
+    /// dropped, and its sender told so.
     fn wait_for_close(&mut self, now_ms: u64, origin: Origin, ask: Ask) {
         let Some(lead) = &mut self.lead else { return };
         let waits = |other: &Origin| other.to == origin.to && other.key == origin.key;
         let open = lead.open.as_ref().is_some_and(|open| waits(&open.origin));
-        if !open && !lead.waiting.iter().any(|(_, other, _)| waits(other)) {
-            lead.waiting.push_back((now_ms, origin, ask));
+        if open || lead.waiting.iter().any(|(_, other, _)| waits(other)) {
+            return self.respond(origin, Response::Waiting);
         }
+        lead.waiting.push_back((now_ms, origin, ask));
     }
 
     pub(crate) fn drain_waiting(&mut self, now_ms: u64) {
--- a/crates/desk/src/lib.rs
+++ b/crates/desk/src/lib.rs
@@ -2,17 +2,57 @@
 
 use postbarrow_constants::coordination::ASK_AGAIN_MS;
 use postbarrow_messages::{Ask, Message, Response};
+use postbarrow_state::{Call, Outcome};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+/// Statuses from here on tell an operator that a plan was not taken.
+const FIRST_REFUSING_STATUS: u16 = 400;
+
 struct Open {
     ask: Ask,
     again_ms: u64,
     until_ms: u64,
     /// Sends to the present controller that got no response.
     unheard: u32,
+    /// Copies sent that no response has shown to be without effect.
+    copies: u32,
+    /// A refusal that is told once no other copy can still take effect.
+    refused: Option<Response>,
+}
+
+impl Open {
+    fn new(ask: Ask, now_ms: u64, until_ms: u64) -> Open {
+        Open { ask, again_ms: now_ms, until_ms, unheard: 0, copies: 0, refused: None }
+    }
+}
+
+/// Whether a response says that nothing was done, for a reason that may be gone when another copy
+/// of the same question arrives.
+fn is_refusal(ask: &Ask, response: &Response) -> bool {
+    match (ask, response) {
+        (Ask::Submit(submission), Response::Operator { status, .. }) => {
+            !submission.dry_run && *status >= FIRST_REFUSING_STATUS
+        }
+        (Ask::Call { .. }, Response::Full) => true,
+        (Ask::Call { call, .. }, Response::Outcome(outcome)) => match call {
+            Call::Lock { .. } | Call::Renew { .. } => {
+                matches!(outcome, Outcome::Held { .. } | Outcome::NotHeld)
+            }
+            Call::Next { .. } | Call::Put { .. } | Call::Remove { .. } => {
+                matches!(outcome, Outcome::Conflict { .. } | Outcome::NoKey)
+            }
+            Call::Free { .. }
+            | Call::ReadLock { .. }
+            | Call::ReadNumber { .. }
+            | Call::ReadKey { .. }
+            | Call::Watch { .. } => false,
+        },
+        _ => false,
+    }
 }
 
+/// Questions that wait for the controller.
 #[derive(Default)]
 pub struct Desk {
     open: BTreeMap<u64, Open>,
@@ -43,7 +83,7 @@
 
     pub fn ask(&mut self, now_ms: u64, key: u64, ask: Ask, wait_ms: u64) -> Vec<Effect> {
         let until_ms = now_ms.saturating_add(wait_ms);
-        let open = Open { ask, again_ms: now_ms, until_ms, unheard: 0 };
+        let open = Open::new(ask, now_ms, until_ms);
         self.open.insert(key, open);
         self.pulse(now_ms)
     }
@@ -59,10 +99,11 @@
         for (key, open) in &mut self.open {
             if now_ms >= open.until_ms {
                 over.push(*key);
-            } else if now_ms >= open.again_ms {
+            } else if now_ms >= open.again_ms && open.refused.is_none() {
                 open.again_ms = now_ms + ASK_AGAIN_MS;
                 open.unheard += 1;
                 if let Some(to) = to {
+                    open.copies += 1;
                     let message = Message::Ask { key: *key, ask: open.ask.clone() };
                     effects.push(Effect::Send { to, message });
                     turned = true;
@@ -81,7 +122,9 @@
 
     /// A controller that left two sends of one question unanswered may be gone.
     fn doubt_the_silent(&mut self, now_ms: u64) {
-        let due = |open: &&mut Open| open.unheard >= 2 && now_ms >= open.again_ms;
+        let due = |open: &&mut Open| {
+            open.unheard >= 2 && now_ms >= open.again_ms && open.refused.is_none()
+        };
         let silent: Vec<&mut Open> = self.open.values_mut().filter(due).collect();
         if !silent.is_empty() {
             self.controller = None;
@@ -89,9 +132,14 @@
         silent.into_iter().for_each(|open| open.unheard = 0);
     }
 
-    /// A response to a question that is no longer open is nobody's.
+    /// A response to a question that is no longer open is nobody's. A refusal is told only once
+    /// every copy of its question is known to be without effect: one still on its way could be
+    /// taken after the caller heard that its call was not.
     pub fn on_response(&mut self, now_ms: u64, key: u64, response: Response) -> Vec<Effect> {
         let Some(open) = self.open.get_mut(&key) else { return Vec::new() };
+        if !matches!(response, Response::Lost) {
+            open.copies = open.copies.saturating_sub(1);
+        }
         match response {
             Response::NotController { controller } => {
                 self.controller = controller;
@@ -99,17 +147,27 @@
                     Some(_) => now_ms,
                     None => open.again_ms.min(now_ms + ASK_AGAIN_MS / 3),
                 };
-                self.pulse(now_ms)
-            }
-            Response::Lost => {
-                self.controller = None;
-                Vec::new()
             }
+            Response::Lost => self.controller = None,
+            Response::Waiting => open.unheard = 0,
+            response if is_refusal(&open.ask, &response) => open.refused = Some(response),
             response => {
                 self.open.remove(&key);
-                vec![Effect::Answer { key, response }]
+                return vec![Effect::Answer { key, response }];
             }
         }
+        let mut effects = self.tell_refusal(key);
+        effects.extend(self.pulse(now_ms));
+        effects
+    }
+
+    fn tell_refusal(&mut self, key: u64) -> Vec<Effect> {
+        let told = |open: &Open| open.copies == 0 && open.refused.is_some();
+        if !self.open.get(&key).is_some_and(told) {
+            return Vec::new();
+        }
+        let refused = self.open.remove(&key).and_then(|open| open.refused);
+        refused.map(|response| Effect::Answer { key, response }).into_iter().collect()
     }
 
     /// The controller did not answer other questions either.
--- a/crates/messages/src/asks.rs
+++ b/crates/messages/src/asks.rs
@@ -64,6 +64,8 @@
     NotController {
         controller: Option<SocketAddr>,
     },
+    /// An earlier copy of the same question waits here; this one is dropped without effect.
+    Waiting,
     /// The controller lost its place meanwhile: the end is unknown.
     Lost,
     /// Nobody answered in time: the end is unknown.
