--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -149,7 +149,8 @@
     (outcome, if longer { vec![record] } else { Vec::new() })
 }
 
-fn decide(state: &State, call: &Call) -> (Outcome, Vec<Record>) {
+/// What a call comes to in a state, and the records that make it so.
+pub fn decide(state: &State, call: &Call) -> (Outcome, Vec<Record>) {
     match call {
         Call::Lock { name, holder, ttl_ms } => match state.locks.get(name) {
             Some(lock) if lock.holder == *holder => extend(name, lock, *ttl_ms),
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -22,6 +22,7 @@
 mod walk;
 mod watches;
 
+pub use calls::decide;
 pub use commit::Snap;
 pub use page::{Listed, read_page};
 pub use types::{Effect, Fetched, Input, PageResult};
--- a/crates/simulation/src/search/mod.rs
+++ b/crates/simulation/src/search/mod.rs
@@ -1,12 +1,12 @@
 //! Exhaustive search, breadth first, over every order of events that a model allows.
 
-//mod forwarded;
-//mod forwarded_log;
+mod forwarded;
+mod forwarded_log;
 mod request;
 mod request_course;
 mod request_wire;
 
-//pub use forwarded::{ForwardedAction, ForwardedCalls, ForwardedState};
+pub use forwarded::{ForwardedAction, ForwardedCalls, ForwardedState, NUMBER, Question};
 pub use request::{Faults, RequestAction, RequestState, Requests};
 pub use request_wire::Kind;
 
--- a/programs/control-plane/src/lib.rs
+++ b/programs/control-plane/src/lib.rs
@@ -17,7 +17,7 @@
 use postbarrow_controller::ControlNode;
 use postbarrow_startup::Startup;
 use postbarrow_storage::{FolderDisk, Opened, Storage, open};
-pub use postbarrow_transport::clock_ms;
+pub use postbarrow_transport::{clock_ms, random};
 use postbarrow_transport::{listen, random};
 use std::io;
 use std::net::SocketAddr;
