--- a/crates/controller/tests/transactions.rs
+++ b/crates/controller/tests/transactions.rs
@@ -3,7 +3,7 @@
 use postbarrow_consensus::{Append, Entry, Message as LogMessage, Payload};
 use postbarrow_constants::plans::TRANSACTION_OPEN_MS;
 use postbarrow_messages::*;
-use postbarrow_state::Record;
+use postbarrow_state::{Call, Outcome, Record};
 use postbarrow_transactions::{Line, encode};
 
 fn markers(bench: &Bench) -> Vec<String> {
@@ -169,3 +169,20 @@
     assert_eq!(bench.status(3), Some(200));
     assert_eq!(bench.state().plan_version(), Some("v1"));
 }
+
+#[test]
+fn a_repeat_of_a_waiting_question_is_told_that_it_was_dropped_and_the_first_is_done_once() {
+    let mut bench = Bench::serving();
+    let text = plan("v1", None, 6_000, "catalogue");
+    let next = || Ask::Call { id: None, call: Call::Next { name: "n".into(), by: 1 } };
+    bench.submit(1, &text);
+    bench.ask(2, next());
+    assert_eq!(bench.answer(2), None, "it waits for the open plan");
+    bench.ask(2, next());
+    assert_eq!(bench.answer(2), Some(&Response::Waiting));
+    bench.submit(1, &text);
+    assert_eq!(bench.answer(1), Some(&Response::Waiting), "the open plan's own question");
+    bench.settle();
+    assert_eq!(bench.status(1), Some(200));
+    assert_eq!(bench.answer(2), Some(&Response::Outcome(Outcome::Number(1))));
+}
--- a/programs/data-plane/src/tests/proved.rs
+++ b/programs/data-plane/src/tests/proved.rs
@@ -66,9 +66,10 @@
     let (found, rig) = one(vec![Script::Later(Vec::new(), cue, whole("late")), Script::Whole("2")]);
     let told = rig.post("", "a");
     assert!(told.starts_with("HTTP/1.1 504") && told.contains("unknown"), "{told}");
+    assert!(rig.post("", "b").ends_with("\r\n\r\n2"), "sent on the silent connection");
     late.comes();
-    let told = rig.post("", "b");
+    let told = rig.post("", "c");
     assert!(told.ends_with("\r\n\r\n2") && !told.contains("late"), "{told}");
-    assert_eq!(found.runs(), 2);
-    assert_eq!(rig.settled(), [Settlement::Unknown, Settlement::Ran]);
+    assert_eq!(found.runs(), 3);
+    assert_eq!(rig.settled(), [Settlement::Unknown, Settlement::Ran, Settlement::Ran]);
 }
--- a/programs/data-plane/src/tests/silence.rs
+++ b/programs/data-plane/src/tests/silence.rs
@@ -1,7 +1,11 @@
 //! Silence, resets and late answers on connections to targets that are named in each request.
 
-use super::named::{get, response, two};
+use super::named::{Words, get, response, two};
 use super::rig::*;
+use crate::straight::{Sent, Straight};
+use postbarrow_downstream::head::parse;
+use postbarrow_downstream::memory::Memory;
+use postbarrow_node::Passed;
 
 /// Long enough for a request to reach its target, short enough for a test.
 const SHORT: &str = "Ask: p\r\nWait-Ms: 300\r\n";
@@ -23,10 +27,12 @@
     let told = rig.post(SHORT, "x");
     assert!(told.starts_with("HTTP/1.1 502") && told.ends_with("sent"), "{told}");
     assert_eq!((one.runs(), other.runs()), (1, 0), "it may have run");
+    let told = get(&rig, "q");
+    assert!(told.ends_with("\r\n\r\nown"), "sent on the silent connection: {told}");
     late.comes();
     let told = get(&rig, "q");
     assert!(told.ends_with("\r\n\r\nown"), "the late answer is nobody's: {told}");
-    assert_eq!((one.runs(), connections(&one)), (2, 2), "the silent connection was left");
+    assert_eq!((one.runs(), connections(&one)), (3, 2), "the silent connection was left");
 }
 
 #[test]
@@ -37,6 +43,7 @@
     let look = format!("GET /look/1 HTTP/1.1\r\nHost: h\r\n{SHORT}\r\n");
     let told = rig.raw(look.as_bytes());
     assert!(told.starts_with("HTTP/1.1 502") && !told.contains("late"), "{told}");
+    assert!(get(&rig, "q").ends_with("\r\n\r\nown"), "sent on the silent connection");
     late.comes();
     assert!(get(&rig, "q").ends_with("\r\n\r\nown"));
     assert_eq!(connections(&one), 2);
@@ -110,3 +117,25 @@
     assert!(told.starts_with("HTTP/1.1 503") && told.ends_with("unsent"), "{told}");
     assert_eq!((one.runs(), other.runs()), (1, 1), "each said that it did not run it");
 }
+
+#[test]
+fn a_request_that_its_last_look_forbids_sends_no_byte() {
+    let one = ScriptedTarget::start("s-1", "s", vec![Script::Reply(response("p", "", "done"))]);
+    let text = b"POST /post/1 HTTP/1.1\r\nHost: h\r\nAsk: p\r\nContent-Length: 1\r\n\r\n";
+    let (head, _) = parse(text).unwrap().unwrap();
+    let sent = |allowed: bool| Sent {
+        head: &head,
+        headers: &[],
+        body: b"x",
+        wait_ms: 2_000,
+        repeatable: false,
+        gate: Box::new(move || allowed),
+    };
+    let mut memory = Memory::new(1_000).reserve(0).unwrap();
+    let open = || Straight::open(one.address, 2_000).unwrap();
+    let (passed, kept) = open().pass(sent(false), &Words, &mut memory);
+    assert!(matches!(passed, Passed::Unsent(_)) && kept.is_none(), "{passed:?}");
+    let (passed, kept) = open().pass(sent(true), &Words, &mut memory);
+    assert!(matches!(passed, Passed::Whole(_)) && kept.is_some(), "{passed:?}");
+    assert_eq!(one.runs(), 1, "the forbidden one never came");
+}
