--- a/crates/simulation/src/search/forwarded.rs
+++ b/crates/simulation/src/search/forwarded.rs
@@ -1,15 +1,13 @@
 //! Model of calls forwarded to the controller: real desks at two members, over a modelled log.
 
 use super::Model;
-use super::forwarded_log::{Entry, Member, Origin, Told, Write, elsewhere, refuses, state_of};
+use super::forwarded_log::{Entry, Member, Origin, Write, elsewhere};
+use super::forwarded_state::{ForwardedState, Progress, Way, address, new_desk};
 use postbarrow_constants::coordination::{ASK_AGAIN_MS, ASK_CONTROLLER_MS};
-use postbarrow_desk::{Desk, Effect};
-use postbarrow_messages::{Ask, Message, Response};
-use postbarrow_state::{Call, Name, Outcome, Record};
+use postbarrow_desk::Effect;
+use postbarrow_messages::{Ask, Message};
+use postbarrow_state::{Call, Name, Record};
 use postbarrow_transport::Slab;
-use std::collections::BTreeSet;
-use std::hash::{Hash, Hasher};
-use std::net::SocketAddr;
 
 /// One caller's call, at the desk of one member.
 #[derive(Clone, Debug)]
@@ -62,101 +60,6 @@
     Restarts,
 }
 
-#[derive(Clone, Debug)]
-enum Way {
-    Question { to: usize, origin: Origin, ask: Ask },
-    Answer { origin: Origin, response: Response },
-}
-
-/// How far a call has come.
-#[derive(Clone, Debug, PartialEq)]
-enum Progress {
-    Unasked,
-    /// Asked when the number stood so high.
-    Open {
-        number: u64,
-    },
-    Heard {
-        number: u64,
-        response: Response,
-    },
-    Gone,
-}
-
-/// Where all stand; equal where their printed forms are.
-#[derive(Clone, Debug)]
-pub struct ForwardedState {
-    now_ms: u64,
-    desks: [Desk; 2],
-    lives: [u64; 2],
-    members: [Member; 2],
-    ways: Vec<Way>,
-    progress: Vec<Progress>,
-    leader: usize,
-    full: bool,
-    meanwhile: bool,
-    losses: u8,
-    ticks: u8,
-    printed: String,
-}
-
-impl PartialEq for ForwardedState {
-    fn eq(&self, other: &Self) -> bool {
-        self.printed == other.printed
-    }
-}
-
-impl Eq for ForwardedState {}
-
-impl Hash for ForwardedState {
-    fn hash<H: Hasher>(&self, hasher: &mut H) {
-        self.printed.hash(hasher);
-    }
-}
-
-/// The name of the number that calls draw.
-pub const NUMBER: &str = "n";
-
-fn address(member: usize) -> SocketAddr {
-    SocketAddr::from(([10, 1, 0, 1 + member as u8], 1))
-}
-
-fn new_desk() -> Desk {
-    let mut desk = Desk::default();
-    desk.learn(0, Some(address(0)), &[address(0), address(1)]);
-    desk
-}
-
-impl ForwardedState {
-    /// Messages without an order between them, and nothing that no event reads.
-    fn settle(&mut self) {
-        let mut printed: Vec<(String, Way)> =
-            self.ways.drain(..).map(|way| (format!("{way:?}"), way)).collect();
-        printed.sort_by(|one, other| one.0.cmp(&other.0));
-        let names: Vec<&String> = printed.iter().map(|(name, _)| name).collect();
-        let standing = (&self.desks, &self.members, &names, &self.progress, self.leader);
-        let left = (self.full, self.meanwhile, self.losses, self.ticks, self.now_ms, self.lives);
-        self.printed = format!("{standing:?} {left:?}");
-        self.ways = printed.into_iter().map(|(_, way)| way).collect();
-    }
-
-    fn answers(&mut self, told: Vec<Told>) {
-        let ways = told.into_iter().map(|(origin, response)| Way::Answer { origin, response });
-        self.ways.extend(ways);
-    }
-
-    fn number(&self) -> u64 {
-        let leader = &self.members[self.leader];
-        let state = state_of(&leader.log[..leader.committed]);
-        state.numbers.get(NUMBER).copied().unwrap_or(0)
-    }
-
-    fn committed(&self) -> &[Entry] {
-        let leader = &self.members[self.leader];
-        &leader.log[..leader.committed]
-    }
-}
-
 impl ForwardedCalls {
     /// As the programs draw keys: from a `Slab` of this life.
     fn key(&self, question: usize) -> u64 {
@@ -254,52 +157,6 @@
     fn has_restart(&self) -> bool {
         (0..self.questions.len()).any(|at| self.life_of(at) > 0)
     }
-
-    fn check_heard(&self, state: &ForwardedState, at: usize, floor: u64) -> Result<(), String> {
-        let Progress::Heard { response, .. } = &state.progress[at] else { return Ok(()) };
-        let own: Vec<&Record> = state
-            .committed()
-            .iter()
-            .filter(|entry| entry.question == Some(at))
-            .flat_map(|entry| &entry.records)
-            .collect();
-        if refuses(response) && !own.is_empty() {
-            return Err(format!("call {at} was told {response:?} and took effect"));
-        }
-        let done = match response {
-            Response::Outcome(Outcome::Number(told)) => {
-                *told > floor
-                    && own
-                        .iter()
-                        .any(|found| matches!(found, Record::Number { value, .. } if value == told))
-            }
-            Response::Outcome(Outcome::Locked { fence: told, .. }) => {
-                own.iter().any(|found| matches!(found, Record::Lock { fence, .. } if fence == told))
-            }
-            Response::Outcome(Outcome::Key(told)) => own
-                .iter()
-                .any(|found| matches!(found, Record::Key { key: Some(key), .. } if key == told)),
-            _ => true,
-        };
-        if done { Ok(()) } else { Err(format!("call {at} was told {response:?}, not its own")) }
-    }
-
-    /// A put has one revision and a lock one fence, however often its question arrives.
-    fn check_once(&self, state: &ForwardedState, at: usize) -> Result<(), String> {
-        let own = state.committed().iter().filter(|entry| entry.question == Some(at));
-        let marks: BTreeSet<u64> = own
-            .flat_map(|entry| &entry.records)
-            .filter_map(|record| match record {
-                Record::Lock { fence, .. } => Some(*fence),
-                Record::Key { key: Some(key), .. } => Some(key.revision),
-                _ => None,
-            })
-            .collect();
-        if marks.len() > 1 {
-            return Err(format!("call {at} was done as {marks:?}"));
-        }
-        Ok(())
-    }
 }
 
 impl Model for ForwardedCalls {
--- /dev/null
+++ b/crates/simulation/src/search/forwarded_rules.rs
@@ -0,0 +1,62 @@
+//! What must hold of every forwarded call.
+
+use super::forwarded::ForwardedCalls;
+use super::forwarded_log::refuses;
+use super::forwarded_state::{ForwardedState, Progress};
+use postbarrow_messages::Response;
+use postbarrow_state::{Outcome, Record};
+use std::collections::BTreeSet;
+
+impl ForwardedCalls {
+    /// Whatever a caller was told is true of its own call.
+    pub(super) fn check_heard(
+        &self,
+        state: &ForwardedState,
+        at: usize,
+        floor: u64,
+    ) -> Result<(), String> {
+        let Progress::Heard { response, .. } = &state.progress[at] else { return Ok(()) };
+        let own: Vec<&Record> = state
+            .committed()
+            .iter()
+            .filter(|entry| entry.question == Some(at))
+            .flat_map(|entry| &entry.records)
+            .collect();
+        if refuses(response) && !own.is_empty() {
+            return Err(format!("call {at} was told {response:?} and took effect"));
+        }
+        let done = match response {
+            Response::Outcome(Outcome::Number(told)) => {
+                *told > floor
+                    && own
+                        .iter()
+                        .any(|found| matches!(found, Record::Number { value, .. } if value == told))
+            }
+            Response::Outcome(Outcome::Locked { fence: told, .. }) => {
+                own.iter().any(|found| matches!(found, Record::Lock { fence, .. } if fence == told))
+            }
+            Response::Outcome(Outcome::Key(told)) => own
+                .iter()
+                .any(|found| matches!(found, Record::Key { key: Some(key), .. } if key == told)),
+            _ => true,
+        };
+        if done { Ok(()) } else { Err(format!("call {at} was told {response:?}, not its own")) }
+    }
+
+    /// A put has one revision and a lock one fence, however often its question arrives.
+    pub(super) fn check_once(&self, state: &ForwardedState, at: usize) -> Result<(), String> {
+        let own = state.committed().iter().filter(|entry| entry.question == Some(at));
+        let marks: BTreeSet<u64> = own
+            .flat_map(|entry| &entry.records)
+            .filter_map(|record| match record {
+                Record::Lock { fence, .. } => Some(*fence),
+                Record::Key { key: Some(key), .. } => Some(key.revision),
+                _ => None,
+            })
+            .collect();
+        if marks.len() > 1 {
+            return Err(format!("call {at} was done as {marks:?}"));
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/simulation/src/search/forwarded_state.rs
@@ -0,0 +1,108 @@
+//! Where the members, their desks and the callers of the forwarded calls' model stand.
+
+use super::forwarded_log::{Entry, Member, Origin, Told, state_of};
+use postbarrow_desk::Desk;
+use postbarrow_messages::{Ask, Response};
+use std::hash::{Hash, Hasher};
+use std::net::SocketAddr;
+
+/// A message on its way.
+#[derive(Clone, Debug)]
+pub enum Way {
+    Question { to: usize, origin: Origin, ask: Ask },
+    Answer { origin: Origin, response: Response },
+}
+
+/// How far a call has come.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Progress {
+    Unasked,
+    /// Asked when the number stood so high.
+    Open {
+        number: u64,
+    },
+    Heard {
+        number: u64,
+        response: Response,
+    },
+    Gone,
+}
+
+/// Where all stand; equal where their printed forms are.
+#[derive(Clone, Debug)]
+pub struct ForwardedState {
+    pub(super) now_ms: u64,
+    pub(super) desks: [Desk; 2],
+    pub(super) lives: [u64; 2],
+    pub(super) members: [Member; 2],
+    pub(super) ways: Vec<Way>,
+    pub(super) progress: Vec<Progress>,
+    pub(super) leader: usize,
+    pub(super) full: bool,
+    pub(super) meanwhile: bool,
+    pub(super) losses: u8,
+    pub(super) ticks: u8,
+    pub(super) printed: String,
+}
+
+impl PartialEq for ForwardedState {
+    fn eq(&self, other: &Self) -> bool {
+        self.printed == other.printed
+    }
+}
+
+impl Eq for ForwardedState {}
+
+impl Hash for ForwardedState {
+    fn hash<H: Hasher>(&self, hasher: &mut H) {
+        self.printed.hash(hasher);
+    }
+}
+
+/// The name of the number that calls draw.
+pub const NUMBER: &str = "n";
+
+/// Where a member is reached.
+pub fn address(member: usize) -> SocketAddr {
+    SocketAddr::from(([10, 1, 0, 1 + member as u8], 1))
+}
+
+/// A process's desk at its start.
+pub fn new_desk() -> Desk {
+    let mut desk = Desk::default();
+    desk.learn(0, Some(address(0)), &[address(0), address(1)]);
+    desk
+}
+
+impl ForwardedState {
+    /// Messages without an order between them, and nothing that no event reads.
+    pub fn settle(&mut self) {
+        let mut printed: Vec<(String, Way)> =
+            self.ways.drain(..).map(|way| (format!("{way:?}"), way)).collect();
+        printed.sort_by(|one, other| one.0.cmp(&other.0));
+        let names: Vec<&String> = printed.iter().map(|(name, _)| name).collect();
+        let standing = (&self.desks, &self.members, &names, &self.progress, self.leader);
+        let left = (self.full, self.meanwhile, self.losses, self.ticks, self.now_ms, self.lives);
+        self.printed = format!("{standing:?} {left:?}");
+        self.ways = printed.into_iter().map(|(_, way)| way).collect();
+    }
+
+    /// Responses are sent.
+    pub fn answers(&mut self, told: Vec<Told>) {
+        let ways = told.into_iter().map(|(origin, response)| Way::Answer { origin, response });
+        self.ways.extend(ways);
+    }
+
+    /// How high the number stands for all.
+    pub fn number(&self) -> u64 {
+        let leader = &self.members[self.leader];
+        let state = state_of(&leader.log[..leader.committed]);
+        state.numbers.get(NUMBER).copied().unwrap_or(0)
+    }
+
+    /// What no change of leader takes back.
+    pub fn committed(&self) -> &[Entry] {
+        let leader = &self.members[self.leader];
+        &leader.log[..leader.committed]
+    }
+}
--- a/crates/simulation/src/search/mod.rs
+++ b/crates/simulation/src/search/mod.rs
@@ -2,12 +2,17 @@
 
 mod forwarded;
 mod forwarded_log;
+mod forwarded_rules;
+mod forwarded_state;
 mod request;
 mod request_course;
+mod request_state;
 mod request_wire;
 
-pub use forwarded::{ForwardedAction, ForwardedCalls, ForwardedState, NUMBER, Question};
-pub use request::{Faults, RequestAction, RequestState, Requests};
+pub use forwarded::{ForwardedAction, ForwardedCalls, Question};
+pub use forwarded_state::{ForwardedState, NUMBER};
+pub use request::{Faults, RequestAction, Requests};
+pub use request_state::RequestState;
 pub use request_wire::Kind;
 
 use std::collections::HashSet;
--- a/crates/simulation/src/search/request.rs
+++ b/crates/simulation/src/search/request.rs
@@ -2,7 +2,8 @@
 
 use super::Model;
 use super::request_course::{DEADLINE_MS, Fed, Moment, PassedAs, Phase, START_MS, Views, as_fed};
-use super::request_wire::{Answer, Connection, Content, Kind, Use};
+use super::request_state::RequestState;
+use super::request_wire::{Connection, Content, Kind, Use};
 use std::cell::RefCell;
 
 /// How much may go wrong.
@@ -81,38 +82,6 @@
     HoldEnds,
 }
 
-/// Where all stand.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct RequestState {
-    /// Where the courses stand, by the number of their view.
-    view: usize,
-    phases: [Phase; 2],
-    connections: Vec<Connection>,
-    lives: [u8; 2],
-    ran: [u8; 2],
-    late: bool,
-    serves: bool,
-    left: Faults,
-}
-
-impl RequestState {
-    fn connection_of(&self, client: usize) -> Option<usize> {
-        let mine = |used: Use| used == Use::Taken(client) || used == Use::Reading(client);
-        self.connections.iter().position(|connection| mine(connection.used))
-    }
-
-    /// The connection that `Pools::take` gives, if one rests.
-    fn resting(&self, target: usize) -> Option<usize> {
-        let fresh = |found: &Connection| found.rests_at(target) && found.is_fresh();
-        self.connections.iter().rposition(fresh)
-    }
-
-    fn is_reading(&self, client: usize) -> bool {
-        let mut all = self.connections.iter();
-        all.any(|connection| connection.used == Use::Reading(client))
-    }
-}
-
 impl Requests {
     fn feed(&self, state: &mut RequestState, client: usize, fed: Fed) {
         let now_ms = if state.late { START_MS + DEADLINE_MS } else { START_MS };
@@ -183,11 +152,7 @@
 
     fn connects(&self, state: &mut RequestState, client: usize) {
         let Phase::Connect(target) = state.phases[client] else { return };
-        for connection in &mut state.connections {
-            if connection.rests_at(target) && !connection.is_fresh() {
-                connection.used = Use::Dropped;
-            }
-        }
+        state.drops_unfit(target);
         match state.resting(target) {
             Some(at) => state.connections[at].used = Use::Taken(client),
             None if self.logged && state.lives[target] > 0 => {
@@ -231,49 +196,6 @@
     }
 }
 
-impl RequestState {
-    fn runs(&mut self, at: usize, content: Option<Content>) {
-        let connection = &mut self.connections[at];
-        let Some((client, _)) = connection.pending.take() else { return };
-        self.ran[client] += 1;
-        connection.answers(client, content, true);
-    }
-
-    fn replaces(&mut self, target: usize) {
-        self.left.replaces -= 1;
-        self.lives[target] += 1;
-        for connection in self.connections.iter_mut().filter(|found| found.target == target) {
-            connection.closed = true;
-            connection.pending = None;
-        }
-    }
-
-    /// Forgets connections that neither end will use.
-    fn tidy(&mut self) {
-        self.connections
-            .retain(|connection| connection.used != Use::Dropped || connection.pending.is_some());
-        for connection in &mut self.connections {
-            if connection.used == Use::Dropped {
-                connection.inbox.clear();
-            }
-        }
-    }
-}
-
-impl Connection {
-    fn rests_at(&self, target: usize) -> bool {
-        self.target == target && self.used == Use::Resting
-    }
-
-    fn answers(&mut self, client: usize, content: Option<Content>, named: bool) {
-        let Some(content) = content else { return };
-        if !self.closed {
-            self.answered = Some(client);
-            self.inbox.push(Answer { content, made_for: client, named });
-        }
-    }
-}
-
 impl Model for Requests {
     type State = RequestState;
     type Action = RequestAction;
