--- a/crates/constants/src/plans.rs
+++ b/crates/constants/src/plans.rs
@@ -14,6 +14,12 @@
 pub const BATCHES_IN_FLIGHT: usize = 8;
 /// A plan's text as received; above the delta bound, so that the bound is what refuses a large one.
 pub const PLAN_TEXT_BYTES: usize = 16 * 1024 * 1024;
+/// Taken plans that are remembered, so that the same one sent again is acknowledged again: a day of
+/// 1,800 changes and some more. An older one gets no clear answer.
+pub const TAKEN_PLANS: usize = 2_048;
+/// Remembered plans that were refused because their base was never taken. A copy still on its way
+/// is at most one operator's wait old, and eight are under way at once.
+pub const REFUSED_PLANS: usize = 256;
 /// Findings reported for one document; a thousand lines help nobody.
 pub const FINDINGS: usize = 100;
 /// Bytes of a submission's version name.
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -15,6 +15,7 @@
 mod page;
 mod recent;
 mod status;
+mod submission;
 mod submit;
 mod targets;
 mod tickets;
@@ -24,6 +25,7 @@
 
 pub use commit::Snap;
 pub use page::{Listed, read_page};
+pub use submission::{RefusalReason, SubmissionVerdict, judge, text_digest};
 pub use types::{Effect, Fetched, Input, PageResult};
 
 pub(crate) use types::Origin;
--- a/crates/controller/src/list.rs
+++ b/crates/controller/src/list.rs
@@ -36,7 +36,7 @@
         let late = |held: &Held| held.leaving && now_ms >= held.since_ms + LEAVING_WAIT_MS;
         let waits = self.lead.as_ref().is_some_and(|lead| lead.held_rows.iter().any(late));
         if waits && self.is_open() {
-            self.abort_open(now_ms, 503, "a target that leaves waited for it too long");
+            self.abort_late(now_ms, "a target that leaves waited for it too long");
         }
         while !self.is_open() {
             let Some(lead) = &mut self.lead else { return };
--- a/crates/controller/src/operator.rs
+++ b/crates/controller/src/operator.rs
@@ -10,7 +10,7 @@
     version: String,
     in_force: bool,
     dry_run: bool,
-    /// Log offset at which this plan began, and at which it was closed; none on a repeat.
+    /// Log offset at which this plan began, and at which it was closed where that is remembered.
     began_at: Option<u64>,
     ended_at: Option<u64>,
     rehearsal: Option<Rehearsal>,
@@ -28,13 +28,14 @@
         }
     }
 
-    pub fn again(state: &State) -> Self {
+    /// Of a plan that was taken before, and may have been replaced since.
+    pub fn again(state: &State, version: &str, began_at: u64, ended_at: Option<u64>) -> Self {
         Submitted {
-            version: state.plan_version().unwrap_or_default().into(),
-            in_force: true,
+            version: version.into(),
+            in_force: state.plan_version() == Some(version),
             dry_run: false,
-            began_at: state.plan.as_ref().map(|plan| plan.offset),
-            ended_at: None,
+            began_at: Some(began_at),
+            ended_at,
             rehearsal: None,
         }
     }
--- /dev/null
+++ b/crates/controller/src/submission.rs
@@ -0,0 +1,108 @@
+//! Whether a submitted plan is begun, was taken before, is refused, or can't be told.
+
+use postbarrow_messages::Submission;
+use postbarrow_state::{Digest, State};
+use sha2::{Digest as _, Sha256};
+use std::fmt;
+
+/// What the plans taken so far say of a submission.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum SubmissionVerdict {
+    /// Its base is in force and its version is new.
+    Proceed,
+    /// This very plan was taken, whether or not others were built on it since.
+    AlreadyTaken { began_at: u64, ended_at: Option<u64> },
+    /// It was not taken and never will be.
+    Refused(RefusalReason),
+    /// It may be older than what is remembered, so it may have been taken.
+    Unknown,
+}
+
+/// Why a plan is not taken.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RefusalReason {
+    /// Its version was taken with another text or on another base.
+    OtherText,
+    /// Another plan was taken on its base.
+    BaseBuiltUpon,
+    /// Its base was never taken. It may be one day, so this refusal is recorded.
+    BaseNeverTaken,
+    /// The same plan was refused before its base was taken.
+    RefusedBefore,
+}
+
+impl fmt::Display for RefusalReason {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            RefusalReason::OtherText => "this version was taken with another text",
+            RefusalReason::BaseBuiltUpon => "the base is not the plan in force",
+            RefusalReason::BaseNeverTaken => "the base was never in force",
+            RefusalReason::RefusedBefore => {
+                "this plan was refused before its base was in force; it needs a new version"
+            }
+        })
+    }
+}
+
+/// SHA-256 of a plan's text.
+pub fn text_digest(text: &[u8]) -> Digest {
+    Sha256::digest(text).into()
+}
+
+/// Judges a submission whose text has this digest by the plans taken so far.
+pub fn judge(state: &State, submission: &Submission, digest: &Digest) -> SubmissionVerdict {
+    let (version, base) = (submission.version.as_str(), submission.base.as_deref());
+    let verdict = judge_known(state, submission, digest).unwrap_or_else(|| {
+        if state.is_refused(version, digest) {
+            SubmissionVerdict::Refused(RefusalReason::RefusedBefore)
+        } else if state.plan_version() == base {
+            SubmissionVerdict::Proceed
+        } else if state.is_built_upon(base) {
+            SubmissionVerdict::Refused(RefusalReason::BaseBuiltUpon)
+        } else if state.remembers_every_plan() {
+            SubmissionVerdict::Refused(RefusalReason::BaseNeverTaken)
+        } else {
+            SubmissionVerdict::Unknown
+        }
+    });
+    if submission.dry_run { judge_dry_run(state, submission, verdict) } else { verdict }
+}
+
+/// A version that was taken can't be taken again.
+fn judge_known(
+    state: &State,
+    submission: &Submission,
+    digest: &Digest,
+) -> Option<SubmissionVerdict> {
+    let (base, known_digest, began_at, ended_at) = match state.taken_plan(&submission.version) {
+        Some(taken) => (&taken.base, taken.digest, taken.began_at, Some(taken.ended_at)),
+        None => {
+            let plan = state.plan.as_ref().filter(|plan| plan.version == submission.version)?;
+            (&plan.base, text_digest(&state.plan_text()), plan.offset, None)
+        }
+    };
+    Some(if *base == submission.base && known_digest == *digest {
+        SubmissionVerdict::AlreadyTaken { began_at, ended_at }
+    } else {
+        SubmissionVerdict::Refused(RefusalReason::OtherText)
+    })
+}
+
+/// A dry run is never taken: it runs on the plan in force, or beside itself when that is in force.
+fn judge_dry_run(
+    state: &State,
+    submission: &Submission,
+    verdict: SubmissionVerdict,
+) -> SubmissionVerdict {
+    match verdict {
+        SubmissionVerdict::AlreadyTaken { .. }
+            if state.plan_version() == Some(submission.version.as_str()) =>
+        {
+            SubmissionVerdict::Proceed
+        }
+        SubmissionVerdict::AlreadyTaken { .. } | SubmissionVerdict::Unknown => {
+            SubmissionVerdict::Refused(RefusalReason::BaseBuiltUpon)
+        }
+        SubmissionVerdict::Proceed | SubmissionVerdict::Refused(_) => verdict,
+    }
+}
--- a/crates/controller/src/submit.rs
+++ b/crates/controller/src/submit.rs
@@ -1,9 +1,12 @@
+//! A submitted plan on its way into the log, as one transaction.
+
 use crate::operator::{self, Refused, Submitted};
+use crate::submission::{RefusalReason, SubmissionVerdict, judge, text_digest};
 use crate::{ControlNode, Origin};
 use postbarrow_constants::plans::BATCHES_IN_FLIGHT;
 use postbarrow_messages::{Response, Submission};
 use postbarrow_plan::Rehearsal;
-use postbarrow_state::{Name, Record, State};
+use postbarrow_state::{Digest, Name, Record, RefusedPlan};
 use postbarrow_transactions::{Line, encode, split};
 use std::collections::VecDeque;
 
@@ -11,6 +14,8 @@
 pub(crate) struct Open {
     pub origin: Origin,
     pub version: Name,
+    base: Option<Name>,
+    digest: Digest,
     dry_run: bool,
     allow_empty: bool,
     batches: VecDeque<Vec<Record>>,
@@ -19,14 +24,27 @@
 
 impl ControlNode {
     pub(crate) fn on_submit(&mut self, now_ms: u64, origin: Origin, submission: Submission) {
+        let digest = text_digest(&submission.text());
         let Some(state) = self.current() else { return };
-        if let Some(refusal) = stale(state, &submission) {
-            return self.reply_settled(origin, refusal);
-        }
-        if state.plan_version() == Some(submission.version.as_str()) && !submission.dry_run {
-            let response = operator::json(200, &Submitted::again(state));
-            return self.reply_settled(origin, response);
+        match judge(state, &submission, &digest) {
+            SubmissionVerdict::Proceed => self.begin_plan(now_ms, origin, submission, digest),
+            SubmissionVerdict::AlreadyTaken { began_at, ended_at } => {
+                let told = Submitted::again(state, &submission.version, began_at, ended_at);
+                self.reply_settled(origin, operator::json(200, &told));
+            }
+            SubmissionVerdict::Refused(reason) => {
+                let told = Refused::new(&reason.to_string(), state.plan_version());
+                if reason == RefusalReason::BaseNeverTaken && !submission.dry_run {
+                    let refused = RefusedPlan { version: submission.version, digest };
+                    self.propose(now_ms, vec![Record::PlanRefused(refused)]);
+                }
+                self.reply_settled(origin, operator::json(409, &told));
+            }
+            SubmissionVerdict::Unknown => self.respond(origin, Response::TimedOut),
         }
+    }
+
+    fn begin_plan(&mut self, now_ms: u64, origin: Origin, submission: Submission, digest: Digest) {
         let name = format!("plan {}", submission.version);
         let Some(writer) = self.lead.as_mut().and_then(|lead| lead.writer.as_mut()) else { return };
         let Ok(begin) = writer.begin(now_ms, &name) else { return };
@@ -35,6 +53,8 @@
             lead.open = Some(Open {
                 origin,
                 version: submission.version,
+                base: submission.base,
+                digest,
                 dry_run: submission.dry_run,
                 allow_empty: submission.allow_empty,
                 batches: split(submission.records).into(),
@@ -60,7 +80,7 @@
             let lines: Vec<Line<Record>> = batch.into_iter().map(Line::Data).collect();
             let writer = lead.writer.as_mut().expect("an open transaction has a writer");
             if writer.grow(encode(&lines).len()).is_err() {
-                return self.abort_open(now_ms, 413, "the plan is over the bound of one delta");
+                return self.refuse_open(now_ms, 413, "the plan is over the bound of one delta");
             }
             let offset = self.propose_lines(now_ms, lines);
             if let Some(open) = self.lead.as_mut().and_then(|lead| lead.open.as_mut()) {
@@ -76,11 +96,12 @@
         let (Some(open), Some(before)) = (&lead.open, writer.rollback()) else { return };
         let rehearsal = Rehearsal::of(before, writer.current());
         let (origin, version) = (open.origin, open.version.clone());
+        let (base, digest) = (open.base.clone(), open.digest);
         if !rehearsal.without_target.is_empty() && !open.allow_empty {
             let empty = rehearsal.without_target.join(", ");
             let reason = format!("no live target for {empty}; allow-empty was not given");
             if !open.dry_run {
-                return self.abort_open(now_ms, 422, &reason);
+                return self.refuse_open(now_ms, 422, &reason);
             }
         }
         if open.dry_run {
@@ -92,49 +113,43 @@
         } else {
             let Ok(end) = writer.end() else { return };
             lead.open = None;
-            let began = writer.current().plan.as_ref().map_or(0, |plan| plan.offset);
-            let offset = self.propose_lines(now_ms, vec![end]);
-            let told = Submitted::new(&version, began, offset, rehearsal);
+            let began_at = writer.current().plan.as_ref().map_or(0, |plan| plan.offset);
+            let taken = Record::PlanTaken { version: version.clone(), base, digest, began_at };
+            let offset = self.propose_lines(now_ms, vec![Line::Data(taken), end]);
+            let told = Submitted::new(&version, began_at, offset, rehearsal);
             self.say(format!("plan {version} ends at {offset}"));
             self.reply_at(offset, origin, operator::json(200, &told));
         }
         self.drain_waiting(now_ms);
     }
 
-    pub(crate) fn abort_open(&mut self, now_ms: u64, status: u16, reason: &str) {
+    /// Ends the open plan for a reason that the same plan would meet again: it is refused.
+    fn refuse_open(&mut self, now_ms: u64, status: u16, reason: &str) {
+        let refused = Refused::new(reason, self.committed().plan_version());
+        self.abort_open(now_ms, reason, operator::json(status, &refused));
+    }
+
+    /// Ends the open plan for want of time. Another copy of it may be waiting or on its way and be
+    /// taken, so this is no refusal but no clear answer.
+    pub(crate) fn abort_late(&mut self, now_ms: u64, reason: &str) {
+        self.abort_open(now_ms, reason, Response::TimedOut);
+    }
+
+    fn abort_open(&mut self, now_ms: u64, reason: &str, response: Response) {
         let Some(lead) = &mut self.lead else { return };
         let Some(open) = lead.open.take() else { return };
         let abort = lead.writer.as_mut().and_then(|writer| writer.abort(reason).ok());
         let Some(abort) = abort else { return };
         self.say(format!("plan {} is aborted: {reason}", open.version));
         let offset = self.propose_lines(now_ms, vec![abort]);
-        let refused = Refused::new(reason, self.committed().plan_version());
-        self.reply_at(offset, open.origin, operator::json(status, &refused));
+        self.reply_at(offset, open.origin, response);
         self.drain_waiting(now_ms);
     }
 
     pub(crate) fn submit_pulse(&mut self, now_ms: u64) {
         let writer = self.lead.as_ref().and_then(|lead| lead.writer.as_ref());
         if writer.is_some_and(|writer| writer.is_overdue(now_ms)) {
-            self.abort_open(now_ms, 503, "the transaction was open too long");
-        }
-    }
-}
-
-/// The version in force decides: its own text again is a yes, any other plan needs it as base.
-fn stale(state: &State, submission: &Submission) -> Option<Response> {
-    let in_force = state.plan_version();
-    if in_force == Some(submission.version.as_str()) {
-        let given: Vec<u8> = submission.text();
-        if given == state.plan_text() {
-            return None;
+            self.abort_late(now_ms, "the transaction was open too long");
         }
-        let refused = Refused::new("this version is in force with another text", in_force);
-        return Some(operator::json(409, &refused));
-    }
-    if in_force != submission.base.as_deref() {
-        let refused = Refused::new("the base is not the plan in force", in_force);
-        return Some(operator::json(409, &refused));
     }
-    None
 }
--- a/crates/state/src/apply.rs
+++ b/crates/state/src/apply.rs
@@ -77,6 +77,16 @@
             }
             Record::Callers(callers) => self.callers = callers.clone(),
             Record::Era { by } => self.era += by,
+            Record::PlanTaken { version, base, digest, began_at } => {
+                self.remember_taken(TakenPlan {
+                    version: version.clone(),
+                    base: base.clone(),
+                    digest: *digest,
+                    began_at: *began_at,
+                    ended_at: offset,
+                });
+            }
+            Record::PlanRefused(refused) => self.remember_refused(refused.clone()),
             Record::Lock { name, holder, fence, ttl_ms } => {
                 let lock = Lock { holder: holder.clone(), fence: *fence, ttl_ms: *ttl_ms };
                 self.locks.insert(name.clone(), lock);
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -4,10 +4,12 @@
 mod coordination;
 mod records;
 mod sample;
+mod taken;
 
 pub use coordination::*;
 pub use records::*;
 pub use sample::Sample;
+pub use taken::{RefusedPlan, TakenPlan};
 
 use compact_str::CompactString;
 use imbl::{OrdMap, Vector};
@@ -45,6 +47,12 @@
     pub repeat_queue: Vector<(u64, Name)>,
     #[serde(default)]
     pub callers: Callers,
+    /// The plans taken last, oldest first, each built on the one before it.
+    #[serde(default)]
+    pub taken_plans: Vector<Arc<TakenPlan>>,
+    /// The plans refused last because their base was never taken, oldest first.
+    #[serde(default)]
+    pub refused_plans: Vector<RefusedPlan>,
 }
 
 impl State {
--- a/crates/state/src/records.rs
+++ b/crates/state/src/records.rs
@@ -1,4 +1,4 @@
-use crate::{Event, Incarnation, Key, Name, Outcome};
+use crate::{Event, Incarnation, Key, Name, Outcome, RefusedPlan};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -201,6 +201,16 @@
     Era {
         by: u64,
     },
+    /// The open transaction's plan is taken; it stands in the same batch as the end.
+    PlanTaken {
+        version: Name,
+        base: Option<Name>,
+        digest: Digest,
+        /// Log offset of the batch that began the plan.
+        began_at: u64,
+    },
+    /// A plan was refused for a base that may still come; it stays refused when the base does.
+    PlanRefused(RefusedPlan),
 }
 
 impl Record {
