--- a/crates/simulation/src/book.rs
+++ b/crates/simulation/src/book.rs
@@ -1,3 +1,4 @@
+use crate::orders::OrderBook;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,8 +30,9 @@
     pub ran_us: Vec<u64>,
     /// Plans acknowledged: when, and the offset at which they began.
     pub in_force: Vec<(u64, u64)>,
-    pub refused: BTreeSet<String>,
-    pub acknowledged: BTreeMap<Option<String>, String>,
+    /// Plans refused or rehearsed only: version and number of routes, which data nodes know of one.
+    pub refused: BTreeSet<(String, usize)>,
+    pub orders: OrderBook,
     pub committed: BTreeMap<u64, u64>,
     pub longest_leave_us: u64,
 }
--- a/crates/simulation/src/check.rs
+++ b/crates/simulation/src/check.rs
@@ -63,11 +63,11 @@
     }
 
     pub fn check_published(&mut self, at: usize) {
-        let version = self.data[at].table.state.plan_version().map(str::to_string);
-        if let Some(version) = version
-            && self.book.refused.contains(&version)
-        {
-            self.book.violate(format!("data-{at} serves {version}, which was refused"));
+        let state = &self.data[at].table.state;
+        let Some(version) = state.plan_version().map(str::to_string) else { return };
+        let published = (version, state.routes.len());
+        if self.book.refused.contains(&published) {
+            self.book.violate(format!("data-{at} serves {}, which was refused", published.0));
         }
     }
 
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -1,17 +1,26 @@
 use crate::event::Event;
+use crate::orders::Order;
 use crate::world::World;
 use postbarrow_desk::{Desk, Effect};
 use postbarrow_messages::{Ask, Envelope, Message, Response, Submission};
 use postbarrow_plan::Plan;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
+/// What an operator expects of an order that is sent.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Purpose {
+    Change,
+    DryRun,
+    /// Acknowledged or refused before; the same answer is due.
+    Repeat,
+}
+
 #[derive(Clone)]
 struct Handed {
-    version: String,
-    base: Option<String>,
-    text: String,
-    dry: bool,
+    order: Order,
+    routes: usize,
+    purpose: Purpose,
 }
 
 /// Operators who hand over plans, sometimes two at once on one base.
@@ -21,8 +30,8 @@
     pub acknowledged: u64,
     pub refusals: u64,
     pub shown: Option<String>,
-    /// Plans of which nobody knows yet whether they are in force.
-    pub unsure: BTreeMap<String, String>,
+    /// Texts of plans of which nobody knows yet whether they are in force.
+    pub unsure: BTreeSet<String>,
     pub texts: BTreeMap<String, String>,
     desk: Desk,
     handed: BTreeMap<u64, Handed>,
@@ -31,6 +40,12 @@
 }
 
 const WAIT_MS: u64 = 3_000;
+/// Orders under way at once, at most.
+const RACERS: u64 = 8;
+/// Of a thousand acknowledgements, so many are lost.
+const ACKNOWLEDGEMENTS_LOST_PER_MILLE: u64 = 150;
+/// Routes of every plan besides those it is given.
+const ROUTES: usize = 3;
 
 impl Operator {
     pub fn new(address: SocketAddr) -> Self {
@@ -40,7 +55,7 @@
             acknowledged: 0,
             refusals: 0,
             shown: None,
-            unsure: BTreeMap::new(),
+            unsure: BTreeSet::new(),
             texts: BTreeMap::new(),
             desk: Desk::default(),
             handed: BTreeMap::new(),
@@ -48,6 +63,14 @@
             number: 0,
         }
     }
+
+    /// Answers may overtake each other, so an older version is no news. Numbers only rise.
+    fn learn(&mut self, version: String) {
+        let number = |version: &str| version.strip_prefix('v')?.parse::<u64>().ok();
+        if number(&version) > self.version.as_deref().and_then(number) {
+            self.version = Some(version);
+        }
+    }
 }
 
 pub fn plan_text(version: &str, base: Option<&str>, routes: u64, empty: bool) -> String {
@@ -71,7 +94,7 @@
         self.operator_does(effects);
         let idle = self.operator.handed.is_empty();
         if idle && (self.operator.version.is_none() || (!self.quiet && self.random.chance(25))) {
-            match self.random.below(8) {
+            match self.random.below(12) {
                 _ if self.operator.version.is_none() => self.hand_over(0, false, false),
                 0 => self.hand_over(0, true, false),
                 1 => self.hand_over(0, false, true),
@@ -80,6 +103,13 @@
                     self.hand_over(0, false, false);
                     self.hand_over(5, false, false);
                 }
+                4 => self.race(),
+                5 => self.hand_over_twice(),
+                6 | 7 => {
+                    self.send_old_orders();
+                    self.hand_over(4, false, false);
+                }
+                8 => self.send_old_orders(),
                 _ => self.hand_over(3, false, false),
             }
         }
@@ -88,28 +118,75 @@
 
     pub fn hand_over(&mut self, routes: u64, dry: bool, empty: bool) {
         self.operator.number += 1;
+        let handed = self.draw_up(routes, dry, empty);
+        self.submit(handed);
+    }
+
+    /// Up to eight operators pick one number for different changes.
+    fn race(&mut self) {
+        self.operator.number += 1;
+        for routes in 0..self.random.between(2, RACERS) {
+            let handed = self.draw_up(routes, false, false);
+            self.submit_elsewhere(handed);
+        }
+    }
+
+    /// One order by two paths at once.
+    fn hand_over_twice(&mut self) {
+        self.operator.number += 1;
+        let handed = self.draw_up(2, false, false);
+        self.submit(handed.clone());
+        self.submit_elsewhere(handed);
+    }
+
+    /// An order that was acknowledged and one that was refused are sent again as they were.
+    fn send_old_orders(&mut self) {
+        let (taken, refused) = (self.book.orders.taken_orders(), self.book.orders.refused_orders());
+        let mut old = Vec::new();
+        for orders in [taken, refused] {
+            if !orders.is_empty() {
+                old.push(orders[self.random.below(orders.len() as u64) as usize].clone());
+            }
+        }
+        for order in old {
+            self.submit_elsewhere(Handed { order, routes: 0, purpose: Purpose::Repeat });
+        }
+    }
+
+    fn draw_up(&mut self, routes: u64, dry: bool, empty: bool) -> Handed {
         let version = format!("v{}", self.operator.number);
         let base = self.operator.version.clone();
         let text = plan_text(&version, base.as_deref(), routes, empty);
+        let routes = routes as usize + ROUTES;
         if dry || empty {
-            self.book.refused.insert(version.clone());
+            self.book.refused.insert((version.clone(), routes));
         }
         self.operator.texts.insert(version.clone(), text.clone());
-        self.submit(Handed { version, base, text, dry });
+        let purpose = if dry { Purpose::DryRun } else { Purpose::Change };
+        Handed { order: Order { version, base, text }, routes, purpose }
+    }
+
+    /// By another member than the one that answers now.
+    fn submit_elsewhere(&mut self, handed: Handed) {
+        self.operator.desk.doubt();
+        self.submit(handed);
     }
 
     fn submit(&mut self, handed: Handed) {
-        let plan = Plan::read(handed.text.as_bytes()).expect("the simulator's plans are sound");
+        let order = &handed.order;
+        let plan = Plan::read(order.text.as_bytes()).expect("the simulator's plans are sound");
         let submission = Submission {
-            version: handed.version.as_str().into(),
-            base: handed.base.as_deref().map(Into::into),
+            version: order.version.as_str().into(),
+            base: order.base.as_deref().map(Into::into),
             records: plan.records(),
-            dry_run: handed.dry,
+            dry_run: handed.purpose == Purpose::DryRun,
             allow_empty: self.operator.version.is_none(),
         };
         self.operator.key += 1;
         let key = self.operator.key;
-        self.operator.unsure.insert(handed.version.clone(), handed.text.clone());
+        if handed.purpose != Purpose::Repeat {
+            self.operator.unsure.insert(order.text.clone());
+        }
         self.operator.handed.insert(key, handed);
         self.operator_asks(key, Ask::Submit(submission));
     }
@@ -149,40 +226,62 @@
         }
     }
 
+    /// An order without a clear answer is sent again as it was, and so is one whose
+    /// acknowledgement was lost.
     fn plan_ended(&mut self, handed: Handed, response: Response) {
         let Response::Operator { status, body } = response else {
-            return self.submit(handed);
+            return self.submit_elsewhere(handed);
         };
         let text = String::from_utf8_lossy(&body).into_owned();
-        self.operator.unsure.remove(&handed.version);
-        match status {
-            200 if handed.dry => {}
-            200 => self.plan_acknowledged(&handed, &text),
-            503 => self.submit(handed),
-            _ => {
-                self.operator.refusals += 1;
-                self.book.refused.insert(handed.version.clone());
-                (0..self.data.len()).for_each(|at| self.check_published(at));
-                let named = text.split("\"versionInForce\":\"").nth(1);
-                let named = named.and_then(|rest| rest.split('"').next()).map(str::to_string);
-                if named.is_some() {
-                    self.operator.version = named;
+        let order = handed.order.clone();
+        match (status, handed.purpose) {
+            (200, Purpose::DryRun) => {
+                self.operator.unsure.remove(&order.text);
+            }
+            (200, purpose) => {
+                let lost = !self.quiet && self.random.chance(ACKNOWLEDGEMENTS_LOST_PER_MILLE);
+                let found = self.book.orders.acknowledged(&order);
+                found.into_iter().for_each(|text| self.book.violate(text));
+                if lost && purpose == Purpose::Change {
+                    return self.submit_elsewhere(Handed { purpose: Purpose::Repeat, ..handed });
+                }
+                self.operator.unsure.remove(&order.text);
+                self.plan_acknowledged(order, &text);
+            }
+            (_, purpose) => {
+                self.operator.unsure.remove(&order.text);
+                if purpose != Purpose::DryRun {
+                    let found = self.book.orders.refused(&order);
+                    found.into_iter().for_each(|text| self.book.violate(text));
                 }
+                self.plan_refused(&handed, &text);
             }
         }
     }
 
-    fn plan_acknowledged(&mut self, handed: &Handed, text: &str) {
+    fn plan_refused(&mut self, handed: &Handed, text: &str) {
+        self.operator.refusals += 1;
+        if handed.purpose != Purpose::Repeat {
+            self.book.refused.insert((handed.order.version.clone(), handed.routes));
+        }
+        (0..self.data.len()).for_each(|at| self.check_published(at));
+        let named = text.split("\"versionInForce\":\"").nth(1);
+        let named = named.and_then(|rest| rest.split('"').next()).map(str::to_string);
+        if let Some(named) = named {
+            self.operator.learn(named);
+        }
+    }
+
+    fn plan_acknowledged(&mut self, order: Order, text: &str) {
         let began = text
             .split("\"beganAt\":")
             .nth(1)
             .and_then(|rest| rest.split(|c: char| !c.is_ascii_digit()).next()?.parse::<u64>().ok());
         self.operator.acknowledged += 1;
-        self.operator.version = Some(handed.version.clone());
         self.book.in_force.push((self.now_us, began.unwrap_or(0)));
-        let other = self.book.acknowledged.insert(handed.base.clone(), handed.version.clone());
-        if other.is_some_and(|other| other != handed.version) {
-            self.book.violate(format!("two plans were acknowledged on base {:?}", handed.base));
+        self.operator.texts.insert(order.version.clone(), order.text);
+        if text.contains("\"inForce\":true") {
+            self.operator.learn(order.version);
         }
     }
 }
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -201,7 +201,7 @@
     };
     let last =
         world.operator.version.as_ref().and_then(|version| world.operator.texts.get(version));
-    let unsure = world.operator.unsure.values().any(|text| *text == shown);
+    let unsure = world.operator.unsure.iter().any(|text| *text == shown);
     if last != Some(&shown) && !unsure {
         world.book.violate("the plan in force is not the one last acknowledged".into());
     }
