--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -75,7 +75,7 @@
             sent_ms: part.sent_ms,
         };
         if got.done {
-            return self.send(from, Message::SnapshotResponse(got));
+            return self.send_after_sync(from, Message::SnapshotResponse(got));
         }
         let mut incoming = match self.incoming.take() {
             Some(kept) if kept.from == from.id && kept.index == part.index => kept,
--- /dev/null
+++ b/crates/consensus/tests/durable.rs
@@ -0,0 +1,71 @@
+//! A member is counted for what its disk holds, and for nothing before.
+
+use postbarrow_consensus::*;
+
+fn member(id: u64) -> Member {
+    Member { id, address: format!("10.0.0.{id}:1").parse().unwrap() }
+}
+
+fn sent(effects: &[Effect]) -> usize {
+    effects.iter().filter(|effect| matches!(effect, Effect::Send { .. })).count()
+}
+
+#[test]
+fn a_learner_says_that_it_holds_a_snapshot_only_once_it_is_synced_also_when_asked_again() {
+    let mut learner = Consensus::new(9, Recovered::default(), 7, 1_000);
+    let part = SnapshotPart {
+        term: 1,
+        index: 5,
+        index_term: 1,
+        members: (1..=3).map(member).collect(),
+        offset: 0,
+        total: 2,
+        bytes: vec![1, 2],
+        sent_ms: 0,
+    };
+    let mut wrote = 0;
+    for again_ms in [0, 500] {
+        let message = Message::Snapshot(part.clone());
+        let effects = learner.handle(1_000 + again_ms, Input::Receive { from: member(1), message });
+        assert_eq!(sent(&effects), 0, "nothing is synced yet");
+        for effect in effects {
+            if let Effect::Write { sequence, .. } = effect {
+                wrote = sequence;
+            }
+        }
+    }
+    let effects = learner.handle(1_600, Input::Synced(wrote));
+    assert_eq!(sent(&effects), 2, "both answers, after the sync");
+}
+
+#[test]
+fn a_learner_says_that_it_holds_entries_only_once_they_are_synced() {
+    let mut learner = Consensus::new(9, Recovered::default(), 7, 1_000);
+    let form = SnapshotPart {
+        term: 1,
+        index: 1,
+        index_term: 1,
+        members: (1..=3).map(member).collect(),
+        offset: 0,
+        total: 0,
+        bytes: Vec::new(),
+        sent_ms: 0,
+    };
+    let message = Message::Snapshot(form);
+    let installed = learner.handle(1_000, Input::Receive { from: member(1), message });
+    let wrote = installed.iter().filter_map(|effect| match effect {
+        Effect::Write { sequence, .. } => Some(*sequence),
+        _ => None,
+    });
+    let wrote = wrote.max().expect("a snapshot is written");
+    learner.handle(1_001, Input::Synced(wrote));
+    let entry = Entry { term: 1, index: 2, payload: Payload::Batch(vec![7]) };
+    for entries in [vec![entry], Vec::new()] {
+        let prev = if entries.is_empty() { 2 } else { 1 };
+        let append = Append { term: 1, prev, prev_term: 1, entries, commit: 1, sent_ms: 0 };
+        let message = Message::Append(append);
+        let effects = learner.handle(1_010, Input::Receive { from: member(1), message });
+        let answered = sent(&effects);
+        assert_eq!(answered, 0, "no answer counts an entry that is not synced: {effects:?}");
+    }
+}
