--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -171,6 +171,7 @@
         self.set_role(Role::Leader);
         self.freed = false;
         self.leader = Some(self.id);
+        self.led_since_ms = now_ms;
         self.incoming = None;
         self.handing = false;
         self.progress.clear();
--- a/crates/consensus/src/handover.rs
+++ b/crates/consensus/src/handover.rs
@@ -1,3 +1,5 @@
+//! A leader gives up its hold and lets a caught-up follower lead at once.
+
 use crate::*;
 
 impl Consensus {
@@ -11,6 +13,7 @@
             known.matched == last
                 && self.log.is_member(known.member.id)
                 && self.is_heard(now_ms, known.member.id)
+                && !self.is_leaving(now_ms, known.member.id)
         });
         let Some(heir) = heir.map(|known| known.member).next() else {
             return;
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -3,6 +3,7 @@
 mod clear;
 mod election;
 mod handover;
+mod leaving;
 mod log;
 mod members;
 mod progress;
@@ -14,7 +15,7 @@
 pub use progress::Progress;
 pub use types::*;
 
-use postbarrow_constants::consensus::VOTERS;
+use postbarrow_constants::consensus::{VOTER_DEAD_MS, VOTERS};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -56,6 +57,13 @@
     random: u64,
     /// Voters that the log grows to while learners stand ready.
     voters: usize,
+    /// A voter silent this long leaves while a learner stands ready.
+    voter_dead_ms: u64,
+    /// Since when this one leads, if it does.
+    led_since_ms: u64,
+    leave: leaving::Leave,
+    announce_due_ms: u64,
+    leavers: BTreeMap<MemberId, leaving::Leaver>,
     effects: Vec<Effect>,
 }
 
@@ -94,6 +102,11 @@
             clear: false,
             random: seed | 1,
             voters: VOTERS,
+            voter_dead_ms: VOTER_DEAD_MS,
+            led_since_ms: now_ms,
+            leave: leaving::Leave::Staying,
+            announce_due_ms: now_ms,
+            leavers: BTreeMap::new(),
             effects: Vec::new(),
         };
         made.set_election(now_ms);
@@ -105,6 +118,11 @@
         self.voters = VOTERS.max(2 * losses + 1);
     }
 
+    /// After so much silence a voter's seat goes to a learner that stands ready.
+    pub fn set_voter_dead_ms(&mut self, voter_dead_ms: u64) {
+        self.voter_dead_ms = voter_dead_ms;
+    }
+
     pub fn handle(&mut self, now_ms: u64, input: Input) -> Vec<Effect> {
         match input {
             Input::Pulse => self.pulse(now_ms),
@@ -115,6 +133,7 @@
             Input::Learner(member) => self.learner(now_ms, member),
             Input::Compact { index, state } => self.compact(index, state),
             Input::HandOver(note) => self.hand_over(now_ms, note),
+            Input::Leave => self.leave(now_ms),
         }
         std::mem::take(&mut self.effects)
     }
@@ -129,6 +148,7 @@
             Message::VoteResponse { term, granted } => {
                 self.on_vote_response(now_ms, from, term, granted)
             }
+            Message::Append(append) if self.withholds(&append) => {}
             Message::Append(append) => self.on_append(now_ms, from, append),
             Message::AppendResponse(response) => self.on_append_response(now_ms, from, response),
             Message::Snapshot(part) => self.on_snapshot(now_ms, from, part),
@@ -138,12 +158,19 @@
                 self.on_who_response(now_ms, from, term, round, free)
             }
             Message::TakeOver(ask) => self.on_take_over(now_ms, from, ask),
+            Message::Leaving(leaving) => self.on_leaving(now_ms, from, leaving),
+            Message::MayLeave(got) => self.on_may_leave(now_ms, got),
         }
     }
 
     fn pulse(&mut self, now_ms: u64) {
+        self.leave_pulse(now_ms);
         match self.role {
-            Role::Leader => self.leader_pulse(now_ms),
+            Role::Leader => {
+                self.leader_pulse(now_ms);
+                self.change_members(now_ms);
+                self.answer_leavers(now_ms);
+            }
             _ if now_ms >= self.election_due_ms && self.log.is_member(self.id) => {
                 self.start_pre_vote(now_ms, false)
             }
--- a/crates/consensus/src/members.rs
+++ b/crates/consensus/src/members.rs
@@ -1,3 +1,5 @@
+//! Who votes: the first members, learners, and the one step at a time by which seats change.
+
 use crate::*;
 use postbarrow_constants::consensus::*;
 
@@ -16,7 +18,7 @@
     }
 
     pub(crate) fn learner(&mut self, now_ms: u64, member: Member) {
-        if self.role != Role::Leader || member.id == self.id {
+        if self.role != Role::Leader || member.id == self.id || self.is_leaving(now_ms, member.id) {
             return;
         }
         if let Some(known) = self.log.members().iter().find(|known| known.id == member.id) {
@@ -30,50 +32,77 @@
         self.progress.entry(member.id).or_insert_with(|| Progress::new(member, next, now_ms));
     }
 
-    /// One step at a time: once a caught-up learner stands ready, the voter silent longest leaves;
-    /// then the learner joins. In this order no step needs more than the two that live: a learner
-    /// that dies meanwhile can't be missed by a majority of four. And no step is taken that would
-    /// leave the log without a majority of those heard lately: not before the learner has been here
-    /// for longer than 'lately', for it may stand where one of the others stood a moment ago.
+    /// One step at a time, and none that would leave the log without a majority of those heard
+    /// lately.
     pub(crate) fn change_members(&mut self, now_ms: u64) {
         if !self.is_ready() || self.log.config_index() > self.commit {
             return;
         }
-        let mut members = self.log.members().to_vec();
-        let Some(learner) = self.caught_up(now_ms) else { return };
-        if members.len() < self.voters {
-            members.push(learner);
-        } else {
-            let silent_ms = |member: &Member| match self.progress.get(&member.id) {
-                Some(known) => now_ms.saturating_sub(known.heard_ms),
-                None => 0,
-            };
-            let others = members.iter().filter(|member| member.id != self.id);
-            let silentest = others.max_by_key(|member| silent_ms(member)).copied();
-            let Some(dead) = silentest.filter(|one| silent_ms(one) >= VOTER_DEAD_MS) else {
-                return;
-            };
-            let since_ms = self.progress.get(&learner.id).map_or(now_ms, |known| known.since_ms);
-            if now_ms < since_ms + LEARNER_SETTLE_MS {
-                return;
-            }
-            members.retain(|member| member.id != dead.id);
-        }
+        let Some(members) = self.next_members(now_ms) else { return };
         let live = members.iter().filter(|one| one.id == self.id || self.is_heard(now_ms, one.id));
         if live.count() > members.len() / 2 {
             self.propose_members(now_ms, members);
         }
     }
 
+    /// A dead voter leaves first, then the learner joins: a learner that dies meanwhile can't be
+    /// missed by a majority of four. A living one that is about to end leaves last: four that all
+    /// live bear a loss at each step, and if one is silent, the leaver's own end is the surer loss.
+    /// No voter makes place before the learner has been here for longer than 'lately', for it may
+    /// stand where one of the others stood a moment ago.
+    fn next_members(&self, now_ms: u64) -> Option<Vec<Member>> {
+        let members = self.log.members();
+        if members.len() > self.voters {
+            let leaves = self.dead_voter(now_ms).or_else(|| self.leaver(now_ms))?;
+            return Some(self.members_without(leaves));
+        }
+        let learner = self.caught_up(now_ms)?;
+        let joined = || members.iter().copied().chain([learner]).collect();
+        if members.len() < self.voters {
+            return Some(joined());
+        }
+        let since_ms = self.progress.get(&learner.id).map_or(now_ms, |known| known.since_ms);
+        if now_ms < since_ms + LEARNER_SETTLE_MS {
+            return None;
+        }
+        match self.dead_voter(now_ms) {
+            Some(dead) => Some(self.members_without(dead)),
+            None => self.leaver(now_ms).map(|_| joined()),
+        }
+    }
+
+    fn members_without(&self, gone: MemberId) -> Vec<Member> {
+        self.log.members().iter().filter(|one| one.id != gone).copied().collect()
+    }
+
+    /// The voter silent longest of those that are taken for dead.
+    fn dead_voter(&self, now_ms: u64) -> Option<MemberId> {
+        let silent_ms = |id: MemberId| {
+            self.progress.get(&id).map_or(0, |known| now_ms.saturating_sub(known.heard_ms))
+        };
+        let others = self.log.members().iter().map(|one| one.id).filter(|id| *id != self.id);
+        let dead =
+            others.filter(|id| silent_ms(*id) >= self.voter_dead_ms || self.is_gone(now_ms, *id));
+        dead.max_by_key(|id| silent_ms(*id))
+    }
+
+    /// A voter that still lives and is about to end.
+    fn leaver(&self, now_ms: u64) -> Option<MemberId> {
+        let mut others = self.log.members().iter().map(|one| one.id).filter(|id| *id != self.id);
+        others.find(|id| self.is_leaving(now_ms, *id))
+    }
+
+    /// It answered this leader lately, or this one was elected lately and knows no better.
     pub(crate) fn is_heard(&self, now_ms: u64, id: MemberId) -> bool {
         let known = self.progress.get(&id);
-        known.is_some_and(|known| now_ms.saturating_sub(known.heard_ms) < HEARTBEAT_MS * 4)
+        known.is_some_and(|known| now_ms.saturating_sub(known.heard_ms) < HEARD_LATELY_MS)
     }
 
     fn caught_up(&self, now_ms: u64) -> Option<Member> {
         let caught = |learner: &&Member| {
             self.progress.get(&learner.id).is_some_and(|known| {
                 self.is_heard(now_ms, learner.id)
+                    && !self.is_leaving(now_ms, learner.id)
                     && known.matched + LEARNER_LAG_ENTRIES >= self.log.last()
             })
         };
--- a/crates/consensus/src/replicate.rs
+++ b/crates/consensus/src/replicate.rs
@@ -33,7 +33,6 @@
             for id in ids {
                 self.send_append(now_ms, id, true);
             }
-            self.change_members(now_ms);
         }
     }
 
--- a/crates/consensus/src/types.rs
+++ b/crates/consensus/src/types.rs
@@ -128,6 +128,18 @@
     pub note: Vec<u8>,
 }
 
+/// A member about to end says how far its log goes.
+#[derive(Clone, Copy, Debug, Serialize, Deserialize)]
+pub struct Leaving {
+    pub last: u64,
+}
+
+/// The leader's answer: the log can do without that member, and holds all up to here.
+#[derive(Clone, Copy, Debug, Serialize, Deserialize)]
+pub struct MayLeave {
+    pub last: u64,
+}
+
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Message {
     PreVote(VoteAsk),
@@ -155,6 +167,8 @@
         round: u64,
         free: bool,
     },
+    Leaving(Leaving),
+    MayLeave(MayLeave),
 }
 
 #[derive(Clone, Debug)]
@@ -174,6 +188,8 @@
     },
     /// Give up the hold, and let a caught-up follower lead; it is given the note.
     HandOver(Vec<u8>),
+    /// This member is asked to stop: it gives up its seat if a learner stands ready.
+    Leave,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- /dev/null
+++ b/crates/consensus/tests/replacement/disk.rs
@@ -0,0 +1,42 @@
+//! What a member's disk holds: the changes as numbers, in the log and in the state beside it.
+
+use postbarrow_consensus::*;
+use std::collections::BTreeSet;
+
+/// Bytes of the state beside the numbers: 2,000 routes.
+const STATE_BYTES: usize = 2_000 * 150;
+
+pub fn number(entry: &Entry) -> Option<u64> {
+    match &entry.payload {
+        Payload::Batch(bytes) => Some(u64::from_le_bytes(bytes[..8].try_into().unwrap())),
+        _ => None,
+    }
+}
+
+pub fn store(disk: &mut Recovered, write: Write) {
+    match write {
+        Write::Hard(hard) => (disk.term, disk.voted) = (hard.term, hard.voted),
+        Write::Append(entries) => disk.entries.extend(entries),
+        Write::Truncate { from } => disk.entries.retain(|entry| entry.index < from),
+        Write::Slot { snapshot, hard, entries } => {
+            (disk.term, disk.voted) = (hard.term, hard.voted);
+            disk.snapshot = Some(snapshot);
+            disk.entries = entries;
+        }
+    }
+}
+
+/// The changes' numbers, and as many bytes beside as the routes take.
+pub fn encode(applied: &BTreeSet<u64>) -> Vec<u8> {
+    let mut state = (applied.len() as u64).to_le_bytes().to_vec();
+    applied.iter().for_each(|number| state.extend(number.to_le_bytes()));
+    state.resize(state.len() + STATE_BYTES, 0);
+    state
+}
+
+pub fn decode(state: &[u8]) -> BTreeSet<u64> {
+    let numbers: Vec<u64> =
+        state.chunks_exact(8).map(|chunk| u64::from_le_bytes(chunk.try_into().unwrap())).collect();
+    let Some((count, rest)) = numbers.split_first() else { return BTreeSet::new() };
+    rest.iter().take(*count as usize).copied().collect()
+}
--- /dev/null
+++ b/crates/consensus/tests/replacement/seen.rs
@@ -0,0 +1,68 @@
+//! What can be seen of the members from outside, and what must hold of it.
+
+use crate::cluster::Cluster;
+use crate::disk::{decode, number};
+use postbarrow_consensus::*;
+use std::collections::BTreeSet;
+
+impl Cluster {
+    pub fn node(&self, id: MemberId) -> Option<&Consensus> {
+        self.machines.get(&id)?.node.as_ref()
+    }
+
+    /// The one that leads and may say so.
+    pub fn leader(&self) -> Option<MemberId> {
+        let holds = |id: &MemberId| {
+            self.node(*id).is_some_and(|node| node.is_ready() && node.hold_until() > self.now_ms)
+        };
+        self.machines.keys().copied().find(holds)
+    }
+
+    /// Members that the leader knows committed, in order.
+    pub fn voters(&self) -> Vec<MemberId> {
+        let Some(node) = self.leader().and_then(|id| self.node(id)) else { return Vec::new() };
+        if node.log().config_index() > node.commit() {
+            return Vec::new();
+        }
+        let mut ids: Vec<MemberId> = node.members().iter().map(|one| one.id).collect();
+        ids.sort_unstable();
+        ids
+    }
+
+    /// End of what this one ever acknowledged, and of what its disk holds.
+    pub fn ends(&self, id: MemberId) -> (u64, u64) {
+        let machine = &self.machines[&id];
+        let slot = machine.disk.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+        (machine.acknowledged, machine.disk.entries.last().map_or(slot, |entry| entry.index))
+    }
+
+    /// Whether the log would still have a majority if one more of its living voters were lost.
+    pub fn has_margin(&self) -> bool {
+        let Some(node) = self.leader().and_then(|id| self.node(id)) else { return false };
+        let members = node.members();
+        let living = members.iter().filter(|one| self.lives(one.id)).count();
+        living > members.len() / 2 + 1
+    }
+
+    /// What was acknowledged and is not held, durably, by any of these.
+    pub fn missing_at(&self, id: MemberId, since: &BTreeSet<u64>) -> usize {
+        let machine = &self.machines[&id];
+        let kept = machine.disk.snapshot.as_ref();
+        let mut durable = kept.map_or_else(BTreeSet::new, |one| decode(&one.state));
+        durable.extend(machine.disk.entries.iter().filter_map(number));
+        since.difference(&durable).count()
+    }
+
+    /// Service is back, and whoever leads has committed all that was ever acknowledged.
+    pub fn must_serve(&mut self, most_ms: u64, when: &str) -> u64 {
+        let back_ms = self.until(most_ms, |cluster| cluster.leader().is_some());
+        let back_ms = back_ms.unwrap_or_else(|| panic!("{when}: no leader after {most_ms} ms"));
+        let before = self.acknowledged.len();
+        self.pass(500);
+        assert!(self.acknowledged.len() > before, "{when}: nothing more is acknowledged");
+        let leader = self.leader().unwrap();
+        let lost = self.acknowledged.difference(&self.machines[&leader].applied).count();
+        assert_eq!(lost, 0, "{when}: acknowledged and lost");
+        back_ms
+    }
+}
--- a/crates/constants/src/consensus.rs
+++ b/crates/constants/src/consensus.rs
@@ -24,15 +24,23 @@
 pub const LOG_RECORD_BYTES: usize = 64 * 1024 * 1024;
 /// Entries kept behind a snapshot, so that a slow follower needs no snapshot.
 pub const ENTRIES_KEPT: u64 = 2_000;
-/// A voter silent this long is replaced when a learner stands ready.
+/// A voter silent this long is replaced when a learner stands ready, if the deployment says nothing
+/// of the time to catch up.
 pub const VOTER_DEAD_MS: u64 = 4_000;
+/// The least such silence that a deployment may lead to: an ordinary restart takes up to this long.
+pub const VOTER_DEAD_LEAST_MS: u64 = 1_500;
+/// Heard lately: one that lives misses three heartbeats at most.
+pub const HEARD_LATELY_MS: u64 = 4 * HEARTBEAT_MS;
+/// Who said that it leaves is remembered for so long: longer than any silence that counts as death.
+pub const LEAVERS_KEEP_MS: u64 = 10_000;
 /// A learner this close to the tail is caught up.
 pub const LEARNER_LAG_ENTRIES: u64 = 200;
 /// Voters in a control plane: one per disk machine.
 pub const VOTERS: usize = 3;
 /// A stopping controller's note counts this long; an heir is elected within a few milliseconds.
 pub const HANDED_KEEP_MS: u64 = 500;
-/// A stopping controller waits this long for an heir: three elections without its help.
+/// A stopping control node waits this long for an heir and for the log to do without it: three
+/// elections without its help. It is killed at the end of its grace, twice as late.
 pub const HAND_OVER_MS: u64 = 3_000;
 /// Fresh control nodes greet each other at this pace until a log exists.
 pub const GREET_MS: u64 = 200;
@@ -42,4 +50,4 @@
 pub const WHO_MS: u64 = 60;
 /// A learner stands by so long before a voter leaves for it: whose place it took is known silent by
 /// then, for 'heard lately' is four heartbeats.
-pub const LEARNER_SETTLE_MS: u64 = 1_000;
+pub const LEARNER_SETTLE_MS: u64 = 500;
--- a/crates/controller/src/greet.rs
+++ b/crates/controller/src/greet.rs
@@ -1,3 +1,5 @@
+//! How control nodes find each other, begin a log, and join one.
+
 use crate::ControlNode;
 use postbarrow_consensus::{self as consensus, Member, MemberId};
 use postbarrow_constants::consensus::{ELECTION_MIN_MS, GREET_MS, HEARD_KEEP_MS, VOTERS};
@@ -57,14 +59,15 @@
 }
 
 impl ControlNode {
-    /// Who is new, left out or without a leader for long makes itself known.
+    /// Who is new, left out or without a leader for long makes itself known; who is about to end
+    /// wants no seat.
     pub(crate) fn greet_pulse(&mut self, now_ms: u64) {
         if self.consensus.leader().is_some() || self.lead.is_some() {
             self.book.leader_ms = now_ms;
         }
         let member = self.consensus.members().contains(&self.own);
         let lost = now_ms > self.book.leader_ms + 3 * ELECTION_MIN_MS;
-        if now_ms < self.book.due_ms || (member && !lost) {
+        if now_ms < self.book.due_ms || (member && !lost) || self.stopping {
             return;
         }
         self.book.due_ms = now_ms + GREET_MS;
--- a/crates/controller/src/handover.rs
+++ b/crates/controller/src/handover.rs
@@ -1,3 +1,5 @@
+//! A planned stop: what was begun commits, another leads, and the log can do without this member.
+
 use crate::ControlNode;
 use postbarrow_constants::consensus::HANDED_KEEP_MS;
 use postbarrow_state::Name;
@@ -23,6 +25,7 @@
 impl ControlNode {
     pub(crate) fn stop(&mut self, now_ms: u64) {
         self.stopping = true;
+        self.log(now_ms, postbarrow_consensus::Input::Leave);
         self.hand_over_pulse(now_ms);
     }
 
@@ -55,9 +58,10 @@
         self.handed.take().filter(|handed| now_ms < handed.at_ms + HANDED_KEEP_MS)
     }
 
-    /// Nothing is left for this process to do in the log.
+    /// Another leads, and the log needs nothing of this process: its seat is given to a learner that
+    /// stood ready, if one did, and those that stay hold all that it acknowledged.
     pub fn has_handed_over(&self) -> bool {
         let heir = self.consensus.leader().is_some_and(|leader| leader.id != self.own.id);
-        self.lead.is_none() && heir
+        self.lead.is_none() && heir && self.consensus.has_left()
     }
 }
--- a/crates/controller/src/made.rs
+++ b/crates/controller/src/made.rs
@@ -42,6 +42,12 @@
         self
     }
 
+    /// After so much silence a member's seat goes to another that stands ready.
+    pub fn with_voter_dead(mut self, voter_dead_ms: u64) -> Self {
+        self.consensus.set_voter_dead_ms(voter_dead_ms);
+        self
+    }
+
     /// A log is known to exist: an empty disk joins it, and begins none.
     pub fn with_known_log(mut self) -> Self {
         self.book.formed = true;
--- a/crates/startup/src/bounds.rs
+++ b/crates/startup/src/bounds.rs
@@ -1,4 +1,4 @@
-use postbarrow_constants::consensus::LOG_BYTES;
+use postbarrow_constants::consensus::{LOG_BYTES, VOTER_DEAD_LEAST_MS, VOTER_DEAD_MS};
 use postbarrow_constants::coordination::HISTORY_KEEP_MS;
 use postbarrow_constants::nodes::{LIST_GAP_MS, LIST_HURRY_MS, NODE_HOLD_MS};
 use postbarrow_constants::traffic::*;
@@ -12,6 +12,8 @@
     pub in_force_ms: u64,
     /// From the wish to stop to the end.
     pub grace_ms: u64,
+    /// From a newcomer's start until the next machine may be lost; 0: the product's own.
+    pub catch_up_ms: u64,
     /// Watch events are kept at least so long.
     pub history_ms: u64,
     /// Extra goes: so many per cent of a service's asks, and a number in each window beside.
@@ -63,6 +65,18 @@
         (self.extra_percent, per_s, self.extra_slack / 4)
     }
 
+    /// Silence after which a voter's seat goes to a learner that stands ready.
+    ///
+    /// Half of the time to catch up. Of 4 s: if the leader is lost, 1 s until another leads and
+    /// counts the silence, 2 s of silence, and two log steps of 0.1 s make 3.1 s after the loss. The
+    /// newcomer starts no earlier than the loss, so 0.9 s are left. A restart takes less than 2 s.
+    pub fn voter_dead_ms(&self) -> u64 {
+        match self.catch_up_ms {
+            0 => VOTER_DEAD_MS,
+            catch_up_ms => (catch_up_ms / 2).clamp(VOTER_DEAD_LEAST_MS, VOTER_DEAD_MS),
+        }
+    }
+
     pub fn bodies_bytes(&self) -> u64 {
         let part = self.memory_bytes.map(|bytes| bytes / BODIES_PART);
         part.map_or(BODIES_BYTES as u64, |part| part.min(BODIES_BYTES as u64))
--- a/crates/startup/src/bounds/tests.rs
+++ b/crates/startup/src/bounds/tests.rs
@@ -11,6 +11,16 @@
     assert_eq!((own.bodies_bytes(), own.log_bytes()), (BODIES_BYTES as u64, LOG_BYTES));
 }
 
+#[test]
+fn a_dead_voters_seat_is_taken_well_within_the_time_to_catch_up() {
+    assert_eq!(Bounds::default().voter_dead_ms(), VOTER_DEAD_MS);
+    for (catch_up_ms, dead_ms) in [(2_000, 1_500), (4_000, 2_000), (6_000, 3_000), (60_000, 4_000)]
+    {
+        let bounds = Bounds { catch_up_ms, ..Bounds::default() };
+        assert_eq!(bounds.voter_dead_ms(), dead_ms);
+    }
+}
+
 #[test]
 fn holds_and_stops_stay_within_what_a_deployment_allows() {
     for (drain_ms, in_force_ms, grace_ms) in [(2_500, 2_000, 6_000), (2_000, 2_000, 3_000)] {
--- a/programs/control-plane/src/lib.rs
+++ b/programs/control-plane/src/lib.rs
@@ -69,7 +69,7 @@
         let mut node = ControlNode::new(own, recovered, &startup.seeds, random(), clock_ms());
         let bounds = &startup.bounds;
         node = node.with_bounds(bounds.list_gap_ms(), bounds.history_ms(), bounds.log_bytes());
-        node = node.with_losses(bounds.losses);
+        node = node.with_losses(bounds.losses).with_voter_dead(bounds.voter_dead_ms());
         if let Some(founders) = &startup.founders {
             node = node.with_founders(founders);
         }
@@ -98,7 +98,8 @@
         self.http
     }
 
-    /// Operators get their answers, another controller leads, the disk's queue is done: then it ends.
+    /// Operators get their answers, another controller leads, a learner that stands ready has this
+    /// one's seat, the disk's queue is done: then it ends.
     pub fn stop(&self) {
         let until_ms = clock_ms() + SUBMIT_WAIT_MS;
         self.asker.stop();
