--- a/crates/simulation/src/steps.rs
+++ b/crates/simulation/src/steps.rs
@@ -11,6 +11,8 @@
     Plan,
     /// A lost disk's machine learns and takes the lost one's place.
     Members,
+    /// Of that, only the change of seats itself.
+    Seats,
     /// A slot is written.
     Snapshot,
 }
@@ -23,7 +25,7 @@
     Cut,
 }
 
-pub const WHATS: [What; 3] = [What::Plan, What::Members, What::Snapshot];
+pub const WHATS: [What; 4] = [What::Plan, What::Members, What::Snapshot, What::Seats];
 pub const HOWS: [How; 4] = [How::Kill, How::Power, How::Freeze, How::Cut];
 
 /// The controller is struck at this one of its writes and syncs, counted from the beginning.
@@ -57,7 +59,7 @@
         world.strike = Some(Strike { what, how, left: at, fuse: at, hit: false });
         match what {
             What::Plan => world.hand_over(ROUTES, false, false),
-            What::Members => {
+            What::Members | What::Seats => {
                 let leader = world.leader().unwrap_or(0);
                 world.bring(Fault::SwapCore((leader + 1) % 3));
             }
@@ -81,7 +83,7 @@
     }
 }
 
-fn read_back(world: &mut World, ended: &mut Ended, when: &str) {
+pub(crate) fn read_back(world: &mut World, ended: &mut Ended, when: &str) {
     let until_us = world.now_us + 6_000_000;
     world.run_until(until_us);
     world.show();
@@ -105,9 +107,11 @@
         let machine = &self.control[at];
         let Some(node) = machine.node.as_ref().filter(|node| node.is_leading()) else { return };
         let log = node.consensus();
+        let seats = log.log().config_index() > log.commit() || log.members().len() < 3;
         let busy = match strike.what {
             What::Plan => log.commit() < log.last(),
-            What::Members => log.log().config_index() > log.commit() || log.members().len() < 3,
+            What::Members => seats || !log.learners().is_empty(),
+            What::Seats => seats,
             What::Snapshot => machine.writes().any(|write| matches!(write, Write::Slot { .. })),
         };
         let Some(strike) = &mut self.strike else { return };
--- a/crates/simulation/tests/steps.rs
+++ b/crates/simulation/tests/steps.rs
@@ -5,7 +5,7 @@
 fn strike(how: How) {
     let place = HOWS.iter().position(|known| *known == how).unwrap_or(0) as u64;
     for (turn, what) in WHATS.into_iter().enumerate() {
-        let at = [23, 3, 5][turn] + 2 * place;
+        let at = [23, 3, 5, 0][turn] + [2, 2, 2, 1][turn] * place;
         let ended = Step { seed: 1 + place, what, how, at }.run().expect("there is such a step");
         assert!(ended.violations.is_empty(), "{what:?} {how:?} {at}: {:#?}", ended.violations);
     }
