--- a/crates/simulation/src/control.rs
+++ b/crates/simulation/src/control.rs
@@ -27,6 +27,8 @@
     storage: Option<Storage<SimDisk>>,
     writes: VecDeque<(u64, Write)>,
     syncing: bool,
+    /// Its process does not begin again once it has ended.
+    pub retired: bool,
     /// Targets as last seen committed here, to find what was dropped.
     pub targets: OrdMap<Name, Arc<Target>>,
 }
@@ -43,6 +45,7 @@
             storage: None,
             writes: VecDeque::new(),
             syncing: false,
+            retired: false,
             targets: OrdMap::new(),
         }
     }
@@ -60,7 +63,7 @@
         let id = self.random.draw().max(1);
         let now_ms = self.local_ms(Who::Control(at));
         let mut seeds = self.seeds.clone();
-        if !seeds.contains(&self.control[at].address) {
+        if !seeds.contains(&self.control[at].address) && !self.core_seeds_only {
             seeds[2] = self.data[0].address;
         }
         let machine = &mut self.control[at];
@@ -82,7 +85,8 @@
         machine.syncing = false;
         machine.targets = OrdMap::new();
         let node = ControlNode::new(own, recovered, &seeds, seed, now_ms);
-        machine.node = Some(node.with_log_bound(LOG_BOUND_BYTES));
+        let node = node.with_log_bound(LOG_BOUND_BYTES);
+        machine.node = Some(node.with_losses(self.losses).with_voter_dead(self.voter_dead_ms));
         let life = machine.life;
         self.after(0, Event::Pulse { who: Who::Control(at), life });
     }
--- a/crates/simulation/src/roll.rs
+++ b/crates/simulation/src/roll.rs
@@ -42,7 +42,9 @@
             (true, false, _) => self.after(LOOK_US, Event::Leave { who, life, since_us }),
             (true, true, Who::Control(at)) => {
                 self.end_control(at, false);
-                self.after(AWAY_US, Event::Start(who));
+                if !self.control[at].retired {
+                    self.after(AWAY_US, Event::Start(who));
+                }
             }
             (true, true, Who::Data(at)) => {
                 self.end_data(at);
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -11,7 +11,7 @@
 use crate::random::Random;
 use crate::steps::Strike;
 use crate::targets::Target;
-use postbarrow_constants::consensus::PULSE_MS;
+use postbarrow_constants::consensus::{PULSE_MS, VOTER_DEAD_MS};
 use postbarrow_controller::Input as ControlInput;
 use postbarrow_messages::{Envelope, Message};
 use postbarrow_node::Input as DataInput;
@@ -46,6 +46,11 @@
     pub digest: u64,
     pub snapshots: usize,
     pub slow_disks: bool,
+    /// What the deployment says of its core: losses to bear, and the silence of a dead voter.
+    pub losses: usize,
+    /// A core machine that begins is told of no data node beside its seeds.
+    pub core_seeds_only: bool,
+    pub voter_dead_ms: u64,
     pub(crate) strike: Option<Strike>,
     /// Syncs that were done, and the writes that shared them.
     pub synced: (usize, usize),
@@ -82,6 +87,9 @@
             digest: 0,
             snapshots: 0,
             slow_disks: false,
+            losses: 1,
+            core_seeds_only: false,
+            voter_dead_ms: VOTER_DEAD_MS,
             strike: None,
             synced: (0, 0),
             disk_failures: 0,
