--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -226,6 +226,10 @@
         let id = self.leader?;
         self.log.members().iter().find(|member| member.id == id).copied()
     }
+    /// When a leader's word arrived last, by this node's own clock.
+    pub fn heard_ms(&self) -> u64 {
+        self.heard_ms
+    }
     /// Leader whose own term has committed: everything acknowledged before is applied.
     pub fn is_ready(&self) -> bool {
         self.role == Role::Leader && self.commit >= self.term_start
--- a/crates/controller/src/asks.rs
+++ b/crates/controller/src/asks.rs
@@ -1,9 +1,14 @@
+//! Where questions come in, and wait for an open transaction.
+
 use crate::{ControlNode, Origin};
 use postbarrow_messages::{Ask, Response};
 
 impl ControlNode {
+    /// The one gate of all questions. Without the hold nothing is answered from committed state,
+    /// which another leader may have changed, and nothing is written: so "not the controller"
+    /// always says that this question did nothing here.
     pub(crate) fn on_ask(&mut self, now_ms: u64, origin: Origin, ask: Ask) {
-        if !self.is_leading() || self.is_leaving() {
+        if !self.holds(now_ms) || self.is_leaving() {
             let controller = self.consensus.leader().map(|leader| leader.address);
             let controller = controller.filter(|address| *address != self.own.address);
             return self.respond(origin, Response::NotController { controller });
@@ -20,7 +25,7 @@
             }
             Ask::Call { id, call } => self.on_call(now_ms, origin, id, call),
             Ask::Submit(submission) => self.on_submit(now_ms, origin, submission),
-            Ask::Show => self.on_show(now_ms, origin),
+            Ask::Show => self.on_show(origin),
             Ask::Targets => self.on_targets(now_ms, origin),
             Ask::Members => self.on_members(now_ms, origin),
             Ask::Status => self.on_status(now_ms, origin),
@@ -46,15 +51,6 @@
             self.on_ask(now_ms, origin, ask);
         }
     }
-
-    /// Reads of committed state are linearizable while a majority's hold lasts.
-    pub(crate) fn refuse_without_hold(&mut self, now_ms: u64, origin: Origin) -> bool {
-        let holds = self.holds(now_ms);
-        if !holds {
-            self.respond(origin, Response::NotController { controller: None });
-        }
-        !holds
-    }
 }
 
 fn is_read(ask: &Ask) -> bool {
--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -11,15 +11,11 @@
         }
         match &call {
             Call::ReadLock { .. } | Call::ReadNumber { .. } | Call::ReadKey { .. } => {
-                if !self.refuse_without_hold(now_ms, origin) {
-                    let outcome = read(self.committed(), &call);
-                    self.respond(origin, Response::Outcome(outcome));
-                }
+                let outcome = read(self.committed(), &call);
+                self.respond(origin, Response::Outcome(outcome));
             }
             Call::Watch { sort, prefix, after } => {
-                if !self.refuse_without_hold(now_ms, origin) {
-                    self.on_watch(now_ms, origin, *sort, prefix.clone(), *after);
-                }
+                self.on_watch(now_ms, origin, *sort, prefix.clone(), *after);
             }
             _ => self.on_write(now_ms, origin, id, call),
         }
@@ -29,34 +25,28 @@
         let Some(state) = self.current() else { return };
         if let Some(known) = id.as_ref().and_then(|id| state.repeats.get(id)) {
             let outcome = known.as_ref().clone();
-            return self.reply_settled(origin, Response::Outcome(outcome));
+            return self.reply_settled(now_ms, origin, Response::Outcome(outcome));
         }
         let full = state.repeats.len() >= REPEATS || state.history.len() >= HISTORY_EVENTS;
         let (outcome, mut records) = decide(state, &call);
-        if let (
-            Outcome::Locked { ttl_ms, .. },
-            Call::Lock { name, .. } | Call::Renew { name, .. },
-        ) = (&outcome, &call)
+        if let (Outcome::Locked { ttl_ms, .. }, Call::Lock { name, .. } | Call::Renew { name, .. }) =
+            (&outcome, &call)
+            && let Some(lead) = &mut self.lead
         {
-            if !self.holds(now_ms) {
-                return self.respond(origin, Response::NotController { controller: None });
-            }
-            if let Some(lead) = &mut self.lead {
-                let due_ms = lead.locks_due_ms.entry(name.clone()).or_default();
-                *due_ms = (*due_ms).max(now_ms + ttl_ms);
-            }
+            let due_ms = lead.locks_due_ms.entry(name.clone()).or_default();
+            *due_ms = (*due_ms).max(now_ms + ttl_ms);
         }
         if records.is_empty() {
-            return self.reply_settled(origin, Response::Outcome(outcome));
+            return self.reply_settled(now_ms, origin, Response::Outcome(outcome));
         }
         if full {
-            return self.shed(origin);
+            return self.shed(now_ms, origin);
         }
         if let Some(id) = id {
             records.push(Record::Repeat { id, outcome: outcome.clone() });
         }
         let offset = self.propose(now_ms, records);
-        self.reply_at(offset, origin, Response::Outcome(outcome));
+        self.reply_at(now_ms, offset, origin, Response::Outcome(outcome));
     }
 
     /// Ends locks whose time is up. A controller that stood still gives its holders that time back.
--- a/crates/controller/src/commit.rs
+++ b/crates/controller/src/commit.rs
@@ -20,8 +20,8 @@
                 Payload::Batch(bytes) => self.on_batch(now_ms, entry.index, bytes),
             }
         }
-        self.answer_committed();
-        self.tell_watches();
+        self.answer_committed(now_ms);
+        self.tell_watches(now_ms);
         self.continue_open(now_ms);
     }
 
@@ -46,22 +46,6 @@
         }
     }
 
-    fn answer_committed(&mut self) {
-        let commit = self.consensus.commit();
-        let Some(lead) = &mut self.lead else { return };
-        let mut due = Vec::new();
-        lead.replies.retain_mut(|(offset, origin, response)| {
-            let waits = *offset > commit;
-            if !waits {
-                due.push((*origin, response.clone()));
-            }
-            waits
-        });
-        for (origin, response) in due {
-            self.respond(origin, response);
-        }
-    }
-
     pub(crate) fn restore(&mut self, snapshot: &Snapshot) {
         let kept = if snapshot.state.is_empty() {
             Kept { state: Arc::default(), news_offset: 0 }
--- a/crates/controller/src/lead.rs
+++ b/crates/controller/src/lead.rs
@@ -1,6 +1,7 @@
 use crate::list::HeldRows;
 use crate::nodes::Seen;
 use crate::recent::Samples;
+use crate::reply::Reply;
 use crate::submit::Open;
 use crate::walk::Walk;
 use crate::watches::Parked;
@@ -15,7 +16,7 @@
     pub term: u64,
     pub ready: bool,
     pub writer: Option<Writer<State>>,
-    pub replies: VecDeque<(u64, Origin, Response)>,
+    pub replies: VecDeque<Reply>,
     pub waiting: VecDeque<(u64, Origin, Ask)>,
     pub open: Option<Open>,
     pub locks_due_ms: BTreeMap<Name, u64>,
@@ -102,8 +103,8 @@
     pub(crate) fn step_down(&mut self) {
         let Some(lead) = self.lead.take() else { return };
         self.say(format!("no longer leads term {}", lead.term));
-        for (_, origin, _) in lead.replies {
-            self.respond(origin, Response::Lost);
+        for reply in lead.replies {
+            self.respond(reply.origin, reply.when_deposed());
         }
         if let Some(open) = lead.open {
             self.respond(open.origin, Response::Lost);
@@ -137,20 +138,6 @@
         offset
     }
 
-    pub(crate) fn reply_at(&mut self, offset: u64, origin: Origin, response: Response) {
-        if self.consensus.commit() >= offset {
-            return self.respond(origin, response);
-        }
-        if let Some(lead) = &mut self.lead {
-            lead.replies.push_back((offset, origin, response));
-        }
-    }
-
-    /// For a response that rests on optimistic state: it waits until all of that is committed.
-    pub(crate) fn reply_settled(&mut self, origin: Origin, response: Response) {
-        self.reply_at(self.consensus.last(), origin, response);
-    }
-
     /// Optimistic state, of a controller that serves.
     pub(crate) fn current(&self) -> Option<&State> {
         self.lead.as_ref()?.writer.as_ref().map(Writer::current)
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -3,6 +3,7 @@
 mod asks;
 mod calls;
 mod commit;
+mod contact;
 mod forget;
 mod greet;
 mod handover;
@@ -14,6 +15,7 @@
 mod pace;
 mod page;
 mod recent;
+mod reply;
 mod status;
 mod submit;
 mod targets;
@@ -23,6 +25,7 @@
 mod watches;
 
 pub use commit::Snap;
+pub use contact::Contact;
 pub use page::{Listed, read_page};
 pub use types::{Effect, Fetched, Input, PageResult};
 
@@ -57,6 +60,8 @@
     log_bytes: u64,
     log_bound_bytes: u64,
     last_pulse_ms: u64,
+    /// When a leader was heard last, this node itself included.
+    heard_ms: u64,
     list_gap_ms: u64,
     history_ms: u64,
     effects: Vec<Effect>,
@@ -86,6 +91,7 @@
             log_bytes,
             log_bound_bytes: LOG_BYTES + own.id % LOG_SPREAD * (LOG_BYTES / LOG_SPREAD),
             last_pulse_ms: now_ms,
+            heard_ms: now_ms,
             list_gap_ms: LIST_GAP_MS,
             history_ms: HISTORY_KEEP_MS,
             effects: Vec::new(),
@@ -143,6 +149,7 @@
         let gap_ms = now_ms.saturating_sub(self.last_pulse_ms);
         self.last_pulse_ms = now_ms;
         self.log(now_ms, consensus::Input::Pulse);
+        self.contact_pulse(now_ms, gap_ms);
         self.greet_pulse(now_ms);
         if !self.is_leaving() {
             self.lead_pulse(now_ms, gap_ms);
--- a/crates/controller/src/operator.rs
+++ b/crates/controller/src/operator.rs
@@ -73,10 +73,7 @@
 
 impl ControlNode {
     /// Exactly what is in force, byte for byte.
-    pub(crate) fn on_show(&mut self, now_ms: u64, origin: Origin) {
-        if self.refuse_without_hold(now_ms, origin) {
-            return;
-        }
+    pub(crate) fn on_show(&mut self, origin: Origin) {
         let state = self.tail.image();
         let response = match &state.plan {
             Some(plan) => Response::Plan {
--- a/crates/controller/src/recent.rs
+++ b/crates/controller/src/recent.rs
@@ -31,9 +31,6 @@
 
 impl ControlNode {
     pub(crate) fn on_recent(&mut self, now_ms: u64, origin: Origin) {
-        if self.refuse_without_hold(now_ms, origin) {
-            return;
-        }
         let Some(lead) = &self.lead else { return };
         let samples = &lead.samples;
         let first_ms =
--- a/crates/controller/src/status.rs
+++ b/crates/controller/src/status.rs
@@ -63,9 +63,6 @@
 
 impl ControlNode {
     pub(crate) fn on_members(&mut self, now_ms: u64, origin: Origin) {
-        if self.refuse_without_hold(now_ms, origin) {
-            return;
-        }
         let voters = self.consensus.members();
         let mut members = vec![MemberRow {
             id: format!("{:016x}", self.own.id),
@@ -88,9 +85,6 @@
     }
 
     pub(crate) fn on_status(&mut self, now_ms: u64, origin: Origin) {
-        if self.refuse_without_hold(now_ms, origin) {
-            return;
-        }
         let state = self.committed();
         let seen = self.seen();
         let row = |node: &postbarrow_state::Node| {
--- a/crates/controller/src/submit.rs
+++ b/crates/controller/src/submit.rs
@@ -21,11 +21,11 @@
     pub(crate) fn on_submit(&mut self, now_ms: u64, origin: Origin, submission: Submission) {
         let Some(state) = self.current() else { return };
         if let Some(refusal) = stale(state, &submission) {
-            return self.reply_settled(origin, refusal);
+            return self.reply_settled(now_ms, origin, refusal);
         }
         if state.plan_version() == Some(submission.version.as_str()) && !submission.dry_run {
             let response = operator::json(200, &Submitted::again(state));
-            return self.reply_settled(origin, response);
+            return self.reply_settled(now_ms, origin, response);
         }
         let name = format!("plan {}", submission.version);
         let Some(writer) = self.lead.as_mut().and_then(|lead| lead.writer.as_mut()) else { return };
@@ -88,7 +88,7 @@
             lead.open = None;
             let offset = self.propose_lines(now_ms, vec![abort]);
             let told = Submitted::dry(&version, rehearsal);
-            self.reply_at(offset, origin, operator::json(200, &told));
+            self.reply_at(now_ms, offset, origin, operator::json(200, &told));
         } else {
             let Ok(end) = writer.end() else { return };
             lead.open = None;
@@ -96,7 +96,7 @@
             let offset = self.propose_lines(now_ms, vec![end]);
             let told = Submitted::new(&version, began, offset, rehearsal);
             self.say(format!("plan {version} ends at {offset}"));
-            self.reply_at(offset, origin, operator::json(200, &told));
+            self.reply_at(now_ms, offset, origin, operator::json(200, &told));
         }
         self.drain_waiting(now_ms);
     }
@@ -108,8 +108,9 @@
         let Some(abort) = abort else { return };
         self.say(format!("plan {} is aborted: {reason}", open.version));
         let offset = self.propose_lines(now_ms, vec![abort]);
-        let refused = Refused::new(reason, self.committed().plan_version());
-        self.reply_at(offset, open.origin, operator::json(status, &refused));
+        let in_force = self.current().and_then(State::plan_version);
+        let refused = Refused::new(reason, in_force);
+        self.reply_at(now_ms, offset, open.origin, operator::json(status, &refused));
         self.drain_waiting(now_ms);
     }
 
--- a/crates/controller/src/targets.rs
+++ b/crates/controller/src/targets.rs
@@ -28,9 +28,6 @@
 
 impl ControlNode {
     pub(crate) fn on_targets(&mut self, now_ms: u64, origin: Origin) {
-        if self.refuse_without_hold(now_ms, origin) {
-            return;
-        }
         let state = self.committed();
         let rows = state.targets.values().map(|target| TargetRow {
             instance: target.instance.to_string(),
--- a/crates/controller/src/tickets.rs
+++ b/crates/controller/src/tickets.rs
@@ -7,7 +7,7 @@
     pub(crate) fn on_ticket(&mut self, now_ms: u64, origin: Origin, ticket: Ticket) {
         let Some(state) = self.current() else { return };
         if !state.nodes.contains_key(&ticket.node) {
-            return self.respond(origin, Response::Refused("the node is not registered".into()));
+            return self.reply_settled(now_ms, origin, unregistered());
         }
         let response = match state.tickets.get(&ticket.key) {
             None => None,
@@ -23,12 +23,12 @@
         };
         let full = state.tickets.len() >= TICKETS && !state.tickets.contains_key(&ticket.key);
         match response {
-            Some(response) => self.reply_settled(origin, response),
-            None if full => self.shed(origin),
+            Some(response) => self.reply_settled(now_ms, origin, response),
+            None if full => self.shed(now_ms, origin),
             None => {
                 let clean = Ticket { settled: None, response: None, ..ticket };
                 let offset = self.propose(now_ms, vec![Record::Ticket(clean)]);
-                self.reply_at(offset, origin, Response::Granted);
+                self.reply_at(now_ms, offset, origin, Response::Granted);
             }
         }
     }
@@ -62,24 +62,28 @@
             }
         };
         if records.is_empty() {
-            return self.reply_settled(origin, Response::Settled);
+            return self.reply_settled(now_ms, origin, Response::Settled);
         }
         if let Some(lead) = self.lead.as_mut().filter(|_| !fits) {
             lead.unkept += 1;
         }
         let offset = self.propose(now_ms, records);
-        self.reply_at(offset, origin, Response::Settled);
+        self.reply_at(now_ms, offset, origin, Response::Settled);
     }
 
     /// Space is out: what is new is shed, what is kept stays.
-    pub(crate) fn shed(&mut self, origin: Origin) {
+    pub(crate) fn shed(&mut self, now_ms: u64, origin: Origin) {
         if let Some(lead) = &mut self.lead {
             lead.shed += 1;
         }
-        self.reply_settled(origin, Response::Full);
+        self.reply_settled(now_ms, origin, Response::Full);
     }
 }
 
+fn unregistered() -> Response {
+    Response::Refused("the node is not registered".into())
+}
+
 fn same_go(known: &Ticket, asked: &Ticket) -> bool {
     known.node == asked.node && known.number == asked.number
 }
--- a/crates/controller/src/watches.rs
+++ b/crates/controller/src/watches.rs
@@ -42,7 +42,11 @@
         }
     }
 
-    pub(crate) fn tell_watches(&mut self) {
+    /// Events that were committed without the hold wait for it: they may be old by now.
+    pub(crate) fn tell_watches(&mut self, now_ms: u64) {
+        if !self.holds(now_ms) {
+            return;
+        }
         let state = self.tail.image().clone();
         let Some(lead) = &mut self.lead else { return };
         let mut told = Vec::new();
@@ -62,7 +66,7 @@
 
     pub(crate) fn watch_pulse(&mut self, now_ms: u64) {
         let holds = self.holds(now_ms);
-        let next = self.committed().revision;
+        let state = self.tail.image().clone();
         let Some(lead) = &mut self.lead else { return };
         let (due, parked) = std::mem::take(&mut lead.parked)
             .into_iter()
@@ -70,7 +74,9 @@
         lead.parked = parked;
         for parked in due {
             let response = if holds {
-                Response::Outcome(Outcome::Events { events: Vec::new(), next })
+                let found = events(&state, parked.sort, &parked.prefix, parked.after);
+                let none = Outcome::Events { events: Vec::new(), next: state.revision };
+                Response::Outcome(found.unwrap_or(none))
             } else {
                 Response::NotController { controller: None }
             };
