--- a/crates/constants/src/consensus.rs
+++ b/crates/constants/src/consensus.rs
@@ -10,6 +10,9 @@
 pub const ELECTION_MIN_MS: u64 = 600;
 /// Spread of candidates' starts, so that three machines rarely split the vote.
 pub const ELECTION_SPREAD_MS: u64 = 300;
+/// A member that heard of no leader for so long is cut off: an election takes one longest wait for
+/// a candidate's start, and as much again for its votes and first entry as starts are spread.
+pub const CONTACT_LOST_MS: u64 = ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS;
 /// Largest entry bytes in one append frame; keeps a link's frame near a disk's fast write.
 pub const APPEND_BYTES: usize = 512 * 1024;
 /// Bytes of snapshot in one frame.
--- a/crates/controller/tests/trio/mod.rs
+++ b/crates/controller/tests/trio/mod.rs
@@ -1,4 +1,5 @@
 //! A leader with two followers that answer only when the test lets them.
+#![allow(dead_code)]
 use crate::bench::*;
 use postbarrow_consensus::{AppendResponse, Member, Message as LogMessage};
 use postbarrow_controller::{Fetched, Input, PageResult};
--- a/crates/desk/src/lib.rs
+++ b/crates/desk/src/lib.rs
@@ -1,37 +1,41 @@
 #![doc = include_str!("../README.md")]
 
+mod open;
+
+use open::Open;
+use postbarrow_constants::consensus::CONTACT_LOST_MS;
 use postbarrow_constants::coordination::ASK_AGAIN_MS;
 use postbarrow_messages::{Ask, Message, Response};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-struct Open {
-    ask: Ask,
-    again_ms: u64,
-    until_ms: u64,
-    /// Sends to the present controller that got no response.
-    unheard: u32,
-}
-
+/// Open questions, and where the controller is as far as is known.
 #[derive(Default)]
 pub struct Desk {
     open: BTreeMap<u64, Open>,
     controller: Option<SocketAddr>,
     members: Vec<SocketAddr>,
     turn: usize,
+    /// Since when this member of the log hears of no leader; none for others, and while it does.
+    silent_since_ms: Option<u64>,
 }
 
+/// What the owner of a desk does next.
 pub enum Effect {
+    /// A question goes out.
     Send { to: SocketAddr, message: Message },
+    /// A question has its end.
     Answer { key: u64, response: Response },
 }
 
 impl Desk {
     /// What was learnt of the control plane; a new controller gets every open question at once.
+    /// Ends the silence that a member of the log was in.
     pub fn learn(&mut self, now_ms: u64, controller: Option<SocketAddr>, members: &[SocketAddr]) {
         if !members.is_empty() {
             self.members = members.to_vec();
         }
+        self.silent_since_ms = None;
         if controller.is_some() && controller != self.controller {
             self.controller = controller;
             for open in self.open.values_mut() {
@@ -41,44 +45,60 @@
         }
     }
 
+    /// A member of the log has heard of no leader since then. Questions wait here for one, for the
+    /// log will tell of it first; after `CONTACT_LOST_MS` they are answered as not taken, unless
+    /// one was sent to somebody who may have taken it.
+    pub fn hears_no_leader(&mut self, since_ms: u64) {
+        self.controller = None;
+        self.silent_since_ms = Some(since_ms);
+    }
+
+    /// Asks until there is an answer, or for so long.
     pub fn ask(&mut self, now_ms: u64, key: u64, ask: Ask, wait_ms: u64) -> Vec<Effect> {
-        let until_ms = now_ms.saturating_add(wait_ms);
-        let open = Open { ask, again_ms: now_ms, until_ms, unheard: 0 };
-        self.open.insert(key, open);
+        self.open.insert(key, Open::new(now_ms, ask, wait_ms));
         self.pulse(now_ms)
     }
 
+    /// Sends what is due, and ends what is over.
     pub fn pulse(&mut self, now_ms: u64) -> Vec<Effect> {
         self.doubt_the_silent(now_ms);
-        let mut effects = Vec::new();
-        let mut over = Vec::new();
+        let mut effects = self.end_what_is_over(now_ms);
+        if self.silent_since_ms.is_some() {
+            return effects;
+        }
         let to = self
             .controller
             .or_else(|| self.members.get(self.turn % self.members.len().max(1)).copied());
         let mut turned = false;
-        for (key, open) in &mut self.open {
-            if now_ms >= open.until_ms {
-                over.push(*key);
-            } else if now_ms >= open.again_ms {
-                open.again_ms = now_ms + ASK_AGAIN_MS;
-                open.unheard += 1;
-                if let Some(to) = to {
-                    let message = Message::Ask { key: *key, ask: open.ask.clone() };
-                    effects.push(Effect::Send { to, message });
-                    turned = true;
-                }
+        for (key, open) in self.open.iter_mut().filter(|(_, open)| now_ms >= open.again_ms) {
+            open.again_ms = now_ms + ASK_AGAIN_MS;
+            if let Some(to) = to {
+                open.on_send();
+                let message = Message::Ask { key: *key, ask: open.ask.clone() };
+                effects.push(Effect::Send { to, message });
+                turned = true;
             }
         }
         if turned && self.controller.is_none() {
             self.turn += 1;
         }
-        for key in over {
-            self.open.remove(&key);
-            effects.push(Effect::Answer { key, response: Response::TimedOut });
-        }
         effects
     }
 
+    fn end_what_is_over(&mut self, now_ms: u64) -> Vec<Effect> {
+        let cut_off = self.is_cut_off(now_ms);
+        let ended = self
+            .open
+            .iter()
+            .filter_map(|(key, open)| open.end(now_ms, cut_off).map(|response| (*key, response)));
+        let ended: Vec<(u64, Response)> = ended.collect();
+        let answer = |(key, response)| {
+            self.open.remove(&key);
+            Effect::Answer { key, response }
+        };
+        ended.into_iter().map(answer).collect()
+    }
+
     /// A controller that left two sends of one question unanswered may be gone.
     fn doubt_the_silent(&mut self, now_ms: u64) {
         let due = |open: &&mut Open| open.unheard >= 2 && now_ms >= open.again_ms;
@@ -89,11 +109,13 @@
         silent.into_iter().for_each(|open| open.unheard = 0);
     }
 
-    /// A response to a question that is no longer open is nobody's.
+    /// A response to a question that is no longer open is nobody's; the desk's own words for the
+    /// end of a question are not taken from others.
     pub fn on_response(&mut self, now_ms: u64, key: u64, response: Response) -> Vec<Effect> {
         let Some(open) = self.open.get_mut(&key) else { return Vec::new() };
         match response {
             Response::NotController { controller } => {
+                open.on_declined();
                 self.controller = controller;
                 open.again_ms = match controller {
                     Some(_) => now_ms,
@@ -102,9 +124,11 @@
                 self.pulse(now_ms)
             }
             Response::Lost => {
+                open.on_lost();
                 self.controller = None;
                 Vec::new()
             }
+            Response::TimedOut | Response::Unavailable => Vec::new(),
             response => {
                 self.open.remove(&key);
                 vec![Effect::Answer { key, response }]
@@ -117,9 +141,17 @@
         self.controller = None;
     }
 
+    /// No leader was heard of for longer than an ordinary election takes.
+    pub fn is_cut_off(&self, now_ms: u64) -> bool {
+        self.silent_since_ms.is_some_and(|since_ms| now_ms >= since_ms + CONTACT_LOST_MS)
+    }
+
+    /// Where questions go first.
     pub fn controller(&self) -> Option<SocketAddr> {
         self.controller
     }
+
+    /// Questions without an end.
     pub fn open(&self) -> usize {
         self.open.len()
     }
--- /dev/null
+++ b/crates/desk/tests/contact.rs
@@ -0,0 +1,177 @@
+//! When a question is told as not taken, and when nobody can say.
+
+use postbarrow_constants::consensus::CONTACT_LOST_MS;
+use postbarrow_constants::coordination::ASK_AGAIN_MS;
+use postbarrow_desk::{Desk, Effect};
+use postbarrow_messages::{Ask, Response};
+use std::net::SocketAddr;
+
+const WAIT_MS: u64 = 5_000;
+const KEY: u64 = 9;
+
+fn member(at: u8) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, at], 1))
+}
+
+/// A desk that knows three members and their leader.
+fn desk() -> Desk {
+    let mut desk = Desk::default();
+    desk.learn(0, Some(member(1)), &[member(1), member(2), member(3)]);
+    desk
+}
+
+fn ask(desk: &mut Desk, now_ms: u64, key: u64) -> Vec<Effect> {
+    desk.ask(now_ms, key, Ask::Show, WAIT_MS)
+}
+
+fn declines(controller: Option<SocketAddr>) -> Response {
+    Response::NotController { controller }
+}
+
+fn sends(effects: &[Effect]) -> Vec<SocketAddr> {
+    let to = effects.iter().filter_map(|effect| match effect {
+        Effect::Send { to, .. } => Some(*to),
+        Effect::Answer { .. } => None,
+    });
+    to.collect()
+}
+
+fn answers(effects: &[Effect]) -> Vec<(u64, Response)> {
+    let told = effects.iter().filter_map(|effect| match effect {
+        Effect::Answer { key, response } => Some((*key, response.clone())),
+        Effect::Send { .. } => None,
+    });
+    told.collect()
+}
+
+/// Pulses until there is an answer; when, and which.
+fn ends(desk: &mut Desk, from_ms: u64, silent_since_ms: Option<u64>) -> (u64, Response) {
+    for now_ms in (from_ms..from_ms + 2 * WAIT_MS).step_by(20) {
+        if let Some(since_ms) = silent_since_ms {
+            desk.hears_no_leader(since_ms);
+        }
+        if let Some((_, response)) = answers(&desk.pulse(now_ms)).pop() {
+            return (now_ms, response);
+        }
+    }
+    panic!("no end");
+}
+
+#[test]
+fn a_cut_off_member_answers_new_questions_at_once() {
+    let mut desk = desk();
+    desk.hears_no_leader(0);
+    let told = ask(&mut desk, CONTACT_LOST_MS, KEY);
+    assert_eq!(answers(&told), [(KEY, Response::Unavailable)]);
+    assert!(sends(&told).is_empty(), "and it stays with that: nothing went out");
+    assert_eq!(desk.open(), 0);
+}
+
+#[test]
+fn within_an_ordinary_election_a_question_waits_and_goes_to_the_next_leader() {
+    let mut desk = desk();
+    desk.hears_no_leader(0);
+    assert!(ask(&mut desk, 100, KEY).is_empty());
+    assert!(desk.pulse(CONTACT_LOST_MS - 1).is_empty());
+    desk.learn(CONTACT_LOST_MS - 1, Some(member(2)), &[]);
+    assert_eq!(sends(&desk.pulse(CONTACT_LOST_MS - 1)), [member(2)]);
+    let told = desk.on_response(CONTACT_LOST_MS, KEY, Response::Settled);
+    assert_eq!(answers(&told), [(KEY, Response::Settled)]);
+}
+
+#[test]
+fn what_waited_for_a_leader_in_vain_is_told_as_not_taken_when_contact_is_lost() {
+    let mut desk = desk();
+    desk.hears_no_leader(0);
+    assert!(ask(&mut desk, 500, KEY).is_empty());
+    assert_eq!(ends(&mut desk, 500, Some(0)), (CONTACT_LOST_MS, Response::Unavailable));
+}
+
+#[test]
+fn what_was_sent_and_not_answered_is_never_told_as_not_taken() {
+    let mut desk = desk();
+    assert_eq!(sends(&ask(&mut desk, 0, KEY)), [member(1)]);
+    assert_eq!(ends(&mut desk, 20, Some(0)), (WAIT_MS, Response::TimedOut));
+}
+
+#[test]
+fn what_every_receiver_declined_is_told_as_not_taken() {
+    let mut desk = desk();
+    ask(&mut desk, 0, KEY);
+    desk.hears_no_leader(0);
+    assert!(desk.on_response(10, KEY, declines(None)).is_empty());
+    assert_eq!(ends(&mut desk, 20, Some(0)), (CONTACT_LOST_MS, Response::Unavailable));
+}
+
+#[test]
+fn a_second_send_that_was_declined_says_nothing_of_the_first() {
+    let mut desk = desk();
+    ask(&mut desk, 0, KEY);
+    assert_eq!(sends(&desk.pulse(ASK_AGAIN_MS)), [member(1)]);
+    desk.hears_no_leader(0);
+    desk.on_response(ASK_AGAIN_MS + 10, KEY, declines(None));
+    assert_eq!(ends(&mut desk, 400, Some(0)), (WAIT_MS, Response::TimedOut));
+}
+
+#[test]
+fn what_a_controller_began_before_it_was_deposed_is_never_told_as_not_taken() {
+    let mut desk = desk();
+    ask(&mut desk, 0, KEY);
+    desk.pulse(ASK_AGAIN_MS);
+    desk.on_response(310, KEY, Response::Lost);
+    desk.hears_no_leader(310);
+    desk.on_response(320, KEY, declines(None));
+    desk.on_response(330, KEY, declines(None));
+    assert_eq!(ends(&mut desk, 400, Some(0)), (WAIT_MS, Response::TimedOut));
+}
+
+#[test]
+fn an_answer_that_comes_while_no_leader_is_heard_counts() {
+    let mut desk = desk();
+    ask(&mut desk, 0, KEY);
+    desk.hears_no_leader(0);
+    assert!(desk.pulse(CONTACT_LOST_MS).is_empty(), "it may have been taken");
+    let told = desk.on_response(CONTACT_LOST_MS + 10, KEY, Response::Settled);
+    assert_eq!(answers(&told), [(KEY, Response::Settled)]);
+}
+
+#[test]
+fn a_late_response_finds_nobody() {
+    let mut desk = desk();
+    ask(&mut desk, 0, KEY);
+    desk.hears_no_leader(0);
+    desk.on_response(10, KEY, declines(None));
+    assert_eq!(answers(&desk.pulse(CONTACT_LOST_MS)), [(KEY, Response::Unavailable)]);
+    assert!(desk.on_response(CONTACT_LOST_MS + 20, KEY, Response::Settled).is_empty());
+}
+
+#[test]
+fn the_end_of_a_question_is_this_desks_to_tell() {
+    let mut desk = desk();
+    ask(&mut desk, 0, KEY);
+    assert!(desk.on_response(10, KEY, Response::Unavailable).is_empty());
+    assert!(desk.on_response(10, KEY, Response::TimedOut).is_empty());
+    assert_eq!(desk.open(), 1);
+}
+
+#[test]
+fn silence_ends_with_the_next_leader_and_then_nothing_is_refused() {
+    let mut desk = desk();
+    desk.hears_no_leader(0);
+    desk.learn(20_000, Some(member(3)), &[]);
+    assert!(!desk.is_cut_off(20_000));
+    assert_eq!(sends(&ask(&mut desk, 20_000, KEY)), [member(3)]);
+}
+
+#[test]
+fn one_that_is_no_member_of_the_log_goes_on_asking_members_in_turn() {
+    let mut desk = Desk::default();
+    desk.learn(0, None, &[member(1), member(2)]);
+    let mut asked = sends(&ask(&mut desk, 0, KEY));
+    for now_ms in (20..2_000).step_by(20) {
+        desk.learn(now_ms, None, &[]);
+        asked.extend(sends(&desk.pulse(now_ms)));
+    }
+    assert!(asked.contains(&member(1)) && asked.contains(&member(2)), "{asked:?}");
+    assert_eq!(ends(&mut desk, 2_000, None), (WAIT_MS, Response::TimedOut));
+}
--- a/crates/messages/src/asks.rs
+++ b/crates/messages/src/asks.rs
@@ -68,6 +68,8 @@
     Lost,
     /// Nobody answered in time: the end is unknown.
     TimedOut,
+    /// Nobody who could have taken the question was ever sent it: it did nothing, and never will.
+    Unavailable,
 }
 
 impl Submission {
--- a/crates/transport/src/slab.rs
+++ b/crates/transport/src/slab.rs
@@ -4,6 +4,7 @@
     places: Vec<Place<T>>,
     free: Vec<u32>,
     count: usize,
+    first: u32,
 }
 
 struct Place<T> {
@@ -13,14 +14,20 @@
 
 impl<T> Default for Slab<T> {
     fn default() -> Self {
-        Slab { places: Vec::new(), free: Vec::new(), count: 0 }
+        Slab::starting_at(0)
     }
 }
 
 impl<T> Slab<T> {
+    /// Begins with this generation. A process that draws it finds nothing by the keys of the
+    /// process that stood at its address before, whose responses may still be under way.
+    pub fn starting_at(first: u32) -> Self {
+        Slab { places: Vec::new(), free: Vec::new(), count: 0, first }
+    }
+
     pub fn insert(&mut self, held: T) -> u64 {
         let at = self.free.pop().unwrap_or_else(|| {
-            self.places.push(Place { generation: 0, held: None });
+            self.places.push(Place { generation: self.first, held: None });
             (self.places.len() - 1) as u32
         });
         let place = &mut self.places[at as usize];
--- a/programs/control-plane/src/asker.rs
+++ b/programs/control-plane/src/asker.rs
@@ -27,11 +27,12 @@
         Asker { commands, open: Arc::default(), stopping: Arc::default() }
     }
 
-    /// The controller's response, or `TimedOut` after so many milliseconds.
+    /// The controller's response; `Unavailable` where nobody who could take the question was ever
+    /// sent it, `TimedOut` after so many milliseconds where somebody may have taken it.
     pub fn ask(&self, ask: Ask, wait_ms: u64) -> Response {
         let (reply, response) = sync_channel(1);
         if self.commands.send(Command::Ask { ask, wait_ms, reply }).is_err() {
-            return Response::TimedOut;
+            return Response::Unavailable;
         }
         let patience = Duration::from_millis(wait_ms + 200);
         response.recv_timeout(patience).unwrap_or(Response::TimedOut)
--- a/programs/control-plane/src/core.rs
+++ b/programs/control-plane/src/core.rs
@@ -1,10 +1,10 @@
 use crate::disk::Writes;
 use log::{info, warn};
 use postbarrow_constants::consensus::{HAND_OVER_MS, PULSE_MS};
-use postbarrow_controller::{ControlNode, Effect, Input, PageResult, Snap};
+use postbarrow_controller::{Contact, ControlNode, Effect, Input, PageResult, Snap};
 use postbarrow_desk::{Desk, Effect as DeskEffect};
 use postbarrow_messages::{Ask, Envelope, Message, Response};
-use postbarrow_transport::{Links, Slab, clock_ms};
+use postbarrow_transport::{Links, Slab, clock_ms, random};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, SyncSender};
@@ -50,7 +50,8 @@
         commands: Sender<Command>,
     ) -> Self {
         let links = Links::new(own);
-        let (desk, asks, local) = (Desk::default(), Slab::default(), VecDeque::new());
+        let (desk, local) = (Desk::default(), VecDeque::new());
+        let asks = Slab::starting_at(random() as u32);
         Core { node, own, links, desk, asks, writes, fetches, commands, local, ending: None }
     }
 
@@ -85,7 +86,11 @@
         let members: Vec<SocketAddr> = log.members().iter().map(|member| member.address).collect();
         let members = if members.is_empty() { self.node.introduced() } else { members };
         let leader = log.leader().map(|member| member.address);
-        self.desk.learn(now_ms, leader, &members);
+        match self.node.contact(now_ms) {
+            Contact::Outside => self.desk.learn(now_ms, leader, &members),
+            Contact::Leader(leader) => self.desk.learn(now_ms, Some(leader), &members),
+            Contact::Silent { since_ms } => self.desk.hears_no_leader(since_ms),
+        }
         let effects = self.desk.pulse(now_ms);
         self.carry_out(effects);
     }
--- a/programs/control-plane/src/operator.rs
+++ b/programs/control-plane/src/operator.rs
@@ -1,5 +1,5 @@
 use crate::Asker;
-use crate::rehearse::{self, Allowed};
+use crate::rehearse::{self, Allowed, NoController};
 use facet::Facet;
 use log::info;
 use postbarrow_constants::coordination::SUBMIT_WAIT_MS;
@@ -92,7 +92,11 @@
         Ok(allowed) => allowed,
         Err(findings) => return refused(400, &findings.join("; "), Vec::new()),
     };
-    let traffic = rehearse::traffic(&plan, ask);
+    let traffic = match rehearse::traffic(&plan, ask) {
+        Ok(traffic) => traffic,
+        Err(NoController) if allowed.is_bounded() => return answer(Told::Unavailable),
+        Err(NoController) => Traffic::unknown("no controller told of recent asks"),
+    };
     let over = allowed.over(&traffic);
     if !over.is_empty() {
         let refused = Over { error: over.join("; "), traffic };
@@ -138,6 +142,11 @@
             if status == 503 { again(response) } else { response }
         }
         Told::Refused(why) => refused(400, &why, Vec::new()),
+        Told::Unavailable => again(refused(
+            503,
+            "no controller is in reach; nothing was done, asking the same again is safe",
+            Vec::new(),
+        )),
         _ => again(refused(
             504,
             "no word from a controller; asking the same again is safe",
@@ -153,3 +162,6 @@
 fn refused(status: u16, error: &str, findings: Vec<Finding>) -> Response {
     told(status, &Refused { error: error.into(), findings })
 }
+
+#[cfg(test)]
+mod tests;
--- a/programs/control-plane/src/rehearse.rs
+++ b/programs/control-plane/src/rehearse.rs
@@ -4,6 +4,10 @@
 use postbarrow_routing::{Recent, Traffic};
 use rouille::Request;
 
+/// No controller told what recent requests would meet.
+#[derive(Debug, PartialEq, Eq)]
+pub struct NoController;
+
 /// The most that a submission allows of the recent asks that it would change.
 #[derive(Default)]
 pub struct Allowed {
@@ -31,6 +35,11 @@
         if findings.is_empty() { Ok(allowed) } else { Err(findings) }
     }
 
+    /// Whether the submission allows only so much of anything.
+    pub fn is_bounded(&self) -> bool {
+        self.lost.or(self.changed).or(self.limited).is_some()
+    }
+
     /// What is over the most allowed; a sample that can't tell is over any.
     pub fn over(&self, traffic: &Traffic) -> Vec<String> {
         let rows = [
@@ -45,8 +54,7 @@
                 (*found > most).then(|| format!("{found} recent asks would {what}, {most} allowed"))
             })
             .collect();
-        let asked = rows.iter().any(|(_, most, _)| most.is_some());
-        if asked && traffic.compared == 0 && !traffic.missing.is_empty() {
+        if self.is_bounded() && traffic.compared == 0 && !traffic.missing.is_empty() {
             over.push(format!("nothing to measure by: {}", traffic.missing.join("; ")));
         }
         over
@@ -54,15 +62,20 @@
 }
 
 /// Recent asks through the plan in force and this one: on the door's own thread, before any Begin.
-pub fn traffic(plan: &Plan, ask: &dyn Fn(Ask, u64) -> Told) -> Traffic {
+///
+/// # Errors
+/// No controller answered: that says nothing of the plan, and must not refuse it.
+pub fn traffic(plan: &Plan, ask: &dyn Fn(Ask, u64) -> Told) -> Result<Traffic, NoController> {
     let Told::Recent { samples, seen, seconds } = ask(Ask::Recent, SUBMIT_WAIT_MS) else {
-        return Traffic::unknown("no controller told of recent asks");
+        return Err(NoController);
     };
-    let Told::Plan { text, .. } = ask(Ask::Show, SUBMIT_WAIT_MS) else {
-        return Traffic::unknown("no plan is in force to compare with");
+    let text = match ask(Ask::Show, SUBMIT_WAIT_MS) {
+        Told::Plan { text, .. } => text,
+        Told::TimedOut | Told::Unavailable => return Err(NoController),
+        _ => return Ok(Traffic::unknown("no plan is in force to compare with")),
     };
-    match Plan::read(&text) {
+    Ok(match Plan::read(&text) {
         Ok(before) => Traffic::of(&before, plan, &Recent { samples, seen, seconds }),
         Err(_) => Traffic::unknown("the plan in force can't be read by this version"),
-    }
+    })
 }
--- a/programs/data-plane/src/core.rs
+++ b/programs/data-plane/src/core.rs
@@ -6,7 +6,7 @@
 use postbarrow_node::{DataNode, Effect, Input};
 use postbarrow_routing::Table;
 use postbarrow_state::Name;
-use postbarrow_transport::{Links, Slab, clock_ms};
+use postbarrow_transport::{Links, Slab, clock_ms, random};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::*;
@@ -45,7 +45,8 @@
 impl Core {
     pub fn new(node: DataNode, shared: Arc<Shared>) -> Self {
         let links = Links::new(node.own().address);
-        Core { node, links, asks: Slab::default(), shared, ending: None }
+        let asks = Slab::starting_at(random() as u32);
+        Core { node, links, asks, shared, ending: None }
     }
 
     pub fn run(mut self, queue: Receiver<Command>) {
