--- a/crates/simulation/src/calls.rs
+++ b/crates/simulation/src/calls.rs
@@ -43,6 +43,27 @@
 const WATCHER: usize = 3;
 const STALE_US: u64 = 4_000_000;
 
+impl Callers {
+    /// The highest number or revision of the same name that was told before.
+    pub fn most_told(&self, call: &Call, before_us: u64) -> u64 {
+        let told = self.done.iter().filter(|done| done.end_us < before_us);
+        let values = told.filter_map(|done| match (call, &done.call, &done.outcome) {
+            (
+                Call::ReadNumber { name },
+                Call::Next { name: other, .. } | Call::ReadNumber { name: other },
+                Outcome::Number(value),
+            ) if name == other => Some(*value),
+            (
+                Call::ReadKey { name } | Call::Put { name, .. },
+                Call::Put { name: other, .. } | Call::ReadKey { name: other },
+                Outcome::Key(key),
+            ) if name == other => Some(key.revision),
+            _ => None,
+        });
+        values.max().unwrap_or(0)
+    }
+}
+
 impl World {
     /// Asks the next thing, or asks the same again where the node that was asked is gone.
     pub fn next_call(&mut self, caller: usize) {
--- /dev/null
+++ b/crates/simulation/src/clung.rs
@@ -0,0 +1,82 @@
+//! What those who cling to one control machine were told, against what others were told before.
+
+use crate::cling::Question;
+use crate::operator::Handed;
+use crate::world::World;
+use postbarrow_messages::Response;
+use postbarrow_state::{Call, Outcome};
+
+impl World {
+    /// Whatever the machine told must hold at some moment between question and answer.
+    pub fn check_told(&mut self, start_us: u64, question: Question, response: Response) {
+        match (question, response) {
+            (Question::Show, Response::Plan { offset, .. }) => self.check_shown(start_us, offset),
+            (Question::Show, _) => self.check_shown(start_us, 0),
+            (Question::Order(handed), Response::Operator { status, body }) => {
+                self.check_order(&handed, status, &String::from_utf8_lossy(&body));
+            }
+            (Question::Call(call), Response::Outcome(outcome)) => {
+                self.check_outcome(start_us, &call, &outcome);
+            }
+            (question, response) => {
+                self.book.violate(format!("{question:?} was answered by {response:?}"));
+            }
+        }
+    }
+
+    fn check_shown(&mut self, start_us: u64, offset: u64) {
+        let before = self.book.in_force.iter().filter(|(at_us, _)| *at_us <= start_us);
+        let newest = before.map(|(_, offset)| *offset).max().unwrap_or(0);
+        if offset < newest {
+            self.book.violate(format!("a plan of {offset} was shown after {newest} was in force"));
+        }
+    }
+
+    /// No proper order is refused, and none is acknowledged that no majority has.
+    fn check_order(&mut self, handed: &Handed, status: u16, body: &str) {
+        let proper = self.operator.version == handed.base
+            || self.operator.version.as_ref() == Some(&handed.version);
+        match status {
+            200 => {
+                self.check_majority(handed, body);
+                if self.cling.as_ref().is_some_and(|cling| cling.is_order(handed)) {
+                    self.operator.unsure.remove(&handed.version);
+                    self.plan_acknowledged(handed, body);
+                    self.cling.iter_mut().for_each(|cling| cling.order = None);
+                }
+            }
+            503 => {}
+            _ if proper => self.book.violate(format!("a proper order got {status}: {body}")),
+            _ => {}
+        }
+    }
+
+    fn check_majority(&mut self, handed: &Handed, body: &str) {
+        let Some(began) = crate::operator::began_at(body) else {
+            return self.book.violate(format!("{} is in force from nowhere", handed.version));
+        };
+        let has = |machine: &&crate::control::ControlMachine| {
+            machine.node.as_ref().is_some_and(|node| node.consensus().last() >= began)
+        };
+        if self.control.iter().filter(has).count() < 2 {
+            self.book.violate(format!("{} was acknowledged without a majority", handed.version));
+        }
+    }
+
+    fn check_outcome(&mut self, start_us: u64, call: &Call, outcome: &Outcome) {
+        let value = match (call, outcome) {
+            (Call::Next { .. }, Outcome::Number(value)) => {
+                return self.cling.iter_mut().for_each(|cling| cling.numbers.push(*value));
+            }
+            (Call::ReadNumber { .. }, Outcome::Number(value)) => *value,
+            (Call::ReadKey { .. }, Outcome::Key(key)) => key.revision,
+            (Call::ReadKey { .. }, Outcome::NoKey) => 0,
+            (Call::Put { .. }, Outcome::Conflict { revision }) => *revision,
+            _ => return self.book.violate(format!("{call:?} was answered by {outcome:?}")),
+        };
+        let most = self.callers.most_told(call, start_us);
+        if value < most {
+            self.book.violate(format!("{call:?} was told {value}, after {most} was told"));
+        }
+    }
+}
--- /dev/null
+++ b/crates/simulation/src/cut_off.rs
@@ -0,0 +1,180 @@
+//! One control machine loses contact for twenty seconds while some cling to it.
+
+use crate::cling::Cling;
+use crate::event::{Event, Who};
+use crate::fault::Fault;
+use crate::history::check_calls;
+use crate::scenario::recover;
+use crate::world::World;
+use std::net::IpAddr;
+
+/// How the machine loses contact.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Cut {
+    /// From everybody.
+    Whole,
+    /// It hears all, and nobody hears it.
+    Unheard,
+    /// All hear it, and it hears nobody.
+    Deaf,
+    /// From the other members only; data nodes and those who cling reach it.
+    Members,
+    /// From data nodes only.
+    Data,
+    /// It stands still and goes on.
+    Frozen,
+    /// From everybody, and its process is killed and started in the middle of it.
+    Restarted,
+}
+
+/// A cut of the leader, or of a follower, from one seed.
+#[derive(Clone, Copy, Debug)]
+pub struct CutOff {
+    pub seed: u64,
+    pub cut: Cut,
+    pub leader: bool,
+}
+
+/// What became of it.
+#[derive(Debug, Default)]
+pub struct CutOffEnded {
+    pub violations: Vec<String>,
+    /// Questions to the machine that got an answer, "not taken", or no clear answer.
+    pub told: usize,
+    pub unavailable: usize,
+    pub unclear: usize,
+    /// The longest wait for "not taken" of those asked when the cut had lasted for `NOTICED_US`.
+    pub longest_wait_ms: u64,
+    pub orders: usize,
+    pub plans: u64,
+    /// The leader and its term stayed the same.
+    pub undisturbed: bool,
+}
+
+const START_US: u64 = 4_500_000;
+const CUT_US: u64 = 20_000_000;
+/// Silence that the machine notices, an election, and a margin.
+const NOTICED_US: u64 = 2_500_000;
+const AFTER_US: u64 = 3_000_000;
+const RESTART_AFTER_US: u64 = 8_000_000;
+
+impl CutOff {
+    /// Runs it; the same seed gives the same end.
+    pub fn run(&self) -> CutOffEnded {
+        let mut world = World::new(self.seed, 3, 6);
+        world.ask_pause_us = 250_000;
+        world.run_until(START_US);
+        let leader = world.leader().unwrap_or(0);
+        let term = world.term(leader);
+        let at = if self.leader { leader } else { (leader + 1) % 3 };
+        world.cling_to(at);
+        let cut_us = START_US + 1_000_000;
+        world.run_until(cut_us);
+        self.bring(&mut world, at);
+        world.run_until(cut_us + CUT_US);
+        world.questions_before_pulses(Who::Control(at));
+        world.bring(Fault::Heal);
+        let undisturbed = world.leader() == Some(leader) && world.term(leader) == term;
+        world.run_until(cut_us + CUT_US + AFTER_US);
+        let undisturbed = undisturbed && world.term(leader) == term;
+        world.quiet = true;
+        let recovery_ms = recover(&mut world);
+        let quiet_us = world.now_us + 3_500_000;
+        world.run_until(quiet_us);
+        self.ended(world, cut_us, recovery_ms, undisturbed)
+    }
+
+    fn bring(&self, world: &mut World, at: usize) {
+        let others: Vec<usize> = (0..3).filter(|other| *other != at).collect();
+        let members: Vec<IpAddr> =
+            others.iter().map(|other| world.control[*other].address.ip()).collect();
+        let data: Vec<IpAddr> = world.data.iter().map(|machine| machine.address.ip()).collect();
+        let all: Vec<IpAddr> = members.iter().chain(&data).copied().collect();
+        let (out, into) = match self.cut {
+            Cut::Whole | Cut::Restarted => (all.clone(), all),
+            Cut::Unheard => (all, Vec::new()),
+            Cut::Deaf => (Vec::new(), all),
+            Cut::Members => (members.clone(), members),
+            Cut::Data => (data.clone(), data),
+            Cut::Frozen => (Vec::new(), Vec::new()),
+        };
+        let own = world.control[at].address.ip();
+        out.into_iter().for_each(|other| world.net.cut(own, other));
+        into.into_iter().for_each(|other| world.net.cut(other, own));
+        match self.cut {
+            Cut::Frozen => {
+                world.frozen.entry(Who::Control(at)).or_default();
+            }
+            Cut::Restarted => {
+                let until_us = world.now_us + RESTART_AFTER_US;
+                world.run_until(until_us);
+                world.end_control(at, false);
+                world.after(500_000, Event::Start(Who::Control(at)));
+            }
+            _ => {}
+        }
+    }
+
+    fn ended(
+        &self,
+        mut world: World,
+        cut_us: u64,
+        recovery_ms: u64,
+        undisturbed: bool,
+    ) -> CutOffEnded {
+        check_calls(&mut world);
+        if recovery_ms == u64::MAX {
+            world.book.violate("no full service after the cut".into());
+        }
+        let Some(cling) = world.cling.take() else { return CutOffEnded::default() };
+        check_numbers(&mut world, &cling);
+        let overdue = cling.overdue(world.now_us);
+        if overdue > 0 {
+            world.book.violate(format!("{overdue} questions never had an end"));
+        }
+        let noticed = (cut_us + NOTICED_US)..(cut_us + CUT_US);
+        let waits = cling.waits_us.iter().filter(|(asked_us, _)| noticed.contains(asked_us));
+        CutOffEnded {
+            violations: std::mem::take(&mut world.book.violations),
+            told: cling.told,
+            unavailable: cling.unavailable,
+            unclear: cling.unclear,
+            longest_wait_ms: waits.map(|(_, wait_us)| wait_us / 1_000).max().unwrap_or(0),
+            orders: cling.orders,
+            plans: world.operator.acknowledged,
+            undisturbed,
+        }
+    }
+}
+
+/// What was told as not taken was not counted, and what was told is counted once.
+fn check_numbers(world: &mut World, cling: &Cling) {
+    let mut told = cling.numbers.clone();
+    told.sort_unstable();
+    told.dedup();
+    let Some(node) = world.leader().and_then(|at| world.control[at].node.as_ref()) else { return };
+    let counted = node.committed().numbers.get("clung").copied().unwrap_or(0) as usize;
+    let most = told.len() + cling.numbers_unclear;
+    if told.len() != cling.numbers.len() || !(told.len()..=most).contains(&counted) {
+        let (told, unclear) = (cling.numbers.len(), cling.numbers_unclear);
+        world.book.violate(format!("{counted} were counted, {told} told, {unclear} unclear"));
+    }
+}
+
+impl World {
+    /// Connections keep no order among each other: at worst, whoever stood still reads questions
+    /// first, then what other machines sent, and looks at its clock last.
+    fn questions_before_pulses(&mut self, who: Who) {
+        if let Some(held) = self.frozen.get_mut(&who) {
+            held.sort_by_key(|event| match event {
+                Event::Door { .. } => 0,
+                Event::Pulse { .. } => 2,
+                _ => 1,
+            });
+        }
+    }
+
+    fn term(&self, at: usize) -> Option<u64> {
+        self.control[at].node.as_ref().map(|node| node.consensus().term())
+    }
+}
--- a/crates/simulation/src/event.rs
+++ b/crates/simulation/src/event.rs
@@ -1,3 +1,4 @@
+use crate::cling::Question;
 use crate::fault::Fault;
 use crate::world::World;
 use postbarrow_controller::PageResult;
@@ -73,6 +74,15 @@
         caller: usize,
     },
     Operate,
+    /// Those who cling to one control machine ask the next thing.
+    Cling,
+    /// Their question arrives at its door.
+    Door {
+        at: usize,
+        key: u64,
+        asked_us: u64,
+        question: Question,
+    },
     Fault(Fault),
     Wake(Who),
     Start(Who),
@@ -94,9 +104,10 @@
                 let data = || self.data.iter().position(|machine| machine.address == *to);
                 control.map(Who::Control).or_else(|| data().map(Who::Data))
             }
-            Event::Synced { at, .. } | Event::Page { at, .. } | Event::Encoded { at, .. } => {
-                Some(Who::Control(*at))
-            }
+            Event::Synced { at, .. }
+            | Event::Page { at, .. }
+            | Event::Encoded { at, .. }
+            | Event::Door { at, .. } => Some(Who::Control(*at)),
             Event::Arrive { data, .. }
             | Event::Go { data, .. }
             | Event::Send { data, .. }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -4,7 +4,10 @@
 mod book;
 mod calls;
 mod check;
+mod cling;
+mod clung;
 mod control;
+mod cut_off;
 mod data;
 mod disk;
 mod event;
@@ -23,6 +26,7 @@
 mod targets;
 mod world;
 
+pub use cut_off::{Cut, CutOff, CutOffEnded};
 pub use disk::{DiskTrouble, SimDisk};
 pub use fault::{ALL, Fault, Stage};
 pub use list::Trouble;
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -6,12 +6,13 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-#[derive(Clone)]
-struct Handed {
-    version: String,
-    base: Option<String>,
-    text: String,
-    dry: bool,
+/// A plan on its way.
+#[derive(Clone, Debug)]
+pub struct Handed {
+    pub version: String,
+    pub base: Option<String>,
+    pub text: String,
+    pub dry: bool,
 }
 
 /// Operators who hand over plans, sometimes two at once on one base.
@@ -27,10 +28,13 @@
     desk: Desk,
     handed: BTreeMap<u64, Handed>,
     key: u64,
-    number: u64,
+    pub number: u64,
 }
 
 const WAIT_MS: u64 = 3_000;
+/// Routes of a large plan, whose entries every check reads; few where only contact is looked at.
+const MANY_ROUTES: u64 = 1_500;
+const FEW_ROUTES: u64 = 30;
 
 impl Operator {
     pub fn new(address: SocketAddr) -> Self {
@@ -61,6 +65,19 @@
     )
 }
 
+impl Operator {
+    /// Every plan of its own has its end.
+    pub fn is_idle(&self) -> bool {
+        self.handed.is_empty() && self.version.is_some()
+    }
+}
+
+/// Where the plan began in the log, as an acknowledgement tells it.
+pub fn began_at(text: &str) -> Option<u64> {
+    let rest = text.split("\"beganAt\":").nth(1)?;
+    rest.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
+}
+
 impl World {
     /// Twenty times a second: looks after open questions; now and then hands over a plan.
     pub fn operate(&mut self) {
@@ -69,13 +86,15 @@
         self.operator.desk.learn(now_ms, None, &members);
         let effects = self.operator.desk.pulse(now_ms);
         self.operator_does(effects);
-        let idle = self.operator.handed.is_empty();
+        let clung = self.cling.is_some();
+        let waits = self.cling.as_ref().is_some_and(|cling| cling.has_order());
+        let idle = self.operator.handed.is_empty() && !waits;
         if idle && (self.operator.version.is_none() || (!self.quiet && self.random.chance(25))) {
             match self.random.below(8) {
                 _ if self.operator.version.is_none() => self.hand_over(0, false, false),
                 0 => self.hand_over(0, true, false),
                 1 => self.hand_over(0, false, true),
-                2 => self.hand_over(1_500, false, false),
+                2 => self.hand_over(if clung { FEW_ROUTES } else { MANY_ROUTES }, false, false),
                 3 => {
                     self.hand_over(0, false, false);
                     self.hand_over(5, false, false);
@@ -98,7 +117,7 @@
         self.submit(Handed { version, base, text, dry });
     }
 
-    fn submit(&mut self, handed: Handed) {
+    pub fn submit(&mut self, handed: Handed) {
         let plan = Plan::read(handed.text.as_bytes()).expect("the simulator's plans are sound");
         let submission = Submission {
             version: handed.version.as_str().into(),
@@ -172,11 +191,8 @@
         }
     }
 
-    fn plan_acknowledged(&mut self, handed: &Handed, text: &str) {
-        let began = text
-            .split("\"beganAt\":")
-            .nth(1)
-            .and_then(|rest| rest.split(|c: char| !c.is_ascii_digit()).next()?.parse::<u64>().ok());
+    pub fn plan_acknowledged(&mut self, handed: &Handed, text: &str) {
+        let began = began_at(text);
         self.operator.acknowledged += 1;
         self.operator.version = Some(handed.version.clone());
         self.book.in_force.push((self.now_us, began.unwrap_or(0)));
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -1,6 +1,7 @@
 use crate::asks::AskRun;
 use crate::book::Book;
 use crate::calls::Callers;
+use crate::cling::Cling;
 use crate::control::ControlMachine;
 use crate::data::DataMachine;
 use crate::event::{Event, Who};
@@ -33,6 +34,7 @@
     pub list: PlatformList,
     pub operator: Operator,
     pub callers: Callers,
+    pub(crate) cling: Option<Cling>,
     pub asks: BTreeMap<u64, AskRun>,
     pub book: Book,
     pub seeds: Vec<SocketAddr>,
@@ -70,6 +72,7 @@
             list: PlatformList::default(),
             operator: Operator::new(address(3, 0, 1)),
             callers: Callers::default(),
+            cling: None,
             asks: BTreeMap::new(),
             book: Book::default(),
             seeds: (0..3).map(|at| address(1, at, 1)).collect(),
@@ -135,6 +138,9 @@
     }
 
     pub fn transmit(&mut self, from: SocketAddr, to: SocketAddr, message: Message) {
+        if from == to {
+            return self.after(0, Event::Deliver { to, envelope: Envelope { from, message } });
+        }
         let arrival = self.net.arrival(self.now_us, from, to, &mut self.random);
         if let Some(at_us) = arrival {
             self.at(at_us, Event::Deliver { to, envelope: Envelope { from, message } });
@@ -169,7 +175,7 @@
         match event {
             Event::Pulse { who, life } => self.pulse(who, life),
             Event::Deliver { to, envelope } => match whose {
-                Some(Who::Control(at)) => self.control_input(at, ControlInput::Receive(envelope)),
+                Some(Who::Control(at)) => self.control_hears(at, envelope),
                 Some(Who::Data(at)) => self.data_input(at, DataInput::Receive(envelope)),
                 None if to == self.operator.address => self.operator_hears(envelope),
                 None => {}
@@ -202,6 +208,8 @@
             Event::NextAsk => self.next_ask(),
             Event::NextCall { caller } => self.next_call(caller),
             Event::Operate => self.operate(),
+            Event::Cling => self.cling(),
+            Event::Door { key, asked_us, question, .. } => self.door_asked(key, asked_us, question),
             Event::Fault(fault) => self.bring(fault),
             Event::Wake(who) => self.wake(who),
             Event::Start(who) => self.start(who),
@@ -218,12 +226,23 @@
             return;
         }
         match who {
-            Who::Control(at) => self.control_input(at, ControlInput::Pulse),
+            Who::Control(at) => {
+                self.control_input(at, ControlInput::Pulse);
+                self.door_pulse(at);
+            }
             Who::Data(at) => self.data_input(at, DataInput::Pulse),
         }
         self.after(PULSE_MS * 1_000, Event::Pulse { who, life });
     }
 
+    /// Responses are for the door of this machine, all else for the node.
+    fn control_hears(&mut self, at: usize, envelope: Envelope) {
+        match envelope.message {
+            Message::Response { key, response } => self.door_hears(at, key, response),
+            _ => self.control_input(at, ControlInput::Receive(envelope)),
+        }
+    }
+
     pub fn wake(&mut self, who: Who) {
         for event in self.frozen.remove(&who).unwrap_or_default() {
             self.after(0, event);
