--- a/crates/controller/src/submit.rs
+++ b/crates/controller/src/submit.rs
@@ -6,7 +6,7 @@
 use postbarrow_constants::plans::BATCHES_IN_FLIGHT;
 use postbarrow_messages::{Response, Submission};
 use postbarrow_plan::Rehearsal;
-use postbarrow_state::{Digest, Name, Record, RefusedPlan};
+use postbarrow_state::{Digest, Name, Record, RefusedPlan, State};
 use postbarrow_transactions::{Line, encode, split};
 use std::collections::VecDeque;
 
@@ -30,7 +30,7 @@
             SubmissionVerdict::Proceed => self.begin_plan(now_ms, origin, submission, digest),
             SubmissionVerdict::AlreadyTaken { began_at, ended_at } => {
                 let told = Submitted::again(state, &submission.version, began_at, ended_at);
-                self.reply_settled(origin, operator::json(200, &told));
+                self.reply_settled(now_ms, origin, operator::json(200, &told));
             }
             SubmissionVerdict::Refused(reason) => {
                 let told = Refused::new(&reason.to_string(), state.plan_version());
@@ -38,7 +38,7 @@
                     let refused = RefusedPlan { version: submission.version, digest };
                     self.propose(now_ms, vec![Record::PlanRefused(refused)]);
                 }
-                self.reply_settled(origin, operator::json(409, &told));
+                self.reply_settled(now_ms, origin, operator::json(409, &told));
             }
             SubmissionVerdict::Unknown => self.respond(origin, Response::TimedOut),
         }
@@ -109,7 +109,7 @@
             lead.open = None;
             let offset = self.propose_lines(now_ms, vec![abort]);
             let told = Submitted::dry(&version, rehearsal);
-            self.reply_at(offset, origin, operator::json(200, &told));
+            self.reply_at(now_ms, offset, origin, operator::json(200, &told));
         } else {
             let Ok(end) = writer.end() else { return };
             lead.open = None;
@@ -118,32 +118,35 @@
             let offset = self.propose_lines(now_ms, vec![Line::Data(taken), end]);
             let told = Submitted::new(&version, began_at, offset, rehearsal);
             self.say(format!("plan {version} ends at {offset}"));
-            self.reply_at(offset, origin, operator::json(200, &told));
+            self.reply_at(now_ms, offset, origin, operator::json(200, &told));
         }
         self.drain_waiting(now_ms);
     }
 
     /// Ends the open plan for a reason that the same plan would meet again: it is refused.
     fn refuse_open(&mut self, now_ms: u64, status: u16, reason: &str) {
-        let refused = Refused::new(reason, self.committed().plan_version());
-        self.abort_open(now_ms, reason, operator::json(status, &refused));
+        let Some((offset, origin)) = self.abort_open(now_ms, reason) else { return };
+        let in_force = self.current().and_then(State::plan_version);
+        let refused = operator::json(status, &Refused::new(reason, in_force));
+        self.reply_at(now_ms, offset, origin, refused);
+        self.drain_waiting(now_ms);
     }
 
     /// Ends the open plan for want of time. Another copy of it may be waiting or on its way and be
     /// taken, so this is no refusal but no clear answer.
     pub(crate) fn abort_late(&mut self, now_ms: u64, reason: &str) {
-        self.abort_open(now_ms, reason, Response::TimedOut);
+        let Some((offset, origin)) = self.abort_open(now_ms, reason) else { return };
+        self.reply_at(now_ms, offset, origin, Response::TimedOut);
+        self.drain_waiting(now_ms);
     }
 
-    fn abort_open(&mut self, now_ms: u64, reason: &str, response: Response) {
-        let Some(lead) = &mut self.lead else { return };
-        let Some(open) = lead.open.take() else { return };
-        let abort = lead.writer.as_mut().and_then(|writer| writer.abort(reason).ok());
-        let Some(abort) = abort else { return };
+    /// Writes the abort; gives its offset and who waits for the plan's end.
+    fn abort_open(&mut self, now_ms: u64, reason: &str) -> Option<(u64, Origin)> {
+        let lead = self.lead.as_mut()?;
+        let open = lead.open.take()?;
+        let abort = lead.writer.as_mut().and_then(|writer| writer.abort(reason).ok())?;
         self.say(format!("plan {} is aborted: {reason}", open.version));
-        let offset = self.propose_lines(now_ms, vec![abort]);
-        self.reply_at(offset, open.origin, response);
-        self.drain_waiting(now_ms);
+        Some((self.propose_lines(now_ms, vec![abort]), open.origin))
     }
 
     pub(crate) fn submit_pulse(&mut self, now_ms: u64) {
