--- /dev/null
+++ b/crates/consensus/src/fingerprint.rs
@@ -0,0 +1,75 @@
+//! Identity of a state for searches over many of them: equal fingerprints mean equal behaviour from
+//! here on, but for the spread of election timers.
+
+use crate::{Consensus, Message};
+use std::hash::{Hash, Hasher};
+
+/// Times are hashed by their distance from now, and those older than the horizon are all alike.
+#[derive(Clone, Copy)]
+pub struct Moment {
+    pub now_ms: u64,
+    pub horizon_ms: u64,
+}
+
+impl Moment {
+    fn age(&self, at_ms: u64) -> u64 {
+        self.now_ms.saturating_sub(at_ms).min(self.horizon_ms)
+    }
+
+    fn until(&self, due_ms: u64) -> u64 {
+        due_ms.saturating_sub(self.now_ms)
+    }
+}
+
+impl Message {
+    /// The send time it carries becomes its age; all else is hashed as it stands.
+    pub fn fingerprint(&self, moment: Moment, into: &mut impl Hasher) {
+        let mut message = self.clone();
+        match &mut message {
+            Message::Append(one) => one.sent_ms = moment.age(one.sent_ms),
+            Message::AppendResponse(one) => one.sent_ms = moment.age(one.sent_ms),
+            Message::Snapshot(one) => one.sent_ms = moment.age(one.sent_ms),
+            Message::SnapshotResponse(one) => one.sent_ms = moment.age(one.sent_ms),
+            Message::TakeOver(one) => one.sent_ms = moment.age(one.sent_ms),
+            _ => {}
+        }
+        message.hash(into);
+    }
+}
+
+impl Consensus {
+    /// All that later behaviour rests on; the random state and the clock offset are left out.
+    pub fn fingerprint(&self, moment: Moment, into: &mut impl Hasher) {
+        (self.id, self.term, self.voted, self.commit, self.role, self.leader).hash(into);
+        (&self.log, &self.votes, &self.learners, &self.snapshot, &self.incoming).hash(into);
+        (self.term_start, self.handing, self.self_match, self.voters).hash(into);
+        (self.round, &self.free, &self.freed, self.clear).hash(into);
+        (moment.age(self.heard_ms), moment.age(self.started_ms)).hash(into);
+        (moment.until(self.election_due_ms), moment.until(self.beat_due_ms)).hash(into);
+        moment.until(self.who_due_ms).hash(into);
+        self.fingerprint_progress(moment, into);
+        self.fingerprint_writes(moment, into);
+    }
+
+    fn fingerprint_progress(&self, moment: Moment, into: &mut impl Hasher) {
+        for known in self.progress.values() {
+            (known.member, known.matched, known.next).hash(into);
+            (moment.age(known.echo_ms), moment.age(known.heard_ms)).hash(into);
+            moment.age(known.since_ms).hash(into);
+            let sending = known.sending.as_ref();
+            sending.map(|one| (one.index, one.offset, moment.age(one.sent_ms))).hash(into);
+        }
+    }
+
+    /// Only how far each write is ahead of the newest sync matters, not its number.
+    fn fingerprint_writes(&self, moment: Moment, into: &mut impl Hasher) {
+        (self.sequence - self.synced).hash(into);
+        for (wrote, last) in &self.appended {
+            (wrote.saturating_sub(self.synced), last).hash(into);
+        }
+        for (wrote, to, message) in &self.held {
+            (wrote.saturating_sub(self.synced), to).hash(into);
+            message.fingerprint(moment, into);
+        }
+    }
+}
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -2,6 +2,7 @@
 
 mod clear;
 mod election;
+mod fingerprint;
 mod handover;
 mod log;
 mod members;
@@ -10,6 +11,7 @@
 mod snapshot;
 mod types;
 
+pub use fingerprint::Moment;
 pub use log::Log;
 pub use progress::Progress;
 pub use types::*;
@@ -18,6 +20,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
+#[derive(Clone, Debug)]
 pub struct Consensus {
     id: MemberId,
     term: u64,
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -2,6 +2,7 @@
 use std::collections::VecDeque;
 
 /// Entries since a base; the base's members and every later change are kept beside them.
+#[derive(Clone, Debug, Hash)]
 pub struct Log {
     base: u64,
     base_term: u64,
--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -2,6 +2,7 @@
 use crate::*;
 use postbarrow_constants::consensus::*;
 
+#[derive(Clone, Debug, Hash)]
 pub(crate) struct Incoming {
     from: MemberId,
     index: u64,
--- a/crates/consensus/src/types.rs
+++ b/crates/consensus/src/types.rs
@@ -4,13 +4,13 @@
 
 pub type MemberId = u64;
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
     pub id: MemberId,
     pub address: SocketAddr,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Role {
     Follower,
     PreCandidate,
@@ -18,7 +18,7 @@
     Leader,
 }
 
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Payload {
     TermStart,
     Members(Vec<Member>),
@@ -26,7 +26,7 @@
     Batch(Vec<u8>),
 }
 
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
     pub term: u64,
     pub index: u64,
@@ -43,13 +43,13 @@
     }
 }
 
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Hard {
     pub term: u64,
     pub voted: Option<MemberId>,
 }
 
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
     pub index: u64,
     pub term: u64,
@@ -67,7 +67,7 @@
     pub entries: Vec<Entry>,
 }
 
-#[derive(Clone, Debug, Serialize, Deserialize)]
+#[derive(Clone, Debug, Hash, Serialize, Deserialize)]
 pub struct VoteAsk {
     pub term: u64,
     pub last: u64,
@@ -79,7 +79,7 @@
     pub clear: bool,
 }
 
-#[derive(Clone, Debug, Serialize, Deserialize)]
+#[derive(Clone, Debug, Hash, Serialize, Deserialize)]
 pub struct Append {
     pub term: u64,
     pub prev: u64,
@@ -89,7 +89,7 @@
     pub sent_ms: u64,
 }
 
-#[derive(Clone, Debug, Serialize, Deserialize)]
+#[derive(Clone, Debug, Hash, Serialize, Deserialize)]
 pub struct AppendResponse {
     pub term: u64,
     pub matched: Option<u64>,
@@ -97,7 +97,7 @@
     pub sent_ms: u64,
 }
 
-#[derive(Clone, Debug, Serialize, Deserialize)]
+#[derive(Clone, Debug, Hash, Serialize, Deserialize)]
 pub struct SnapshotPart {
     pub term: u64,
     pub index: u64,
@@ -110,7 +110,7 @@
     pub sent_ms: u64,
 }
 
-#[derive(Clone, Debug, Serialize, Deserialize)]
+#[derive(Clone, Debug, Hash, Serialize, Deserialize)]
 pub struct SnapshotResponse {
     pub term: u64,
     pub index: u64,
@@ -120,7 +120,7 @@
 }
 
 /// A leader that has given up its hold for good asks a follower to lead at once.
-#[derive(Clone, Debug, Serialize, Deserialize)]
+#[derive(Clone, Debug, Hash, Serialize, Deserialize)]
 pub struct TakeOver {
     pub term: u64,
     pub sent_ms: u64,
@@ -128,7 +128,7 @@
     pub note: Vec<u8>,
 }
 
-#[derive(Clone, Debug, Serialize, Deserialize)]
+#[derive(Clone, Debug, Hash, Serialize, Deserialize)]
 pub enum Message {
     PreVote(VoteAsk),
     PreVoteResponse {
@@ -176,7 +176,7 @@
     HandOver(Vec<u8>),
 }
 
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Hash, Serialize, Deserialize)]
 pub enum Write {
     Hard(Hard),
     Append(Vec<Entry>),
--- /dev/null
+++ b/crates/consensus/tests/exhaustive/ledger.rs
@@ -0,0 +1,119 @@
+//! History of one path, and the properties that must hold at every state.
+
+use crate::world::{Machine, World};
+use postbarrow_consensus::*;
+use std::collections::BTreeMap;
+
+#[derive(Clone, Default, Hash)]
+pub struct Ledger {
+    leaders: BTreeMap<u64, MemberId>,
+    votes: BTreeMap<(u64, MemberId), MemberId>,
+    committed: BTreeMap<u64, Entry>,
+}
+
+impl Ledger {
+    pub fn leads(&mut self, node: &Consensus) -> Result<(), String> {
+        let (term, id) = (node.term(), node.id());
+        let first = *self.leaders.entry(term).or_insert(id);
+        if first != id {
+            return Err(format!("election safety: {first} and {id} both lead in term {term}"));
+        }
+        for entry in self.committed.values() {
+            let kept = node.log().term_at(entry.index) == Some(entry.term);
+            if !kept && entry.index > node.log().base() {
+                return Err(format!("leader completeness: {id} lacks entry {}", entry.index));
+            }
+        }
+        Ok(())
+    }
+
+    pub fn votes(&mut self, term: u64, voter: MemberId, candidate: MemberId) -> Result<(), String> {
+        let first = *self.votes.entry((term, voter)).or_insert(candidate);
+        match first == candidate {
+            true => Ok(()),
+            false => Err(format!("{voter} voted for {first} and {candidate} in term {term}")),
+        }
+    }
+
+    pub fn commits(&mut self, machine: &mut Machine, entries: &[Entry]) -> Result<(), String> {
+        for entry in entries {
+            if entry.index != machine.applied + 1 {
+                return Err(format!("applied {} after {}", entry.index, machine.applied));
+            }
+            machine.applied = entry.index;
+            let first = self.committed.entry(entry.index).or_insert_with(|| entry.clone());
+            if first != entry {
+                return Err(format!("state machine safety: two entries at {}", entry.index));
+            }
+        }
+        Ok(())
+    }
+
+    pub fn restores(&self, machine: &mut Machine, kept: &Snapshot) -> Result<(), String> {
+        if kept.index < machine.applied {
+            return Err(format!("restored {} after applying {}", kept.index, machine.applied));
+        }
+        if self.committed.get(&kept.index).is_some_and(|entry| entry.term != kept.term) {
+            return Err(format!("snapshot {} is not of the committed term", kept.index));
+        }
+        machine.applied = kept.index;
+        Ok(())
+    }
+}
+
+impl World {
+    pub fn check(&self) -> Result<(), String> {
+        self.check_leases()?;
+        self.check_log_matching()?;
+        self.check_durable()
+    }
+
+    /// Who holds serves reads and grants targets: two at once may contradict each other.
+    fn check_leases(&self) -> Result<(), String> {
+        let holds = |node: &Consensus| node.is_ready() && self.now_ms < node.hold_until();
+        let nodes = self.machines.iter().map(|machine| &machine.node);
+        let holders: Vec<MemberId> = nodes.filter(|node| holds(node)).map(Consensus::id).collect();
+        match holders.len() > 1 {
+            true => Err(format!("leases of {holders:?} overlap")),
+            false => Ok(()),
+        }
+    }
+
+    fn check_log_matching(&self) -> Result<(), String> {
+        for (at, one) in self.machines.iter().enumerate() {
+            for other in &self.machines[at + 1..] {
+                check_pair(one.node.log(), other.node.log())?;
+            }
+        }
+        Ok(())
+    }
+
+    /// A power loss of everything at this state must leave each committed entry on a majority. One
+    /// disk that was lost for good may be among those that held it.
+    fn check_durable(&self) -> Result<(), String> {
+        let majority = self.machines.len() / 2 + 1;
+        for entry in self.ledger.committed.values() {
+            let holders = self.machines.iter().filter(|machine| {
+                machine.before.is_some() || machine.disk.holds(entry.index, entry.term)
+            });
+            if holders.count() < majority {
+                return Err(format!("committed entry {} is not on a majority", entry.index));
+            }
+        }
+        Ok(())
+    }
+}
+
+/// Logs that agree on the term at one index agree on everything before.
+fn check_pair(one: &Log, other: &Log) -> Result<(), String> {
+    let first = one.base().max(other.base()) + 1;
+    let mut agreed = false;
+    for index in (first..=one.last().min(other.last())).rev() {
+        let (Some(left), Some(right)) = (one.get(index), other.get(index)) else { continue };
+        agreed |= left.term == right.term;
+        if agreed && left != right {
+            return Err(format!("log matching: entries {index} differ below a common one"));
+        }
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/consensus/tests/exhaustive/world.rs
@@ -0,0 +1,153 @@
+//! One state of the searched system: members with their disks, messages in flight, the clock, what
+//! is left of each bound, and the history that the checks compare with.
+
+use crate::ledger::Ledger;
+use postbarrow_consensus::*;
+use std::collections::VecDeque;
+use std::hash::{DefaultHasher, Hasher};
+use std::sync::Arc;
+
+pub fn member(id: MemberId) -> Member {
+    Member { id, address: format!("10.0.0.{}:1", id % LOST_DISK_STEP).parse().expect("an address") }
+}
+
+/// A disk that replaces a lost one has the old number plus this.
+pub const LOST_DISK_STEP: MemberId = 10;
+pub const START_MS: u64 = 100_000;
+
+/// How often each kind of event may still happen.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
+pub struct Bounds {
+    pub crashes: u8,
+    pub lost_disks: u8,
+    pub duplicates: u8,
+    pub proposals: u8,
+    pub hand_overs: u8,
+    pub compactions: u8,
+    pub learners: u8,
+    pub advances: u8,
+    /// Pulses given to members, so that rounds and elections don't go on for ever.
+    pub pulses: u8,
+}
+
+/// What a disk has kept through its last sync.
+#[derive(Clone, Default, Hash)]
+pub struct Disk {
+    pub hard: Hard,
+    pub snapshot: Option<Arc<Snapshot>>,
+    pub entries: Vec<Entry>,
+}
+
+impl Disk {
+    pub fn apply(&mut self, write: Write) {
+        match write {
+            Write::Hard(hard) => self.hard = hard,
+            Write::Append(entries) => self.entries.extend(entries),
+            Write::Truncate { from } => self.entries.retain(|entry| entry.index < from),
+            Write::Slot { snapshot, hard, entries } => {
+                *self = Disk { hard, snapshot: Some(snapshot), entries }
+            }
+        }
+    }
+
+    pub fn recovered(&self) -> Recovered {
+        Recovered {
+            term: self.hard.term,
+            voted: self.hard.voted,
+            snapshot: self.snapshot.clone(),
+            entries: self.entries.clone(),
+        }
+    }
+
+    pub fn holds(&self, index: u64, term: u64) -> bool {
+        let covered = self.snapshot.as_ref().is_some_and(|kept| kept.index >= index);
+        covered || self.entries.iter().any(|one| (one.index, one.term) == (index, term))
+    }
+}
+
+/// One machine: a member, its disk, and writes that no sync has covered.
+#[derive(Clone)]
+pub struct Machine {
+    pub node: Consensus,
+    pub disk: Disk,
+    pub unsynced: VecDeque<(u64, Write)>,
+    pub applied: u64,
+    /// The number of the member that lost its disk here.
+    pub before: Option<MemberId>,
+    pub lives: u64,
+}
+
+#[derive(Clone, Debug)]
+pub struct Flight {
+    pub from: Member,
+    pub to: Member,
+    pub message: Message,
+}
+
+#[derive(Clone)]
+pub struct World {
+    pub now_ms: u64,
+    pub machines: Vec<Arc<Machine>>,
+    pub flights: Vec<Arc<Flight>>,
+    pub left: Bounds,
+    pub ledger: Arc<Ledger>,
+}
+
+impl World {
+    /// Three members that formed a log and start now.
+    pub fn started(left: Bounds) -> World {
+        let members = (1..=3).map(member).collect();
+        let snapshot = Arc::new(Snapshot { index: 0, term: 0, members, state: Vec::new() });
+        let disk = Disk { snapshot: Some(snapshot), ..Disk::default() };
+        let machine = |id: MemberId| {
+            Arc::new(Machine {
+                node: Consensus::new(id, disk.recovered(), seed(id, 0), START_MS),
+                disk: disk.clone(),
+                unsynced: VecDeque::new(),
+                applied: 0,
+                before: None,
+                lives: 0,
+            })
+        };
+        World {
+            now_ms: START_MS,
+            machines: (1..=3).map(machine).collect(),
+            flights: Vec::new(),
+            left,
+            ledger: Arc::default(),
+        }
+    }
+
+    pub fn fingerprint(&self, horizon_ms: u64) -> u64 {
+        use std::hash::Hash;
+        let moment = Moment { now_ms: self.now_ms, horizon_ms };
+        let mut hasher = DefaultHasher::new();
+        for machine in &self.machines {
+            machine.node.fingerprint(moment, &mut hasher);
+            machine.disk.hash(&mut hasher);
+            (machine.applied, machine.before, machine.lives).hash(&mut hasher);
+            machine.unsynced.iter().for_each(|(_, write)| write.hash(&mut hasher));
+        }
+        let mut sum = 0u64;
+        for flight in &self.flights {
+            sum = sum.wrapping_add(flight.fingerprint(moment));
+        }
+        (sum, self.left, &*self.ledger).hash(&mut hasher);
+        hasher.finish()
+    }
+}
+
+impl Flight {
+    pub fn fingerprint(&self, moment: Moment) -> u64 {
+        use std::hash::Hash;
+        let mut hasher = DefaultHasher::new();
+        (self.from.id, self.to.id).hash(&mut hasher);
+        self.message.fingerprint(moment, &mut hasher);
+        hasher.finish()
+    }
+}
+
+/// Each life of each member has a seed of its own, as the processes draw theirs at random.
+pub fn seed(id: MemberId, lives: u64) -> u64 {
+    0x9e37_79b9_7f4a_7c15u64.wrapping_mul(2 * (id + 100 * lives) + 1)
+}
