--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -90,6 +90,71 @@
     model("votes and syncs", rules()).search(begun.with(left));
 }
 
+/// Machine 1 stands still, and the answers that let it stand in term 1 are under way; machine 2 may
+/// stand in the same term.
+fn two_candidates() -> Prepared {
+    let mut begun = Prepared::started();
+    begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS)).act(Action::Pulse(1));
+    begun.settle_but(|message| matches!(message, Message::PreVoteResponse { .. }));
+    begun.act(Action::Part(Apart { at: 1, frozen: true }));
+    begun
+}
+
+#[test]
+fn two_candidates_and_a_restart() {
+    let left = Bounds { pulses: 1, advances: 1, delays: 1, crashes: 1, ..Bounds::default() };
+    model("two candidates, restart", rules()).search(two_candidates().with(left));
+}
+
+#[test]
+fn two_candidates_and_a_slow_disk() {
+    let left = Bounds { pulses: 1, advances: 1, slow_disks: 1, crashes: 1, ..Bounds::default() };
+    model("two candidates, slow disk", rules()).search(two_candidates().with(left));
+}
+
+/// A leader stood still while answers to it were under way, until the others may elect.
+#[test]
+fn a_leader_wakes_and_gets_late_answers() {
+    let mut begun = Prepared::led();
+    begun.act(Action::Advance(HEARTBEAT_MS)).act(Action::Pulse(0));
+    begun.settle_but(|message| matches!(message, Message::AppendResponse(_)));
+    begun.act(Action::Part(Apart { at: 0, frozen: true }));
+    begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
+    let left = Bounds { pulses: 2, advances: 1, crashes: 1, proposals: 1, ..Bounds::default() };
+    let rules = Rules { steps_ms: vec![HEARTBEAT_MS], ..rules() };
+    model("late answers", rules).search(begun.with(left));
+}
+
+/// Machine 2 was cut off until its election is due; the other follower has just heard the leader.
+#[test]
+fn a_voter_keeps_its_promise() {
+    let mut begun = Prepared::led();
+    begun.act(Action::Part(Apart { at: 2, frozen: false }));
+    begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS)).act(Action::Pulse(0));
+    begun.settle().act(Action::Join);
+    let left = Bounds { pulses: 2, crashes: 2, freezes: 1, delays: 1, ..Bounds::default() };
+    model("promise", rules()).search(begun.with(left));
+}
+
+/// Machine 0 has an entry of its own that the next leader, machine 1, overwrites.
+#[test]
+fn an_entry_of_an_old_term_is_overwritten() {
+    let mut begun = Prepared::led();
+    begun.act(Action::Part(Apart { at: 0, frozen: false })).act(Action::Propose(0)).settle();
+    begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS)).act(Action::Pulse(1));
+    begun.settle().act(Action::Join);
+    let left = Bounds {
+        pulses: 2,
+        advances: 1,
+        proposals: 1,
+        slow_disks: 1,
+        crashes: 1,
+        ..Bounds::default()
+    };
+    let rules = Rules { steps_ms: vec![HEARTBEAT_MS], ..rules() };
+    model("truncation", rules).search(begun.with(left));
+}
+
 #[test]
 fn a_handover() {
     let left = Bounds {
