--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -2,6 +2,7 @@
 
 mod clear;
 mod election;
+mod fingerprint;
 mod handover;
 mod leaving;
 mod log;
@@ -11,6 +12,7 @@
 mod snapshot;
 mod types;
 
+pub use fingerprint::Moment;
 pub use log::Log;
 pub use progress::Progress;
 pub use types::*;
@@ -19,6 +21,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
+#[derive(Clone, Debug)]
 pub struct Consensus {
     id: MemberId,
     term: u64,
@@ -46,7 +49,8 @@
     appended: VecDeque<(u64, u64)>,
     self_match: u64,
     held: VecDeque<(u64, Member, Message)>,
-    /// Rounds of asking all others whether they lead, and who said no in this one.
+    /// Rounds of asking all others whether they lead, numbered from a random begin in each life, and
+    /// who said no in this one.
     round: u64,
     who_due_ms: u64,
     free: BTreeSet<MemberId>,
@@ -95,7 +99,7 @@
             synced: 0,
             appended: VecDeque::new(),
             held: VecDeque::new(),
-            round: 0,
+            round: seed >> 1,
             who_due_ms: now_ms,
             free: BTreeSet::new(),
             freed: false,
