--- a/crates/consensus/src/fingerprint.rs
+++ b/crates/consensus/src/fingerprint.rs
@@ -12,7 +12,7 @@
 }
 
 impl Moment {
-    fn age(&self, at_ms: u64) -> u64 {
+    pub(crate) fn age(&self, at_ms: u64) -> u64 {
         self.now_ms.saturating_sub(at_ms).min(self.horizon_ms)
     }
 
@@ -38,7 +38,8 @@
 }
 
 impl Consensus {
-    /// All that later behaviour rests on; the random state and the clock offset are left out.
+    /// All that later behaviour rests on; the random state and the clock offset are left out,
+    /// and so is what a planned stop adds, for no search begins one.
     pub fn fingerprint(&self, moment: Moment, into: &mut impl Hasher) {
         (self.id, self.term, self.voted, self.commit, self.role, self.leader).hash(into);
         (&self.log, &self.votes, &self.learners, &self.snapshot, &self.incoming).hash(into);
@@ -47,18 +48,10 @@
         (moment.age(self.heard_ms), moment.age(self.started_ms)).hash(into);
         (moment.until(self.election_due_ms), moment.until(self.beat_due_ms)).hash(into);
         moment.until(self.who_due_ms).hash(into);
-        self.fingerprint_progress(moment, into);
-        self.fingerprint_writes(moment, into);
-    }
-
-    fn fingerprint_progress(&self, moment: Moment, into: &mut impl Hasher) {
         for known in self.progress.values() {
-            (known.member, known.matched, known.next).hash(into);
-            (moment.age(known.echo_ms), moment.age(known.heard_ms)).hash(into);
-            moment.age(known.since_ms).hash(into);
-            let sending = known.sending.as_ref();
-            sending.map(|one| (one.index, one.offset, moment.age(one.sent_ms))).hash(into);
+            known.fingerprint(moment, into);
         }
+        self.fingerprint_writes(moment, into);
     }
 
     /// Only how far each write is ahead of the newest sync matters, not its number.
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -3,6 +3,7 @@
 mod clear;
 mod election;
 mod fingerprint;
+mod flight;
 mod handover;
 mod leaving;
 mod log;
@@ -10,6 +11,7 @@
 mod progress;
 mod replicate;
 mod snapshot;
+mod transfer;
 mod types;
 
 pub use fingerprint::Moment;
@@ -43,7 +45,7 @@
     /// Least difference seen between this clock and the leader's.
     leader_offset_ms: Option<i64>,
     snapshot: Option<Arc<Snapshot>>,
-    incoming: Option<snapshot::Incoming>,
+    incoming: Option<transfer::Incoming>,
     sequence: u64,
     synced: u64,
     appended: VecDeque<(u64, u64)>,
@@ -135,7 +137,7 @@
             Input::Propose(batches) => self.propose(now_ms, batches),
             Input::Form(members) => self.form(members),
             Input::Learner(member) => self.learner(now_ms, member),
-            Input::Compact { index, state } => self.compact(index, state),
+            Input::Compact { index, state } => self.compact(now_ms, index, state),
             Input::HandOver(note) => self.hand_over(now_ms, note),
             Input::Leave => self.leave(now_ms),
         }
@@ -243,6 +245,10 @@
     pub fn last(&self) -> u64 {
         self.log.last()
     }
+    /// Index of the newest snapshot here, or zero.
+    pub fn snapshot_index(&self) -> u64 {
+        self.snapshot.as_ref().map_or(0, |snapshot| snapshot.index)
+    }
     pub fn members(&self) -> &[Member] {
         self.log.members()
     }
--- a/crates/consensus/tests/durable.rs
+++ b/crates/consensus/tests/durable.rs
@@ -22,6 +22,7 @@
         total: 2,
         bytes: vec![1, 2],
         sent_ms: 0,
+        checksum: crc32fast::hash(&[1, 2]),
     };
     let mut wrote = 0;
     for again_ms in [0, 500] {
@@ -50,6 +51,7 @@
         total: 0,
         bytes: Vec::new(),
         sent_ms: 0,
+        checksum: crc32fast::hash(&[]),
     };
     let message = Message::Snapshot(form);
     let installed = learner.handle(1_000, Input::Receive { from: member(1), message });
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -10,6 +10,7 @@
 use crate::net::Net;
 use crate::operator::Operator;
 use crate::random::Random;
+use crate::slow::SlowMachine;
 use crate::steps::Strike;
 use crate::targets::Target;
 use postbarrow_constants::consensus::{PULSE_MS, VOTER_DEAD_MS};
@@ -53,6 +54,7 @@
     /// A core machine that begins is told of no data node beside its seeds.
     pub core_seeds_only: bool,
     pub voter_dead_ms: u64,
+    pub slow: Option<SlowMachine>,
     pub(crate) strike: Option<Strike>,
     /// Syncs that were done, and the writes that shared them.
     pub synced: (usize, usize),
@@ -93,6 +95,7 @@
             losses: 1,
             core_seeds_only: false,
             voter_dead_ms: VOTER_DEAD_MS,
+            slow: None,
             strike: None,
             synced: (0, 0),
             disk_failures: 0,
@@ -146,12 +149,14 @@
     }
 
     pub fn transmit(&mut self, from: SocketAddr, to: SocketAddr, message: Message) {
+        let envelope = Envelope { from, message };
         if from == to {
-            return self.after(0, Event::Deliver { to, envelope: Envelope { from, message } });
+            return self.after(0, Event::Deliver { to, envelope });
         }
-        let arrival = self.net.arrival(self.now_us, from, to, &mut self.random);
+        let sent_us = self.now_us + self.link_wait_us(to, &envelope);
+        let arrival = self.net.arrival(sent_us, from, to, &mut self.random);
         if let Some(at_us) = arrival {
-            self.at(at_us, Event::Deliver { to, envelope: Envelope { from, message } });
+            self.at(at_us, Event::Deliver { to, envelope });
         }
     }
 
