--- a/crates/constants/src/nodes.rs
+++ b/crates/constants/src/nodes.rs
@@ -27,6 +27,15 @@
 pub const TAIL_KEEP_MS: u64 = 2_000;
 /// News entries a relay keeps for children that lag; beyond it they get an image.
 pub const NEWS_KEPT: usize = 512;
+/// Bytes of news a relay keeps: 512 deltas of a few routes each are well below it, and a relay's
+/// memory stays so when each change is a whole plan.
+pub const NEWS_KEPT_BYTES: usize = 4 * 1024 * 1024;
+/// News that a child does not confirm are sent again after this; a child that is behind for
+/// `RELAY_BEHIND_MS` asks the controller meanwhile, so a lost frame does not have to wait for it.
+pub const TAIL_RESEND_MS: u64 = 400;
+/// Longest pause between two sends of the same news: below `TAIL_KEEP_MS`, so that a subscription
+/// that is renewed is also served.
+pub const TAIL_RESEND_MOST_MS: u64 = 1_600;
 /// Bytes of news in one frame.
 pub const NEWS_BYTES: usize = 512 * 1024;
 /// Heartbeats to watchers on the ring.
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -38,7 +38,7 @@
 use postbarrow_constants::coordination::HISTORY_KEEP_MS;
 use postbarrow_constants::nodes::LIST_GAP_MS;
 use postbarrow_membership::{Deliver, Relay};
-use postbarrow_messages::{Envelope, ImageFrame, Message, Response};
+use postbarrow_messages::{EncodedImage, Envelope, Message, Response};
 use postbarrow_state::State;
 use postbarrow_transactions::Tail;
 use std::net::SocketAddr;
@@ -50,6 +50,7 @@
     news_offset: u64,
     image_offset: u64,
     relay: Relay,
+    encoded: EncodedImage,
     lead: Option<Lead>,
     book: Book,
     stopping: bool,
@@ -79,6 +80,7 @@
             news_offset: 0,
             image_offset: 0,
             relay: Relay::default(),
+            encoded: EncodedImage::default(),
             lead: None,
             book: Book::new(seeds, own.address),
             stopping: false,
@@ -197,15 +199,15 @@
         if !self.lead.as_ref().is_some_and(|lead| lead.ready) {
             return;
         }
-        for deliver in self.relay.deliver(now_ms, self.news_offset) {
+        self.encoded.forget_before(self.image_offset);
+        for deliver in self.relay.deliver(now_ms, self.news_offset, self.image_offset) {
             match deliver {
                 Deliver::News { to, entries } => self.send(to, Message::News { entries }),
                 Deliver::Image { to } => {
-                    let state = rmp_serde::to_vec(&self.tail.image().news_only());
-                    let state = state.expect("a state encodes into memory");
                     let offset = self.image_offset;
-                    self.send(to, Message::Image(ImageFrame { offset, state }));
-                    self.relay.moved(to, offset);
+                    let frame = self.encoded.frame(offset, || self.tail.image().news_only());
+                    self.send(to, Message::Image(frame));
+                    self.relay.moved(now_ms, to, offset);
                 }
             }
         }
@@ -238,6 +240,10 @@
     pub fn holds(&self, now_ms: u64) -> bool {
         self.is_leading() && now_ms < self.consensus.hold_until()
     }
+    /// Images encoded for nodes so far.
+    pub fn images_encoded(&self) -> u64 {
+        self.encoded.encodings()
+    }
     /// Clients' questions waiting for the open transaction, and the longest wait so far.
     pub fn stall_ms(&self) -> u64 {
         self.lead.as_ref().map_or(0, |lead| lead.longest_stall_ms)
--- a/crates/membership/src/relay.rs
+++ b/crates/membership/src/relay.rs
@@ -1,4 +1,8 @@
-use postbarrow_constants::nodes::{NEWS_BYTES, NEWS_KEPT, TAIL_KEEP_MS};
+//! What a relay owes its children: news in order, or an image to one that is too far behind.
+
+use postbarrow_constants::nodes::{
+    NEWS_BYTES, NEWS_KEPT, NEWS_KEPT_BYTES, TAIL_KEEP_MS, TAIL_RESEND_MOST_MS, TAIL_RESEND_MS,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -14,8 +18,55 @@
 }
 
 struct Child {
+    /// Sent up to here.
     at: u64,
+    /// Told up to here by the child itself.
+    acknowledged: u64,
     renewed_ms: u64,
+    /// Since when something is under way and the child told of no progress.
+    unacknowledged_ms: Option<u64>,
+    resend_ms: u64,
+}
+
+impl Child {
+    fn new(now_ms: u64, after: u64) -> Child {
+        Child {
+            at: after,
+            acknowledged: after,
+            renewed_ms: now_ms,
+            unacknowledged_ms: None,
+            resend_ms: TAIL_RESEND_MS,
+        }
+    }
+
+    /// What is under way is not sent again before it had its time: on a slow link each further
+    /// copy would only wait behind the first. Without progress that time doubles.
+    fn renew(&mut self, now_ms: u64, after: u64) {
+        self.renewed_ms = now_ms;
+        if after < self.acknowledged {
+            *self = Child::new(now_ms, after);
+            return;
+        }
+        let progress = after > self.acknowledged;
+        self.acknowledged = after;
+        if after >= self.at {
+            self.at = after;
+            self.unacknowledged_ms = None;
+            self.resend_ms = TAIL_RESEND_MS;
+        } else if progress {
+            self.unacknowledged_ms = Some(now_ms);
+            self.resend_ms = TAIL_RESEND_MS;
+        } else if self.unacknowledged_ms.is_none_or(|since| now_ms >= since + self.resend_ms) {
+            self.at = after;
+            self.unacknowledged_ms = None;
+            self.resend_ms = (self.resend_ms * 2).min(TAIL_RESEND_MOST_MS);
+        }
+    }
+
+    fn sent(&mut self, now_ms: u64, offset: u64) {
+        self.at = offset;
+        self.unacknowledged_ms.get_or_insert(now_ms);
+    }
 }
 
 pub enum Deliver {
@@ -33,39 +84,49 @@
 #[derive(Default)]
 pub struct Relay {
     entries: VecDeque<Arc<NewsEntry>>,
+    kept_bytes: usize,
     children: BTreeMap<SocketAddr, Child>,
 }
 
 impl Relay {
+    /// Keeps the newest entries, within a bound of their number and one of their bytes.
     pub fn push(&mut self, entry: NewsEntry) {
         if self.entries.back().is_some_and(|last| last.offset != entry.prev) {
             self.entries.clear();
+            self.kept_bytes = 0;
         }
+        self.kept_bytes += entry.bytes.len();
         self.entries.push_back(Arc::new(entry));
-        while self.entries.len() > NEWS_KEPT {
-            self.entries.pop_front();
+        while self.entries.len() > NEWS_KEPT || self.kept_bytes > NEWS_KEPT_BYTES {
+            let Some(gone) = self.entries.pop_front() else { return };
+            self.kept_bytes -= gone.bytes.len();
         }
     }
 
     pub fn clear(&mut self) {
         self.entries.clear();
+        self.kept_bytes = 0;
         self.children.clear();
     }
 
     /// A child says where it is; this subscribes it or renews that.
     pub fn on_tail(&mut self, now_ms: u64, child: SocketAddr, after: u64) {
-        self.children.insert(child, Child { at: after, renewed_ms: now_ms });
+        match self.children.get_mut(&child) {
+            Some(known) => known.renew(now_ms, after),
+            None => drop(self.children.insert(child, Child::new(now_ms, after))),
+        }
     }
 
     /// After an image was sent.
-    pub fn moved(&mut self, child: SocketAddr, offset: u64) {
+    pub fn moved(&mut self, now_ms: u64, child: SocketAddr, offset: u64) {
         if let Some(child) = self.children.get_mut(&child) {
-            child.at = offset;
+            child.sent(now_ms, offset);
         }
     }
 
-    /// What each child lacks, given where the relay itself is.
-    pub fn deliver(&mut self, now_ms: u64, own: u64) -> Vec<Deliver> {
+    /// What each child lacks, given where the relay itself is and which image it could send: one
+    /// that the child has already would only be sent again and again.
+    pub fn deliver(&mut self, now_ms: u64, own: u64, image: u64) -> Vec<Deliver> {
         self.children.retain(|_, child| now_ms < child.renewed_ms + TAIL_KEEP_MS);
         let mut out = Vec::new();
         for (to, child) in &mut self.children {
@@ -74,7 +135,9 @@
             }
             let from = self.entries.iter().position(|entry| entry.prev == child.at);
             let Some(from) = from else {
-                out.push(Deliver::Image { to: *to });
+                if child.at < image {
+                    out.push(Deliver::Image { to: *to });
+                }
                 continue;
             };
             let mut entries = Vec::new();
@@ -85,7 +148,7 @@
                     size = 0;
                 }
                 size += entry.bytes.len();
-                child.at = entry.offset;
+                child.sent(now_ms, entry.offset);
                 entries.push(entry.as_ref().clone());
             }
             out.push(Deliver::News { to: *to, entries });
@@ -93,6 +156,11 @@
         out
     }
 
+    /// Bytes of the news it keeps.
+    pub fn kept_bytes(&self) -> usize {
+        self.kept_bytes
+    }
+
     pub fn children(&self) -> Vec<SocketAddr> {
         self.children.keys().copied().collect()
     }
--- a/crates/messages/src/lib.rs
+++ b/crates/messages/src/lib.rs
@@ -2,16 +2,20 @@
 
 mod asks;
 mod frame;
+mod image;
 
 pub use asks::*;
 pub use frame::{FrameError, read_frame, to_frame};
+pub use image::EncodedImage;
 
 use postbarrow_consensus as consensus;
 use postbarrow_consensus::{Member, MemberId};
 use postbarrow_membership::NewsEntry;
 use postbarrow_state::{Incarnation, Name, Node, Sample};
 use serde::{Deserialize, Serialize};
+use serde_bytes::ByteBuf;
 use std::net::SocketAddr;
+use std::sync::Arc;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Envelope {
@@ -73,6 +77,6 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ImageFrame {
     pub offset: u64,
-    #[serde(with = "serde_bytes")]
-    pub state: Vec<u8>,
+    /// Encoded once for all that ask for this offset.
+    pub state: Arc<ByteBuf>,
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -15,7 +15,7 @@
 use postbarrow_constants::plans::SAMPLES_TOLD;
 use postbarrow_desk::{Desk, Effect as DeskEffect};
 use postbarrow_membership::{Relay, Watch};
-use postbarrow_messages::{Ask, Envelope, Message};
+use postbarrow_messages::{Ask, EncodedImage, Envelope, Message};
 use postbarrow_state::{Incarnation, Name, Node, Sample, State};
 use postbarrow_transactions::Tail;
 use std::collections::BTreeMap;
@@ -73,6 +73,7 @@
     has_image: bool,
     resync: bool,
     relay: Relay,
+    encoded: EncodedImage,
     watch: Watch,
     desk: Desk,
     fresh: FreshBook,
@@ -97,6 +98,7 @@
             has_image: false,
             resync: false,
             relay: Relay::default(),
+            encoded: EncodedImage::default(),
             watch: Watch::default(),
             desk: Desk::default(),
             fresh: FreshBook::new(now_ms),
--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -108,14 +108,15 @@
         if !self.has_image || self.resync {
             return;
         }
-        for deliver in self.relay.deliver(now_ms, self.tail.offset()) {
+        self.encoded.forget_before(self.published);
+        for deliver in self.relay.deliver(now_ms, self.tail.offset(), self.published) {
             match deliver {
                 Deliver::News { to, entries } => self.send(to, Message::News { entries }),
                 Deliver::Image { to } => {
-                    let Ok(state) = rmp_serde::to_vec(self.tail.image().as_ref()) else { continue };
                     let offset = self.published;
-                    self.send(to, Message::Image(ImageFrame { offset, state }));
-                    self.relay.moved(to, offset);
+                    let frame = self.encoded.frame(offset, || self.tail.image().as_ref().clone());
+                    self.send(to, Message::Image(frame));
+                    self.relay.moved(now_ms, to, offset);
                 }
             }
         }
--- a/crates/node/tests/hold.rs
+++ b/crates/node/tests/hold.rs
@@ -130,7 +130,7 @@
     let head = PlanHead { version: "v0".into(), base: None, offset: 2 };
     state.plan = Some(Arc::new(head));
     let state = rmp_serde::to_vec(&state).unwrap();
-    bench.hears(Message::Image(ImageFrame { offset: 3, state }));
+    bench.hears(Message::Image(ImageFrame { offset: 3, state: Arc::new(state.into()) }));
     assert_eq!(bench.node.image().plan_version(), Some("v1"));
 }
 
