--- a/crates/constants/src/plans.rs
+++ b/crates/constants/src/plans.rs
@@ -61,3 +61,8 @@
 pub const HEAD_MOST_BYTES: u64 = 256 * 1024;
 /// Longest idle time of a client's connection that a plan may allow.
 pub const IDLE_MOST_MS: u64 = 3_600_000;
+/// Routes in one record of a plan's delta; a route within its bounds has under two kilobytes, so
+/// that two such records fill a batch.
+pub const ROUTES_PER_PATCH: usize = 16;
+/// Splices in one record of a plan's delta, for their own bytes.
+pub const SPLICES_PER_PATCH: usize = 512;
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -13,6 +13,7 @@
 mod operator;
 mod pace;
 mod page;
+mod plan_delta;
 mod recent;
 mod status;
 mod submit;
--- /dev/null
+++ b/crates/controller/src/plan_delta.rs
@@ -0,0 +1,9 @@
+//! Which records of a submitted plan go into the log.
+
+use postbarrow_plan::delta;
+use postbarrow_state::{Record, State};
+
+/// Only what differs from the plan in force, or else the plan whole.
+pub(crate) fn plan_records(in_force: &State, submitted: Vec<Record>) -> Vec<Record> {
+    delta(in_force, &submitted).unwrap_or(submitted)
+}
--- a/crates/controller/src/submit.rs
+++ b/crates/controller/src/submit.rs
@@ -1,4 +1,5 @@
 use crate::operator::{self, Refused, Submitted};
+use crate::plan_delta::plan_records;
 use crate::{ControlNode, Origin};
 use postbarrow_constants::plans::BATCHES_IN_FLIGHT;
 use postbarrow_messages::{Response, Submission};
@@ -28,6 +29,7 @@
             return self.reply_settled(origin, response);
         }
         let name = format!("plan {}", submission.version);
+        let records = plan_records(state, submission.records);
         let Some(writer) = self.lead.as_mut().and_then(|lead| lead.writer.as_mut()) else { return };
         let Ok(begin) = writer.begin(now_ms, &name) else { return };
         let offset = self.propose_lines(now_ms, vec![begin]);
@@ -37,7 +39,7 @@
                 version: submission.version,
                 dry_run: submission.dry_run,
                 allow_empty: submission.allow_empty,
-                batches: split(submission.records).into(),
+                batches: split(records).into(),
                 in_flight: VecDeque::from([offset]),
             });
         }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,12 +1,16 @@
 //! Route plans: reading, checks, records, and the rehearsal against the plan they replace.
 
 mod aims;
+mod delta;
+mod difference;
 mod document;
 mod limits;
 mod path;
 mod rehearsal;
 
 pub use aims::weights;
+pub use delta::delta;
+pub use difference::{Change, changes};
 pub use document::Plan;
 pub use path::{Pattern, Segment};
 pub use rehearsal::{Rehearsal, ServiceRehearsal};
--- /dev/null
+++ b/crates/plan/tests/delta.rs
@@ -0,0 +1,237 @@
+//! A plan's delta makes the very state that the whole plan makes, from what differs alone.
+
+use postbarrow_constants::plans::{BATCH_BYTES, TEXT_PART_BYTES};
+use postbarrow_plan::{Change, Plan, changes, delta};
+use postbarrow_state::{Record, Route, State};
+use postbarrow_transactions::{Image as _, split};
+use std::collections::HashSet;
+use std::sync::Arc;
+
+/// A fixed sequence of numbers for each seed.
+struct Numbers(u64);
+
+impl Numbers {
+    fn below(&mut self, bound: usize) -> usize {
+        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963);
+        (self.0 >> 33) as usize % bound.max(1)
+    }
+}
+
+/// What a plan's text is written from.
+#[derive(Clone)]
+struct Draft {
+    services: Vec<(String, String)>,
+    routes: Vec<(usize, usize)>,
+    head_bytes: Option<usize>,
+    between: &'static str,
+}
+
+impl Draft {
+    fn new(routes: usize, between: &'static str) -> Draft {
+        Draft {
+            services: vec![("s".into(), "catalogue".into())],
+            routes: (0..routes).map(|at| (at, 1_000)).collect(),
+            head_bytes: None,
+            between,
+        }
+    }
+
+    fn text(&self, version: usize) -> String {
+        let between = self.between;
+        let named = |(name, label): &(String, String)| {
+            format!("\"{name}\":{{\"labels\":{{\"service\":\"{label}\"}}}}")
+        };
+        let services: Vec<String> = self.services.iter().map(named).collect();
+        let row = |(path, wait_ms): &(usize, usize)| {
+            format!(
+                "{between}{{\"path\":\"/käse{path}\",{between}\"methods\":[\"GET\"],\"kind\":\"lookup\",\"service\":\"s\",{between}\"limits\":{{\"deadlineMs\":{wait_ms}}}}}"
+            )
+        };
+        let routes: Vec<String> =
+            self.routes.iter().map(row).map(|row| row.replace("käse", "cheese")).collect();
+        let callers = self.head_bytes.map_or(String::new(), |bytes| {
+            format!(",\"callers\":{{\"headBytes\":{}}}", bytes + 256)
+        });
+        format!(
+            "{{\"version\":\"v{version}\",\"base\":\"v{}\",\"services\":{{{}}}{callers},{between}\"routes\":[{}]}}",
+            version - 1,
+            services.join(","),
+            routes.join(",")
+        )
+    }
+
+    /// One edit; moved, repeated, lost and new routes, services and bounds of callers.
+    fn edit(&mut self, numbers: &mut Numbers, fresh: usize) {
+        let at = numbers.below(self.routes.len());
+        match numbers.below(9) {
+            0 if self.routes.len() > 3 => drop(self.routes.remove(at)),
+            1 => self.routes.insert(at, (fresh, numbers.below(5_000) + 1)),
+            2 => {
+                let moved = self.routes.remove(at);
+                self.routes.insert(numbers.below(self.routes.len() + 1), moved);
+            }
+            3 => {
+                let more = numbers.below(40);
+                let rows = (0..more).map(|step| (fresh + 1_000 * (step + 1), 1 + step));
+                self.routes.splice(at..at, rows);
+            }
+            4 => {
+                let end = (at + numbers.below(20)).min(self.routes.len());
+                if self.routes.len() > end - at + 3 {
+                    self.routes.drain(at..end);
+                }
+            }
+            5 => self.services.push((format!("t{fresh}"), "ledger".into())),
+            6 if self.services.len() > 1 => drop(self.services.pop()),
+            7 => self.head_bytes = numbers.below(2).checked_sub(1).map(|_| numbers.below(9_000)),
+            _ => self.routes[at].1 = numbers.below(5_000) + 1,
+        }
+    }
+}
+
+fn records(text: &str) -> Vec<Record> {
+    Plan::read(text.as_bytes()).unwrap_or_else(|findings| panic!("{findings:?}\n{text}")).records()
+}
+
+fn applied(state: &State, offset: u64, records: &[Record]) -> State {
+    let mut state = state.clone();
+    records.iter().for_each(|record| state.apply(offset, record));
+    state
+}
+
+fn size(records: &[Record]) -> usize {
+    records.iter().map(|record| rmp_serde::to_vec(record).unwrap().len()).sum()
+}
+
+#[test]
+fn random_changes_make_the_state_that_whole_plans_make() {
+    let (mut steps, mut whole_forms) = (0, 0);
+    for seed in 0..12 {
+        let mut numbers = Numbers(seed);
+        let between = ["", "\n  "][seed as usize % 2];
+        let mut draft = Draft::new(40 + numbers.below(100), between);
+        let mut state = applied(&State::default(), 1, &records(&draft.text(1)));
+        for version in 2..12 {
+            for edit in 0..1 + numbers.below(6) {
+                draft.edit(&mut numbers, version * 100_000 + edit * 100);
+            }
+            let text = draft.text(version);
+            let submitted = records(&text);
+            let wanted = applied(&state, version as u64, &submitted);
+            let script = delta(&state, &submitted);
+            steps += 1;
+            whole_forms += usize::from(script.is_none());
+            let script = script.unwrap_or(submitted);
+            state = applied(&state, version as u64, &script);
+            assert_eq!(state, wanted, "seed {seed}, version {version}");
+            assert_eq!(state.plan_text(), text.into_bytes(), "seed {seed}, version {version}");
+        }
+    }
+    assert!(whole_forms * 50 < steps, "{whole_forms} of {steps} changes went whole");
+}
+
+#[test]
+fn a_change_costs_what_it_changes_whatever_the_number_of_routes() {
+    let cost = |routes: usize| {
+        let mut draft = Draft::new(routes, "");
+        let state = applied(&State::default(), 1, &records(&draft.text(1)));
+        draft.routes[routes / 2].1 = 2_000;
+        let script = delta(&state, &records(&draft.text(2))).expect("a delta");
+        let after = applied(&state, 2, &script);
+        let shared = |at: usize| Arc::ptr_eq(&state.routes[at], &after.routes[at]);
+        assert_eq!((0..routes).filter(|at| !shared(*at)).count(), 1, "routes made anew");
+        size(&script)
+    };
+    let (few, many) = (cost(600), cost(6_000));
+    assert!(few < 512 && many < few + 16, "{few} bytes of 600 routes, {many} of 6000");
+}
+
+/// A plan whose text is the routes' paths, made without reading.
+fn plain(version: usize, routes: &[Route]) -> Vec<Record> {
+    let mut records =
+        vec![Record::PlanStart { version: format!("v{version}").into(), base: Some("v".into()) }];
+    let row = |route: &Route| format!("{{{} {}}}", route.path, route.deadline_ms).repeat(10);
+    let text: String = routes.iter().map(row).collect();
+    records.extend(routes.iter().cloned().map(Record::Route));
+    let parts = text.as_bytes().chunks(TEXT_PART_BYTES);
+    records.extend(parts.map(|part| Record::PlanText(part.to_vec())));
+    records
+}
+
+#[test]
+fn a_thousand_changes_leave_no_more_parts_of_text_than_a_whole_plan_has() {
+    let first = records(&Draft::new(300, "").text(1));
+    let mut routes: Vec<Route> = applied(&State::default(), 1, &first)
+        .routes
+        .iter()
+        .map(|route| route.as_ref().clone())
+        .collect();
+    let mut numbers = Numbers(7);
+    let mut state = applied(&State::default(), 1, &plain(1, &routes));
+    for version in 2..1_002 {
+        routes.rotate_left(1);
+        routes[numbers.below(300)].deadline_ms += 10;
+        let submitted = plain(version, &routes);
+        let script = delta(&state, &submitted).expect("a delta");
+        let before = state.clone();
+        state = applied(&state, version as u64, &script);
+        assert_eq!(state.plan_text.len(), state.plan_text().len().div_ceil(TEXT_PART_BYTES));
+        let known: HashSet<_> = before.routes.iter().map(Arc::as_ptr).collect();
+        let kept = state.routes.iter().filter(|route| known.contains(&Arc::as_ptr(route)));
+        assert!(kept.count() >= 298, "version {version}");
+    }
+    assert!(state.plan_text.len() > 3, "too little text to part");
+    assert_eq!(state.plan, applied(&state, 1_001, &plain(1_001, &routes)).plan);
+    assert_eq!(state.plan_text(), applied(&state, 1_001, &plain(1_001, &routes)).plan_text());
+}
+
+#[test]
+fn a_large_delta_stays_within_its_batches() {
+    let mut draft = Draft::new(2_000, "");
+    let state = applied(&State::default(), 1, &records(&draft.text(1)));
+    for at in (0..2_000).step_by(3) {
+        draft.routes[at].1 += 1 + at;
+    }
+    draft.routes.splice(500..500, (0..900).map(|step| (10_000 + step, 7)));
+    let submitted = records(&draft.text(2));
+    let script = delta(&state, &submitted).expect("a delta");
+    for record in &script {
+        assert!(size(std::slice::from_ref(record)) < BATCH_BYTES / 2, "one record fills a batch");
+    }
+    assert!(split(script.clone()).len() > 1);
+    assert_eq!(applied(&state, 2, &script), applied(&state, 2, &submitted));
+}
+
+#[test]
+fn a_first_plan_and_one_whose_parts_are_uneven_go_whole() {
+    let first = records(&Draft::new(30, "").text(1));
+    assert_eq!(delta(&State::default(), &first), None);
+    let state = applied(&State::default(), 1, &first);
+    let mut second = records(&Draft::new(30, "").text(2));
+    assert!(delta(&state, &second).is_some());
+    let Some(Record::PlanText(text)) = second.pop() else { panic!("a plan ends with its text") };
+    second.extend(text.chunks(100).map(|part| Record::PlanText(part.to_vec())));
+    assert_eq!(delta(&state, &second), None, "another state than the whole plan's");
+}
+
+#[test]
+fn texts_are_no_news() {
+    let mut draft = Draft::new(30, "");
+    let state = applied(&State::default(), 1, &records(&draft.text(1)));
+    draft.routes[4].1 = 3;
+    let script = delta(&state, &records(&draft.text(2))).expect("a delta");
+    let news: Vec<Record> = script.into_iter().filter(Record::is_news).collect();
+    assert_eq!(news.len(), 2, "{news:?}");
+    let node = applied(&state.news_only(), 2, &news);
+    assert_eq!(node.routes, applied(&state, 2, &records(&draft.text(2))).routes);
+    assert!(node.plan_text.is_empty());
+}
+
+#[test]
+fn differences_hold_only_what_differs() {
+    let found = changes(&[1, 2, 3, 3, 4, 5], &[1, 9, 3, 3, 5, 6]);
+    let change = |old, new| Change { old, new };
+    assert_eq!(found, [change(1..5, 1..4), change(6..6, 5..6)]);
+    assert_eq!(changes(&[1, 2], &[1, 2]), []);
+    assert_eq!(changes(&[], &[1]), [change(0..0, 0..1)]);
+}
--- a/crates/state/src/apply.rs
+++ b/crates/state/src/apply.rs
@@ -1,3 +1,4 @@
+use crate::patch::{patch_routes, patch_text};
 use crate::*;
 use postbarrow_transactions::Image;
 
@@ -14,6 +15,15 @@
                 self.services.clear();
                 self.routes.clear();
             }
+            Record::PlanDelta { version, base } => {
+                let head = PlanHead { version: version.clone(), base: base.clone(), offset };
+                self.plan = Some(Arc::new(head));
+            }
+            Record::ServiceGone(name) => {
+                self.services.remove(name);
+            }
+            Record::RoutesPatch(splices) => patch_routes(&mut self.routes, splices),
+            Record::TextPatch(splices) => patch_text(&mut self.plan_text, splices),
             Record::PlanText(part) => self.plan_text.push_back(Arc::new(part.clone())),
             Record::Service(service) => {
                 self.services.insert(service.name.clone(), Arc::new(service.clone()));
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -2,10 +2,12 @@
 
 mod apply;
 mod coordination;
+mod patch;
 mod records;
 mod sample;
 
 pub use coordination::*;
+pub use patch::{RouteSplice, Splice, TextSplice};
 pub use records::*;
 pub use sample::Sample;
 
@@ -52,6 +54,15 @@
         self.plan.as_ref().map(|plan| plan.version.as_str())
     }
 
+    /// Whether both hold the same plan, its text and the batch that began it included.
+    pub fn has_plan_of(&self, other: &State) -> bool {
+        self.plan == other.plan
+            && self.callers == other.callers
+            && self.services == other.services
+            && self.routes == other.routes
+            && self.plan_text == other.plan_text
+    }
+
     /// What data nodes keep: all that `Record::is_news` can change.
     pub fn news_only(&self) -> State {
         State {
--- a/crates/state/src/records.rs
+++ b/crates/state/src/records.rs
@@ -1,4 +1,4 @@
-use crate::{Event, Incarnation, Key, Name, Outcome};
+use crate::{Event, Incarnation, Key, Name, Outcome, RouteSplice, TextSplice};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -201,6 +201,14 @@
     Era {
         by: u64,
     },
+    /// A plan made from the one in force: what no later record of its transaction names stays.
+    PlanDelta {
+        version: Name,
+        base: Option<Name>,
+    },
+    ServiceGone(Name),
+    RoutesPatch(Vec<RouteSplice>),
+    TextPatch(Vec<TextSplice>),
 }
 
 impl Record {
@@ -209,6 +217,9 @@
         matches!(
             self,
             Record::PlanStart { .. }
+                | Record::PlanDelta { .. }
+                | Record::ServiceGone(_)
+                | Record::RoutesPatch(_)
                 | Record::Callers(_)
                 | Record::Service(_)
                 | Record::Route(_)
