--- a/crates/plan/src/rehearsal.rs
+++ b/crates/plan/src/rehearsal.rs
@@ -1,6 +1,9 @@
+//! The rehearsal of a plan against the one it replaces.
+
 use facet::Facet;
-use postbarrow_state::{Route, State};
-use std::collections::BTreeMap;
+use postbarrow_state::{Name, Route, Service, State};
+use std::collections::{BTreeMap, BTreeSet, HashSet};
+use std::sync::Arc;
 
 #[derive(Clone, Debug, PartialEq, Facet)]
 #[facet(rename_all = "camelCase")]
@@ -26,34 +29,23 @@
 }
 
 impl Rehearsal {
+    /// Looks closely only at what the two states don't share.
     pub fn of(before: &State, staged: &State) -> Rehearsal {
-        let (old, new) = (routes(before), routes(staged));
+        let (old, new) = changed_routes(before, staged);
         let (routes_added, routes_removed, routes_changed) = differ(&old, &new);
         let services = |state: &State| -> BTreeMap<String, _> {
             state.services.iter().map(|(name, made)| (name.to_string(), made.clone())).collect()
         };
         let (old, new) = (services(before), services(staged));
         let (services_added, services_removed, services_changed) = differ(&old, &new);
-        let live = |state: &State, name: &String| {
-            let service = state.services.get(name.as_str());
-            service.map_or(0, |service| state.live_targets(service).len() as u64)
-        };
-        let live_targets: Vec<ServiceRehearsal> = new
-            .keys()
-            .map(|name| ServiceRehearsal {
-                service: name.clone(),
-                live_before: live(before, name),
-                live_after: live(staged, name),
-            })
-            .collect();
+        let live_targets = live_targets(before, staged);
+        let empty = live_targets.iter().filter(|row| row.live_after == 0);
+        let empty: BTreeSet<&str> = empty.map(|row| row.service.as_str()).collect();
         let routed = |name: &str| {
             staged.routes.iter().any(|route| route.services().iter().any(|known| **known == name))
         };
-        let without_target = live_targets
-            .iter()
-            .filter(|row| row.live_after == 0 && routed(&row.service))
-            .map(|row| row.service.clone())
-            .collect();
+        let without_target =
+            empty.into_iter().filter(|name| routed(name)).map(str::to_string).collect();
         Rehearsal {
             routes_added,
             routes_removed,
@@ -67,9 +59,49 @@
     }
 }
 
-fn routes(state: &State) -> BTreeMap<String, Vec<Route>> {
-    let mut named: BTreeMap<String, Vec<Route>> = BTreeMap::new();
-    for route in &state.routes {
+fn live_targets(before: &State, staged: &State) -> Vec<ServiceRehearsal> {
+    let same_targets = before.targets.ptr_eq(&staged.targets);
+    let live = |state: &State, service: &Service| {
+        state.targets.values().filter(|target| target.is_live_for(service)).count() as u64
+    };
+    let row = |(name, service): (&Name, &Arc<Service>)| {
+        let live_after = live(staged, service);
+        let live_before = match before.services.get(name) {
+            Some(old) if same_targets && old == service => live_after,
+            Some(old) => live(before, old),
+            None => 0,
+        };
+        ServiceRehearsal { service: name.to_string(), live_before, live_after }
+    };
+    staged.services.iter().map(row).collect()
+}
+
+type NamedRoutes = BTreeMap<String, Vec<Route>>;
+
+/// Routes of both states by method and path; paths all of whose routes are shared are left out.
+fn changed_routes(before: &State, staged: &State) -> (NamedRoutes, NamedRoutes) {
+    let shared = shared_routes(before, staged);
+    let own = |route: &&Arc<Route>| !shared.contains(&Arc::as_ptr(route));
+    let either = before.routes.iter().chain(&staged.routes);
+    let paths: HashSet<&Name> = either.filter(own).map(|route| &route.path).collect();
+    (routes(before, &paths), routes(staged, &paths))
+}
+
+/// Routes that both states hold, if they stand in the same order; routes of one path depend on it.
+fn shared_routes(before: &State, staged: &State) -> HashSet<*const Route> {
+    let pointers =
+        |state: &State| -> Vec<*const Route> { state.routes.iter().map(Arc::as_ptr).collect() };
+    let (old, new) = (pointers(before), pointers(staged));
+    let (in_old, in_new): (HashSet<_>, HashSet<_>) =
+        (old.iter().copied().collect(), new.iter().copied().collect());
+    let kept = old.iter().filter(|route| in_new.contains(route));
+    let same_order = kept.eq(new.iter().filter(|route| in_old.contains(route)));
+    if same_order { in_old.intersection(&in_new).copied().collect() } else { HashSet::new() }
+}
+
+fn routes(state: &State, paths: &HashSet<&Name>) -> NamedRoutes {
+    let mut named = NamedRoutes::new();
+    for route in state.routes.iter().filter(|route| paths.contains(&route.path)) {
         for method in &route.methods {
             let single = Route { methods: vec![method.clone()], ..route.as_ref().clone() };
             named.entry(format!("{method} {}", route.path)).or_default().push(single);
--- /dev/null
+++ b/crates/plan/tests/rehearsal.rs
@@ -0,0 +1,106 @@
+//! A rehearsal looks only at what is not shared, and tells the same as one that looks at all.
+
+use postbarrow_plan::Rehearsal;
+use postbarrow_state::*;
+use postbarrow_transactions::Image as _;
+
+fn route(path: usize, wait_ms: u64, when: Option<usize>) -> Route {
+    Route {
+        path: format!("/r{path}").into(),
+        methods: vec!["GET".into(), "PUT".into()],
+        kind: Kind::OneTime,
+        service: format!("s{}", path % 3).as_str().into(),
+        when: when.map(|number| format!("path == '{number}'")),
+        body_bytes: 1,
+        rate_per_s: None,
+        concurrency: None,
+        deadline_ms: wait_ms,
+        host: None,
+        shares: Vec::new(),
+        tries: None,
+        goal_ms: None,
+        precedence: 0,
+    }
+}
+
+fn service(number: usize) -> Record {
+    let labels = Labels::from([("service".into(), format!("l{number}").as_str().into())]);
+    Record::Service(Service { name: format!("s{number}").as_str().into(), labels })
+}
+
+fn target(number: usize) -> Record {
+    Record::Target(Target {
+        instance: format!("i{number}").as_str().into(),
+        service: format!("l{}", number % 2).as_str().into(),
+        address: "10.0.0.1:1".parse().unwrap(),
+        zone: "a".into(),
+        labels: Labels::new(),
+        draining: false,
+        down: false,
+        slots: 0,
+        cold: false,
+    })
+}
+
+fn applied(state: &State, records: &[Record]) -> State {
+    let mut state = state.clone();
+    records.iter().for_each(|record| state.apply(2, record));
+    state
+}
+
+fn first() -> State {
+    let mut records = vec![Record::PlanStart { version: "v1".into(), base: None }];
+    records.extend((0..3).map(service));
+    records.extend((0..4).map(target));
+    records.extend((0..40).map(|at| Record::Route(route(at / 2, 9, (at % 2 == 0).then_some(at)))));
+    applied(&State::default(), &records)
+}
+
+/// The same plan with nothing shared: what a whole plan makes.
+fn unshared(state: &State) -> State {
+    let mut fresh = state.clone();
+    fresh.routes = state.routes.iter().map(|route| route.as_ref().clone().into()).collect();
+    fresh.targets = state.targets.iter().map(|(name, made)| (name.clone(), made.clone())).collect();
+    fresh
+}
+
+#[test]
+fn shared_routes_change_nothing_of_what_is_told() {
+    let before = first();
+    let splice = |at, removed, inserted: Vec<Route>| RouteSplice { at, removed, inserted };
+    let changes: Vec<Vec<RouteSplice>> = vec![
+        vec![],
+        vec![splice(7, 1, vec![route(3, 10, None)])],
+        vec![splice(6, 2, vec![])],
+        vec![splice(6, 2, vec![route(3, 9, None), route(3, 9, Some(6))])],
+        vec![splice(0, 0, vec![route(100, 9, None)]), splice(39, 1, vec![])],
+        vec![splice(8, 0, vec![route(3, 9, Some(700))])],
+        (0..40).map(|at| splice(at, 1, vec![route(at as usize, 1, None)])).collect(),
+    ];
+    for (number, change) in changes.into_iter().enumerate() {
+        let mut records = vec![Record::PlanDelta { version: "v2".into(), base: None }];
+        records.push(Record::RoutesPatch(change));
+        if number % 2 == 1 {
+            records.extend([Record::ServiceGone("s1".into()), service(5)]);
+        }
+        let staged = applied(&before, &records);
+        let told = Rehearsal::of(&before, &staged);
+        assert_eq!(told, Rehearsal::of(&unshared(&before), &staged), "change {number}");
+        let quiet = told.routes_added.is_empty()
+            && told.routes_removed.is_empty()
+            && told.routes_changed.is_empty();
+        assert_eq!(quiet, number == 0, "change {number}: {told:?}");
+        assert_eq!(told.without_target, ["s2"], "change {number}");
+    }
+}
+
+#[test]
+fn shared_routes_in_another_order_are_told() {
+    let before = first();
+    let mut staged = before.clone();
+    let first = staged.routes.remove(0);
+    staged.routes.insert(1, first);
+    let told = Rehearsal::of(&before, &staged);
+    assert_eq!(told.routes_changed, ["GET /r0", "PUT /r0"], "a rule first, or none");
+    assert_eq!(told, Rehearsal::of(&unshared(&before), &staged));
+}
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -3,15 +3,17 @@
 mod budget;
 mod heads;
 mod limits;
+mod made;
 mod pick;
 mod rehearse;
+mod resolved;
 mod table;
 
 pub use budget::{Budget, Extra};
 pub use limits::{Limits, Refusal};
 pub use pick::{Load, Loads};
 pub use rehearse::{Recent, RouteTraffic, Traffic};
-pub use table::{Entry, Found, Table};
+pub use table::{Entry, Found, Table, Work};
 
 /// A small generator for picks; quality matters less than a short path.
 pub fn mix(seed: u64) -> u64 {
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,20 +1,16 @@
-use crate::heads::{header_names, host_of, in_order};
-use crate::pick::{Choice, Loads, carry, pick};
-use crate::{Budget, Extra, Limits, mix};
-use postbarrow_plan::{ANY_METHOD, Pattern, Segment};
-use postbarrow_rules::{Facts, Rule};
+//! The routing table of one image: which route a request takes, and which targets it has.
+
+use crate::heads::{host_of, in_order};
+use crate::made::Made;
+use crate::pick::{Choice, Loads, pick};
+use crate::resolved::Resolved;
+use crate::{Budget, Extra, mix};
+use postbarrow_plan::{ANY_METHOD, Segment};
+use postbarrow_rules::Facts;
 use postbarrow_state::{Name, Route, State};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// What a route needs that only its plan decides; kept while the plan stays.
-pub struct Made {
-    pub route: Arc<Route>,
-    pub limits: Arc<Limits>,
-    pattern: Pattern,
-    rule: Option<Rule>,
-}
-
 /// One route with all that its asks need.
 pub struct Entry {
     pub made: Arc<Made>,
@@ -31,10 +27,18 @@
     entries: Vec<Arc<Entry>>,
     by_first: HashMap<Name, Vec<usize>>,
     any_first: Vec<usize>,
-    loads: Loads,
-    budgets: HashMap<Name, Arc<Budget>>,
+    resolved: Resolved,
     rule_headers: BTreeSet<String>,
     extra: Extra,
+    work: Work,
+}
+
+/// How much of a table was made anew and not taken from the one before.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Work {
+    pub services_resolved: usize,
+    pub routes_compiled: usize,
+    pub entries_made: usize,
 }
 
 pub enum Found {
@@ -51,10 +55,10 @@
             entries: Vec::new(),
             by_first: HashMap::new(),
             any_first: Vec::new(),
-            loads: Loads::new(),
-            budgets: HashMap::new(),
+            resolved: Resolved::default(),
             rule_headers: BTreeSet::new(),
             extra: Extra::default(),
+            work: Work::default(),
         }
     }
 
@@ -64,54 +68,12 @@
         self
     }
 
+    /// Takes from the old table what the new image shares with it: the work is that of what
+    /// changed, and one pass over the routes.
     pub fn new(state: Arc<State>, offset: u64, old: &Table) -> Self {
-        let loads = carry(&old.loads, &state);
-        let mut targets = HashMap::new();
-        let mut budgets = HashMap::new();
-        for (name, service) in &state.services {
-            let live = state.live_targets(service).into_iter();
-            let choices: Vec<Choice> = live
-                .map(|target| {
-                    let load = loads.get(&target.instance).cloned().unwrap_or_default();
-                    (target, load)
-                })
-                .collect();
-            targets.insert(name.clone(), Arc::new(choices));
-            let budget = old.budgets.get(name).cloned();
-            let budget = budget.unwrap_or_else(|| Arc::new(Budget::new(old.extra)));
-            budgets.insert(name.clone(), budget);
-        }
-        let kept: HashMap<*const Route, &Arc<Made>> =
-            old.entries.iter().map(|entry| (Arc::as_ptr(&entry.made.route), &entry.made)).collect();
-        let mut entries: Vec<Arc<Entry>> = Vec::with_capacity(state.routes.len());
-        for route in &state.routes {
-            let made = match kept.get(&Arc::as_ptr(route)) {
-                Some(made) => Arc::clone(made),
-                None => match Made::new(route) {
-                    Ok(made) => Arc::new(made),
-                    Err(_) => continue,
-                },
-            };
-            let entry = |made: Arc<Made>, service: &Name, ways| Entry {
-                made,
-                budget: budgets.get(service).cloned().unwrap_or_default(),
-                targets: targets.get(service).cloned().unwrap_or_default(),
-                ways,
-            };
-            let ways = route.shares.iter().filter(|share| share.weight > 0).map(|share| {
-                let made = Arc::new(made.on(&share.service));
-                (share.weight, Arc::new(entry(made, &share.service, Vec::new())))
-            });
-            let ways = ways.collect();
-            entries.push(Arc::new(entry(made, &route.service, ways)));
-        }
-        entries.sort_by(|a, b| {
-            let rank = |entry: &Entry| {
-                let any_host = entry.route().host.is_none();
-                (any_host, entry.made.pattern.clone(), entry.made.rule.is_none())
-            };
-            rank(a).cmp(&rank(b))
-        });
+        let resolved = Resolved::new(&state, old);
+        let (mut entries, routes_compiled, entries_made) = entries(&state, &resolved, old);
+        entries.sort_by(|a, b| a.made.rank().cmp(&b.made.rank()));
         let mut by_first: HashMap<Name, Vec<usize>> = HashMap::new();
         let mut any_first = Vec::new();
         for (at, entry) in entries.iter().enumerate() {
@@ -122,18 +84,19 @@
                 _ => any_first.push(at),
             }
         }
-        let rules = state.routes.iter().filter_map(|route| route.when.as_deref());
-        let rule_headers = rules.flat_map(header_names).collect();
+        let headers = entries.iter().flat_map(|entry| entry.made.rule_headers.iter().cloned());
+        let rule_headers = headers.collect();
+        let services_resolved = resolved.made_anew;
         Table {
             state,
             offset,
             entries,
             by_first,
             any_first,
-            loads,
-            budgets,
+            resolved,
             rule_headers,
             extra: old.extra,
+            work: Work { services_resolved, routes_compiled, entries_made },
         }
     }
 
@@ -176,7 +139,19 @@
     }
 
     pub fn loads(&self) -> &Loads {
-        &self.loads
+        &self.resolved.loads
+    }
+
+    pub fn work(&self) -> Work {
+        self.work
+    }
+
+    pub(crate) fn extra(&self) -> Extra {
+        self.extra
+    }
+
+    pub(crate) fn resolved(&self) -> &Resolved {
+        &self.resolved
     }
 
     pub fn nodes(&self) -> u64 {
@@ -191,24 +166,60 @@
     }
 }
 
-impl Made {
-    /// A route that does not compile here is left out; the plan was checked, so it does.
-    fn new(route: &Arc<Route>) -> Result<Made, String> {
-        let rule = route.when.as_deref().map(Rule::compile).transpose()?;
-        let pattern = Pattern::read(&route.path)?;
-        let limits = Arc::new(Limits::new(route));
-        Ok(Made { route: route.clone(), limits, pattern, rule })
-    }
-
-    /// The same route, all of it on one service.
-    fn on(&self, service: &Name) -> Made {
-        let route = Route { service: service.clone(), ..self.route.as_ref().clone() };
-        let (limits, pattern) = (self.limits.clone(), self.pattern.clone());
-        Made { route: Arc::new(route), limits, pattern, rule: None }
+/// The image's routes as entries, in its order; how many routes were compiled, and entries made.
+fn entries(state: &State, resolved: &Resolved, old: &Table) -> (Vec<Arc<Entry>>, usize, usize) {
+    let kept: HashMap<*const Route, &Arc<Entry>> =
+        old.entries.iter().map(|entry| (Arc::as_ptr(&entry.made.route), entry)).collect();
+    let mut entries: Vec<Arc<Entry>> = Vec::with_capacity(state.routes.len());
+    let (mut routes_compiled, mut entries_made) = (0, 0);
+    for route in &state.routes {
+        let made = match kept.get(&Arc::as_ptr(route)) {
+            Some(entry) if entry.is_resolved_by(resolved) => {
+                entries.push(Arc::clone(entry));
+                continue;
+            }
+            Some(entry) => entry.made.clone(),
+            None => match Made::new(route) {
+                Ok(made) => {
+                    routes_compiled += 1;
+                    Arc::new(made)
+                }
+                Err(_) => continue,
+            },
+        };
+        entries_made += 1;
+        entries.push(Arc::new(Entry::new(made, resolved)));
     }
+    (entries, routes_compiled, entries_made)
 }
 
 impl Entry {
+    fn new(made: Arc<Made>, resolved: &Resolved) -> Entry {
+        let entry = |made: Arc<Made>, service: &Name, ways| Entry {
+            made,
+            budget: resolved.budgets.get(service).cloned().unwrap_or_default(),
+            targets: resolved.choices.get(service).cloned().unwrap_or_default(),
+            ways,
+        };
+        let route = made.route.clone();
+        let ways = route.shares.iter().filter(|share| share.weight > 0).map(|share| {
+            let made = Arc::new(made.on(&share.service));
+            (share.weight, Arc::new(entry(made, &share.service, Vec::new())))
+        });
+        let ways = ways.collect();
+        entry(made, &route.service, ways)
+    }
+
+    /// Whether it holds the very targets and budgets that its services have now.
+    fn is_resolved_by(&self, resolved: &Resolved) -> bool {
+        let service = &self.route().service;
+        let targets = resolved.choices.get(service);
+        let budget = resolved.budgets.get(service);
+        targets.is_some_and(|targets| Arc::ptr_eq(targets, &self.targets))
+            && budget.is_some_and(|budget| Arc::ptr_eq(budget, &self.budget))
+            && self.ways.iter().all(|(_, way)| way.is_resolved_by(resolved))
+    }
+
     pub fn route(&self) -> &Route {
         &self.made.route
     }
--- /dev/null
+++ b/crates/routing/tests/reuse.rs
@@ -0,0 +1,147 @@
+//! A new table is made from what its image does not share with the last.
+
+use postbarrow_constants::plans::ROUTE_DEADLINE_MS;
+use postbarrow_routing::{Found, Table, Work};
+use postbarrow_state::*;
+use postbarrow_transactions::Image as _;
+use std::sync::Arc;
+
+fn route(at: usize, service: &str) -> Route {
+    Route {
+        path: format!("/r{at}").into(),
+        methods: vec!["GET".into()],
+        kind: Kind::Lookup,
+        service: service.into(),
+        when: at.is_multiple_of(5).then(|| "headers['x-kind'] == 'a'".to_string()),
+        body_bytes: 1,
+        rate_per_s: None,
+        concurrency: None,
+        deadline_ms: ROUTE_DEADLINE_MS,
+        host: None,
+        shares: Vec::new(),
+        tries: None,
+        goal_ms: None,
+        precedence: 0,
+    }
+}
+
+fn service(name: &str, label: &str) -> Record {
+    let labels = Labels::from([("service".into(), label.into())]);
+    Record::Service(Service { name: name.into(), labels })
+}
+
+fn target(instance: &str, service: &str) -> Record {
+    Record::Target(Target {
+        instance: instance.into(),
+        service: service.into(),
+        address: "10.0.0.1:1".parse().unwrap(),
+        zone: "a".into(),
+        labels: Labels::new(),
+        draining: false,
+        down: false,
+        slots: 0,
+        cold: false,
+    })
+}
+
+fn applied(state: &State, records: &[Record]) -> State {
+    let mut state = state.clone();
+    records.iter().for_each(|record| state.apply(2, record));
+    state
+}
+
+/// Two services of one target each, and so many routes; each tenth is split between both.
+fn first(routes: usize) -> State {
+    let mut records = vec![
+        Record::PlanStart { version: "v1".into(), base: None },
+        service("s", "one"),
+        service("t", "two"),
+        target("one-1", "one"),
+        target("two-1", "two"),
+    ];
+    for at in 0..routes {
+        let mut route = route(at, if at % 2 == 0 { "s" } else { "t" });
+        if at % 10 == 9 {
+            let share = |service: &str| Share { service: service.into(), weight: 1 };
+            route.shares = vec![share("s"), share("t")];
+        }
+        records.push(Record::Route(route));
+    }
+    applied(&State::default(), &records)
+}
+
+fn change(version: &str, records: Vec<Record>) -> Vec<Record> {
+    let start = Record::PlanDelta { version: version.into(), base: Some("v1".into()) };
+    std::iter::once(start).chain(records).collect()
+}
+
+fn splice(at: u64, removed: u64, inserted: Vec<Route>) -> Record {
+    Record::RoutesPatch(vec![RouteSplice { at, removed, inserted }])
+}
+
+fn table(state: &State, old: &Table) -> Table {
+    Table::new(Arc::new(state.clone()), 1, old)
+}
+
+#[test]
+fn a_changed_route_is_all_that_is_compiled_of_six_hundred() {
+    let state = first(600);
+    let old = table(&state, &Table::empty());
+    let whole = Work { services_resolved: 2, routes_compiled: 600, entries_made: 600 };
+    assert_eq!(old.work(), whole);
+    let mut changed = route(300, "s");
+    changed.deadline_ms = 7;
+    let state = applied(&state, &change("v2", vec![splice(300, 1, vec![changed])]));
+    let new = table(&state, &old);
+    assert_eq!(new.work(), Work { services_resolved: 0, routes_compiled: 1, entries_made: 1 });
+    let headers = [("x-kind".to_string(), "a".to_string())];
+    let Found::Route(entry) = new.find("GET", "/r300", &headers) else { panic!("no route") };
+    assert_eq!(entry.route().deadline_ms, 7);
+    let state = applied(&state, &change("v3", vec![splice(10, 2, vec![route(900, "t")])]));
+    let new = table(&state, &new);
+    assert_eq!(new.work(), Work { services_resolved: 0, routes_compiled: 1, entries_made: 1 });
+    assert!(matches!(new.find("GET", "/r900", &headers), Found::Route(_)));
+    assert!(matches!(new.find("GET", "/r11", &[]), Found::NoRoute), "a route that is gone");
+}
+
+#[test]
+fn a_changed_service_touches_the_routes_that_go_to_it() {
+    let state = first(100);
+    let old = table(&state, &Table::empty());
+    let state = applied(&state, &change("v2", vec![service("t", "one")]));
+    let new = table(&state, &old);
+    let work = Work { services_resolved: 1, routes_compiled: 0, entries_made: 50 };
+    assert_eq!(new.work(), work, "odd routes go to it, and the split ones are odd");
+    let Found::Route(entry) = new.find("GET", "/r1", &[]) else { panic!("no route") };
+    assert_eq!(entry.pick("a", &[], 0, 1).unwrap().0.instance, "one-1");
+}
+
+#[test]
+fn a_split_route_is_made_anew_when_any_of_its_services_changes() {
+    let state = first(100);
+    let old = table(&state, &Table::empty());
+    let state = applied(&state, &change("v2", vec![service("s", "two")]));
+    let new = table(&state, &old);
+    let work = Work { services_resolved: 1, routes_compiled: 0, entries_made: 60 };
+    assert_eq!(new.work(), work, "even routes go to it, and a share of ten odd ones");
+    for seed in 0..20 {
+        let Found::Route(entry) = new.find("GET", "/r99", &[]) else { panic!("no route") };
+        let target = entry.drawn(seed).pick("a", &[], 0, seed).unwrap().0;
+        assert_eq!(target.instance, "two-1", "a split route kept a service as it was");
+    }
+}
+
+#[test]
+fn a_changed_target_is_seen_by_every_route_and_compiles_none() {
+    let state = first(100);
+    let old = table(&state, &Table::empty());
+    let state = applied(&state, &[Record::TargetGone("one-1".into()), target("one-2", "one")]);
+    let new = table(&state, &old);
+    let work = Work { services_resolved: 2, routes_compiled: 0, entries_made: 100 };
+    assert_eq!(new.work(), work);
+    for seed in 0..20 {
+        let Found::Route(entry) = new.find("GET", "/r99", &[]) else { panic!("no route") };
+        let target = entry.drawn(seed).pick("a", &[], 0, seed).unwrap().0;
+        assert_ne!(target.instance, "one-1", "a split route kept a target that is gone");
+    }
+}
--- a/programs/data-plane/src/core.rs
+++ b/programs/data-plane/src/core.rs
@@ -103,9 +103,12 @@
                 }
                 Effect::Publish { state, offset } => {
                     let old = self.shared.table.load();
+                    let same_targets = state.targets.ptr_eq(&old.state.targets);
                     let table = Table::new(state, offset, &old);
-                    let pools = Pools::carry(&self.shared.pools.load(), &table);
-                    self.shared.pools.store(Arc::new(pools));
+                    if !same_targets {
+                        let pools = Pools::carry(&self.shared.pools.load(), &table);
+                        self.shared.pools.store(Arc::new(pools));
+                    }
                     self.shared.table.store(Arc::new(table));
                 }
                 Effect::Hold { until_ms } => self.shared.hold_until_ms.store(until_ms, Release),
