--- a/crates/controller/src/submit.rs
+++ b/crates/controller/src/submit.rs
@@ -1,6 +1,7 @@
 //! A submitted plan on its way into the log, as one transaction.
 
 use crate::operator::{self, Refused, Submitted};
+use crate::plan_delta::plan_records;
 use crate::submission::{RefusalReason, SubmissionVerdict, judge, text_digest};
 use crate::{ControlNode, Origin};
 use postbarrow_constants::plans::BATCHES_IN_FLIGHT;
@@ -46,6 +47,8 @@
 
     fn begin_plan(&mut self, now_ms: u64, origin: Origin, submission: Submission, digest: Digest) {
         let name = format!("plan {}", submission.version);
+        let Some(state) = self.current() else { return };
+        let records = plan_records(state, submission.records);
         let Some(writer) = self.lead.as_mut().and_then(|lead| lead.writer.as_mut()) else { return };
         let Ok(begin) = writer.begin(now_ms, &name) else { return };
         let offset = self.propose_lines(now_ms, vec![begin]);
@@ -57,7 +60,7 @@
                 digest,
                 dry_run: submission.dry_run,
                 allow_empty: submission.allow_empty,
-                batches: split(submission.records).into(),
+                batches: split(records).into(),
                 in_flight: VecDeque::from([offset]),
             });
         }
--- a/crates/state/src/records.rs
+++ b/crates/state/src/records.rs
@@ -1,4 +1,4 @@
-use crate::{Event, Incarnation, Key, Name, Outcome, RefusedPlan};
+use crate::{Event, Incarnation, Key, Name, Outcome, RefusedPlan, RouteSplice, TextSplice};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -211,6 +211,14 @@
     },
     /// A plan was refused for a base that may still come; it stays refused when the base does.
     PlanRefused(RefusedPlan),
+    /// A plan made from the one in force: what no later record of its transaction names stays.
+    PlanDelta {
+        version: Name,
+        base: Option<Name>,
+    },
+    ServiceGone(Name),
+    RoutesPatch(Vec<RouteSplice>),
+    TextPatch(Vec<TextSplice>),
 }
 
 impl Record {
@@ -219,6 +227,9 @@
         matches!(
             self,
             Record::PlanStart { .. }
+                | Record::PlanDelta { .. }
+                | Record::ServiceGone(_)
+                | Record::RoutesPatch(_)
                 | Record::Callers(_)
                 | Record::Service(_)
                 | Record::Route(_)
