--- a/crates/constants/src/consensus.rs
+++ b/crates/constants/src/consensus.rs
@@ -43,3 +43,13 @@
 /// A learner stands by so long before a voter leaves for it: whose place it took is known silent by
 /// then, for 'heard lately' is four heartbeats.
 pub const LEARNER_SETTLE_MS: u64 = 1_000;
+/// A write that a full disk refused is tried again at this pace: one small write a try, and space
+/// is used soon after it is there.
+pub const DISK_FULL_PAUSE_MS: u64 = 50;
+/// A disk stalls if a write waits longer for its sync. A disk of 5 ms a sync that is slowed thirty
+/// times keeps a write waiting for two syncs, 300 ms; another leads before clients' bounds pass.
+pub const DISK_STALL_MS: u64 = 400;
+/// The same while a slot is among the writes: it takes three syncs and megabytes.
+pub const DISK_STALL_SLOT_MS: u64 = 1_500;
+/// A leader that could not hand over in this time, its disk stalled, steps down all the same.
+pub const DISK_YIELD_MS: u64 = ELECTION_MIN_MS;
--- a/crates/simulation/src/control.rs
+++ b/crates/simulation/src/control.rs
@@ -3,16 +3,18 @@
 use crate::world::World;
 use imbl::OrdMap;
 use postbarrow_consensus::{Member, Recovered, Write};
+use postbarrow_constants::consensus::DISK_FULL_PAUSE_MS;
 use postbarrow_controller::{ControlNode, Effect, Input};
 use postbarrow_state::{Name, Target};
-use postbarrow_storage::{Opened, Storage, open};
+use postbarrow_storage::{Opened, Storage, WriteError, is_full, open};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Small, so that every run writes slots and a late member needs a snapshot.
+/// A process that ended is begun again after this time.
 const AGAIN_US: u64 = 500_000;
 
+/// Small, so that every run writes slots and a late member needs a snapshot.
 const LOG_BOUND_BYTES: u64 = 48 * 1024;
 
 /// One control machine: its disk stays, its process comes and goes.
@@ -27,6 +29,8 @@
     storage: Option<Storage<SimDisk>>,
     writes: VecDeque<(u64, Write)>,
     syncing: bool,
+    /// How many of the writes the storage has and could not carry out yet.
+    handed: usize,
     /// Targets as last seen committed here, to find what was dropped.
     pub targets: OrdMap<Name, Arc<Target>>,
 }
@@ -43,6 +47,7 @@
             storage: None,
             writes: VecDeque::new(),
             syncing: false,
+            handed: 0,
             targets: OrdMap::new(),
         }
     }
@@ -64,6 +69,9 @@
             seeds[2] = self.data[0].address;
         }
         let machine = &mut self.control[at];
+        if machine.disk.is_stalled() {
+            return self.start_again(at);
+        }
         let opened = open(machine.disk.clone()).and_then(|opened| match opened {
             Opened::Whole { storage, recovered } => Ok((storage, recovered)),
             Opened::Empty(disk) | Opened::Damaged { disk, .. } => {
@@ -72,6 +80,7 @@
         });
         let (storage, recovered) = match opened {
             Ok(opened) => opened,
+            Err(error) if is_full(&error) => return self.start_again(at),
             Err(error) => return self.disk_failed(at, &error),
         };
         let machine = &mut self.control[at];
@@ -80,6 +89,7 @@
         machine.storage = Some(storage);
         machine.writes.clear();
         machine.syncing = false;
+        machine.handed = 0;
         machine.targets = OrdMap::new();
         let node = ControlNode::new(own, recovered, &seeds, seed, now_ms);
         machine.node = Some(node.with_log_bound(LOG_BOUND_BYTES));
@@ -107,7 +117,8 @@
             && !machine.writes.is_empty()
         {
             machine.disk.set_fuse(fuse);
-            let writes = machine.writes.drain(..).map(|(_, write)| write).collect();
+            let handed = std::mem::take(&mut machine.handed);
+            let writes = machine.writes.drain(..).map(|(_, write)| write).skip(handed).collect();
             let _torn = storage.apply(writes);
         }
         if fuse.is_some() {
@@ -151,29 +162,49 @@
         self.check_control(at);
     }
 
+    /// As the program does: its start waits while its disk takes nothing.
+    fn start_again(&mut self, at: usize) {
+        self.after(AGAIN_US, Event::Start(Who::Control(at)));
+    }
+
     /// As the program does: it ends, for it can't promise anything, and is begun again.
     fn disk_failed(&mut self, at: usize, error: &std::io::Error) {
         self.say(Who::Control(at), &format!("ends: {error}"));
         self.disk_failures += 1;
         self.end_control(at, false);
-        self.after(AGAIN_US, Event::Start(Who::Control(at)));
+        self.start_again(at);
     }
 
-    /// All that waited shares this sync.
+    /// All that waited shares this sync. While the disk takes nothing, the same is tried again.
     pub fn disk_done(&mut self, at: usize) {
         let machine = &mut self.control[at];
+        if machine.disk.is_stalled() {
+            return self.try_disk_again(at);
+        }
         machine.syncing = false;
         let Some(last) = machine.writes.back().map(|(sequence, _)| *sequence) else { return };
-        let writes: Vec<Write> = machine.writes.drain(..).map(|(_, write)| write).collect();
+        let writes: Vec<Write> = machine.writes.iter().map(|(_, write)| write.clone()).collect();
         let Some(storage) = &mut machine.storage else { return };
         let count = writes.len();
-        match storage.apply(writes) {
+        match storage.apply(writes.into_iter().skip(machine.handed).collect()) {
             Ok(()) => {
+                machine.writes.clear();
+                machine.handed = 0;
                 self.synced = (self.synced.0 + 1, self.synced.1 + count);
                 self.strike_at(at);
                 self.control_input(at, Input::Synced(last));
             }
-            Err(error) => self.disk_failed(at, &error),
+            Err(WriteError::Full(_)) => {
+                machine.handed = count;
+                machine.syncing = true;
+                self.try_disk_again(at);
+            }
+            Err(WriteError::Failed(error)) => self.disk_failed(at, &error),
         }
     }
+
+    fn try_disk_again(&mut self, at: usize) {
+        let life = self.control[at].life;
+        self.after(DISK_FULL_PAUSE_MS * 1_000, Event::Synced { at, life });
+    }
 }
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -1,3 +1,5 @@
+//! A disk in memory: its unsynced writes and names, its losses of power, its troubles.
+
 use crate::random::Random;
 use postbarrow_storage::Disk;
 use std::cell::RefCell;
@@ -16,14 +18,19 @@
     durable: Vec<u8>,
     seen: Vec<u8>,
     unsynced: Vec<Op>,
+    /// Whether its name lasts.
+    named: bool,
+    reserved: u64,
 }
 
-#[derive(Default)]
+#[derive(Clone, Default)]
 struct Files {
     files: BTreeMap<String, SimFile>,
     /// Operations left before the power goes; None for plenty.
     fuse: Option<u64>,
     trouble: Option<DiskTrouble>,
+    /// A trouble that begins after so many operations.
+    trouble_due: Option<(u64, DiskTrouble)>,
     syncs: u64,
 }
 
@@ -34,8 +41,10 @@
     SyncFails,
     /// One write fails halfway.
     WriteFails,
-    /// No write has space until this is healed.
+    /// No write beyond what was reserved has space until this is healed.
     Full,
+    /// No write or sync ends until this is healed. It is the process that waits: see `is_stalled`.
+    Stalls,
 }
 
 /// A disk in memory that outlives its process and loses what was not synced.
@@ -55,27 +64,82 @@
     }
 }
 
+impl Op {
+    /// What lasts or goes by itself: two parts of a write, as with two blocks of a disk.
+    fn parts(&self, split: &mut impl FnMut(usize) -> usize) -> Vec<Op> {
+        match self {
+            Op::Write { offset, bytes } => {
+                let (first, second) = bytes.split_at(split(bytes.len()));
+                let later = offset + first.len() as u64;
+                let part = |offset, bytes: &[u8]| Op::Write { offset, bytes: bytes.to_vec() };
+                vec![part(*offset, first), part(later, second)]
+            }
+            Op::Truncate { .. } => vec![self.clone()],
+        }
+    }
+
+    fn count(&self) -> usize {
+        match self {
+            Op::Write { .. } => 2,
+            Op::Truncate { .. } => 1,
+        }
+    }
+}
+
 impl SimDisk {
-    /// The power goes: of each file's unsynced operations a prefix lasts, the next one in part.
+    /// The power goes: each unsynced name, and each of two parts of each unsynced write, is kept or
+    /// lost by itself.
     pub fn lose_power(&self, random: &mut Random) {
+        let random = RefCell::new(random);
+        let split = |length: usize| random.borrow_mut().below(length as u64 + 1) as usize;
+        self.lose(split, |_| random.borrow_mut().chance(500));
+    }
+
+    /// The same, with a say in each of the `unsynced` things; a write's parts are its halves.
+    pub fn lose_power_keeping(&self, keeps: impl FnMut(usize) -> bool) {
+        self.lose(|length| length / 2, keeps);
+    }
+
+    fn lose(&self, mut split: impl FnMut(usize) -> usize, mut keeps: impl FnMut(usize) -> bool) {
         let mut files = self.0.borrow_mut();
-        files.fuse = None;
-        for file in files.files.values_mut() {
-            let kept = random.below(file.unsynced.len() as u64 + 1) as usize;
-            let unsynced = std::mem::take(&mut file.unsynced);
-            for (at, op) in unsynced.iter().enumerate() {
-                if at < kept {
-                    carry_out(&mut file.durable, op);
-                } else if at == kept
-                    && let Op::Write { offset, bytes } = op
-                {
-                    let part = random.below(bytes.len() as u64 + 1) as usize;
-                    let torn = Op::Write { offset: *offset, bytes: bytes[..part].to_vec() };
-                    carry_out(&mut file.durable, &torn);
+        (files.fuse, files.trouble_due) = (None, None);
+        let mut next = 0;
+        let mut kept = || {
+            next += 1;
+            keeps(next - 1)
+        };
+        files.files.retain(|_, file| {
+            let named = file.named || kept();
+            for op in std::mem::take(&mut file.unsynced) {
+                for part in op.parts(&mut split) {
+                    if kept() {
+                        carry_out(&mut file.durable, &part);
+                    }
                 }
             }
             file.seen = file.durable.clone();
-        }
+            file.named = true;
+            named
+        });
+    }
+
+    /// How many things a loss of power would now keep or lose, each by itself.
+    pub fn unsynced(&self) -> usize {
+        let files = self.0.borrow();
+        let count = |file: &SimFile| {
+            let parts = file.unsynced.iter().map(Op::count).sum::<usize>();
+            usize::from(!file.named) + parts
+        };
+        files.files.values().map(count).sum()
+    }
+
+    /// A disk of its own with the same content.
+    pub fn copy(&self) -> SimDisk {
+        SimDisk(Rc::new(RefCell::new(self.0.borrow().clone())))
+    }
+
+    pub fn is_stalled(&self) -> bool {
+        self.0.borrow().trouble == Some(DiskTrouble::Stalls)
     }
 
     /// The disk itself is lost.
@@ -91,6 +155,10 @@
         self.0.borrow_mut().trouble = trouble;
     }
 
+    pub fn set_trouble_after(&self, operations: u64, trouble: DiskTrouble) {
+        self.0.borrow_mut().trouble_due = Some((operations, trouble));
+    }
+
     /// Whether this operation meets its trouble; all but a full disk pass.
     fn meets(&self, trouble: DiskTrouble) -> bool {
         let mut files = self.0.borrow_mut();
@@ -122,6 +190,11 @@
 
     fn burn(&self) -> io::Result<()> {
         let mut files = self.0.borrow_mut();
+        match files.trouble_due.take() {
+            Some((0, trouble)) => files.trouble = Some(trouble),
+            Some((left, trouble)) => files.trouble_due = Some((left - 1, trouble)),
+            None => {}
+        }
         match &mut files.fuse {
             Some(0) => Err(io::Error::other("the power is gone")),
             Some(left) => {
@@ -134,7 +207,10 @@
 
     fn change(&self, name: &str, op: Op) -> io::Result<()> {
         self.burn()?;
-        if self.meets(DiskTrouble::Full) {
+        if let Op::Write { offset, bytes } = &op
+            && *offset + bytes.len() as u64 > self.reserved(name)
+            && self.meets(DiskTrouble::Full)
+        {
             return Err(io::ErrorKind::StorageFull.into());
         }
         let op = match op {
@@ -149,9 +225,16 @@
         Ok(())
     }
 
+    fn reserved(&self, name: &str) -> u64 {
+        self.0.borrow().files.get(name).map_or(0, |file| file.reserved)
+    }
+
     fn carry(&self, name: &str, op: Op) {
         let mut files = self.0.borrow_mut();
         let file = files.files.entry(name.to_string()).or_default();
+        if let Op::Truncate { .. } = op {
+            file.reserved = 0;
+        }
         carry_out(&mut file.seen, &op);
         file.unsynced.push(op);
     }
@@ -162,6 +245,18 @@
         Ok(self.0.borrow().files.get(file).map_or_else(Vec::new, |file| file.seen.clone()))
     }
 
+    fn create(&mut self, file: &str) -> io::Result<()> {
+        self.burn()?;
+        self.0.borrow_mut().files.entry(file.to_string()).or_default();
+        Ok(())
+    }
+
+    fn sync_names(&mut self) -> io::Result<()> {
+        self.burn()?;
+        self.0.borrow_mut().files.values_mut().for_each(|file| file.named = true);
+        Ok(())
+    }
+
     fn write(&mut self, file: &str, offset: u64, bytes: &[u8]) -> io::Result<()> {
         self.change(file, Op::Write { offset, bytes: bytes.to_vec() })
     }
@@ -185,4 +280,15 @@
         }
         Ok(())
     }
+
+    fn reserve(&mut self, file: &str, bytes: u64) -> io::Result<()> {
+        self.burn()?;
+        if self.reserved(file) < bytes && self.meets(DiskTrouble::Full) {
+            return Err(io::ErrorKind::StorageFull.into());
+        }
+        if let Some(file) = self.0.borrow_mut().files.get_mut(file) {
+            file.reserved = file.reserved.max(bytes);
+        }
+        Ok(())
+    }
 }
--- a/crates/simulation/tests/failures.rs
+++ b/crates/simulation/tests/failures.rs
@@ -70,6 +70,15 @@
     assert_eq!(NAMED, ALL);
 }
 
+/// A full disk costs a member its vote until there is space, and never its process.
+#[test]
+fn no_process_ends_because_its_disk_is_full() {
+    for seed in 1..=3 {
+        let ended = check("full", &Scenario::new(seed, &[Fault::Disk(DiskTrouble::Full)], 4));
+        assert_eq!(ended.disk_failures, 0, "seed {seed}");
+    }
+}
+
 #[test]
 fn all_three_seed_machines_are_swapped_and_old_seeds_still_lead_in() {
     for seed in 1..=3 {
--- a/crates/startup/src/bounds.rs
+++ b/crates/startup/src/bounds.rs
@@ -35,6 +35,8 @@
 const BODIES_PART: u64 = 4;
 /// An eighth of a disk for the log between two slots: two slots and two logs fit beside each other.
 const LOG_PART: u64 = 8;
+/// A slot gets so much of the log's bound: its state is what a log's records made, most of them old.
+const RESERVED_SLOT_PART: u64 = 2;
 
 /// The list is asked with gaps longer by this than its rate permits: two controllers may overlap.
 const LIST_PART: u64 = 130;
@@ -72,6 +74,17 @@
         self.disk_bytes.map_or(LOG_BYTES, |bytes| (bytes / LOG_PART).min(LOG_BYTES))
     }
 
+    /// Space kept from the start for each log: the largest bound of a member's log, which is up to
+    /// twice `log_bytes`.
+    pub fn reserved_log_bytes(&self) -> u64 {
+        2 * self.log_bytes()
+    }
+
+    /// Space kept from the start for each slot; with both logs five eighths of the disk.
+    pub fn reserved_slot_bytes(&self) -> u64 {
+        self.log_bytes() / RESERVED_SLOT_PART
+    }
+
     pub fn history_ms(&self) -> u64 {
         HISTORY_KEEP_MS.max(self.history_ms * 5 / 4)
     }
--- a/crates/startup/src/bounds/tests.rs
+++ b/crates/startup/src/bounds/tests.rs
@@ -31,4 +31,6 @@
     let small =
         Bounds { memory_bytes: Some(64 << 20), disk_bytes: Some(64 << 20), ..Bounds::default() };
     assert_eq!((small.bodies_bytes(), small.log_bytes()), (16 << 20, 8 << 20));
+    let kept = 2 * (small.reserved_log_bytes() + small.reserved_slot_bytes());
+    assert_eq!(kept, 40 << 20, "two logs and two slots, and room beside them");
 }
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -9,6 +9,7 @@
 pub use bounds::Bounds;
 pub use place::{Flags, Part, Startup};
 pub use run::checked;
+pub use stop::stop_asked;
 
 use logs::start_logs;
-use stop::{reread_asked, stop_asked, watch_signals};
+use stop::{reread_asked, watch_signals};
--- a/crates/startup/src/stop.rs
+++ b/crates/startup/src/stop.rs
@@ -24,6 +24,7 @@
     }
 }
 
+/// Whether a signal asked this process to stop.
 pub fn stop_asked() -> bool {
     STOP.load(SeqCst)
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,20 +1,27 @@
 #![doc = include_str!("../README.md")]
 
+mod create;
 mod disk;
+mod error;
 mod frame;
 mod recover;
 
+pub use create::Reservation;
 pub use disk::{Disk, FolderDisk};
+pub use error::{WriteError, is_full};
 pub use recover::{Opened, open};
 
 use frame::{LogRecord, SlotBody, log_record, slot_bytes};
-use postbarrow_consensus::{Hard, MemberId, Recovered, Snapshot, Write};
-use std::io;
+use postbarrow_consensus::{Entry, Hard, MemberId, Recovered, Snapshot, Write};
+use std::collections::VecDeque;
 use std::sync::Arc;
 
+/// The files of the two slots; generation `n` is in the one at `n % 2`.
 pub const SLOTS: [&str; 2] = ["slot-a", "slot-b"];
+/// The files of the two logs, each behind the slot of its generation.
 pub const LOGS: [&str; 2] = ["log-a", "log-b"];
 
+/// What one member keeps on its disk.
 pub struct Storage<D> {
     disk: D,
     id: MemberId,
@@ -22,71 +29,84 @@
     log_bytes: u64,
     sequence: u64,
     synced: u64,
+    /// Writes that were asked for and are not synced yet.
+    pending: VecDeque<Write>,
 }
 
 impl<D: Disk> Storage<D> {
-    /// A new disk: a new member, with nothing to remember yet.
-    pub fn create(mut disk: D, id: MemberId) -> io::Result<Self> {
-        for file in SLOTS.iter().chain(&LOGS) {
-            disk.truncate(file, 0)?;
+    fn blank(disk: D, id: MemberId) -> Self {
+        let pending = VecDeque::new();
+        Storage { disk, id, generation: 0, log_bytes: 0, sequence: 0, synced: 0, pending }
+    }
+
+    /// Carries out writes in order and syncs once; on return all of them last. After
+    /// `WriteError::Full` the writes are kept for `resume`.
+    pub fn apply(&mut self, writes: Vec<Write>) -> Result<(), WriteError> {
+        self.pending.extend(writes);
+        self.resume()
+    }
+
+    /// Goes on with the writes that a full disk stopped; on return all of them last.
+    pub fn resume(&mut self) -> Result<(), WriteError> {
+        while let Some(first) = self.pending.front() {
+            if let Write::Slot { snapshot, hard, entries } = first {
+                let (snapshot, hard, entries) = (snapshot.clone(), *hard, entries.clone());
+                self.slot(Some(snapshot), hard, entries)?;
+                self.pending.pop_front();
+            } else {
+                self.append()?;
+            }
         }
-        let mut made = Storage { disk, id, generation: 0, log_bytes: 0, sequence: 0, synced: 0 };
-        made.slot(None, Hard::default(), Vec::new())?;
-        Ok(made)
+        Ok(())
     }
 
-    /// Carries out writes in order and syncs once; on return all of them last.
-    pub fn apply(&mut self, writes: Vec<Write>) -> io::Result<()> {
+    /// Writes and syncs all log records before the next slot. What this storage knows of its log
+    /// changes after the sync only, so that a refused write is repeated at the same place.
+    fn append(&mut self) -> Result<(), WriteError> {
         let mut bytes = Vec::new();
-        for write in writes {
+        let mut sequence = self.sequence;
+        let mut count = 0;
+        for write in &self.pending {
             let record = match write {
-                Write::Hard(hard) => LogRecord::Hard(hard),
-                Write::Append(entries) => LogRecord::Append(entries),
-                Write::Truncate { from } => LogRecord::Truncate { from },
-                Write::Slot { snapshot, hard, entries } => {
-                    self.flush(&mut bytes)?;
-                    self.slot(Some(snapshot), hard, entries)?;
-                    continue;
-                }
+                Write::Hard(hard) => LogRecord::Hard(*hard),
+                Write::Append(entries) => LogRecord::Append(entries.clone()),
+                Write::Truncate { from } => LogRecord::Truncate { from: *from },
+                Write::Slot { .. } => break,
             };
-            self.sequence += 1;
-            bytes.extend(log_record(self.generation, self.sequence, self.synced, &record)?);
-        }
-        self.flush(&mut bytes)
-    }
-
-    fn flush(&mut self, bytes: &mut Vec<u8>) -> io::Result<()> {
-        if bytes.is_empty() {
-            return Ok(());
+            sequence += 1;
+            count += 1;
+            let record = log_record(self.generation, sequence, self.synced, &record);
+            bytes.extend(record.map_err(WriteError::Failed)?);
         }
         let file = LOGS[self.turn()];
-        self.disk.write(file, self.log_bytes, bytes)?;
-        self.disk.sync(file)?;
+        self.disk.write(file, self.log_bytes, &bytes).map_err(WriteError::before_sync)?;
+        self.disk.sync(file).map_err(WriteError::Failed)?;
         self.log_bytes += bytes.len() as u64;
-        self.synced = self.sequence;
-        bytes.clear();
+        self.sequence = sequence;
+        self.synced = sequence;
+        self.pending.drain(..count);
         Ok(())
     }
 
-    /// The other pair of files is written whole, log before slot; the present pair stays as it is.
+    /// The other pair of files is overwritten, log before slot; the present pair stays as it is.
+    /// Nothing is cut, for that would give up the space: bytes of an older generation beyond the
+    /// new end are never read, by their generation in a log and by the length in a slot.
     fn slot(
         &mut self,
         snapshot: Option<Arc<Snapshot>>,
         hard: Hard,
-        entries: Vec<postbarrow_consensus::Entry>,
-    ) -> io::Result<()> {
+        entries: Vec<Entry>,
+    ) -> Result<(), WriteError> {
         let generation = self.generation + 1;
         let turn = (generation % 2) as usize;
         let start = LogRecord::Start { entries };
-        let bytes = log_record(generation, 1, 0, &start)?;
-        self.disk.truncate(LOGS[turn], 0)?;
-        self.disk.write(LOGS[turn], 0, &bytes)?;
-        self.disk.sync(LOGS[turn])?;
+        let bytes = log_record(generation, 1, 0, &start).map_err(WriteError::Failed)?;
         let body = SlotBody { generation, id: self.id, hard, snapshot };
-        let slot = slot_bytes(&body)?;
-        self.disk.truncate(SLOTS[turn], 0)?;
-        self.disk.write(SLOTS[turn], 0, &slot)?;
-        self.disk.sync(SLOTS[turn])?;
+        let slot = slot_bytes(&body).map_err(WriteError::Failed)?;
+        self.disk.write(LOGS[turn], 0, &bytes).map_err(WriteError::before_sync)?;
+        self.disk.sync(LOGS[turn]).map_err(WriteError::Failed)?;
+        self.disk.write(SLOTS[turn], 0, &slot).map_err(WriteError::before_sync)?;
+        self.disk.sync(SLOTS[turn]).map_err(WriteError::Failed)?;
         self.generation = generation;
         self.log_bytes = bytes.len() as u64;
         self.sequence = 1;
--- a/crates/storage/src/recover.rs
+++ b/crates/storage/src/recover.rs
@@ -1,3 +1,6 @@
+//! What a start finds on the disk, and whether it is all that was promised.
+
+use crate::create::create_names;
 use crate::frame::{LogRecord, SlotBody, read_record, read_slot};
 use crate::{Disk, LOGS, SLOTS, Storage, recovered};
 use postbarrow_consensus::Recovered;
@@ -5,18 +8,15 @@
 
 /// What a start finds on the disk.
 pub enum Opened<D> {
+    /// Nothing was ever promised from here.
     Empty(D),
     /// Synced memory is missing: this disk may not vote as who it was.
-    Damaged {
-        disk: D,
-        finding: String,
-    },
-    Whole {
-        storage: Storage<D>,
-        recovered: Recovered,
-    },
+    Damaged { disk: D, finding: String },
+    /// All that was promised.
+    Whole { storage: Storage<D>, recovered: Recovered },
 }
 
+/// Reads a disk back and makes sure that what was read lasts.
 pub fn open<D: Disk>(mut disk: D) -> io::Result<Opened<D>> {
     let raw = [disk.read(SLOTS[0])?, disk.read(SLOTS[1])?];
     let logs = [disk.read(LOGS[0])?, disk.read(LOGS[1])?];
@@ -36,18 +36,17 @@
     match replay(&body, &logs[turn]) {
         Err(finding) => Ok(Opened::Damaged { disk, finding: format!("{}: {finding}", LOGS[turn]) }),
         Ok(replayed) => {
-            let storage = Storage {
-                disk,
-                id: body.id,
+            let mut storage = Storage {
                 generation: body.generation,
                 log_bytes: replayed.bytes,
                 sequence: replayed.sequence,
                 synced: replayed.sequence,
+                ..Storage::blank(disk, body.id)
             };
-            let mut storage = storage;
-            let turn = storage.turn();
-            renew(&mut storage.disk, LOGS[turn], &logs[turn][..replayed.bytes as usize])?;
-            renew(&mut storage.disk, SLOTS[turn], &raw[turn])?;
+            let disk = &mut storage.disk;
+            create_names(disk)?;
+            renew(disk, LOGS[turn], &sound_log(&logs[turn], &replayed, body.generation))?;
+            renew(disk, SLOTS[turn], &raw[turn])?;
             Ok(Opened::Whole { storage, recovered: replayed.recovered })
         }
     }
@@ -57,10 +56,23 @@
 /// anew, the same bytes in their places, before anybody builds on it.
 fn renew<D: Disk>(disk: &mut D, file: &str, bytes: &[u8]) -> io::Result<()> {
     disk.write(file, 0, bytes)?;
-    disk.truncate(file, bytes.len() as u64)?;
     disk.sync(file)
 }
 
+/// The log's sound records. Where a whole record of this generation follows behind a torn one, all
+/// behind the sound ones becomes zero: a record written next could end right where it begins.
+fn sound_log(log: &[u8], replayed: &Replayed, generation: u64) -> Vec<u8> {
+    let end = replayed.bytes as usize;
+    let follows = |at: &usize| {
+        read_record(&log[*at..]).is_some_and(|(framed, _)| framed.generation == generation)
+    };
+    let mut sound = log[..end].to_vec();
+    if (end..log.len()).any(|at| follows(&at)) {
+        sound.resize(log.len(), 0);
+    }
+    sound
+}
+
 /// A log only grows past its start once its slot was synced.
 fn wrote_beyond_start(log: &[u8], above: u64) -> bool {
     let Some((start, length)) = read_record(log) else { return false };
--- /dev/null
+++ b/crates/storage/tests/full.rs
@@ -0,0 +1,193 @@
+//! A disk that is full: space that was kept, writes that are tried again, and failed syncs, which
+//! are not.
+
+use postbarrow_consensus::{Entry, Hard, Member, Payload, Recovered, Snapshot, Write};
+use postbarrow_simulation::{DiskTrouble, Random, SimDisk};
+use postbarrow_storage::*;
+use std::cell::Cell;
+use std::io;
+use std::os::unix::fs::MetadataExt;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::sync::Arc;
+
+const MEMBER: u64 = 9;
+/// `st_blocks` counts in these, whatever a file system's own block is.
+const STAT_BLOCK_BYTES: u64 = 512;
+
+fn append(index: u64) -> Write {
+    let payload = Payload::Batch(vec![index as u8; 40]);
+    Write::Append(vec![Entry { term: 1, index, payload }])
+}
+
+fn slot(index: u64) -> Write {
+    let members = vec![Member { id: MEMBER, address: "10.0.0.1:1".parse().unwrap() }];
+    let snapshot = Arc::new(Snapshot { index, term: 1, members, state: vec![7; 300] });
+    Write::Slot { snapshot, hard: Hard { term: 1, voted: Some(1) }, entries: Vec::new() }
+}
+
+/// One group with two slots amid log records: each file is written.
+fn group() -> Vec<Write> {
+    vec![append(1), slot(1), append(2), append(3), slot(3), append(4)]
+}
+
+fn reopen(disk: &SimDisk) -> (Storage<SimDisk>, Recovered) {
+    match open(disk.clone()).unwrap() {
+        Opened::Whole { storage, recovered } => (storage, recovered),
+        Opened::Empty(_) => panic!("the disk is empty"),
+        Opened::Damaged { finding, .. } => panic!("{finding}"),
+    }
+}
+
+fn last(found: &Recovered) -> u64 {
+    let kept = found.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+    found.entries.last().map_or(kept, |entry| entry.index)
+}
+
+#[test]
+fn a_disk_full_at_any_operation_stops_writes_until_there_is_space() {
+    let mut stopped = 0;
+    for operations in 0.. {
+        let disk = SimDisk::default();
+        let mut storage = Storage::create(disk.clone(), MEMBER).unwrap();
+        disk.set_trouble_after(operations, DiskTrouble::Full);
+        match storage.apply(group()) {
+            Ok(()) => break,
+            Err(WriteError::Failed(error)) => panic!("operation {operations}: {error}"),
+            Err(WriteError::Full(_)) => stopped += 1,
+        }
+        let again = storage.resume();
+        assert!(matches!(again, Err(WriteError::Full(_))), "operation {operations}: {again:?}");
+        disk.set_trouble(None);
+        storage.resume().unwrap();
+        storage.apply(vec![append(5)]).unwrap();
+        disk.lose_power(&mut Random::new(operations));
+        let (_, found) = reopen(&disk);
+        let indexes: Vec<u64> = found.entries.iter().map(|entry| entry.index).collect();
+        assert_eq!((indexes, last(&found)), (vec![4, 5], 5), "operation {operations}");
+    }
+    assert!(stopped > 10, "{stopped} operations met a full disk");
+}
+
+#[test]
+fn a_start_on_a_full_disk_is_told_and_the_next_one_finds_all() {
+    let disk = SimDisk::default();
+    let mut storage = Storage::create(disk.clone(), MEMBER).unwrap();
+    storage.apply(vec![append(1)]).unwrap();
+    disk.set_trouble(Some(DiskTrouble::Full));
+    let Err(error) = open(disk.clone()) else { panic!("a full disk was not told") };
+    assert!(is_full(&error), "{error}");
+    disk.set_trouble(None);
+    assert_eq!(last(&reopen(&disk).1), 1);
+}
+
+#[test]
+fn writes_in_kept_space_go_on_when_the_disk_is_full() {
+    let disk = SimDisk::default();
+    let mut storage = Storage::create(disk.clone(), MEMBER).unwrap();
+    storage.reserve(Reservation { log_bytes: 4_096, slot_bytes: 4_096 }).unwrap();
+    disk.set_trouble(Some(DiskTrouble::Full));
+    for _ in 0..5 {
+        storage.apply(group()).unwrap();
+    }
+    drop(storage);
+    let (mut storage, found) = reopen(&disk);
+    assert_eq!(last(&found), 4);
+    storage.apply(group()).unwrap();
+}
+
+#[test]
+fn space_that_can_not_be_kept_yet_is_asked_for_again() {
+    let disk = SimDisk::default();
+    let mut storage = Storage::create(disk.clone(), MEMBER).unwrap();
+    disk.set_trouble(Some(DiskTrouble::Full));
+    let reservation = Reservation { log_bytes: 4_096, slot_bytes: 4_096 };
+    assert!(matches!(storage.reserve(reservation), Err(WriteError::Full(_))));
+    disk.set_trouble(None);
+    storage.reserve(reservation).unwrap();
+    storage.apply(group()).unwrap();
+}
+
+/// A disk whose syncs fail for want of space, as some file systems do.
+struct LateRefusal {
+    disk: SimDisk,
+    refuses: Rc<Cell<bool>>,
+}
+
+impl Disk for LateRefusal {
+    fn read(&mut self, file: &str) -> io::Result<Vec<u8>> {
+        self.disk.read(file)
+    }
+    fn create(&mut self, file: &str) -> io::Result<()> {
+        self.disk.create(file)
+    }
+    fn sync_names(&mut self) -> io::Result<()> {
+        self.disk.sync_names()
+    }
+    fn write(&mut self, file: &str, offset: u64, bytes: &[u8]) -> io::Result<()> {
+        self.disk.write(file, offset, bytes)
+    }
+    fn truncate(&mut self, file: &str, length: u64) -> io::Result<()> {
+        self.disk.truncate(file, length)
+    }
+    fn sync(&mut self, file: &str) -> io::Result<()> {
+        if self.refuses.get() {
+            Err(io::ErrorKind::StorageFull.into())
+        } else {
+            self.disk.sync(file)
+        }
+    }
+    fn reserve(&mut self, file: &str, bytes: u64) -> io::Result<()> {
+        self.disk.reserve(file, bytes)
+    }
+}
+
+#[test]
+fn a_failed_sync_is_a_failed_disk_even_if_it_says_full() {
+    for write in [append(1), slot(1)] {
+        let refuses = Rc::new(Cell::new(false));
+        let disk = LateRefusal { disk: SimDisk::default(), refuses: refuses.clone() };
+        let mut storage = Storage::create(disk, MEMBER).unwrap();
+        storage.apply(vec![append(1)]).unwrap();
+        refuses.set(true);
+        let told = storage.apply(vec![write]);
+        assert!(matches!(told, Err(WriteError::Failed(_))), "{told:?}");
+    }
+}
+
+fn folder(name: &str) -> PathBuf {
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    let _ = std::fs::remove_dir_all(&folder);
+    folder
+}
+
+#[test]
+fn a_folders_files_get_their_blocks_and_keep_them() {
+    let folder = folder("kept-blocks");
+    let disk = FolderDisk::new(folder.clone()).unwrap();
+    let mut storage = Storage::create(disk, MEMBER).unwrap();
+    let reservation = Reservation { log_bytes: 1 << 20, slot_bytes: 1 << 19 };
+    storage.reserve(reservation).unwrap();
+    for round in 0..4 {
+        for file in LOGS.iter().chain(&SLOTS) {
+            let least =
+                if LOGS.contains(file) { reservation.log_bytes } else { reservation.slot_bytes };
+            let about = std::fs::metadata(folder.join(file)).unwrap();
+            let kept = about.blocks() * STAT_BLOCK_BYTES;
+            assert!(kept >= least, "round {round}: {file} keeps {kept} of {least} bytes");
+            assert!(about.len() < 4_096, "round {round}: {file} got longer");
+        }
+        storage.apply(group()).unwrap();
+    }
+    std::fs::remove_dir_all(folder).unwrap();
+}
+
+#[test]
+fn a_data_folder_several_levels_down_is_made() {
+    let top = folder("levels");
+    let inner = top.join("one/two");
+    drop(Storage::create(FolderDisk::new(inner.clone()).unwrap(), MEMBER).unwrap());
+    let opened = open(FolderDisk::new(inner).unwrap()).unwrap();
+    assert!(matches!(opened, Opened::Whole { .. }));
+    std::fs::remove_dir_all(top).unwrap();
+}
--- a/programs/control-plane/src/lib.rs
+++ b/programs/control-plane/src/lib.rs
@@ -6,17 +6,17 @@
 mod dialect;
 mod disk;
 mod list;
+mod opening;
 mod operator;
 mod rehearse;
 
 use crate::core::{Command, Core};
-use log::{info, warn};
-use postbarrow_consensus::{Member, Recovered};
+use log::info;
+use postbarrow_consensus::Member;
 use postbarrow_constants::consensus::{HAND_OVER_MS, PULSE_MS};
 use postbarrow_constants::coordination::{ANSWER_WRITE_MS, SUBMIT_WAIT_MS};
 use postbarrow_controller::ControlNode;
 use postbarrow_startup::Startup;
-use postbarrow_storage::{FolderDisk, Opened, Storage, open};
 pub use postbarrow_transport::clock_ms;
 use postbarrow_transport::{listen, random};
 use std::io;
@@ -43,24 +43,13 @@
     /// The same node for operators, applications and a list that speak another dialect.
     pub fn speaking(startup: &Startup, dialect: Arc<dyn Dialect>) -> io::Result<ControlPlane> {
         let folder = startup.data.clone().ok_or(io::ErrorKind::InvalidInput)?;
-        let disk = FolderDisk::new(folder.clone())?;
-        disk::lock(&folder)?;
-        let (storage, recovered) = match open(disk)? {
-            Opened::Whole { storage, recovered } => (storage, recovered),
-            Opened::Empty(disk) => {
-                info!("disk: {} is empty, this is a new member", folder.display());
-                (Storage::create(disk, random())?, Recovered::default())
-            }
-            Opened::Damaged { disk, finding } => {
-                warn!("disk: {finding}; what it knew is lost, this is a new member");
-                (Storage::create(disk, random())?, Recovered::default())
-            }
-        };
+        let (storage, recovered) = opening::open_folder(&folder)?;
         let (links, address) = startup.listen()?;
         let own = Member { id: storage.id(), address };
         info!("control: {} is member {:016x} at {}", startup.name, own.id, own.address);
         let (commands, queue) = channel();
-        let writes = disk::start(storage, commands.clone())?;
+        let reservation = (!startup.guest).then(|| opening::reservation(&startup.bounds));
+        let writes = disk::start(storage, reservation, commands.clone())?;
         let fetches = list::start(
             startup.list.clone().unwrap_or_default(),
             dialect.clone(),
