--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -20,8 +20,11 @@
     }
 
     pub(crate) fn start_pre_vote(&mut self, now_ms: u64, clear: bool) {
-        self.clear = clear;
         self.set_election(now_ms);
+        if self.is_disk_stalled() {
+            return;
+        }
+        self.clear = clear;
         self.set_role(Role::PreCandidate);
         self.leader = None;
         self.votes = [self.id].into();
@@ -36,6 +39,9 @@
 
     pub(crate) fn start_vote(&mut self, now_ms: u64, handed: bool) {
         self.set_election(now_ms);
+        if self.is_disk_stalled() {
+            return;
+        }
         self.set_role(Role::Candidate);
         self.term += 1;
         self.voted = Some(self.id);
@@ -64,6 +70,7 @@
     /// it joined must still vote, or the others may lack a majority for ever.
     pub(crate) fn on_pre_vote(&mut self, now_ms: u64, from: Member, ask: VoteAsk) {
         let granted = ask.term > self.term
+            && !self.is_disk_stalled()
             && (!self.bound_to_leader(now_ms) || self.is_clear(&ask))
             && self.up_to_date(&ask)
             && self.yields_to(&from, &ask);
@@ -113,7 +120,8 @@
             self.follow(now_ms, ask.term, None);
         }
         let free = self.voted.is_none() || self.voted == Some(from.id);
-        let granted = ask.term == self.term && free && self.up_to_date(&ask);
+        let granted =
+            ask.term == self.term && free && !self.is_disk_stalled() && self.up_to_date(&ask);
         if granted {
             self.voted = Some(from.id);
             self.write_hard();
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,6 +1,7 @@
 #![doc = include_str!("../README.md")]
 
 mod clear;
+mod disk_health;
 mod election;
 mod handover;
 mod log;
@@ -53,6 +54,7 @@
     freed: bool,
     /// The present candidacy follows a round in which nobody led.
     clear: bool,
+    disk: disk_health::DiskHealth,
     random: u64,
     /// Voters that the log grows to while learners stand ready.
     voters: usize,
@@ -92,6 +94,7 @@
             free: BTreeSet::new(),
             freed: false,
             clear: false,
+            disk: disk_health::DiskHealth::new(now_ms),
             random: seed | 1,
             voters: VOTERS,
             effects: Vec::new(),
@@ -106,6 +109,7 @@
     }
 
     pub fn handle(&mut self, now_ms: u64, input: Input) -> Vec<Effect> {
+        self.disk.at(now_ms);
         match input {
             Input::Pulse => self.pulse(now_ms),
             Input::Synced(sequence) => self.on_synced(sequence),
@@ -142,6 +146,7 @@
     }
 
     fn pulse(&mut self, now_ms: u64) {
+        self.yield_pulse(now_ms);
         match self.role {
             Role::Leader => self.leader_pulse(now_ms),
             _ if now_ms >= self.election_due_ms && self.log.is_member(self.id) => {
@@ -153,6 +158,7 @@
 
     fn on_synced(&mut self, sequence: u64) {
         self.synced = self.synced.max(sequence);
+        self.disk.synced(sequence);
         while let Some((wrote, last)) = self.appended.front().copied() {
             if wrote > self.synced {
                 break;
@@ -183,6 +189,7 @@
 
     fn write(&mut self, write: Write) {
         self.sequence += 1;
+        self.disk.issued(self.sequence, matches!(write, Write::Slot { .. }));
         self.effects.push(Effect::Write { sequence: self.sequence, write });
     }
 
--- a/crates/controller/src/handover.rs
+++ b/crates/controller/src/handover.rs
@@ -15,6 +15,15 @@
     pub asked_ms: Vec<u64>,
 }
 
+/// Why a controller hands over.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Reason {
+    /// Its process is to end.
+    Stopping,
+    /// Its disk keeps every promise waiting.
+    DiskStalled,
+}
+
 pub(crate) struct Handed {
     pub at_ms: u64,
     pub note: Note,
@@ -26,20 +35,31 @@
         self.hand_over_pulse(now_ms);
     }
 
-    /// About to end, with nothing begun that is still open: nothing new is begun either.
+    /// Why this controller is to give its hold to another, if it is.
+    fn handover_reason(&self) -> Option<Reason> {
+        match (self.stopping, self.consensus.should_yield()) {
+            (true, _) => Some(Reason::Stopping),
+            (_, true) => Some(Reason::DiskStalled),
+            _ => None,
+        }
+    }
+
+    /// About to hand over, with nothing begun that is still open: nothing new is begun either.
     pub(crate) fn is_leaving(&self) -> bool {
-        self.stopping && !self.is_open()
+        self.handover_reason().is_some() && !self.is_open()
     }
 
-    /// A controller about to end lets what it began commit, then gives its hold to another.
+    /// A controller about to hand over lets what it began commit, then gives its hold to another.
     pub(crate) fn hand_over_pulse(&mut self, now_ms: u64) {
-        let Some(lead) = self.lead.as_ref().filter(|lead| lead.ready && self.stopping) else {
-            return;
-        };
+        let Some(reason) = self.handover_reason() else { return };
+        let Some(lead) = self.lead.as_ref().filter(|lead| lead.ready) else { return };
         if lead.open.is_some() || self.consensus.commit() < self.consensus.last() {
             return;
         }
         let note = rmp_serde::to_vec(&lead.walk.note(now_ms)).unwrap_or_default();
+        if reason == Reason::DiskStalled {
+            self.say("hands over: its disk is stalled".into());
+        }
         self.log(now_ms, postbarrow_consensus::Input::HandOver(note));
     }
 
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -36,7 +36,7 @@
     FreezeTarget,
     DrainTarget,
     PassAddress,
-    /// A control machine's disk is in trouble, and its process ends of it.
+    /// A control machine's disk is in trouble; a full or stalled one leaves the process alive.
     Disk(DiskTrouble),
     /// Every sync takes 10 to 50 ms.
     SlowDisks,
@@ -55,7 +55,7 @@
     Heal,
 }
 
-pub const ALL: [Fault; 38] = [
+pub const ALL: [Fault; 39] = [
     Fault::KillControl,
     Fault::PowerLoss,
     Fault::PowerLossOfAll,
@@ -79,6 +79,7 @@
     Fault::Disk(DiskTrouble::SyncFails),
     Fault::Disk(DiskTrouble::WriteFails),
     Fault::Disk(DiskTrouble::Full),
+    Fault::Disk(DiskTrouble::Stalls),
     Fault::SlowDisks,
     Fault::FreezeAt(Stage::Arrived),
     Fault::FreezeAt(Stage::Connected),
--- a/crates/simulation/tests/failures.rs
+++ b/crates/simulation/tests/failures.rs
@@ -48,6 +48,7 @@
     a_sync_fails: Fault::Disk(DiskTrouble::SyncFails),
     a_write_fails_halfway: Fault::Disk(DiskTrouble::WriteFails),
     a_disk_is_full: Fault::Disk(DiskTrouble::Full),
+    a_disk_stalls: Fault::Disk(DiskTrouble::Stalls),
     every_sync_is_slow: Fault::SlowDisks,
     a_node_freezes_before_it_reads_an_ask: Fault::FreezeAt(Stage::Arrived),
     a_node_freezes_before_it_asks_for_a_ticket: Fault::FreezeAt(Stage::Connected),
