--- a/crates/consensus/src/fingerprint.rs
+++ b/crates/consensus/src/fingerprint.rs
@@ -51,6 +51,7 @@
         for known in self.progress.values() {
             known.fingerprint(moment, into);
         }
+        self.disk.fingerprint(self.synced, moment, into);
         self.fingerprint_writes(moment, into);
     }
 
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,6 +1,7 @@
 #![doc = include_str!("../README.md")]
 
 mod clear;
+mod disk_health;
 mod election;
 mod fingerprint;
 mod flight;
@@ -60,6 +61,7 @@
     freed: bool,
     /// The present candidacy follows a round in which nobody led.
     clear: bool,
+    disk: disk_health::DiskHealth,
     random: u64,
     /// Voters that the log grows to while learners stand ready.
     voters: usize,
@@ -106,6 +108,7 @@
             free: BTreeSet::new(),
             freed: false,
             clear: false,
+            disk: disk_health::DiskHealth::new(now_ms),
             random: seed | 1,
             voters: VOTERS,
             voter_dead_ms: VOTER_DEAD_MS,
@@ -130,6 +133,7 @@
     }
 
     pub fn handle(&mut self, now_ms: u64, input: Input) -> Vec<Effect> {
+        self.disk.at(now_ms);
         match input {
             Input::Pulse => self.pulse(now_ms),
             Input::Synced(sequence) => self.on_synced(sequence),
@@ -171,6 +175,7 @@
 
     fn pulse(&mut self, now_ms: u64) {
         self.leave_pulse(now_ms);
+        self.yield_pulse(now_ms);
         match self.role {
             Role::Leader => {
                 self.leader_pulse(now_ms);
@@ -186,6 +191,7 @@
 
     fn on_synced(&mut self, sequence: u64) {
         self.synced = self.synced.max(sequence);
+        self.disk.synced(sequence);
         while let Some((wrote, last)) = self.appended.front().copied() {
             if wrote > self.synced {
                 break;
@@ -216,6 +222,7 @@
 
     fn write(&mut self, write: Write) {
         self.sequence += 1;
+        self.disk.issued(self.sequence, matches!(write, Write::Slot { .. }));
         self.effects.push(Effect::Write { sequence: self.sequence, write });
     }
 
--- a/crates/simulation/tests/failures.rs
+++ b/crates/simulation/tests/failures.rs
@@ -48,6 +48,7 @@
     a_sync_fails: Fault::Disk(DiskTrouble::SyncFails),
     a_write_fails_halfway: Fault::Disk(DiskTrouble::WriteFails),
     a_disk_is_full: Fault::Disk(DiskTrouble::Full),
+    a_disk_stalls: Fault::Disk(DiskTrouble::Stalls),
     every_sync_is_slow: Fault::SlowDisks,
     a_node_freezes_before_it_reads_an_ask: Fault::FreezeAt(Stage::Arrived),
     a_node_freezes_before_it_asks_for_a_ticket: Fault::FreezeAt(Stage::Connected),
@@ -70,6 +71,15 @@
     assert_eq!(NAMED, ALL);
 }
 
+/// A full disk costs a member its vote until there is space, and never its process.
+#[test]
+fn no_process_ends_because_its_disk_is_full() {
+    for seed in 1..=3 {
+        let ended = check("full", &Scenario::new(seed, &[Fault::Disk(DiskTrouble::Full)], 4));
+        assert_eq!(ended.disk_failures, 0, "seed {seed}");
+    }
+}
+
 #[test]
 fn all_three_seed_machines_are_swapped_and_old_seeds_still_lead_in() {
     for seed in 1..=3 {
