--- a/crates/consensus/src/clear.rs
+++ b/crates/consensus/src/clear.rs
@@ -2,15 +2,15 @@
 use postbarrow_constants::consensus::{ELECTION_MIN_MS, WHO_MS};
 
 /// A hold is only in the memory of who leads. So when every member says in one round that it does
-/// not lead, no hold is left, and nobody need wait for its end: after all have restarted at once,
+/// not lead, no lease is left, and nobody need wait for its end: after all have restarted at once,
 /// or the leader alone.
 ///
 /// Rounds are numbered from a random begin in each life, so that no answer to an earlier life counts.
 /// Whoever comes to lead after its answer begins its term with an entry that the asker lacks, and
-/// those that confirm its hold have that entry and give the asker no vote.
+/// those that confirm its lease have that entry and give the asker no vote.
 impl Consensus {
     /// One that just started and knows of no leader asks all others, round after round.
-    pub(crate) fn who_pulse(&mut self, now_ms: u64) {
+    pub(crate) fn who_tick(&mut self, now_ms: u64) {
         let waits = self.role == Role::Follower
             && self.leader.is_none()
             && now_ms < self.started_ms + ELECTION_MIN_MS
--- a/crates/consensus/src/disk_health.rs
+++ b/crates/consensus/src/disk_health.rs
@@ -9,8 +9,8 @@
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
 
-/// Two pulses further apart than this mean that the process itself stood still.
-const STOOD_STILL_MS: u64 = 5 * PULSE_MS;
+/// Two ticks further apart than this mean that the process itself stood still.
+const STOOD_STILL_MS: u64 = 5 * TICK_MS;
 
 /// The writes that wait for their sync, by age.
 #[derive(Clone, Debug)]
@@ -85,7 +85,7 @@
     }
 
     /// A leader whose handover led to nothing steps down, so that the others hold an election.
-    pub(crate) fn yield_pulse(&mut self, now_ms: u64) {
+    pub(crate) fn yield_tick(&mut self, now_ms: u64) {
         if self.role != Role::Leader {
             self.disk.yields_since_ms = None;
             return;
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -58,7 +58,7 @@
 
     /// A voter that heard a leader lately, or just started and may have, promises nothing.
     fn bound_to_leader(&self, now_ms: u64) -> bool {
-        let leading = self.role == Role::Leader && now_ms < self.hold_until();
+        let leading = self.role == Role::Leader && now_ms < self.lease_until();
         leading || now_ms < self.heard_ms.max(self.started_ms) + ELECTION_MIN_MS
     }
 
@@ -192,8 +192,8 @@
         self.append_own(now_ms, vec![Payload::TermStart]);
     }
 
-    /// End of the hold a majority confirmed, by this leader's own send times.
-    pub fn hold_until(&self) -> u64 {
+    /// End of the lease a majority confirmed, by this leader's own send times.
+    pub fn lease_until(&self) -> u64 {
         if self.role != Role::Leader || self.handing {
             return 0;
         }
@@ -210,7 +210,7 @@
             None => u64::MAX,
             Some(at) => match echoes.get(at) {
                 Some(0) | None => 0,
-                Some(echo_ms) => echo_ms + CONTROLLER_HOLD_MS,
+                Some(echo_ms) => echo_ms + LEADER_LEASE_MS,
             },
         }
     }
--- a/crates/consensus/src/handover.rs
+++ b/crates/consensus/src/handover.rs
@@ -1,4 +1,4 @@
-//! A leader gives up its hold and lets a caught-up follower lead at once.
+//! A leader gives up its lease and lets a caught-up follower lead at once.
 
 use crate::*;
 
--- a/crates/consensus/src/leaving.rs
+++ b/crates/consensus/src/leaving.rs
@@ -36,7 +36,7 @@
             true => Leave::Announced,
             false => Leave::Done,
         };
-        self.leave_pulse(now_ms);
+        self.leave_tick(now_ms);
     }
 
     /// Asked to stop, and nothing rests on this member any more.
@@ -44,7 +44,7 @@
         self.leave == Leave::Done
     }
 
-    pub(crate) fn leave_pulse(&mut self, now_ms: u64) {
+    pub(crate) fn leave_tick(&mut self, now_ms: u64) {
         if let Leave::Sealed { since_ms } = self.leave
             && now_ms > since_ms + HEARD_LATELY_MS
         {
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -41,7 +41,7 @@
     learners: BTreeMap<MemberId, Member>,
     beat_due_ms: u64,
     term_start: u64,
-    /// This leader's hold is given up for the rest of its term.
+    /// This leader's lease is given up for the rest of its term.
     handing: bool,
     /// Least difference seen between this clock and the leader's.
     leader_offset_ms: Option<i64>,
@@ -135,7 +135,7 @@
     pub fn handle(&mut self, now_ms: u64, input: Input) -> Vec<Effect> {
         self.disk.at(now_ms);
         match input {
-            Input::Pulse => self.pulse(now_ms),
+            Input::Tick => self.tick(now_ms),
             Input::Synced(sequence) => self.on_synced(sequence),
             Input::Receive { from, message } => self.receive(now_ms, from, message),
             Input::Propose(batches) => self.propose(now_ms, batches),
@@ -173,19 +173,19 @@
         }
     }
 
-    fn pulse(&mut self, now_ms: u64) {
-        self.leave_pulse(now_ms);
-        self.yield_pulse(now_ms);
+    fn tick(&mut self, now_ms: u64) {
+        self.leave_tick(now_ms);
+        self.yield_tick(now_ms);
         match self.role {
             Role::Leader => {
-                self.leader_pulse(now_ms);
+                self.leader_tick(now_ms);
                 self.change_members(now_ms);
                 self.answer_leavers(now_ms);
             }
             _ if now_ms >= self.election_due_ms && self.log.is_member(self.id) => {
                 self.start_pre_vote(now_ms, false)
             }
-            _ => self.who_pulse(now_ms),
+            _ => self.who_tick(now_ms),
         }
     }
 
--- a/crates/consensus/src/replicate.rs
+++ b/crates/consensus/src/replicate.rs
@@ -23,8 +23,8 @@
         self.advance_commit();
     }
 
-    pub(crate) fn leader_pulse(&mut self, now_ms: u64) {
-        let silent = self.hold_until().saturating_add(ELECTION_MIN_MS) < now_ms;
+    pub(crate) fn leader_tick(&mut self, now_ms: u64) {
+        let silent = self.lease_until().saturating_add(ELECTION_MIN_MS) < now_ms;
         let settled = self.progress.values().all(|known| known.heard_ms + ELECTION_MIN_MS < now_ms);
         if silent && settled && !self.progress.is_empty() {
             return self.follow(now_ms, self.term, None);
--- a/crates/consensus/src/types.rs
+++ b/crates/consensus/src/types.rs
@@ -72,7 +72,7 @@
     pub term: u64,
     pub last: u64,
     pub last_term: u64,
-    /// The leader itself gave up its hold for this one.
+    /// The leader itself gave up its lease for this one.
     pub handed: bool,
     /// In one round every member said that it does not lead.
     #[serde(default)]
@@ -125,7 +125,7 @@
     pub offset: u64,
 }
 
-/// A leader that has given up its hold for good asks a follower to lead at once.
+/// A leader that has given up its lease for good asks a follower to lead at once.
 #[derive(Clone, Debug, Hash, Serialize, Deserialize)]
 pub struct TakeOver {
     pub term: u64,
@@ -179,7 +179,7 @@
 
 #[derive(Clone, Debug)]
 pub enum Input {
-    Pulse,
+    Tick,
     Synced(u64),
     Receive {
         from: Member,
@@ -192,7 +192,7 @@
         index: u64,
         state: Vec<u8>,
     },
-    /// Give up the hold, and let a caught-up follower lead; it is given the note.
+    /// Give up the lease, and let a caught-up follower lead; it is given the note.
     HandOver(Vec<u8>),
     /// This member is asked to stop: it gives up its seat if a learner stands ready.
     Leave,
--- a/crates/consensus/tests/cluster/mod.rs
+++ b/crates/consensus/tests/cluster/mod.rs
@@ -11,7 +11,7 @@
 
 pub const MEMBERS: u64 = 3;
 const LINK_DELAY_US: u64 = 500;
-const PULSE_US: u64 = 20_000;
+const TICK_US: u64 = 20_000;
 
 pub fn member(id: u64) -> Member {
     Member { id, address: format!("10.0.0.{id}:1").parse().unwrap() }
@@ -23,7 +23,7 @@
 enum Event {
     Deliver { from: u64, to: u64, message: Message },
     Synced { at: u64, life: u64, sequence: u64, writes: Vec<Write> },
-    Pulse { at: u64, life: u64 },
+    Tick { at: u64, life: u64 },
 }
 
 #[derive(Default)]
@@ -119,7 +119,7 @@
         machine.applied = Applied::decode(&state);
         machine.node = Some(Consensus::new(id, durable, id, now_ms));
         let life = machine.life;
-        self.after(0, Event::Pulse { at: id, life });
+        self.after(0, Event::Tick { at: id, life });
     }
 
     /// Its process and all that was not synced goes.
@@ -169,9 +169,9 @@
 
     fn step(&mut self, event: Event) {
         match event {
-            Event::Pulse { at, life } if self.machines[&at].life == life => {
-                self.give(at, Input::Pulse);
-                self.after(PULSE_US, Event::Pulse { at, life });
+            Event::Tick { at, life } if self.machines[&at].life == life => {
+                self.give(at, Input::Tick);
+                self.after(TICK_US, Event::Tick { at, life });
             }
             Event::Synced { at, life, sequence, writes } if self.machines[&at].life == life => {
                 let machine = self.machines.get_mut(&at).expect("a member");
@@ -185,7 +185,7 @@
                 self.hear(to, &message);
                 self.give(to, Input::Receive { from: member(from), message });
             }
-            Event::Pulse { .. } | Event::Synced { .. } => {}
+            Event::Tick { .. } | Event::Synced { .. } => {}
         }
     }
 
--- a/crates/consensus/tests/disk_health.rs
+++ b/crates/consensus/tests/disk_health.rs
@@ -26,8 +26,8 @@
         let made = |id| Consensus::new(id, recovered.clone(), 7 + id, 1_000);
         let nodes = (1..=3).map(made).collect();
         let mut three = Three { nodes, now_ms: 10_000, stalled: None, waiting: vec![], votes: 0 };
-        three.give(1, Input::Pulse);
-        three.pulse(100);
+        three.give(1, Input::Tick);
+        three.tick(100);
         assert_eq!(three.node(1).role(), Role::Leader);
         three
     }
@@ -64,10 +64,10 @@
         }
     }
 
-    fn pulse(&mut self, for_ms: u64) {
-        for _ in 0..for_ms / PULSE_MS {
-            self.now_ms += PULSE_MS;
-            (1..=3).for_each(|id| self.give(id, Input::Pulse));
+    fn tick(&mut self, for_ms: u64) {
+        for _ in 0..for_ms / TICK_MS {
+            self.now_ms += TICK_MS;
+            (1..=3).for_each(|id| self.give(id, Input::Tick));
         }
     }
 
@@ -93,13 +93,13 @@
 fn a_slow_disk_is_not_a_stalled_one() {
     let mut three = Three::led_by_one();
     three.stall(1);
-    three.pulse(DISK_STALL_MS - PULSE_MS);
+    three.tick(DISK_STALL_MS - TICK_MS);
     assert!(!three.node(1).is_disk_stalled());
     three.heal();
     three.stall(1);
-    three.pulse(DISK_STALL_MS - PULSE_MS);
+    three.tick(DISK_STALL_MS - TICK_MS);
     assert!(!three.node(1).is_disk_stalled(), "the age of a synced write counts no longer");
-    three.pulse(3 * PULSE_MS);
+    three.tick(3 * TICK_MS);
     assert!(three.node(1).is_disk_stalled() && three.node(1).should_yield());
     three.heal();
     assert!(!three.node(1).is_disk_stalled());
@@ -110,7 +110,7 @@
     let mut three = Three::led_by_one();
     three.stall(1);
     three.now_ms += 10 * DISK_STALL_MS;
-    three.give(1, Input::Pulse);
+    three.give(1, Input::Tick);
     assert!(!three.node(1).is_disk_stalled());
 }
 
@@ -119,13 +119,13 @@
     let mut three = Three::led_by_one();
     three.stall(1);
     let last = three.node(1).last();
-    three.pulse(DISK_STALL_MS + DISK_YIELD_MS + ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS);
+    three.tick(DISK_STALL_MS + DISK_YIELD_MS + ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS);
     assert!(three.node(1).commit() >= last, "the two others are a majority");
     let leader = three.leader();
     assert!(matches!(leader, Some(2 | 3)), "{leader:?} leads");
     assert_eq!(three.votes, 0, "the stalled one took part in an election");
     three.heal();
-    three.pulse(2 * ELECTION_MIN_MS);
+    three.tick(2 * ELECTION_MIN_MS);
     assert_eq!(three.leader(), leader, "a disk that came back deposes nobody");
     assert_eq!(three.node(1).role(), Role::Follower);
     assert_eq!(three.node(1).commit(), three.node(leader.unwrap()).commit());
@@ -135,7 +135,7 @@
 fn a_handover_from_a_stalled_disk_needs_no_time_to_pass() {
     let mut three = Three::led_by_one();
     three.stall(1);
-    three.pulse(DISK_STALL_MS + 2 * PULSE_MS);
+    three.tick(DISK_STALL_MS + 2 * TICK_MS);
     assert!(three.node(1).should_yield());
     three.give(1, Input::HandOver(Vec::new()));
     assert!(matches!(three.leader(), Some(2 | 3)));
@@ -146,19 +146,19 @@
 fn a_handover_that_leads_nowhere_ends_in_an_election() {
     let mut three = Three::led_by_one();
     three.stall(1);
-    three.pulse(DISK_STALL_MS + 2 * PULSE_MS);
+    three.tick(DISK_STALL_MS + 2 * TICK_MS);
     let _lost = three.nodes[0].handle(three.now_ms, Input::HandOver(Vec::new()));
     three.heal();
-    three.pulse(DISK_YIELD_MS + ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS);
+    three.tick(DISK_YIELD_MS + ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS);
     let leader = three.leader().expect("somebody leads");
-    assert!(three.node(leader).hold_until() > three.now_ms, "its hold was given up for good");
+    assert!(three.node(leader).lease_until() > three.now_ms, "its hold was given up for good");
 }
 
 #[test]
 fn a_follower_whose_disk_is_stalled_neither_votes_nor_stands() {
     let mut three = Three::led_by_one();
     three.stall(3);
-    three.pulse(DISK_STALL_MS + 2 * PULSE_MS);
+    three.tick(DISK_STALL_MS + 2 * TICK_MS);
     assert!(three.node(3).is_disk_stalled());
     assert_eq!(three.leader(), Some(1), "it costs nobody else anything");
     let (term, last) = (three.node(3).term() + 5, three.node(3).last() + 5);
@@ -177,9 +177,9 @@
             assert!(effects.iter().find(grants).is_none(), "{effects:?}");
         }
     }
-    for _ in 0..2 * ELECTION_MIN_MS / PULSE_MS {
-        three.now_ms += PULSE_MS;
-        let effects = three.nodes[2].handle(three.now_ms, Input::Pulse);
+    for _ in 0..2 * ELECTION_MIN_MS / TICK_MS {
+        three.now_ms += TICK_MS;
+        let effects = three.nodes[2].handle(three.now_ms, Input::Tick);
         assert!(effects.is_empty(), "it stands for election: {effects:?}");
     }
 }
@@ -188,7 +188,7 @@
 fn a_follower_whose_disk_is_stalled_takes_no_lead_that_it_is_handed() {
     let mut three = Three::led_by_one();
     three.stall(3);
-    three.pulse(DISK_STALL_MS + 2 * PULSE_MS);
+    three.tick(DISK_STALL_MS + 2 * TICK_MS);
     let term = three.node(1).term();
     let ask = TakeOver { term, sent_ms: three.now_ms, note: Vec::new() };
     three.give(3, Input::Receive { from: member(1), message: Message::TakeOver(ask) });
@@ -200,9 +200,9 @@
 fn nobody_steps_down_for_followers_that_are_silent() {
     let mut three = Three::led_by_one();
     three.stall(1);
-    for _ in 0..(DISK_STALL_MS + 2 * PULSE_MS) / PULSE_MS {
-        three.now_ms += PULSE_MS;
-        let _lost = three.nodes[0].handle(three.now_ms, Input::Pulse);
+    for _ in 0..(DISK_STALL_MS + 2 * TICK_MS) / TICK_MS {
+        three.now_ms += TICK_MS;
+        let _lost = three.nodes[0].handle(three.now_ms, Input::Tick);
     }
     assert!(three.node(1).is_disk_stalled() && !three.node(1).should_yield());
 }
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -34,13 +34,13 @@
 /// After the start of all: rounds of who leads, and elections by them.
 #[test]
 fn rounds_of_who_leads() {
-    let left = Bounds { pulses: 3, delays: 2, ..Bounds::default() };
+    let left = Bounds { ticks: 3, delays: 2, ..Bounds::default() };
     model("rounds", rules()).search(Prepared::started().with(left));
 }
 
 #[test]
 fn rounds_of_who_leads_with_restarts() {
-    let left = Bounds { pulses: 3, delays: 1, crashes: 1, freezes: 1, ..Bounds::default() };
+    let left = Bounds { ticks: 3, delays: 1, crashes: 1, freezes: 1, ..Bounds::default() };
     wide("rounds, restart, freeze", rules()).search(Prepared::started().with(left));
 }
 
@@ -48,9 +48,9 @@
 #[test]
 fn rounds_during_an_election() {
     let mut begun = Prepared::started();
-    begun.act(Action::Pulse(2));
+    begun.act(Action::Tick(2));
     begun.settle_but(|message| matches!(message, Message::VoteResponse { .. }));
-    let left = Bounds { pulses: 1, delays: 1, crashes: 1, freezes: 1, ..Bounds::default() };
+    let left = Bounds { ticks: 1, delays: 1, crashes: 1, freezes: 1, ..Bounds::default() };
     wide("rounds during an election", rules()).search(begun.with(left));
 }
 
@@ -59,10 +59,10 @@
 #[test]
 fn rounds_with_answers_to_an_earlier_life() {
     let mut begun = Prepared::started();
-    begun.act(Action::Pulse(2));
+    begun.act(Action::Tick(2));
     begun.settle_but(|message| matches!(message, Message::WhoResponse { .. }));
-    begun.act(Action::Pulse(0)).settle().act(Action::Crash(2));
-    let left = Bounds { pulses: 2, delays: 1, crashes: 1, freezes: 1, ..Bounds::default() };
+    begun.act(Action::Tick(0)).settle().act(Action::Crash(2));
+    let left = Bounds { ticks: 2, delays: 1, crashes: 1, freezes: 1, ..Bounds::default() };
     model("earlier life", rules()).search(begun.with(left));
 }
 
@@ -70,16 +70,15 @@
 #[test]
 fn rounds_under_a_lease() {
     let left =
-        Bounds { pulses: 3, delays: 2, crashes: 2, lost_disks: 1, freezes: 1, ..Bounds::default() };
+        Bounds { ticks: 3, delays: 2, crashes: 2, lost_disks: 1, freezes: 1, ..Bounds::default() };
     wide("rounds under a lease", rules()).search(Prepared::led().with(left));
 }
 
 #[test]
 fn elections_under_a_lease() {
     let left =
-        Bounds { pulses: 4, advances: 3, cuts: 1, delays: 2, crashes: 1, ..Bounds::default() };
-    let steps_ms =
-        vec![CONTROLLER_HOLD_MS, ELECTION_MIN_MS - CONTROLLER_HOLD_MS, ELECTION_SPREAD_MS];
+        Bounds { ticks: 4, advances: 3, cuts: 1, delays: 2, crashes: 1, ..Bounds::default() };
+    let steps_ms = vec![LEADER_LEASE_MS, ELECTION_MIN_MS - LEADER_LEASE_MS, ELECTION_SPREAD_MS];
     let rules = Rules { steps_ms, ..rules() };
     wide("cuts and leases", rules).search(Prepared::led().with(left));
 }
@@ -87,7 +86,7 @@
 #[test]
 fn proposals_and_truncation() {
     let left = Bounds {
-        pulses: 3,
+        ticks: 3,
         advances: 1,
         proposals: 2,
         cuts: 1,
@@ -102,7 +101,7 @@
 
 #[test]
 fn votes_and_syncs() {
-    let left = Bounds { pulses: 3, crashes: 1, delays: 1, slow_disks: 1, ..Bounds::default() };
+    let left = Bounds { ticks: 3, crashes: 1, delays: 1, slow_disks: 1, ..Bounds::default() };
     let mut begun = Prepared::started();
     begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
     wide("votes and syncs", rules()).search(begun.with(left));
@@ -112,7 +111,7 @@
 /// stand in the same term.
 fn two_candidates() -> Prepared {
     let mut begun = Prepared::started();
-    begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS)).act(Action::Pulse(1));
+    begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS)).act(Action::Tick(1));
     begun.settle_but(|message| matches!(message, Message::PreVoteResponse { .. }));
     begun.act(Action::Part(Apart { at: 1, frozen: true }));
     begun.act(Action::Advance(ELECTION_SPREAD_MS));
@@ -121,13 +120,13 @@
 
 #[test]
 fn two_candidates_and_a_restart() {
-    let left = Bounds { pulses: 1, advances: 1, delays: 1, crashes: 1, ..Bounds::default() };
+    let left = Bounds { ticks: 1, advances: 1, delays: 1, crashes: 1, ..Bounds::default() };
     model("two candidates, restart", rules()).search(two_candidates().with(left));
 }
 
 #[test]
 fn two_candidates_and_a_slow_disk() {
-    let left = Bounds { pulses: 1, advances: 1, slow_disks: 1, crashes: 1, ..Bounds::default() };
+    let left = Bounds { ticks: 1, advances: 1, slow_disks: 1, crashes: 1, ..Bounds::default() };
     model("two candidates, slow disk", rules()).search(two_candidates().with(left));
 }
 
@@ -135,11 +134,11 @@
 #[test]
 fn a_leader_wakes_and_gets_late_answers() {
     let mut begun = Prepared::led();
-    begun.act(Action::Advance(HEARTBEAT_MS)).act(Action::Pulse(0));
+    begun.act(Action::Advance(HEARTBEAT_MS)).act(Action::Tick(0));
     begun.settle_but(|message| matches!(message, Message::AppendResponse(_)));
     begun.act(Action::Part(Apart { at: 0, frozen: true }));
     begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
-    let left = Bounds { pulses: 2, advances: 1, crashes: 1, proposals: 1, ..Bounds::default() };
+    let left = Bounds { ticks: 2, advances: 1, crashes: 1, proposals: 1, ..Bounds::default() };
     let rules = Rules { steps_ms: vec![HEARTBEAT_MS], ..rules() };
     model("late answers", rules).search(begun.with(left));
 }
@@ -149,9 +148,9 @@
 fn a_voter_keeps_its_promise() {
     let mut begun = Prepared::led();
     begun.act(Action::Part(Apart { at: 2, frozen: false }));
-    begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS)).act(Action::Pulse(0));
+    begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS)).act(Action::Tick(0));
     begun.settle().act(Action::Join);
-    let left = Bounds { pulses: 2, crashes: 2, freezes: 1, delays: 1, ..Bounds::default() };
+    let left = Bounds { ticks: 2, crashes: 2, freezes: 1, delays: 1, ..Bounds::default() };
     model("promise", rules()).search(begun.with(left));
 }
 
@@ -160,10 +159,10 @@
 fn an_entry_of_an_old_term_is_overwritten() {
     let mut begun = Prepared::led();
     begun.act(Action::Part(Apart { at: 0, frozen: false })).act(Action::Propose(0)).settle();
-    begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS)).act(Action::Pulse(1));
+    begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS)).act(Action::Tick(1));
     begun.settle().act(Action::Join);
     let left = Bounds {
-        pulses: 2,
+        ticks: 2,
         advances: 1,
         proposals: 1,
         slow_disks: 1,
@@ -180,21 +179,21 @@
 fn an_entry_of_an_old_term_is_not_committed_by_count() {
     let mut begun = Prepared::led();
     begun.act(Action::Part(Apart { at: 0, frozen: false })).act(Action::Propose(0)).settle();
-    begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS)).act(Action::Pulse(2));
+    begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS)).act(Action::Tick(2));
     begun.settle_but(|message| matches!(message, Message::Append(_)));
     begun.world.late.clear();
     begun.act(Action::Join).act(Action::Part(Apart { at: 2, frozen: false }));
     begun.act(Action::Crash(0)).act(Action::Crash(2));
     for _ in 0..2 {
         begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
-        begun.act(Action::SlowDisk(0)).act(Action::Pulse(0)).settle();
+        begun.act(Action::SlowDisk(0)).act(Action::Tick(0)).settle();
         begun.act(Action::Sync(0)).settle();
     }
     assert_eq!(
         (begun.world.machines[0].node.role(), begun.world.machines[0].node.term()),
         (Role::Leader, 3)
     );
-    let left = Bounds { pulses: 2, advances: 2, crashes: 1, ..Bounds::default() };
+    let left = Bounds { ticks: 2, advances: 2, crashes: 1, ..Bounds::default() };
     let steps_ms = vec![ELECTION_MIN_MS + ELECTION_SPREAD_MS];
     let rules = Rules { steps_ms, ..rules() };
     model("old term", rules).search(begun.with(left));
@@ -203,7 +202,7 @@
 #[test]
 fn a_handover() {
     let left = Bounds {
-        pulses: 2,
+        ticks: 2,
         hand_overs: 1,
         proposals: 1,
         crashes: 1,
@@ -223,7 +222,7 @@
     begun.act(Action::Crash(0)).act(Action::Crash(1));
     begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
     let left = Bounds {
-        pulses: 3,
+        ticks: 3,
         advances: 2,
         compactions: 2,
         crashes: 1,
@@ -246,7 +245,7 @@
     begun.act(Action::Compact(0)).act(Action::Learner(0, 2)).beat(&[]);
     begun.act(Action::Advance(LEARNER_SETTLE_MS)).beat(&[]);
     let left = Bounds {
-        pulses: 4,
+        ticks: 4,
         advances: 3,
         crashes: 1,
         cuts: 1,
--- a/crates/consensus/tests/exhaustive/actions.rs
+++ b/crates/consensus/tests/exhaustive/actions.rs
@@ -16,7 +16,7 @@
     DeliverLate(usize),
     Part(Apart),
     Join,
-    Pulse(usize),
+    Tick(usize),
     SlowDisk(usize),
     Sync(usize),
     Crash(usize),
@@ -100,7 +100,7 @@
             return;
         }
         let leads = machine.node.role() == Role::Leader;
-        may(left.pulses > 0, Action::Pulse(at));
+        may(left.ticks > 0, Action::Tick(at));
         may(left.proposals > 0 && leads, Action::Propose(at));
         may(left.hand_overs > 0 && leads, Action::HandOver(at));
         let fresh = machine.disk.snapshot.as_ref().map_or(0, |kept| kept.index);
@@ -146,9 +146,9 @@
                 self.apart = Some(apart);
             }
             Action::Join => self.apart = None,
-            Action::Pulse(at) => {
-                left.pulses -= 1;
-                self.give(at, Input::Pulse)?;
+            Action::Tick(at) => {
+                left.ticks -= 1;
+                self.give(at, Input::Tick)?;
             }
             Action::SlowDisk(at) => {
                 left.slow_disks -= 1;
--- a/crates/consensus/tests/exhaustive/ledger.rs
+++ b/crates/consensus/tests/exhaustive/ledger.rs
@@ -73,7 +73,7 @@
 
     /// Who holds serves reads and grants targets: two at once may contradict each other.
     fn check_leases(&self) -> Result<(), String> {
-        let holds = |node: &Consensus| node.is_ready() && self.now_ms < node.hold_until();
+        let holds = |node: &Consensus| node.is_ready() && self.now_ms < node.lease_until();
         let nodes = self.machines.iter().map(|machine| &machine.node);
         let holders: Vec<MemberId> = nodes.filter(|node| holds(node)).map(Consensus::id).collect();
         match holders.len() > 1 {
--- a/crates/consensus/tests/exhaustive/prepare.rs
+++ b/crates/consensus/tests/exhaustive/prepare.rs
@@ -9,7 +9,7 @@
     Rules {
         steps_ms: vec![ELECTION_MIN_MS],
         faults_when_quiet: true,
-        horizon_ms: ELECTION_MIN_MS + CONTROLLER_HOLD_MS + ELECTION_SPREAD_MS,
+        horizon_ms: ELECTION_MIN_MS + LEADER_LEASE_MS + ELECTION_SPREAD_MS,
     }
 }
 
@@ -27,7 +27,7 @@
     learners: 9,
     slow_disks: 9,
     advances: 200,
-    pulses: 200,
+    ticks: 200,
 };
 
 pub struct Prepared {
@@ -43,7 +43,7 @@
     pub fn led() -> Prepared {
         let mut made = Prepared::started();
         made.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
-        made.act(Action::Pulse(0));
+        made.act(Action::Tick(0));
         made.settle();
         made.beat(&[]);
         assert_eq!(made.world.machines[0].node.role(), Role::Leader);
@@ -77,7 +77,7 @@
 
     /// One heartbeat of machine 0, which those machines that are cut off don't get.
     pub fn beat(&mut self, cut: &[usize]) -> &mut Self {
-        self.act(Action::Advance(HEARTBEAT_MS)).act(Action::Pulse(0));
+        self.act(Action::Advance(HEARTBEAT_MS)).act(Action::Tick(0));
         while !self.world.flights.is_empty() {
             let to = self.world.flights[0].to.id;
             let off = cut.iter().any(|at| self.world.machines[*at].node.id() == to);
--- a/crates/consensus/tests/exhaustive/search.rs
+++ b/crates/consensus/tests/exhaustive/search.rs
@@ -127,7 +127,7 @@
         Action::Part(Apart { at, frozen: false }) => format!("{now_ms} cut off {}", id(at)),
         Action::Join => format!("{now_ms} all reach each other again"),
         Action::Advance(step_ms) => format!("{now_ms} advance by {step_ms}"),
-        Action::Pulse(at)
+        Action::Tick(at)
         | Action::Sync(at)
         | Action::SlowDisk(at)
         | Action::Crash(at)
--- a/crates/consensus/tests/exhaustive/world.rs
+++ b/crates/consensus/tests/exhaustive/world.rs
@@ -34,8 +34,8 @@
     pub advances: u8,
     /// Times that a disk becomes slow: from then on each of its syncs comes late, or never.
     pub slow_disks: u8,
-    /// Pulses given to members, so that rounds and elections don't go on for ever.
-    pub pulses: u8,
+    /// Ticks given to members, so that rounds and elections don't go on for ever.
+    pub ticks: u8,
 }
 
 /// What a disk has kept through its last sync.
--- a/crates/consensus/tests/handover.rs
+++ b/crates/consensus/tests/handover.rs
@@ -20,8 +20,8 @@
         let made = |id| Consensus::new(id, recovered.clone(), 7, 1_000);
         let mut three =
             Three { nodes: (1..=3).map(made).collect(), now_ms: 10_000, handed: vec![] };
-        three.give(1, Input::Pulse);
-        three.give(1, Input::Pulse);
+        three.give(1, Input::Tick);
+        three.give(1, Input::Tick);
         assert_eq!(three.node(1).role(), Role::Leader);
         three
     }
@@ -54,16 +54,16 @@
 fn a_leader_hands_over_at_once_and_its_hold_ended_first() {
     let mut three = Three::led_by_one();
     three.now_ms += 100;
-    three.give(1, Input::Pulse);
-    assert!(three.node(1).hold_until() > three.now_ms);
+    three.give(1, Input::Tick);
+    assert!(three.node(1).lease_until() > three.now_ms);
     let asks = three.nodes[0].handle(three.now_ms, Input::HandOver(vec![9]));
-    assert_eq!(three.node(1).hold_until(), 0, "nothing is granted while another is asked to lead");
+    assert_eq!(three.node(1).lease_until(), 0, "nothing is granted while another is asked to lead");
     let Some(Effect::Send { to, message }) = asks.into_iter().next() else {
         panic!("nobody asked")
     };
     three.give(to.id, Input::Receive { from: member(1), message });
     assert_eq!(three.node(to.id).role(), Role::Leader, "without waiting for any promise to end");
-    assert!(three.node(to.id).hold_until() > three.now_ms);
+    assert!(three.node(to.id).lease_until() > three.now_ms);
     assert_eq!(three.node(1).role(), Role::Follower);
     assert_eq!(three.handed, [(to.id, vec![9])]);
 }
@@ -74,8 +74,8 @@
     let _lost = three.nodes[0].handle(three.now_ms, Input::HandOver(Vec::new()));
     for _ in 0..5 {
         three.now_ms += 100;
-        three.give(1, Input::Pulse);
-        assert_eq!(three.node(1).hold_until(), 0);
+        three.give(1, Input::Tick);
+        assert_eq!(three.node(1).lease_until(), 0);
     }
 }
 
--- a/crates/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -29,10 +29,10 @@
         bench
     }
 
-    /// One pulse, in which these answer everything they are sent and all is synced.
+    /// One tick, in which these answer everything they are sent and all is synced.
     fn pass(&mut self, answering: &[u64]) {
         self.now_ms += 20;
-        let mut effects: Vec<Effect> = self.node.handle(self.now_ms, Input::Pulse);
+        let mut effects: Vec<Effect> = self.node.handle(self.now_ms, Input::Tick);
         while !effects.is_empty() {
             let mut inputs = Vec::new();
             for effect in effects {
--- a/crates/consensus/tests/replacement/cluster.rs
+++ b/crates/consensus/tests/replacement/cluster.rs
@@ -2,7 +2,7 @@
 
 use crate::disk::{decode, encode, number, store};
 use postbarrow_consensus::*;
-use postbarrow_constants::consensus::{ELECTION_MIN_MS, GREET_MS, HAND_OVER_MS, PULSE_MS};
+use postbarrow_constants::consensus::{ELECTION_MIN_MS, GREET_MS, HAND_OVER_MS, TICK_MS};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const FRAME_MS: u64 = 1;
@@ -155,9 +155,9 @@
         let ids: Vec<MemberId> = self.machines.keys().copied().collect();
         for id in &ids {
             self.sync(*id);
-            if self.now_ms.is_multiple_of(PULSE_MS) {
-                self.give(*id, Input::Pulse);
-                self.stop_pulse(*id);
+            if self.now_ms.is_multiple_of(TICK_MS) {
+                self.give(*id, Input::Tick);
+                self.stop_tick(*id);
             }
             if self.now_ms.is_multiple_of(GREET_MS) {
                 self.greet(*id);
@@ -171,7 +171,7 @@
         }
     }
 
-    fn stop_pulse(&mut self, id: MemberId) {
+    fn stop_tick(&mut self, id: MemberId) {
         let machine = &self.machines[&id];
         let (Some(node), Some(until_ms)) = (&machine.node, machine.stop_until_ms) else { return };
         let heir = node.leader().is_some_and(|leader| leader.id != id);
--- a/crates/consensus/tests/replacement/seen.rs
+++ b/crates/consensus/tests/replacement/seen.rs
@@ -13,7 +13,7 @@
     /// The one that leads and may say so.
     pub fn leader(&self) -> Option<MemberId> {
         let holds = |id: &MemberId| {
-            self.node(*id).is_some_and(|node| node.is_ready() && node.hold_until() > self.now_ms)
+            self.node(*id).is_some_and(|node| node.is_ready() && node.lease_until() > self.now_ms)
         };
         self.machines.keys().copied().find(holds)
     }
--- a/crates/consensus/tests/votes.rs
+++ b/crates/consensus/tests/votes.rs
@@ -1,5 +1,5 @@
 use postbarrow_consensus::*;
-use postbarrow_constants::consensus::{CONTROLLER_HOLD_MS, ELECTION_MIN_MS};
+use postbarrow_constants::consensus::{ELECTION_MIN_MS, LEADER_LEASE_MS};
 use std::sync::Arc;
 
 fn member(id: u64) -> Member {
@@ -55,7 +55,7 @@
     let heard_ms = START_MS + 5_000;
     receive(&mut node, heard_ms, 2, append(1));
     let soon_ms = heard_ms + ELECTION_MIN_MS - 1;
-    assert!(soon_ms > heard_ms + CONTROLLER_HOLD_MS, "the hold ends for its holder first");
+    assert!(soon_ms > heard_ms + LEADER_LEASE_MS, "the hold ends for its holder first");
     let early = receive(&mut node, soon_ms, 3, Message::PreVote(ask(2)));
     assert_eq!(granted(&early), Some(false));
     let early = receive(&mut node, soon_ms, 3, Message::Vote(ask(2)));
@@ -120,15 +120,15 @@
 #[test]
 fn when_all_say_in_one_round_that_they_do_not_lead_nobody_waits_for_a_hold() {
     let mut node = voter(START_MS, Hard::default());
-    let round = asked(&node.handle(START_MS + 20, Input::Pulse)).expect("it asks at once");
+    let round = asked(&node.handle(START_MS + 20, Input::Tick)).expect("it asks at once");
     let free = |round| Message::WhoResponse { term: 0, round, free: true };
     assert!(receive(&mut node, START_MS + 21, 2, free(round)).is_empty(), "one is not all");
     let tries = receive(&mut node, START_MS + 22, 3, free(round));
     let pre = |effect: &Effect| matches!(effect, Effect::Send { message: Message::PreVote(ask), .. } if ask.clear);
     assert!(tries.iter().any(pre), "both others said so in one round");
     let mut node = voter(START_MS, Hard::default());
-    let first = asked(&node.handle(START_MS + 20, Input::Pulse)).unwrap();
-    let second = asked(&node.handle(START_MS + 120, Input::Pulse)).unwrap();
+    let first = asked(&node.handle(START_MS + 20, Input::Tick)).unwrap();
+    let second = asked(&node.handle(START_MS + 120, Input::Tick)).unwrap();
     assert!(receive(&mut node, START_MS + 121, 2, free(first)).is_empty());
     assert!(receive(&mut node, START_MS + 122, 3, free(second)).is_empty(), "two rounds");
     let leads = Message::WhoResponse { term: 0, round: second, free: false };
@@ -154,12 +154,12 @@
 #[test]
 fn an_answer_to_an_earlier_life_counts_in_no_round_of_this_one() {
     let mut before = voter(START_MS, Hard::default());
-    let earlier = asked(&before.handle(START_MS, Input::Pulse)).expect("it asks at once");
+    let earlier = asked(&before.handle(START_MS, Input::Tick)).expect("it asks at once");
     let members = (1..=3).map(member).collect();
     let snapshot = Snapshot { index: 0, term: 0, members, state: Vec::new() };
     let recovered = Recovered { snapshot: Some(Arc::new(snapshot)), ..Recovered::default() };
     let mut node = Consensus::new(1, recovered, 8, START_MS + 1);
-    let round = asked(&node.handle(START_MS + 1, Input::Pulse)).expect("it asks again");
+    let round = asked(&node.handle(START_MS + 1, Input::Tick)).expect("it asks again");
     let free = |round| Message::WhoResponse { term: 0, round, free: true };
     assert!(receive(&mut node, START_MS + 2, 2, free(round)).is_empty());
     let late = receive(&mut node, START_MS + 3, 3, free(earlier));
@@ -171,7 +171,7 @@
 #[test]
 fn an_answer_from_before_a_leader_was_heard_counts_no_more() {
     let mut node = voter(START_MS, Hard::default());
-    let round = asked(&node.handle(START_MS, Input::Pulse)).expect("it asks at once");
+    let round = asked(&node.handle(START_MS, Input::Tick)).expect("it asks at once");
     let free = |term| Message::WhoResponse { term, round, free: true };
     assert!(receive(&mut node, START_MS + 1, 3, free(0)).is_empty());
     receive(&mut node, START_MS + 2, 3, append(1));
--- a/crates/constants/src/consensus.rs
+++ b/crates/constants/src/consensus.rs
@@ -1,12 +1,12 @@
 //! Timing and sizes of the replicated log and its disk.
 
-/// How often every protocol part is given its pulse; a tenth of the heartbeat keeps error small.
-pub const PULSE_MS: u64 = 20;
+/// How often every protocol part is given its tick; a tenth of the heartbeat keeps error small.
+pub const TICK_MS: u64 = 20;
 /// Leader's heartbeat; six fit in one hold, so one lost frame costs nothing.
 pub const HEARTBEAT_MS: u64 = 75;
 /// Controller's hold, counted from when the confirmed heartbeat was sent.
-pub const CONTROLLER_HOLD_MS: u64 = 450;
-/// A voter grants nothing for this long after hearing a leader; longer than the hold by clock slack.
+pub const LEADER_LEASE_MS: u64 = 450;
+/// A voter grants nothing for this long after hearing a leader; longer than the lease by clock slack.
 pub const ELECTION_MIN_MS: u64 = 600;
 /// Spread of candidates' starts, so that three machines rarely split the vote.
 pub const ELECTION_SPREAD_MS: u64 = 300;
@@ -17,7 +17,7 @@
 /// on a link of 3.7 Mbit/s, and each frame counts as a sign of life.
 pub const APPEND_BYTES: usize = 64 * 1024;
 /// Entry or snapshot bytes that one follower has not confirmed: on a link of 3.7 Mbit/s a heartbeat
-/// waits 280 ms behind them, which is within the hold.
+/// waits 280 ms behind them, which is within the lease.
 pub const FOLLOWER_IN_FLIGHT_BYTES: u64 = 128 * 1024;
 /// Bytes of snapshot in one frame: at 0.37 Mbit/s one arrives every 350 ms, within `ELECTION_MIN_MS`.
 pub const SNAPSHOT_CHUNK_BYTES: u64 = 16 * 1024;
--- a/crates/constants/src/nodes.rs
+++ b/crates/constants/src/nodes.rs
@@ -14,7 +14,7 @@
 /// Without a controller it asks all it knows at this pace: each wait adds to the time without service.
 pub const FRESH_SEEK_MS: u64 = 50;
 /// A node serves this long after it sent the answered question, and no longer.
-pub const NODE_HOLD_MS: u64 = 1_000;
+pub const NODE_LEASE_MS: u64 = 1_000;
 /// A control node that does not answer this long is left for the next.
 pub const FRESH_WAIT_MS: u64 = 300;
 /// Children of one relay; two levels carry twelve nodes.
@@ -44,7 +44,7 @@
 pub const RING_WATCHERS: usize = 3;
 /// A node unheard by its watchers this long is suspected.
 pub const RING_SILENT_MS: u64 = 1_200;
-/// A node that neither asked the controller nor beat for this long is gone; beyond its hold and any ticket's use.
+/// A node that neither asked the controller nor beat for this long is gone; beyond its lease and any ticket's use.
 pub const NODE_GONE_MS: u64 = 3_000;
 /// Pause between two walks of the platform list.
 pub const LIST_PAUSE_MS: u64 = 50;
@@ -59,7 +59,7 @@
 pub const LIST_MISSES: u8 = 6;
 /// Gap between two questions to the list until it refuses one: eight a second.
 pub const LIST_GAP_MS: u64 = 125;
-/// Gap of a first walk, on which every node's hold waits.
+/// Gap of a first walk, on which every node's lease waits.
 pub const LIST_HURRY_MS: u64 = 20;
 /// A gap too long for the bound is tried a tenth shorter at this pace; each try may cost a refusal.
 pub const LIST_RELAX_MS: u64 = 60_000;
@@ -73,7 +73,7 @@
 pub const COMMIT_MS: u64 = 100;
 /// What the users allow from a mark to the last ask; beyond it status and log say so.
 pub const LEAVE_BOUND_MS: u64 = 2_500;
-/// A new controller grants no hold before its first whole walk, but waits no longer than this for it:
+/// A new controller grants no lease before its first whole walk, but waits no longer than this for it:
 /// a list that is out of reach must not take the service with it.
 pub const LIST_FIRST_MS: u64 = 1_500;
 /// A page is asked for again after this, or four times the slowest page of the last walk.
--- a/crates/controller/examples/snapshot_cost.rs
+++ b/crates/controller/examples/snapshot_cost.rs
@@ -1,4 +1,4 @@
-//! What a full log costs: memory, the thread that keeps the hold, one slot of a small disk, a restart.
+//! What a full log costs: memory, the thread that keeps the lease, one slot of a small disk, a restart.
 
 use postbarrow_consensus::{Hard, Member, Snapshot, Write};
 use postbarrow_constants::coordination::{KEPT_BYTES, KEPT_RESPONSE_BYTES, TICKETS};
--- a/crates/controller/src/asks.rs
+++ b/crates/controller/src/asks.rs
@@ -4,11 +4,11 @@
 use postbarrow_messages::{Ask, Response};
 
 impl ControlNode {
-    /// The one gate of all questions. Without the hold nothing is answered from committed state,
+    /// The one gate of all questions. Without the lease nothing is answered from committed state,
     /// which another leader may have changed, and nothing is written: so "not the controller"
     /// always says that this question did nothing here.
     pub(crate) fn on_ask(&mut self, now_ms: u64, origin: Origin, ask: Ask) {
-        if !self.holds(now_ms) || self.is_leaving() {
+        if !self.has_lease(now_ms) || self.is_leaving() {
             let controller = self.consensus.leader().map(|leader| leader.address);
             let controller = controller.filter(|address| *address != self.own.address);
             return self.respond(origin, Response::NotController { controller });
--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -50,7 +50,7 @@
     }
 
     /// Ends locks whose time is up. A controller that stood still gives its holders that time back.
-    pub(crate) fn lock_pulse(&mut self, now_ms: u64, gap_ms: u64) {
+    pub(crate) fn lock_tick(&mut self, now_ms: u64, gap_ms: u64) {
         let open = self.is_open();
         let Some(lead) = &mut self.lead else { return };
         if gap_ms > HEARTBEAT_MS {
--- a/crates/controller/src/commit.rs
+++ b/crates/controller/src/commit.rs
@@ -70,8 +70,8 @@
     }
 
     /// Between transactions only: a snapshot carries no markers. So it is due after each entry, not
-    /// at pulses: while plan follows plan, a transaction is open at nearly every pulse. It is
-    /// encoded elsewhere, since that takes longer than a hold can spare; each member's own bound
+    /// at ticks: while plan follows plan, a transaction is open at nearly every tick. It is
+    /// encoded elsewhere, since that takes longer than a lease can spare; each member's own bound
     /// keeps them from all writing their slots at once. One that has just started has applied
     /// nothing beyond its snapshot: what it read of the log counts on until it has.
     pub(crate) fn compact(&mut self, now_ms: u64) {
--- a/crates/controller/src/contact.rs
+++ b/crates/controller/src/contact.rs
@@ -9,7 +9,7 @@
 pub enum Contact {
     /// Not a member: the log tells it nothing of leaders, any member may know one.
     Outside,
-    /// Heard lately; it may be this node itself, while its hold lasts.
+    /// Heard lately; it may be this node itself, while its lease lasts.
     Leader(SocketAddr),
     /// A member that heard of no leader for so long, by its own clock.
     Silent { since_ms: u64 },
@@ -22,7 +22,7 @@
             return Contact::Outside;
         }
         let leader = self.consensus.leader().map(|leader| leader.address);
-        match leader.filter(|address| *address != self.own.address || self.holds(now_ms)) {
+        match leader.filter(|address| *address != self.own.address || self.has_lease(now_ms)) {
             Some(address) => Contact::Leader(address),
             None => Contact::Silent { since_ms: self.heard_ms },
         }
@@ -30,7 +30,7 @@
 
     /// Notes when a leader was heard last. Time in which this node itself stood still does not
     /// count: what it was sent meanwhile may be the next thing it reads.
-    pub(crate) fn contact_pulse(&mut self, now_ms: u64, gap_ms: u64) {
+    pub(crate) fn contact_tick(&mut self, now_ms: u64, gap_ms: u64) {
         match self.contact(now_ms) {
             Contact::Leader(leader) if leader == self.own.address => self.heard_ms = now_ms,
             Contact::Leader(_) => self.heard_ms = self.heard_ms.max(self.consensus.heard_ms()),
--- a/crates/controller/src/forget.rs
+++ b/crates/controller/src/forget.rs
@@ -21,7 +21,7 @@
     }
 
     /// Old settled tickets, repeats and events go by records, so that all replicas agree.
-    pub(crate) fn forget_pulse(&mut self, now_ms: u64) {
+    pub(crate) fn forget_tick(&mut self, now_ms: u64) {
         if self.is_open() {
             return;
         }
--- a/crates/controller/src/greet.rs
+++ b/crates/controller/src/greet.rs
@@ -61,7 +61,7 @@
 impl ControlNode {
     /// Who is new, left out or without a leader for long makes itself known; who is about to end
     /// wants no seat.
-    pub(crate) fn greet_pulse(&mut self, now_ms: u64) {
+    pub(crate) fn greet_tick(&mut self, now_ms: u64) {
         if self.consensus.leader().is_some() || self.lead.is_some() {
             self.book.leader_ms = now_ms;
         }
--- a/crates/controller/src/handover.rs
+++ b/crates/controller/src/handover.rs
@@ -35,7 +35,7 @@
     pub(crate) fn stop(&mut self, now_ms: u64) {
         self.stopping = true;
         self.log(now_ms, postbarrow_consensus::Input::Leave);
-        self.hand_over_pulse(now_ms);
+        self.hand_over_tick(now_ms);
     }
 
     /// Why this controller is to give its hold to another, if it is.
@@ -53,7 +53,7 @@
     }
 
     /// A controller about to hand over lets what it began commit, then gives its hold to another.
-    pub(crate) fn hand_over_pulse(&mut self, now_ms: u64) {
+    pub(crate) fn hand_over_tick(&mut self, now_ms: u64) {
         let Some(reason) = self.handover_reason() else { return };
         let Some(lead) = self.lead.as_ref().filter(|lead| lead.ready) else { return };
         if lead.open.is_some() || self.consensus.commit() < self.consensus.last() {
--- a/crates/controller/src/lead.rs
+++ b/crates/controller/src/lead.rs
@@ -36,8 +36,8 @@
     pub shed: u64,
     pub condition_due_ms: u64,
     pub longest_stall_ms: u64,
-    /// Since when the hold lasts without a break.
-    pub hold_since_ms: Option<u64>,
+    /// Since when the lease lasts without a break.
+    pub lease_since_ms: Option<u64>,
 }
 
 impl Lead {
@@ -64,7 +64,7 @@
             shed: 0,
             condition_due_ms: 0,
             longest_stall_ms: 0,
-            hold_since_ms: None,
+            lease_since_ms: None,
         }
     }
 }
@@ -148,16 +148,16 @@
         self.lead.as_ref().is_some_and(|lead| lead.open.is_some())
     }
 
-    pub(crate) fn lead_pulse(&mut self, now_ms: u64, gap_ms: u64) {
+    pub(crate) fn lead_tick(&mut self, now_ms: u64, gap_ms: u64) {
         if !self.is_leading() {
             return;
         }
-        self.hold_pulse(now_ms);
-        self.lock_pulse(now_ms, gap_ms);
-        self.submit_pulse(now_ms);
-        self.list_pulse(now_ms);
-        self.node_pulse(now_ms);
-        self.forget_pulse(now_ms);
-        self.watch_pulse(now_ms);
+        self.lease_tick(now_ms);
+        self.lock_tick(now_ms, gap_ms);
+        self.submit_tick(now_ms);
+        self.list_tick(now_ms);
+        self.node_tick(now_ms);
+        self.forget_tick(now_ms);
+        self.watch_tick(now_ms);
     }
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -67,7 +67,7 @@
     log_bound_bytes: u64,
     /// Since when a snapshot is being encoded.
     encoding_ms: Option<u64>,
-    last_pulse_ms: u64,
+    last_tick_ms: u64,
     /// When a leader was heard last, this node itself included.
     heard_ms: u64,
     list_gap_ms: u64,
@@ -100,7 +100,7 @@
             log_bytes,
             log_bound_bytes: LOG_BYTES + own.id % LOG_SPREAD * (LOG_BYTES / LOG_SPREAD),
             encoding_ms: None,
-            last_pulse_ms: now_ms,
+            last_tick_ms: now_ms,
             heard_ms: now_ms,
             list_gap_ms: LIST_GAP_MS,
             history_ms: HISTORY_KEEP_MS,
@@ -114,7 +114,7 @@
 
     pub fn handle(&mut self, now_ms: u64, input: Input) -> Vec<Effect> {
         match input {
-            Input::Pulse => self.pulse(now_ms),
+            Input::Tick => self.tick(now_ms),
             Input::Stop => self.stop(now_ms),
             Input::Seeds(seeds) => self.book.meet(&seeds),
             Input::Receive(envelope) => self.receive(now_ms, envelope),
@@ -155,16 +155,16 @@
         }
     }
 
-    fn pulse(&mut self, now_ms: u64) {
-        let gap_ms = now_ms.saturating_sub(self.last_pulse_ms);
-        self.last_pulse_ms = now_ms;
-        self.log(now_ms, consensus::Input::Pulse);
-        self.contact_pulse(now_ms, gap_ms);
-        self.greet_pulse(now_ms);
+    fn tick(&mut self, now_ms: u64) {
+        let gap_ms = now_ms.saturating_sub(self.last_tick_ms);
+        self.last_tick_ms = now_ms;
+        self.log(now_ms, consensus::Input::Tick);
+        self.contact_tick(now_ms, gap_ms);
+        self.greet_tick(now_ms);
         if !self.is_leaving() {
-            self.lead_pulse(now_ms, gap_ms);
+            self.lead_tick(now_ms, gap_ms);
         }
-        self.hand_over_pulse(now_ms);
+        self.hand_over_tick(now_ms);
         self.compact(now_ms);
     }
 
@@ -252,8 +252,8 @@
     pub fn is_leading(&self) -> bool {
         self.lead.as_ref().is_some_and(|lead| lead.ready)
     }
-    pub fn holds(&self, now_ms: u64) -> bool {
-        self.is_leading() && now_ms < self.consensus.hold_until()
+    pub fn has_lease(&self, now_ms: u64) -> bool {
+        self.is_leading() && now_ms < self.consensus.lease_until()
     }
     /// Images encoded for nodes so far.
     pub fn images_encoded(&self) -> u64 {
--- a/crates/controller/src/list.rs
+++ b/crates/controller/src/list.rs
@@ -19,14 +19,14 @@
 
 impl ControlNode {
     /// One duty of the controller alone: walking the platform's list.
-    pub(crate) fn list_pulse(&mut self, now_ms: u64) {
+    pub(crate) fn list_tick(&mut self, now_ms: u64) {
         self.take_held(now_ms);
-        let holds = self.holds(now_ms);
+        let leased = self.has_lease(now_ms);
         let Some(lead) = &mut self.lead else { return };
         if lead.walk.gave_up(now_ms) {
             return self.list_finding("a page never came".into());
         }
-        if holds && let Some((number, cursor)) = lead.walk.next(now_ms) {
+        if leased && let Some((number, cursor)) = lead.walk.next(now_ms) {
             self.effects.push(Effect::Fetch { number, cursor });
         }
     }
@@ -83,7 +83,7 @@
         };
         match failed {
             Some(why) => self.list_finding(why),
-            None => self.list_pulse(now_ms),
+            None => self.list_tick(now_ms),
         }
     }
 
--- a/crates/controller/src/nodes.rs
+++ b/crates/controller/src/nodes.rs
@@ -33,7 +33,7 @@
     pub(crate) fn on_fresh(&mut self, now_ms: u64, from: SocketAddr, ask: FreshAsk) {
         let members: Vec<SocketAddr> =
             self.consensus.members().iter().map(|member| member.address).collect();
-        if !self.holds(now_ms) || !self.knows_targets(now_ms) {
+        if !self.has_lease(now_ms) || !self.knows_targets(now_ms) {
             let controller = self.consensus.leader().map(|leader| leader.address);
             let controller = controller.filter(|address| *address != self.own.address);
             let fresh = Fresh::NotController { controller, members };
@@ -49,21 +49,21 @@
     /// What the list showed while nobody held must be known before any node may serve by it.
     fn knows_targets(&self, now_ms: u64) -> bool {
         let Some(lead) = &self.lead else { return false };
-        let Some(since_ms) = lead.hold_since_ms else { return false };
+        let Some(since_ms) = lead.lease_since_ms else { return false };
         lead.walk.whole_ms.is_some() || now_ms >= since_ms + LIST_FIRST_MS
     }
 
     /// A hold that is gained, or gained again, begins with nothing known: neither what the list
     /// showed meanwhile, nor which nodes asked in vain.
-    pub(crate) fn hold_pulse(&mut self, now_ms: u64) {
-        let holds = self.holds(now_ms);
-        let gained = self.lead.as_ref().is_some_and(|lead| lead.hold_since_ms.is_none());
-        let handed = if holds && gained { self.take_handed(now_ms) } else { None };
+    pub(crate) fn lease_tick(&mut self, now_ms: u64) {
+        let leased = self.has_lease(now_ms);
+        let gained = self.lead.as_ref().is_some_and(|lead| lead.lease_since_ms.is_none());
+        let handed = if leased && gained { self.take_handed(now_ms) } else { None };
         let Some(lead) = &mut self.lead else { return };
-        match (holds, lead.hold_since_ms) {
-            (false, _) => lead.hold_since_ms = None,
+        match (leased, lead.lease_since_ms) {
+            (false, _) => lead.lease_since_ms = None,
             (true, None) => {
-                lead.hold_since_ms = Some(now_ms);
+                lead.lease_since_ms = Some(now_ms);
                 lead.nodes.values_mut().for_each(|seen| seen.last_ms = now_ms);
                 match handed {
                     Some(handed) => lead.walk.take(handed),
@@ -94,7 +94,7 @@
         lead.nodes.insert(ask.node.incarnation, seen);
     }
 
-    pub(crate) fn node_pulse(&mut self, now_ms: u64) {
+    pub(crate) fn node_tick(&mut self, now_ms: u64) {
         let open = self.is_open();
         let Some(lead) = &mut self.lead else { return };
         if open || now_ms < lead.condition_due_ms {
@@ -146,10 +146,10 @@
     }
 }
 
-/// Silent here beyond its hold, and on the ring in the eyes of most of its watchers.
+/// Silent here beyond its lease, and on the ring in the eyes of most of its watchers.
 fn suspected(now_ms: u64, nodes: &BTreeMap<Incarnation, Seen>) -> Vec<Incarnation> {
     let ring: Vec<Incarnation> = nodes.keys().copied().collect();
-    let silent = nodes.iter().filter(|(_, seen)| now_ms > seen.last_ms + NODE_HOLD_MS * 3 / 2);
+    let silent = nodes.iter().filter(|(_, seen)| now_ms > seen.last_ms + NODE_LEASE_MS * 3 / 2);
     silent
         .filter(|(node, _)| {
             let watchers = watchers(**node, &ring);
--- a/crates/controller/src/reply.rs
+++ b/crates/controller/src/reply.rs
@@ -11,7 +11,7 @@
     OwnEntry,
     /// The answer rests on older entries: another leader may have changed them since, unless the
     /// hold lasts at the moment of the answer.
-    Hold,
+    Lease,
 }
 
 /// An answer that waits until the log is committed up to an offset.
@@ -28,7 +28,7 @@
     pub fn when_deposed(&self) -> Response {
         match self.cover {
             Cover::OwnEntry => Response::Lost,
-            Cover::Hold => Response::NotController { controller: None },
+            Cover::Lease => Response::NotController { controller: None },
         }
     }
 }
@@ -50,7 +50,7 @@
     /// hold.
     pub(crate) fn reply_settled(&mut self, now_ms: u64, origin: Origin, response: Response) {
         let offset = self.consensus.last();
-        self.reply(now_ms, Reply { origin, offset, cover: Cover::Hold, response });
+        self.reply(now_ms, Reply { origin, offset, cover: Cover::Lease, response });
     }
 
     fn reply(&mut self, now_ms: u64, reply: Reply) {
@@ -74,7 +74,7 @@
     }
 
     fn tell(&mut self, now_ms: u64, reply: Reply) {
-        let covered = reply.cover == Cover::OwnEntry || self.holds(now_ms);
+        let covered = reply.cover == Cover::OwnEntry || self.has_lease(now_ms);
         let response = if covered { reply.response } else { reply.when_deposed() };
         self.respond(reply.origin, response);
     }
--- a/crates/controller/src/status.rs
+++ b/crates/controller/src/status.rs
@@ -109,7 +109,7 @@
             log_end: self.consensus.last(),
             watermark: self.consensus.commit(),
             news_watermark: self.image_offset,
-            hold_left_ms: self.consensus.hold_until().saturating_sub(now_ms),
+            hold_left_ms: self.consensus.lease_until().saturating_sub(now_ms),
             version: state.plan_version().map(str::to_string),
             open_transaction: self.tail.open_name().map(str::to_string),
             open_ms: writer.and_then(|writer| writer.open_ms(now_ms)),
--- a/crates/controller/src/submit.rs
+++ b/crates/controller/src/submit.rs
@@ -152,7 +152,7 @@
         Some((self.propose_lines(now_ms, vec![abort]), open.origin))
     }
 
-    pub(crate) fn submit_pulse(&mut self, now_ms: u64) {
+    pub(crate) fn submit_tick(&mut self, now_ms: u64) {
         let writer = self.lead.as_ref().and_then(|lead| lead.writer.as_ref());
         if writer.is_some_and(|writer| writer.is_overdue(now_ms)) {
             self.abort_late(now_ms, "the transaction was open too long");
--- a/crates/controller/src/types.rs
+++ b/crates/controller/src/types.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 pub enum Input {
-    Pulse,
+    Tick,
     /// The process is to end: a controller hands over first.
     Stop,
     /// Other addresses that introduce this node.
--- a/crates/controller/src/walk/absence.rs
+++ b/crates/controller/src/walk/absence.rs
@@ -84,6 +84,6 @@
 
     /// From a mark in the list to the last ask at that target, at worst, with the list as it is.
     pub fn leave_bound_ms(&self) -> u64 {
-        self.cycle_ms + self.slowest_ms + LEAVING_WAIT_MS + COMMIT_MS + NODE_HOLD_MS
+        self.cycle_ms + self.slowest_ms + LEAVING_WAIT_MS + COMMIT_MS + NODE_LEASE_MS
     }
 }
--- a/crates/controller/src/watches.rs
+++ b/crates/controller/src/watches.rs
@@ -42,9 +42,9 @@
         }
     }
 
-    /// Events that were committed without the hold wait for it: they may be old by now.
+    /// Events that were committed without the lease wait for it: they may be old by now.
     pub(crate) fn tell_watches(&mut self, now_ms: u64) {
-        if !self.holds(now_ms) {
+        if !self.has_lease(now_ms) {
             return;
         }
         let state = self.tail.image().clone();
@@ -64,8 +64,8 @@
         }
     }
 
-    pub(crate) fn watch_pulse(&mut self, now_ms: u64) {
-        let holds = self.holds(now_ms);
+    pub(crate) fn watch_tick(&mut self, now_ms: u64) {
+        let leased = self.has_lease(now_ms);
         let state = self.tail.image().clone();
         let Some(lead) = &mut self.lead else { return };
         let (due, parked) = std::mem::take(&mut lead.parked)
@@ -73,7 +73,7 @@
             .partition::<Vec<_>, _>(|parked| now_ms >= parked.until_ms);
         lead.parked = parked;
         for parked in due {
-            let response = if holds {
+            let response = if leased {
                 let found = events(&state, parked.sort, &parked.prefix, parked.after);
                 let none = Outcome::Events { events: Vec::new(), next: state.revision };
                 Response::Outcome(found.unwrap_or(none))
--- a/crates/controller/tests/bench/mod.rs
+++ b/crates/controller/tests/bench/mod.rs
@@ -73,7 +73,7 @@
 
     pub fn lead(&mut self) {
         for _ in 0..100 {
-            self.pulse(20);
+            self.tick(20);
             self.sync();
         }
         assert!(self.node.is_leading());
@@ -110,9 +110,9 @@
         }
     }
 
-    pub fn pulse(&mut self, pass_ms: u64) {
+    pub fn tick(&mut self, pass_ms: u64) {
         self.now_ms += pass_ms;
-        self.input(Input::Pulse);
+        self.input(Input::Tick);
     }
 
     pub fn sync(&mut self) {
@@ -123,7 +123,7 @@
 
     pub fn settle(&mut self) {
         for _ in 0..400 {
-            self.pulse(1);
+            self.tick(1);
             self.sync();
         }
     }
@@ -184,7 +184,7 @@
             if !self.fetches.is_empty() {
                 break;
             }
-            self.pulse(20);
+            self.tick(20);
         }
         let (number, _) = self.fetches.pop_back().expect("a page is asked for");
         self.fetches.clear();
--- a/crates/controller/tests/compaction.rs
+++ b/crates/controller/tests/compaction.rs
@@ -15,14 +15,14 @@
     let entries = bench.entries.clone();
     let mut next = Bench::new(recovered(&[1], entries, 2));
     next.bound(SMALL_BYTES);
-    next.pulse(1);
+    next.tick(1);
     assert_eq!((next.node.consensus().commit(), next.encoded), (0, 0), "nothing is applied yet");
     next.lead();
     assert!(next.encoded > 0, "the log that it read counts");
 }
 
 #[test]
-fn a_snapshot_waits_for_no_pulse() {
+fn a_snapshot_waits_for_no_tick() {
     let mut bench = Bench::serving();
     bench.bound(SMALL_BYTES);
     let before = bench.encoded;
@@ -43,6 +43,6 @@
     bench.submit(2, &plan("v2", Some("v1"), 21, "ledger"));
     bench.settle();
     assert_eq!(bench.encoded, 1);
-    bench.pulse(SNAPSHOT_ENCODE_MOST_MS);
+    bench.tick(SNAPSHOT_ENCODE_MOST_MS);
     assert_eq!(bench.encoded, 2);
 }
--- a/crates/controller/tests/cut_off.rs
+++ b/crates/controller/tests/cut_off.rs
@@ -3,7 +3,7 @@
 mod bench;
 mod trio;
 use bench::*;
-use postbarrow_constants::consensus::CONTROLLER_HOLD_MS;
+use postbarrow_constants::consensus::LEADER_LEASE_MS;
 use postbarrow_messages::*;
 use postbarrow_state::*;
 use trio::Trio;
@@ -108,8 +108,8 @@
     ]
 }
 
-/// Every question gets an answer while the hold lasts, and none of substance in these conditions.
-fn only_with_the_hold(condition: &str, worsen: impl Fn(&mut Trio)) {
+/// Every question gets an answer while the lease lasts, and none of substance in these conditions.
+fn only_with_the_lease(condition: &str, worsen: impl Fn(&mut Trio)) {
     let mut trio = with_state();
     for (at, (kind, ask)) in questions().into_iter().enumerate() {
         let key = at as u64;
@@ -121,7 +121,7 @@
         worsen(&mut cut_off);
         cut_off.bench.ask(key, ask);
         for _ in 0..100 {
-            cut_off.bench.pulse(20);
+            cut_off.bench.tick(20);
             cut_off.bench.sync();
         }
         let told: Vec<_> = cut_off.bench.responses.iter().filter(|(to, _)| *to == key).collect();
@@ -133,9 +133,9 @@
 
 #[test]
 fn a_leader_that_was_cut_off_answers_nothing_from_its_state() {
-    only_with_the_hold("cut off", |trio| {
+    only_with_the_lease("cut off", |trio| {
         for _ in 0..25 {
-            trio.bench.pulse(20);
+            trio.bench.tick(20);
             trio.bench.sync();
         }
         assert!(trio.bench.node.is_leading(), "it has not noticed yet");
@@ -144,12 +144,12 @@
 
 #[test]
 fn a_leader_that_was_frozen_answers_nothing_from_its_state_when_it_wakes() {
-    only_with_the_hold("frozen", |trio| trio.bench.now_ms += 20_000);
+    only_with_the_lease("frozen", |trio| trio.bench.now_ms += 20_000);
 }
 
 #[test]
 fn a_leader_that_just_woke_answers_nothing_from_its_state() {
-    only_with_the_hold("woken", |trio| trio.bench.pulse(20_000));
+    only_with_the_lease("woken", |trio| trio.bench.tick(20_000));
 }
 
 #[test]
@@ -230,7 +230,7 @@
     trio.bench.now_ms += 20_000;
     trio.deliver(late);
     assert_eq!(trio.bench.answer(1), None, "whether more happened since is not known");
-    trio.bench.pulse(20);
+    trio.bench.tick(20);
     assert_eq!(trio.bench.answer(1), Some(&UNKNOWN));
 }
 
@@ -238,14 +238,14 @@
 fn a_watch_whose_events_came_without_the_hold_misses_none_when_it_is_back() {
     let mut trio = with_state();
     let revision = trio.bench.state().revision;
-    trio.bench.now_ms += CONTROLLER_HOLD_MS - 100;
+    trio.bench.now_ms += LEADER_LEASE_MS - 100;
     trio.bench.ask(1, call(watch(Some(revision))));
     trio.bench.ask(2, repeated("late", put(revision)));
     trio.bench.sync();
     let late = trio.follower_responses();
     trio.bench.now_ms += 100;
     trio.deliver(Trio::without_echo(late));
-    assert!(!trio.bench.node.holds(trio.bench.now_ms));
+    assert!(!trio.bench.node.has_lease(trio.bench.now_ms));
     assert!(trio.bench.state().revision > revision, "it is committed");
     assert_eq!(trio.bench.answer(1), None);
     trio.settle();
--- a/crates/controller/tests/deltas.rs
+++ b/crates/controller/tests/deltas.rs
@@ -60,7 +60,7 @@
         waits_ms[version * 37 % ROUTES] += version;
         bench.submit(version as u64, &text(version, &waits_ms));
         for _ in 0..34 {
-            bench.pulse(4);
+            bench.tick(4);
             bench.sync();
             for message in std::mem::take(&mut bench.sent) {
                 match &message {
--- a/crates/controller/tests/duties.rs
+++ b/crates/controller/tests/duties.rs
@@ -70,9 +70,9 @@
     bench.settle();
     let Some(Response::Known(known)) = bench.answer(3) else { panic!("not known") };
     assert_eq!(known.response.as_deref(), Some(&kept));
-    bench.pulse(TICKET_KEEP_MS + 2 * ERA_MS);
+    bench.tick(TICKET_KEEP_MS + 2 * ERA_MS);
     bench.sync();
-    bench.pulse(FORGET_MS);
+    bench.tick(FORGET_MS);
     bench.sync();
     assert!(bench.state().tickets.is_empty());
 }
@@ -83,7 +83,7 @@
     bench.ask(1, Ask::Ticket(ticket("k", 1)));
     bench.settle();
     for _ in 0..NODE_GONE_MS / 20 + 20 {
-        bench.pulse(20);
+        bench.tick(20);
         bench.sync();
     }
     assert!(bench.state().nodes.is_empty());
@@ -128,19 +128,19 @@
     let leading = || {
         let mut bench = Bench::new(recovered(&[1], Vec::new(), 0));
         while !bench.node.is_leading() {
-            bench.pulse(20);
+            bench.tick(20);
             bench.sync();
         }
         bench
     };
     let mut bench = leading();
-    bench.pulse(20);
+    bench.tick(20);
     assert!(!bench.granted(), "nothing is known of the list");
     bench.list(&[("ledger-1", "ledger")]);
     assert!(bench.granted());
     let mut blind = leading();
     for _ in 0..LIST_FIRST_MS / 20 + 3 {
-        blind.pulse(20);
+        blind.tick(20);
     }
     assert!(blind.granted(), "a list out of reach does not stop the service");
 }
@@ -153,19 +153,19 @@
     assert_eq!(first, Response::Outcome(Outcome::Locked { fence: 1, ttl_ms: 1_000 }));
     assert_eq!(call(&mut bench, 2, lock("b")), Response::Outcome(Outcome::Held { fence: 1 }));
     for _ in 0..45 {
-        bench.pulse(20);
+        bench.tick(20);
         bench.sync();
     }
     let renew = Call::Renew { name: "l".into(), holder: "a".into(), fence: 1, ttl_ms: None };
     let renewed = call(&mut bench, 3, renew.clone());
     assert_eq!(renewed, Response::Outcome(Outcome::Locked { fence: 1, ttl_ms: 1_000 }));
     for _ in 0..45 {
-        bench.pulse(20);
+        bench.tick(20);
         bench.sync();
     }
     assert!(bench.state().locks.contains_key("l"), "the renewal counts");
     for _ in 0..10 {
-        bench.pulse(20);
+        bench.tick(20);
         bench.sync();
     }
     assert!(!bench.state().locks.contains_key("l"), "its time is up");
@@ -184,7 +184,7 @@
     next.lead();
     let lead_ms = next.now_ms;
     while next.state().locks.contains_key("l") {
-        next.pulse(20);
+        next.tick(20);
         next.sync();
     }
     let held_ms = next.now_ms - lead_ms;
@@ -223,12 +223,12 @@
     };
     assert_eq!(revisions(bench.answer(1)), [1], "it is told with the first commit");
     for _ in 0..20 {
-        bench.pulse(1_000);
+        bench.tick(1_000);
         bench.sync();
     }
     assert_eq!(revisions(Some(&call(&mut bench, 7, watch(0)))), [1, 2, 4]);
     for _ in 0..10 {
-        bench.pulse(1_000);
+        bench.tick(1_000);
         bench.sync();
     }
     let told = call(&mut bench, 8, watch(0));
--- a/crates/controller/tests/list.rs
+++ b/crates/controller/tests/list.rs
@@ -14,7 +14,7 @@
         if bench.fetches.iter().any(wanted) {
             break;
         }
-        bench.pulse(20);
+        bench.tick(20);
     }
     assert!(bench.fetches.iter().any(wanted), "page {cursor:?} is asked for");
     let asked: Vec<u64> = bench.fetches.iter().filter(|one| wanted(one)).map(|one| one.0).collect();
@@ -107,7 +107,7 @@
     let mut bench = listed();
     bench.fetches.clear();
     while bench.fetches.len() < 3 {
-        bench.pulse(20);
+        bench.tick(20);
     }
     let cursors: Vec<Option<String>> = bench.fetches.iter().map(|fetch| fetch.1.clone()).collect();
     assert_eq!(cursors, [None, Some("1".into()), Some("2".into())]);
@@ -121,7 +121,7 @@
 fn a_mark_seen_on_one_page_is_not_undone_by_an_older_page() {
     let mut bench = listed();
     while bench.fetches.len() < 2 {
-        bench.pulse(20);
+        bench.tick(20);
     }
     answer(&mut bench, Some("1"), &["l2!", "l3"], Some("2"));
     answer(&mut bench, None, &["l1", "l2"], Some("1"));
@@ -156,9 +156,9 @@
     assert!(bound(&bench, 1) <= LEAVE_BOUND_MS);
     for _ in 0..8 {
         while bench.fetches.is_empty() {
-            bench.pulse(20);
+            bench.tick(20);
         }
-        bench.pulse(1_100);
+        bench.tick(1_100);
         if bench.fetches.len() == 1 || bench.fetches[0].1.is_none() {
             answer(&mut bench, None, &["l1", "l2", "l3", "l4", "l5", "l6"], None);
         }
@@ -175,7 +175,7 @@
     bench.settle();
     bench.fetches.clear();
     while bench.fetches.is_empty() {
-        bench.pulse(20);
+        bench.tick(20);
     }
     let (number, _) = bench.fetches.pop_back().expect("a page is asked for");
     bench.submit(1, &plan("v1", None, 8_000, "ledger"));
@@ -186,7 +186,7 @@
     let text = format!("{{\"targets\":[{}],\"next\":\"1\"}}", rows.join(","));
     bench.input(Input::Page(PageResult { number, fetched: Fetched::Page(text.into_bytes()) }));
     for _ in 0..LEAVING_WAIT_MS / 20 + 2 {
-        bench.pulse(20);
+        bench.tick(20);
     }
     const { assert!(LEAVING_WAIT_MS + 60 < TRANSACTION_OPEN_MS) };
     while bench.answer(1).is_none() {
--- a/crates/controller/tests/orders.rs
+++ b/crates/controller/tests/orders.rs
@@ -113,7 +113,7 @@
     let mut bench = Bench::serving();
     bench.bound(1);
     built(&mut bench, 3);
-    bench.pulse(20);
+    bench.tick(20);
     let snapshot = bench.snapshot.take().expect("a snapshot was encoded");
     let term = bench.node.consensus().term();
     let entries =
@@ -165,7 +165,7 @@
     bench.submit(1, &text);
     bench.submit(2, &text);
     for _ in 0..TRANSACTION_OPEN_MS / 20 + 1 {
-        bench.pulse(20);
+        bench.tick(20);
     }
     assert_eq!(bench.answer(1), Some(&Response::Waiting), "told before the abort is committed");
     assert_eq!(bench.answer(2), None, "told before the abort is committed");
--- a/crates/controller/tests/space.rs
+++ b/crates/controller/tests/space.rs
@@ -40,7 +40,7 @@
     while !bench.state().tickets.is_empty() {
         assert!(passed_ms < TICKET_KEEP_MS + 12 * ERA_MS, "kept for ever");
         for _ in 0..100 {
-            bench.pulse(2_000);
+            bench.tick(2_000);
             bench.sync();
             passed_ms += 2_000;
             let kept = bench.state().tickets.contains_key("k");
@@ -101,9 +101,9 @@
     bench.ask(3, ran("k", Some(kept(700))));
     bench.settle();
     assert_eq!(bench.state().kept_bytes, 700);
-    bench.pulse(TICKET_KEEP_MS + 2 * ERA_MS);
+    bench.tick(TICKET_KEEP_MS + 2 * ERA_MS);
     bench.settle();
-    bench.pulse(FORGET_MS);
+    bench.tick(FORGET_MS);
     bench.settle();
     assert_eq!((bench.state().tickets.len(), bench.state().kept_bytes), (0, 0));
 }
@@ -135,7 +135,7 @@
     while bench.state().repeats.contains_key("once") {
         assert!(passed_ms < REPEAT_KEEP_MS + 12 * ERA_MS, "remembered for ever");
         for _ in 0..22 {
-            bench.pulse(2_000);
+            bench.tick(2_000);
             bench.sync();
             passed_ms += 2_000;
         }
--- a/crates/controller/tests/strangers.rs
+++ b/crates/controller/tests/strangers.rs
@@ -47,7 +47,7 @@
         postbarrow_controller::ControlNode::new(own, Recovered::default(), &seeds, 7, 0).as_guest();
     let mut sent = Vec::new();
     for now_ms in (0..4_000).step_by(20) {
-        for effect in guest.handle(now_ms, Input::Pulse) {
+        for effect in guest.handle(now_ms, Input::Tick) {
             if let postbarrow_controller::Effect::Send { message, .. } = effect {
                 sent.push(message);
             }
@@ -65,7 +65,7 @@
 fn a_hold_renewed_for_longer_is_recorded_and_one_renewed_for_less_is_not_shortened() {
     let mut bench = Bench::serving();
     let mut ask = |key: u64, call: Call, pass_ms: u64| {
-        (0..pass_ms / 20).for_each(|_| bench.pulse(20));
+        (0..pass_ms / 20).for_each(|_| bench.tick(20));
         bench.ask(key, Ask::Call { id: None, call });
         bench.settle();
         let locks = bench.node.committed().locks.clone();
--- a/crates/controller/tests/transactions.rs
+++ b/crates/controller/tests/transactions.rs
@@ -46,11 +46,11 @@
     bench.ask(2, Ask::Ticket(ticket("k", 1)));
     let before = bench.lines.len();
     for _ in 0..TRANSACTION_OPEN_MS / 20 - 1 {
-        bench.pulse(20);
+        bench.tick(20);
     }
     assert_eq!(bench.lines.len(), before, "a ticket was interleaved");
-    bench.pulse(20);
-    bench.pulse(20);
+    bench.tick(20);
+    bench.tick(20);
     assert_eq!(markers(&bench), ["Begin plan v1", "Abort the transaction was open too long"]);
     bench.sync();
     bench.settle();
--- a/crates/controller/tests/trio/mod.rs
+++ b/crates/controller/tests/trio/mod.rs
@@ -16,15 +16,15 @@
         for _ in 0..100 {
             trio.step();
         }
-        assert!(trio.bench.node.holds(trio.bench.now_ms), "it leads");
+        assert!(trio.bench.node.has_lease(trio.bench.now_ms), "it leads");
         trio.bench.fresh(5);
         trio.settle();
         trio
     }
 
-    /// One pulse, a sync, and what the followers say to it.
+    /// One tick, a sync, and what the followers say to it.
     pub fn step(&mut self) {
-        self.bench.pulse(20);
+        self.bench.tick(20);
         self.bench.sync();
         let responses = self.follower_responses();
         self.deliver(responses);
@@ -56,7 +56,7 @@
         answered.collect()
     }
 
-    /// The same, but renewing no hold.
+    /// The same, but renewing no lease.
     pub fn without_echo(mut responses: Vec<Message>) -> Vec<Message> {
         for message in &mut responses {
             if let Message::Consensus { message: LogMessage::AppendResponse(response), .. } =
--- a/crates/desk/src/lib.rs
+++ b/crates/desk/src/lib.rs
@@ -56,11 +56,11 @@
     /// Asks until there is an answer, or for so long.
     pub fn ask(&mut self, now_ms: u64, key: u64, ask: Ask, wait_ms: u64) -> Vec<Effect> {
         self.open.insert(key, Open::new(now_ms, ask, wait_ms));
-        self.pulse(now_ms)
+        self.tick(now_ms)
     }
 
     /// Sends what is due, and ends what is over.
-    pub fn pulse(&mut self, now_ms: u64) -> Vec<Effect> {
+    pub fn tick(&mut self, now_ms: u64) -> Vec<Effect> {
         self.doubt_the_silent(now_ms);
         let mut effects = self.end_what_is_over(now_ms);
         if self.silent_since_ms.is_some() {
@@ -143,7 +143,7 @@
             }
         }
         let mut effects = self.tell_refusal(key);
-        effects.extend(self.pulse(now_ms));
+        effects.extend(self.tick(now_ms));
         effects
     }
 
--- a/crates/desk/tests/contact.rs
+++ b/crates/desk/tests/contact.rs
@@ -44,13 +44,13 @@
     told.collect()
 }
 
-/// Pulses until there is an answer; when, and which.
+/// Ticks until there is an answer; when, and which.
 fn ends(desk: &mut Desk, from_ms: u64, silent_since_ms: Option<u64>) -> (u64, Response) {
     for now_ms in (from_ms..from_ms + 2 * WAIT_MS).step_by(20) {
         if let Some(since_ms) = silent_since_ms {
             desk.hears_no_leader(since_ms);
         }
-        if let Some((_, response)) = answers(&desk.pulse(now_ms)).pop() {
+        if let Some((_, response)) = answers(&desk.tick(now_ms)).pop() {
             return (now_ms, response);
         }
     }
@@ -72,9 +72,9 @@
     let mut desk = desk();
     desk.hears_no_leader(0);
     assert!(ask(&mut desk, 100, KEY).is_empty());
-    assert!(desk.pulse(CONTACT_LOST_MS - 1).is_empty());
+    assert!(desk.tick(CONTACT_LOST_MS - 1).is_empty());
     desk.learn(CONTACT_LOST_MS - 1, Some(member(2)), &[]);
-    assert_eq!(sends(&desk.pulse(CONTACT_LOST_MS - 1)), [member(2)]);
+    assert_eq!(sends(&desk.tick(CONTACT_LOST_MS - 1)), [member(2)]);
     let told = desk.on_response(CONTACT_LOST_MS, KEY, Response::Settled);
     assert_eq!(answers(&told), [(KEY, Response::Settled)]);
 }
@@ -107,7 +107,7 @@
 fn a_second_send_that_was_declined_says_nothing_of_the_first() {
     let mut desk = desk();
     ask(&mut desk, 0, KEY);
-    assert_eq!(sends(&desk.pulse(ASK_AGAIN_MS)), [member(1)]);
+    assert_eq!(sends(&desk.tick(ASK_AGAIN_MS)), [member(1)]);
     desk.hears_no_leader(0);
     desk.on_response(ASK_AGAIN_MS + 10, KEY, declines(None));
     assert_eq!(ends(&mut desk, 400, Some(0)), (WAIT_MS, Response::TimedOut));
@@ -117,7 +117,7 @@
 fn what_a_controller_began_before_it_was_deposed_is_never_told_as_not_taken() {
     let mut desk = desk();
     ask(&mut desk, 0, KEY);
-    desk.pulse(ASK_AGAIN_MS);
+    desk.tick(ASK_AGAIN_MS);
     desk.on_response(310, KEY, Response::Lost);
     desk.hears_no_leader(310);
     desk.on_response(320, KEY, declines(None));
@@ -130,7 +130,7 @@
     let mut desk = desk();
     ask(&mut desk, 0, KEY);
     desk.hears_no_leader(0);
-    assert!(desk.pulse(CONTACT_LOST_MS).is_empty(), "it may have been taken");
+    assert!(desk.tick(CONTACT_LOST_MS).is_empty(), "it may have been taken");
     let told = desk.on_response(CONTACT_LOST_MS + 10, KEY, Response::Settled);
     assert_eq!(answers(&told), [(KEY, Response::Settled)]);
 }
@@ -141,7 +141,7 @@
     ask(&mut desk, 0, KEY);
     desk.hears_no_leader(0);
     desk.on_response(10, KEY, declines(None));
-    assert_eq!(answers(&desk.pulse(CONTACT_LOST_MS)), [(KEY, Response::Unavailable)]);
+    assert_eq!(answers(&desk.tick(CONTACT_LOST_MS)), [(KEY, Response::Unavailable)]);
     assert!(desk.on_response(CONTACT_LOST_MS + 20, KEY, Response::Settled).is_empty());
 }
 
@@ -180,7 +180,7 @@
     let mut asked = sends(&ask(&mut desk, 0, KEY));
     for now_ms in (20..2_000).step_by(20) {
         desk.learn(now_ms, None, &[]);
-        asked.extend(sends(&desk.pulse(now_ms)));
+        asked.extend(sends(&desk.tick(now_ms)));
     }
     assert!(asked.contains(&member(1)) && asked.contains(&member(2)), "{asked:?}");
     assert_eq!(ends(&mut desk, 2_000, None), (WAIT_MS, Response::TimedOut));
--- a/crates/desk/tests/refusals.rs
+++ b/crates/desk/tests/refusals.rs
@@ -36,7 +36,7 @@
     desk.learn(0, Some(leader(1)), &[leader(1), leader(2)]);
     let mut sends = desk.ask(0, QUESTION, ask, WAIT_MS).len();
     for again in 1..times {
-        sends += desk.pulse(again * ASK_AGAIN_MS).len();
+        sends += desk.tick(again * ASK_AGAIN_MS).len();
     }
     assert_eq!(sends as u64, times);
     desk
@@ -60,7 +60,7 @@
     for refusal in [held(), Response::Full] {
         let mut desk = sent(start(), 2);
         assert!(answers(desk.on_response(310, QUESTION, refusal.clone())).is_empty());
-        assert!(desk.pulse(2 * ASK_AGAIN_MS + 50).is_empty(), "a refused question goes no more");
+        assert!(desk.tick(2 * ASK_AGAIN_MS + 50).is_empty(), "a refused question goes no more");
         let elsewhere = Response::NotController { controller: Some(leader(2)) };
         assert_eq!(answers(desk.on_response(700, QUESTION, elsewhere)), [refusal]);
     }
@@ -74,12 +74,12 @@
 fn a_refusal_whose_other_copy_is_never_heard_of_ends_as_unknown() {
     let mut desk = sent(start(), 2);
     assert!(answers(desk.on_response(310, QUESTION, Response::Full)).is_empty());
-    assert_eq!(answers(desk.pulse(WAIT_MS)), [Response::TimedOut]);
+    assert_eq!(answers(desk.tick(WAIT_MS)), [Response::TimedOut]);
     let mut lost = sent(start(), 1);
     assert!(answers(lost.on_response(5, QUESTION, Response::Lost)).is_empty());
-    lost.pulse(ASK_AGAIN_MS);
+    lost.tick(ASK_AGAIN_MS);
     assert!(answers(lost.on_response(310, QUESTION, held())).is_empty(), "it may be committed");
-    assert_eq!(answers(lost.pulse(WAIT_MS)), [Response::TimedOut]);
+    assert_eq!(answers(lost.tick(WAIT_MS)), [Response::TimedOut]);
 }
 
 #[test]
--- a/crates/membership/src/watch.rs
+++ b/crates/membership/src/watch.rs
@@ -11,7 +11,7 @@
 
 impl Watch {
     /// Whom to send a heartbeat now, if one is due.
-    pub fn pulse(&mut self, now_ms: u64, own: u64, nodes: &[u64]) -> Vec<u64> {
+    pub fn tick(&mut self, now_ms: u64, own: u64, nodes: &[u64]) -> Vec<u64> {
         let watched = watched(own, nodes);
         self.heard_ms.retain(|node, _| watched.contains(node));
         for node in watched {
--- a/crates/membership/tests/relay.rs
+++ b/crates/membership/tests/relay.rs
@@ -151,5 +151,5 @@
 fn a_slow_link_carries_each_change_once() {
     let (bytes, longest_ms) = on_a_slow_link(60, 4_000, 60_000);
     assert_eq!(bytes, 220 * 4_000, "bytes of 220 changes");
-    assert!(longest_ms < NODE_HOLD_MS, "a lag of {longest_ms} ms lets the node shed");
+    assert!(longest_ms < NODE_LEASE_MS, "a lag of {longest_ms} ms lets the node shed");
 }
--- a/crates/node/src/fresh.rs
+++ b/crates/node/src/fresh.rs
@@ -9,7 +9,7 @@
     watermark: u64,
 }
 
-/// Questions about freshness, and the holds their answers gave.
+/// Questions about freshness, and the leases their answers gave.
 pub(crate) struct FreshBook {
     number: u64,
     sent_ms: BTreeMap<u64, u64>,
@@ -21,7 +21,7 @@
     introduced: Vec<SocketAddr>,
     due_ms: u64,
     granted_ms: u64,
-    told_hold_ms: u64,
+    announced_lease_ms: u64,
     pub hold_ms: u64,
     /// Whether the log was told last that this node serves.
     pub said_serves: bool,
@@ -39,8 +39,8 @@
             introduced: Vec::new(),
             due_ms: now_ms,
             granted_ms: 0,
-            told_hold_ms: 0,
-            hold_ms: NODE_HOLD_MS,
+            announced_lease_ms: 0,
+            hold_ms: NODE_LEASE_MS,
             said_serves: false,
         }
     }
@@ -59,7 +59,7 @@
     }
 
     /// Counted from when the question was sent, and only for an image up to its watermark.
-    pub fn hold_until(&self, published: u64) -> u64 {
+    pub fn lease_until(&self, published: u64) -> u64 {
         let covered = self.grants.iter().rev().find(|grant| grant.watermark <= published);
         covered.map_or(0, |grant| grant.sent_ms + self.hold_ms)
     }
@@ -74,7 +74,7 @@
 }
 
 impl DataNode {
-    pub(crate) fn fresh_pulse(&mut self, now_ms: u64) {
+    pub(crate) fn fresh_tick(&mut self, now_ms: u64) {
         if now_ms < self.fresh.due_ms {
             return;
         }
@@ -122,7 +122,7 @@
 
     /// A sentence whenever this node begins or ceases to serve.
     pub(crate) fn say_serves(&mut self, now_ms: u64) {
-        let serves = now_ms < self.hold_until() && self.tail.image().plan.is_some();
+        let serves = now_ms < self.lease_until() && self.tail.image().plan.is_some();
         if serves == self.fresh.said_serves {
             return;
         }
@@ -154,7 +154,7 @@
                     self.fresh.grants.push_back(Grant { sent_ms, watermark });
                 }
                 self.desk.learn(now_ms, Some(from), &self.fresh.members);
-                self.tell_hold();
+                self.announce_lease();
             }
             Fresh::NotController { controller, members } => {
                 if !members.is_empty() {
@@ -168,11 +168,11 @@
         }
     }
 
-    pub(crate) fn tell_hold(&mut self) {
-        let until_ms = self.hold_until();
-        if until_ms > self.fresh.told_hold_ms {
-            self.fresh.told_hold_ms = until_ms;
-            self.effects.push(Effect::Hold { until_ms });
+    pub(crate) fn announce_lease(&mut self) {
+        let until_ms = self.lease_until();
+        if until_ms > self.fresh.announced_lease_ms {
+            self.fresh.announced_lease_ms = until_ms;
+            self.effects.push(Effect::Lease { until_ms });
         }
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -23,7 +23,7 @@
 use std::sync::Arc;
 
 pub enum Input {
-    Pulse,
+    Tick,
     Receive(Envelope),
     Ask {
         key: u64,
@@ -59,7 +59,7 @@
         offset: u64,
     },
     /// The node may serve until then, on its own clock, and no longer.
-    Hold {
+    Lease {
         until_ms: u64,
     },
     Say(String),
@@ -115,14 +115,14 @@
     }
 
     /// Serves so long after an answered question, instead of the usual time.
-    pub fn with_hold(mut self, hold_ms: u64) -> Self {
+    pub fn with_lease(mut self, hold_ms: u64) -> Self {
         self.fresh.hold_ms = hold_ms;
         self
     }
 
     pub fn handle(&mut self, now_ms: u64, input: Input) -> Vec<Effect> {
         match input {
-            Input::Pulse => self.pulse(now_ms),
+            Input::Tick => self.tick(now_ms),
             Input::Receive(envelope) => self.receive(now_ms, envelope),
             Input::Ask { key, ask, wait_ms } => {
                 let effects = self.desk.ask(now_ms, key, ask, wait_ms);
@@ -174,19 +174,19 @@
         }
     }
 
-    fn pulse(&mut self, now_ms: u64) {
-        self.fresh_pulse(now_ms);
+    fn tick(&mut self, now_ms: u64) {
+        self.fresh_tick(now_ms);
         self.say_serves(now_ms);
-        self.tail_pulse(now_ms);
-        self.ring_pulse(now_ms);
-        let effects = self.desk.pulse(now_ms);
+        self.tail_tick(now_ms);
+        self.ring_tick(now_ms);
+        let effects = self.desk.tick(now_ms);
         self.absorb(effects);
     }
 
-    fn ring_pulse(&mut self, now_ms: u64) {
+    fn ring_tick(&mut self, now_ms: u64) {
         let state = self.tail.image().clone();
         let nodes: Vec<Incarnation> = state.nodes.keys().copied().collect();
-        for watcher in self.watch.pulse(now_ms, self.own.incarnation, &nodes) {
+        for watcher in self.watch.tick(now_ms, self.own.incarnation, &nodes) {
             if let Some(node) = state.nodes.get(&watcher) {
                 self.send(node.address, Message::Beat { node: self.own.incarnation });
             }
@@ -223,11 +223,11 @@
         self.effects.push(Effect::Send { to, message });
     }
 
-    pub fn hold_until(&self) -> u64 {
-        self.fresh.hold_until(self.published)
+    pub fn lease_until(&self) -> u64 {
+        self.fresh.lease_until(self.published)
     }
     pub fn is_ready(&self, now_ms: u64) -> bool {
-        !self.stopping && now_ms < self.hold_until() && self.tail.image().plan.is_some()
+        !self.stopping && now_ms < self.lease_until() && self.tail.image().plan.is_some()
     }
     pub fn published(&self) -> u64 {
         self.published
--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -19,7 +19,7 @@
         Some(up.map_or(controller, |node| node.address))
     }
 
-    pub(crate) fn tail_pulse(&mut self, now_ms: u64) {
+    pub(crate) fn tail_tick(&mut self, now_ms: u64) {
         let behind = !self.has_image || self.published < self.fresh.watermark();
         match (behind, self.behind_ms) {
             (false, _) => self.behind_ms = None,
@@ -101,7 +101,7 @@
         self.published = self.tail.offset();
         let (state, offset) = (self.tail.image().clone(), self.published);
         self.effects.push(Effect::Publish { state, offset });
-        self.tell_hold();
+        self.announce_lease();
     }
 
     pub(crate) fn relay_on(&mut self, now_ms: u64) {
--- a/crates/node/src/step.rs
+++ b/crates/node/src/step.rs
@@ -13,7 +13,7 @@
     pub digest: Digest,
     pub node: Incarnation,
     pub zone: Name,
-    /// Its one-time asks get a ticket from the log; else this life's own, under its hold.
+    /// Its one-time asks get a ticket from the log; else this life's own, under its lease.
     pub logged: bool,
     /// When its client has no more use for a response.
     pub until_ms: u64,
@@ -68,7 +68,7 @@
         ticket: Ticket,
         wait_ms: u64,
     },
-    /// Its first byte goes out before `until_ms`, within the hold, or none does.
+    /// Its first byte goes out before `until_ms`, within the lease, or none does.
     Pass {
         wait_ms: u64,
         until_ms: u64,
--- a/crates/node/tests/hold.rs
+++ b/crates/node/tests/hold.rs
@@ -47,9 +47,9 @@
         }
     }
 
-    fn pulse(&mut self, pass_ms: u64) {
+    fn tick(&mut self, pass_ms: u64) {
         self.now_ms += pass_ms;
-        self.input(Input::Pulse);
+        self.input(Input::Tick);
     }
 
     fn hears(&mut self, message: Message) {
@@ -74,12 +74,12 @@
 #[test]
 fn a_hold_counts_from_the_question_and_not_from_its_answer() {
     let mut bench = Bench::new();
-    bench.pulse(20);
+    bench.tick(20);
     let (number, sent_ms) = bench.asked[0];
     bench.news(0, 4, &[plan("v1")]);
-    bench.now_ms += NODE_HOLD_MS - 10;
+    bench.now_ms += NODE_LEASE_MS - 10;
     bench.granted(number, 1, 4);
-    assert_eq!(bench.node.hold_until(), sent_ms + NODE_HOLD_MS);
+    assert_eq!(bench.node.lease_until(), sent_ms + NODE_LEASE_MS);
     assert!(bench.node.is_ready(bench.now_ms));
     assert!(!bench.node.is_ready(bench.now_ms + 10), "a woken node does not serve by old news");
 }
@@ -87,7 +87,7 @@
 #[test]
 fn a_grant_counts_only_once_its_watermark_is_published() {
     let mut bench = Bench::new();
-    bench.pulse(20);
+    bench.tick(20);
     bench.granted(bench.asked[0].0, 1, 6);
     bench.news(0, 4, &[plan("v1")]);
     assert!(!bench.node.is_ready(bench.now_ms), "published 4 of 6");
@@ -101,30 +101,30 @@
 #[test]
 fn an_older_controller_grants_nothing() {
     let mut bench = Bench::new();
-    bench.pulse(20);
+    bench.tick(20);
     bench.news(0, 4, &[plan("v1")]);
     bench.granted(bench.asked[0].0, 3, 4);
-    let first = bench.node.hold_until();
-    bench.pulse(FRESH_MS);
+    let first = bench.node.lease_until();
+    bench.tick(FRESH_MS);
     let number = bench.asked.last().unwrap().0;
     bench.granted(number, 2, 4);
-    assert_eq!(bench.node.hold_until(), first);
+    assert_eq!(bench.node.lease_until(), first);
     bench.granted(number, 3, 4);
-    assert!(bench.node.hold_until() > first);
+    assert!(bench.node.lease_until() > first);
     bench.granted(number + 99, 3, 4);
-    assert!(bench.node.hold_until() < bench.now_ms + NODE_HOLD_MS + 1, "nobody asked that");
+    assert!(bench.node.lease_until() < bench.now_ms + NODE_LEASE_MS + 1, "nobody asked that");
 }
 
 #[test]
 fn a_gap_in_the_news_is_fetched_and_an_older_image_is_not_taken() {
     let mut bench = Bench::new();
-    bench.pulse(20);
+    bench.tick(20);
     bench.granted(bench.asked[0].0, 1, 4);
     bench.news(0, 4, &[plan("v1")]);
     bench.news(6, 8, &[plan("v3")]);
     assert_eq!(bench.node.image().plan_version(), Some("v1"));
     bench.tailed.clear();
-    bench.pulse(60);
+    bench.tick(60);
     assert_eq!(bench.tailed, [(address(1), 4)], "it asks for what follows 4");
     let mut state = State::default();
     let head = PlanHead { version: "v0".into(), base: None, offset: 2 };
@@ -137,24 +137,24 @@
 #[test]
 fn a_stopping_node_is_unready_first_and_still_holds_for_asks_in_flight() {
     let mut bench = Bench::new();
-    bench.pulse(20);
+    bench.tick(20);
     bench.news(0, 4, &[plan("v1")]);
     bench.granted(bench.asked[0].0, 1, 4);
     bench.input(Input::Stop);
     assert!(!bench.node.is_ready(bench.now_ms));
-    assert!(bench.node.hold_until() > bench.now_ms);
+    assert!(bench.node.lease_until() > bench.now_ms);
 }
 
 #[test]
 fn a_node_whose_core_was_swapped_while_it_was_cut_off_follows_introductions() {
     let mut bench = Bench::new();
-    bench.pulse(20);
+    bench.tick(20);
     bench.news(0, 4, &[plan("v1")]);
     bench.granted(bench.asked[0].0, 1, 4);
-    bench.pulse(5 * NODE_HOLD_MS);
+    bench.tick(5 * NODE_LEASE_MS);
     bench.hears(Message::Introduction { control: vec![address(44)], formed: true });
     bench.asked_at.clear();
-    bench.pulse(FRESH_MS);
+    bench.tick(FRESH_MS);
     assert!(bench.asked_at.contains(&address(44)), "{:?}", bench.asked_at);
-    assert!(bench.node.hold_until() < bench.now_ms, "an introduction grants nothing");
+    assert!(bench.node.lease_until() < bench.now_ms, "an introduction grants nothing");
 }
--- a/crates/simulation/src/check.rs
+++ b/crates/simulation/src/check.rs
@@ -2,15 +2,15 @@
 use crate::world::World;
 use postbarrow_consensus::Payload;
 
-const HOLD_US: u64 = 1_005_000;
+const LEASE_US: u64 = 1_005_000;
 
 impl World {
-    /// At most one controller's hold at any moment, and one history for all.
+    /// At most one controller's lease at any moment, and one history for all.
     pub fn check_control(&mut self, at: usize) {
         let holding: Vec<usize> = (0..self.control.len())
             .filter(|at| {
                 let now_ms = self.local_ms(Who::Control(*at));
-                self.control[*at].node.as_ref().is_some_and(|node| node.holds(now_ms))
+                self.control[*at].node.as_ref().is_some_and(|node| node.has_lease(now_ms))
             })
             .collect();
         if holding.len() > 1 {
@@ -76,7 +76,7 @@
         self.book.passes += 1;
         let began = self.data[at].table.state.plan.as_ref().map_or(0, |plan| plan.offset);
         let now_us = self.now_us;
-        let due = self.book.in_force.iter().filter(|(at_us, _)| at_us + HOLD_US <= now_us);
+        let due = self.book.in_force.iter().filter(|(at_us, _)| at_us + LEASE_US <= now_us);
         if let Some(newest) = due.map(|(_, offset)| *offset).max()
             && began < newest
         {
--- a/crates/simulation/src/cling.rs
+++ b/crates/simulation/src/cling.rs
@@ -98,7 +98,7 @@
         let Some(cling) = &mut self.cling else { return };
         cling.key += 1;
         let (at, key) = (cling.at, cling.key);
-        self.order_pulse();
+        self.order_tick();
         let call = |call| Question::Call(call);
         let (number, shared) = (Name::from(OWN_NUMBER), Name::from(SHARED));
         let question = match key % 6 {
@@ -118,7 +118,7 @@
     }
 
     /// One order at a time in the whole cluster, so that each is a proper one.
-    fn order_pulse(&mut self) {
+    fn order_tick(&mut self) {
         let now_us = self.now_us;
         let idle = self.operator.is_idle() && !self.quiet && self.random.chance(30);
         let Some(cling) = &mut self.cling else { return };
@@ -176,8 +176,8 @@
         }
     }
 
-    /// As the program does at each pulse.
-    pub fn door_pulse(&mut self, at: usize) {
+    /// As the program does at each tick.
+    pub fn door_tick(&mut self, at: usize) {
         if self.cling.as_ref().is_none_or(|cling| cling.at != at) {
             return;
         }
@@ -191,7 +191,7 @@
             Contact::Leader(leader) => cling.desk.learn(now_ms, Some(leader), &members),
             Contact::Silent { since_ms } => cling.desk.hears_no_leader(since_ms),
         }
-        let effects = cling.desk.pulse(now_ms);
+        let effects = cling.desk.tick(now_ms);
         self.door_does(at, effects);
     }
 
--- a/crates/simulation/src/control.rs
+++ b/crates/simulation/src/control.rs
@@ -98,7 +98,7 @@
         let node = node.with_log_bound(LOG_BOUND_BYTES);
         machine.node = Some(node.with_losses(self.losses).with_voter_dead(self.voter_dead_ms));
         let life = machine.life;
-        self.after(0, Event::Pulse { who: Who::Control(at), life });
+        self.after(0, Event::Tick { who: Who::Control(at), life });
     }
 
     /// Ends the process; with `power`, what was not synced goes too, perhaps amid a write.
--- a/crates/simulation/src/cut_off.rs
+++ b/crates/simulation/src/cut_off.rs
@@ -72,7 +72,7 @@
         world.run_until(cut_us);
         self.bring(&mut world, at);
         world.run_until(cut_us + CUT_US);
-        world.questions_before_pulses(Who::Control(at));
+        world.questions_before_ticks(Who::Control(at));
         world.bring(Fault::Heal);
         let undisturbed = world.leader() == Some(leader) && world.term(leader) == term;
         world.run_until(cut_us + CUT_US + AFTER_US);
@@ -164,11 +164,11 @@
 impl World {
     /// Connections keep no order among each other: at worst, whoever stood still reads questions
     /// first, then what other machines sent, and looks at its clock last.
-    fn questions_before_pulses(&mut self, who: Who) {
+    fn questions_before_ticks(&mut self, who: Who) {
         if let Some(held) = self.frozen.get_mut(&who) {
             held.sort_by_key(|event| match event {
                 Event::Door { .. } => 0,
-                Event::Pulse { .. } => 2,
+                Event::Tick { .. } => 2,
                 _ => 1,
             });
         }
--- a/crates/simulation/src/data.rs
+++ b/crates/simulation/src/data.rs
@@ -24,7 +24,7 @@
     pub rate: u64,
     pub node: Option<DataNode>,
     pub table: Arc<Table>,
-    pub hold_until_ms: u64,
+    pub lease_until_ms: u64,
     /// When the platform last saw it ready.
     pub ready_us: u64,
     pub incarnation: u64,
@@ -43,7 +43,7 @@
             rate,
             node: None,
             table: Arc::new(Table::empty()),
-            hold_until_ms: 0,
+            lease_until_ms: 0,
             ready_us: 0,
             incarnation: 0,
             number: 0,
@@ -65,7 +65,7 @@
         machine.life += 1;
         machine.incarnation = incarnation;
         machine.table = Arc::new(Table::empty());
-        machine.hold_until_ms = 0;
+        machine.lease_until_ms = 0;
         machine.waits.clear();
         let own = Node {
             incarnation,
@@ -76,7 +76,7 @@
         };
         machine.node = Some(DataNode::new(own, seeds, now_ms));
         let life = machine.life;
-        self.after(0, Event::Pulse { who: Who::Data(at), life });
+        self.after(0, Event::Tick { who: Who::Data(at), life });
         self.after(200_000, Event::Probe { data: at, life });
     }
 
@@ -89,7 +89,7 @@
 
     pub fn serves(&self, at: usize) -> bool {
         let machine = &self.data[at];
-        machine.node.is_some() && self.local_ms(Who::Data(at)) < machine.hold_until_ms
+        machine.node.is_some() && self.local_ms(Who::Data(at)) < machine.lease_until_ms
     }
 
     pub fn is_ready(&self, at: usize) -> bool {
@@ -118,7 +118,7 @@
                     }
                     self.check_published(at);
                 }
-                Effect::Hold { until_ms } => self.data[at].hold_until_ms = until_ms,
+                Effect::Lease { until_ms } => self.data[at].lease_until_ms = until_ms,
                 Effect::Say(text) => self.say(Who::Data(at), &text),
                 Effect::Answer { key, response } => {
                     match self.data[at].waits.remove(&key).unwrap_or(Waits::Nobody) {
--- a/crates/simulation/src/event.rs
+++ b/crates/simulation/src/event.rs
@@ -13,7 +13,7 @@
 }
 
 pub enum Event {
-    Pulse {
+    Tick {
         who: Who,
         life: u64,
     },
@@ -98,7 +98,7 @@
     /// The process that an event needs awake.
     pub fn whose(&self, event: &Event) -> Option<Who> {
         match event {
-            Event::Pulse { who, .. } => Some(*who),
+            Event::Tick { who, .. } => Some(*who),
             Event::Deliver { to, .. } => {
                 let control = self.control.iter().position(|machine| machine.address == *to);
                 let data = || self.data.iter().position(|machine| machine.address == *to);
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -6,7 +6,7 @@
 pub enum Stage {
     Arrived,
     Connected,
-    /// The ticket's response is there, the last look at the hold is not done.
+    /// The ticket's response is there, the last look at the lease is not done.
     Granted,
     /// The course said 'pass'; the gate before the first byte is not asked.
     Sending,
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -107,7 +107,7 @@
         let now_ms = self.now_us / 1_000;
         let members: Vec<SocketAddr> = self.control.iter().map(|machine| machine.address).collect();
         self.operator.desk.learn(now_ms, None, &members);
-        let effects = self.operator.desk.pulse(now_ms);
+        let effects = self.operator.desk.tick(now_ms);
         self.operator_does(effects);
         let clung = self.cling.is_some();
         let waits = self.cling.as_ref().is_some_and(|cling| cling.has_order());
--- a/crates/simulation/src/search/forwarded.rs
+++ b/crates/simulation/src/search/forwarded.rs
@@ -101,9 +101,9 @@
         self.absorb(state, desk, effects);
     }
 
-    fn pulses(&self, state: &mut ForwardedState) {
+    fn ticks(&self, state: &mut ForwardedState) {
         for desk in 0..state.desks.len() {
-            let effects = state.desks[desk].pulse(state.now_ms);
+            let effects = state.desks[desk].tick(state.now_ms);
             self.absorb(state, desk, effects);
         }
     }
@@ -223,11 +223,11 @@
             Ticks => {
                 next.ticks -= 1;
                 next.now_ms += ASK_AGAIN_MS;
-                self.pulses(&mut next);
+                self.ticks(&mut next);
             }
             TimesOut => {
                 next.now_ms += ASK_CONTROLLER_MS;
-                self.pulses(&mut next);
+                self.ticks(&mut next);
             }
             Commits => {
                 let told = next.members[next.leader].commits();
--- a/crates/simulation/src/search/request.rs
+++ b/crates/simulation/src/search/request.rs
@@ -15,7 +15,7 @@
     pub closes: u8,
     /// Targets that may be replaced under the same address.
     pub replaces: u8,
-    /// The node may stand still beyond its deadlines, and its hold may end.
+    /// The node may stand still beyond its deadlines, and its lease may end.
     pub freezes: bool,
 }
 
@@ -79,7 +79,7 @@
     Replaces(usize),
     /// Deadlines pass, as for a node that was frozen.
     TimePasses,
-    HoldEnds,
+    LeaseEnds,
 }
 
 impl Requests {
@@ -227,7 +227,7 @@
             actions.push(RequestAction::TimePasses);
         }
         if standing.left.freezes && standing.serves {
-            actions.push(RequestAction::HoldEnds);
+            actions.push(RequestAction::LeaseEnds);
         }
         actions
     }
@@ -270,7 +270,7 @@
             }
             Replaces(target) => next.replaces(target),
             TimePasses => next.late = true,
-            HoldEnds => next.serves = false,
+            LeaseEnds => next.serves = false,
         }
         next.tidy();
         next
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -13,7 +13,7 @@
 use crate::slow::SlowMachine;
 use crate::steps::Strike;
 use crate::targets::Target;
-use postbarrow_constants::consensus::{PULSE_MS, VOTER_DEAD_MS};
+use postbarrow_constants::consensus::{TICK_MS, VOTER_DEAD_MS};
 use postbarrow_controller::Input as ControlInput;
 use postbarrow_messages::{Envelope, Message};
 use postbarrow_node::Input as DataInput;
@@ -186,7 +186,7 @@
             return held.push(event);
         }
         match event {
-            Event::Pulse { who, life } => self.pulse(who, life),
+            Event::Tick { who, life } => self.tick(who, life),
             Event::Deliver { to, envelope } => match whose {
                 Some(Who::Control(at)) => self.control_hears(at, envelope),
                 Some(Who::Data(at)) => self.data_input(at, DataInput::Receive(envelope)),
@@ -230,7 +230,7 @@
         }
     }
 
-    fn pulse(&mut self, who: Who, life: u64) {
+    fn tick(&mut self, who: Who, life: u64) {
         let alive = match who {
             Who::Control(at) => self.control[at].life == life && self.control[at].node.is_some(),
             Who::Data(at) => self.data[at].life == life && self.data[at].node.is_some(),
@@ -240,12 +240,12 @@
         }
         match who {
             Who::Control(at) => {
-                self.control_input(at, ControlInput::Pulse);
-                self.door_pulse(at);
+                self.control_input(at, ControlInput::Tick);
+                self.door_tick(at);
             }
-            Who::Data(at) => self.data_input(at, DataInput::Pulse),
+            Who::Data(at) => self.data_input(at, DataInput::Tick),
         }
-        self.after(PULSE_MS * 1_000, Event::Pulse { who, life });
+        self.after(TICK_MS * 1_000, Event::Tick { who, life });
     }
 
     /// Responses are for the door of this machine, all else for the node.
--- a/crates/simulation/tests/cut_off.rs
+++ b/crates/simulation/tests/cut_off.rs
@@ -5,7 +5,7 @@
 use postbarrow_constants::consensus::CONTACT_LOST_MS;
 use postbarrow_simulation::{Cut, CutOff, CutOffEnded};
 
-/// "At once": two pulses of the machine.
+/// "At once": two ticks of the machine.
 const AT_ONCE_MS: u64 = 40;
 
 fn run(cut: Cut, leader: bool) -> Vec<CutOffEnded> {
--- a/crates/simulation/tests/disks.rs
+++ b/crates/simulation/tests/disks.rs
@@ -24,7 +24,7 @@
         world.control[stalled].disk.set_trouble(Some(DiskTrouble::Stalls));
         let others = |world: &World| world.leader().filter(|leader| *leader != stalled);
         while others(&world).is_none() && world.now_us < FORMED_US + STALLED_US {
-            let next_us = world.now_us + PULSE_MS * 1_000;
+            let next_us = world.now_us + TICK_MS * 1_000;
             world.run_until(next_us);
         }
         let took_ms = (world.now_us - FORMED_US) / 1_000;
@@ -33,7 +33,7 @@
         let usual_ms = bound_ms + ELECTION_MIN_MS + ELECTION_SPREAD_MS;
         assert!(took_ms <= usual_ms, "seed {seed}: {took_ms} ms until another led");
         while world.now_us < FORMED_US + STALLED_US {
-            let next_us = world.now_us + 5 * PULSE_MS * 1_000;
+            let next_us = world.now_us + 5 * TICK_MS * 1_000;
             world.run_until(next_us);
             let leader = world.leader();
             assert!(leader.is_some_and(|leader| leader != stalled), "seed {seed}: {leader:?}");
--- a/crates/startup/src/bounds.rs
+++ b/crates/startup/src/bounds.rs
@@ -1,6 +1,6 @@
 use postbarrow_constants::consensus::{LOG_BYTES, VOTER_DEAD_LEAST_MS, VOTER_DEAD_MS};
 use postbarrow_constants::coordination::HISTORY_KEEP_MS;
-use postbarrow_constants::nodes::{LIST_GAP_MS, LIST_HURRY_MS, NODE_HOLD_MS};
+use postbarrow_constants::nodes::{LIST_GAP_MS, LIST_HURRY_MS, NODE_LEASE_MS};
 use postbarrow_constants::traffic::*;
 
 /// Bounds that a deployment sets; what it leaves open is the product's own.
@@ -28,8 +28,8 @@
     pub list_gap_ms: Option<u64>,
 }
 
-/// Of the nearer of both bounds, so much is the node's hold: the rest is for the way of the news.
-const HOLD_PERCENT: u64 = 60;
+/// Of the nearer of both bounds, so much is the node's lease: the rest is for the way of the news.
+const LEASE_PERCENT: u64 = 60;
 /// Of the time to stop, so much is for being seen as unready, and so much in all.
 const UNREADY_PERCENT: u64 = 42;
 const STOP_PERCENT: u64 = 92;
@@ -47,7 +47,7 @@
     /// How long a node serves on one answer of the controller.
     pub fn hold_ms(&self) -> u64 {
         let given = [self.drain_ms, self.in_force_ms].into_iter().filter(|ms| *ms > 0).min();
-        given.map_or(NODE_HOLD_MS, |ms| (ms * HOLD_PERCENT / 100).max(NODE_HOLD_MS))
+        given.map_or(NODE_LEASE_MS, |ms| (ms * LEASE_PERCENT / 100).max(NODE_LEASE_MS))
     }
 
     /// How long a stopping node is unready before it closes its door, and when it ends at last.
--- a/crates/transactions/src/tail.rs
+++ b/crates/transactions/src/tail.rs
@@ -94,7 +94,7 @@
     pub fn offset(&self) -> u64 {
         self.offset
     }
-    /// Passes over offsets that hold nothing for this reader.
+    /// Passes over offsets that lease nothing for this reader.
     pub fn skip_to(&mut self, offset: u64) {
         self.offset = self.offset.max(offset);
     }
--- a/examples/replicated-sum/src/lib.rs
+++ b/examples/replicated-sum/src/lib.rs
@@ -4,7 +4,7 @@
 use postbarrow_consensus::{
     Consensus, Effect, Entry, Input, Member, Payload, Recovered, Snapshot, Write,
 };
-use postbarrow_constants::consensus::PULSE_MS;
+use postbarrow_constants::consensus::TICK_MS;
 use postbarrow_messages::{Envelope, Message};
 use postbarrow_storage::{FolderDisk, Opened, Storage, open};
 use postbarrow_transport::{Links, clock_ms, listen, random};
@@ -104,13 +104,13 @@
 
 impl Owner {
     fn run(mut self, queue: &Receiver<Command>) {
-        let mut pulse_ms = 0;
+        let mut tick_ms = 0;
         loop {
-            if clock_ms() >= pulse_ms {
-                pulse_ms = clock_ms() + PULSE_MS;
-                self.handle(Input::Pulse);
+            if clock_ms() >= tick_ms {
+                tick_ms = clock_ms() + TICK_MS;
+                self.handle(Input::Tick);
             }
-            let wait_ms = pulse_ms.saturating_sub(clock_ms()).max(1);
+            let wait_ms = tick_ms.saturating_sub(clock_ms()).max(1);
             match queue.recv_timeout(Duration::from_millis(wait_ms)) {
                 Ok(Command::Envelope(Envelope { message, .. })) => self.receive(message),
                 Ok(Command::Begin(members)) => self.handle(Input::Form(members)),
@@ -120,7 +120,7 @@
                     self.handle(Input::Propose(vec![by.to_le_bytes().to_vec()]));
                 }
                 Ok(Command::Read { reply }) => {
-                    let holds = self.log.is_ready() && clock_ms() < self.log.hold_until();
+                    let holds = self.log.is_ready() && clock_ms() < self.log.lease_until();
                     let _ = reply.send(holds.then_some(self.sum));
                 }
                 Ok(Command::Add { reply, .. }) => drop(reply.send(None)),
--- a/programs/control-plane/src/core.rs
+++ b/programs/control-plane/src/core.rs
@@ -1,6 +1,6 @@
 use crate::disk::Writes;
 use log::{info, warn};
-use postbarrow_constants::consensus::{HAND_OVER_MS, PULSE_MS};
+use postbarrow_constants::consensus::{HAND_OVER_MS, TICK_MS};
 use postbarrow_controller::{Contact, ControlNode, Effect, Input, PageResult, Snap};
 use postbarrow_desk::{Desk, Effect as DeskEffect};
 use postbarrow_messages::{Ask, Envelope, Message, Response};
@@ -55,14 +55,14 @@
     }
 
     pub fn run(mut self, queue: Receiver<Command>) {
-        let mut pulse_ms = 0;
+        let mut tick_ms = 0;
         loop {
             let now_ms = clock_ms();
-            if now_ms >= pulse_ms {
-                pulse_ms = now_ms + PULSE_MS;
-                self.pulse(now_ms);
+            if now_ms >= tick_ms {
+                tick_ms = now_ms + TICK_MS;
+                self.tick(now_ms);
             }
-            let wait_ms = pulse_ms.saturating_sub(clock_ms()).max(1);
+            let wait_ms = tick_ms.saturating_sub(clock_ms()).max(1);
             match queue.recv_timeout(Duration::from_millis(wait_ms)) {
                 Ok(command) => self.work(command),
                 Err(RecvTimeoutError::Timeout) => {}
@@ -79,8 +79,8 @@
         }
     }
 
-    fn pulse(&mut self, now_ms: u64) {
-        self.handle(now_ms, Input::Pulse);
+    fn tick(&mut self, now_ms: u64) {
+        self.handle(now_ms, Input::Tick);
         let log = self.node.consensus();
         let members: Vec<SocketAddr> = log.members().iter().map(|member| member.address).collect();
         let members = if members.is_empty() { self.node.introduced() } else { members };
@@ -90,7 +90,7 @@
             Contact::Leader(leader) => self.desk.learn(now_ms, Some(leader), &members),
             Contact::Silent { since_ms } => self.desk.hears_no_leader(since_ms),
         }
-        let effects = self.desk.pulse(now_ms);
+        let effects = self.desk.tick(now_ms);
         self.carry_out(effects);
     }
 
--- a/programs/control-plane/src/lib.rs
+++ b/programs/control-plane/src/lib.rs
@@ -13,7 +13,7 @@
 use crate::core::{Command, Core};
 use log::info;
 use postbarrow_consensus::Member;
-use postbarrow_constants::consensus::{HAND_OVER_MS, PULSE_MS};
+use postbarrow_constants::consensus::{HAND_OVER_MS, TICK_MS};
 use postbarrow_constants::coordination::{ANSWER_WRITE_MS, SUBMIT_WAIT_MS};
 use postbarrow_controller::ControlNode;
 use postbarrow_startup::Startup;
@@ -93,7 +93,7 @@
         let until_ms = clock_ms() + SUBMIT_WAIT_MS;
         self.asker.stop();
         while self.asker.open() > 0 && clock_ms() < until_ms {
-            thread::sleep(Duration::from_millis(PULSE_MS));
+            thread::sleep(Duration::from_millis(TICK_MS));
         }
         thread::sleep(Duration::from_millis(ANSWER_WRITE_MS));
         let (done, ended) = channel();
--- a/programs/data-plane/src/core.rs
+++ b/programs/data-plane/src/core.rs
@@ -1,7 +1,7 @@
 use crate::share::Shared;
 use crate::upstream::Pools;
 use log::info;
-use postbarrow_constants::consensus::PULSE_MS;
+use postbarrow_constants::consensus::TICK_MS;
 use postbarrow_messages::{Ask, Envelope, Response};
 use postbarrow_node::{DataNode, Effect, Input};
 use postbarrow_routing::Table;
@@ -50,18 +50,18 @@
     }
 
     pub fn run(mut self, queue: Receiver<Command>) {
-        let mut pulse_ms = 0;
+        let mut tick_ms = 0;
         loop {
             let now_ms = clock_ms();
-            if now_ms >= pulse_ms {
-                pulse_ms = now_ms + PULSE_MS;
+            if now_ms >= tick_ms {
+                tick_ms = now_ms + TICK_MS;
                 let (samples, seen) = self.shared.seen();
                 if seen > 0 {
                     self.handle(now_ms, Input::Saw { samples, seen });
                 }
-                self.handle(now_ms, Input::Pulse);
+                self.handle(now_ms, Input::Tick);
             }
-            let wait_ms = pulse_ms.saturating_sub(clock_ms()).max(1);
+            let wait_ms = tick_ms.saturating_sub(clock_ms()).max(1);
             match queue.recv_timeout(Duration::from_millis(wait_ms)) {
                 Err(RecvTimeoutError::Disconnected) => return,
                 Ok(command) => self.work(command),
@@ -112,7 +112,7 @@
                     }
                     self.shared.table.store(Arc::new(table));
                 }
-                Effect::Hold { until_ms } => self.shared.hold_until_ms.store(until_ms, Release),
+                Effect::Lease { until_ms } => self.shared.lease_until_ms.store(until_ms, Release),
                 Effect::Say(text) => info!("node: {text}"),
             }
         }
--- a/programs/data-plane/src/lib.rs
+++ b/programs/data-plane/src/lib.rs
@@ -61,7 +61,7 @@
         let (commands, queue) = channel();
         let shared = Arc::new(Shared::new(own.clone(), dialect, &startup.bounds, commands));
         let hold_ms = startup.bounds.hold_ms();
-        let node = DataNode::new(own, startup.seeds.clone(), clock_ms()).with_hold(hold_ms);
+        let node = DataNode::new(own, startup.seeds.clone(), clock_ms()).with_lease(hold_ms);
         let core = Core::new(node, shared.clone());
         thread::Builder::new().name("node".into()).spawn(move || core.run(queue))?;
         let hand = shared.clone();
--- a/programs/data-plane/src/share.rs
+++ b/programs/data-plane/src/share.rs
@@ -24,7 +24,7 @@
     pub dialect: Arc<dyn Dialect>,
     pub table: ArcSwap<Table>,
     pub pools: ArcSwap<Pools>,
-    pub hold_until_ms: AtomicU64,
+    pub lease_until_ms: AtomicU64,
     pub stopping: AtomicBool,
     /// No new client connections.
     pub closed: AtomicBool,
@@ -58,7 +58,7 @@
             dialect,
             table: ArcSwap::from_pointee(Table::empty().with_extra(bounds.extra())),
             pools: ArcSwap::from_pointee(Pools::default()),
-            hold_until_ms: AtomicU64::new(0),
+            lease_until_ms: AtomicU64::new(0),
             stopping: AtomicBool::new(false),
             closed: AtomicBool::new(false),
             memory: Memory::new(bodies),
@@ -79,7 +79,7 @@
 
     /// The hold is looked at last, right before what it allows.
     pub fn serves(&self) -> bool {
-        clock_ms() < self.hold_until_ms.load(Acquire)
+        clock_ms() < self.lease_until_ms.load(Acquire)
     }
 
     pub fn is_ready(&self) -> bool {
--- a/programs/data-plane/src/tests/asks.rs
+++ b/programs/data-plane/src/tests/asks.rs
@@ -72,7 +72,7 @@
 fn a_node_without_hold_sheds_and_is_unready() {
     let (found, rig) = one(vec![Script::Whole("x")]);
     assert!(rig.get("/ready").starts_with("HTTP/1.1 200"));
-    rig.shared.hold_until_ms.store(0, Relaxed);
+    rig.shared.lease_until_ms.store(0, Relaxed);
     assert!(rig.get("/ready").starts_with("HTTP/1.1 503"));
     let shed = rig.post("", "a");
     assert!(shed.starts_with("HTTP/1.1 503") && shed.contains("Retry-After: "), "{shed}");
--- a/programs/data-plane/src/tests/rig.rs
+++ b/programs/data-plane/src/tests/rig.rs
@@ -65,7 +65,7 @@
         });
         let rig = Rig { shared, http, asked };
         rig.publish(targets);
-        rig.shared.hold_until_ms.store(u64::MAX, Relaxed);
+        rig.shared.lease_until_ms.store(u64::MAX, Relaxed);
         downstream::listen(listener, rig.shared.clone()).unwrap();
         rig
     }
--- a/tools/scale-run/src/step.rs
+++ b/tools/scale-run/src/step.rs
@@ -1,4 +1,4 @@
-use crate::world::{Body, Event, PULSE_US, World};
+use crate::world::{Body, Event, TICK_US, World};
 use postbarrow_controller::{Effect, Fetched, Input, Listed, PageResult};
 use postbarrow_messages::{Envelope, Message, read_frame, to_frame};
 use postbarrow_node::{Effect as NodeEffect, Input as NodeInput};
@@ -14,14 +14,14 @@
         let now_ms = self.now_ms();
         let start = Instant::now();
         let mut body = std::mem::replace(&mut self.processes[at].body, Body::Down);
-        if matches!(event, Event::Pulse) {
-            self.push(at, life, PULSE_US, Event::Pulse);
+        if matches!(event, Event::Tick) {
+            self.push(at, life, TICK_US, Event::Tick);
         }
         let received = |frame: &[u8]| read_frame(&mut &frame[..]).ok();
         match &mut body {
             Body::Control(node) => {
                 let input = match event {
-                    Event::Pulse => Some(Input::Pulse),
+                    Event::Tick => Some(Input::Tick),
                     Event::Frame(frame) => received(&frame).map(Input::Receive),
                     Event::Synced(sequence) => Some(Input::Synced(sequence)),
                     Event::Encoded(index, state) => Some(Input::Encoded { index, state }),
@@ -40,7 +40,7 @@
             }
             Body::Data(node) => {
                 let input = match event {
-                    Event::Pulse => Some(NodeInput::Pulse),
+                    Event::Tick => Some(NodeInput::Tick),
                     Event::Frame(frame) => received(&frame).map(NodeInput::Receive),
                     _ => None,
                 };
@@ -83,7 +83,7 @@
                     self.processes[at].published_us = self.now_us;
                 }
             }
-            NodeEffect::Hold { until_ms } => self.processes[at].hold_until_ms = until_ms,
+            NodeEffect::Lease { until_ms } => self.processes[at].lease_until_ms = until_ms,
             NodeEffect::Answer { .. } | NodeEffect::Say(_) => {}
         }
     }
--- a/tools/scale-run/src/world.rs
+++ b/tools/scale-run/src/world.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::net::{Ipv4Addr, SocketAddr};
 
-pub(crate) const PULSE_US: u64 = 20_000;
+pub(crate) const TICK_US: u64 = 20_000;
 pub enum Body {
     Control(Box<ControlNode>),
     Data(Box<DataNode>),
@@ -31,13 +31,13 @@
     pub address: SocketAddr,
     pub zone: usize,
     pub counts: Counts,
-    pub hold_until_ms: u64,
+    pub lease_until_ms: u64,
     pub version: Option<Name>,
     pub published_us: u64,
 }
 
 pub(crate) enum Event {
-    Pulse,
+    Tick,
     Frame(Vec<u8>),
     Synced(u64),
     Page(u64, usize),
@@ -97,7 +97,7 @@
                 address: address(at),
                 zone,
                 counts: Counts::default(),
-                hold_until_ms: 0,
+                lease_until_ms: 0,
                 version: None,
                 published_us: 0,
             });
@@ -119,7 +119,7 @@
         let process = &mut self.processes[at];
         process.life += 1;
         process.version = None;
-        process.hold_until_ms = 0;
+        process.lease_until_ms = 0;
         let id = (at as u64 + 1) * 0x9e37_79b9 + process.life;
         process.body = if at < self.control {
             let own = Member { id, address: process.address };
@@ -138,14 +138,14 @@
             Body::Data(Box::new(DataNode::new(own, seeds, now_ms)))
         };
         let life = process.life;
-        let spread_us = (at as u64 * 7_919) % PULSE_US;
-        self.push(at, life, spread_us, Event::Pulse);
+        let spread_us = (at as u64 * 7_919) % TICK_US;
+        self.push(at, life, spread_us, Event::Tick);
     }
 
     pub fn end(&mut self, at: usize) {
         self.processes[at].body = Body::Down;
         self.processes[at].life += 1;
-        self.processes[at].hold_until_ms = 0;
+        self.processes[at].lease_until_ms = 0;
     }
 
     pub(crate) fn push(&mut self, at: usize, life: u64, in_us: u64, event: Event) {
@@ -181,7 +181,7 @@
 
     pub fn leader(&self) -> Option<usize> {
         (0..self.control).find(|at| {
-            matches!(&self.processes[*at].body, Body::Control(node) if node.holds(self.now_ms()))
+            matches!(&self.processes[*at].body, Body::Control(node) if node.has_lease(self.now_ms()))
         })
     }
 
@@ -191,7 +191,7 @@
         let up =
             self.processes[self.control..].iter().filter(|one| !matches!(one.body, Body::Down));
         let up: Vec<&Process> = up.collect();
-        (up.len(), up.iter().filter(|one| now_ms < one.hold_until_ms).count())
+        (up.len(), up.iter().filter(|one| now_ms < one.lease_until_ms).count())
     }
 
     pub fn versions(&self) -> BTreeMap<Option<Name>, usize> {
