--- a/crates/constants/src/consensus.rs
+++ b/crates/constants/src/consensus.rs
@@ -2,9 +2,9 @@
 
 /// How often every protocol part is given its tick; a tenth of the heartbeat keeps error small.
 pub const TICK_MS: u64 = 20;
-/// Leader's heartbeat; six fit in one hold, so one lost frame costs nothing.
+/// Leader's heartbeat; six fit in one lease, so one lost frame costs nothing.
 pub const HEARTBEAT_MS: u64 = 75;
-/// Controller's hold, counted from when the confirmed heartbeat was sent.
+/// Leader's lease, counted from when the confirmed heartbeat was sent.
 pub const LEADER_LEASE_MS: u64 = 450;
 /// A voter grants nothing for this long after hearing a leader; longer than the lease by clock slack.
 pub const ELECTION_MIN_MS: u64 = 600;
--- a/crates/constants/src/nodes.rs
+++ b/crates/constants/src/nodes.rs
@@ -9,7 +9,7 @@
 //! pages of 300 ms at 8 a second give 500 + 300, forty of 20 ms at 8 a second do not hold, and
 //! status tells by how much.
 
-/// A node asks the controller for term and watermark at this pace; five questions fit in one hold.
+/// A node asks the controller for term and watermark at this pace; five questions fit in one lease.
 pub const FRESH_MS: u64 = 150;
 /// Without a controller it asks all it knows at this pace: each wait adds to the time without service.
 pub const FRESH_SEEK_MS: u64 = 50;
--- a/programs/data-plane/src/tests/answers.rs
+++ b/programs/data-plane/src/tests/answers.rs
@@ -17,17 +17,17 @@
     for text in [
         "",
         "\u{16}\u{3} not http\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
-        "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nabc",
-        "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde",
-        "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nxyz",
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nxyz\r\n",
+        "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nxyz",
+        "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nxyzuv",
+        "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nxyz\r\n0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Le",
     ] {
         let (told, runs, settled) = post_with(vec![raw(text)]);
         assert!(told.starts_with("HTTP/1.1 502"), "{text:?}: {told}");
         assert!(told.contains("Postbarrow-Outcome: unknown"), "{text:?}: {told}");
-        assert!(!told.contains("abc"), "{text:?}: {told}");
+        assert!(!told.contains("xyz"), "{text:?}: {told}");
         assert_eq!(runs, 1, "{text:?}: a one-time ask went twice");
         assert_eq!(settled, [Settlement::Unknown], "{text:?}");
     }
