--- a/crates/simulation/src/replacement.rs
+++ b/crates/simulation/src/replacement.rs
@@ -1,4 +1,4 @@
-//! Core machines are lost or replaced one after another, each as soon as the timetable allows.
+//! Core machines are lost or replaced one after another, each as soon as the bounds allow.
 
 use crate::control::ControlMachine;
 use crate::scenario::{Ended, finish, recover};
@@ -45,14 +45,14 @@
 const GROWTH_US: u64 = 2_000_000;
 
 impl Replacement {
-    /// Time to catch up: the timetable's of a small deployment and of a grown one.
+    /// Time to catch up: that of a small deployment and of a grown one.
     pub fn catch_up_ms(&self) -> u64 {
         if self.losses > 1 { 6_000 } else { 4_000 }
     }
 
     pub fn run(&self) -> Replaced {
         let mut world = World::new(self.seed, 2, 9);
-        world.set_timetable(self.losses, self.catch_up_ms() / 2);
+        world.set_core_bounds(self.losses, self.catch_up_ms() / 2);
         world.ask_pause_us = ASK_PAUSE_US;
         world.run_until(6_000_000);
         while world.control.len() < 2 * self.losses + 1 {
@@ -110,7 +110,7 @@
 
 impl World {
     /// What the deployment says of its core.
-    pub fn set_timetable(&mut self, losses: usize, voter_dead_ms: u64) {
+    pub fn set_core_bounds(&mut self, losses: usize, voter_dead_ms: u64) {
         self.losses = losses;
         self.voter_dead_ms = voter_dead_ms;
         for machine in &mut self.control {
