--- a/crates/controller/tests/bench/mod.rs
+++ b/crates/controller/tests/bench/mod.rs
@@ -1,10 +1,12 @@
 #![allow(dead_code)]
-use postbarrow_consensus::{Entry, Member, Payload, Recovered, Snapshot, Write};
+use postbarrow_consensus::{
+    Append, Entry, Member, Message as LogMessage, Payload, Recovered, Snapshot, Write,
+};
 use postbarrow_controller::{ControlNode, Effect, Fetched, Input, PageResult};
 use postbarrow_messages::*;
 use postbarrow_plan::Plan;
 use postbarrow_state::{Name, Node, Record, State, Ticket};
-use postbarrow_transactions::{Line, decode};
+use postbarrow_transactions::{Line, decode, encode};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -132,6 +134,18 @@
         self.input(Input::Receive(Envelope { from: client(), message }));
     }
 
+    /// A leader of the next term commits this record where this node's committed log ends.
+    pub fn is_deposed_by(&mut self, record: Record) {
+        let log = self.node.consensus();
+        let (prev, term) = (log.commit(), log.term() + 1);
+        let prev_term = log.log().term_at(prev).unwrap();
+        let payload = Payload::Batch(encode(&[Line::Data(record)]));
+        let entries = vec![Entry { term, index: prev + 1, payload }];
+        let append = Append { term, prev, prev_term, entries, commit: prev + 1, sent_ms: 1 };
+        let message = LogMessage::Append(append);
+        self.message(Message::Consensus { from: member(2), to: 1, message });
+    }
+
     pub fn ask(&mut self, key: u64, ask: Ask) {
         self.message(Message::Ask { key, ask });
     }
--- a/crates/controller/tests/orders.rs
+++ b/crates/controller/tests/orders.rs
@@ -2,11 +2,11 @@
 
 mod bench;
 use bench::*;
-use postbarrow_consensus::{Append, Entry, Message as LogMessage, Payload, Recovered};
+use postbarrow_consensus::Recovered;
 use postbarrow_constants::plans::TRANSACTION_OPEN_MS;
 use postbarrow_messages::*;
 use postbarrow_state::Record;
-use postbarrow_transactions::{Line, encode};
+use postbarrow_transactions::Line;
 use std::sync::Arc;
 
 fn body(bench: &Bench, key: u64) -> String {
@@ -131,21 +131,7 @@
     built(&mut bench, 1);
     let text = plan("v2", Some("v1"), 1, "catalogue");
     bench.submit(2, &text);
-    let (commit, term) = (bench.node.consensus().commit(), bench.node.consensus().term());
-    let prev_term = bench.node.consensus().log().term_at(commit).unwrap();
-    let record = Record::Number { name: "n".into(), value: 4 };
-    let payload = Payload::Batch(encode(&[Line::Data(record)]));
-    let entry = Entry { term: term + 1, index: commit + 1, payload };
-    let append = Append {
-        term: term + 1,
-        prev: commit,
-        prev_term,
-        entries: vec![entry],
-        commit: commit + 1,
-        sent_ms: 1,
-    };
-    let message = LogMessage::Append(append);
-    bench.message(Message::Consensus { from: member(2), to: 1, message });
+    bench.is_deposed_by(Record::Number { name: "n".into(), value: 4 });
     assert_eq!(bench.answer(2), Some(&Response::Lost));
     assert!(bench.state().taken_plan("v2").is_none());
     bench.lead();
--- a/crates/controller/tests/transactions.rs
+++ b/crates/controller/tests/transactions.rs
@@ -1,6 +1,6 @@
 mod bench;
 use bench::*;
-use postbarrow_consensus::{Append, Entry, Message as LogMessage, Payload};
+use postbarrow_consensus::{Entry, Payload};
 use postbarrow_constants::plans::TRANSACTION_OPEN_MS;
 use postbarrow_messages::*;
 use postbarrow_state::{Call, Outcome, Record};
@@ -106,24 +106,7 @@
     bench.settle();
     bench.submit(2, &plan("v2", Some("v1"), 6_000, "catalogue"));
     bench.ask(3, Ask::Ticket(ticket("k", 1)));
-    let (commit, term) = (bench.node.consensus().commit(), bench.node.consensus().term());
-    let prev_term = bench.node.consensus().log().term_at(commit).unwrap();
-    let record = Record::Number { name: "n".into(), value: 4 };
-    let entry = Entry {
-        term: term + 1,
-        index: commit + 1,
-        payload: Payload::Batch(encode(&[Line::Data(record)])),
-    };
-    let append = Append {
-        term: term + 1,
-        prev: commit,
-        prev_term,
-        entries: vec![entry],
-        commit: commit + 1,
-        sent_ms: 1,
-    };
-    let message = LogMessage::Append(append);
-    bench.message(Message::Consensus { from: member(2), to: 1, message });
+    bench.is_deposed_by(Record::Number { name: "n".into(), value: 4 });
     assert!(!bench.node.is_leading());
     assert_eq!(bench.answer(2), Some(&Response::Lost));
     assert_eq!(bench.answer(3), Some(&Response::NotController { controller: None }));
