--- a/crates/consensus/src/after_sync.rs
+++ b/crates/consensus/src/deferred_sends.rs
@@ -1,6 +1,6 @@
 //! Messages that promise something, kept back until the writes that they rest on are synced.
 
-use crate::{AppendResponse, Member, Message, Moment};
+use crate::{AppendResponse, FingerprintTime, Member, Message};
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
 
@@ -40,7 +40,7 @@
     }
 
     /// What later behaviour rests on, for searches over many states.
-    pub fn fingerprint(&self, synced: u64, moment: Moment, into: &mut impl Hasher) {
+    pub fn fingerprint(&self, synced: u64, moment: FingerprintTime, into: &mut impl Hasher) {
         for waiting in &self.waiting {
             (waiting.sequence.saturating_sub(synced), waiting.to).hash(into);
             waiting.message.fingerprint(moment, into);
--- a/crates/consensus/src/disk_health.rs
+++ b/crates/consensus/src/disk_health.rs
@@ -4,7 +4,7 @@
 //! seeks votes nor gives any, and if it leads it hands over: everything it promises waits for its
 //! disk. The first sync that returns makes it an ordinary follower again.
 
-use crate::{Consensus, Moment, Role};
+use crate::{Consensus, FingerprintTime, Role};
 use postbarrow_constants::consensus::*;
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
@@ -55,7 +55,7 @@
     }
 
     /// What later behaviour rests on, for searches over many states.
-    pub fn fingerprint(&self, synced: u64, moment: Moment, into: &mut impl Hasher) {
+    pub fn fingerprint(&self, synced: u64, moment: FingerprintTime, into: &mut impl Hasher) {
         for (sequence, since_ms) in &self.unsynced {
             (sequence.saturating_sub(synced), moment.age(*since_ms)).hash(into);
         }
@@ -78,7 +78,7 @@
 
     /// Another could lead in this one's place, which the owner should bring about by a handover.
     pub fn should_yield(&self) -> bool {
-        let heard = |id| self.is_heard(self.disk.now_ms, id);
+        let heard = |id| self.is_responsive(self.disk.now_ms, id);
         self.role == Role::Leader
             && self.is_disk_stalled()
             && self.others().iter().any(|other| heard(other.id))
@@ -94,7 +94,7 @@
             self.disk.yields_since_ms = self.should_yield().then_some(now_ms);
             return;
         };
-        if !self.handing && !self.should_yield() {
+        if !self.transferring_leadership && !self.should_yield() {
             self.disk.yields_since_ms = None;
         } else if now_ms >= since_ms + DISK_YIELD_MS {
             self.disk.yields_since_ms = None;
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -11,8 +11,14 @@
         self.log.members().len() / 2 + 1
     }
 
-    fn vote_ask(&self, term: u64, handed: bool, clear: bool) -> VoteAsk {
-        VoteAsk { term, last: self.log.last(), last_term: self.log.last_term(), handed, clear }
+    fn vote_ask(&self, term: u64, handed: bool, clear: bool) -> VoteRequest {
+        VoteRequest {
+            term,
+            last_index: self.log.last_index(),
+            last_term: self.log.last_term(),
+            leadership_transfer: handed,
+            leaderless: clear,
+        }
     }
 
     pub(crate) fn others(&self) -> Vec<Member> {
@@ -24,7 +30,7 @@
         if self.is_disk_stalled() {
             return;
         }
-        self.clear = clear;
+        self.leaderless = clear;
         self.set_role(Role::PreCandidate);
         self.leader = None;
         self.votes = [self.id].into();
@@ -44,10 +50,10 @@
         }
         self.set_role(Role::Candidate);
         self.term += 1;
-        self.voted = Some(self.id);
+        self.voted_for = Some(self.id);
         self.votes = [self.id].into();
         self.write_hard();
-        let ask = self.vote_ask(self.term, handed, self.clear && !handed);
+        let ask = self.vote_ask(self.term, handed, self.leaderless && !handed);
         for to in self.others() {
             self.send_after_sync(to, Message::Vote(ask.clone()));
         }
@@ -59,16 +65,16 @@
     /// A voter that heard a leader lately, or just started and may have, promises nothing.
     fn bound_to_leader(&self, now_ms: u64) -> bool {
         let leading = self.role == Role::Leader && now_ms < self.lease_until();
-        leading || now_ms < self.heard_ms.max(self.started_ms) + ELECTION_MIN_MS
+        leading || now_ms < self.leader_contact_ms.max(self.started_ms) + ELECTION_MIN_MS
     }
 
-    fn up_to_date(&self, ask: &VoteAsk) -> bool {
-        (ask.last_term, ask.last) >= (self.log.last_term(), self.log.last())
+    fn up_to_date(&self, ask: &VoteRequest) -> bool {
+        (ask.last_term, ask.last_index) >= (self.log.last_term(), self.log.last_index())
     }
 
     /// Whether it counts is for the candidate's members to say: a voter that has not heard yet that
     /// it joined must still vote, or the others may lack a majority for ever.
-    pub(crate) fn on_pre_vote(&mut self, now_ms: u64, from: Member, ask: VoteAsk) {
+    pub(crate) fn on_pre_vote(&mut self, now_ms: u64, from: Member, ask: VoteRequest) {
         let granted = ask.term > self.term
             && !self.is_disk_stalled()
             && (!self.bound_to_leader(now_ms) || self.is_clear(&ask))
@@ -83,8 +89,9 @@
     }
 
     /// Of two that try at once, the one with the longer log goes on, or else the lower number.
-    fn yields_to(&self, other: &Member, ask: &VoteAsk) -> bool {
-        let longer = (ask.last_term, ask.last) > (self.log.last_term(), self.log.last());
+    fn yields_to(&self, other: &Member, ask: &VoteRequest) -> bool {
+        let longer =
+            (ask.last_term, ask.last_index) > (self.log.last_term(), self.log.last_index());
         !matches!(self.role, Role::PreCandidate | Role::Candidate) || longer || other.id < self.id
     }
 
@@ -112,18 +119,18 @@
         }
     }
 
-    pub(crate) fn on_vote(&mut self, now_ms: u64, from: Member, ask: VoteAsk) {
-        if self.bound_to_leader(now_ms) && !ask.handed && !self.is_clear(&ask) {
+    pub(crate) fn on_vote(&mut self, now_ms: u64, from: Member, ask: VoteRequest) {
+        if self.bound_to_leader(now_ms) && !ask.leadership_transfer && !self.is_clear(&ask) {
             return;
         }
         if ask.term > self.term {
             self.follow(now_ms, ask.term, None);
         }
-        let free = self.voted.is_none() || self.voted == Some(from.id);
+        let free = self.voted_for.is_none() || self.voted_for == Some(from.id);
         let granted =
             ask.term == self.term && free && !self.is_disk_stalled() && self.up_to_date(&ask);
         if granted {
-            self.voted = Some(from.id);
+            self.voted_for = Some(from.id);
             self.write_hard();
             self.set_election(now_ms);
         }
@@ -151,18 +158,19 @@
             self.leader_offset_ms = None;
         }
         if term > self.term {
-            self.handing = false;
+            self.transferring_leadership = false;
             self.term = term;
-            self.voted = None;
+            self.voted_for = None;
             self.write_hard();
         }
-        self.clear = false;
+        self.leaderless = false;
         self.end_round();
-        self.freed &= leader.is_none();
+        self.denied_leadership &= leader.is_none();
         if self.role == Role::Leader {
             self.progress.clear();
             self.learners.clear();
-            self.heard_ms = self.heard_ms.max(now_ms.saturating_sub(ELECTION_MIN_MS));
+            self.leader_contact_ms =
+                self.leader_contact_ms.max(now_ms.saturating_sub(ELECTION_MIN_MS));
         }
         self.set_role(Role::Follower);
         self.leader = leader;
@@ -178,23 +186,23 @@
 
     fn become_leader(&mut self, now_ms: u64) {
         self.set_role(Role::Leader);
-        self.freed = false;
+        self.denied_leadership = false;
         self.leader = Some(self.id);
         self.led_since_ms = now_ms;
         self.incoming = None;
-        self.handing = false;
+        self.transferring_leadership = false;
         self.progress.clear();
         for member in self.others() {
-            let progress = Progress::new(member, self.log.last() + 1, now_ms);
+            let progress = Progress::new(member, self.log.last_index() + 1, now_ms);
             self.progress.insert(member.id, progress);
         }
-        self.term_start = self.log.last() + 1;
+        self.term_start = self.log.last_index() + 1;
         self.append_own(now_ms, vec![Payload::TermStart]);
     }
 
     /// End of the lease a majority confirmed, by this leader's own send times.
     pub fn lease_until(&self) -> u64 {
-        if self.role != Role::Leader || self.handing {
+        if self.role != Role::Leader || self.transferring_leadership {
             return 0;
         }
         let mut echoes: Vec<u64> = self
@@ -202,7 +210,9 @@
             .members()
             .iter()
             .filter(|member| member.id != self.id)
-            .map(|member| self.progress.get(&member.id).map_or(0, |known| known.echo_ms))
+            .map(|member| {
+                self.progress.get(&member.id).map_or(0, |known| known.acknowledged_send_ms)
+            })
             .collect();
         echoes.sort_unstable_by(|a, b| b.cmp(a));
         let needed = self.majority() - usize::from(self.log.is_member(self.id));
--- a/crates/consensus/src/fingerprint.rs
+++ b/crates/consensus/src/fingerprint.rs
@@ -6,12 +6,12 @@
 
 /// Times are hashed by their distance from now, and those older than the horizon are all alike.
 #[derive(Clone, Copy)]
-pub struct Moment {
+pub struct FingerprintTime {
     pub now_ms: u64,
     pub horizon_ms: u64,
 }
 
-impl Moment {
+impl FingerprintTime {
     pub(crate) fn age(&self, at_ms: u64) -> u64 {
         self.now_ms.saturating_sub(at_ms).min(self.horizon_ms)
     }
@@ -23,14 +23,14 @@
 
 impl Message {
     /// The send time it carries becomes its age; all else is hashed as it stands.
-    pub fn fingerprint(&self, moment: Moment, into: &mut impl Hasher) {
+    pub fn fingerprint(&self, moment: FingerprintTime, into: &mut impl Hasher) {
         let mut message = self.clone();
         match &mut message {
             Message::Append(one) => one.sent_ms = moment.age(one.sent_ms),
             Message::AppendResponse(one) => one.sent_ms = moment.age(one.sent_ms),
             Message::Snapshot(one) => one.sent_ms = moment.age(one.sent_ms),
             Message::SnapshotResponse(one) => one.sent_ms = moment.age(one.sent_ms),
-            Message::TakeOver(one) => one.sent_ms = moment.age(one.sent_ms),
+            Message::TimeoutNow(one) => one.sent_ms = moment.age(one.sent_ms),
             _ => {}
         }
         message.hash(into);
@@ -40,14 +40,14 @@
 impl Consensus {
     /// All that later behaviour rests on; the random state and the clock offset are left out,
     /// and so is what a planned stop adds, for no search begins one.
-    pub fn fingerprint(&self, moment: Moment, into: &mut impl Hasher) {
-        (self.id, self.term, self.voted, self.commit, self.role, self.leader).hash(into);
+    pub fn fingerprint(&self, moment: FingerprintTime, into: &mut impl Hasher) {
+        (self.id, self.term, self.voted_for, self.commit_index, self.role, self.leader).hash(into);
         (&self.log, &self.votes, &self.learners, &self.snapshot, &self.incoming).hash(into);
-        (self.term_start, self.handing, self.self_match, self.voters).hash(into);
-        (self.round, &self.free, &self.freed, self.clear).hash(into);
-        (moment.age(self.heard_ms), moment.age(self.started_ms)).hash(into);
-        (moment.until(self.election_due_ms), moment.until(self.beat_due_ms)).hash(into);
-        moment.until(self.who_due_ms).hash(into);
+        (self.term_start, self.transferring_leadership, self.self_match, self.voters).hash(into);
+        (self.probe_round, &self.non_leaders, &self.denied_leadership, self.leaderless).hash(into);
+        (moment.age(self.leader_contact_ms), moment.age(self.started_ms)).hash(into);
+        (moment.until(self.election_due_ms), moment.until(self.heartbeat_due_ms)).hash(into);
+        moment.until(self.probe_due_ms).hash(into);
         for known in self.progress.values() {
             known.fingerprint(moment, into);
         }
@@ -56,7 +56,7 @@
     }
 
     /// Only how far each write is ahead of the newest sync matters, not its number.
-    fn fingerprint_writes(&self, moment: Moment, into: &mut impl Hasher) {
+    fn fingerprint_writes(&self, moment: FingerprintTime, into: &mut impl Hasher) {
         (self.sequence - self.synced).hash(into);
         for (wrote, last) in &self.appended {
             (wrote.saturating_sub(self.synced), last).hash(into);
--- a/crates/consensus/src/clear.rs
+++ b/crates/consensus/src/leader_probe.rs
@@ -1,5 +1,5 @@
 use crate::*;
-use postbarrow_constants::consensus::{ELECTION_MIN_MS, WHO_MS};
+use postbarrow_constants::consensus::{ELECTION_MIN_MS, LEADER_PROBE_MS};
 
 /// A hold is only in the memory of who leads. So when every member says in one round that it does
 /// not lead, no lease is left, and nobody need wait for its end: after all have restarted at once,
@@ -15,27 +15,27 @@
             && self.leader.is_none()
             && now_ms < self.started_ms + ELECTION_MIN_MS
             && self.log.is_member(self.id);
-        if !waits || now_ms < self.who_due_ms {
+        if !waits || now_ms < self.probe_due_ms {
             return;
         }
-        self.who_due_ms = now_ms + WHO_MS;
+        self.probe_due_ms = now_ms + LEADER_PROBE_MS;
         self.end_round();
-        let (term, round) = (self.term, self.round);
+        let (term, round) = (self.term, self.probe_round);
         for to in self.others() {
-            self.send(to, Message::Who { term, round });
+            self.send(to, Message::LeaderProbe { term, round });
         }
     }
 
     /// Later answers to it don't count: they may speak of a time before what was heard since.
     pub(crate) fn end_round(&mut self) {
-        self.round += 1;
-        self.free.clear();
+        self.probe_round += 1;
+        self.non_leaders.clear();
     }
 
     pub(crate) fn on_who(&mut self, from: Member, round: u64) {
         let free = self.role != Role::Leader;
-        self.freed = free;
-        self.send(from, Message::WhoResponse { term: self.term, round, free });
+        self.denied_leadership = free;
+        self.send(from, Message::LeaderProbeResponse { term: self.term, round, free });
     }
 
     pub(crate) fn on_who_response(
@@ -47,22 +47,22 @@
         free: bool,
     ) {
         let waits = self.role == Role::Follower && self.leader.is_none();
-        if round != self.round || !free || !waits || !self.log.is_member(self.id) {
+        if round != self.probe_round || !free || !waits || !self.log.is_member(self.id) {
             return;
         }
         if term > self.term {
             return self.follow(now_ms, term, None);
         }
-        self.free.insert(from.id);
-        if self.others().iter().all(|other| self.free.contains(&other.id)) {
+        self.non_leaders.insert(from.id);
+        if self.others().iter().all(|other| self.non_leaders.contains(&other.id)) {
             self.end_round();
-            self.freed = true;
+            self.denied_leadership = true;
             self.start_pre_vote(now_ms, true);
         }
     }
 
     /// Since this one said that it does not lead, nobody else was heard to.
-    pub(crate) fn is_clear(&self, ask: &VoteAsk) -> bool {
-        ask.clear && self.freed && self.role != Role::Leader
+    pub(crate) fn is_clear(&self, ask: &VoteRequest) -> bool {
+        ask.leaderless && self.denied_leadership && self.role != Role::Leader
     }
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,24 +1,24 @@
 #![doc = include_str!("../README.md")]
 
-mod after_sync;
-mod clear;
+mod deferred_sends;
+mod departure;
 mod disk_health;
 mod election;
 mod fingerprint;
-mod flight;
-mod handover;
-mod leaving;
-mod log;
-mod members;
+mod inflight;
+mod leader_probe;
+mod leadership_transfer;
+mod membership;
 mod progress;
-mod replicate;
+mod raft_log;
+mod replication;
 mod snapshot;
-mod transfer;
+mod snapshot_transfer;
 mod types;
 
-pub use fingerprint::Moment;
-pub use log::Log;
+pub use fingerprint::FingerprintTime;
 pub use progress::Progress;
+pub use raft_log::RaftLog;
 pub use types::*;
 
 use postbarrow_constants::consensus::{VOTER_DEAD_MS, VOTERS};
@@ -29,39 +29,39 @@
 pub struct Consensus {
     id: MemberId,
     term: u64,
-    voted: Option<MemberId>,
-    log: Log,
-    commit: u64,
+    voted_for: Option<MemberId>,
+    log: RaftLog,
+    commit_index: u64,
     role: Role,
     leader: Option<MemberId>,
-    heard_ms: u64,
+    leader_contact_ms: u64,
     election_due_ms: u64,
     started_ms: u64,
     votes: BTreeSet<MemberId>,
     progress: BTreeMap<MemberId, Progress>,
     learners: BTreeMap<MemberId, Member>,
-    beat_due_ms: u64,
+    heartbeat_due_ms: u64,
     term_start: u64,
     /// This leader's lease is given up for the rest of its term.
-    handing: bool,
+    transferring_leadership: bool,
     /// Least difference seen between this clock and the leader's.
     leader_offset_ms: Option<i64>,
     snapshot: Option<Arc<Snapshot>>,
-    incoming: Option<transfer::Incoming>,
+    incoming: Option<snapshot_transfer::IncomingSnapshot>,
     sequence: u64,
     synced: u64,
     appended: VecDeque<(u64, u64)>,
     self_match: u64,
-    after_sync: after_sync::AfterSync,
+    after_sync: deferred_sends::AfterSync,
     /// Rounds of asking all others whether they lead, numbered from a random begin in each life, and
     /// who said no in this one.
-    round: u64,
-    who_due_ms: u64,
-    free: BTreeSet<MemberId>,
+    probe_round: u64,
+    probe_due_ms: u64,
+    non_leaders: BTreeSet<MemberId>,
     /// This one said that it does not lead, and has heard nobody since who does.
-    freed: bool,
+    denied_leadership: bool,
     /// The present candidacy follows a round in which nobody led.
-    clear: bool,
+    leaderless: bool,
     disk: disk_health::DiskHealth,
     random: u64,
     /// Voters that the log grows to while learners stand ready.
@@ -70,53 +70,53 @@
     voter_dead_ms: u64,
     /// Since when this one leads, if it does.
     led_since_ms: u64,
-    leave: leaving::Leave,
+    departure: departure::Departure,
     announce_due_ms: u64,
-    leavers: BTreeMap<MemberId, leaving::Leaver>,
+    departing: BTreeMap<MemberId, departure::DepartingMember>,
     effects: Vec<Effect>,
 }
 
 impl Consensus {
-    pub fn new(id: MemberId, recovered: Recovered, seed: u64, now_ms: u64) -> Self {
-        let log = Log::recovered(&recovered);
+    pub fn new(id: MemberId, recovered: RecoveredState, seed: u64, now_ms: u64) -> Self {
+        let log = RaftLog::recovered(&recovered);
         let mut made = Consensus {
             id,
             term: recovered.term,
-            voted: recovered.voted,
-            commit: log.base(),
-            self_match: log.last(),
+            voted_for: recovered.voted_for,
+            commit_index: log.base(),
+            self_match: log.last_index(),
             log,
             role: Role::Follower,
             leader: None,
-            heard_ms: now_ms,
+            leader_contact_ms: now_ms,
             election_due_ms: 0,
             started_ms: now_ms,
             votes: BTreeSet::new(),
             progress: BTreeMap::new(),
             learners: BTreeMap::new(),
-            beat_due_ms: 0,
+            heartbeat_due_ms: 0,
             term_start: 0,
-            handing: false,
+            transferring_leadership: false,
             leader_offset_ms: None,
             snapshot: recovered.snapshot,
             incoming: None,
             sequence: 0,
             synced: 0,
             appended: VecDeque::new(),
-            after_sync: after_sync::AfterSync::default(),
-            round: seed >> 1,
-            who_due_ms: now_ms,
-            free: BTreeSet::new(),
-            freed: false,
-            clear: false,
+            after_sync: deferred_sends::AfterSync::default(),
+            probe_round: seed >> 1,
+            probe_due_ms: now_ms,
+            non_leaders: BTreeSet::new(),
+            denied_leadership: false,
+            leaderless: false,
             disk: disk_health::DiskHealth::new(now_ms),
             random: seed | 1,
             voters: VOTERS,
             voter_dead_ms: VOTER_DEAD_MS,
             led_since_ms: now_ms,
-            leave: leaving::Leave::Staying,
+            departure: departure::Departure::Staying,
             announce_due_ms: now_ms,
-            leavers: BTreeMap::new(),
+            departing: BTreeMap::new(),
             effects: Vec::new(),
         };
         made.set_election(now_ms);
@@ -140,11 +140,11 @@
             Input::Synced(sequence) => self.on_synced(sequence),
             Input::Receive { from, message } => self.receive(now_ms, from, message),
             Input::Propose(batches) => self.propose(now_ms, batches),
-            Input::Form(members) => self.form(members),
-            Input::Learner(member) => self.learner(now_ms, member),
+            Input::Bootstrap(members) => self.form(members),
+            Input::AddLearner(member) => self.learner(now_ms, member),
             Input::Compact { index, state } => self.compact(now_ms, index, state),
-            Input::HandOver(note) => self.hand_over(now_ms, note),
-            Input::Leave => self.leave(now_ms),
+            Input::TransferLeadership(note) => self.hand_over(now_ms, note),
+            Input::Depart => self.leave(now_ms),
         }
         std::mem::take(&mut self.effects)
     }
@@ -164,13 +164,13 @@
             Message::AppendResponse(response) => self.on_append_response(now_ms, from, response),
             Message::Snapshot(part) => self.on_snapshot(now_ms, from, part),
             Message::SnapshotResponse(got) => self.on_snapshot_response(now_ms, from, got),
-            Message::Who { round, .. } => self.on_who(from, round),
-            Message::WhoResponse { term, round, free } => {
+            Message::LeaderProbe { round, .. } => self.on_who(from, round),
+            Message::LeaderProbeResponse { term, round, free } => {
                 self.on_who_response(now_ms, from, term, round, free)
             }
-            Message::TakeOver(ask) => self.on_take_over(now_ms, from, ask),
-            Message::Leaving(leaving) => self.on_leaving(now_ms, from, leaving),
-            Message::MayLeave(got) => self.on_may_leave(now_ms, got),
+            Message::TimeoutNow(ask) => self.on_take_over(now_ms, from, ask),
+            Message::DepartureRequest(leaving) => self.on_leaving(now_ms, from, leaving),
+            Message::DepartureGranted(got) => self.on_may_leave(now_ms, got),
         }
     }
 
@@ -227,7 +227,7 @@
     }
 
     fn write_hard(&mut self) {
-        self.write(Write::Hard(Hard { term: self.term, voted: self.voted }));
+        self.write(Write::HardState(HardState { term: self.term, voted_for: self.voted_for }));
     }
 
     fn random(&mut self) -> u64 {
@@ -246,11 +246,11 @@
     pub fn role(&self) -> Role {
         self.role
     }
-    pub fn commit(&self) -> u64 {
-        self.commit
+    pub fn commit_index(&self) -> u64 {
+        self.commit_index
     }
-    pub fn last(&self) -> u64 {
-        self.log.last()
+    pub fn last_index(&self) -> u64 {
+        self.log.last_index()
     }
     /// Index of the newest snapshot here, or zero.
     pub fn snapshot_index(&self) -> u64 {
@@ -259,26 +259,26 @@
     pub fn members(&self) -> &[Member] {
         self.log.members()
     }
-    pub fn is_fresh(&self) -> bool {
+    pub fn is_uninitialized(&self) -> bool {
         self.log.members().is_empty()
     }
     /// Nothing was ever promised to anybody: only such a one may begin a log.
-    pub fn is_unbound(&self) -> bool {
-        self.is_fresh() && self.term == 0
+    pub fn is_pristine(&self) -> bool {
+        self.is_uninitialized() && self.term == 0
     }
     pub fn leader(&self) -> Option<Member> {
         let id = self.leader?;
         self.log.members().iter().find(|member| member.id == id).copied()
     }
     /// When a leader's word arrived last, by this node's own clock.
-    pub fn heard_ms(&self) -> u64 {
-        self.heard_ms
+    pub fn leader_contact_ms(&self) -> u64 {
+        self.leader_contact_ms
     }
     /// Leader whose own term has committed: everything acknowledged before is applied.
     pub fn is_ready(&self) -> bool {
-        self.role == Role::Leader && self.commit >= self.term_start
+        self.role == Role::Leader && self.commit_index >= self.term_start
     }
-    pub fn log(&self) -> &Log {
+    pub fn log(&self) -> &RaftLog {
         &self.log
     }
 }
--- a/crates/consensus/src/members.rs
+++ b/crates/consensus/src/membership.rs
@@ -6,8 +6,8 @@
 impl Consensus {
     /// First start of three empty disks that all named the same three.
     pub(crate) fn form(&mut self, members: Vec<Member>) {
-        if !self.is_fresh()
-            || self.log.last() > 0
+        if !self.is_uninitialized()
+            || self.log.last_index() > 0
             || !members.iter().any(|member| member.id == self.id)
         {
             return;
@@ -22,12 +22,12 @@
             return;
         }
         if let Some(known) = self.log.members().iter().find(|known| known.id == member.id) {
-            if known.address != member.address && self.log.config_index() <= self.commit {
+            if known.address != member.address && self.log.config_index() <= self.commit_index {
                 self.move_member(now_ms, member);
             }
             return;
         }
-        let next = self.log.last() + 1;
+        let next = self.log.last_index() + 1;
         self.learners.insert(member.id, member);
         self.progress.entry(member.id).or_insert_with(|| Progress::new(member, next, now_ms));
     }
@@ -35,11 +35,12 @@
     /// One step at a time, and none that would leave the log without a majority of those heard
     /// lately.
     pub(crate) fn change_members(&mut self, now_ms: u64) {
-        if !self.is_ready() || self.log.config_index() > self.commit {
+        if !self.is_ready() || self.log.config_index() > self.commit_index {
             return;
         }
         let Some(members) = self.next_members(now_ms) else { return };
-        let live = members.iter().filter(|one| one.id == self.id || self.is_heard(now_ms, one.id));
+        let live =
+            members.iter().filter(|one| one.id == self.id || self.is_responsive(now_ms, one.id));
         if live.count() > members.len() / 2 {
             self.propose_members(now_ms, members);
         }
@@ -62,7 +63,7 @@
             return Some(joined());
         }
         let since_ms = self.progress.get(&learner.id).map_or(now_ms, |known| known.since_ms);
-        if now_ms < since_ms + LEARNER_SETTLE_MS {
+        if now_ms < since_ms + LEARNER_STANDBY_MS {
             return None;
         }
         match self.dead_voter(now_ms) {
@@ -78,7 +79,7 @@
     /// The voter silent longest of those that are taken for dead.
     fn dead_voter(&self, now_ms: u64) -> Option<MemberId> {
         let silent_ms = |id: MemberId| {
-            self.progress.get(&id).map_or(0, |known| now_ms.saturating_sub(known.heard_ms))
+            self.progress.get(&id).map_or(0, |known| now_ms.saturating_sub(known.last_response_ms))
         };
         let others = self.log.members().iter().map(|one| one.id).filter(|id| *id != self.id);
         let dead =
@@ -93,17 +94,17 @@
     }
 
     /// It answered this leader lately, or this one was elected lately and knows no better.
-    pub(crate) fn is_heard(&self, now_ms: u64, id: MemberId) -> bool {
+    pub(crate) fn is_responsive(&self, now_ms: u64, id: MemberId) -> bool {
         let known = self.progress.get(&id);
-        known.is_some_and(|known| now_ms.saturating_sub(known.heard_ms) < HEARD_LATELY_MS)
+        known.is_some_and(|known| now_ms.saturating_sub(known.last_response_ms) < RESPONSIVE_MS)
     }
 
     fn caught_up(&self, now_ms: u64) -> Option<Member> {
         let caught = |learner: &&Member| {
             self.progress.get(&learner.id).is_some_and(|known| {
-                self.is_heard(now_ms, learner.id)
+                self.is_responsive(now_ms, learner.id)
                     && !self.is_leaving(now_ms, learner.id)
-                    && known.matched + LEARNER_LAG_ENTRIES >= self.log.last()
+                    && known.matched + LEARNER_LAG_ENTRIES >= self.log.last_index()
             })
         };
         self.learners.values().find(caught).copied()
@@ -120,7 +121,7 @@
 
     fn propose_members(&mut self, now_ms: u64, members: Vec<Member>) {
         self.append_own(now_ms, vec![Payload::Members(members.clone())]);
-        let next = self.log.last() + 1;
+        let next = self.log.last_index() + 1;
         for member in &members {
             self.learners.remove(&member.id);
             if member.id != self.id {
@@ -141,11 +142,11 @@
 
     /// Silence and lag of each known member, for status.
     pub fn followers(&self, now_ms: u64) -> Vec<(Member, u64, u64)> {
-        let last = self.log.last();
+        let last = self.log.last_index();
         let row = |known: &Progress| {
             (
                 known.member,
-                now_ms.saturating_sub(known.heard_ms),
+                now_ms.saturating_sub(known.last_response_ms),
                 last.saturating_sub(known.matched),
             )
         };
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,8 +1,8 @@
 //! What a leader knows of each follower.
 
-use crate::flight::InFlight;
-use crate::transfer::Sending;
-use crate::{Entry, Member, Moment};
+use crate::inflight::InFlight;
+use crate::snapshot_transfer::OutgoingSnapshot;
+use crate::{Entry, FingerprintTime, Member};
 use postbarrow_constants::consensus::VOTER_DEAD_MS;
 use std::hash::{Hash, Hasher};
 
@@ -13,11 +13,11 @@
     pub matched: u64,
     pub next: u64,
     /// Leader's send time of the newest frame this follower answered.
-    pub echo_ms: u64,
-    pub heard_ms: u64,
+    pub acknowledged_send_ms: u64,
+    pub last_response_ms: u64,
     /// Since when this one is followed.
     pub since_ms: u64,
-    pub(crate) sending: Option<Sending>,
+    pub(crate) sending: Option<OutgoingSnapshot>,
     in_flight: InFlight,
     /// `next` is a guess: one frame at a time.
     probing: bool,
@@ -33,8 +33,8 @@
             member,
             matched: 0,
             next,
-            echo_ms: 0,
-            heard_ms: now_ms,
+            acknowledged_send_ms: 0,
+            last_response_ms: now_ms,
             since_ms: now_ms,
             sending: None,
             in_flight: InFlight::default(),
@@ -44,9 +44,9 @@
     }
 
     /// What later behaviour rests on, for searches over many states.
-    pub(crate) fn fingerprint(&self, moment: Moment, into: &mut impl Hasher) {
+    pub(crate) fn fingerprint(&self, moment: FingerprintTime, into: &mut impl Hasher) {
         (self.member, self.matched, self.next, self.probing).hash(into);
-        (moment.age(self.echo_ms), moment.age(self.heard_ms)).hash(into);
+        (moment.age(self.acknowledged_send_ms), moment.age(self.last_response_ms)).hash(into);
         (moment.age(self.since_ms), moment.age(self.restarted_ms)).hash(into);
         self.in_flight.hash(into);
         self.sending.is_some().hash(into);
@@ -57,7 +57,7 @@
 
     /// Heard within the time after which a voter may be replaced.
     pub(crate) fn is_live(&self, now_ms: u64) -> bool {
-        now_ms < self.heard_ms + VOTER_DEAD_MS
+        now_ms < self.last_response_ms + VOTER_DEAD_MS
     }
 
     /// Whether these entries, which begin at `next`, may go now.
--- a/crates/consensus/src/replicate.rs
+++ b/crates/consensus/src/replication.rs
@@ -13,24 +13,25 @@
     pub(crate) fn append_own(&mut self, now_ms: u64, payloads: Vec<Payload>) {
         let mut entries = Vec::with_capacity(payloads.len());
         for payload in payloads {
-            let entry = Entry { term: self.term, index: self.log.last() + 1, payload };
+            let entry = Entry { term: self.term, index: self.log.last_index() + 1, payload };
             self.log.push(entry.clone());
             entries.push(entry);
         }
         self.write(Write::Append(entries));
-        self.appended.push_back((self.sequence, self.log.last()));
+        self.appended.push_back((self.sequence, self.log.last_index()));
         self.replicate(now_ms);
         self.advance_commit();
     }
 
     pub(crate) fn leader_tick(&mut self, now_ms: u64) {
         let silent = self.lease_until().saturating_add(ELECTION_MIN_MS) < now_ms;
-        let settled = self.progress.values().all(|known| known.heard_ms + ELECTION_MIN_MS < now_ms);
+        let settled =
+            self.progress.values().all(|known| known.last_response_ms + ELECTION_MIN_MS < now_ms);
         if silent && settled && !self.progress.is_empty() {
             return self.follow(now_ms, self.term, None);
         }
-        if now_ms >= self.beat_due_ms {
-            self.beat_due_ms = now_ms + HEARTBEAT_MS;
+        if now_ms >= self.heartbeat_due_ms {
+            self.heartbeat_due_ms = now_ms + HEARTBEAT_MS;
             let ids: Vec<MemberId> = self.progress.keys().copied().collect();
             for id in ids {
                 self.send_append(now_ms, id, true);
@@ -76,12 +77,12 @@
         let Some(known) = self.progress.get_mut(&id) else { return };
         let (to, prev) = (known.member, known.next - 1);
         known.sent(&entries);
-        let append = Append {
+        let append = AppendRequest {
             term: self.term,
-            prev,
+            prev_index: prev,
             prev_term: self.log.term_at(prev).unwrap_or(0),
             entries,
-            commit: self.commit,
+            commit: self.commit_index,
             sent_ms: now_ms,
         };
         self.send(to, Message::Append(append));
@@ -92,13 +93,13 @@
         if term > self.term || self.role != Role::Follower || self.leader != Some(from.id) {
             self.follow(now_ms, term, Some(from.id));
         }
-        self.heard_ms = now_ms;
-        self.freed = false;
+        self.leader_contact_ms = now_ms;
+        self.denied_leadership = false;
         self.note_offset(now_ms, sent_ms);
         self.set_election(now_ms);
     }
 
-    pub(crate) fn on_append(&mut self, now_ms: u64, from: Member, append: Append) {
+    pub(crate) fn on_append(&mut self, now_ms: u64, from: Member, append: AppendRequest) {
         if append.term < self.term {
             let response = AppendResponse { term: self.term, matched: None, hint: 0, sent_ms: 0 };
             return self.send(from, Message::AppendResponse(response));
@@ -106,18 +107,18 @@
         self.hear_leader(now_ms, from, append.term, append.sent_ms);
         let mut response =
             AppendResponse { term: self.term, matched: None, hint: 0, sent_ms: append.sent_ms };
-        if self.is_fresh() {
+        if self.is_uninitialized() {
             return self.send(from, Message::AppendResponse(response));
         }
-        if append.prev < self.log.base() {
-            response.hint = self.commit + 1;
+        if append.prev_index < self.log.base() {
+            response.hint = self.commit_index + 1;
             return self.send(from, Message::AppendResponse(response));
         }
-        if self.log.term_at(append.prev) != Some(append.prev_term) {
-            response.hint = self.conflict_hint(append.prev);
+        if self.log.term_at(append.prev_index) != Some(append.prev_term) {
+            response.hint = self.conflict_hint(append.prev_index);
             return self.send(from, Message::AppendResponse(response));
         }
-        let verified = append.prev + append.entries.len() as u64;
+        let verified = append.prev_index + append.entries.len() as u64;
         self.store(append.entries);
         response.matched = Some(verified);
         self.commit_to(append.commit.min(verified));
@@ -125,9 +126,9 @@
     }
 
     fn conflict_hint(&self, prev: u64) -> u64 {
-        let Some(term) = self.log.term_at(prev) else { return self.log.last() + 1 };
+        let Some(term) = self.log.term_at(prev) else { return self.log.last_index() + 1 };
         let mut first = prev;
-        while first > self.commit + 1 && self.log.term_at(first - 1) == Some(term) {
+        while first > self.commit_index + 1 && self.log.term_at(first - 1) == Some(term) {
             first -= 1;
         }
         first
@@ -139,7 +140,7 @@
             match self.log.term_at(entry.index) {
                 Some(term) if term == entry.term => continue,
                 Some(_) => {
-                    assert!(entry.index > self.commit, "a committed entry is never replaced");
+                    assert!(entry.index > self.commit_index, "a committed entry is never replaced");
                     self.log.truncate(entry.index);
                     self.self_match = self.self_match.min(entry.index - 1);
                     for (_, last) in &mut self.appended {
@@ -155,7 +156,7 @@
         }
         if !fresh.is_empty() {
             self.write(Write::Append(fresh));
-            self.appended.push_back((self.sequence, self.log.last()));
+            self.appended.push_back((self.sequence, self.log.last_index()));
         }
     }
 
@@ -166,10 +167,10 @@
         if self.role != Role::Leader || got.term < self.term {
             return;
         }
-        let last = self.log.last();
+        let last = self.log.last_index();
         let Some(known) = self.progress.get_mut(&from.id) else { return };
-        known.heard_ms = now_ms;
-        known.echo_ms = known.echo_ms.max(got.sent_ms);
+        known.last_response_ms = now_ms;
+        known.acknowledged_send_ms = known.acknowledged_send_ms.max(got.sent_ms);
         match got.matched {
             Some(matched) => {
                 known.confirmed(matched, got.sent_ms);
@@ -197,18 +198,18 @@
             .collect();
         matches.sort_unstable_by(|a, b| b.cmp(a));
         let agreed = matches.get(members.len() / 2).copied().unwrap_or(0);
-        if agreed > self.commit && self.log.term_at(agreed) == Some(self.term) {
+        if agreed > self.commit_index && self.log.term_at(agreed) == Some(self.term) {
             self.commit_to(agreed);
         }
     }
 
     pub(crate) fn commit_to(&mut self, index: u64) {
-        let index = index.min(self.log.last());
-        if index <= self.commit {
+        let index = index.min(self.log.last_index());
+        if index <= self.commit_index {
             return;
         }
-        let entries = self.log.range(self.commit + 1, index);
-        self.commit = index;
+        let entries = self.log.range(self.commit_index + 1, index);
+        self.commit_index = index;
         self.effects.push(Effect::Commit(entries));
     }
 }
--- a/crates/consensus/src/transfer.rs
+++ b/crates/consensus/src/snapshot_transfer.rs
@@ -1,13 +1,13 @@
 //! Both ends of one snapshot's transfer in chunks.
 
-use crate::{MemberId, Moment, Snapshot, SnapshotPart, SnapshotResponse};
+use crate::{FingerprintTime, MemberId, Snapshot, SnapshotChunk, SnapshotResponse};
 use postbarrow_constants::consensus::*;
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
 /// A transfer that has begun: it goes on with its own snapshot over newer ones.
 #[derive(Clone, Debug)]
-pub struct Sending {
+pub struct OutgoingSnapshot {
     snapshot: Arc<Snapshot>,
     checksum: u32,
     begun: bool,
@@ -22,10 +22,10 @@
     rewound_ms: u64,
 }
 
-impl Sending {
+impl OutgoingSnapshot {
     /// Begins at the first byte.
     pub fn new(snapshot: Arc<Snapshot>, now_ms: u64) -> Self {
-        Sending {
+        OutgoingSnapshot {
             checksum: crc32fast::hash(&snapshot.state),
             snapshot,
             begun: false,
@@ -49,10 +49,10 @@
     }
 
     /// Chunks that may go now: as many as the bound allows, or one again that was not answered.
-    pub fn due(&mut self, now_ms: u64, term: u64) -> Vec<SnapshotPart> {
+    pub fn due(&mut self, now_ms: u64, term: u64) -> Vec<SnapshotChunk> {
         if self.begun && now_ms >= self.tried_ms + self.retry_ms {
             self.tried_ms = now_ms;
-            self.retry_ms = (self.retry_ms * 2).min(SNAPSHOT_RETRY_MOST_MS);
+            self.retry_ms = (self.retry_ms * 2).min(SNAPSHOT_RETRY_MAX_MS);
             self.probe_ms = Some(now_ms);
             return vec![self.part(self.confirmed, now_ms, term)];
         }
@@ -67,7 +67,7 @@
     }
 
     /// What its later behaviour rests on, for searches over many states.
-    pub(crate) fn fingerprint(&self, moment: Moment, into: &mut impl Hasher) {
+    pub(crate) fn fingerprint(&self, moment: FingerprintTime, into: &mut impl Hasher) {
         (self.snapshot.index, self.begun, self.confirmed, self.sent, self.retry_ms).hash(into);
         (moment.age(self.tried_ms), moment.age(self.rewound_ms)).hash(into);
         self.probe_ms.map(|probe_ms| moment.age(probe_ms)).hash(into);
@@ -79,12 +79,12 @@
             && in_flight_bytes + SNAPSHOT_CHUNK_BYTES <= FOLLOWER_IN_FLIGHT_BYTES
     }
 
-    fn part(&self, offset: u64, now_ms: u64, term: u64) -> SnapshotPart {
+    fn part(&self, offset: u64, now_ms: u64, term: u64) -> SnapshotChunk {
         let end = (offset + SNAPSHOT_CHUNK_BYTES).min(self.total());
-        SnapshotPart {
+        SnapshotChunk {
             term,
             index: self.snapshot.index,
-            index_term: self.snapshot.term,
+            snapshot_term: self.snapshot.term,
             members: self.snapshot.members.clone(),
             offset,
             total: self.total(),
@@ -127,28 +127,32 @@
 
 /// The received front of one snapshot.
 #[derive(Clone, Debug, Hash)]
-pub struct Incoming {
+pub struct IncomingSnapshot {
     source: Source,
     state: Vec<u8>,
 }
 
-impl Incoming {
+impl IncomingSnapshot {
     /// Goes on with what is kept if the chunk is of the same snapshot, or begins anew.
-    pub fn resume(kept: Option<Incoming>, from: MemberId, part: &SnapshotPart) -> Incoming {
+    pub fn resume(
+        kept: Option<IncomingSnapshot>,
+        from: MemberId,
+        part: &SnapshotChunk,
+    ) -> IncomingSnapshot {
         let source = Source {
             from,
             term: part.term,
             index: part.index,
-            index_term: part.index_term,
+            index_term: part.snapshot_term,
             total: part.total,
             checksum: part.checksum,
         };
         let same = kept.filter(|incoming| incoming.source == source);
-        same.unwrap_or(Incoming { source, state: Vec::new() })
+        same.unwrap_or(IncomingSnapshot { source, state: Vec::new() })
     }
 
     /// Joins the chunk if it is the next one.
-    pub fn add(&mut self, part: &SnapshotPart) {
+    pub fn add(&mut self, part: &SnapshotChunk) {
         let room_bytes = self.source.total - self.received();
         if part.offset == self.received() && part.bytes.len() as u64 <= room_bytes {
             self.state.extend_from_slice(&part.bytes);
@@ -161,13 +165,13 @@
     }
 
     /// Whether nothing is missing.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.received() == self.source.total
     }
 
     /// The whole state, if it is the one that the sender has.
     pub fn into_state(self) -> Option<Vec<u8>> {
-        let sound = self.is_whole() && crc32fast::hash(&self.state) == self.source.checksum;
+        let sound = self.is_complete() && crc32fast::hash(&self.state) == self.source.checksum;
         sound.then_some(self.state)
     }
 }
--- a/crates/consensus/src/types.rs
+++ b/crates/consensus/src/types.rs
@@ -44,9 +44,9 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Hard {
+pub struct HardState {
     pub term: u64,
-    pub voted: Option<MemberId>,
+    pub voted_for: Option<MemberId>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -60,29 +60,29 @@
 
 /// What the disk gave back at start; all empty for a new one.
 #[derive(Clone, Debug, Default)]
-pub struct Recovered {
+pub struct RecoveredState {
     pub term: u64,
-    pub voted: Option<MemberId>,
+    pub voted_for: Option<MemberId>,
     pub snapshot: Option<Arc<Snapshot>>,
     pub entries: Vec<Entry>,
 }
 
 #[derive(Clone, Debug, Hash, Serialize, Deserialize)]
-pub struct VoteAsk {
+pub struct VoteRequest {
     pub term: u64,
-    pub last: u64,
+    pub last_index: u64,
     pub last_term: u64,
     /// The leader itself gave up its lease for this one.
-    pub handed: bool,
+    pub leadership_transfer: bool,
     /// In one round every member said that it does not lead.
     #[serde(default)]
-    pub clear: bool,
+    pub leaderless: bool,
 }
 
 #[derive(Clone, Debug, Hash, Serialize, Deserialize)]
-pub struct Append {
+pub struct AppendRequest {
     pub term: u64,
-    pub prev: u64,
+    pub prev_index: u64,
     pub prev_term: u64,
     pub entries: Vec<Entry>,
     pub commit: u64,
@@ -98,10 +98,10 @@
 }
 
 #[derive(Clone, Debug, Hash, Serialize, Deserialize)]
-pub struct SnapshotPart {
+pub struct SnapshotChunk {
     pub term: u64,
     pub index: u64,
-    pub index_term: u64,
+    pub snapshot_term: u64,
     pub members: Vec<Member>,
     pub offset: u64,
     pub total: u64,
@@ -127,54 +127,59 @@
 
 /// A leader that has given up its lease for good asks a follower to lead at once.
 #[derive(Clone, Debug, Hash, Serialize, Deserialize)]
-pub struct TakeOver {
+pub struct TimeoutNow {
     pub term: u64,
     pub sent_ms: u64,
     #[serde(with = "serde_bytes")]
-    pub note: Vec<u8>,
+    pub handover_state: Vec<u8>,
 }
 
 /// A member about to end says how far its log goes.
 #[derive(Clone, Copy, Debug, Hash, Serialize, Deserialize)]
-pub struct Leaving {
-    pub last: u64,
+pub struct DepartureRequest {
+    pub last_index: u64,
 }
 
 /// The leader's answer: the log can do without that member, and holds all up to here.
 #[derive(Clone, Copy, Debug, Hash, Serialize, Deserialize)]
-pub struct MayLeave {
-    pub last: u64,
+pub struct DepartureGranted {
+    pub last_index: u64,
 }
 
 #[derive(Clone, Debug, Hash, Serialize, Deserialize)]
 pub enum Message {
-    PreVote(VoteAsk),
+    PreVote(VoteRequest),
     PreVoteResponse {
         term: u64,
         granted: bool,
     },
-    Vote(VoteAsk),
+    Vote(VoteRequest),
     VoteResponse {
         term: u64,
         granted: bool,
     },
-    Append(Append),
+    Append(AppendRequest),
     AppendResponse(AppendResponse),
-    Snapshot(SnapshotPart),
+    Snapshot(SnapshotChunk),
     SnapshotResponse(SnapshotResponse),
-    TakeOver(TakeOver),
+    #[serde(rename = "TakeOver")]
+    TimeoutNow(TimeoutNow),
     /// Asks whether this one leads.
-    Who {
+    #[serde(rename = "Who")]
+    LeaderProbe {
         term: u64,
         round: u64,
     },
-    WhoResponse {
+    #[serde(rename = "WhoResponse")]
+    LeaderProbeResponse {
         term: u64,
         round: u64,
         free: bool,
     },
-    Leaving(Leaving),
-    MayLeave(MayLeave),
+    #[serde(rename = "Leaving")]
+    DepartureRequest(DepartureRequest),
+    #[serde(rename = "MayLeave")]
+    DepartureGranted(DepartureGranted),
 }
 
 #[derive(Clone, Debug)]
@@ -186,24 +191,31 @@
         message: Message,
     },
     Propose(Vec<Vec<u8>>),
-    Form(Vec<Member>),
-    Learner(Member),
+    Bootstrap(Vec<Member>),
+    AddLearner(Member),
     Compact {
         index: u64,
         state: Vec<u8>,
     },
     /// Give up the lease, and let a caught-up follower lead; it is given the note.
-    HandOver(Vec<u8>),
+    TransferLeadership(Vec<u8>),
     /// This member is asked to stop: it gives up its seat if a learner stands ready.
-    Leave,
+    Depart,
 }
 
 #[derive(Clone, Debug, PartialEq, Hash, Serialize, Deserialize)]
 pub enum Write {
-    Hard(Hard),
+    #[serde(rename = "Hard")]
+    HardState(HardState),
     Append(Vec<Entry>),
-    Truncate { from: u64 },
-    Slot { snapshot: Arc<Snapshot>, hard: Hard, entries: Vec<Entry> },
+    Truncate {
+        from: u64,
+    },
+    Slot {
+        snapshot: Arc<Snapshot>,
+        hard: HardState,
+        entries: Vec<Entry>,
+    },
 }
 
 #[derive(Clone, Debug)]
@@ -220,7 +232,7 @@
     Restore(Arc<Snapshot>),
     Role(Role),
     /// The leader's note at its end, and by how much longer than others it was under way.
-    Handed {
+    LeadershipReceived {
         note: Vec<u8>,
         late_ms: u64,
     },
--- a/crates/consensus/tests/cluster/mod.rs
+++ b/crates/consensus/tests/cluster/mod.rs
@@ -32,7 +32,7 @@
     pub applied: Applied,
     /// Over all its lives.
     most_applied: u64,
-    pub durable: Recovered,
+    pub durable: RecoveredState,
     pub restores: u64,
     /// The newest term in which it served.
     served_term: u64,
@@ -66,7 +66,7 @@
     pub fn new(compact_bytes: u64, state_bytes: usize) -> Cluster {
         let members: Vec<Member> = (1..=MEMBERS).map(member).collect();
         let snapshot = Arc::new(Snapshot { index: 0, term: 0, members, state: Vec::new() });
-        let durable = Recovered { snapshot: Some(snapshot), ..Recovered::default() };
+        let durable = RecoveredState { snapshot: Some(snapshot), ..RecoveredState::default() };
         let machine = |id| (id, Machine { durable: durable.clone(), ..Machine::default() });
         let mut cluster = Cluster {
             now_us: 1_000_000,
@@ -221,7 +221,7 @@
                     machine.applied = Applied::decode(&snapshot.state);
                     machine.restores += 1;
                 }
-                Effect::Role(_) | Effect::Handed { .. } => {}
+                Effect::Role(_) | Effect::LeadershipReceived { .. } => {}
             }
         }
         self.check_serving(to);
--- a/crates/consensus/tests/cluster/parts.rs
+++ b/crates/consensus/tests/cluster/parts.rs
@@ -67,20 +67,24 @@
 pub fn write_bytes(write: &Write) -> u64 {
     let sum = |entries: &[Entry]| entries.iter().map(|one| one.size() as u64).sum::<u64>();
     match write {
-        Write::Hard(_) | Write::Truncate { .. } => FRAME_HEAD_BYTES,
+        Write::HardState(_) | Write::Truncate { .. } => FRAME_HEAD_BYTES,
         Write::Append(entries) => sum(entries),
         Write::Slot { snapshot, entries, .. } => snapshot.state.len() as u64 + sum(entries),
     }
 }
 
-pub fn keep(durable: &mut Recovered, write: Write) {
+pub fn keep(durable: &mut RecoveredState, write: Write) {
     match write {
-        Write::Hard(hard) => (durable.term, durable.voted) = (hard.term, hard.voted),
+        Write::HardState(hard) => (durable.term, durable.voted_for) = (hard.term, hard.voted_for),
         Write::Append(entries) => durable.entries.extend(entries),
         Write::Truncate { from } => durable.entries.retain(|entry| entry.index < from),
         Write::Slot { snapshot, hard, entries } => {
-            *durable =
-                Recovered { term: hard.term, voted: hard.voted, snapshot: Some(snapshot), entries }
+            *durable = RecoveredState {
+                term: hard.term,
+                voted_for: hard.voted_for,
+                snapshot: Some(snapshot),
+                entries,
+            }
         }
     }
 }
--- a/crates/consensus/tests/disk_health.rs
+++ b/crates/consensus/tests/disk_health.rs
@@ -24,7 +24,7 @@
     fn led_by_one() -> Three {
         let members: Vec<Member> = (1..=3).map(member).collect();
         let snapshot = Arc::new(Snapshot { index: 0, term: 0, members, state: Vec::new() });
-        let recovered = Recovered { snapshot: Some(snapshot), ..Recovered::default() };
+        let recovered = RecoveredState { snapshot: Some(snapshot), ..RecoveredState::default() };
         let made = |id| Consensus::new(id, recovered.clone(), 7 + id, 1_000);
         let nodes = (1..=3).map(made).collect();
         let mut three =
@@ -127,9 +127,9 @@
 fn a_leader_whose_disk_stalls_commits_and_steps_down_for_another() {
     let mut three = Three::led_by_one();
     three.stall(1);
-    let last = three.node(1).last();
+    let last = three.node(1).last_index();
     three.tick(DISK_STALL_MS + DISK_YIELD_MS + ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS);
-    assert!(three.node(1).commit() >= last, "the two others are a majority");
+    assert!(three.node(1).commit_index() >= last, "the two others are a majority");
     let leader = three.leader();
     assert!(matches!(leader, Some(2 | 3)), "{leader:?} leads");
     assert_eq!(three.votes, 0, "the stalled one took part in an election");
@@ -137,7 +137,7 @@
     three.tick(2 * ELECTION_MIN_MS);
     assert_eq!(three.leader(), leader, "a disk that came back deposes nobody");
     assert_eq!(three.node(1).role(), Role::Follower);
-    assert_eq!(three.node(1).commit(), three.node(leader.unwrap()).commit());
+    assert_eq!(three.node(1).commit_index(), three.node(leader.unwrap()).commit_index());
 }
 
 #[test]
@@ -146,7 +146,7 @@
     three.stall(1);
     three.tick(DISK_STALL_MS + 2 * TICK_MS);
     assert!(three.node(1).should_yield());
-    three.give(1, Input::HandOver(Vec::new()));
+    three.give(1, Input::TransferLeadership(Vec::new()));
     assert!(matches!(three.leader(), Some(2 | 3)));
     assert_eq!(three.node(1).role(), Role::Follower);
 }
@@ -156,7 +156,7 @@
     let mut three = Three::led_by_one();
     three.stall(1);
     three.tick(DISK_STALL_MS + 2 * TICK_MS);
-    let _lost = three.nodes[0].handle(three.now_ms, Input::HandOver(Vec::new()));
+    let _lost = three.nodes[0].handle(three.now_ms, Input::TransferLeadership(Vec::new()));
     three.heal();
     three.tick(DISK_YIELD_MS + ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS);
     let leader = three.leader().expect("somebody leads");
@@ -170,9 +170,15 @@
     three.tick(DISK_STALL_MS + 2 * TICK_MS);
     assert!(three.node(3).is_disk_stalled());
     assert_eq!(three.leader(), Some(1), "it costs nobody else anything");
-    let (term, last) = (three.node(3).term() + 5, three.node(3).last() + 5);
+    let (term, last) = (three.node(3).term() + 5, three.node(3).last_index() + 5);
     for handed in [false, true] {
-        let ask = VoteAsk { term, last, last_term: term, handed, clear: false };
+        let ask = VoteRequest {
+            term,
+            last_index: last,
+            last_term: term,
+            leadership_transfer: handed,
+            leaderless: false,
+        };
         for message in [Message::PreVote(ask.clone()), Message::Vote(ask.clone())] {
             let from = member(2);
             let effects = three.nodes[2].handle(three.now_ms, Input::Receive { from, message });
@@ -180,7 +186,10 @@
                 matches!(
                     effect,
                     Effect::Send { message: Message::PreVoteResponse { granted: true, .. }, .. }
-                        | Effect::Write { write: Write::Hard(Hard { voted: Some(_), .. }), .. }
+                        | Effect::Write {
+                            write: Write::HardState(HardState { voted_for: Some(_), .. }),
+                            ..
+                        }
                 )
             };
             assert!(effects.iter().find(grants).is_none(), "{effects:?}");
@@ -199,8 +208,8 @@
     three.stall(3);
     three.tick(DISK_STALL_MS + 2 * TICK_MS);
     let term = three.node(1).term();
-    let ask = TakeOver { term, sent_ms: three.now_ms, note: Vec::new() };
-    three.give(3, Input::Receive { from: member(1), message: Message::TakeOver(ask) });
+    let ask = TimeoutNow { term, sent_ms: three.now_ms, handover_state: Vec::new() };
+    three.give(3, Input::Receive { from: member(1), message: Message::TimeoutNow(ask) });
     assert_eq!((three.node(3).role(), three.node(3).term()), (Role::Follower, term));
     assert_eq!(three.votes, 0, "it stood for election");
 }
@@ -227,10 +236,10 @@
     }
     let unsynced_bytes = three.node(3).log().bytes_after(1);
     assert!(unsynced_bytes <= FOLLOWER_IN_FLIGHT_BYTES, "{unsynced_bytes} bytes of entries");
-    assert!(three.node(1).commit() > 2_000, "the others go on");
+    assert!(three.node(1).commit_index() > 2_000, "the others go on");
     three.heal();
     let most = FOLLOWER_IN_FLIGHT_BYTES as usize / ENTRY_BYTES;
     assert!(three.messages <= 2 * most, "{} responses were kept", three.messages);
     three.tick(2 * ELECTION_MIN_MS);
-    assert_eq!(three.node(3).commit(), three.node(1).commit(), "it caught up");
+    assert_eq!(three.node(3).commit_index(), three.node(1).commit_index(), "it caught up");
 }
--- a/crates/consensus/tests/durable.rs
+++ b/crates/consensus/tests/durable.rs
@@ -12,11 +12,11 @@
 
 #[test]
 fn a_learner_says_that_it_holds_a_snapshot_only_once_it_is_synced_also_when_asked_again() {
-    let mut learner = Consensus::new(9, Recovered::default(), 7, 1_000);
-    let part = SnapshotPart {
+    let mut learner = Consensus::new(9, RecoveredState::default(), 7, 1_000);
+    let part = SnapshotChunk {
         term: 1,
         index: 5,
-        index_term: 1,
+        snapshot_term: 1,
         members: (1..=3).map(member).collect(),
         offset: 0,
         total: 2,
@@ -41,11 +41,11 @@
 
 #[test]
 fn a_learner_says_that_it_holds_entries_only_once_they_are_synced() {
-    let mut learner = Consensus::new(9, Recovered::default(), 7, 1_000);
-    let form = SnapshotPart {
+    let mut learner = Consensus::new(9, RecoveredState::default(), 7, 1_000);
+    let form = SnapshotChunk {
         term: 1,
         index: 1,
-        index_term: 1,
+        snapshot_term: 1,
         members: (1..=3).map(member).collect(),
         offset: 0,
         total: 0,
@@ -64,7 +64,14 @@
     let entry = Entry { term: 1, index: 2, payload: Payload::Batch(vec![7]) };
     for entries in [vec![entry], Vec::new()] {
         let prev = if entries.is_empty() { 2 } else { 1 };
-        let append = Append { term: 1, prev, prev_term: 1, entries, commit: 1, sent_ms: 0 };
+        let append = AppendRequest {
+            term: 1,
+            prev_index: prev,
+            prev_term: 1,
+            entries,
+            commit: 1,
+            sent_ms: 0,
+        };
         let message = Message::Append(append);
         let effects = learner.handle(1_010, Input::Receive { from: member(1), message });
         let answered = sent(&effects);
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -60,7 +60,7 @@
 fn rounds_with_answers_to_an_earlier_life() {
     let mut begun = Prepared::started();
     begun.act(Action::Tick(2));
-    begun.settle_but(|message| matches!(message, Message::WhoResponse { .. }));
+    begun.settle_but(|message| matches!(message, Message::LeaderProbeResponse { .. }));
     begun.act(Action::Tick(0)).settle().act(Action::Crash(2));
     let left = Bounds { ticks: 2, delays: 1, crashes: 1, freezes: 1, ..Bounds::default() };
     model("earlier life", rules()).search(begun.with(left));
@@ -243,7 +243,7 @@
         begun.beat(&[]);
     }
     begun.act(Action::Compact(0)).act(Action::Learner(0, 2)).beat(&[]);
-    begun.act(Action::Advance(LEARNER_SETTLE_MS)).beat(&[]);
+    begun.act(Action::Advance(LEARNER_STANDBY_MS)).beat(&[]);
     let left = Bounds {
         ticks: 4,
         advances: 3,
--- a/crates/consensus/tests/exhaustive/actions.rs
+++ b/crates/consensus/tests/exhaustive/actions.rs
@@ -104,7 +104,7 @@
         may(left.proposals > 0 && leads, Action::Propose(at));
         may(left.hand_overs > 0 && leads, Action::HandOver(at));
         let fresh = machine.disk.snapshot.as_ref().map_or(0, |kept| kept.index);
-        may(left.compactions > 0 && machine.node.commit() > fresh, Action::Compact(at));
+        may(left.compactions > 0 && machine.node.commit_index() > fresh, Action::Compact(at));
         for (other, stranger) in self.machines.iter().enumerate() {
             let joins = stranger.before.is_some() && leads && left.learners > 0;
             may(joins, Action::Learner(at, other));
@@ -170,17 +170,17 @@
             }
             Action::HandOver(at) => {
                 left.hand_overs -= 1;
-                self.give(at, Input::HandOver(Vec::new()))?;
+                self.give(at, Input::TransferLeadership(Vec::new()))?;
             }
             Action::Compact(at) => {
                 left.compactions -= 1;
-                let index = self.machines[at].node.commit();
+                let index = self.machines[at].node.commit_index();
                 self.give(at, Input::Compact { index, state: vec![index as u8] })?;
             }
             Action::Learner(at, other) => {
                 left.learners -= 1;
                 let joins = member(self.machines[other].node.id());
-                self.give(at, Input::Learner(joins))?;
+                self.give(at, Input::AddLearner(joins))?;
             }
             Action::Advance(step_ms) => {
                 left.advances -= 1;
@@ -203,10 +203,10 @@
             return self.give(at, input);
         }
         let before = |machine: &Arc<Machine>| machine.before == Some(flight.to.id);
-        if let (true, Message::Who { round, .. }) =
+        if let (true, Message::LeaderProbe { round, .. }) =
             (self.machines.iter().any(before), &flight.message)
         {
-            let message = Message::WhoResponse { term: 0, round: *round, free: true };
+            let message = Message::LeaderProbeResponse { term: 0, round: *round, free: true };
             self.send(Flight { from: flight.to, to: flight.from, message });
         }
         Ok(())
@@ -243,7 +243,7 @@
             Effect::Commit(entries) => ledger.commits(machine, &entries)?,
             Effect::Restore(kept) => ledger.restores(machine, &kept)?,
             Effect::Role(Role::Leader) => ledger.leads(&machine.node)?,
-            Effect::Role(_) | Effect::Handed { .. } => {}
+            Effect::Role(_) | Effect::LeadershipReceived { .. } => {}
         }
         Ok(())
     }
--- a/crates/consensus/tests/exhaustive/ledger.rs
+++ b/crates/consensus/tests/exhaustive/ledger.rs
@@ -84,7 +84,7 @@
 
     fn check_commit_in_log(&self) -> Result<(), String> {
         let mut nodes = self.machines.iter().map(|machine| &machine.node);
-        match nodes.find(|node| node.commit() > node.last()) {
+        match nodes.find(|node| node.commit_index() > node.last_index()) {
             Some(node) => Err(format!("{} has committed past the end of its log", node.id())),
             None => Ok(()),
         }
@@ -116,10 +116,10 @@
 }
 
 /// Logs that agree on the term at one index agree on everything before.
-fn check_pair(one: &Log, other: &Log) -> Result<(), String> {
+fn check_pair(one: &RaftLog, other: &RaftLog) -> Result<(), String> {
     let first = one.base().max(other.base()) + 1;
     let mut agreed = false;
-    for index in (first..=one.last().min(other.last())).rev() {
+    for index in (first..=one.last_index().min(other.last_index())).rev() {
         let (Some(left), Some(right)) = (one.get(index), other.get(index)) else { continue };
         agreed |= left.term == right.term;
         if agreed && left != right {
--- a/crates/consensus/tests/exhaustive/world.rs
+++ b/crates/consensus/tests/exhaustive/world.rs
@@ -41,7 +41,7 @@
 /// What a disk has kept through its last sync.
 #[derive(Clone, Default, Hash)]
 pub struct Disk {
-    pub hard: Hard,
+    pub hard: HardState,
     pub snapshot: Option<Arc<Snapshot>>,
     pub entries: Vec<Entry>,
 }
@@ -49,7 +49,7 @@
 impl Disk {
     pub fn apply(&mut self, write: Write) {
         match write {
-            Write::Hard(hard) => self.hard = hard,
+            Write::HardState(hard) => self.hard = hard,
             Write::Append(entries) => self.entries.extend(entries),
             Write::Truncate { from } => self.entries.retain(|entry| entry.index < from),
             Write::Slot { snapshot, hard, entries } => {
@@ -58,10 +58,10 @@
         }
     }
 
-    pub fn recovered(&self) -> Recovered {
-        Recovered {
+    pub fn recovered(&self) -> RecoveredState {
+        RecoveredState {
             term: self.hard.term,
-            voted: self.hard.voted,
+            voted_for: self.hard.voted_for,
             snapshot: self.snapshot.clone(),
             entries: self.entries.clone(),
         }
@@ -143,7 +143,7 @@
 
     pub fn fingerprint(&self, horizon_ms: u64) -> u64 {
         use std::hash::Hash;
-        let moment = Moment { now_ms: self.now_ms, horizon_ms };
+        let moment = FingerprintTime { now_ms: self.now_ms, horizon_ms };
         let mut hasher = DefaultHasher::new();
         for machine in &self.machines {
             machine.node.fingerprint(moment, &mut hasher);
@@ -164,7 +164,7 @@
 }
 
 impl Flight {
-    pub fn fingerprint(&self, moment: Moment) -> u64 {
+    pub fn fingerprint(&self, moment: FingerprintTime) -> u64 {
         use std::hash::Hash;
         let mut hasher = DefaultHasher::new();
         (self.from.id, self.to.id).hash(&mut hasher);
--- a/crates/consensus/tests/flow.rs
+++ b/crates/consensus/tests/flow.rs
@@ -24,7 +24,7 @@
         to == mute
     });
     cluster.run_with_changes(2_000, 2_000, BATCH_BYTES);
-    assert!(cluster.node(leader).commit() > 3_000, "the majority goes on");
+    assert!(cluster.node(leader).commit_index() > 3_000, "the majority goes on");
     assert!(sent_bytes.get() > 0 && sent_bytes.get() <= FOLLOWER_IN_FLIGHT_BYTES, "{sent_bytes:?}");
     cluster.loses = Box::new(|_, _, _| false);
     cluster.settle();
--- a/crates/consensus/tests/handover.rs
+++ b/crates/consensus/tests/handover.rs
@@ -16,7 +16,7 @@
     fn led_by_one() -> Three {
         let members: Vec<Member> = (1..=3).map(member).collect();
         let snapshot = Arc::new(Snapshot { index: 0, term: 0, members, state: Vec::new() });
-        let recovered = Recovered { snapshot: Some(snapshot), ..Recovered::default() };
+        let recovered = RecoveredState { snapshot: Some(snapshot), ..RecoveredState::default() };
         let made = |id| Consensus::new(id, recovered.clone(), 7, 1_000);
         let mut three =
             Three { nodes: (1..=3).map(made).collect(), now_ms: 10_000, handed: vec![] };
@@ -42,7 +42,7 @@
                     Effect::Write { sequence, .. } => {
                         queue.insert(0, (to, Input::Synced(sequence)))
                     }
-                    Effect::Handed { note, .. } => self.handed.push((to, note)),
+                    Effect::LeadershipReceived { note, .. } => self.handed.push((to, note)),
                     _ => {}
                 }
             }
@@ -56,7 +56,7 @@
     three.now_ms += 100;
     three.give(1, Input::Tick);
     assert!(three.node(1).lease_until() > three.now_ms);
-    let asks = three.nodes[0].handle(three.now_ms, Input::HandOver(vec![9]));
+    let asks = three.nodes[0].handle(three.now_ms, Input::TransferLeadership(vec![9]));
     assert_eq!(three.node(1).lease_until(), 0, "nothing is granted while another is asked to lead");
     let Some(Effect::Send { to, message }) = asks.into_iter().next() else {
         panic!("nobody asked")
@@ -71,7 +71,7 @@
 #[test]
 fn a_hold_given_up_does_not_come_back_in_its_term() {
     let mut three = Three::led_by_one();
-    let _lost = three.nodes[0].handle(three.now_ms, Input::HandOver(Vec::new()));
+    let _lost = three.nodes[0].handle(three.now_ms, Input::TransferLeadership(Vec::new()));
     for _ in 0..5 {
         three.now_ms += 100;
         three.give(1, Input::Tick);
@@ -83,14 +83,20 @@
 fn only_the_present_leader_can_ask_to_take_over() {
     let mut three = Three::led_by_one();
     for (from, term) in [(3, 1), (1, 0), (1, 2)] {
-        let ask = TakeOver { term, sent_ms: 0, note: Vec::new() };
+        let ask = TimeoutNow { term, sent_ms: 0, handover_state: Vec::new() };
         let effects = three.nodes[1].handle(
             three.now_ms,
-            Input::Receive { from: member(from), message: Message::TakeOver(ask) },
+            Input::Receive { from: member(from), message: Message::TimeoutNow(ask) },
         );
         assert!(effects.is_empty(), "from {from}, term {term}: {effects:?}");
     }
-    let vote = VoteAsk { term: 2, last: 9, last_term: 9, handed: false, clear: false };
+    let vote = VoteRequest {
+        term: 2,
+        last_index: 9,
+        last_term: 9,
+        leadership_transfer: false,
+        leaderless: false,
+    };
     let message = Message::Vote(vote);
     let effects = three.nodes[1].handle(three.now_ms, Input::Receive { from: member(3), message });
     assert!(effects.is_empty(), "a promise to a leader binds unless that leader gave up");
@@ -99,13 +105,17 @@
 #[test]
 fn a_note_that_was_long_under_way_says_so() {
     let mut three = Three::led_by_one();
-    let ask = TakeOver { term: three.node(1).term(), sent_ms: three.now_ms, note: Vec::new() };
+    let ask = TimeoutNow {
+        term: three.node(1).term(),
+        sent_ms: three.now_ms,
+        handover_state: Vec::new(),
+    };
     let late_ms = 2_000;
-    let message = Message::TakeOver(ask);
+    let message = Message::TimeoutNow(ask);
     let effects =
         three.nodes[1].handle(three.now_ms + late_ms, Input::Receive { from: member(1), message });
     let told = effects.iter().find_map(|effect| match effect {
-        Effect::Handed { late_ms, .. } => Some(*late_ms),
+        Effect::LeadershipReceived { late_ms, .. } => Some(*late_ms),
         _ => None,
     });
     assert_eq!(told, Some(late_ms));
--- a/crates/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -16,7 +16,8 @@
     fn new() -> Bench {
         let members = (1..=3).map(member).collect();
         let snapshot = Snapshot { index: 0, term: 0, members, state: Vec::new() };
-        let recovered = Recovered { snapshot: Some(Arc::new(snapshot)), ..Recovered::default() };
+        let recovered =
+            RecoveredState { snapshot: Some(Arc::new(snapshot)), ..RecoveredState::default() };
         let mut bench = Bench { node: Consensus::new(1, recovered, 7, 10_000), now_ms: 10_000 };
         while bench.node.role() != Role::Leader {
             bench.pass(&[3]);
@@ -61,7 +62,7 @@
         Message::Vote(ask) => Some(Message::VoteResponse { term: ask.term, granted: true }),
         Message::Append(append) => Some(Message::AppendResponse(AppendResponse {
             term: append.term,
-            matched: Some(append.prev + append.entries.len() as u64),
+            matched: Some(append.prev_index + append.entries.len() as u64),
             hint: 0,
             sent_ms: append.sent_ms,
         })),
@@ -80,7 +81,7 @@
 #[test]
 fn nobody_leaves_for_a_learner_that_came_as_another_member_fell_silent() {
     let mut bench = Bench::new();
-    bench.node.handle(bench.now_ms, Input::Learner(member(9)));
+    bench.node.handle(bench.now_ms, Input::AddLearner(member(9)));
     for _ in 0..400 {
         bench.pass(&[9]);
     }
@@ -97,7 +98,7 @@
 #[test]
 fn a_learner_that_stands_by_takes_the_place_of_the_silent() {
     let mut bench = Bench::new();
-    bench.node.handle(bench.now_ms, Input::Learner(member(9)));
+    bench.node.handle(bench.now_ms, Input::AddLearner(member(9)));
     for _ in 0..200 {
         bench.pass(&[3, 9]);
     }
--- a/crates/consensus/tests/replacement/cluster.rs
+++ b/crates/consensus/tests/replacement/cluster.rs
@@ -2,7 +2,9 @@
 
 use crate::disk::{decode, encode, number, store};
 use postbarrow_consensus::*;
-use postbarrow_constants::consensus::{ELECTION_MIN_MS, GREET_MS, HAND_OVER_MS, TICK_MS};
+use postbarrow_constants::consensus::{
+    DISCOVERY_MS, ELECTION_MIN_MS, LEADERSHIP_TRANSFER_MS, TICK_MS,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const FRAME_MS: u64 = 1;
@@ -15,7 +17,7 @@
 
 pub struct Machine {
     pub node: Option<Consensus>,
-    pub disk: Recovered,
+    pub disk: RecoveredState,
     pub writes: VecDeque<(u64, Write)>,
     pub synced_at_ms: Option<u64>,
     /// Numbers of the changes committed here.
@@ -66,12 +68,12 @@
         let members: Vec<Member> = (1..=voters).map(member).collect();
         for id in 1..=voters {
             cluster.start(id);
-            cluster.give(id, Input::Form(members.clone()));
+            cluster.give(id, Input::Bootstrap(members.clone()));
         }
         cluster.pass(2_000 + CHANGES * CHANGE_MS);
         for id in 1..=voters {
             let machine = &cluster.machines[&id];
-            let index = machine.node.as_ref().unwrap().commit();
+            let index = machine.node.as_ref().unwrap().commit_index();
             let state = encode(&machine.applied);
             cluster.give(id, Input::Compact { index, state });
         }
@@ -82,7 +84,7 @@
 
     /// A process begins, on the disk it had if it had one.
     pub fn start(&mut self, id: MemberId) {
-        let disk = self.machines.remove(&id).map_or_else(Recovered::default, |old| old.disk);
+        let disk = self.machines.remove(&id).map_or_else(RecoveredState::default, |old| old.disk);
         let mut node = Consensus::new(id, disk.clone(), id * 7_919, self.now_ms);
         node.set_losses(self.losses);
         node.set_voter_dead_ms(self.voter_dead_ms);
@@ -110,8 +112,9 @@
 
     /// Asks for a planned stop, as the control process does it.
     pub fn stop(&mut self, id: MemberId) {
-        self.machines.get_mut(&id).unwrap().stop_until_ms = Some(self.now_ms + HAND_OVER_MS);
-        self.give(id, Input::Leave);
+        self.machines.get_mut(&id).unwrap().stop_until_ms =
+            Some(self.now_ms + LEADERSHIP_TRANSFER_MS);
+        self.give(id, Input::Depart);
     }
 
     /// No frame leaves or reaches this one.
@@ -159,7 +162,7 @@
                 self.give(*id, Input::Tick);
                 self.stop_tick(*id);
             }
-            if self.now_ms.is_multiple_of(GREET_MS) {
+            if self.now_ms.is_multiple_of(DISCOVERY_MS) {
                 self.greet(*id);
             }
         }
@@ -178,8 +181,8 @@
         if self.now_ms >= until_ms || (heir && node.has_left()) {
             return self.kill(id);
         }
-        if node.is_ready() && node.commit() == node.last() {
-            self.give(id, Input::HandOver(Vec::new()));
+        if node.is_ready() && node.commit_index() == node.last_index() {
+            self.give(id, Input::TransferLeadership(Vec::new()));
         }
     }
 
@@ -195,7 +198,7 @@
         let lost = now_ms > machine.led_ms + 3 * ELECTION_MIN_MS;
         if (outside || lost) && machine.stop_until_ms.is_none() {
             let ids: Vec<MemberId> = self.machines.keys().copied().collect();
-            ids.into_iter().for_each(|to| self.frame(id, to, Input::Learner(member(id))));
+            ids.into_iter().for_each(|to| self.frame(id, to, Input::AddLearner(member(id))));
         }
     }
 
@@ -252,7 +255,7 @@
                     }
                 }
                 Effect::Restore(snapshot) => machine.applied = decode(&snapshot.state),
-                Effect::Role(_) | Effect::Handed { .. } => {}
+                Effect::Role(_) | Effect::LeadershipReceived { .. } => {}
             }
         }
     }
--- a/crates/consensus/tests/replacement/disk.rs
+++ b/crates/consensus/tests/replacement/disk.rs
@@ -13,13 +13,13 @@
     }
 }
 
-pub fn store(disk: &mut Recovered, write: Write) {
+pub fn store(disk: &mut RecoveredState, write: Write) {
     match write {
-        Write::Hard(hard) => (disk.term, disk.voted) = (hard.term, hard.voted),
+        Write::HardState(hard) => (disk.term, disk.voted_for) = (hard.term, hard.voted_for),
         Write::Append(entries) => disk.entries.extend(entries),
         Write::Truncate { from } => disk.entries.retain(|entry| entry.index < from),
         Write::Slot { snapshot, hard, entries } => {
-            (disk.term, disk.voted) = (hard.term, hard.voted);
+            (disk.term, disk.voted_for) = (hard.term, hard.voted_for);
             disk.snapshot = Some(snapshot);
             disk.entries = entries;
         }
--- a/crates/consensus/tests/replacement/seen.rs
+++ b/crates/consensus/tests/replacement/seen.rs
@@ -21,7 +21,7 @@
     /// Members that the leader knows committed, in order.
     pub fn voters(&self) -> Vec<MemberId> {
         let Some(node) = self.leader().and_then(|id| self.node(id)) else { return Vec::new() };
-        if node.log().config_index() > node.commit() {
+        if node.log().config_index() > node.commit_index() {
             return Vec::new();
         }
         let mut ids: Vec<MemberId> = node.members().iter().map(|one| one.id).collect();
--- a/crates/consensus/tests/snapshots.rs
+++ b/crates/consensus/tests/snapshots.rs
@@ -27,7 +27,7 @@
 
 fn lag(cluster: &Cluster, id: u64) -> u64 {
     let leader = cluster.leader().expect("somebody leads");
-    cluster.node(leader).commit() - cluster.node(id).commit()
+    cluster.node(leader).commit_index() - cluster.node(id).commit_index()
 }
 
 /// Milliseconds of changes until the member was within a heartbeat of the others.
@@ -161,10 +161,10 @@
 }
 
 fn part(sender: &Snapshot, term: u64, bytes: std::ops::Range<usize>, checksum: u32) -> Message {
-    Message::Snapshot(SnapshotPart {
+    Message::Snapshot(SnapshotChunk {
         term,
         index: sender.index,
-        index_term: sender.term,
+        snapshot_term: sender.term,
         members: sender.members.clone(),
         offset: bytes.start as u64,
         total: sender.state.len() as u64,
@@ -202,7 +202,7 @@
     let (old, new) = (snapshot(1), snapshot(2));
     let sums = (crc32fast::hash(&old.state), crc32fast::hash(&new.state));
     for (term, sum) in [(2, sums.0), (1, sums.1)] {
-        let mut node = Consensus::new(9, Recovered::default(), 9, 0);
+        let mut node = Consensus::new(9, RecoveredState::default(), 9, 0);
         receive(&mut node, 10, part(&old, 1, 0..100, sums.0));
         let effects = receive(&mut node, 20, part(&new, term, 100..150, sum));
         assert_eq!(response(&effects).map(|got| (got.received, got.done)), Some((0, false)));
@@ -216,7 +216,7 @@
 fn a_state_without_its_checksum_is_not_installed() {
     let (old, new) = (snapshot(1), snapshot(2));
     let sums = (crc32fast::hash(&old.state), crc32fast::hash(&new.state));
-    let mut node = Consensus::new(9, Recovered::default(), 9, 0);
+    let mut node = Consensus::new(9, RecoveredState::default(), 9, 0);
     receive(&mut node, 10, part(&old, 1, 0..100, sums.0));
     let effects = receive(&mut node, 20, part(&new, 1, 100..200, sums.0));
     assert!(restored(&effects).is_none(), "a mixed snapshot");
@@ -230,7 +230,7 @@
 fn a_snapshot_counts_only_once_its_slot_is_synced_however_often_a_chunk_is_sent() {
     let sent = snapshot(1);
     let sum = crc32fast::hash(&sent.state);
-    let mut node = Consensus::new(9, Recovered::default(), 9, 0);
+    let mut node = Consensus::new(9, RecoveredState::default(), 9, 0);
     let effects = receive(&mut node, 10, part(&sent, 1, 0..200, sum));
     assert!(restored(&effects).is_some() && response(&effects).is_none());
     let again = receive(&mut node, 20, part(&sent, 1, 0..200, sum));
@@ -243,7 +243,7 @@
 fn a_leader_of_an_older_term_hears_so_from_the_one_it_sends_a_snapshot() {
     let sent = snapshot(1);
     let sum = crc32fast::hash(&sent.state);
-    let mut node = Consensus::new(9, Recovered { term: 7, ..Recovered::default() }, 9, 0);
+    let mut node = Consensus::new(9, RecoveredState { term: 7, ..RecoveredState::default() }, 9, 0);
     let effects = receive(&mut node, 10, part(&sent, 5, 0..100, sum));
     assert_eq!(response(&effects).map(|got| (got.term, got.done)), Some((7, false)));
 }
@@ -255,7 +255,7 @@
     cluster.stop(gone);
     cluster.run_with_changes(16_000, 100, 30_000);
     let log = cluster.node(leader).log();
-    let kept = log.range(log.base() + 1, log.last());
+    let kept = log.range(log.base() + 1, log.last_index());
     let kept_bytes: u64 = kept.iter().map(|entry| entry.size() as u64).sum();
-    assert!(log.base() > 0 && kept_bytes <= ENTRIES_KEPT_BYTES + 8_100_000, "{kept_bytes}");
+    assert!(log.base() > 0 && kept_bytes <= ENTRIES_RETAINED_BYTES + 8_100_000, "{kept_bytes}");
 }
--- a/crates/constants/src/consensus.rs
+++ b/crates/constants/src/consensus.rs
@@ -24,54 +24,54 @@
 /// One snapshot chunk is sent again when none was answered in this time.
 pub const SNAPSHOT_RETRY_MS: u64 = 500;
 /// The wait for an answer doubles up to this, so that a slow link is not filled with copies.
-pub const SNAPSHOT_RETRY_MOST_MS: u64 = 8_000;
+pub const SNAPSHOT_RETRY_MAX_MS: u64 = 8_000;
 /// Log bytes between two slot writes: minutes of tickets, and a start reads at most twice this.
 pub const LOG_BYTES: u64 = 32 * 1024 * 1024;
 /// Members add up to as much again, in so many steps, so that a majority is not writing slots at once.
 pub const LOG_SPREAD: u64 = 8;
 /// An encoder not heard of for so long was never started; the largest state takes a few seconds.
-pub const SNAPSHOT_ENCODE_MOST_MS: u64 = 30_000;
+pub const SNAPSHOT_ENCODE_MAX_MS: u64 = 30_000;
 /// Largest record in the log file; a larger length is damage.
 pub const LOG_RECORD_BYTES: usize = 64 * 1024 * 1024;
 /// Entries kept behind a snapshot, so that a slow follower needs no snapshot.
-pub const ENTRIES_KEPT: u64 = 2_000;
+pub const ENTRIES_RETAINED: u64 = 2_000;
 /// A voter silent this long is replaced when a learner stands ready, if the deployment says nothing
 /// of the time to catch up.
 /// Their bytes at most: an eighth of `LOG_BYTES`, little beside the log itself.
-pub const ENTRIES_KEPT_BYTES: u64 = 4 * 1024 * 1024;
+pub const ENTRIES_RETAINED_BYTES: u64 = 4 * 1024 * 1024;
 /// Bytes of entries kept behind a snapshot while a live follower still needs them, or as many as
 /// the snapshot sent to it has, if that is more. A tenth of the memory of a machine of 160 MB; none
 /// of it is on disk.
-pub const ENTRIES_HELD_BYTES: u64 = 16 * 1024 * 1024;
+pub const ENTRIES_RETAINED_MAX_BYTES: u64 = 16 * 1024 * 1024;
 /// A voter silent this long is replaced when a learner stands ready.
 pub const VOTER_DEAD_MS: u64 = 4_000;
 /// The least such silence that a deployment may lead to: an ordinary restart takes up to this long.
-pub const VOTER_DEAD_LEAST_MS: u64 = 1_500;
+pub const VOTER_DEAD_MIN_MS: u64 = 1_500;
 /// Heard lately: one that lives misses three heartbeats at most.
-pub const HEARD_LATELY_MS: u64 = 4 * HEARTBEAT_MS;
+pub const RESPONSIVE_MS: u64 = 4 * HEARTBEAT_MS;
 /// Who said that it leaves is remembered for so long: longer than any silence that counts as death.
-pub const LEAVERS_KEEP_MS: u64 = 10_000;
+pub const DEPARTING_RETENTION_MS: u64 = 10_000;
 /// A learner this close to the tail is caught up.
 pub const LEARNER_LAG_ENTRIES: u64 = 200;
 /// Voters in a control plane: one per disk machine.
 pub const VOTERS: usize = 3;
 /// A stopping controller's note counts this long; an heir is elected within a few milliseconds.
-pub const HANDED_KEEP_MS: u64 = 500;
+pub const HANDOVER_RETENTION_MS: u64 = 500;
 /// A stopping control node waits this long for an heir and for the log to do without it: three
 /// elections without its help. It is killed at the end of its grace, twice as late.
-pub const HAND_OVER_MS: u64 = 3_000;
+pub const LEADERSHIP_TRANSFER_MS: u64 = 3_000;
 /// Fresh control nodes greet each other at this pace until a log exists.
-pub const GREET_MS: u64 = 200;
+pub const DISCOVERY_MS: u64 = 200;
 /// A member names the members to seeds that are none at this pace: three small frames a second at
 /// most, and a seed that began anew is of use again well within the time to recover.
 pub const INTRODUCE_MS: u64 = 1_000;
 /// A fresh node unheard for ten greetings is no longer counted.
-pub const HEARD_KEEP_MS: u64 = 10 * GREET_MS;
+pub const DISCOVERED_RETENTION_MS: u64 = 10 * DISCOVERY_MS;
 /// A voter that just started asks the others at this pace whether any of them leads.
-pub const WHO_MS: u64 = 60;
+pub const LEADER_PROBE_MS: u64 = 60;
 /// A learner stands by so long before a voter leaves for it: whose place it took is known silent by
 /// then, for 'heard lately' is four heartbeats.
-pub const LEARNER_SETTLE_MS: u64 = 500;
+pub const LEARNER_STANDBY_MS: u64 = 500;
 /// A write that a full disk refused is tried again at this pace: one small write a try, and space
 /// is used soon after it is there.
 pub const DISK_FULL_PAUSE_MS: u64 = 50;
--- a/crates/constants/src/traffic.rs
+++ b/crates/constants/src/traffic.rs
@@ -34,7 +34,7 @@
 /// Statuses below this one are interim: another response follows.
 pub const FIRST_FINAL_STATUS: u16 = 200;
 /// Room for a request's head on its way to a target: most take less, and none has to.
-pub const HEAD_GUESS_BYTES: usize = 512;
+pub const HEAD_INITIAL_BYTES: usize = 512;
 /// Head of a request or response, at most.
 pub const HEAD_BYTES: usize = 32 * 1024;
 /// Headers of a head, at most.
@@ -44,7 +44,7 @@
 /// Response body of a target, at most.
 pub const RESPONSE_BYTES: usize = 32 * 1024 * 1024;
 /// Requests at work in one node; beyond it they are shed at once.
-pub const REQUESTS_AT_WORK: usize = 768;
+pub const REQUESTS_IN_FLIGHT: usize = 768;
 /// Once half of a node's places are taken, one client address has no more than this share of them.
 pub const CLIENT_SHARE_PERCENT: usize = 25;
 /// The same for one route: a storm on one leaves places for the others.
@@ -52,7 +52,7 @@
 /// Buckets in which client addresses are counted; a collision only makes a share smaller.
 pub const CLIENT_BUCKETS: usize = 1_024;
 /// Coordination calls at work in one node.
-pub const CALLS_AT_WORK: usize = 256;
+pub const CALLS_IN_FLIGHT: usize = 256;
 /// Retries that all nodes together may make, in per cent of a service's requests.
 pub const RETRY_PERCENT: u64 = 20;
 /// Retries allowed to the whole fleet beyond that share, per second; few, so that quiet services recover.
@@ -78,11 +78,11 @@
 /// A target in another zone must be this much emptier before it is taken instead.
 pub const ZONE_SLACK_REQUESTS: u64 = 4;
 /// A target that failed here is passed over this long while others are there.
-pub const FAILED_PAUSE_MS: u64 = 1_000;
+pub const EJECTION_MS: u64 = 1_000;
 /// One read of a client's connection.
 pub const READ_BYTES: usize = 16 * 1024;
 /// A waiting read looks up this often, to see a deadline or a stop.
-pub const LOOK_UP_MS: u64 = 250;
+pub const PEER_CLOSED_CHECK_MS: u64 = 250;
 /// A chunk's size line, at most.
 pub const CHUNK_LINE_BYTES: usize = 1024;
 /// A target takes a connection within this time, or another is sought.
@@ -93,11 +93,11 @@
 /// A connection is left alone so long before its target would close it.
 pub const TARGET_IDLE_MARGIN_MS: u64 = 1_500;
 /// None is kept longer, whatever its target says.
-pub const TARGET_IDLE_MOST_MS: u64 = 60_000;
+pub const TARGET_IDLE_MAX_MS: u64 = 60_000;
 /// Callers' connections at one control node, each on a small thread.
-pub const DESKS: usize = 512;
+pub const CLIENT_CONNECTIONS: usize = 512;
 /// A process looks for signals at this pace; a stop has seconds.
-pub const LOOK_FOR_SIGNALS_MS: u64 = 50;
+pub const SIGNAL_CHECK_MS: u64 = 50;
 /// What a target told of its occupancy is worth a third after this: about one request's time.
 pub const REPORT_FADES_MS: f64 = 400.0;
 /// Another zone costs as much as so great a part of a target's slots.
@@ -105,18 +105,18 @@
 /// Targets closer than this in their part of taken slots are drawn by lot.
 pub const CHANCE_SLOTS: f64 = 0.1;
 /// A cold target counts as so many times as full.
-pub const COLD_TIMES: f64 = 2.0;
+pub const SLOW_START_FACTOR: f64 = 2.0;
 /// A link whose bytes are not acknowledged for so long is opened anew: its machine may be back.
-pub const LINK_UNHEARD_MS: u64 = 400;
+pub const LINK_UNACKNOWLEDGED_MS: u64 = 400;
 /// A repeatable request whose bytes its target's machine does not acknowledge for so long goes elsewhere.
-pub const TARGET_UNHEARD_MS: u64 = 300;
+pub const TARGET_UNRESPONSIVE_MS: u64 = 300;
 /// A target that fails again is passed over twice as long, up to this.
-pub const FAILED_PAUSE_MOST_MS: u64 = 8_000;
+pub const EJECTION_MAX_MS: u64 = 8_000;
 /// A target that turned a request away is passed over this long while others have room.
-pub const TURNED_AWAY_PAUSE_MS: u64 = 200;
+pub const REJECTION_PAUSE_MS: u64 = 200;
 /// A waiting request looks this often whether its client has left, where it waits for no socket: well
 /// within the half second after which work for a client that left is a fault.
-pub const CLIENT_LOOK_MS: u64 = 200;
+pub const CLIENT_CLOSED_CHECK_MS: u64 = 200;
 /// A connection on which nothing came for so long is probed.
 pub const KEEPALIVE_IDLE_MS: u64 = 5_000;
 /// Such a probe is repeated at this pace.
--- a/crates/controller-client/src/open.rs
+++ b/crates/controller-client/src/pending_request.rs
@@ -8,12 +8,12 @@
 
 /// A question that waits for its end.
 #[derive(Clone, Debug)]
-pub(crate) struct Open {
+pub(crate) struct PendingRequest {
     pub request: Request,
     pub again_ms: u64,
     pub until_ms: u64,
     /// Sends to the present controller that got no response.
-    pub unheard: u32,
+    pub unanswered_copies: u32,
     /// Copies sent that no response has shown to be without effect.
     copies: u32,
     /// A refusal that is told once no other copy can still take effect.
@@ -22,15 +22,15 @@
     lost: bool,
 }
 
-impl Open {
+impl PendingRequest {
     /// A question that was not sent yet.
-    pub fn new(now_ms: u64, request: Request, wait_ms: u64) -> Open {
+    pub fn new(now_ms: u64, request: Request, wait_ms: u64) -> PendingRequest {
         let until_ms = now_ms.saturating_add(wait_ms);
-        Open {
+        PendingRequest {
             request,
             again_ms: now_ms,
             until_ms,
-            unheard: 0,
+            unanswered_copies: 0,
             copies: 0,
             refused: None,
             lost: false,
@@ -45,7 +45,7 @@
     /// One copy goes out.
     pub fn on_send(&mut self) {
         self.copies += 1;
-        self.unheard += 1;
+        self.unanswered_copies += 1;
     }
 
     /// One copy is known to be without effect, or its effect is told by this response.
@@ -100,7 +100,7 @@
 fn is_refused_call(call: &Call, outcome: &Outcome) -> bool {
     match call {
         Call::Lock { .. } | Call::Renew { .. } => {
-            matches!(outcome, Outcome::Held { .. } | Outcome::NotHeld)
+            matches!(outcome, Outcome::LockedByOther { .. } | Outcome::NotOwner)
         }
         Call::Next { .. } | Call::Put { .. } | Call::Remove { .. } => {
             matches!(outcome, Outcome::Conflict { .. } | Outcome::NoKey)
--- a/crates/controller-client/tests/refusals.rs
+++ b/crates/controller-client/tests/refusals.rs
@@ -1,6 +1,6 @@
 //! A refusal is told only once no copy of its question can still take effect.
 
-use postbarrow_constants::coordination::ASK_AGAIN_MS;
+use postbarrow_constants::coordination::REQUEST_RETRY_MS;
 use postbarrow_controller_client::{ControllerClient, Effect};
 use postbarrow_messages::{Request, Response};
 use postbarrow_state::{Call, Key, Outcome};
@@ -19,7 +19,7 @@
 }
 
 fn held() -> Response {
-    Response::Outcome(Outcome::Held { fence: 4 })
+    Response::Outcome(Outcome::LockedByOther { fence: 4 })
 }
 
 fn answers(effects: Vec<Effect>) -> Vec<Response> {
@@ -33,10 +33,10 @@
 /// A client with one question that was sent so many times.
 fn sent(request: Request, times: u64) -> ControllerClient {
     let mut client = ControllerClient::default();
-    client.learn(0, Some(leader(1)), &[leader(1), leader(2)]);
-    let mut sends = client.ask(0, QUESTION, request, WAIT_MS).len();
+    client.on_members(0, Some(leader(1)), &[leader(1), leader(2)]);
+    let mut sends = client.send_request(0, QUESTION, request, WAIT_MS).len();
     for again in 1..times {
-        sends += client.tick(again * ASK_AGAIN_MS).len();
+        sends += client.tick(again * REQUEST_RETRY_MS).len();
     }
     assert_eq!(sends as u64, times);
     client
@@ -47,7 +47,7 @@
     let refusals = [
         (start(), held()),
         (start(), Response::Full),
-        (start(), Response::Outcome(Outcome::NotHeld)),
+        (start(), Response::Outcome(Outcome::NotOwner)),
     ];
     for (request, refusal) in refusals {
         let mut client = sent(request, 1);
@@ -60,7 +60,10 @@
     for refusal in [held(), Response::Full] {
         let mut client = sent(start(), 2);
         assert!(answers(client.on_response(310, QUESTION, refusal.clone())).is_empty());
-        assert!(client.tick(2 * ASK_AGAIN_MS + 50).is_empty(), "a refused question goes no more");
+        assert!(
+            client.tick(2 * REQUEST_RETRY_MS + 50).is_empty(),
+            "a refused question goes no more"
+        );
         let elsewhere = Response::NotController { controller: Some(leader(2)) };
         assert_eq!(answers(client.on_response(700, QUESTION, elsewhere)), [refusal]);
     }
@@ -77,7 +80,7 @@
     assert_eq!(answers(client.tick(WAIT_MS)), [Response::TimedOut]);
     let mut lost = sent(start(), 1);
     assert!(answers(lost.on_response(5, QUESTION, Response::Lost)).is_empty());
-    lost.tick(ASK_AGAIN_MS);
+    lost.tick(REQUEST_RETRY_MS);
     assert!(answers(lost.on_response(310, QUESTION, held())).is_empty(), "it may be committed");
     assert_eq!(answers(lost.tick(WAIT_MS)), [Response::TimedOut]);
 }
@@ -85,7 +88,7 @@
 #[test]
 fn a_copy_that_its_controller_dropped_holds_no_refusal_back() {
     let mut client = sent(start(), 2);
-    assert!(answers(client.on_response(310, QUESTION, Response::Waiting)).is_empty());
+    assert!(answers(client.on_response(310, QUESTION, Response::Duplicate)).is_empty());
     assert_eq!(answers(client.on_response(320, QUESTION, held())), [held()]);
 }
 
@@ -104,6 +107,6 @@
     let mut client = sent(start(), 1);
     client.withdraw(QUESTION);
     assert_eq!(client.open(), 0);
-    assert!(client.tick(ASK_AGAIN_MS).is_empty(), "it is asked no more");
-    assert!(client.on_response(ASK_AGAIN_MS, QUESTION, held()).is_empty());
+    assert!(client.tick(REQUEST_RETRY_MS).is_empty(), "it is asked no more");
+    assert!(client.on_response(REQUEST_RETRY_MS, QUESTION, held()).is_empty());
 }
--- a/crates/controller/examples/snapshot_cost.rs
+++ b/crates/controller/examples/snapshot_cost.rs
@@ -1,7 +1,7 @@
 //! What a full log costs: memory, the thread that keeps the lease, one slot of a small disk, a restart.
 
-use postbarrow_consensus::{Hard, Member, Snapshot, Write};
-use postbarrow_constants::coordination::{KEPT_BYTES, KEPT_RESPONSE_BYTES, TICKETS};
+use postbarrow_consensus::{HardState, Member, Snapshot, Write};
+use postbarrow_constants::coordination::{STORED_RESPONSE_BYTES, STORED_RESPONSES_BYTES, TICKETS};
 use postbarrow_state::*;
 use postbarrow_storage::{FolderDisk, Opened, Storage, open};
 use std::sync::Arc;
@@ -11,9 +11,13 @@
     let mut state = State::default();
     for at in 0..tickets as u64 {
         let key = Name::from(format!("made-{:x}-{at}-0123456789abcdef01234567", 0x1234_5678u64));
-        let kept = Kept { status: 200, headers: Vec::new(), body: vec![7; KEPT_RESPONSE_BYTES] };
-        let fits = state.kept_bytes + kept.size() as u64 <= KEPT_BYTES;
-        state.kept_bytes += if fits { kept.size() as u64 } else { 0 };
+        let kept = StoredResponse {
+            status: 200,
+            headers: Vec::new(),
+            body: vec![7; STORED_RESPONSE_BYTES],
+        };
+        let fits = state.stored_response_bytes + kept.size() as u64 <= STORED_RESPONSES_BYTES;
+        state.stored_response_bytes += if fits { kept.size() as u64 } else { 0 };
         let ticket = Ticket {
             key: key.clone(),
             digest: [7; 32],
@@ -21,7 +25,7 @@
             instance: "ledger-1".into(),
             node: 9,
             number: at,
-            settled: Some(Settlement::Ran),
+            settlement: Some(Settlement::Ran),
             response: fits.then(|| Arc::new(kept)),
             era: 0,
         };
@@ -52,7 +56,7 @@
         let mut storage = Storage::create(disk, 1).expect("a new disk");
         let member = Member { id: 1, address: ([127, 0, 0, 1], 1).into() };
         let snapshot = Snapshot { index: 1, term: 1, members: vec![member], state: bytes };
-        let hard = Hard { term: 1, voted: None };
+        let hard = HardState { term: 1, voted_for: None };
         let slot = Write::Slot { snapshot: Arc::new(snapshot), hard, entries: Vec::new() };
         let start = Instant::now();
         storage.apply(vec![slot]).expect("a slot is written");
--- a/crates/controller/src/made.rs
+++ b/crates/controller/src/builder.rs
@@ -21,19 +21,19 @@
 
     /// These begin the log together, be they one, two or three; all others join it.
     pub fn with_founders(mut self, founders: &[SocketAddr]) -> Self {
-        self.book.founders = Some(founders.iter().copied().collect());
+        self.directory.founders = Some(founders.iter().copied().collect());
         self
     }
 
     /// One without a disk that lasts is never a member; it finds the controller for others.
-    pub fn as_guest(mut self) -> Self {
-        self.book.guest = true;
+    pub fn as_observer(mut self) -> Self {
+        self.directory.observer = true;
         self
     }
 
     /// Where other control nodes may be found by one that is no member.
     pub fn introduced(&self) -> Vec<SocketAddr> {
-        self.book.addresses()
+        self.directory.addresses()
     }
 
     /// So many members may be lost at once.
@@ -50,7 +50,7 @@
 
     /// A log is known to exist: an empty disk joins it, and begins none.
     pub fn with_known_log(mut self) -> Self {
-        self.book.formed = true;
+        self.directory.log_exists = true;
         self
     }
 }
--- a/crates/controller/src/commit.rs
+++ b/crates/controller/src/commit.rs
@@ -2,10 +2,10 @@
 
 use crate::{ControlNode, Effect};
 use postbarrow_consensus::{Entry, Payload, Snapshot};
-use postbarrow_constants::consensus::SNAPSHOT_ENCODE_MOST_MS;
-use postbarrow_membership::NewsEntry;
+use postbarrow_constants::consensus::SNAPSHOT_ENCODE_MAX_MS;
+use postbarrow_membership::UpdateEntry;
 use postbarrow_state::{Record, State};
-use postbarrow_transactions::{Line, Seen, Tail, decode, encode};
+use postbarrow_transactions::{BatchOutcome, BatchRecord, Tail, decode, encode};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -30,21 +30,21 @@
     }
 
     fn on_batch(&mut self, now_ms: u64, offset: u64, bytes: &[u8]) {
-        let lines: Vec<Line<Record>> =
+        let lines: Vec<BatchRecord<Record>> =
             decode(bytes).unwrap_or_else(|error| panic!("log offset {offset}: {error}"));
         let seen = match self.tail.apply(offset, bytes.len(), &lines) {
             Ok(seen) => seen,
             Err(error) => panic!("log offset {offset}: {error}"),
         };
-        if self.lead.is_some() {
-            self.note_committed(now_ms, &lines);
+        if self.leader.is_some() {
+            self.track_committed(now_ms, &lines);
         }
-        let news: Vec<Line<Record>> = lines.into_iter().filter(is_news).collect();
+        let news: Vec<BatchRecord<Record>> = lines.into_iter().filter(is_news).collect();
         if !news.is_empty() {
-            let entry = NewsEntry { prev: self.news_offset, offset, bytes: encode(&news) };
+            let entry = UpdateEntry { prev: self.update_offset, offset, bytes: encode(&news) };
             self.relay.push(entry);
-            self.news_offset = offset;
-            if seen != Seen::Pending {
+            self.update_offset = offset;
+            if seen != BatchOutcome::Pending {
                 self.image_offset = offset;
             }
         }
@@ -58,7 +58,7 @@
                 .unwrap_or_else(|error| panic!("snapshot {}: {error}", snapshot.index))
         };
         self.tail = Tail::new(snapshot.index, kept.state.as_ref().clone());
-        self.news_offset = kept.news_offset;
+        self.update_offset = kept.news_offset;
         self.image_offset = kept.news_offset;
         self.relay.clear();
         self.count_log();
@@ -66,7 +66,7 @@
 
     /// Whether the state holds every committed entry, be they from a snapshot or applied one by one.
     pub(crate) fn has_applied_commit(&self) -> bool {
-        self.tail.offset() >= self.consensus.commit()
+        self.tail.offset() >= self.consensus.commit_index()
     }
 
     /// Between transactions only: a snapshot carries no markers. So it is due after each entry, not
@@ -75,21 +75,21 @@
     /// keeps them from all writing their slots at once. One that has just started has applied
     /// nothing beyond its snapshot: what it read of the log counts on until it has.
     pub(crate) fn compact(&mut self, now_ms: u64) {
-        let encoding = self.encoding_ms.is_some_and(|ms| now_ms < ms + SNAPSHOT_ENCODE_MOST_MS);
+        let encoding = self.encoding_ms.is_some_and(|ms| now_ms < ms + SNAPSHOT_ENCODE_MAX_MS);
         if encoding || self.log_bytes < self.log_bound_bytes || self.tail.is_open() {
             return;
         }
-        let index = self.tail.offset().min(self.consensus.commit());
+        let index = self.tail.offset().min(self.consensus.commit_index());
         if index <= self.consensus.snapshot_index() {
             return;
         }
         self.encoding_ms = Some(now_ms);
-        let kept = Kept { state: self.tail.image().clone(), news_offset: self.news_offset };
-        self.effects.push(Effect::Encode(Snap { index, kept }));
+        let kept = Kept { state: self.tail.image().clone(), news_offset: self.update_offset };
+        self.effects.push(Effect::Encode(PendingSnapshot { index, kept }));
     }
 
     pub(crate) fn on_encoded(&mut self, now_ms: u64, index: u64, state: Vec<u8>) {
-        self.say(format!("snapshot at {index}, {} bytes", state.len()));
+        self.log_line(format!("snapshot at {index}, {} bytes", state.len()));
         self.encoding_ms = None;
         self.log(now_ms, postbarrow_consensus::Input::Compact { index, state });
         self.count_log();
@@ -104,20 +104,20 @@
 
 /// A committed state on its way to a slot.
 #[derive(Debug)]
-pub struct Snap {
+pub struct PendingSnapshot {
     pub index: u64,
     kept: Kept,
 }
 
-impl Snap {
+impl PendingSnapshot {
     pub fn encode(&self) -> Vec<u8> {
         rmp_serde::to_vec(&self.kept).expect("a state encodes into memory")
     }
 }
 
-fn is_news(line: &Line<Record>) -> bool {
+fn is_news(line: &BatchRecord<Record>) -> bool {
     match line {
-        Line::Data(record) => record.is_news(),
-        Line::Begin { .. } | Line::End | Line::Abort { .. } => true,
+        BatchRecord::Data(record) => record.is_routing_update(),
+        BatchRecord::Begin { .. } | BatchRecord::End | BatchRecord::Abort { .. } => true,
     }
 }
--- a/crates/controller/src/contact.rs
+++ b/crates/controller/src/contact.rs
@@ -24,7 +24,7 @@
         let leader = self.consensus.leader().map(|leader| leader.address);
         match leader.filter(|address| *address != self.own.address || self.has_lease(now_ms)) {
             Some(address) => Contact::Leader(address),
-            None => Contact::Silent { since_ms: self.heard_ms },
+            None => Contact::Silent { since_ms: self.leader_contact_ms },
         }
     }
 
@@ -32,9 +32,16 @@
     /// count: what it was sent meanwhile may be the next thing it reads.
     pub(crate) fn contact_tick(&mut self, now_ms: u64, gap_ms: u64) {
         match self.contact(now_ms) {
-            Contact::Leader(leader) if leader == self.own.address => self.heard_ms = now_ms,
-            Contact::Leader(_) => self.heard_ms = self.heard_ms.max(self.consensus.heard_ms()),
-            _ if gap_ms > HEARTBEAT_MS => self.heard_ms = (self.heard_ms + gap_ms).min(now_ms),
+            Contact::Leader(leader) if leader == self.own.address => {
+                self.leader_contact_ms = now_ms
+            }
+            Contact::Leader(_) => {
+                self.leader_contact_ms =
+                    self.leader_contact_ms.max(self.consensus.leader_contact_ms())
+            }
+            _ if gap_ms > HEARTBEAT_MS => {
+                self.leader_contact_ms = (self.leader_contact_ms + gap_ms).min(now_ms)
+            }
             _ => {}
         }
     }
--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/coordination.rs
@@ -31,7 +31,7 @@
         let (outcome, mut records) = decide(state, &call);
         if let (Outcome::Locked { ttl_ms, .. }, Call::Lock { name, .. } | Call::Renew { name, .. }) =
             (&outcome, &call)
-            && let Some(lead) = &mut self.lead
+            && let Some(lead) = &mut self.leader
         {
             let due_ms = lead.locks_due_ms.entry(name.clone()).or_default();
             *due_ms = (*due_ms).max(now_ms + ttl_ms);
@@ -52,7 +52,7 @@
     /// Ends locks whose time is up. A controller that stood still gives its holders that time back.
     pub(crate) fn lock_tick(&mut self, now_ms: u64, gap_ms: u64) {
         let open = self.is_open();
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         if gap_ms > HEARTBEAT_MS {
             lead.locks_due_ms.values_mut().for_each(|due_ms| *due_ms += gap_ms);
         }
@@ -96,9 +96,9 @@
     }
     match call {
         Call::Lock { ttl_ms, .. } | Call::Renew { ttl_ms: Some(ttl_ms), .. }
-            if !(LOCK_TTL_LEAST_MS..=LOCK_TTL_MOST_MS).contains(ttl_ms) =>
+            if !(LOCK_TTL_MIN_MS..=LOCK_TTL_MAX_MS).contains(ttl_ms) =>
         {
-            Err(format!("ttlMs must be from {LOCK_TTL_LEAST_MS} to {LOCK_TTL_MOST_MS}"))
+            Err(format!("ttlMs must be from {LOCK_TTL_MIN_MS} to {LOCK_TTL_MAX_MS}"))
         }
         Call::Put { value, .. } => within("value", value.len(), 0, VALUE_BYTES),
         Call::Next { by: 0, .. } => Err("by must be at least 1".into()),
@@ -117,7 +117,7 @@
 fn read(state: &State, call: &Call) -> Outcome {
     match call {
         Call::ReadLock { name } => match state.locks.get(name) {
-            Some(lock) => Outcome::Held { fence: lock.fence },
+            Some(lock) => Outcome::LockedByOther { fence: lock.fence },
             None => Outcome::NoLock,
         },
         Call::ReadNumber { name } => Outcome::Number(state.numbers.get(name).copied().unwrap_or(0)),
@@ -144,7 +144,7 @@
     match call {
         Call::Lock { name, holder, ttl_ms } => match state.locks.get(name) {
             Some(lock) if lock.holder == *holder => extend(name, lock, *ttl_ms),
-            Some(lock) => (Outcome::Held { fence: lock.fence }, Vec::new()),
+            Some(lock) => (Outcome::LockedByOther { fence: lock.fence }, Vec::new()),
             None => {
                 let (fence, ttl_ms) = (state.fence + 1, *ttl_ms);
                 let record =
@@ -156,13 +156,13 @@
             Some(lock) if lock.holder == *holder && lock.fence == *fence => {
                 extend(name, lock, ttl_ms.unwrap_or(lock.ttl_ms))
             }
-            _ => (Outcome::NotHeld, Vec::new()),
+            _ => (Outcome::NotOwner, Vec::new()),
         },
         Call::Free { name, holder, fence } => match state.locks.get(name) {
             Some(lock) if lock.holder == *holder && lock.fence == *fence => {
                 (Outcome::Freed, vec![Record::LockFreed { name: name.clone() }])
             }
-            _ => (Outcome::NotHeld, Vec::new()),
+            _ => (Outcome::NotOwner, Vec::new()),
         },
         Call::Next { name, by } => {
             let now = state.numbers.get(name).copied().unwrap_or(0);
--- a/crates/controller/src/greet.rs
+++ b/crates/controller/src/discovery.rs
@@ -3,29 +3,29 @@
 use crate::ControlNode;
 use postbarrow_consensus::{self as consensus, Member, MemberId};
 use postbarrow_constants::consensus::{
-    ELECTION_MIN_MS, GREET_MS, HEARD_KEEP_MS, INTRODUCE_MS, VOTERS,
+    DISCOVERED_RETENTION_MS, DISCOVERY_MS, ELECTION_MIN_MS, INTRODUCE_MS, VOTERS,
 };
 use postbarrow_constants::nodes::INTRODUCTIONS;
-use postbarrow_messages::{Greet, Message};
+use postbarrow_messages::{DiscoveryAnnouncement, Message};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-struct Heard {
+struct DiscoveredPeer {
     member: Member,
     knows: BTreeSet<MemberId>,
     at_ms: u64,
 }
 
 /// Addresses that may lead to the others; nobody here is trusted with more than that.
-pub(crate) struct Book {
+pub(crate) struct PeerDirectory {
     own: SocketAddr,
     addresses: BTreeSet<SocketAddr>,
     /// The seeds of the settings as they are now.
     seeds: Vec<SocketAddr>,
-    fresh: BTreeMap<MemberId, Heard>,
-    pub(crate) formed: bool,
+    discovered: BTreeMap<MemberId, DiscoveredPeer>,
+    pub(crate) log_exists: bool,
     /// Has no disk that lasts: only finds the others and hands questions on.
-    pub(crate) guest: bool,
+    pub(crate) observer: bool,
     /// Where those stand that begin the log together; none: any three empty disks may.
     pub(crate) founders: Option<BTreeSet<SocketAddr>>,
     due_ms: u64,
@@ -34,16 +34,16 @@
     leader_ms: u64,
 }
 
-impl Book {
+impl PeerDirectory {
     pub fn new(seeds: &[SocketAddr], own: SocketAddr) -> Self {
         let addresses = seeds.iter().copied().filter(|seed| *seed != own).collect();
-        Book {
+        PeerDirectory {
             own,
             addresses,
             seeds: seeds.to_vec(),
-            fresh: BTreeMap::new(),
-            formed: false,
-            guest: false,
+            discovered: BTreeMap::new(),
+            log_exists: false,
+            observer: false,
             founders: None,
             due_ms: 0,
             introduction_due_ms: 0,
@@ -71,35 +71,39 @@
 impl ControlNode {
     /// Who is new, left out or without a leader for long makes itself known; who is about to end
     /// wants no seat.
-    pub(crate) fn greet_tick(&mut self, now_ms: u64) {
-        if self.consensus.leader().is_some() || self.lead.is_some() {
-            self.book.leader_ms = now_ms;
+    pub(crate) fn discovery_tick(&mut self, now_ms: u64) {
+        if self.consensus.leader().is_some() || self.leader.is_some() {
+            self.directory.leader_ms = now_ms;
         }
         let member = self.consensus.members().contains(&self.own);
         if member {
             self.introduce_to_seeds(now_ms);
         }
-        let lost = now_ms > self.book.leader_ms + 3 * ELECTION_MIN_MS;
-        if now_ms < self.book.due_ms || (member && !lost) || self.stopping {
+        let lost = now_ms > self.directory.leader_ms + 3 * ELECTION_MIN_MS;
+        if now_ms < self.directory.due_ms || (member && !lost) || self.stopping {
             return;
         }
-        self.book.due_ms = now_ms + GREET_MS;
+        self.directory.due_ms = now_ms + DISCOVERY_MS;
         let own = self.own;
-        let fresh = self.consensus.is_unbound();
-        self.book.fresh.retain(|_, heard| now_ms < heard.at_ms + HEARD_KEEP_MS);
-        let mut knows: BTreeSet<MemberId> = self.book.fresh.keys().copied().collect();
+        let fresh = self.consensus.is_pristine();
+        self.directory.discovered.retain(|_, heard| now_ms < heard.at_ms + DISCOVERED_RETENTION_MS);
+        let mut knows: BTreeSet<MemberId> = self.directory.discovered.keys().copied().collect();
         knows.insert(self.own.id);
-        let greet = Greet { member: self.own, fresh, knows: knows.iter().copied().collect() };
+        let greet = DiscoveryAnnouncement {
+            member: self.own,
+            uninitialized: fresh,
+            known_peers: knows.iter().copied().collect(),
+        };
         let known: BTreeSet<SocketAddr> =
             self.consensus.members().iter().map(|one| one.address).collect();
-        let to: BTreeSet<SocketAddr> = known.union(&self.book.addresses).copied().collect();
+        let to: BTreeSet<SocketAddr> = known.union(&self.directory.addresses).copied().collect();
         for address in to.into_iter().filter(|address| *address != own.address) {
-            if !self.book.guest {
-                self.send(address, Message::Greet(greet.clone()));
+            if !self.directory.observer {
+                self.send(address, Message::DiscoveryAnnouncement(greet.clone()));
             }
             self.send(address, Message::Introduce);
         }
-        if fresh && !self.book.guest {
+        if fresh && !self.directory.observer {
             self.try_form(now_ms, knows);
         }
     }
@@ -108,8 +112,8 @@
     /// reached knows of a log already. Without founders, any three empty disks that named the same
     /// three are.
     fn try_form(&mut self, now_ms: u64, knows: BTreeSet<MemberId>) {
-        let heard = self.book.fresh.values();
-        let (ids, wanted): (BTreeSet<MemberId>, usize) = match &self.book.founders {
+        let heard = self.directory.discovered.values();
+        let (ids, wanted): (BTreeSet<MemberId>, usize) = match &self.directory.founders {
             None => (knows, VOTERS),
             Some(founders) if !founders.contains(&self.own.address) => return,
             Some(founders) => {
@@ -119,50 +123,56 @@
             }
         };
         let mut others = heard.filter(|one| ids.contains(&one.member.id));
-        let agreed = match self.book.founders {
+        let agreed = match self.directory.founders {
             None => others.all(|one| one.knows == ids),
             Some(_) => others.all(|one| one.knows.is_superset(&ids)),
         };
         let first = ids.first() == Some(&self.own.id);
-        if self.book.formed || ids.len() != wanted || !agreed || !first {
+        if self.directory.log_exists || ids.len() != wanted || !agreed || !first {
             return;
         }
-        let heard = self.book.fresh.values().map(|heard| heard.member);
+        let heard = self.directory.discovered.values().map(|heard| heard.member);
         let mut members: Vec<Member> = heard.filter(|one| ids.contains(&one.id)).collect();
         members.push(self.own);
         members.sort_unstable();
-        self.say(format!("begins a new log of {} members", ids.len()));
-        self.log(now_ms, consensus::Input::Form(members.clone()));
+        self.log_line(format!("begins a new log of {} members", ids.len()));
+        self.log(now_ms, consensus::Input::Bootstrap(members.clone()));
         let own = self.own;
         for member in members.iter().filter(|member| **member != own) {
-            self.send(member.address, Message::Form(members.clone()));
+            self.send(member.address, Message::Bootstrap(members.clone()));
         }
     }
 
-    pub(crate) fn on_greet(&mut self, now_ms: u64, from: SocketAddr, greet: Greet) {
-        self.book.add(from);
-        if self.consensus.is_fresh() {
-            if greet.fresh {
-                let knows = greet.knows.into_iter().collect();
-                let heard = Heard { member: greet.member, knows, at_ms: now_ms };
-                self.book.fresh.insert(greet.member.id, heard);
+    pub(crate) fn on_discovery(
+        &mut self,
+        now_ms: u64,
+        from: SocketAddr,
+        greet: DiscoveryAnnouncement,
+    ) {
+        self.directory.add(from);
+        if self.consensus.is_uninitialized() {
+            if greet.uninitialized {
+                let knows = greet.known_peers.into_iter().collect();
+                let heard = DiscoveredPeer { member: greet.member, knows, at_ms: now_ms };
+                self.directory.discovered.insert(greet.member.id, heard);
             } else {
-                self.book.formed = true;
+                self.directory.log_exists = true;
             }
             return;
         }
         let begun = self.consensus.log().members_at(0);
-        if greet.fresh && begun.contains(&greet.member) && self.consensus.log().base() == 0 {
-            return self.send(from, Message::Form(begun));
+        if greet.uninitialized && begun.contains(&greet.member) && self.consensus.log().base() == 0
+        {
+            return self.send(from, Message::Bootstrap(begun));
         }
-        self.log(now_ms, consensus::Input::Learner(greet.member));
+        self.log(now_ms, consensus::Input::AddLearner(greet.member));
     }
 
     /// Another member stood at this address before, and lost its disk: it leads no more, for its
     /// process is gone. That is all that can be said for it.
     pub(crate) fn vouch(&mut self, asker: Member, before: MemberId, round: u64) {
         let before = Member { id: before, address: self.own.address };
-        let message = consensus::Message::WhoResponse { term: 0, round, free: true };
+        let message = consensus::Message::LeaderProbeResponse { term: 0, round, free: true };
         self.send(asker.address, Message::Consensus { from: before, to: asker.id, message });
     }
 
@@ -171,11 +181,11 @@
     pub(crate) fn introduce(&mut self, from: SocketAddr) {
         let members: Vec<SocketAddr> =
             self.consensus.members().iter().map(|member| member.address).collect();
-        let is_fresh = self.consensus.is_fresh();
-        let formed = !is_fresh || self.book.formed;
+        let is_fresh = self.consensus.is_uninitialized();
+        let formed = !is_fresh || self.directory.log_exists;
         let mut control = members;
         if is_fresh {
-            control.extend(self.book.addresses.iter().copied());
+            control.extend(self.directory.addresses.iter().copied());
         }
         self.send(from, Message::Introduction { control, formed });
     }
@@ -183,13 +193,13 @@
     /// Members make themselves known to the seeds that are none. Such a seed may have begun anew
     /// and know only others like itself, while data nodes are told of nobody else.
     fn introduce_to_seeds(&mut self, now_ms: u64) {
-        if now_ms < self.book.introduction_due_ms {
+        if now_ms < self.directory.introduction_due_ms {
             return;
         }
-        self.book.introduction_due_ms = now_ms + INTRODUCE_MS;
+        self.directory.introduction_due_ms = now_ms + INTRODUCE_MS;
         let members: Vec<SocketAddr> =
             self.consensus.members().iter().map(|member| member.address).collect();
-        let seeds = self.book.seeds.clone();
+        let seeds = self.directory.seeds.clone();
         for seed in seeds.into_iter().filter(|seed| !members.contains(seed)) {
             let control = members.clone();
             self.send(seed, Message::Introduction { control, formed: true });
@@ -197,9 +207,9 @@
     }
 
     pub(crate) fn on_introduction(&mut self, control: Vec<SocketAddr>, formed: bool) {
-        self.book.formed |= formed;
+        self.directory.log_exists |= formed;
         for address in control.into_iter().take(INTRODUCTIONS) {
-            self.book.add(address);
+            self.directory.add(address);
         }
     }
 }
--- a/crates/controller/src/list.rs
+++ b/crates/controller/src/endpoint_list.rs
@@ -1,5 +1,5 @@
-use crate::page::read_page;
-use crate::walk::Taken;
+use crate::endpoint_list_scan::Taken;
+use crate::list_page::read_page;
 use crate::{ControlNode, Effect, Fetched, PageResult};
 use postbarrow_constants::nodes::*;
 use postbarrow_constants::plans::LEAVING_WAIT_MS;
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 
 /// What a page told while a transaction was open.
-pub(crate) struct Held {
+pub(crate) struct DeferredChange {
     since_ms: u64,
     leaving: bool,
     rows: Vec<Target>,
@@ -15,32 +15,33 @@
     doubtful: Vec<Name>,
 }
 
-pub(crate) type HeldRows = VecDeque<Held>;
+pub(crate) type DeferredChanges = VecDeque<DeferredChange>;
 
 impl ControlNode {
     /// One duty of the controller alone: walking the platform's list.
     pub(crate) fn list_tick(&mut self, now_ms: u64) {
         self.take_held(now_ms);
         let leased = self.has_lease(now_ms);
-        let Some(lead) = &mut self.lead else { return };
-        if lead.walk.gave_up(now_ms) {
+        let Some(lead) = &mut self.leader else { return };
+        if lead.scan.gave_up(now_ms) {
             return self.list_finding("a page never came".into());
         }
-        if leased && let Some((number, cursor)) = lead.walk.next(now_ms) {
+        if leased && let Some((number, cursor)) = lead.scan.next(now_ms) {
             self.effects.push(Effect::Fetch { number, cursor });
         }
     }
 
     /// Changes wait for an open transaction, but one that shows a target leave not for long.
     fn take_held(&mut self, now_ms: u64) {
-        let late = |held: &Held| held.leaving && now_ms >= held.since_ms + LEAVING_WAIT_MS;
-        let waits = self.lead.as_ref().is_some_and(|lead| lead.held_rows.iter().any(late));
+        let late =
+            |held: &DeferredChange| held.leaving && now_ms >= held.since_ms + LEAVING_WAIT_MS;
+        let waits = self.leader.as_ref().is_some_and(|lead| lead.deferred_changes.iter().any(late));
         if waits && self.is_open() {
             self.abort_late(now_ms, "a target that leaves waited for it too long");
         }
         while !self.is_open() {
-            let Some(lead) = &mut self.lead else { return };
-            let Some(held) = lead.held_rows.pop_front() else { return };
+            let Some(lead) = &mut self.leader else { return };
+            let Some(held) = lead.deferred_changes.pop_front() else { return };
             self.take_rows(now_ms, held);
         }
     }
@@ -51,23 +52,23 @@
         }
         let Some(state) = self.current() else { return };
         let known: Vec<Name> = state.targets.keys().cloned().collect();
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let number = result.number;
         let listed = match result.fetched {
             Fetched::Page(bytes) => read_page(&bytes).map_err(|findings| findings.to_string()),
             Fetched::Listed(listed) => Ok(listed),
             Fetched::Failed(why) => Err(why),
             Fetched::Limited { wait_ms } => {
-                if lead.walk.on_limited(now_ms, number, wait_ms) {
-                    let gap_ms = lead.walk.pace.gap_ms();
+                if lead.scan.on_limited(now_ms, number, wait_ms) {
+                    let gap_ms = lead.scan.poll_rate.gap_ms();
                     self.list_finding(format!("refuses; asked every {gap_ms} ms from now on"));
                 }
                 return;
             }
         };
         let failed = match listed {
-            Err(why) => lead.walk.on_failed(now_ms, number, why),
-            Ok(listed) => match lead.walk.on_page(now_ms, number, listed, &known) {
+            Err(why) => lead.scan.on_failed(now_ms, number, why),
+            Ok(listed) => match lead.scan.on_page(now_ms, number, listed, &known) {
                 Taken::Stale => None,
                 Taken::Part(rows) => {
                     self.hold_rows(now_ms, rows, Vec::new(), Vec::new());
@@ -93,12 +94,18 @@
             row.draining && state.targets.get(&row.instance).is_none_or(|known| !known.draining)
         };
         let leaving = !gone.is_empty() || !doubtful.is_empty() || rows.iter().any(leaves);
-        let Some(lead) = &mut self.lead else { return };
-        lead.held_rows.push_back(Held { since_ms: now_ms, leaving, rows, gone, doubtful });
+        let Some(lead) = &mut self.leader else { return };
+        lead.deferred_changes.push_back(DeferredChange {
+            since_ms: now_ms,
+            leaving,
+            rows,
+            gone,
+            doubtful,
+        });
     }
 
     /// Who may be gone gets no more asks while others of its service are there.
-    fn take_rows(&mut self, now_ms: u64, held: Held) {
+    fn take_rows(&mut self, now_ms: u64, held: DeferredChange) {
         let Some(state) = self.current() else { return };
         let mut records = changes(state, held.rows);
         let known = |instance: &Name| state.targets.get(instance);
@@ -120,21 +127,21 @@
     }
 
     fn list_finding(&mut self, why: String) {
-        let Some(lead) = &mut self.lead else { return };
-        if lead.walk.finding.as_ref() != Some(&why) {
-            lead.walk.finding = Some(why.clone());
-            self.say(format!("the platform's list: {why}"));
+        let Some(lead) = &mut self.leader else { return };
+        if lead.scan.finding.as_ref() != Some(&why) {
+            lead.scan.finding = Some(why.clone());
+            self.log_line(format!("the platform's list: {why}"));
         }
     }
 
     /// A list too slow for the users' bound is told once, with the bound that then holds.
     fn tell_bound(&mut self) {
-        let Some(lead) = &mut self.lead else { return };
-        let bound_ms = lead.walk.leave_bound_ms();
+        let Some(lead) = &mut self.leader else { return };
+        let bound_ms = lead.scan.leave_bound_ms();
         let slow = bound_ms > LEAVE_BOUND_MS;
-        if slow != lead.slow_list {
-            lead.slow_list = slow;
-            self.say(match slow {
+        if slow != lead.is_list_slow {
+            lead.is_list_slow = slow;
+            self.log_line(match slow {
                 true => format!(
                     "the platform's list is slow: a leaving target may get asks for {bound_ms} ms"
                 ),
--- a/crates/controller/src/walk.rs
+++ b/crates/controller/src/endpoint_list_scan.rs
@@ -1,8 +1,8 @@
 mod absence;
 
-use crate::handover::{Handed, Note};
-use crate::pace::Pace;
-use crate::page::Listed;
+use crate::leadership_transfer::{ReceivedHandover, ScanHandover};
+use crate::list_page::ListPage;
+use crate::poll_rate::PollRate;
 use postbarrow_constants::nodes::*;
 use postbarrow_state::{Name, Target};
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
     number: u64,
     cursor: Option<String>,
     asked_ms: u64,
-    read: Option<Listed>,
+    read: Option<ListPage>,
 }
 
 /// What one page, taken in, amounts to.
@@ -30,7 +30,7 @@
 
 /// Walks the platform's list over and over. Pages whose cursors the last walk told are asked for
 /// beside each other; what the cursors then say decides which of them count.
-pub(crate) struct Walk {
+pub(crate) struct EndpointListScan {
     number: u64,
     due_ms: u64,
     start_ms: u64,
@@ -44,8 +44,8 @@
     shrunk_walks: u8,
     guesses: bool,
     failures: u32,
-    pub pace: Pace,
-    pub whole_ms: Option<u64>,
+    pub poll_rate: PollRate,
+    pub completed_ms: Option<u64>,
     wait_ms: u64,
     cycle_ms: u64,
     page_ms: u64,
@@ -53,9 +53,9 @@
     pub finding: Option<String>,
 }
 
-impl Walk {
+impl EndpointListScan {
     pub fn new(now_ms: u64, gap_ms: u64) -> Self {
-        Walk {
+        EndpointListScan {
             number: 0,
             due_ms: now_ms,
             start_ms: now_ms,
@@ -66,8 +66,8 @@
             shrunk_walks: 0,
             guesses: true,
             failures: 0,
-            pace: Pace::new(now_ms, gap_ms),
-            whole_ms: None,
+            poll_rate: PollRate::new(now_ms, gap_ms),
+            completed_ms: None,
             wait_ms: LIST_PAGE_FIRST_WAIT_MS,
             cycle_ms: 0,
             page_ms: 0,
@@ -76,29 +76,34 @@
         }
     }
 
-    pub fn note(&self, now_ms: u64) -> Note {
-        Note {
-            walked_ms: self.whole_ms.map(|whole_ms| now_ms.saturating_sub(whole_ms)),
+    pub fn handover_state(&self, now_ms: u64) -> ScanHandover {
+        ScanHandover {
+            completed_age_ms: self.completed_ms.map(|whole_ms| now_ms.saturating_sub(whole_ms)),
             order: self.order.clone(),
             chain: self.chain.clone(),
-            gap_ms: self.pace.gap_ms(),
-            asked_ms: self.pace.asked_ago(now_ms),
+            gap_ms: self.poll_rate.gap_ms(),
+            recent_request_ages_ms: self.poll_rate.request_ages_ms(now_ms),
         }
     }
 
     /// Goes on where the controller before left off.
-    pub fn take(&mut self, handed: Handed) {
-        let Handed { at_ms, note } = handed;
-        self.pace = Pace::handed(at_ms, self.pace.least(), note.gap_ms, &note.asked_ms);
+    pub fn take(&mut self, handed: ReceivedHandover) {
+        let ReceivedHandover { at_ms, scan: note } = handed;
+        self.poll_rate = PollRate::from_handover(
+            at_ms,
+            self.poll_rate.min_gap_ms(),
+            note.gap_ms,
+            &note.recent_request_ages_ms,
+        );
         self.order = note.order;
         self.chain = note.chain;
-        self.whole_ms = note.walked_ms.map(|walked_ms| at_ms.saturating_sub(walked_ms));
+        self.completed_ms = note.completed_age_ms.map(|walked_ms| at_ms.saturating_sub(walked_ms));
         self.restart(at_ms);
     }
 
-    pub fn begin_anew(&mut self, now_ms: u64) {
+    pub fn begin_again(&mut self, now_ms: u64) {
         self.restart(now_ms);
-        self.whole_ms = None;
+        self.completed_ms = None;
     }
 
     /// A half walk removes nobody: what it found so far is dropped.
@@ -113,7 +118,7 @@
         let open = self.pages.iter().filter(|page| page.read.is_none()).count();
         if now_ms < self.due_ms
             || open >= LIST_IN_FLIGHT
-            || !self.pace.permits(now_ms, self.whole_ms.is_none())
+            || !self.poll_rate.permits(now_ms, self.completed_ms.is_none())
         {
             return None;
         }
@@ -127,7 +132,7 @@
             self.start_ms = now_ms;
         }
         self.number += 1;
-        self.pace.asked(now_ms);
+        self.poll_rate.on_request(now_ms);
         let page = Page { number: self.number, cursor, asked_ms: now_ms, read: None };
         let asked = (page.number, page.cursor.clone());
         self.pages.push(page);
@@ -155,8 +160,8 @@
     pub fn on_limited(&mut self, now_ms: u64, number: u64, wait_ms: u64) -> bool {
         let Some(at) = self.place(number) else { return false };
         self.pages.truncate(at);
-        self.pace.refused(now_ms);
-        self.due_ms = now_ms + wait_ms.clamp(LIST_PAUSE_MS, LIST_RETRY_MOST_MS);
+        self.poll_rate.refused(now_ms);
+        self.due_ms = now_ms + wait_ms.clamp(LIST_PAUSE_MS, LIST_RETRY_MAX_MS);
         true
     }
 
@@ -172,7 +177,7 @@
         }
         self.shrunk_walks = 0;
         self.failures += 1;
-        if self.failures > LIST_TRIES {
+        if self.failures > LIST_PAGE_RETRIES {
             self.fail(now_ms);
         } else {
             self.pages.truncate(at);
@@ -183,10 +188,10 @@
     fn fail(&mut self, now_ms: u64) {
         self.shrunk_walks = 0;
         self.guesses = true;
-        self.restart(now_ms + LIST_AGAIN_MS);
+        self.restart(now_ms + LIST_RETRY_MS);
     }
 
-    pub fn on_page(&mut self, now_ms: u64, number: u64, listed: Listed, known: &[Name]) -> Taken {
+    pub fn on_page(&mut self, now_ms: u64, number: u64, listed: ListPage, known: &[Name]) -> Taken {
         let Some(at) = self.place(number) else { return Taken::Stale };
         let seen = |row: &Target| row.draining || self.is_leaving(&row.instance);
         let rows: Vec<Target> = listed
--- a/crates/controller/src/walk/absence.rs
+++ b/crates/controller/src/endpoint_list_scan/absence.rs
@@ -1,12 +1,12 @@
-use crate::page::Listed;
-use crate::walk::Walk;
+use crate::endpoint_list_scan::EndpointListScan;
+use crate::list_page::ListPage;
 use postbarrow_constants::nodes::*;
 use postbarrow_constants::plans::LEAVING_WAIT_MS;
 use postbarrow_state::Name;
 use std::collections::BTreeSet;
 
 /// What a whole walk says of those it did not find.
-impl Walk {
+impl EndpointListScan {
     pub(crate) fn is_leaving(&self, instance: &Name) -> bool {
         let read = self.pages.iter().filter_map(|page| page.read.as_ref());
         read.flat_map(|listed| &listed.targets).any(|row| row.draining && row.instance == *instance)
@@ -16,12 +16,13 @@
     /// pushed to a page read before, and a list that shrank sharply may be the list's own trouble:
     /// these need further walks, made at once, to be believed.
     pub(crate) fn whole(&mut self, now_ms: u64, known: &[Name]) -> (Vec<Name>, Vec<Name>) {
-        let read: Vec<&Listed> = self.pages.iter().filter_map(|page| page.read.as_ref()).collect();
+        let read: Vec<&ListPage> =
+            self.pages.iter().filter_map(|page| page.read.as_ref()).collect();
         let rows = || read.iter().flat_map(|listed| &listed.targets);
         let found: BTreeSet<&Name> = rows().map(|row| &row.instance).collect();
         let shrunk = found.len() * 2 < known.len();
         self.shrunk_walks = if shrunk { self.shrunk_walks.saturating_add(1) } else { 0 };
-        let believed = !shrunk || self.shrunk_walks >= LIST_SHRUNK_WALKS;
+        let believed = !shrunk || self.shrunk_walks >= LIST_SHRUNK_SCANS;
         let old = std::mem::take(&mut self.suspects);
         let missed = |name: &Name| old.get(name).copied().unwrap_or(0) + 1;
         let missing = known.iter().filter(|name| !found.contains(name));
@@ -41,11 +42,12 @@
         self.guesses = true;
         self.finding = None;
         if doubtful.is_empty() {
-            self.whole_ms = Some(now_ms);
+            self.completed_ms = Some(now_ms);
         }
         let took_ms = now_ms.saturating_sub(self.start_ms);
         let count = self.pages.len() as u64;
-        self.cycle_ms = LIST_CYCLE_MS.max(count * self.pace.gap_ms()).max(took_ms + LIST_PAUSE_MS);
+        self.cycle_ms =
+            LIST_CYCLE_MS.max(count * self.poll_rate.gap_ms()).max(took_ms + LIST_PAUSE_MS);
         self.slowest_ms = std::mem::take(&mut self.page_ms);
         self.wait_ms = (4 * self.slowest_ms).clamp(LIST_PAGE_FIRST_WAIT_MS, LIST_PAGE_WAIT_MS);
         let due_ms = match doubtful.is_empty() {
@@ -54,14 +56,14 @@
         };
         self.restart(due_ms);
         if self.leave_bound_ms() > LEAVE_BOUND_MS {
-            self.pace.relax(now_ms);
+            self.poll_rate.relax(now_ms);
         }
         (gone, doubtful)
     }
 
     /// Its neighbours of the last walk stand side by side on one page, so it was not pushed to a
     /// page that had been read already.
-    fn is_certain(&self, name: &Name, found: &BTreeSet<&Name>, read: &[&Listed]) -> bool {
+    fn is_certain(&self, name: &Name, found: &BTreeSet<&Name>, read: &[&ListPage]) -> bool {
         let Some(at) = self.order.iter().position(|known| known == name) else { return false };
         let kept = |known: &&Name| found.contains(*known);
         let before = self.order[..at].iter().rev().find(kept);
--- a/crates/controller/src/handover.rs
+++ b/crates/controller/src/leadership_transfer.rs
@@ -1,20 +1,20 @@
 //! A planned stop: what was begun commits, another leads, and the log can do without this member.
 
 use crate::ControlNode;
-use postbarrow_constants::consensus::HANDED_KEEP_MS;
+use postbarrow_constants::consensus::HANDOVER_RETENTION_MS;
 use postbarrow_state::Name;
 use serde::{Deserialize, Serialize};
 
 /// What a controller that stops tells its heir of the platform's list.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Note {
+pub(crate) struct ScanHandover {
     /// How long ago the last whole walk ended.
-    pub walked_ms: Option<u64>,
+    pub completed_age_ms: Option<u64>,
     pub order: Vec<Name>,
     pub chain: Vec<Option<String>>,
     pub gap_ms: u64,
     /// How long ago each question of the list's last window was asked.
-    pub asked_ms: Vec<u64>,
+    pub recent_request_ages_ms: Vec<u64>,
 }
 
 /// Why a controller hands over.
@@ -26,15 +26,15 @@
     DiskStalled,
 }
 
-pub(crate) struct Handed {
+pub(crate) struct ReceivedHandover {
     pub at_ms: u64,
-    pub note: Note,
+    pub scan: ScanHandover,
 }
 
 impl ControlNode {
     pub(crate) fn stop(&mut self, now_ms: u64) {
         self.stopping = true;
-        self.log(now_ms, postbarrow_consensus::Input::Leave);
+        self.log(now_ms, postbarrow_consensus::Input::Depart);
         self.hand_over_tick(now_ms);
     }
 
@@ -55,33 +55,33 @@
     /// A controller about to hand over lets what it began commit, then gives its hold to another.
     pub(crate) fn hand_over_tick(&mut self, now_ms: u64) {
         let Some(reason) = self.handover_reason() else { return };
-        let Some(lead) = self.lead.as_ref().filter(|lead| lead.ready) else { return };
-        if lead.open.is_some() || self.consensus.commit() < self.consensus.last() {
+        let Some(lead) = self.leader.as_ref().filter(|lead| lead.ready) else { return };
+        if lead.open_plan.is_some() || self.consensus.commit_index() < self.consensus.last_index() {
             return;
         }
-        let note = rmp_serde::to_vec(&lead.walk.note(now_ms)).unwrap_or_default();
+        let note = rmp_serde::to_vec(&lead.scan.handover_state(now_ms)).unwrap_or_default();
         if reason == Reason::DiskStalled {
-            self.say("hands over: its disk is stalled".into());
+            self.log_line("hands over: its disk is stalled".into());
         }
-        self.log(now_ms, postbarrow_consensus::Input::HandOver(note));
+        self.log(now_ms, postbarrow_consensus::Input::TransferLeadership(note));
     }
 
-    pub(crate) fn on_handed(&mut self, now_ms: u64, note: &[u8], late_ms: u64) {
-        if let Ok(mut note) = rmp_serde::from_slice::<Note>(note) {
-            note.walked_ms = note.walked_ms.map(|walked_ms| walked_ms + late_ms);
-            self.handed = Some(Handed { at_ms: now_ms, note });
+    pub(crate) fn on_leadership_received(&mut self, now_ms: u64, note: &[u8], late_ms: u64) {
+        if let Ok(mut note) = rmp_serde::from_slice::<ScanHandover>(note) {
+            note.completed_age_ms = note.completed_age_ms.map(|walked_ms| walked_ms + late_ms);
+            self.received_handover = Some(ReceivedHandover { at_ms: now_ms, scan: note });
         }
     }
 
     /// What the last controller knew is worth something only right after it said so.
-    pub(crate) fn take_handed(&mut self, now_ms: u64) -> Option<Handed> {
-        self.handed.take().filter(|handed| now_ms < handed.at_ms + HANDED_KEEP_MS)
+    pub(crate) fn take_handover(&mut self, now_ms: u64) -> Option<ReceivedHandover> {
+        self.received_handover.take().filter(|handed| now_ms < handed.at_ms + HANDOVER_RETENTION_MS)
     }
 
     /// Another leads, and the log needs nothing of this process: its seat is given to a learner that
     /// stood ready, if one did, and those that stay hold all that it acknowledged.
     pub fn has_handed_over(&self) -> bool {
         let heir = self.consensus.leader().is_some_and(|leader| leader.id != self.own.id);
-        self.lead.is_none() && heir && self.consensus.has_left()
+        self.leader.is_none() && heir && self.consensus.has_left()
     }
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,50 +1,50 @@
 //! A control-plane node without I/O: the log's member, and its single writer while it leads.
 
-mod calls;
+mod builder;
 mod commit;
 mod contact;
-mod forget;
-mod greet;
-mod handover;
-mod lead;
-mod list;
-mod made;
+mod coordination;
+mod discovery;
+mod endpoint_list;
+mod endpoint_list_scan;
+mod leader_state;
+mod leadership_transfer;
+mod list_page;
 mod nodes;
 mod operator;
-mod pace;
-mod page;
 mod plan_delta;
-mod recent;
+mod poll_rate;
 mod reply;
+mod request_samples;
 mod requests;
+mod retention;
 mod status;
 mod submission;
 mod submit;
 mod targets;
 mod tickets;
 mod types;
-mod walk;
 mod watches;
 
-pub use calls::decide;
-pub use commit::Snap;
+pub use commit::PendingSnapshot;
 pub use contact::Contact;
-pub use page::{Listed, read_page};
-pub use submission::{RefusalReason, SubmissionVerdict, judge, text_digest};
+pub use coordination::decide;
+pub use list_page::{ListPage, read_page};
+pub use submission::{RefusalReason, SubmissionDecision, decide_submission, text_digest};
 pub use types::{Effect, Fetched, Input, PageResult};
 
 pub(crate) use types::Origin;
 
-use greet::Book;
-use handover::Handed;
-use lead::Lead;
+use discovery::PeerDirectory;
+use leader_state::LeaderState;
+use leadership_transfer::ReceivedHandover;
 use postbarrow_consensus::{
-    self as consensus, Consensus, Effect as LogEffect, Member, Recovered, Role,
+    self as consensus, Consensus, Effect as LogEffect, Member, RecoveredState, Role,
 };
 use postbarrow_constants::consensus::{LOG_BYTES, LOG_SPREAD};
-use postbarrow_constants::coordination::HISTORY_KEEP_MS;
+use postbarrow_constants::coordination::HISTORY_RETENTION_MS;
 use postbarrow_constants::nodes::LIST_GAP_MS;
-use postbarrow_membership::{Deliver, Relay};
+use postbarrow_membership::{Delivery, Relay};
 use postbarrow_messages::{EncodedImage, Envelope, Message, Response};
 use postbarrow_state::State;
 use postbarrow_transactions::Tail;
@@ -54,14 +54,14 @@
     own: Member,
     consensus: Consensus,
     tail: Tail<State>,
-    news_offset: u64,
+    update_offset: u64,
     image_offset: u64,
     relay: Relay,
     encoded: EncodedImage,
-    lead: Option<Lead>,
-    book: Book,
+    leader: Option<LeaderState>,
+    directory: PeerDirectory,
     stopping: bool,
-    handed: Option<Handed>,
+    received_handover: Option<ReceivedHandover>,
     /// Bytes of log since the last snapshot, and how many of them make the next one due.
     log_bytes: u64,
     log_bound_bytes: u64,
@@ -69,7 +69,7 @@
     encoding_ms: Option<u64>,
     last_tick_ms: u64,
     /// When a leader was heard last, this node itself included.
-    heard_ms: u64,
+    leader_contact_ms: u64,
     list_gap_ms: u64,
     history_ms: u64,
     effects: Vec<Effect>,
@@ -78,7 +78,7 @@
 impl ControlNode {
     pub fn new(
         own: Member,
-        recovered: Recovered,
+        recovered: RecoveredState,
         seeds: &[SocketAddr],
         seed: u64,
         now_ms: u64,
@@ -89,21 +89,21 @@
             own,
             consensus: Consensus::new(own.id, recovered, seed, now_ms),
             tail: Tail::new(0, State::default()),
-            news_offset: 0,
+            update_offset: 0,
             image_offset: 0,
             relay: Relay::default(),
             encoded: EncodedImage::default(),
-            lead: None,
-            book: Book::new(seeds, own.address),
+            leader: None,
+            directory: PeerDirectory::new(seeds, own.address),
             stopping: false,
-            handed: None,
+            received_handover: None,
             log_bytes,
             log_bound_bytes: LOG_BYTES + own.id % LOG_SPREAD * (LOG_BYTES / LOG_SPREAD),
             encoding_ms: None,
             last_tick_ms: now_ms,
-            heard_ms: now_ms,
+            leader_contact_ms: now_ms,
             list_gap_ms: LIST_GAP_MS,
-            history_ms: HISTORY_KEEP_MS,
+            history_ms: HISTORY_RETENTION_MS,
             effects: Vec::new(),
         };
         if let Some(snapshot) = snapshot {
@@ -116,7 +116,7 @@
         match input {
             Input::Tick => self.tick(now_ms),
             Input::Stop => self.stop(now_ms),
-            Input::Seeds(seeds) => self.book.meet(&seeds),
+            Input::Seeds(seeds) => self.directory.meet(&seeds),
             Input::Receive(envelope) => self.receive(now_ms, envelope),
             Input::Synced(sequence) => self.log(now_ms, consensus::Input::Synced(sequence)),
             Input::Page(result) => self.on_page(now_ms, result),
@@ -132,27 +132,29 @@
             Message::Consensus { from, to, message } if to == self.own.id => {
                 self.log(now_ms, consensus::Input::Receive { from, message })
             }
-            Message::Consensus { from, to, message: consensus::Message::Who { round, .. } } => {
-                self.vouch(from, to, round)
-            }
-            Message::Greet(greet) => self.on_greet(now_ms, from, greet),
-            Message::Form(members) => self.log(now_ms, consensus::Input::Form(members)),
+            Message::Consensus {
+                from,
+                to,
+                message: consensus::Message::LeaderProbe { round, .. },
+            } => self.vouch(from, to, round),
+            Message::DiscoveryAnnouncement(greet) => self.on_discovery(now_ms, from, greet),
+            Message::Bootstrap(members) => self.log(now_ms, consensus::Input::Bootstrap(members)),
             Message::Introduce => self.introduce(from),
             Message::Introduction { control, formed } => self.on_introduction(control, formed),
-            Message::Fresh(request) => self.on_fresh(now_ms, from, request),
+            Message::LeaseRequest(request) => self.on_lease_request(now_ms, from, request),
             Message::Tail { after } => {
-                if self.lead.as_ref().is_some_and(|lead| lead.ready) {
+                if self.leader.as_ref().is_some_and(|lead| lead.ready) {
                     self.relay.on_tail(now_ms, from, after);
                 }
             }
             Message::Request { key, request } => {
-                self.on_ask(now_ms, Origin { to: from, key }, request)
+                self.on_request(now_ms, Origin { to: from, key }, request)
             }
             Message::Consensus { .. }
-            | Message::FreshResponse { .. }
-            | Message::News { .. }
+            | Message::LeaseResponse { .. }
+            | Message::Updates { .. }
             | Message::Image(_)
-            | Message::Beat { .. }
+            | Message::Heartbeat { .. }
             | Message::Response { .. } => {}
         }
     }
@@ -162,9 +164,9 @@
         self.last_tick_ms = now_ms;
         self.log(now_ms, consensus::Input::Tick);
         self.contact_tick(now_ms, gap_ms);
-        self.greet_tick(now_ms);
+        self.discovery_tick(now_ms);
         if !self.is_leaving() {
-            self.lead_tick(now_ms, gap_ms);
+            self.leader_tick(now_ms, gap_ms);
         }
         self.hand_over_tick(now_ms);
         self.compact(now_ms);
@@ -195,7 +197,9 @@
                 LogEffect::Commit(entries) => self.on_commit(now_ms, entries),
                 LogEffect::Restore(snapshot) => self.restore(&snapshot),
                 LogEffect::Role(role) => self.on_role(now_ms, role),
-                LogEffect::Handed { note, late_ms } => self.on_handed(now_ms, &note, late_ms),
+                LogEffect::LeadershipReceived { note, late_ms } => {
+                    self.on_leadership_received(now_ms, &note, late_ms)
+                }
                 LogEffect::Send { .. } | LogEffect::Write { .. } => {}
             }
         }
@@ -205,26 +209,27 @@
     fn on_role(&mut self, now_ms: u64, role: Role) {
         match role {
             Role::Leader => {
-                self.say(format!("leads term {}", self.consensus.term()));
-                self.lead = Some(Lead::new(self.consensus.term(), now_ms, self.list_gap_ms));
+                self.log_line(format!("leads term {}", self.consensus.term()));
+                self.leader =
+                    Some(LeaderState::new(self.consensus.term(), now_ms, self.list_gap_ms));
             }
             _ => self.step_down(),
         }
     }
 
     fn deliver(&mut self, now_ms: u64) {
-        if !self.lead.as_ref().is_some_and(|lead| lead.ready) {
+        if !self.leader.as_ref().is_some_and(|lead| lead.ready) {
             return;
         }
         self.encoded.forget_before(self.image_offset);
-        for deliver in self.relay.deliver(now_ms, self.news_offset, self.image_offset) {
+        for deliver in self.relay.deliver(now_ms, self.update_offset, self.image_offset) {
             match deliver {
-                Deliver::News { to, entries } => self.send(to, Message::News { entries }),
-                Deliver::Image { to } => {
+                Delivery::Updates { to, entries } => self.send(to, Message::Updates { entries }),
+                Delivery::Image { to } => {
                     let offset = self.image_offset;
-                    let frame = self.encoded.frame(offset, || self.tail.image().news_only());
+                    let frame = self.encoded.frame(offset, || self.tail.image().routing_view());
                     self.send(to, Message::Image(frame));
-                    self.relay.moved(now_ms, to, offset);
+                    self.relay.on_image_sent(now_ms, to, offset);
                 }
             }
         }
@@ -238,8 +243,8 @@
         self.send(origin.to, Message::Response { key: origin.key, response });
     }
 
-    fn say(&mut self, text: String) {
-        self.effects.push(Effect::Say(text));
+    fn log_line(&mut self, text: String) {
+        self.effects.push(Effect::Log(text));
     }
 
     pub fn consensus(&self) -> &Consensus {
@@ -252,7 +257,7 @@
         &self.tail
     }
     pub fn is_leading(&self) -> bool {
-        self.lead.as_ref().is_some_and(|lead| lead.ready)
+        self.leader.as_ref().is_some_and(|lead| lead.ready)
     }
     pub fn has_lease(&self, now_ms: u64) -> bool {
         self.is_leading() && now_ms < self.consensus.lease_until()
@@ -263,6 +268,6 @@
     }
     /// Clients' questions waiting for the open transaction, and the longest wait so far.
     pub fn stall_ms(&self) -> u64 {
-        self.lead.as_ref().map_or(0, |lead| lead.longest_stall_ms)
+        self.leader.as_ref().map_or(0, |lead| lead.longest_stall_ms)
     }
 }
--- a/crates/controller/src/page.rs
+++ b/crates/controller/src/list_page.rs
@@ -6,13 +6,13 @@
 
 /// One page of the platform's list.
 #[derive(Debug)]
-pub struct Listed {
+pub struct ListPage {
     pub targets: Vec<Target>,
     pub next: Option<String>,
 }
 
 /// Reads a page whole or not at all.
-pub fn read_page(bytes: &[u8]) -> Result<Listed, Findings> {
+pub fn read_page(bytes: &[u8]) -> Result<ListPage, Findings> {
     if bytes.len() > LIST_PAGE_BYTES {
         return Err(Findings::bare("$", format!("is larger than {LIST_PAGE_BYTES} bytes")));
     }
@@ -20,7 +20,7 @@
         Findings::bare("$", format!("is not UTF-8 at byte {}", error.valid_up_to()))
     })?;
     let (value, mut reading) = Reading::parse(given)?;
-    let mut page = Listed { targets: Vec::new(), next: None };
+    let mut page = ListPage { targets: Vec::new(), next: None };
     if let Some(mut fields) = Fields::of(&value, "$", &mut reading) {
         for (place, value) in fields.array("targets", &mut reading) {
             if let Some(target) = read_target(value, &place, &mut reading) {
@@ -62,6 +62,6 @@
         draining,
         down: false,
         slots: 0,
-        cold: false,
+        warming_up: false,
     })
 }
--- a/crates/controller/src/nodes.rs
+++ b/crates/controller/src/nodes.rs
@@ -1,13 +1,13 @@
 use crate::ControlNode;
 use postbarrow_constants::nodes::*;
 use postbarrow_membership::watchers;
-use postbarrow_messages::{Fresh, FreshAsk, Message};
+use postbarrow_messages::{LeaseRequest, LeaseResponse, Message};
 use postbarrow_state::{Incarnation, Name, Record, Settlement, State};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 /// What the controller last heard of one data node.
-pub(crate) struct Seen {
+pub(crate) struct NodeReport {
     pub last_ms: u64,
     pub published: u64,
     pub version: Option<Name>,
@@ -16,9 +16,9 @@
     pub suspects: Vec<Incarnation>,
 }
 
-impl Seen {
+impl NodeReport {
     pub fn at(now_ms: u64) -> Self {
-        Seen {
+        NodeReport {
             last_ms: now_ms,
             published: 0,
             version: None,
@@ -30,60 +30,71 @@
 }
 
 impl ControlNode {
-    pub(crate) fn on_fresh(&mut self, now_ms: u64, from: SocketAddr, request: FreshAsk) {
+    pub(crate) fn on_lease_request(
+        &mut self,
+        now_ms: u64,
+        from: SocketAddr,
+        request: LeaseRequest,
+    ) {
         let members: Vec<SocketAddr> =
             self.consensus.members().iter().map(|member| member.address).collect();
         if !self.has_lease(now_ms) || !self.knows_targets(now_ms) {
             let controller = self.consensus.leader().map(|leader| leader.address);
             let controller = controller.filter(|address| *address != self.own.address);
-            let fresh = Fresh::NotController { controller, members };
-            return self.send(from, Message::FreshResponse { number: request.number, fresh });
+            let fresh = LeaseResponse::NotController { controller, members };
+            return self.send(from, Message::LeaseResponse { number: request.number, fresh });
         }
         let number = request.number;
         self.register(now_ms, request);
-        let fresh =
-            Fresh::Granted { term: self.consensus.term(), watermark: self.image_offset, members };
-        self.send(from, Message::FreshResponse { number, fresh });
+        let fresh = LeaseResponse::Granted {
+            term: self.consensus.term(),
+            watermark: self.image_offset,
+            members,
+        };
+        self.send(from, Message::LeaseResponse { number, fresh });
     }
 
     /// What the list showed while nobody held must be known before any node may serve by it.
     fn knows_targets(&self, now_ms: u64) -> bool {
-        let Some(lead) = &self.lead else { return false };
+        let Some(lead) = &self.leader else { return false };
         let Some(since_ms) = lead.lease_since_ms else { return false };
-        lead.walk.whole_ms.is_some() || now_ms >= since_ms + LIST_FIRST_MS
+        lead.scan.completed_ms.is_some() || now_ms >= since_ms + LIST_FIRST_MS
     }
 
     /// A hold that is gained, or gained again, begins with nothing known: neither what the list
     /// showed meanwhile, nor which nodes asked in vain.
     pub(crate) fn lease_tick(&mut self, now_ms: u64) {
         let leased = self.has_lease(now_ms);
-        let gained = self.lead.as_ref().is_some_and(|lead| lead.lease_since_ms.is_none());
-        let handed = if leased && gained { self.take_handed(now_ms) } else { None };
-        let Some(lead) = &mut self.lead else { return };
+        let gained = self.leader.as_ref().is_some_and(|lead| lead.lease_since_ms.is_none());
+        let handed = if leased && gained { self.take_handover(now_ms) } else { None };
+        let Some(lead) = &mut self.leader else { return };
         match (leased, lead.lease_since_ms) {
             (false, _) => lead.lease_since_ms = None,
             (true, None) => {
                 lead.lease_since_ms = Some(now_ms);
                 lead.nodes.values_mut().for_each(|seen| seen.last_ms = now_ms);
                 match handed {
-                    Some(handed) => lead.walk.take(handed),
-                    None => lead.walk.begin_anew(now_ms),
+                    Some(handed) => lead.scan.take(handed),
+                    None => lead.scan.begin_again(now_ms),
                 }
             }
             (true, Some(_)) => {}
         }
     }
 
-    fn register(&mut self, now_ms: u64, request: FreshAsk) {
+    fn register(&mut self, now_ms: u64, request: LeaseRequest) {
         let known = self.current().and_then(|state| state.nodes.get(&request.node.incarnation));
         let absent = known.is_none_or(|known| **known != request.node);
         if absent && !self.is_open() {
-            self.say(format!("node {} joins from {}", request.node.name, request.node.address));
+            self.log_line(format!(
+                "node {} joins from {}",
+                request.node.name, request.node.address
+            ));
             self.propose(now_ms, vec![Record::Node(request.node.clone())]);
         }
-        let Some(lead) = &mut self.lead else { return };
-        lead.samples.take(now_ms, request.recent, request.seen);
-        let seen = Seen {
+        let Some(lead) = &mut self.leader else { return };
+        lead.samples.take(now_ms, request.samples, request.request_count);
+        let seen = NodeReport {
             last_ms: now_ms,
             published: request.published,
             version: request.version,
@@ -96,17 +107,17 @@
 
     pub(crate) fn node_tick(&mut self, now_ms: u64) {
         let open = self.is_open();
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         if open || now_ms < lead.condition_due_ms {
             return;
         }
-        lead.condition_due_ms = now_ms + FRESH_MS;
+        lead.condition_due_ms = now_ms + LEASE_RENEW_MS;
         let Some(state) = lead.writer.as_ref().map(|writer| writer.current().clone()) else {
             return;
         };
         lead.nodes.retain(|node, _| state.nodes.contains_key(node));
         for node in state.nodes.keys() {
-            lead.nodes.entry(*node).or_insert_with(|| Seen::at(now_ms));
+            lead.nodes.entry(*node).or_insert_with(|| NodeReport::at(now_ms));
         }
         let silent = lead.nodes.iter().filter(|(_, seen)| now_ms > seen.last_ms + NODE_GONE_MS);
         let mut gone: BTreeSet<Incarnation> = silent.map(|(node, _)| *node).collect();
@@ -114,7 +125,7 @@
         let mut records: Vec<Record> = gone.iter().map(|node| Record::NodeGone(*node)).collect();
         if !gone.is_empty() {
             records.extend(open_tickets(&state, |node| gone.contains(&node)));
-            self.say(format!("{} nodes are gone", gone.len()));
+            self.log_line(format!("{} nodes are gone", gone.len()));
         }
         records.extend(self.target_conditions(now_ms, &state));
         if !records.is_empty() {
@@ -124,9 +135,12 @@
 
     /// A target is down while more than half of the heard nodes fail to probe it.
     fn target_conditions(&self, now_ms: u64, state: &State) -> Vec<Record> {
-        let Some(lead) = &self.lead else { return Vec::new() };
-        let heard: Vec<&Seen> =
-            lead.nodes.values().filter(|seen| now_ms <= seen.last_ms + REPORT_KEEP_MS).collect();
+        let Some(lead) = &self.leader else { return Vec::new() };
+        let heard: Vec<&NodeReport> = lead
+            .nodes
+            .values()
+            .filter(|seen| now_ms <= seen.last_ms + REPORT_RETENTION_MS)
+            .collect();
         if heard.is_empty() {
             return Vec::new();
         }
@@ -141,13 +155,13 @@
         records
     }
 
-    pub(crate) fn seen(&self) -> Option<&BTreeMap<Incarnation, Seen>> {
-        self.lead.as_ref().map(|lead| &lead.nodes)
+    pub(crate) fn seen(&self) -> Option<&BTreeMap<Incarnation, NodeReport>> {
+        self.leader.as_ref().map(|lead| &lead.nodes)
     }
 }
 
 /// Silent here beyond its lease, and on the ring in the eyes of most of its watchers.
-fn suspected(now_ms: u64, nodes: &BTreeMap<Incarnation, Seen>) -> Vec<Incarnation> {
+fn suspected(now_ms: u64, nodes: &BTreeMap<Incarnation, NodeReport>) -> Vec<Incarnation> {
     let ring: Vec<Incarnation> = nodes.keys().copied().collect();
     let silent = nodes.iter().filter(|(_, seen)| now_ms > seen.last_ms + NODE_LEASE_MS * 3 / 2);
     silent
@@ -167,7 +181,7 @@
     state
         .tickets
         .values()
-        .filter(|ticket| ticket.settled.is_none() && of(ticket.node))
+        .filter(|ticket| ticket.settlement.is_none() && of(ticket.node))
         .map(|ticket| Record::Settled {
             key: ticket.key.clone(),
             settlement: Settlement::Unknown,
--- a/crates/controller/src/pace.rs
+++ b/crates/controller/src/poll_rate.rs
@@ -2,44 +2,44 @@
 use std::collections::VecDeque;
 
 /// How often pages may be asked for: learnt from a refusal, then kept below it.
-pub(crate) struct Pace {
+pub(crate) struct PollRate {
     gap_ms: u64,
     /// The list's owner allows no smaller gap.
-    least_ms: u64,
+    min_gap_ms: u64,
     start_ms: u64,
     asked_ms: u64,
     changed_ms: u64,
-    asked: VecDeque<u64>,
+    requests_ms: VecDeque<u64>,
     pub refusals: u64,
 }
 
-impl Pace {
-    pub fn new(now_ms: u64, least_ms: u64) -> Self {
-        Pace {
-            gap_ms: least_ms,
-            least_ms,
+impl PollRate {
+    pub fn new(now_ms: u64, min_gap_ms: u64) -> Self {
+        PollRate {
+            gap_ms: min_gap_ms,
+            min_gap_ms,
             start_ms: now_ms,
             asked_ms: 0,
             changed_ms: now_ms,
-            asked: VecDeque::new(),
+            requests_ms: VecDeque::new(),
             refusals: 0,
         }
     }
 
-    pub fn handed(now_ms: u64, least_ms: u64, gap_ms: u64, asked_ms: &[u64]) -> Self {
-        let mut pace = Pace::new(now_ms, least_ms);
-        pace.gap_ms = gap_ms.clamp(least_ms, LIST_GAP_MOST_MS.max(least_ms));
-        pace.asked = asked_ms.iter().map(|ago_ms| now_ms.saturating_sub(*ago_ms)).collect();
-        pace.asked_ms = pace.asked.back().copied().unwrap_or(0);
+    pub fn from_handover(now_ms: u64, least_ms: u64, gap_ms: u64, asked_ms: &[u64]) -> Self {
+        let mut pace = PollRate::new(now_ms, least_ms);
+        pace.gap_ms = gap_ms.clamp(least_ms, LIST_GAP_MAX_MS.max(least_ms));
+        pace.requests_ms = asked_ms.iter().map(|ago_ms| now_ms.saturating_sub(*ago_ms)).collect();
+        pace.asked_ms = pace.requests_ms.back().copied().unwrap_or(0);
         pace
     }
 
-    pub fn asked_ago(&self, now_ms: u64) -> Vec<u64> {
-        self.asked.iter().map(|at_ms| now_ms.saturating_sub(*at_ms)).collect()
+    pub fn request_ages_ms(&self, now_ms: u64) -> Vec<u64> {
+        self.requests_ms.iter().map(|at_ms| now_ms.saturating_sub(*at_ms)).collect()
     }
 
-    pub fn least(&self) -> u64 {
-        self.least_ms
+    pub fn min_gap_ms(&self) -> u64 {
+        self.min_gap_ms
     }
 
     pub fn gap_ms(&self) -> u64 {
@@ -48,21 +48,21 @@
 
     /// Who knows nothing yet is in a hurry, as long as the list never refused.
     pub fn permits(&self, now_ms: u64, hurry: bool) -> bool {
-        let quick = hurry && self.refusals == 0 && self.least_ms == LIST_GAP_MS;
+        let quick = hurry && self.refusals == 0 && self.min_gap_ms == LIST_GAP_MS;
         let hurry_ms = if quick { LIST_HURRY_MS } else { self.gap_ms };
         now_ms >= self.asked_ms + hurry_ms
             && self.within(now_ms) < LIST_WINDOW_MS.div_ceil(self.gap_ms)
     }
 
     fn within(&self, now_ms: u64) -> u64 {
-        self.asked.iter().filter(|at_ms| now_ms < **at_ms + LIST_WINDOW_MS).count() as u64
+        self.requests_ms.iter().filter(|at_ms| now_ms < **at_ms + LIST_WINDOW_MS).count() as u64
     }
 
-    pub fn asked(&mut self, now_ms: u64) {
+    pub fn on_request(&mut self, now_ms: u64) {
         self.asked_ms = now_ms;
-        self.asked.push_back(now_ms);
-        while self.asked.front().is_some_and(|at_ms| now_ms >= at_ms + LIST_WINDOW_MS) {
-            self.asked.pop_front();
+        self.requests_ms.push_back(now_ms);
+        while self.requests_ms.front().is_some_and(|at_ms| now_ms >= at_ms + LIST_WINDOW_MS) {
+            self.requests_ms.pop_front();
         }
     }
 
@@ -72,9 +72,9 @@
         self.refusals += 1;
         let taken = self.within(now_ms).saturating_sub(1).max(1);
         let gap_ms = LIST_WINDOW_MS.div_ceil(taken) * 21 / 20;
-        self.asked.clear();
+        self.requests_ms.clear();
         if now_ms >= self.start_ms + 2 * LIST_WINDOW_MS {
-            let most_ms = LIST_GAP_MOST_MS.min(2 * self.gap_ms);
+            let most_ms = LIST_GAP_MAX_MS.min(2 * self.gap_ms);
             self.gap_ms = self.gap_ms.max(gap_ms).min(most_ms);
             self.changed_ms = now_ms;
         }
@@ -84,7 +84,7 @@
     pub fn relax(&mut self, now_ms: u64) {
         if now_ms >= self.changed_ms + LIST_RELAX_MS {
             self.changed_ms = now_ms;
-            self.gap_ms = (self.gap_ms * 9 / 10).max(self.least_ms);
+            self.gap_ms = (self.gap_ms * 9 / 10).max(self.min_gap_ms);
         }
     }
 }
--- a/crates/controller/src/reply.rs
+++ b/crates/controller/src/reply.rs
@@ -49,23 +49,23 @@
     /// optimistic state, so it waits until all of that is committed, and is told only within the
     /// hold.
     pub(crate) fn reply_settled(&mut self, now_ms: u64, origin: Origin, response: Response) {
-        let offset = self.consensus.last();
+        let offset = self.consensus.last_index();
         self.reply(now_ms, Reply { origin, offset, cover: Cover::Lease, response });
     }
 
     fn reply(&mut self, now_ms: u64, reply: Reply) {
-        if self.consensus.commit() >= reply.offset {
+        if self.consensus.commit_index() >= reply.offset {
             return self.tell(now_ms, reply);
         }
-        if let Some(lead) = &mut self.lead {
+        if let Some(lead) = &mut self.leader {
             lead.replies.push_back(reply);
         }
     }
 
     /// The answers whose offset is committed now.
     pub(crate) fn answer_committed(&mut self, now_ms: u64) {
-        let commit = self.consensus.commit();
-        let Some(lead) = &mut self.lead else { return };
+        let commit = self.consensus.commit_index();
+        let Some(lead) = &mut self.leader else { return };
         let replies = std::mem::take(&mut lead.replies);
         let (due, waiting): (Vec<Reply>, Vec<Reply>) =
             replies.into_iter().partition(|reply| reply.offset <= commit);
--- a/crates/controller/src/recent.rs
+++ b/crates/controller/src/request_samples.rs
@@ -1,5 +1,5 @@
 use crate::{ControlNode, Origin};
-use postbarrow_constants::plans::{SAMPLES, SAMPLES_KEEP_MS};
+use postbarrow_constants::plans::{SAMPLES, SAMPLES_RETENTION_MS};
 use postbarrow_messages::Response;
 use postbarrow_state::Sample;
 use std::collections::VecDeque;
@@ -19,7 +19,7 @@
         if seen > 0 {
             self.seen.push_back((now_ms, seen));
         }
-        let old = |at_ms: u64| now_ms > at_ms + SAMPLES_KEEP_MS;
+        let old = |at_ms: u64| now_ms > at_ms + SAMPLES_RETENTION_MS;
         while self.kept.len() > SAMPLES || self.kept.front().is_some_and(|(at_ms, _)| old(*at_ms)) {
             self.kept.pop_front();
         }
@@ -30,12 +30,12 @@
 }
 
 impl ControlNode {
-    pub(crate) fn on_recent(&mut self, now_ms: u64, origin: Origin) {
-        let Some(lead) = &self.lead else { return };
+    pub(crate) fn on_request_samples(&mut self, now_ms: u64, origin: Origin) {
+        let Some(lead) = &self.leader else { return };
         let samples = &lead.samples;
         let first_ms =
-            samples.since_ms.unwrap_or(now_ms).max(now_ms.saturating_sub(SAMPLES_KEEP_MS));
-        let response = Response::Recent {
+            samples.since_ms.unwrap_or(now_ms).max(now_ms.saturating_sub(SAMPLES_RETENTION_MS));
+        let response = Response::RequestSamples {
             samples: samples.kept.iter().map(|(_, sample)| sample.clone()).collect(),
             seen: samples.seen.iter().map(|(_, seen)| seen).sum(),
             seconds: now_ms.saturating_sub(first_ms).div_ceil(1_000),
--- a/crates/controller/src/requests.rs
+++ b/crates/controller/src/requests.rs
@@ -7,7 +7,7 @@
     /// The one gate of all questions. Without the lease nothing is answered from committed state,
     /// which another leader may have changed, and nothing is written: so "not the controller"
     /// always says that this question did nothing here.
-    pub(crate) fn on_ask(&mut self, now_ms: u64, origin: Origin, request: Request) {
+    pub(crate) fn on_request(&mut self, now_ms: u64, origin: Origin, request: Request) {
         if !self.has_lease(now_ms) || self.is_leaving() {
             let controller = self.consensus.leader().map(|leader| leader.address);
             let controller = controller.filter(|address| *address != self.own.address);
@@ -15,7 +15,11 @@
         }
         let reads = matches!(
             request,
-            Request::Show | Request::Targets | Request::Members | Request::Status | Request::Recent
+            Request::Show
+                | Request::Targets
+                | Request::Members
+                | Request::Status
+                | Request::RequestSamples
         );
         if !reads && self.is_open() && !is_read(&request) {
             return self.wait_for_close(now_ms, origin, request);
@@ -31,28 +35,30 @@
             Request::Targets => self.on_targets(now_ms, origin),
             Request::Members => self.on_members(now_ms, origin),
             Request::Status => self.on_status(now_ms, origin),
-            Request::Recent => self.on_recent(now_ms, origin),
+            Request::RequestSamples => self.on_request_samples(now_ms, origin),
         }
     }
 
     /// Nothing is interleaved with an open transaction; a repeat of a waiting question is
     /// dropped, and its sender told so.
     fn wait_for_close(&mut self, now_ms: u64, origin: Origin, request: Request) {
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let waits = |other: &Origin| other.to == origin.to && other.key == origin.key;
-        let open = lead.open.as_ref().is_some_and(|open| waits(&open.origin));
-        if open || lead.waiting.iter().any(|(_, other, _)| waits(other)) {
-            return self.respond(origin, Response::Waiting);
+        let open = lead.open_plan.as_ref().is_some_and(|open| waits(&open.origin));
+        if open || lead.waiting_requests.iter().any(|(_, other, _)| waits(other)) {
+            return self.respond(origin, Response::Duplicate);
         }
-        lead.waiting.push_back((now_ms, origin, request));
+        lead.waiting_requests.push_back((now_ms, origin, request));
     }
 
     pub(crate) fn drain_waiting(&mut self, now_ms: u64) {
         while !self.is_open() {
-            let Some(lead) = &mut self.lead else { return };
-            let Some((since_ms, origin, request)) = lead.waiting.pop_front() else { return };
+            let Some(lead) = &mut self.leader else { return };
+            let Some((since_ms, origin, request)) = lead.waiting_requests.pop_front() else {
+                return;
+            };
             lead.longest_stall_ms = lead.longest_stall_ms.max(now_ms.saturating_sub(since_ms));
-            self.on_ask(now_ms, origin, request);
+            self.on_request(now_ms, origin, request);
         }
     }
 }
--- a/crates/controller/src/forget.rs
+++ b/crates/controller/src/retention.rs
@@ -1,18 +1,18 @@
 use crate::ControlNode;
 use postbarrow_constants::coordination::*;
 use postbarrow_state::{Name, Record};
-use postbarrow_transactions::Line;
+use postbarrow_transactions::BatchRecord;
 
 impl ControlNode {
-    pub(crate) fn note_committed(&mut self, now_ms: u64, lines: &[Line<Record>]) {
+    pub(crate) fn track_committed(&mut self, now_ms: u64, lines: &[BatchRecord<Record>]) {
         let era = self.committed().era;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         for line in lines {
             match line {
-                Line::Data(Record::Settled { key, .. }) => {
-                    lead.settled_queue.push_back((era, key.clone()));
+                BatchRecord::Data(Record::Settled { key, .. }) => {
+                    lead.settled_keys.push_back((era, key.clone()));
                 }
-                Line::Data(Record::Lock { name, ttl_ms, .. }) => {
+                BatchRecord::Data(Record::Lock { name, ttl_ms, .. }) => {
                     lead.locks_due_ms.insert(name.clone(), now_ms + ttl_ms);
                 }
                 _ => {}
@@ -21,47 +21,47 @@
     }
 
     /// Old settled tickets, repeats and events go by records, so that all replicas agree.
-    pub(crate) fn forget_tick(&mut self, now_ms: u64) {
+    pub(crate) fn retention_tick(&mut self, now_ms: u64) {
         if self.is_open() {
             return;
         }
         let history_ms = self.history_ms;
-        let Some(lead) = &mut self.lead else { return };
-        if now_ms < lead.forget_due_ms {
+        let Some(lead) = &mut self.leader else { return };
+        if now_ms < lead.retention_due_ms {
             return;
         }
-        lead.forget_due_ms = now_ms + FORGET_MS;
+        lead.retention_due_ms = now_ms + RETENTION_MS;
         let Some(state) = lead.writer.as_ref().map(|writer| writer.current()) else { return };
         let eras = now_ms.saturating_sub(lead.era_ms) / ERA_MS;
         lead.era_ms += eras * ERA_MS;
         let mut tickets: Vec<Name> = Vec::new();
-        while let Some((era, key)) = lead.settled_queue.front() {
-            let young = state.era <= era + TICKET_KEEP_MS / ERA_MS;
-            if tickets.len() >= FORGET_RECORDS || young {
+        while let Some((era, key)) = lead.settled_keys.front() {
+            let young = state.era <= era + TICKET_RETENTION_MS / ERA_MS;
+            if tickets.len() >= RETENTION_RECORDS || young {
                 break;
             }
             let known = state.tickets.get(key);
-            if known.is_some_and(|known| known.settled.is_some() && known.era == *era) {
+            if known.is_some_and(|known| known.settlement.is_some() && known.era == *era) {
                 tickets.push(key.clone());
             }
-            lead.settled_queue.pop_front();
+            lead.settled_keys.pop_front();
         }
-        let old = |(era, _): &&(u64, Name)| state.era > era + REPEAT_KEEP_MS / ERA_MS;
+        let old = |(era, _): &&(u64, Name)| state.era > era + REPEAT_RETENTION_MS / ERA_MS;
         let repeats: Vec<Name> = state
             .repeat_queue
             .iter()
             .take_while(old)
-            .take(FORGET_RECORDS)
+            .take(RETENTION_RECORDS)
             .map(|(_, id)| id.clone())
             .collect();
-        lead.history_marks.push_back((now_ms, state.revision));
+        lead.history_revisions.push_back((now_ms, state.revision));
         let mut floor = state.history_floor;
-        while let Some((at_ms, revision)) = lead.history_marks.front().copied() {
+        while let Some((at_ms, revision)) = lead.history_revisions.front().copied() {
             if now_ms < at_ms + history_ms {
                 break;
             }
             floor = floor.max(revision);
-            lead.history_marks.pop_front();
+            lead.history_revisions.pop_front();
         }
         let mut records = Vec::new();
         if eras > 0 {
--- a/crates/controller/src/status.rs
+++ b/crates/controller/src/status.rs
@@ -1,7 +1,7 @@
 use crate::operator::json;
 use crate::{ControlNode, Origin};
 use facet::Facet;
-use postbarrow_constants::coordination::{KEPT_BYTES, TICKETS};
+use postbarrow_constants::coordination::{STORED_RESPONSES_BYTES, TICKETS};
 
 #[derive(Facet)]
 #[facet(rename_all = "camelCase")]
@@ -34,7 +34,7 @@
 
 #[derive(Facet)]
 #[facet(rename_all = "camelCase")]
-struct StatusTold {
+struct StatusReport {
     controller: String,
     term: u64,
     log_end: u64,
@@ -101,27 +101,30 @@
                 silent_ms: seen.map_or(0, |seen| now_ms.saturating_sub(seen.last_ms)),
             }
         };
-        let lead = self.lead.as_ref();
+        let lead = self.leader.as_ref();
         let writer = lead.and_then(|lead| lead.writer.as_ref());
-        let told = StatusTold {
+        let told = StatusReport {
             controller: self.own.address.to_string(),
             term: self.consensus.term(),
-            log_end: self.consensus.last(),
-            watermark: self.consensus.commit(),
+            log_end: self.consensus.last_index(),
+            watermark: self.consensus.commit_index(),
             news_watermark: self.image_offset,
             hold_left_ms: self.consensus.lease_until().saturating_sub(now_ms),
             version: state.plan_version().map(str::to_string),
-            open_transaction: self.tail.open_name().map(str::to_string),
-            open_ms: writer.and_then(|writer| writer.open_ms(now_ms)),
+            open_transaction: self.tail.open_transaction_name().map(str::to_string),
+            open_ms: writer.and_then(|writer| writer.open_duration_ms(now_ms)),
             longest_stall_ms: self.stall_ms(),
             tickets: state.tickets.len() as u64,
-            open_tickets: state.tickets.values().filter(|ticket| ticket.settled.is_none()).count()
-                as u64,
+            open_tickets: state
+                .tickets
+                .values()
+                .filter(|ticket| ticket.settlement.is_none())
+                .count() as u64,
             tickets_most: TICKETS as u64,
-            kept_bytes: state.kept_bytes,
-            kept_bytes_most: KEPT_BYTES,
-            unkept: lead.map_or(0, |lead| lead.unkept),
-            shed: lead.map_or(0, |lead| lead.shed),
+            kept_bytes: state.stored_response_bytes,
+            kept_bytes_most: STORED_RESPONSES_BYTES,
+            unkept: lead.map_or(0, |lead| lead.responses_not_stored),
+            shed: lead.map_or(0, |lead| lead.requests_shed),
             locks: state.locks.len() as u64,
             keys: state.keys.len() as u64,
             numbers: state.numbers.len() as u64,
--- a/crates/controller/src/submission.rs
+++ b/crates/controller/src/submission.rs
@@ -7,11 +7,11 @@
 
 /// What the plans taken so far say of a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SubmissionVerdict {
+pub enum SubmissionDecision {
     /// Its base is in force and its version is new.
     Proceed,
     /// This very plan was taken, whether or not others were built on it since.
-    AlreadyTaken { began_at: u64, ended_at: Option<u64> },
+    AlreadyAccepted { began_at: u64, ended_at: Option<u64> },
     /// It was not taken and never will be.
     Refused(RefusalReason),
     /// It may be older than what is remembered, so it may have been taken.
@@ -26,7 +26,7 @@
     /// Another plan was taken on its base.
     BaseBuiltUpon,
     /// Its base was never taken. It may be one day, so this refusal is recorded.
-    BaseNeverTaken,
+    BaseNeverAccepted,
     /// The same plan was refused before its base was taken.
     RefusedBefore,
 }
@@ -36,7 +36,7 @@
         formatter.write_str(match self {
             RefusalReason::OtherText => "this version was taken with another text",
             RefusalReason::BaseBuiltUpon => "the base is not the plan in force",
-            RefusalReason::BaseNeverTaken => "the base was never in force",
+            RefusalReason::BaseNeverAccepted => "the base was never in force",
             RefusalReason::RefusedBefore => {
                 "this plan was refused before its base was in force; it needs a new version"
             }
@@ -50,19 +50,23 @@
 }
 
 /// Judges a submission whose text has this digest by the plans taken so far.
-pub fn judge(state: &State, submission: &Submission, digest: &Digest) -> SubmissionVerdict {
+pub fn decide_submission(
+    state: &State,
+    submission: &Submission,
+    digest: &Digest,
+) -> SubmissionDecision {
     let (version, base) = (submission.version.as_str(), submission.base.as_deref());
     let verdict = judge_known(state, submission, digest).unwrap_or_else(|| {
         if state.is_refused(version, digest) {
-            SubmissionVerdict::Refused(RefusalReason::RefusedBefore)
+            SubmissionDecision::Refused(RefusalReason::RefusedBefore)
         } else if state.plan_version() == base {
-            SubmissionVerdict::Proceed
+            SubmissionDecision::Proceed
         } else if state.is_built_upon(base) {
-            SubmissionVerdict::Refused(RefusalReason::BaseBuiltUpon)
+            SubmissionDecision::Refused(RefusalReason::BaseBuiltUpon)
         } else if state.remembers_every_plan() {
-            SubmissionVerdict::Refused(RefusalReason::BaseNeverTaken)
+            SubmissionDecision::Refused(RefusalReason::BaseNeverAccepted)
         } else {
-            SubmissionVerdict::Unknown
+            SubmissionDecision::Unknown
         }
     });
     if submission.dry_run { judge_dry_run(state, submission, verdict) } else { verdict }
@@ -73,8 +77,8 @@
     state: &State,
     submission: &Submission,
     digest: &Digest,
-) -> Option<SubmissionVerdict> {
-    let (base, known_digest, began_at, ended_at) = match state.taken_plan(&submission.version) {
+) -> Option<SubmissionDecision> {
+    let (base, known_digest, began_at, ended_at) = match state.accepted_plan(&submission.version) {
         Some(taken) => (&taken.base, taken.digest, taken.began_at, Some(taken.ended_at)),
         None => {
             let plan = state.plan.as_ref().filter(|plan| plan.version == submission.version)?;
@@ -82,9 +86,9 @@
         }
     };
     Some(if *base == submission.base && known_digest == *digest {
-        SubmissionVerdict::AlreadyTaken { began_at, ended_at }
+        SubmissionDecision::AlreadyAccepted { began_at, ended_at }
     } else {
-        SubmissionVerdict::Refused(RefusalReason::OtherText)
+        SubmissionDecision::Refused(RefusalReason::OtherText)
     })
 }
 
@@ -92,17 +96,17 @@
 fn judge_dry_run(
     state: &State,
     submission: &Submission,
-    verdict: SubmissionVerdict,
-) -> SubmissionVerdict {
+    verdict: SubmissionDecision,
+) -> SubmissionDecision {
     match verdict {
-        SubmissionVerdict::AlreadyTaken { .. }
+        SubmissionDecision::AlreadyAccepted { .. }
             if state.plan_version() == Some(submission.version.as_str()) =>
         {
-            SubmissionVerdict::Proceed
+            SubmissionDecision::Proceed
         }
-        SubmissionVerdict::AlreadyTaken { .. } | SubmissionVerdict::Unknown => {
-            SubmissionVerdict::Refused(RefusalReason::BaseBuiltUpon)
+        SubmissionDecision::AlreadyAccepted { .. } | SubmissionDecision::Unknown => {
+            SubmissionDecision::Refused(RefusalReason::BaseBuiltUpon)
         }
-        SubmissionVerdict::Proceed | SubmissionVerdict::Refused(_) => verdict,
+        SubmissionDecision::Proceed | SubmissionDecision::Refused(_) => verdict,
     }
 }
--- a/crates/controller/src/submit.rs
+++ b/crates/controller/src/submit.rs
@@ -2,17 +2,17 @@
 
 use crate::operator::{self, Refused, Submitted};
 use crate::plan_delta::plan_records;
-use crate::submission::{RefusalReason, SubmissionVerdict, judge, text_digest};
+use crate::submission::{RefusalReason, SubmissionDecision, decide_submission, text_digest};
 use crate::{ControlNode, Origin};
 use postbarrow_constants::plans::BATCHES_IN_FLIGHT;
 use postbarrow_messages::{Response, Submission};
 use postbarrow_plan::Rehearsal;
 use postbarrow_state::{Digest, Name, Record, RefusedPlan, State};
-use postbarrow_transactions::{Line, encode, split};
+use postbarrow_transactions::{BatchRecord, encode, split};
 use std::collections::VecDeque;
 
 /// The one open transaction: what is still to be sent, and what is not committed yet.
-pub(crate) struct Open {
+pub(crate) struct OpenPlan {
     pub origin: Origin,
     pub version: Name,
     base: Option<Name>,
@@ -27,21 +27,21 @@
     pub(crate) fn on_submit(&mut self, now_ms: u64, origin: Origin, submission: Submission) {
         let digest = text_digest(&submission.text());
         let Some(state) = self.current() else { return };
-        match judge(state, &submission, &digest) {
-            SubmissionVerdict::Proceed => self.begin_plan(now_ms, origin, submission, digest),
-            SubmissionVerdict::AlreadyTaken { began_at, ended_at } => {
+        match decide_submission(state, &submission, &digest) {
+            SubmissionDecision::Proceed => self.begin_plan(now_ms, origin, submission, digest),
+            SubmissionDecision::AlreadyAccepted { began_at, ended_at } => {
                 let told = Submitted::again(state, &submission.version, began_at, ended_at);
                 self.reply_settled(now_ms, origin, operator::json(200, &told));
             }
-            SubmissionVerdict::Refused(reason) => {
+            SubmissionDecision::Refused(reason) => {
                 let told = Refused::new(&reason.to_string(), state.plan_version());
-                if reason == RefusalReason::BaseNeverTaken && !submission.dry_run {
+                if reason == RefusalReason::BaseNeverAccepted && !submission.dry_run {
                     let refused = RefusedPlan { version: submission.version, digest };
                     self.propose(now_ms, vec![Record::PlanRefused(refused)]);
                 }
                 self.reply_settled(now_ms, origin, operator::json(409, &told));
             }
-            SubmissionVerdict::Unknown => self.respond(origin, Response::TimedOut),
+            SubmissionDecision::Unknown => self.respond(origin, Response::TimedOut),
         }
     }
 
@@ -49,11 +49,13 @@
         let name = format!("plan {}", submission.version);
         let Some(state) = self.current() else { return };
         let records = plan_records(state, submission.records);
-        let Some(writer) = self.lead.as_mut().and_then(|lead| lead.writer.as_mut()) else { return };
+        let Some(writer) = self.leader.as_mut().and_then(|lead| lead.writer.as_mut()) else {
+            return;
+        };
         let Ok(begin) = writer.begin(now_ms, &name) else { return };
         let offset = self.propose_lines(now_ms, vec![begin]);
-        if let Some(lead) = &mut self.lead {
-            lead.open = Some(Open {
+        if let Some(lead) = &mut self.leader {
+            lead.open_plan = Some(OpenPlan {
                 origin,
                 version: submission.version,
                 base: submission.base,
@@ -69,10 +71,10 @@
 
     /// Sends what fits in flight; after the last batch, rehearses and closes.
     pub(crate) fn continue_open(&mut self, now_ms: u64) {
-        let commit = self.consensus.commit();
+        let commit = self.consensus.commit_index();
         loop {
-            let Some(lead) = &mut self.lead else { return };
-            let Some(open) = &mut lead.open else { return };
+            let Some(lead) = &mut self.leader else { return };
+            let Some(open) = &mut lead.open_plan else { return };
             while open.in_flight.front().is_some_and(|offset| *offset <= commit) {
                 open.in_flight.pop_front();
             }
@@ -80,13 +82,14 @@
                 return;
             }
             let Some(batch) = open.batches.pop_front() else { break };
-            let lines: Vec<Line<Record>> = batch.into_iter().map(Line::Data).collect();
+            let lines: Vec<BatchRecord<Record>> =
+                batch.into_iter().map(BatchRecord::Data).collect();
             let writer = lead.writer.as_mut().expect("an open transaction has a writer");
             if writer.grow(encode(&lines).len()).is_err() {
                 return self.refuse_open(now_ms, 413, "the plan is over the bound of one delta");
             }
             let offset = self.propose_lines(now_ms, lines);
-            if let Some(open) = self.lead.as_mut().and_then(|lead| lead.open.as_mut()) {
+            if let Some(open) = self.leader.as_mut().and_then(|lead| lead.open_plan.as_mut()) {
                 open.in_flight.push_back(offset);
             }
         }
@@ -94,9 +97,9 @@
     }
 
     fn close(&mut self, now_ms: u64) {
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let Some(writer) = &mut lead.writer else { return };
-        let (Some(open), Some(before)) = (&lead.open, writer.rollback()) else { return };
+        let (Some(open), Some(before)) = (&lead.open_plan, writer.rollback()) else { return };
         let rehearsal = Rehearsal::of(before, writer.current());
         let (origin, version) = (open.origin, open.version.clone());
         let (base, digest) = (open.base.clone(), open.digest);
@@ -109,18 +112,18 @@
         }
         if open.dry_run {
             let Ok(abort) = writer.abort("dry run") else { return };
-            lead.open = None;
+            lead.open_plan = None;
             let offset = self.propose_lines(now_ms, vec![abort]);
             let told = Submitted::dry(&version, rehearsal);
             self.reply_at(now_ms, offset, origin, operator::json(200, &told));
         } else {
             let Ok(end) = writer.end() else { return };
-            lead.open = None;
+            lead.open_plan = None;
             let began_at = writer.current().plan.as_ref().map_or(0, |plan| plan.offset);
-            let taken = Record::PlanTaken { version: version.clone(), base, digest, began_at };
-            let offset = self.propose_lines(now_ms, vec![Line::Data(taken), end]);
+            let taken = Record::PlanAccepted { version: version.clone(), base, digest, began_at };
+            let offset = self.propose_lines(now_ms, vec![BatchRecord::Data(taken), end]);
             let told = Submitted::new(&version, began_at, offset, rehearsal);
-            self.say(format!("plan {version} ends at {offset}"));
+            self.log_line(format!("plan {version} ends at {offset}"));
             self.reply_at(now_ms, offset, origin, operator::json(200, &told));
         }
         self.drain_waiting(now_ms);
@@ -145,15 +148,15 @@
 
     /// Writes the abort; gives its offset and who waits for the plan's end.
     fn abort_open(&mut self, now_ms: u64, reason: &str) -> Option<(u64, Origin)> {
-        let lead = self.lead.as_mut()?;
-        let open = lead.open.take()?;
+        let lead = self.leader.as_mut()?;
+        let open = lead.open_plan.take()?;
         let abort = lead.writer.as_mut().and_then(|writer| writer.abort(reason).ok())?;
-        self.say(format!("plan {} is aborted: {reason}", open.version));
+        self.log_line(format!("plan {} is aborted: {reason}", open.version));
         Some((self.propose_lines(now_ms, vec![abort]), open.origin))
     }
 
     pub(crate) fn submit_tick(&mut self, now_ms: u64) {
-        let writer = self.lead.as_ref().and_then(|lead| lead.writer.as_ref());
+        let writer = self.leader.as_ref().and_then(|lead| lead.writer.as_ref());
         if writer.is_some_and(|writer| writer.is_overdue(now_ms)) {
             self.abort_late(now_ms, "the transaction was open too long");
         }
--- a/crates/controller/src/targets.rs
+++ b/crates/controller/src/targets.rs
@@ -17,7 +17,7 @@
 
 #[derive(Facet)]
 #[facet(rename_all = "camelCase")]
-struct TargetsTold {
+struct TargetsReport {
     targets: Vec<TargetRow>,
     list_walked_ms_ago: Option<u64>,
     list_finding: Option<String>,
@@ -51,15 +51,15 @@
                 .map(|service| service.name.to_string())
                 .collect(),
         });
-        let walk = self.lead.as_ref().map(|lead| &lead.walk);
-        let told = TargetsTold {
+        let walk = self.leader.as_ref().map(|lead| &lead.scan);
+        let told = TargetsReport {
             targets: rows.collect(),
             list_walked_ms_ago: walk
-                .and_then(|walk| walk.whole_ms)
+                .and_then(|walk| walk.completed_ms)
                 .map(|at_ms| now_ms.saturating_sub(at_ms)),
             list_finding: walk.and_then(|walk| walk.finding.clone()),
             leave_bound_ms: walk.map(|walk| walk.leave_bound_ms()),
-            list_refusals: walk.map_or(0, |walk| walk.pace.refusals),
+            list_refusals: walk.map_or(0, |walk| walk.poll_rate.refusals),
         };
         self.respond(origin, json(200, &told));
     }
--- a/crates/controller/src/tickets.rs
+++ b/crates/controller/src/tickets.rs
@@ -1,7 +1,7 @@
 use crate::{ControlNode, Origin};
-use postbarrow_constants::coordination::{KEPT_BYTES, TICKETS};
+use postbarrow_constants::coordination::{STORED_RESPONSES_BYTES, TICKETS};
 use postbarrow_messages::Response;
-use postbarrow_state::{Kept, Record, Settlement, Ticket};
+use postbarrow_state::{Record, Settlement, StoredResponse, Ticket};
 
 impl ControlNode {
     pub(crate) fn on_ticket(&mut self, now_ms: u64, origin: Origin, ticket: Ticket) {
@@ -12,13 +12,13 @@
         let response = match state.tickets.get(&ticket.key) {
             None => None,
             Some(known) if known.digest != ticket.digest => Some(Response::OtherDigest),
-            Some(known) if same_go(known, &ticket) && known.settled.is_none() => {
+            Some(known) if same_go(known, &ticket) && known.settlement.is_none() => {
                 Some(Response::Granted)
             }
             Some(known) if same_go(known, &ticket) => {
                 Some(Response::Known(known.as_ref().clone().into()))
             }
-            Some(known) if known.settled == Some(Settlement::Unsent) => None,
+            Some(known) if known.settlement == Some(Settlement::Unsent) => None,
             Some(known) => Some(Response::Known(known.as_ref().clone().into())),
         };
         let full = state.tickets.len() >= TICKETS && !state.tickets.contains_key(&ticket.key);
@@ -26,7 +26,7 @@
             Some(response) => self.reply_settled(now_ms, origin, response),
             None if full => self.shed(now_ms, origin),
             None => {
-                let clean = Ticket { settled: None, response: None, ..ticket };
+                let clean = Ticket { settlement: None, response: None, ..ticket };
                 let offset = self.propose(now_ms, vec![Record::Ticket(clean)]);
                 self.reply_at(now_ms, offset, origin, Response::Granted);
             }
@@ -41,31 +41,31 @@
         origin: Origin,
         ticket: Ticket,
         settlement: Settlement,
-        response: Option<Kept>,
+        response: Option<StoredResponse>,
     ) {
         let Some(state) = self.current() else { return };
         let size = response.as_ref().map_or(0, |kept| kept.size() as u64);
-        let fits = state.kept_bytes + size <= KEPT_BYTES;
+        let fits = state.stored_response_bytes + size <= STORED_RESPONSES_BYTES;
         let response = response.filter(|_| fits);
         let settled = Record::Settled { key: ticket.key.clone(), settlement, response };
         let records = match state.tickets.get(&ticket.key) {
-            Some(known) if same_go(known, &ticket) => match known.settled {
-                None | Some(Settlement::Unknown) if known.settled != Some(settlement) => {
+            Some(known) if same_go(known, &ticket) => match known.settlement {
+                None | Some(Settlement::Unknown) if known.settlement != Some(settlement) => {
                     vec![settled]
                 }
                 _ => Vec::new(),
             },
             Some(_) => Vec::new(),
             None => {
-                let clean = Ticket { settled: None, response: None, ..ticket };
+                let clean = Ticket { settlement: None, response: None, ..ticket };
                 vec![Record::Ticket(clean), settled]
             }
         };
         if records.is_empty() {
             return self.reply_settled(now_ms, origin, Response::Settled);
         }
-        if let Some(lead) = self.lead.as_mut().filter(|_| !fits) {
-            lead.unkept += 1;
+        if let Some(lead) = self.leader.as_mut().filter(|_| !fits) {
+            lead.responses_not_stored += 1;
         }
         let offset = self.propose(now_ms, records);
         self.reply_at(now_ms, offset, origin, Response::Settled);
@@ -73,8 +73,8 @@
 
     /// Space is out: what is new is shed, what is kept stays.
     pub(crate) fn shed(&mut self, now_ms: u64, origin: Origin) {
-        if let Some(lead) = &mut self.lead {
-            lead.shed += 1;
+        if let Some(lead) = &mut self.leader {
+            lead.requests_shed += 1;
         }
         self.reply_settled(now_ms, origin, Response::Full);
     }
--- a/crates/controller/src/types.rs
+++ b/crates/controller/src/types.rs
@@ -1,4 +1,4 @@
-use crate::Snap;
+use crate::PendingSnapshot;
 use postbarrow_consensus::Write;
 use postbarrow_messages::{Envelope, Message};
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 pub enum Fetched {
     Page(Vec<u8>),
     /// A page that was read already.
-    Listed(crate::Listed),
+    Listed(crate::ListPage),
     Limited {
         wait_ms: u64,
     },
@@ -40,8 +40,8 @@
     Send { to: SocketAddr, message: Message },
     Write { sequence: u64, write: Write },
     Fetch { number: u64, cursor: Option<String> },
-    Encode(Snap),
-    Say(String),
+    Encode(PendingSnapshot),
+    Log(String),
 }
 
 #[derive(Clone, Copy, Debug)]
