--- a/crates/controller/src/watches.rs
+++ b/crates/controller/src/watches.rs
@@ -1,12 +1,12 @@
 use crate::{ControlNode, Origin};
-use postbarrow_constants::coordination::{WATCH_ASK_MS, WATCH_EVENTS};
+use postbarrow_constants::coordination::{WATCH_EVENTS, WATCH_POLL_MS};
 use postbarrow_messages::Response;
-use postbarrow_state::{Event, Name, Outcome, Sort, State};
+use postbarrow_state::{Event, Name, Outcome, ResourceKind, State};
 
 /// A watch with nothing to tell yet.
-pub(crate) struct Parked {
+pub(crate) struct PendingWatch {
     pub origin: Origin,
-    sort: Sort,
+    sort: ResourceKind,
     prefix: Name,
     after: u64,
     until_ms: u64,
@@ -17,7 +17,7 @@
         &mut self,
         now_ms: u64,
         origin: Origin,
-        sort: Sort,
+        sort: ResourceKind,
         prefix: Name,
         after: Option<u64>,
     ) {
@@ -33,11 +33,11 @@
         match events(state, sort, &prefix, after) {
             Some(outcome) => self.respond(origin, Response::Outcome(outcome)),
             None => {
-                let until_ms = now_ms + WATCH_ASK_MS;
-                let Some(lead) = &mut self.lead else { return };
-                lead.parked
+                let until_ms = now_ms + WATCH_POLL_MS;
+                let Some(lead) = &mut self.leader else { return };
+                lead.pending_watches
                     .retain(|other| other.origin.to != origin.to || other.origin.key != origin.key);
-                lead.parked.push(Parked { origin, sort, prefix, after, until_ms });
+                lead.pending_watches.push(PendingWatch { origin, sort, prefix, after, until_ms });
             }
         }
     }
@@ -48,9 +48,9 @@
             return;
         }
         let state = self.tail.image().clone();
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let mut told = Vec::new();
-        lead.parked.retain(|parked| {
+        lead.pending_watches.retain(|parked| {
             match events(&state, parked.sort, &parked.prefix, parked.after) {
                 Some(outcome) => {
                     told.push((parked.origin, outcome));
@@ -67,11 +67,11 @@
     pub(crate) fn watch_tick(&mut self, now_ms: u64) {
         let leased = self.has_lease(now_ms);
         let state = self.tail.image().clone();
-        let Some(lead) = &mut self.lead else { return };
-        let (due, parked) = std::mem::take(&mut lead.parked)
+        let Some(lead) = &mut self.leader else { return };
+        let (due, parked) = std::mem::take(&mut lead.pending_watches)
             .into_iter()
             .partition::<Vec<_>, _>(|parked| now_ms >= parked.until_ms);
-        lead.parked = parked;
+        lead.pending_watches = parked;
         for parked in due {
             let response = if leased {
                 let found = events(&state, parked.sort, &parked.prefix, parked.after);
@@ -86,11 +86,13 @@
 }
 
 /// Events after a revision, oldest first; None when there is none to tell.
-fn events(state: &State, sort: Sort, prefix: &Name, after: u64) -> Option<Outcome> {
+fn events(state: &State, sort: ResourceKind, prefix: &Name, after: u64) -> Option<Outcome> {
     let fresh = state.revision.saturating_sub(after) as usize;
     let skipped = state.history.len().saturating_sub(fresh);
     let matching = |event: &&std::sync::Arc<Event>| {
-        event.revision > after && event.sort() == sort && event.name.starts_with(prefix.as_str())
+        event.revision > after
+            && event.resource_kind() == sort
+            && event.name.starts_with(prefix.as_str())
     };
     let found: Vec<Event> = state
         .history
--- a/crates/controller/tests/bench/mod.rs
+++ b/crates/controller/tests/bench/mod.rs
@@ -1,12 +1,12 @@
 #![allow(dead_code)]
 use postbarrow_consensus::{
-    Append, Entry, Member, Message as LogMessage, Payload, Recovered, Snapshot, Write,
+    AppendRequest, Entry, Member, Message as LogMessage, Payload, RecoveredState, Snapshot, Write,
 };
 use postbarrow_controller::{ControlNode, Effect, Fetched, Input, PageResult};
 use postbarrow_messages::*;
 use postbarrow_plan::Plan;
 use postbarrow_state::{Name, Node, Record, State, Ticket};
-use postbarrow_transactions::{Line, decode, encode};
+use postbarrow_transactions::{BatchRecord, decode, encode};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 pub struct Bench {
     pub node: ControlNode,
     pub now_ms: u64,
-    pub lines: Vec<Line<Record>>,
+    pub lines: Vec<BatchRecord<Record>>,
     pub entries: Vec<Entry>,
     pub responses: Vec<(u64, Response)>,
     pub sent: Vec<Message>,
@@ -34,14 +34,14 @@
     Member { id, address: format!("10.1.0.{id}:1").parse().unwrap() }
 }
 
-pub fn recovered(members: &[u64], entries: Vec<Entry>, term: u64) -> Recovered {
+pub fn recovered(members: &[u64], entries: Vec<Entry>, term: u64) -> RecoveredState {
     let members = members.iter().map(|id| member(*id)).collect();
     let snapshot = Snapshot { index: 0, term: 0, members, state: Vec::new() };
-    Recovered { term, voted: None, snapshot: Some(Arc::new(snapshot)), entries }
+    RecoveredState { term, voted_for: None, snapshot: Some(Arc::new(snapshot)), entries }
 }
 
 impl Bench {
-    pub fn new(recovered: Recovered) -> Bench {
+    pub fn new(recovered: RecoveredState) -> Bench {
         let now_ms = 50_000;
         Bench {
             node: ControlNode::new(member(1), recovered, &[], 7, now_ms),
@@ -69,7 +69,7 @@
     }
 
     pub fn bound(&mut self, size_bytes: u64) {
-        let idle = ControlNode::new(member(1), Recovered::default(), &[], 7, self.now_ms);
+        let idle = ControlNode::new(member(1), RecoveredState::default(), &[], 7, self.now_ms);
         self.node = std::mem::replace(&mut self.node, idle).with_log_bound(size_bytes);
     }
 
@@ -107,7 +107,7 @@
                     let state = snap.encode();
                     self.snapshot = Some(Snapshot { index, term, members, state });
                 }
-                Effect::Say(_) => {}
+                Effect::Log(_) => {}
             }
         }
     }
@@ -137,11 +137,18 @@
     /// A leader of the next term commits this record where this node's committed log ends.
     pub fn is_deposed_by(&mut self, record: Record) {
         let log = self.node.consensus();
-        let (prev, term) = (log.commit(), log.term() + 1);
+        let (prev, term) = (log.commit_index(), log.term() + 1);
         let prev_term = log.log().term_at(prev).unwrap();
-        let payload = Payload::Batch(encode(&[Line::Data(record)]));
+        let payload = Payload::Batch(encode(&[BatchRecord::Data(record)]));
         let entries = vec![Entry { term, index: prev + 1, payload }];
-        let append = Append { term, prev, prev_term, entries, commit: prev + 1, sent_ms: 1 };
+        let append = AppendRequest {
+            term,
+            prev_index: prev,
+            prev_term,
+            entries,
+            commit: prev + 1,
+            sent_ms: 1,
+        };
         let message = LogMessage::Append(append);
         self.message(Message::Consensus { from: member(2), to: 1, message });
     }
@@ -164,7 +171,7 @@
     }
 
     pub fn fresh(&mut self, incarnation: u64) {
-        let request = FreshAsk {
+        let request = LeaseRequest {
             number: self.now_ms,
             node: node(incarnation),
             published: 0,
@@ -172,10 +179,10 @@
             ready: false,
             failing: Vec::new(),
             suspects: Vec::new(),
-            recent: Vec::new(),
-            seen: 0,
+            samples: Vec::new(),
+            request_count: 0,
         };
-        self.message(Message::Fresh(request));
+        self.message(Message::LeaseRequest(request));
         self.sync();
     }
 
@@ -183,7 +190,7 @@
         self.sent.clear();
         self.fresh(5);
         self.sent.iter().any(|message| {
-            matches!(message, Message::FreshResponse { fresh: Fresh::Granted { .. }, .. })
+            matches!(message, Message::LeaseResponse { fresh: LeaseResponse::Granted { .. }, .. })
         })
     }
 
@@ -265,7 +272,7 @@
         instance: Name::from("ledger-1"),
         node: 5,
         number,
-        settled: None,
+        settlement: None,
         response: None,
         era: 0,
     }
--- a/crates/controller/tests/compaction.rs
+++ b/crates/controller/tests/compaction.rs
@@ -2,7 +2,7 @@
 
 mod bench;
 use bench::*;
-use postbarrow_constants::consensus::SNAPSHOT_ENCODE_MOST_MS;
+use postbarrow_constants::consensus::SNAPSHOT_ENCODE_MAX_MS;
 
 /// Below what one plan writes.
 const SMALL_BYTES: u64 = 200;
@@ -16,7 +16,11 @@
     let mut next = Bench::new(recovered(&[1], entries, 2));
     next.bound(SMALL_BYTES);
     next.tick(1);
-    assert_eq!((next.node.consensus().commit(), next.encoded), (0, 0), "nothing is applied yet");
+    assert_eq!(
+        (next.node.consensus().commit_index(), next.encoded),
+        (0, 0),
+        "nothing is applied yet"
+    );
     next.lead();
     assert!(next.encoded > 0, "the log that it read counts");
 }
@@ -43,6 +47,6 @@
     bench.submit(2, &plan("v2", Some("v1"), 21, "ledger"));
     bench.settle();
     assert_eq!(bench.encoded, 1);
-    bench.tick(SNAPSHOT_ENCODE_MOST_MS);
+    bench.tick(SNAPSHOT_ENCODE_MAX_MS);
     assert_eq!(bench.encoded, 2);
 }
--- a/crates/controller/tests/contact.rs
+++ b/crates/controller/tests/contact.rs
@@ -3,7 +3,7 @@
 mod bench;
 mod trio;
 use bench::*;
-use postbarrow_consensus::{Append, Message as LogMessage, Recovered};
+use postbarrow_consensus::{AppendRequest, Message as LogMessage, RecoveredState};
 use postbarrow_constants::consensus::*;
 use postbarrow_controller::Contact;
 use postbarrow_messages::Message;
@@ -23,9 +23,9 @@
 }
 
 fn hear(bench: &mut Bench) {
-    let append = Append {
+    let append = AppendRequest {
         term: 3,
-        prev: 0,
+        prev_index: 0,
         prev_term: 0,
         entries: Vec::new(),
         commit: 0,
@@ -90,7 +90,7 @@
 
 #[test]
 fn one_outside_the_log_is_told_of_no_leader_by_it() {
-    let mut bench = Bench::new(Recovered::default());
+    let mut bench = Bench::new(RecoveredState::default());
     (0..100).for_each(|_| bench.tick(20));
     assert_eq!(contact(&bench), Contact::Outside);
 }
--- a/crates/controller/tests/cut_off.rs
+++ b/crates/controller/tests/cut_off.rs
@@ -31,7 +31,7 @@
 }
 
 fn watch(after: Option<u64>) -> Call {
-    Call::Watch { sort: Sort::Key, prefix: "".into(), after }
+    Call::Watch { sort: ResourceKind::Key, prefix: "".into(), after }
 }
 
 fn settle(ticket: Ticket) -> Request {
@@ -75,7 +75,7 @@
         ("the targets", Request::Targets),
         ("the members", Request::Members),
         ("the status", Request::Status),
-        ("the recent requests", Request::Recent),
+        ("the recent requests", Request::RequestSamples),
         (
             "a plan on a stale base",
             Request::Submit(submission(&plan("v3", Some("v2"), 1, "catalogue"))),
@@ -180,14 +180,14 @@
     trio.bench.ask(3, call(lock("b")));
     trio.settle();
     assert_eq!(trio.bench.status(2), Some(409));
-    assert_eq!(trio.bench.answer(3), Some(&Response::Outcome(Outcome::Held { fence: 1 })));
+    assert_eq!(trio.bench.answer(3), Some(&Response::Outcome(Outcome::LockedByOther { fence: 1 })));
 }
 
 #[test]
 fn a_write_is_not_begun_without_the_hold_so_that_it_can_be_told_as_not_taken() {
     let mut trio = with_state();
     trio.bench.now_ms += 20_000;
-    let last = trio.bench.node.consensus().last();
+    let last = trio.bench.node.consensus().last_index();
     let asks = [
         repeated("new", number()),
         Request::Ticket(ticket("new", 9)),
@@ -198,7 +198,7 @@
         trio.bench.ask(at as u64, request);
         assert_eq!(trio.bench.answer(at as u64), Some(&UNKNOWN), "question {at}");
     }
-    assert_eq!(trio.bench.node.consensus().last(), last, "nothing was written");
+    assert_eq!(trio.bench.node.consensus().last_index(), last, "nothing was written");
 }
 
 #[test]
--- a/crates/controller/tests/deltas.rs
+++ b/crates/controller/tests/deltas.rs
@@ -64,7 +64,7 @@
             bench.sync();
             for message in std::mem::take(&mut bench.sent) {
                 match &message {
-                    Message::News { entries } => {
+                    Message::Updates { entries } => {
                         news_bytes += entries.iter().map(|entry| entry.bytes.len()).sum::<usize>()
                     }
                     Message::Image(_) => images += 1,
--- a/crates/controller/tests/duties.rs
+++ b/crates/controller/tests/duties.rs
@@ -26,7 +26,7 @@
     assert_eq!(bench.answer(1), None, "nothing is said before the sync");
     bench.settle();
     assert_eq!(bench.answer(1), Some(&Response::Granted));
-    assert!(matches!(bench.answer(2), Some(Response::Known(known)) if known.settled.is_none()));
+    assert!(matches!(bench.answer(2), Some(Response::Known(known)) if known.settlement.is_none()));
     bench.ask(3, Request::Ticket(ticket("k", 1)));
     bench.settle();
     assert_eq!(bench.answer(3), Some(&Response::Granted), "the same go asks again");
@@ -62,7 +62,7 @@
     let mut bench = Bench::serving();
     bench.ask(1, Request::Ticket(ticket("k", 1)));
     bench.settle();
-    let kept = Kept { status: 201, headers: Vec::new(), body: vec![9] };
+    let kept = StoredResponse { status: 201, headers: Vec::new(), body: vec![9] };
     let response = Some(kept.clone());
     bench.ask(2, Request::Settle { ticket: ticket("k", 1), settlement: Settlement::Ran, response });
     bench.settle();
@@ -70,9 +70,9 @@
     bench.settle();
     let Some(Response::Known(known)) = bench.answer(3) else { panic!("not known") };
     assert_eq!(known.response.as_deref(), Some(&kept));
-    bench.tick(TICKET_KEEP_MS + 2 * ERA_MS);
+    bench.tick(TICKET_RETENTION_MS + 2 * ERA_MS);
     bench.sync();
-    bench.tick(FORGET_MS);
+    bench.tick(RETENTION_MS);
     bench.sync();
     assert!(bench.state().tickets.is_empty());
 }
@@ -87,7 +87,7 @@
         bench.sync();
     }
     assert!(bench.state().nodes.is_empty());
-    assert_eq!(bench.state().tickets["k"].settled, Some(Settlement::Unknown));
+    assert_eq!(bench.state().tickets["k"].settlement, Some(Settlement::Unknown));
     bench.ask(2, Request::Ticket(ticket("k2", 2)));
     assert!(matches!(bench.answer(2), Some(Response::Refused(_))), "an unknown node gets none");
 }
@@ -151,7 +151,10 @@
     let lock = |holder: &str| Call::Lock { name: "l".into(), holder: holder.into(), ttl_ms: 1_000 };
     let first = call(&mut bench, 1, lock("a"));
     assert_eq!(first, Response::Outcome(Outcome::Locked { fence: 1, ttl_ms: 1_000 }));
-    assert_eq!(call(&mut bench, 2, lock("b")), Response::Outcome(Outcome::Held { fence: 1 }));
+    assert_eq!(
+        call(&mut bench, 2, lock("b")),
+        Response::Outcome(Outcome::LockedByOther { fence: 1 })
+    );
     for _ in 0..45 {
         bench.tick(20);
         bench.sync();
@@ -169,7 +172,7 @@
         bench.sync();
     }
     assert!(!bench.state().locks.contains_key("l"), "its time is up");
-    assert_eq!(call(&mut bench, 4, renew), Response::Outcome(Outcome::NotHeld));
+    assert_eq!(call(&mut bench, 4, renew), Response::Outcome(Outcome::NotOwner));
     let second = call(&mut bench, 5, lock("b"));
     assert_eq!(second, Response::Outcome(Outcome::Locked { fence: 2, ttl_ms: 1_000 }));
 }
@@ -208,7 +211,8 @@
 #[test]
 fn a_watch_is_told_all_in_order_for_twenty_seconds_and_then_too_old() {
     let mut bench = Bench::serving();
-    let watch = |after| Call::Watch { sort: Sort::Key, prefix: "k".into(), after: Some(after) };
+    let watch =
+        |after| Call::Watch { sort: ResourceKind::Key, prefix: "k".into(), after: Some(after) };
     bench.ask(1, Request::Call { id: None, call: watch(0) });
     assert_eq!(bench.answer(1), None, "there is nothing to tell yet");
     for key in 2..6 {
--- a/crates/controller/tests/list.rs
+++ b/crates/controller/tests/list.rs
@@ -123,7 +123,7 @@
         Between::EveryPageFails | Between::OnePageFails => {
             let failures = match how {
                 Between::OnePageFails => 1,
-                _ => LIST_TRIES + 1,
+                _ => LIST_PAGE_RETRIES + 1,
             };
             for _ in 0..failures {
                 while bench.fetches.is_empty() {
@@ -160,7 +160,7 @@
                 assert_eq!(known(&bench), 6, "{how:?}: short answer {turn}");
                 fail_walk(&mut bench, how);
             }
-            for _ in 0..=LIST_SHRUNK_WALKS {
+            for _ in 0..=LIST_SHRUNK_SCANS {
                 walk(&mut bench, &[rows]);
             }
             assert_eq!(known(&bench), rows.len(), "{how:?}: it stays so, and is believed");
--- a/crates/controller/tests/orders.rs
+++ b/crates/controller/tests/orders.rs
@@ -2,11 +2,11 @@
 
 mod bench;
 use bench::*;
-use postbarrow_consensus::Recovered;
+use postbarrow_consensus::RecoveredState;
 use postbarrow_constants::plans::TRANSACTION_OPEN_MS;
 use postbarrow_messages::*;
 use postbarrow_state::Record;
-use postbarrow_transactions::Line;
+use postbarrow_transactions::BatchRecord;
 use std::sync::Arc;
 
 fn body(bench: &Bench, key: u64) -> String {
@@ -16,8 +16,8 @@
 
 /// How often a plan was begun, and put in force.
 fn begun_and_taken(bench: &Bench) -> (usize, usize) {
-    let begun = bench.lines.iter().filter(|line| matches!(line, Line::Begin { .. })).count();
-    let taken = bench.lines.iter().filter(|line| matches!(line, Line::End)).count();
+    let begun = bench.lines.iter().filter(|line| matches!(line, BatchRecord::Begin { .. })).count();
+    let taken = bench.lines.iter().filter(|line| matches!(line, BatchRecord::End)).count();
     (begun, taken)
 }
 
@@ -119,7 +119,7 @@
     let entries =
         bench.entries.iter().filter(|entry| entry.index > snapshot.index).cloned().collect();
     let snapshot = Some(Arc::new(snapshot));
-    let mut next = Bench::new(Recovered { term, voted: None, snapshot, entries });
+    let mut next = Bench::new(RecoveredState { term, voted_for: None, snapshot, entries });
     next.lead();
     assert_eq!(next.state().plan_version(), Some("v3"));
     check_known(&mut next, 1);
@@ -133,13 +133,13 @@
     bench.submit(2, &text);
     bench.is_deposed_by(Record::Number { name: "n".into(), value: 4 });
     assert_eq!(bench.answer(2), Some(&Response::Lost));
-    assert!(bench.state().taken_plan("v2").is_none());
+    assert!(bench.state().accepted_plan("v2").is_none());
     bench.lead();
     bench.submit(3, &text);
     bench.submit(4, &text);
     bench.settle();
     assert_eq!((bench.status(3), bench.status(4)), (Some(200), Some(200)));
-    assert_eq!(bench.state().taken_plans.len(), 2);
+    assert_eq!(bench.state().accepted_plans.len(), 2);
 }
 
 /// Every copy may still be taken after an abort for want of time, so none is told a refusal.
@@ -153,7 +153,7 @@
     for _ in 0..TRANSACTION_OPEN_MS / 20 + 1 {
         bench.tick(20);
     }
-    assert_eq!(bench.answer(1), Some(&Response::Waiting), "told before the abort is committed");
+    assert_eq!(bench.answer(1), Some(&Response::Duplicate), "told before the abort is committed");
     assert_eq!(bench.answer(2), None, "told before the abort is committed");
     for _ in 0..3 {
         bench.sync();
@@ -163,7 +163,7 @@
     bench.settle();
     assert_eq!((bench.status(1), bench.status(2)), (Some(200), Some(200)));
     assert_eq!(begun_and_taken(&bench), (2, 1));
-    assert_eq!(bench.state().taken_plans.len(), 1);
+    assert_eq!(bench.state().accepted_plans.len(), 1);
 }
 
 #[test]
@@ -196,9 +196,9 @@
     let text = plan("v1", None, 1, "catalogue");
     bench.ask(1, Request::Submit(Submission { dry_run: true, ..submission(&text) }));
     bench.settle();
-    assert!(bench.state().taken_plans.is_empty());
+    assert!(bench.state().accepted_plans.is_empty());
     bench.submit(2, &text);
     bench.settle();
     assert_eq!((bench.status(1), bench.status(2)), (Some(200), Some(200)));
-    assert_eq!(bench.state().taken_plans.len(), 1);
+    assert_eq!(bench.state().accepted_plans.len(), 1);
 }
--- a/crates/controller/tests/space.rs
+++ b/crates/controller/tests/space.rs
@@ -2,7 +2,7 @@
 
 mod bench;
 use bench::*;
-use postbarrow_consensus::{Recovered, Snapshot};
+use postbarrow_consensus::{RecoveredState, Snapshot};
 use postbarrow_constants::coordination::*;
 use postbarrow_messages::{Request, Response};
 use postbarrow_state::*;
@@ -12,7 +12,7 @@
     let state = rmp_serde::to_vec(&(state, 0u64)).unwrap();
     let snapshot = Snapshot { index: 0, term: 0, members: vec![member(1)], state };
     let snapshot = Some(Arc::new(snapshot));
-    let mut bench = Bench::new(Recovered { snapshot, ..Recovered::default() });
+    let mut bench = Bench::new(RecoveredState { snapshot, ..RecoveredState::default() });
     bench.lead();
     bench.list(&[("ledger-1", "ledger")]);
     bench.fresh(5);
@@ -20,12 +20,12 @@
     bench
 }
 
-fn ran(key: &str, response: Option<Kept>) -> Request {
+fn ran(key: &str, response: Option<StoredResponse>) -> Request {
     Request::Settle { ticket: ticket(key, 1), settlement: Settlement::Ran, response }
 }
 
-fn kept(bytes: usize) -> Kept {
-    Kept { status: 200, headers: Vec::new(), body: vec![1; bytes] }
+fn kept(bytes: usize) -> StoredResponse {
+    StoredResponse { status: 200, headers: Vec::new(), body: vec![1; bytes] }
 }
 
 #[test]
@@ -38,13 +38,13 @@
     let mut passed_ms = 0;
     let mut term = 1;
     while !bench.state().tickets.is_empty() {
-        assert!(passed_ms < TICKET_KEEP_MS + 12 * ERA_MS, "kept for ever");
+        assert!(passed_ms < TICKET_RETENTION_MS + 12 * ERA_MS, "kept for ever");
         for _ in 0..100 {
             bench.tick(2_000);
             bench.sync();
             passed_ms += 2_000;
             let kept = bench.state().tickets.contains_key("k");
-            assert!(kept || passed_ms >= TICKET_KEEP_MS, "forgotten after {passed_ms} ms");
+            assert!(kept || passed_ms >= TICKET_RETENTION_MS, "forgotten after {passed_ms} ms");
         }
         term += 1;
         let entries = bench.entries.clone();
@@ -62,7 +62,7 @@
     let mut state = State::default();
     for at in 0..TICKETS {
         let key = Name::from(format!("old-{at}"));
-        let known = Ticket { settled: Some(Settlement::Ran), ..ticket(&key, 1) };
+        let known = Ticket { settlement: Some(Settlement::Ran), ..ticket(&key, 1) };
         state.tickets.insert(key, Arc::new(known));
     }
     let mut bench = from_state(state);
@@ -79,7 +79,7 @@
 
 #[test]
 fn kept_responses_have_one_bound_in_all_and_the_key_is_kept_without() {
-    let state = State { kept_bytes: KEPT_BYTES - 1_500, ..State::default() };
+    let state = State { stored_response_bytes: STORED_RESPONSES_BYTES - 1_500, ..State::default() };
     let mut bench = from_state(state);
     for (at, key) in ["a", "b"].into_iter().enumerate() {
         bench.ask(at as u64, Request::Ticket(ticket(key, 1)));
@@ -89,8 +89,8 @@
     }
     let response = |key: &str| bench.state().tickets[key].response.is_some();
     assert_eq!((response("a"), response("b")), (true, false));
-    assert_eq!(bench.state().tickets["b"].settled, Some(Settlement::Ran));
-    assert_eq!(bench.state().kept_bytes, KEPT_BYTES - 500);
+    assert_eq!(bench.state().tickets["b"].settlement, Some(Settlement::Ran));
+    assert_eq!(bench.state().stored_response_bytes, STORED_RESPONSES_BYTES - 500);
 }
 
 #[test]
@@ -100,12 +100,12 @@
     bench.ask(2, ran("k", Some(kept(700))));
     bench.ask(3, ran("k", Some(kept(700))));
     bench.settle();
-    assert_eq!(bench.state().kept_bytes, 700);
-    bench.tick(TICKET_KEEP_MS + 2 * ERA_MS);
+    assert_eq!(bench.state().stored_response_bytes, 700);
+    bench.tick(TICKET_RETENTION_MS + 2 * ERA_MS);
     bench.settle();
-    bench.tick(FORGET_MS);
+    bench.tick(RETENTION_MS);
     bench.settle();
-    assert_eq!((bench.state().tickets.len(), bench.state().kept_bytes), (0, 0));
+    assert_eq!((bench.state().tickets.len(), bench.state().stored_response_bytes), (0, 0));
 }
 
 #[test]
@@ -133,7 +133,7 @@
     bench.settle();
     let mut passed_ms = 0;
     while bench.state().repeats.contains_key("once") {
-        assert!(passed_ms < REPEAT_KEEP_MS + 12 * ERA_MS, "remembered for ever");
+        assert!(passed_ms < REPEAT_RETENTION_MS + 12 * ERA_MS, "remembered for ever");
         for _ in 0..22 {
             bench.tick(2_000);
             bench.sync();
@@ -146,6 +146,6 @@
         bench.lead();
         passed_ms += 2_000;
     }
-    assert!(passed_ms >= REPEAT_KEEP_MS, "forgotten after {passed_ms} ms");
+    assert!(passed_ms >= REPEAT_RETENTION_MS, "forgotten after {passed_ms} ms");
     assert!(bench.state().repeat_queue.is_empty());
 }
--- a/crates/controller/tests/strangers.rs
+++ b/crates/controller/tests/strangers.rs
@@ -1,6 +1,6 @@
 mod bench;
 use bench::*;
-use postbarrow_consensus::Recovered;
+use postbarrow_consensus::RecoveredState;
 use postbarrow_controller::Input;
 use postbarrow_messages::*;
 use postbarrow_state::*;
@@ -8,9 +8,9 @@
 #[test]
 fn a_member_that_lost_its_disk_says_for_its_old_self_that_it_does_not_lead() {
     use postbarrow_consensus::Message as LogMessage;
-    let mut bench = Bench::new(Recovered::default());
+    let mut bench = Bench::new(RecoveredState::default());
     let who = |to| {
-        let message = LogMessage::Who { term: 3, round: 9 };
+        let message = LogMessage::LeaderProbe { term: 3, round: 9 };
         Input::Receive(Envelope {
             from: member(2).address,
             message: Message::Consensus { from: member(2), to, message },
@@ -21,18 +21,18 @@
         Message::Consensus {
             from,
             to: 2,
-            message: LogMessage::WhoResponse { round, free, .. },
+            message: LogMessage::LeaderProbeResponse { round, free, .. },
         } => Some((from.id, *round, *free)),
         _ => None,
     });
     assert_eq!(told, Some((77, 9, true)), "its old self is gone with its memory");
     bench.sent.clear();
-    let vote = LogMessage::Vote(postbarrow_consensus::VoteAsk {
+    let vote = LogMessage::Vote(postbarrow_consensus::VoteRequest {
         term: 4,
-        last: 0,
+        last_index: 0,
         last_term: 0,
-        handed: false,
-        clear: true,
+        leadership_transfer: false,
+        leaderless: true,
     });
     let message = Message::Consensus { from: member(2), to: 77, message: vote };
     bench.input(Input::Receive(Envelope { from: member(2).address, message }));
@@ -44,7 +44,8 @@
     let own = member(9);
     let seeds = [member(1).address, member(2).address];
     let mut guest =
-        postbarrow_controller::ControlNode::new(own, Recovered::default(), &seeds, 7, 0).as_guest();
+        postbarrow_controller::ControlNode::new(own, RecoveredState::default(), &seeds, 7, 0)
+            .as_observer();
     let mut sent = Vec::new();
     for now_ms in (0..4_000).step_by(20) {
         for effect in guest.handle(now_ms, Input::Tick) {
@@ -54,7 +55,10 @@
         }
     }
     assert!(sent.iter().any(|message| matches!(message, Message::Introduce)));
-    assert!(!sent.iter().any(|message| matches!(message, Message::Greet(_) | Message::Form(_))));
+    assert!(!sent.iter().any(|message| matches!(
+        message,
+        Message::DiscoveryAnnouncement(_) | Message::Bootstrap(_)
+    )));
     let control = vec![member(3).address];
     let message = Message::Introduction { control, formed: true };
     guest.handle(4_000, Input::Receive(Envelope { from: member(1).address, message }));
@@ -95,7 +99,7 @@
     assert_eq!(ask(1, lock("a", 1_000), 20).1, Some(1_000));
     assert_eq!(ask(2, renew(5_000), 20).1, Some(5_000), "a new controller must know");
     assert_eq!(ask(3, renew(600), 20).1, Some(5_000));
-    let held = Some(Response::Outcome(Outcome::Held { fence: 1 }));
+    let held = Some(Response::Outcome(Outcome::LockedByOther { fence: 1 }));
     assert_eq!(ask(4, lock("b", 1_000), 3_000).0, held, "the longer word stands");
     let (said, _) = ask(5, lock("b", 1_000), 2_000);
     assert!(matches!(said, Some(Response::Outcome(Outcome::Locked { fence: 2, .. }))), "{said:?}");
--- a/crates/controller/tests/submission.rs
+++ b/crates/controller/tests/submission.rs
@@ -1,7 +1,7 @@
 //! Every verdict on a submission, by what the ledger remembers.
 
-use postbarrow_constants::plans::TAKEN_PLANS;
-use postbarrow_controller::{RefusalReason, SubmissionVerdict, judge};
+use postbarrow_constants::plans::ACCEPTED_PLANS;
+use postbarrow_controller::{RefusalReason, SubmissionDecision, decide_submission};
 use postbarrow_messages::Submission;
 use postbarrow_state::{Digest, Name, Record, RefusedPlan, State};
 use postbarrow_transactions::Image;
@@ -16,7 +16,7 @@
         let base = at.checked_sub(1).map(|before| Name::from(format!("v{before}")));
         let start = Record::PlanStart { version: version.clone(), base: base.clone() };
         state.apply(offset, &start);
-        let taken = Record::PlanTaken { version, base, digest: TEXT, began_at: offset };
+        let taken = Record::PlanAccepted { version, base, digest: TEXT, began_at: offset };
         state.apply(offset + 5, &taken);
     }
     state
@@ -28,70 +28,76 @@
     Submission { version, base, records, dry_run: false, allow_empty: false }
 }
 
-fn taken(began_at: u64) -> SubmissionVerdict {
-    SubmissionVerdict::AlreadyTaken { began_at, ended_at: Some(began_at + 5) }
+fn taken(began_at: u64) -> SubmissionDecision {
+    SubmissionDecision::AlreadyAccepted { began_at, ended_at: Some(began_at + 5) }
 }
 
-fn refused(reason: RefusalReason) -> SubmissionVerdict {
-    SubmissionVerdict::Refused(reason)
+fn refused(reason: RefusalReason) -> SubmissionDecision {
+    SubmissionDecision::Refused(reason)
 }
 
 #[test]
 fn a_new_version_on_the_plan_in_force_proceeds() {
-    assert_eq!(judge(&State::default(), &order("v0", None), &TEXT), SubmissionVerdict::Proceed);
-    assert_eq!(judge(&chain(3), &order("v3", Some("v2")), &TEXT), SubmissionVerdict::Proceed);
+    assert_eq!(
+        decide_submission(&State::default(), &order("v0", None), &TEXT),
+        SubmissionDecision::Proceed
+    );
+    assert_eq!(
+        decide_submission(&chain(3), &order("v3", Some("v2")), &TEXT),
+        SubmissionDecision::Proceed
+    );
 }
 
 #[test]
 fn a_taken_plan_is_known_while_in_force_and_when_built_upon() {
     let state = chain(5);
-    assert_eq!(judge(&state, &order("v4", Some("v3")), &TEXT), taken(40));
-    assert_eq!(judge(&state, &order("v1", Some("v0")), &TEXT), taken(10));
-    assert_eq!(judge(&state, &order("v0", None), &TEXT), taken(0));
+    assert_eq!(decide_submission(&state, &order("v4", Some("v3")), &TEXT), taken(40));
+    assert_eq!(decide_submission(&state, &order("v1", Some("v0")), &TEXT), taken(10));
+    assert_eq!(decide_submission(&state, &order("v0", None), &TEXT), taken(0));
 }
 
 #[test]
 fn a_taken_version_with_another_text_or_base_is_refused() {
     let state = chain(5);
     let other = refused(RefusalReason::OtherText);
-    assert_eq!(judge(&state, &order("v4", Some("v3")), &OTHER_TEXT), other);
-    assert_eq!(judge(&state, &order("v1", Some("v0")), &OTHER_TEXT), other);
-    assert_eq!(judge(&state, &order("v1", Some("v4")), &TEXT), other);
+    assert_eq!(decide_submission(&state, &order("v4", Some("v3")), &OTHER_TEXT), other);
+    assert_eq!(decide_submission(&state, &order("v1", Some("v0")), &OTHER_TEXT), other);
+    assert_eq!(decide_submission(&state, &order("v1", Some("v4")), &TEXT), other);
 }
 
 #[test]
 fn a_base_that_was_built_upon_is_refused() {
     let state = chain(5);
     let verdict = refused(RefusalReason::BaseBuiltUpon);
-    assert_eq!(judge(&state, &order("x", Some("v2")), &TEXT), verdict);
-    assert_eq!(judge(&state, &order("x", None), &TEXT), verdict);
+    assert_eq!(decide_submission(&state, &order("x", Some("v2")), &TEXT), verdict);
+    assert_eq!(decide_submission(&state, &order("x", None), &TEXT), verdict);
 }
 
 #[test]
 fn a_base_never_taken_is_refused_and_stays_refused_when_it_is_taken() {
     let mut state = chain(2);
-    let verdict = refused(RefusalReason::BaseNeverTaken);
-    assert_eq!(judge(&state, &order("v3", Some("v2")), &TEXT), verdict);
+    let verdict = refused(RefusalReason::BaseNeverAccepted);
+    assert_eq!(decide_submission(&state, &order("v3", Some("v2")), &TEXT), verdict);
     let refusal = RefusedPlan { version: "v3".into(), digest: TEXT };
     state.apply(30, &Record::PlanRefused(refusal));
     let (version, base) = (Name::from("v2"), Some(Name::from("v1")));
     state.apply(31, &Record::PlanStart { version: version.clone(), base: base.clone() });
-    state.apply(31, &Record::PlanTaken { version, base, digest: TEXT, began_at: 31 });
+    state.apply(31, &Record::PlanAccepted { version, base, digest: TEXT, began_at: 31 });
     let verdict = refused(RefusalReason::RefusedBefore);
-    assert_eq!(judge(&state, &order("v3", Some("v2")), &TEXT), verdict);
-    let verdict = SubmissionVerdict::Proceed;
-    assert_eq!(judge(&state, &order("v3", Some("v2")), &OTHER_TEXT), verdict);
+    assert_eq!(decide_submission(&state, &order("v3", Some("v2")), &TEXT), verdict);
+    let verdict = SubmissionDecision::Proceed;
+    assert_eq!(decide_submission(&state, &order("v3", Some("v2")), &OTHER_TEXT), verdict);
 }
 
 #[test]
 fn what_may_be_older_than_the_ledger_gets_no_clear_answer() {
-    let state = chain(TAKEN_PLANS + 3);
+    let state = chain(ACCEPTED_PLANS + 3);
     let (first, second) = (order("v0", None), order("v1", Some("v0")));
-    assert_eq!(judge(&state, &first, &TEXT), SubmissionVerdict::Unknown);
-    assert_eq!(judge(&state, &second, &TEXT), SubmissionVerdict::Unknown);
-    assert_eq!(judge(&state, &order("v3", Some("v2")), &TEXT), taken(30));
+    assert_eq!(decide_submission(&state, &first, &TEXT), SubmissionDecision::Unknown);
+    assert_eq!(decide_submission(&state, &second, &TEXT), SubmissionDecision::Unknown);
+    assert_eq!(decide_submission(&state, &order("v3", Some("v2")), &TEXT), taken(30));
     let verdict = refused(RefusalReason::BaseBuiltUpon);
-    assert_eq!(judge(&state, &order("x", Some("v2")), &TEXT), verdict);
+    assert_eq!(decide_submission(&state, &order("x", Some("v2")), &TEXT), verdict);
 }
 
 #[test]
@@ -100,25 +106,25 @@
     state.apply(7, &Record::PlanStart { version: "v5".into(), base: Some("v4".into()) });
     state.apply(7, &Record::PlanText(b"text".to_vec()));
     let digest = postbarrow_controller::text_digest(b"text");
-    let verdict = SubmissionVerdict::AlreadyTaken { began_at: 7, ended_at: None };
-    assert_eq!(judge(&state, &order("v5", Some("v4")), &digest), verdict);
+    let verdict = SubmissionDecision::AlreadyAccepted { began_at: 7, ended_at: None };
+    assert_eq!(decide_submission(&state, &order("v5", Some("v4")), &digest), verdict);
     let verdict = refused(RefusalReason::OtherText);
-    assert_eq!(judge(&state, &order("v5", Some("v4")), &TEXT), verdict);
+    assert_eq!(decide_submission(&state, &order("v5", Some("v4")), &TEXT), verdict);
     let verdict = refused(RefusalReason::BaseBuiltUpon);
-    assert_eq!(judge(&state, &order("x", Some("v4")), &TEXT), verdict);
-    let verdict = SubmissionVerdict::Unknown;
-    assert_eq!(judge(&state, &order("v4", Some("v3")), &TEXT), verdict);
+    assert_eq!(decide_submission(&state, &order("x", Some("v4")), &TEXT), verdict);
+    let verdict = SubmissionDecision::Unknown;
+    assert_eq!(decide_submission(&state, &order("v4", Some("v3")), &TEXT), verdict);
 }
 
 #[test]
 fn a_dry_run_runs_on_the_plan_in_force_or_beside_itself_only() {
     let state = chain(5);
     let dry = |version, base| Submission { dry_run: true, ..order(version, base) };
-    let proceed = SubmissionVerdict::Proceed;
-    assert_eq!(judge(&state, &dry("v5", Some("v4")), &TEXT), proceed);
-    assert_eq!(judge(&state, &dry("v4", Some("v3")), &TEXT), proceed);
+    let proceed = SubmissionDecision::Proceed;
+    assert_eq!(decide_submission(&state, &dry("v5", Some("v4")), &TEXT), proceed);
+    assert_eq!(decide_submission(&state, &dry("v4", Some("v3")), &TEXT), proceed);
     let verdict = refused(RefusalReason::BaseBuiltUpon);
-    assert_eq!(judge(&state, &dry("v3", Some("v2")), &TEXT), verdict);
-    let state = chain(TAKEN_PLANS + 3);
-    assert_eq!(judge(&state, &dry("v1", Some("v0")), &TEXT), verdict);
+    assert_eq!(decide_submission(&state, &dry("v3", Some("v2")), &TEXT), verdict);
+    let state = chain(ACCEPTED_PLANS + 3);
+    assert_eq!(decide_submission(&state, &dry("v1", Some("v0")), &TEXT), verdict);
 }
--- a/crates/controller/tests/transactions.rs
+++ b/crates/controller/tests/transactions.rs
@@ -4,18 +4,20 @@
 use postbarrow_constants::plans::TRANSACTION_OPEN_MS;
 use postbarrow_messages::*;
 use postbarrow_state::{Call, Outcome, Record};
-use postbarrow_transactions::{Line, encode};
+use postbarrow_transactions::{BatchRecord, encode};
 
 fn markers(bench: &Bench) -> Vec<String> {
     let mut told = Vec::new();
     for line in &bench.lines {
         match line {
-            Line::Begin { name } => told.push(format!("Begin {}", name.as_deref().unwrap_or(""))),
-            Line::End => told.push("End".into()),
-            Line::Abort { reason } => {
+            BatchRecord::Begin { name } => {
+                told.push(format!("Begin {}", name.as_deref().unwrap_or("")))
+            }
+            BatchRecord::End => told.push("End".into()),
+            BatchRecord::Abort { reason } => {
                 told.push(format!("Abort {}", reason.as_deref().unwrap_or("")))
             }
-            Line::Data(_) => {}
+            BatchRecord::Data(_) => {}
         }
     }
     told
@@ -78,15 +80,15 @@
 
 fn half_a_plan() -> Vec<Entry> {
     let lines = [
-        Line::begin("plan v9"),
-        Line::Data(Record::PlanStart { version: "v9".into(), base: None }),
+        BatchRecord::begin("plan v9"),
+        BatchRecord::Data(Record::PlanStart { version: "v9".into(), base: None }),
     ];
-    let batch = |index, lines: &[Line<Record>]| Entry {
+    let batch = |index, lines: &[BatchRecord<Record>]| Entry {
         term: 1,
         index,
         payload: Payload::Batch(encode(lines)),
     };
-    vec![batch(1, &lines), batch(2, &[Line::Data(Record::PlanText(vec![65]))])]
+    vec![batch(1, &lines), batch(2, &[BatchRecord::Data(Record::PlanText(vec![65]))])]
 }
 
 #[test]
@@ -162,9 +164,9 @@
     bench.ask(2, next());
     assert_eq!(bench.answer(2), None, "it waits for the open plan");
     bench.ask(2, next());
-    assert_eq!(bench.answer(2), Some(&Response::Waiting));
+    assert_eq!(bench.answer(2), Some(&Response::Duplicate));
     bench.submit(1, &text);
-    assert_eq!(bench.answer(1), Some(&Response::Waiting), "the open plan's own question");
+    assert_eq!(bench.answer(1), Some(&Response::Duplicate), "the open plan's own question");
     bench.settle();
     assert_eq!(bench.status(1), Some(200));
     assert_eq!(bench.answer(2), Some(&Response::Outcome(Outcome::Number(1))));
--- a/crates/controller/tests/trio/mod.rs
+++ b/crates/controller/tests/trio/mod.rs
@@ -85,7 +85,7 @@
     pub fn step_until_last_is_the_end(&mut self) {
         let open = |trio: &Trio| trio.bench.node.committed().plan_version().map(str::to_string);
         let before = open(self);
-        while !matches!(self.bench.lines.last(), Some(postbarrow_transactions::Line::End)) {
+        while !matches!(self.bench.lines.last(), Some(postbarrow_transactions::BatchRecord::End)) {
             self.step();
         }
         assert_eq!(open(self), before, "its end is not committed");
@@ -100,7 +100,7 @@
         LogMessage::Vote(request) => LogMessage::VoteResponse { term: request.term, granted: true },
         LogMessage::Append(append) => LogMessage::AppendResponse(AppendResponse {
             term: append.term,
-            matched: Some(append.prev + append.entries.len() as u64),
+            matched: Some(append.prev_index + append.entries.len() as u64),
             hint: 0,
             sent_ms: append.sent_ms,
         }),
--- a/crates/downstream/src/body.rs
+++ b/crates/downstream/src/body.rs
@@ -2,7 +2,7 @@
 
 use crate::connection::Connection;
 use crate::head::{Length, Reject};
-use crate::memory::{Memory, Reserved};
+use crate::memory_budget::{MemoryBudget, Reserved};
 use postbarrow_constants::traffic::CHUNK_LINE_BYTES;
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
     connection: &mut Connection,
     length: Length,
     most_bytes: u64,
-    memory: &Arc<Memory>,
+    memory: &Arc<MemoryBudget>,
     deadline_ms: u64,
 ) -> Result<Body, Reject> {
     let mut reserved = memory.reserve(0).ok_or(FULL)?;
--- a/crates/downstream/src/client_watch.rs
+++ b/crates/downstream/src/client_watch.rs
@@ -1,6 +1,6 @@
 //! Whether the client of a request still waits for its response.
 
-use postbarrow_constants::traffic::CLIENT_LOOK_MS;
+use postbarrow_constants::traffic::CLIENT_CLOSED_CHECK_MS;
 use postbarrow_transport::{Interest, Readiness, clock_ms, poll};
 use std::cell::Cell;
 use std::net::TcpStream;
@@ -21,7 +21,7 @@
 
 /// What ended a wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Waited {
+pub enum WaitOutcome {
     /// The socket that was waited for is ready.
     Ready,
     /// The client has left, whether or not the socket is ready as well.
@@ -32,7 +32,7 @@
 
 /// Why nothing was received on a channel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unreceived {
+pub enum ReceiveError {
     /// The client left meanwhile.
     ClientLeft,
     /// The time is over.
@@ -76,10 +76,10 @@
         other: &TcpStream,
         interest: Interest,
         until_ms: u64,
-    ) -> std::io::Result<Waited> {
+    ) -> std::io::Result<WaitOutcome> {
         loop {
             if self.left.get() {
-                return Ok(Waited::ClientLeft);
+                return Ok(WaitOutcome::ClientLeft);
             }
             let wait_ms = until_ms.saturating_sub(clock_ms());
             let is_ready = match self.stream {
@@ -92,13 +92,13 @@
                 }
             };
             if self.left.get() {
-                return Ok(Waited::ClientLeft);
+                return Ok(WaitOutcome::ClientLeft);
             }
             if is_ready {
-                return Ok(Waited::Ready);
+                return Ok(WaitOutcome::Ready);
             }
             if clock_ms() >= until_ms {
-                return Ok(Waited::TimedOut);
+                return Ok(WaitOutcome::TimedOut);
             }
         }
     }
@@ -108,18 +108,19 @@
     ///
     /// # Errors
     /// What came instead of a message.
-    pub fn receive<T>(&self, messages: &Receiver<T>, until_ms: u64) -> Result<T, Unreceived> {
+    pub fn receive<T>(&self, messages: &Receiver<T>, until_ms: u64) -> Result<T, ReceiveError> {
         loop {
             let left_ms = until_ms.saturating_sub(clock_ms());
-            let wait_ms = if self.stream.is_some() { left_ms.min(CLIENT_LOOK_MS) } else { left_ms };
+            let wait_ms =
+                if self.stream.is_some() { left_ms.min(CLIENT_CLOSED_CHECK_MS) } else { left_ms };
             match messages.recv_timeout(Duration::from_millis(wait_ms)) {
                 Ok(message) => return Ok(message),
-                Err(RecvTimeoutError::Disconnected) => return Err(Unreceived::Disconnected),
+                Err(RecvTimeoutError::Disconnected) => return Err(ReceiveError::Disconnected),
                 Err(RecvTimeoutError::Timeout) if self.has_left() => {
-                    return Err(Unreceived::ClientLeft);
+                    return Err(ReceiveError::ClientLeft);
                 }
                 Err(RecvTimeoutError::Timeout) if clock_ms() >= until_ms => {
-                    return Err(Unreceived::TimedOut);
+                    return Err(ReceiveError::TimedOut);
                 }
                 Err(RecvTimeoutError::Timeout) => {}
             }
--- a/crates/downstream/src/client_watch/tests.rs
+++ b/crates/downstream/src/client_watch/tests.rs
@@ -58,10 +58,10 @@
     client.write_all(b"GET /next HTTP/1.1\r\n\r\n").unwrap();
     let watch = ClientWatch::new(&near);
     let waited = watch.wait_for(&other, Interest::Read, clock_ms()).unwrap();
-    assert_eq!(waited, Waited::TimedOut);
+    assert_eq!(waited, WaitOutcome::TimedOut);
     far.write_all(b"a").unwrap();
     let waited = watch.wait_for(&other, Interest::Read, clock_ms() + HANG_MS).unwrap();
-    assert_eq!(waited, Waited::Ready);
+    assert_eq!(waited, WaitOutcome::Ready);
 }
 
 #[test]
@@ -72,7 +72,7 @@
     drop(client);
     let watch = ClientWatch::new(&near);
     let until_ms = clock_ms() + HANG_MS;
-    assert_eq!(watch.wait_for(&other, Interest::Read, until_ms).unwrap(), Waited::ClientLeft);
+    assert_eq!(watch.wait_for(&other, Interest::Read, until_ms).unwrap(), WaitOutcome::ClientLeft);
 }
 
 #[test]
@@ -82,7 +82,7 @@
     assert!(!watch.has_left());
     far.write_all(b"a").unwrap();
     let until_ms = clock_ms() + HANG_MS;
-    assert_eq!(watch.wait_for(&other, Interest::Read, until_ms).unwrap(), Waited::Ready);
+    assert_eq!(watch.wait_for(&other, Interest::Read, until_ms).unwrap(), WaitOutcome::Ready);
     assert!(!watch.has_left());
 }
 
@@ -94,10 +94,10 @@
     let until_ms = clock_ms() + HANG_MS;
     sender.send(7).unwrap();
     assert_eq!(watch.receive(&messages, until_ms), Ok(7));
-    assert_eq!(watch.receive(&messages, clock_ms()), Err(Unreceived::TimedOut));
+    assert_eq!(watch.receive(&messages, clock_ms()), Err(ReceiveError::TimedOut));
     drop(client);
-    assert_eq!(watch.receive(&messages, until_ms), Err(Unreceived::ClientLeft));
+    assert_eq!(watch.receive(&messages, until_ms), Err(ReceiveError::ClientLeft));
     drop(sender);
     let nobody = ClientWatch::nobody();
-    assert_eq!(nobody.receive(&messages, until_ms), Err(Unreceived::Disconnected));
+    assert_eq!(nobody.receive(&messages, until_ms), Err(ReceiveError::Disconnected));
 }
--- a/crates/downstream/src/connection.rs
+++ b/crates/downstream/src/connection.rs
@@ -2,10 +2,10 @@
 
 use crate::body::CLIENT_LEFT;
 use crate::client_watch::ClientWatch;
-use crate::head::{self, Head, Reject, passed_on};
+use crate::head::{self, Head, Reject, end_to_end_headers};
 use postbarrow_constants::traffic::*;
 use postbarrow_node::TargetResponse;
-use postbarrow_transport::{clock_ms, probe_the_silent};
+use postbarrow_transport::{clock_ms, enable_keepalive};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{IpAddr, TcpStream};
 use std::time::Duration;
@@ -20,7 +20,7 @@
 
 /// How much and how long a client may take.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct ReadLimits {
     /// The largest head.
     pub head_bytes: usize,
     /// From a head's first byte to its last.
@@ -29,9 +29,13 @@
     pub idle_ms: u64,
 }
 
-impl Default for Patience {
+impl Default for ReadLimits {
     fn default() -> Self {
-        Patience { head_bytes: HEAD_BYTES, head_wait_ms: HEAD_WAIT_MS, idle_ms: DOWNSTREAM_IDLE_MS }
+        ReadLimits {
+            head_bytes: HEAD_BYTES,
+            head_wait_ms: HEAD_WAIT_MS,
+            idle_ms: DOWNSTREAM_IDLE_MS,
+        }
     }
 }
 
@@ -54,15 +58,15 @@
     /// The socket takes no options, or is closed already.
     pub fn new(stream: TcpStream) -> std::io::Result<Self> {
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(Duration::from_millis(LOOK_UP_MS)))?;
+        stream.set_read_timeout(Some(Duration::from_millis(PEER_CLOSED_CHECK_MS)))?;
         stream.set_write_timeout(Some(Duration::from_millis(DOWNSTREAM_WRITE_MS)))?;
-        probe_the_silent(&stream)?;
+        enable_keepalive(&stream)?;
         let client = stream.peer_addr()?.ip();
         Ok(Connection { stream, buffer: Vec::new(), start: 0, client })
     }
 
     /// Waits for the next request; an idle connection ends when the node stops.
-    pub fn next(&mut self, patience: Patience, stopping: impl Fn() -> bool) -> Next {
+    pub fn next(&mut self, patience: ReadLimits, stopping: impl Fn() -> bool) -> Next {
         let idle_until_ms = clock_ms() + patience.idle_ms;
         while self.buffered().is_empty() {
             if stopping() || clock_ms() >= idle_until_ms {
@@ -182,7 +186,7 @@
     ///
     /// # Errors
     /// The client left.
-    pub fn go_on(&mut self) -> std::io::Result<()> {
+    pub fn send_continue(&mut self) -> std::io::Result<()> {
         self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
     }
 
@@ -204,7 +208,7 @@
                 told = Some(value.clone());
             }
         }
-        for (name, value) in passed_on(&response.headers) {
+        for (name, value) in end_to_end_headers(&response.headers) {
             write!(out, "{name}: {value}\r\n")?;
         }
         let bodiless = matches!(response.status, 100..=199 | 204 | 304);
@@ -246,7 +250,7 @@
     /// Lets a client that still sends read its refusal before the connection goes.
     pub fn linger(&mut self) {
         let _ = self.stream.shutdown(std::net::Shutdown::Write);
-        let until_ms = clock_ms() + 2 * LOOK_UP_MS;
+        let until_ms = clock_ms() + 2 * PEER_CLOSED_CHECK_MS;
         let mut part = [0; READ_BYTES];
         while clock_ms() < until_ms {
             match self.stream.read(&mut part) {
--- a/crates/downstream/src/head.rs
+++ b/crates/downstream/src/head.rs
@@ -27,7 +27,7 @@
     /// The connection is not used after it.
     pub close: bool,
     /// The client waits to be told before it sends its body.
-    pub waits: bool,
+    pub expects_continue: bool,
 }
 
 /// Why a request is turned away before it is understood.
@@ -109,7 +109,7 @@
         close: says("close") || (old && !says("keep-alive")),
         length: body,
         headers,
-        waits,
+        expects_continue: waits,
     };
     Ok(Some((head, length)))
 }
@@ -152,7 +152,7 @@
 ];
 
 /// Headers that go on: all but those that speak of one connection, and the length, which is made anew.
-pub fn passed_on(headers: &[(String, String)]) -> Vec<(String, String)> {
+pub fn end_to_end_headers(headers: &[(String, String)]) -> Vec<(String, String)> {
     let named: Vec<String> = values(headers, "connection")
         .flat_map(|value| value.split(','))
         .map(|token| token.trim().to_ascii_lowercase())
--- a/crates/downstream/src/head/tests.rs
+++ b/crates/downstream/src/head/tests.rs
@@ -34,7 +34,9 @@
     assert_eq!(length, text.len());
     assert_eq!(head.target, "/a%2Fb?c=%20&c");
     assert!(head.close);
-    let passed: Vec<String> =
-        passed_on(&head.headers).iter().map(|(name, value)| format!("{name}={value}")).collect();
+    let passed: Vec<String> = end_to_end_headers(&head.headers)
+        .iter()
+        .map(|(name, value)| format!("{name}={value}"))
+        .collect();
     assert_eq!(passed, ["Host=h", "X-A=1", "x-a=2"]);
 }
--- a/crates/downstream/src/lib.rs
+++ b/crates/downstream/src/lib.rs
@@ -7,4 +7,4 @@
 pub mod client_watch;
 pub mod connection;
 pub mod head;
-pub mod memory;
+pub mod memory_budget;
--- a/crates/downstream/src/memory.rs
+++ b/crates/downstream/src/memory_budget.rs
@@ -4,21 +4,21 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 /// Bytes of bodies this node holds, under one bound.
-pub struct Memory {
+pub struct MemoryBudget {
     most_bytes: u64,
     used_bytes: AtomicU64,
 }
 
 /// A part of that memory, given back when dropped.
 pub struct Reserved {
-    memory: Arc<Memory>,
+    memory: Arc<MemoryBudget>,
     size_bytes: u64,
 }
 
-impl Memory {
+impl MemoryBudget {
     /// Memory of so many bytes.
     pub fn new(most_bytes: u64) -> Arc<Self> {
-        Arc::new(Memory { most_bytes, used_bytes: AtomicU64::new(0) })
+        Arc::new(MemoryBudget { most_bytes, used_bytes: AtomicU64::new(0) })
     }
 
     /// Takes a part, if it is free.
--- a/crates/membership/src/watch.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -1,15 +1,15 @@
 use crate::ring::{watched, watchers};
-use postbarrow_constants::nodes::{RING_BEAT_MS, RING_SILENT_MS};
+use postbarrow_constants::nodes::{RING_HEARTBEAT_MS, RING_SILENT_MS};
 use std::collections::BTreeMap;
 
 /// Heartbeats out to this node's watchers, and silence of those it watches.
 #[derive(Default)]
-pub struct Watch {
+pub struct FailureDetector {
     heard_ms: BTreeMap<u64, u64>,
     beat_due_ms: u64,
 }
 
-impl Watch {
+impl FailureDetector {
     /// Whom to send a heartbeat now, if one is due.
     pub fn tick(&mut self, now_ms: u64, own: u64, nodes: &[u64]) -> Vec<u64> {
         let watched = watched(own, nodes);
@@ -20,11 +20,11 @@
         if now_ms < self.beat_due_ms {
             return Vec::new();
         }
-        self.beat_due_ms = now_ms + RING_BEAT_MS;
+        self.beat_due_ms = now_ms + RING_HEARTBEAT_MS;
         watchers(own, nodes)
     }
 
-    pub fn heard(&mut self, now_ms: u64, node: u64) {
+    pub fn on_heartbeat(&mut self, now_ms: u64, node: u64) {
         if let Some(heard_ms) = self.heard_ms.get_mut(&node) {
             *heard_ms = now_ms;
         }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,9 +1,9 @@
 #![doc = include_str!("../README.md")]
 
+mod failure_detector;
 mod relay;
 mod ring;
-mod watch;
 
-pub use relay::{Deliver, NewsEntry, Relay};
-pub use ring::{parent, place, watched, watchers};
-pub use watch::Watch;
+pub use failure_detector::FailureDetector;
+pub use relay::{Delivery, Relay, UpdateEntry};
+pub use ring::{parent, ring_position, watched, watchers};
--- a/crates/membership/src/relay.rs
+++ b/crates/membership/src/relay.rs
@@ -1,7 +1,8 @@
 //! What a relay owes its children: news in order, or an image to one that is too far behind.
 
 use postbarrow_constants::nodes::{
-    NEWS_BYTES, NEWS_KEPT, NEWS_KEPT_BYTES, TAIL_KEEP_MS, TAIL_RESEND_MOST_MS, TAIL_RESEND_MS,
+    SUBSCRIPTION_TIMEOUT_MS, TAIL_RESEND_MAX_MS, TAIL_RESEND_MS, UPDATE_FRAME_BYTES,
+    UPDATES_RETAINED, UPDATES_RETAINED_BYTES,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -10,7 +11,7 @@
 
 /// One batch of news; `prev` chains it to the batch of news before it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct NewsEntry {
+pub struct UpdateEntry {
     pub prev: u64,
     pub offset: u64,
     #[serde(with = "serde_bytes")]
@@ -59,7 +60,7 @@
         } else if self.unacknowledged_ms.is_none_or(|since| now_ms >= since + self.resend_ms) {
             self.at = after;
             self.unacknowledged_ms = None;
-            self.resend_ms = (self.resend_ms * 2).min(TAIL_RESEND_MOST_MS);
+            self.resend_ms = (self.resend_ms * 2).min(TAIL_RESEND_MAX_MS);
         }
     }
 
@@ -69,10 +70,10 @@
     }
 }
 
-pub enum Deliver {
-    News {
+pub enum Delivery {
+    Updates {
         to: SocketAddr,
-        entries: Vec<NewsEntry>,
+        entries: Vec<UpdateEntry>,
     },
     /// The child is too far behind for what is kept: it needs an image first.
     Image {
@@ -83,29 +84,30 @@
 /// What one relay, or the controller at the root, keeps and owes its children.
 #[derive(Default)]
 pub struct Relay {
-    entries: VecDeque<Arc<NewsEntry>>,
-    kept_bytes: usize,
+    entries: VecDeque<Arc<UpdateEntry>>,
+    retained_bytes: usize,
     children: BTreeMap<SocketAddr, Child>,
 }
 
 impl Relay {
     /// Keeps the newest entries, within a bound of their number and one of their bytes.
-    pub fn push(&mut self, entry: NewsEntry) {
+    pub fn push(&mut self, entry: UpdateEntry) {
         if self.entries.back().is_some_and(|last| last.offset != entry.prev) {
             self.entries.clear();
-            self.kept_bytes = 0;
+            self.retained_bytes = 0;
         }
-        self.kept_bytes += entry.bytes.len();
+        self.retained_bytes += entry.bytes.len();
         self.entries.push_back(Arc::new(entry));
-        while self.entries.len() > NEWS_KEPT || self.kept_bytes > NEWS_KEPT_BYTES {
+        while self.entries.len() > UPDATES_RETAINED || self.retained_bytes > UPDATES_RETAINED_BYTES
+        {
             let Some(gone) = self.entries.pop_front() else { return };
-            self.kept_bytes -= gone.bytes.len();
+            self.retained_bytes -= gone.bytes.len();
         }
     }
 
     pub fn clear(&mut self) {
         self.entries.clear();
-        self.kept_bytes = 0;
+        self.retained_bytes = 0;
         self.children.clear();
     }
 
@@ -118,7 +120,7 @@
     }
 
     /// After an image was sent.
-    pub fn moved(&mut self, now_ms: u64, child: SocketAddr, offset: u64) {
+    pub fn on_image_sent(&mut self, now_ms: u64, child: SocketAddr, offset: u64) {
         if let Some(child) = self.children.get_mut(&child) {
             child.sent(now_ms, offset);
         }
@@ -126,8 +128,8 @@
 
     /// What each child lacks, given where the relay itself is and which image it could send: one
     /// that the child has already would only be sent again and again.
-    pub fn deliver(&mut self, now_ms: u64, own: u64, image: u64) -> Vec<Deliver> {
-        self.children.retain(|_, child| now_ms < child.renewed_ms + TAIL_KEEP_MS);
+    pub fn deliver(&mut self, now_ms: u64, own: u64, image: u64) -> Vec<Delivery> {
+        self.children.retain(|_, child| now_ms < child.renewed_ms + SUBSCRIPTION_TIMEOUT_MS);
         let mut out = Vec::new();
         for (to, child) in &mut self.children {
             if child.at >= own {
@@ -136,29 +138,29 @@
             let from = self.entries.iter().position(|entry| entry.prev == child.at);
             let Some(from) = from else {
                 if child.at < image {
-                    out.push(Deliver::Image { to: *to });
+                    out.push(Delivery::Image { to: *to });
                 }
                 continue;
             };
             let mut entries = Vec::new();
             let mut size = 0;
             for entry in self.entries.iter().skip(from) {
-                if !entries.is_empty() && size + entry.bytes.len() > NEWS_BYTES {
-                    out.push(Deliver::News { to: *to, entries: std::mem::take(&mut entries) });
+                if !entries.is_empty() && size + entry.bytes.len() > UPDATE_FRAME_BYTES {
+                    out.push(Delivery::Updates { to: *to, entries: std::mem::take(&mut entries) });
                     size = 0;
                 }
                 size += entry.bytes.len();
                 child.sent(now_ms, entry.offset);
                 entries.push(entry.as_ref().clone());
             }
-            out.push(Deliver::News { to: *to, entries });
+            out.push(Delivery::Updates { to: *to, entries });
         }
         out
     }
 
     /// Bytes of the news it keeps.
-    pub fn kept_bytes(&self) -> usize {
-        self.kept_bytes
+    pub fn retained_bytes(&self) -> usize {
+        self.retained_bytes
     }
 
     pub fn children(&self) -> Vec<SocketAddr> {
--- a/crates/membership/src/ring.rs
+++ b/crates/membership/src/ring.rs
@@ -1,7 +1,7 @@
 use postbarrow_constants::nodes::{RELAY_CHILDREN, RING_WATCHERS};
 
 /// A node's place on the ring: its incarnation, mixed so that neighbours by birth part.
-pub fn place(incarnation: u64) -> u64 {
+pub fn ring_position(incarnation: u64) -> u64 {
     let mut mixed = incarnation.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -10,7 +10,7 @@
 
 fn ring(nodes: &[u64]) -> Vec<u64> {
     let mut ring = nodes.to_vec();
-    ring.sort_unstable_by_key(|incarnation| place(*incarnation));
+    ring.sort_unstable_by_key(|incarnation| ring_position(*incarnation));
     ring.dedup();
     ring
 }
--- a/crates/membership/tests/relay.rs
+++ b/crates/membership/tests/relay.rs
@@ -1,7 +1,7 @@
 //! What a relay sends its children, and what it does not send twice.
 
 use postbarrow_constants::nodes::*;
-use postbarrow_membership::{Deliver, NewsEntry, Relay};
+use postbarrow_membership::{Delivery, Relay, UpdateEntry};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
@@ -9,19 +9,19 @@
     SocketAddr::from(([10, 0, 0, last], 1))
 }
 
-fn entry(offset: u64, size_bytes: usize) -> NewsEntry {
-    NewsEntry { prev: offset - 1, offset, bytes: vec![7; size_bytes] }
+fn entry(offset: u64, size_bytes: usize) -> UpdateEntry {
+    UpdateEntry { prev: offset - 1, offset, bytes: vec![7; size_bytes] }
 }
 
 /// Offsets of the news sent, and how many images.
-fn sent(delivers: &[Deliver]) -> (Vec<u64>, usize) {
+fn sent(delivers: &[Delivery]) -> (Vec<u64>, usize) {
     let (mut offsets, mut images) = (Vec::new(), 0);
     for deliver in delivers {
         match deliver {
-            Deliver::News { entries, .. } => {
+            Delivery::Updates { entries, .. } => {
                 offsets.extend(entries.iter().map(|entry| entry.offset))
             }
-            Deliver::Image { .. } => images += 1,
+            Delivery::Image { .. } => images += 1,
         }
     }
     (offsets, images)
@@ -42,7 +42,7 @@
     }
     let pauses: Vec<u64> = again.windows(2).map(|two| two[1] - two[0]).collect();
     assert_eq!(again[0], TAIL_RESEND_MS);
-    assert_eq!(pauses, [2 * TAIL_RESEND_MS, TAIL_RESEND_MOST_MS], "lost ones come again");
+    assert_eq!(pauses, [2 * TAIL_RESEND_MS, TAIL_RESEND_MAX_MS], "lost ones come again");
 }
 
 #[test]
@@ -53,7 +53,7 @@
     relay.deliver(0, 5, 5);
     relay.on_tail(10, child(1), 0);
     assert_eq!(sent(&relay.deliver(10, 5, 5)), (vec![], 1));
-    relay.moved(10, child(1), 5);
+    relay.on_image_sent(10, child(1), 5);
     for now_ms in (60..TAIL_RESEND_MS).step_by(50) {
         relay.on_tail(now_ms, child(1), 0);
         assert_eq!(sent(&relay.deliver(now_ms, 5, 5)), (vec![], 0), "the image is under way");
@@ -66,7 +66,7 @@
 fn a_child_in_a_transaction_too_long_to_keep_gets_no_image_it_has() {
     let mut relay = Relay::default();
     relay.on_tail(0, child(1), 4);
-    let batch = NEWS_KEPT_BYTES / 4;
+    let batch = UPDATES_RETAINED_BYTES / 4;
     for offset in 5..15 {
         relay.push(entry(offset, batch));
     }
@@ -82,13 +82,17 @@
     let mut relay = Relay::default();
     for offset in 1..400 {
         relay.push(entry(offset, 100_000));
-        assert!(relay.kept_bytes() <= NEWS_KEPT_BYTES, "{} bytes", relay.kept_bytes());
+        assert!(
+            relay.retained_bytes() <= UPDATES_RETAINED_BYTES,
+            "{} bytes",
+            relay.retained_bytes()
+        );
     }
-    assert!(relay.kept_bytes() > NEWS_KEPT_BYTES / 2);
+    assert!(relay.retained_bytes() > UPDATES_RETAINED_BYTES / 2);
     relay.on_tail(0, child(1), 380);
     assert_eq!(sent(&relay.deliver(0, 399, 399)).0.len(), 19, "a child a few changes behind");
-    relay.push(NewsEntry { prev: 500, offset: 501, bytes: vec![1] });
-    assert_eq!(relay.kept_bytes(), 1, "a gap leaves nothing of what was before");
+    relay.push(UpdateEntry { prev: 500, offset: 501, bytes: vec![1] });
+    assert_eq!(relay.retained_bytes(), 1, "a gap leaves nothing of what was before");
 }
 
 /// A child on a link of so many bytes a millisecond that asks as data nodes do, while a change comes
@@ -126,16 +130,16 @@
         }
         for deliver in relay.deliver(now_ms, own, own) {
             match deliver {
-                Deliver::News { entries, .. } => {
+                Delivery::Updates { entries, .. } => {
                     for entry in entries {
                         all_bytes += entry.bytes.len();
                         queue.push_back((entry.bytes.len(), entry.offset));
                     }
                 }
-                Deliver::Image { to } => {
+                Delivery::Image { to } => {
                     all_bytes += image_bytes;
                     queue.push_back((image_bytes, own));
-                    relay.moved(now_ms, to, own);
+                    relay.on_image_sent(now_ms, to, own);
                 }
             }
         }
--- a/crates/messages/src/lib.rs
+++ b/crates/messages/src/lib.rs
@@ -10,7 +10,7 @@
 
 use postbarrow_consensus as consensus;
 use postbarrow_consensus::{Member, MemberId};
-use postbarrow_membership::NewsEntry;
+use postbarrow_membership::UpdateEntry;
 use postbarrow_state::{Incarnation, Name, Node, Sample};
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
@@ -31,26 +31,32 @@
         to: MemberId,
         message: consensus::Message,
     },
-    Greet(Greet),
-    Form(Vec<Member>),
+    #[serde(rename = "Greet")]
+    DiscoveryAnnouncement(DiscoveryAnnouncement),
+    #[serde(rename = "Form")]
+    Bootstrap(Vec<Member>),
     Introduce,
     Introduction {
         control: Vec<SocketAddr>,
         formed: bool,
     },
-    Fresh(FreshAsk),
-    FreshResponse {
+    #[serde(rename = "Fresh")]
+    LeaseRequest(LeaseRequest),
+    #[serde(rename = "FreshResponse")]
+    LeaseResponse {
         number: u64,
-        fresh: Fresh,
+        fresh: LeaseResponse,
     },
     Tail {
         after: u64,
     },
-    News {
-        entries: Vec<NewsEntry>,
+    #[serde(rename = "News")]
+    Updates {
+        entries: Vec<UpdateEntry>,
     },
     Image(ImageFrame),
-    Beat {
+    #[serde(rename = "Beat")]
+    Heartbeat {
         node: Incarnation,
     },
     /// Goes by its first name on the wire, so that releases understand each other.
@@ -67,15 +73,15 @@
 
 /// A control node with an empty disk, or outside the members, speaks up.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Greet {
+pub struct DiscoveryAnnouncement {
     pub member: Member,
-    pub fresh: bool,
+    pub uninitialized: bool,
     /// The fresh ones it has heard, itself included.
-    pub knows: Vec<MemberId>,
+    pub known_peers: Vec<MemberId>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct FreshAsk {
+pub struct LeaseRequest {
     pub number: u64,
     pub node: Node,
     pub published: u64,
@@ -87,13 +93,13 @@
     pub suspects: Vec<Incarnation>,
     /// Some of the asks since the last question, and how many there were.
     #[serde(default)]
-    pub recent: Vec<Sample>,
+    pub samples: Vec<Sample>,
     #[serde(default)]
-    pub seen: u64,
+    pub request_count: u64,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Fresh {
+pub enum LeaseResponse {
     Granted { term: u64, watermark: u64, members: Vec<SocketAddr> },
     NotController { controller: Option<SocketAddr>, members: Vec<SocketAddr> },
 }
--- a/crates/messages/src/request.rs
+++ b/crates/messages/src/request.rs
@@ -1,6 +1,6 @@
 //! Requests to the controller and its responses.
 
-use postbarrow_state::{Call, Kept, Name, Outcome, Record, Sample, Settlement, Ticket};
+use postbarrow_state::{Call, Name, Outcome, Record, Sample, Settlement, StoredResponse, Ticket};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
     Settle {
         ticket: Ticket,
         settlement: Settlement,
-        response: Option<Kept>,
+        response: Option<StoredResponse>,
     },
     Call {
         id: Option<Name>,
@@ -23,7 +23,8 @@
     Members,
     Status,
     /// Recent client requests, as data nodes reported them.
-    Recent,
+    #[serde(rename = "Recent")]
+    RequestSamples,
 }
 
 /// A plan that was read and checked whole.
@@ -59,7 +60,8 @@
         status: u16,
         body: Vec<u8>,
     },
-    Recent {
+    #[serde(rename = "Recent")]
+    RequestSamples {
         samples: Vec<Sample>,
         seen: u64,
         seconds: u64,
@@ -68,7 +70,8 @@
         controller: Option<SocketAddr>,
     },
     /// An earlier copy of the same request waits here; this one is dropped without effect.
-    Waiting,
+    #[serde(rename = "Waiting")]
+    Duplicate,
     /// The controller lost its place meanwhile: the end is unknown.
     Lost,
     /// Nobody answered in time: the end is unknown.
--- a/crates/messages/tests/garbled.rs
+++ b/crates/messages/tests/garbled.rs
@@ -1,7 +1,7 @@
 //! Mutated frames, plans, list pages, slots and logs: an error that names the place, or a sound
 //! value, never a panic and never more memory than the input justifies.
 
-use postbarrow_consensus::{Entry, Hard, Payload, Write};
+use postbarrow_consensus::{Entry, HardState, Payload, Write};
 use postbarrow_constants::traffic::FRAME_BYTES;
 use postbarrow_messages::*;
 use postbarrow_simulation::{Random, SimDisk};
@@ -29,9 +29,9 @@
 
 fn frame() -> Vec<u8> {
     let entries = vec![Entry { term: 3, index: 9, payload: Payload::Batch(vec![1; 60]) }];
-    let append = postbarrow_consensus::Append {
+    let append = postbarrow_consensus::AppendRequest {
         term: 3,
-        prev: 8,
+        prev_index: 8,
         prev_term: 2,
         entries,
         commit: 7,
@@ -77,7 +77,7 @@
     for seed in 0..3_000 {
         let garbled = garble(&mut Random::new(seed), PLAN.as_bytes());
         if let Err(findings) = postbarrow_plan::Plan::read(&garbled) {
-            assert!(findings.findings.iter().all(|finding| finding.place.starts_with('$')));
+            assert!(findings.findings.iter().all(|finding| finding.field_path.starts_with('$')));
             refused += 1;
         }
     }
@@ -107,8 +107,8 @@
         let mut storage = Storage::create(disk.clone(), 9).unwrap();
         for index in 1..=6 {
             let entry = Entry { term: 1, index, payload: Payload::Batch(vec![index as u8; 30]) };
-            let hard = Hard { term: 1, voted: Some(3) };
-            storage.apply(vec![Write::Hard(hard), Write::Append(vec![entry])]).unwrap();
+            let hard = HardState { term: 1, voted_for: Some(3) };
+            storage.apply(vec![Write::HardState(hard), Write::Append(vec![entry])]).unwrap();
         }
         let file = [SLOTS[0], SLOTS[1], LOGS[0], LOGS[1]][random.below(4) as usize];
         let garbled = garble(&mut random, &disk.read(file).unwrap());
--- a/crates/node/src/verdict.rs
+++ b/crates/node/src/completion.rs
@@ -7,9 +7,9 @@
 
 /// How a request ended, before it is put into HTTP.
 #[derive(Debug)]
-pub enum Told {
+pub enum RequestOutcome {
     /// The target's own, whole response.
-    Whole(TargetResponse),
+    Complete(TargetResponse),
     /// Its key is known: what became of it.
     Known(Box<Ticket>),
     /// Its key belongs to another request.
@@ -48,24 +48,24 @@
 
 /// How a request ended, and how sure that is.
 #[derive(Debug)]
-pub struct Verdict {
+pub struct Completion {
     /// Its end.
-    pub told: Told,
+    pub outcome: RequestOutcome,
     /// What can be promised of it.
-    pub about: About,
+    pub evidence: ExecutionEvidence,
     /// The key that was made up for a request without one.
     pub key: Option<Name>,
 }
 
 /// What decides how sure a node can be that a request did not run.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct About {
+pub struct ExecutionEvidence {
     /// It may run at most once.
     pub one_time: bool,
     /// Its client brought a key.
     pub keyed: bool,
     /// The log granted this request a ticket, so nothing ran under its key before.
-    pub proved: bool,
+    pub ticketed: bool,
     /// A target may have run it.
     pub sent: bool,
 }
@@ -85,45 +85,51 @@
 /// The response is one that was kept with the ticket.
 pub const REPLAYED: &str = "Postbarrow-Replayed";
 
-impl Verdict {
+impl Completion {
     /// The response for its client, in the product's own dialect.
     pub fn into_response(self) -> TargetResponse {
-        let about = self.about;
-        let (status, outcome, error, detail) = match self.told {
-            Told::Whole(mut response) => {
+        let about = self.evidence;
+        let (status, outcome, error, detail) = match self.outcome {
+            RequestOutcome::Complete(mut response) => {
                 response.headers.retain(|(name, _)| !is_ours(name));
                 response.headers.push((OUTCOME.into(), "ran".into()));
                 return response;
             }
-            Told::Known(ticket) => return known(*ticket),
-            Told::OtherDigest => (422, "not-run", "the key belongs to another request", None),
-            Told::NoRoute => (404, "not-run", "no route takes this path", None),
-            Told::OtherMethods(methods) => {
+            RequestOutcome::Known(ticket) => return known(*ticket),
+            RequestOutcome::OtherDigest => {
+                (422, "not-run", "the key belongs to another request", None)
+            }
+            RequestOutcome::NoRoute => (404, "not-run", "no route takes this path", None),
+            RequestOutcome::OtherMethods(methods) => {
                 let mut response =
                     about.made(405, "not-run", "the route takes other methods", None);
                 response.headers.push(("Allow".into(), methods.join(", ")));
                 return response;
             }
-            Told::BodyTooLarge(most) => {
+            RequestOutcome::BodyTooLarge(most) => {
                 (413, "not-run", "the body is too large", Some(format!("at most {most} bytes")))
             }
-            Told::OverRate => (429, "not-run", "over the route's rate", None),
-            Told::OverConcurrency => (429, "not-run", "over the route's concurrency", None),
-            Told::Overloaded => (503, "not-run", "this node is full", None),
-            Told::Unready => (503, "not-run", "this node is not ready", None),
-            Told::NoTarget(why) => (503, "not-run", "no live target", Some(why)),
-            Told::GaveUp(why) if about.one_time => {
+            RequestOutcome::OverRate => (429, "not-run", "over the route's rate", None),
+            RequestOutcome::OverConcurrency => {
+                (429, "not-run", "over the route's concurrency", None)
+            }
+            RequestOutcome::Overloaded => (503, "not-run", "this node is full", None),
+            RequestOutcome::Unready => (503, "not-run", "this node is not ready", None),
+            RequestOutcome::NoTarget(why) => (503, "not-run", "no live target", Some(why)),
+            RequestOutcome::GaveUp(why) if about.one_time => {
                 (503, "not-run", "gave up before sending", Some(why))
             }
-            Told::GaveUp(why) => (502, "unknown", "no target gave a whole response", Some(why)),
-            Told::NoTicket(why) => (503, "not-run", "no ticket", Some(why)),
-            Told::Late => (504, "unknown", "the deadline is over", None),
-            Told::ClientLeft => (504, "unknown", "the client left", None),
-            Told::TicketUnknown => (504, "unknown", "no word on the ticket", None),
-            Told::TargetFailed(why) => {
+            RequestOutcome::GaveUp(why) => {
+                (502, "unknown", "no target gave a whole response", Some(why))
+            }
+            RequestOutcome::NoTicket(why) => (503, "not-run", "no ticket", Some(why)),
+            RequestOutcome::Late => (504, "unknown", "the deadline is over", None),
+            RequestOutcome::ClientLeft => (504, "unknown", "the client left", None),
+            RequestOutcome::TicketUnknown => (504, "unknown", "no word on the ticket", None),
+            RequestOutcome::TargetFailed(why) => {
                 (502, "unknown", "the target gave no whole response", Some(why))
             }
-            Told::TargetLate(why) => {
+            RequestOutcome::TargetLate(why) => {
                 (504, "unknown", "the target did not respond in time", Some(why))
             }
         };
@@ -137,7 +143,7 @@
     }
 }
 
-impl About {
+impl ExecutionEvidence {
     /// What a key did before, this node can't say without the log: never 'not run' for a keyed
     /// request that was turned away, whatever the reason.
     fn made(
@@ -148,7 +154,7 @@
         detail: Option<String>,
     ) -> TargetResponse {
         let unsure =
-            self.one_time && self.keyed && !self.proved && outcome == "not-run" && status != 422;
+            self.one_time && self.keyed && !self.ticketed && outcome == "not-run" && status != 422;
         let (status, outcome) = match (unsure, status) {
             (true, 503) => (504, "unknown"),
             (true, status) => (status, "unknown"),
@@ -177,7 +183,7 @@
 }
 
 fn known(ticket: Ticket) -> TargetResponse {
-    match (ticket.settled, ticket.response) {
+    match (ticket.settlement, ticket.response) {
         (Some(Settlement::Ran), Some(kept)) => {
             let mut headers = kept.headers.clone();
             headers.retain(|(name, _)| !is_ours(name));
--- a/crates/node/src/step.rs
+++ b/crates/node/src/flow_step.rs
@@ -1,10 +1,10 @@
 //! What the flow of a request and its driver tell each other.
 
-use crate::verdict::Verdict;
-use postbarrow_constants::coordination::KEPT_RESPONSE_BYTES;
+use crate::completion::Completion;
+use postbarrow_constants::coordination::STORED_RESPONSE_BYTES;
 use postbarrow_messages::{Request, Response};
 use postbarrow_routing::{Load, Table};
-use postbarrow_state::{Digest, Incarnation, Kept, Name, Settlement, Target, Ticket};
+use postbarrow_state::{Digest, Incarnation, Name, Settlement, StoredResponse, Target, Ticket};
 use std::sync::Arc;
 
 /// What one request is, beyond its bytes.
@@ -41,18 +41,21 @@
 
 impl TargetResponse {
     /// What is kept with a ticket, if it is small enough.
-    pub(crate) fn kept(&self) -> Option<Kept> {
-        let kept =
-            Kept { status: self.status, headers: self.headers.clone(), body: self.body.clone() };
-        (kept.size() <= KEPT_RESPONSE_BYTES).then_some(kept)
+    pub(crate) fn kept(&self) -> Option<StoredResponse> {
+        let kept = StoredResponse {
+            status: self.status,
+            headers: self.headers.clone(),
+            body: self.body.clone(),
+        };
+        (kept.size() <= STORED_RESPONSE_BYTES).then_some(kept)
     }
 }
 
 /// What became of a request on its connection.
 #[derive(Debug)]
-pub enum Passed {
+pub enum AttemptOutcome {
     /// The target's own, whole response.
-    Whole(TargetResponse),
+    Complete(TargetResponse),
     /// Provably not a byte reached the target.
     Unsent(String),
     /// The target itself says that it did not run the request, nor will.
@@ -73,27 +76,27 @@
     /// The connection stands, with a target that is the one it should be.
     Connected,
     /// There is none, and why.
-    Unconnected(String),
+    ConnectFailed(String),
     /// The controller's answer to the last question.
-    Answered(Response),
+    ControllerResponded(Response),
     /// The end of the last pass.
-    Passed(Passed),
+    AttemptEnded(AttemptOutcome),
 }
 
 /// The end of a ticket, for the log.
 #[derive(Clone, Debug)]
-pub struct Settling {
+pub struct TicketSettlement {
     /// Whose end it is.
     pub ticket: Ticket,
     /// How its request ended.
     pub settlement: Settlement,
     /// What a repeat under its key is answered with.
-    pub response: Option<Kept>,
+    pub response: Option<StoredResponse>,
 }
 
-impl From<Settling> for Request {
-    fn from(settling: Settling) -> Request {
-        let Settling { ticket, settlement, response } = settling;
+impl From<TicketSettlement> for Request {
+    fn from(settling: TicketSettlement) -> Request {
+        let TicketSettlement { ticket, settlement, response } = settling;
         Request::Settle { ticket, settlement, response }
     }
 }
@@ -110,14 +113,14 @@
         wait_ms: u64,
     },
     /// Asks the controller for a ticket.
-    AskTicket {
+    RequestTicket {
         /// As it is to stand in the log.
         ticket: Ticket,
         /// For so long.
         wait_ms: u64,
     },
     /// Its first byte goes out before `until_ms`, within the lease, or none does.
-    Pass {
+    Forward {
         /// For its whole response.
         wait_ms: u64,
         /// On the boot-time clock.
@@ -126,21 +129,21 @@
     /// Has a ticket settled before anything else.
     Settle {
         /// Its end.
-        settling: Settling,
+        settling: TicketSettlement,
         /// For so long.
         wait_ms: u64,
     },
     /// The request has its end.
     Done {
         /// For the client.
-        verdict: Verdict,
+        verdict: Completion,
         /// For the log; told until it is taken, waited for by nobody.
-        settling: Option<Settling>,
+        settling: Option<TicketSettlement>,
     },
 }
 
 /// What the driver knows at the moment of an event.
-pub struct Now<'a> {
+pub struct FlowContext<'a> {
     /// On the boot-time clock.
     pub now_ms: u64,
     /// The image in force.
--- a/crates/node/src/fresh.rs
+++ b/crates/node/src/lease.rs
@@ -1,6 +1,6 @@
 use crate::{DataNode, Effect};
 use postbarrow_constants::nodes::*;
-use postbarrow_messages::{Fresh, FreshAsk, Message};
+use postbarrow_messages::{LeaseRequest, LeaseResponse, Message};
 use postbarrow_state::Incarnation;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 }
 
 /// Questions about freshness, and the leases their answers gave.
-pub(crate) struct FreshBook {
+pub(crate) struct NodeLease {
     /// Of the newest request. Each life begins at its incarnation, which is random, so that an
     /// answer to an earlier life at this address is nobody's.
     number: u64,
@@ -26,14 +26,14 @@
     due_ms: u64,
     granted_ms: u64,
     announced_lease_ms: u64,
-    pub hold_ms: u64,
+    pub lease_ms: u64,
     /// Whether the log was told last that this node serves.
-    pub said_serves: bool,
+    pub logged_serving: bool,
 }
 
-impl FreshBook {
+impl NodeLease {
     pub fn new(now_ms: u64, incarnation: Incarnation) -> Self {
-        FreshBook {
+        NodeLease {
             number: incarnation,
             sent_ms: BTreeMap::new(),
             grants: VecDeque::new(),
@@ -44,8 +44,8 @@
             due_ms: now_ms,
             granted_ms: 0,
             announced_lease_ms: 0,
-            hold_ms: NODE_LEASE_MS,
-            said_serves: false,
+            lease_ms: NODE_LEASE_MS,
+            logged_serving: false,
         }
     }
 
@@ -65,7 +65,7 @@
     /// Counted from when the question was sent, and only for an image up to its watermark.
     pub fn lease_until(&self, published: u64) -> u64 {
         let covered = self.grants.iter().rev().find(|grant| grant.watermark <= published);
-        covered.map_or(0, |grant| grant.sent_ms + self.hold_ms)
+        covered.map_or(0, |grant| grant.sent_ms + self.lease_ms)
     }
 
     pub fn watermark(&self) -> u64 {
@@ -78,24 +78,24 @@
 }
 
 impl DataNode {
-    pub(crate) fn fresh_tick(&mut self, now_ms: u64) {
-        if now_ms < self.fresh.due_ms {
+    pub(crate) fn lease_tick(&mut self, now_ms: u64) {
+        if now_ms < self.lease.due_ms {
             return;
         }
-        if now_ms > self.fresh.granted_ms + FRESH_WAIT_MS {
-            self.fresh.controller = None;
-            self.controller_client.doubt();
+        if now_ms > self.lease.granted_ms + CONTROLLER_WAIT_MS {
+            self.lease.controller = None;
+            self.controller_client.suspect_controller();
         }
-        let seeks = self.fresh.controller.is_none();
-        self.fresh.due_ms = now_ms + if seeks { FRESH_SEEK_MS } else { FRESH_MS };
-        let hold_ms = self.fresh.hold_ms;
-        self.fresh.sent_ms.retain(|_, sent_ms| now_ms < *sent_ms + hold_ms);
-        self.fresh.grants.retain(|grant| now_ms < grant.sent_ms + hold_ms);
-        let to = match self.fresh.controller {
+        let seeks = self.lease.controller.is_none();
+        self.lease.due_ms = now_ms + if seeks { CONTROLLER_SEEK_MS } else { LEASE_RENEW_MS };
+        let hold_ms = self.lease.lease_ms;
+        self.lease.sent_ms.retain(|_, sent_ms| now_ms < *sent_ms + hold_ms);
+        self.lease.grants.retain(|grant| now_ms < grant.sent_ms + hold_ms);
+        let to = match self.lease.controller {
             Some(controller) => vec![controller],
             None => {
-                let mut all = self.fresh.members.clone();
-                all.extend(&self.fresh.introduced);
+                let mut all = self.lease.members.clone();
+                all.extend(&self.lease.introduced);
                 all.extend(&self.seeds);
                 all.sort_unstable();
                 all.dedup();
@@ -105,10 +105,10 @@
                 all
             }
         };
-        self.fresh.number = self.fresh.number.wrapping_add(1);
-        let number = self.fresh.number;
-        self.fresh.sent_ms.insert(number, now_ms);
-        let request = FreshAsk {
+        self.lease.number = self.lease.number.wrapping_add(1);
+        let number = self.lease.number;
+        self.lease.sent_ms.insert(number, now_ms);
+        let request = LeaseRequest {
             number,
             node: self.own.clone(),
             published: self.published,
@@ -116,66 +116,72 @@
             ready: self.is_ready(now_ms),
             failing: self.failing(),
             suspects: self.watch.suspects(now_ms),
-            recent: std::mem::take(&mut self.recent),
-            seen: std::mem::take(&mut self.seen),
+            samples: std::mem::take(&mut self.recent),
+            request_count: std::mem::take(&mut self.seen),
         };
         for address in to {
-            self.send(address, Message::Fresh(request.clone()));
+            self.send(address, Message::LeaseRequest(request.clone()));
         }
     }
 
     /// A sentence whenever this node begins or ceases to serve.
     pub(crate) fn say_serves(&mut self, now_ms: u64) {
         let serves = now_ms < self.lease_until() && self.tail.image().plan.is_some();
-        if serves == self.fresh.said_serves {
+        if serves == self.lease.logged_serving {
             return;
         }
-        self.fresh.said_serves = serves;
+        self.lease.logged_serving = serves;
         let version = self.tail.image().plan_version().unwrap_or_default().to_string();
-        self.effects.push(Effect::Say(match serves {
+        self.effects.push(Effect::Log(match serves {
             true => format!("serves, plan {version}"),
             false => "sheds, no controller's word covers it".into(),
         }));
     }
 
-    pub(crate) fn on_fresh(&mut self, now_ms: u64, from: SocketAddr, number: u64, fresh: Fresh) {
+    pub(crate) fn on_lease_response(
+        &mut self,
+        now_ms: u64,
+        from: SocketAddr,
+        number: u64,
+        fresh: LeaseResponse,
+    ) {
         match fresh {
-            Fresh::Granted { term, watermark, members } => {
-                if term < self.fresh.term {
+            LeaseResponse::Granted { term, watermark, members } => {
+                if term < self.lease.term {
                     return;
                 }
-                let Some(sent_ms) = self.fresh.sent_ms.get(&number).copied() else { return };
-                if term > self.fresh.term || self.fresh.controller != Some(from) {
+                let Some(sent_ms) = self.lease.sent_ms.get(&number).copied() else { return };
+                if term > self.lease.term || self.lease.controller != Some(from) {
                     self.tail_due_ms = now_ms;
                 }
-                self.fresh.term = term;
-                self.fresh.controller = Some(from);
-                self.fresh.members = members;
-                self.fresh.introduced.clear();
-                self.fresh.granted_ms = now_ms;
-                let newer = self.fresh.grants.back().is_none_or(|last| last.sent_ms <= sent_ms);
+                self.lease.term = term;
+                self.lease.controller = Some(from);
+                self.lease.members = members;
+                self.lease.introduced.clear();
+                self.lease.granted_ms = now_ms;
+                let newer = self.lease.grants.back().is_none_or(|last| last.sent_ms <= sent_ms);
                 if newer {
-                    self.fresh.grants.push_back(Grant { sent_ms, watermark });
+                    self.lease.grants.push_back(Grant { sent_ms, watermark });
                 }
-                self.controller_client.learn(now_ms, Some(from), &self.fresh.members);
+                self.controller_client.on_members(now_ms, Some(from), &self.lease.members);
                 self.announce_lease();
             }
-            Fresh::NotController { controller, members } => {
+            LeaseResponse::NotController { controller, members } => {
                 if !members.is_empty() {
-                    self.fresh.members = members;
+                    self.lease.members = members;
                 }
-                if self.fresh.controller == Some(from) {
-                    self.fresh.controller = controller;
+                if self.lease.controller == Some(from) {
+                    self.lease.controller = controller;
                 }
-                self.controller_client.learn(now_ms, None, &self.fresh.members);
+                self.controller_client.on_members(now_ms, None, &self.lease.members);
             }
         }
     }
 
     pub(crate) fn announce_lease(&mut self) {
         let until_ms = self.lease_until();
-        if until_ms > self.fresh.announced_lease_ms {
-            self.fresh.announced_lease_ms = until_ms;
+        if until_ms > self.lease.announced_lease_ms {
+            self.lease.announced_lease_ms = until_ms;
             self.effects.push(Effect::Lease { until_ms });
         }
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -2,21 +2,23 @@
 
 #![deny(missing_docs)]
 
-mod flow;
-mod fresh;
-mod news;
-mod step;
-mod verdict;
+mod completion;
+mod flow_step;
+mod lease;
+mod request_flow;
+mod updates;
 
-pub use flow::RequestFlow;
-pub use step::{Event, Now, Passed, RequestContext, Settling, Step, TargetResponse};
-pub use verdict::{About, KEY, OUTCOME, REPLAYED, Told, Verdict};
+pub use completion::{Completion, ExecutionEvidence, KEY, OUTCOME, REPLAYED, RequestOutcome};
+pub use flow_step::{
+    AttemptOutcome, Event, FlowContext, RequestContext, Step, TargetResponse, TicketSettlement,
+};
+pub use request_flow::RequestFlow;
 
-use fresh::FreshBook;
+use lease::NodeLease;
 use postbarrow_constants::nodes::*;
-use postbarrow_constants::plans::SAMPLES_TOLD;
+use postbarrow_constants::plans::SAMPLES_PER_REPORT;
 use postbarrow_controller_client::{ControllerClient, Effect as ClientEffect};
-use postbarrow_membership::{Relay, Watch};
+use postbarrow_membership::{FailureDetector, Relay};
 use postbarrow_messages::{EncodedImage, Envelope, Message, Request};
 use postbarrow_state::{Incarnation, Name, Node, Sample, State};
 use postbarrow_transactions::Tail;
@@ -93,7 +95,7 @@
         until_ms: u64,
     },
     /// A line for the log.
-    Say(String),
+    Log(String),
 }
 
 /// A node of the data plane: freshness and lease, news of the image, questions to the controller.
@@ -106,9 +108,9 @@
     resync: bool,
     relay: Relay,
     encoded: EncodedImage,
-    watch: Watch,
+    watch: FailureDetector,
     controller_client: ControllerClient,
-    fresh: FreshBook,
+    lease: NodeLease,
     failures: BTreeMap<Name, u32>,
     direct_until_ms: u64,
     behind_ms: Option<u64>,
@@ -123,7 +125,7 @@
 impl DataNode {
     /// A node that knows nothing but who may introduce it.
     pub fn new(own: Node, seeds: Vec<SocketAddr>, now_ms: u64) -> Self {
-        let fresh = FreshBook::new(now_ms, own.incarnation);
+        let lease = NodeLease::new(now_ms, own.incarnation);
         DataNode {
             own,
             seeds,
@@ -133,9 +135,9 @@
             resync: false,
             relay: Relay::default(),
             encoded: EncodedImage::default(),
-            watch: Watch::default(),
+            watch: FailureDetector::default(),
             controller_client: ControllerClient::default(),
-            fresh,
+            lease,
             failures: BTreeMap::new(),
             direct_until_ms: 0,
             behind_ms: None,
@@ -150,7 +152,7 @@
 
     /// Serves so long after an answered question, instead of the usual time.
     pub fn with_lease(mut self, hold_ms: u64) -> Self {
-        self.fresh.hold_ms = hold_ms;
+        self.lease.lease_ms = hold_ms;
         self
     }
 
@@ -160,14 +162,14 @@
             Input::Tick => self.tick(now_ms),
             Input::Receive(envelope) => self.receive(now_ms, envelope),
             Input::Request { key, request, wait_ms } => {
-                let effects = self.controller_client.ask(now_ms, key, request, wait_ms);
+                let effects = self.controller_client.send_request(now_ms, key, request, wait_ms);
                 self.absorb(effects);
             }
             Input::Withdraw { key } => self.controller_client.withdraw(key),
             Input::Probed { instance, sound } => self.on_probed(instance, sound),
             Input::Saw { samples, seen } => {
                 self.recent.extend(samples);
-                self.recent.truncate(SAMPLES_TOLD);
+                self.recent.truncate(SAMPLES_PER_REPORT);
                 self.seen += seen;
             }
             Input::Seeds(seeds) => self.seeds = seeds,
@@ -180,14 +182,16 @@
     fn receive(&mut self, now_ms: u64, envelope: Envelope) {
         let Envelope { from, message } = envelope;
         match message {
-            Message::FreshResponse { number, fresh } => self.on_fresh(now_ms, from, number, fresh),
+            Message::LeaseResponse { number, fresh } => {
+                self.on_lease_response(now_ms, from, number, fresh)
+            }
             Message::Introduction { control, formed } => {
                 if formed {
-                    self.fresh.on_introduction(&control);
+                    self.lease.on_introduction(&control);
                 }
             }
-            Message::Introduce | Message::Greet(_) => {
-                let control = self.fresh.members().to_vec();
+            Message::Introduce | Message::DiscoveryAnnouncement(_) => {
+                let control = self.lease.members().to_vec();
                 let formed = !control.is_empty();
                 self.send(from, Message::Introduction { control, formed });
             }
@@ -196,22 +200,22 @@
                     self.relay.on_tail(now_ms, from, after);
                 }
             }
-            Message::News { entries } => self.on_news(now_ms, entries),
+            Message::Updates { entries } => self.on_updates(now_ms, entries),
             Message::Image(frame) => self.on_image(now_ms, frame),
-            Message::Beat { node } => self.watch.heard(now_ms, node),
+            Message::Heartbeat { node } => self.watch.on_heartbeat(now_ms, node),
             Message::Response { key, response } => {
                 let effects = self.controller_client.on_response(now_ms, key, response);
                 self.absorb(effects);
             }
             Message::Consensus { .. }
-            | Message::Form(_)
-            | Message::Fresh(_)
+            | Message::Bootstrap(_)
+            | Message::LeaseRequest(_)
             | Message::Request { .. } => {}
         }
     }
 
     fn tick(&mut self, now_ms: u64) {
-        self.fresh_tick(now_ms);
+        self.lease_tick(now_ms);
         self.say_serves(now_ms);
         self.tail_tick(now_ms);
         self.ring_tick(now_ms);
@@ -224,7 +228,7 @@
         let nodes: Vec<Incarnation> = state.nodes.keys().copied().collect();
         for watcher in self.watch.tick(now_ms, self.own.incarnation, &nodes) {
             if let Some(node) = state.nodes.get(&watcher) {
-                self.send(node.address, Message::Beat { node: self.own.incarnation });
+                self.send(node.address, Message::Heartbeat { node: self.own.incarnation });
             }
         }
     }
@@ -261,7 +265,7 @@
 
     /// Until when it may serve, on its own clock.
     pub fn lease_until(&self) -> u64 {
-        self.fresh.lease_until(self.published)
+        self.lease.lease_until(self.published)
     }
     /// Whether clients may be sent here.
     pub fn is_ready(&self, now_ms: u64) -> bool {
@@ -280,7 +284,7 @@
         &self.own
     }
     /// Questions to the controller without an end.
-    pub fn open_questions(&self) -> usize {
+    pub fn pending_requests(&self) -> usize {
         self.controller_client.open()
     }
 }
--- a/crates/node/src/flow.rs
+++ b/crates/node/src/request_flow.rs
@@ -1,12 +1,14 @@
 //! The flow of one request, without I/O.
 
-use crate::step::{Event, Now, Passed, RequestContext, Settling, Step};
-use crate::verdict::{About, Told, Verdict};
+use crate::completion::{Completion, ExecutionEvidence, RequestOutcome};
+use crate::flow_step::{
+    AttemptOutcome, Event, FlowContext, RequestContext, Step, TicketSettlement,
+};
 use postbarrow_constants::coordination::TICKET_USE_MS;
 use postbarrow_constants::traffic::{ATTEMPTS, TICKETED_ATTEMPTS};
 use postbarrow_messages::Response;
 use postbarrow_routing::{Entry, Load, mix};
-use postbarrow_state::{Kept, Kind, Name, Settlement, Target, Ticket};
+use postbarrow_state::{Name, RouteKind, Settlement, StoredResponse, Target, Ticket};
 use std::fmt;
 use std::sync::Arc;
 
@@ -44,13 +46,13 @@
     }
 
     /// What to do next, after this event.
-    pub fn handle(&mut self, now: &Now<'_>, event: Event) -> Step {
+    pub fn handle(&mut self, now: &FlowContext<'_>, event: Event) -> Step {
         match event {
             Event::Start => {
                 self.entry.budget.on_request(now.table.nodes());
                 self.next_attempt(now)
             }
-            Event::Unconnected(why) => {
+            Event::ConnectFailed(why) => {
                 if !now.client_left {
                     self.load_failed(now);
                 }
@@ -58,42 +60,42 @@
                 self.retry(now)
             }
             Event::Connected => self.on_connected(now),
-            Event::Answered(response) => self.on_answered(now, response),
-            Event::Passed(passed) => self.on_passed(now, passed),
+            Event::ControllerResponded(response) => self.on_answered(now, response),
+            Event::AttemptEnded(passed) => self.on_passed(now, passed),
         }
     }
 
-    fn left_ms(&self, now: &Now<'_>) -> u64 {
+    fn left_ms(&self, now: &FlowContext<'_>) -> u64 {
         self.context.until_ms.saturating_sub(now.now_ms)
     }
 
     fn is_one_time(&self) -> bool {
-        self.entry.route().kind == Kind::OneTime
+        self.entry.route().kind == RouteKind::OneTime
     }
 
-    fn load_failed(&self, now: &Now<'_>) {
+    fn load_failed(&self, now: &FlowContext<'_>) {
         if let Some(load) = &self.load {
             load.failed(now.now_ms);
         }
     }
 
     /// Targets come from the entry the request began with, checked against the image of this moment.
-    fn next_attempt(&mut self, now: &Now<'_>) -> Step {
+    fn next_attempt(&mut self, now: &FlowContext<'_>) -> Step {
         if now.client_left {
-            return self.end(Told::ClientLeft);
+            return self.end(RequestOutcome::ClientLeft);
         }
         if !now.serves {
-            return self.end(Told::Unready);
+            return self.end(RequestOutcome::Unready);
         }
         if self.left_ms(now) == 0 {
-            return self.end(Told::Late);
+            return self.end(RequestOutcome::Late);
         }
         loop {
             let seed = mix(self.context.seed ^ self.tried.len() as u64);
             let picked = self.entry.pick(&self.context.zone, &self.tried, now.now_ms, seed);
             let Some((target, load)) = picked else {
                 let why = std::mem::take(&mut self.why);
-                return self.end(Told::NoTarget(why));
+                return self.end(RequestOutcome::NoTarget(why));
             };
             self.tried.push(target.instance.clone());
             if now.table.allows(&self.entry.route().service, &target.instance) {
@@ -104,38 +106,38 @@
         }
     }
 
-    fn retry(&mut self, now: &Now<'_>) -> Step {
+    fn retry(&mut self, now: &FlowContext<'_>) -> Step {
         if now.client_left {
-            return self.end(Told::ClientLeft);
+            return self.end(RequestOutcome::ClientLeft);
         }
         let most = if self.is_one_time() { TICKETED_ATTEMPTS } else { ATTEMPTS };
-        let tries = self.entry.route().tries;
+        let tries = self.entry.route().max_attempts;
         let most = tries.map_or(most, |tries| tries as usize);
         let nodes = now.table.nodes();
         if self.tried.len() >= most || !self.entry.budget.take(now.now_ms, nodes) {
             let why = std::mem::take(&mut self.why);
-            return self.end(Told::GaveUp(why));
+            return self.end(RequestOutcome::GaveUp(why));
         }
         self.next_attempt(now)
     }
 
-    fn may_pass(&self, now: &Now<'_>) -> bool {
+    fn may_pass(&self, now: &FlowContext<'_>) -> bool {
         let service = &self.entry.route().service;
         let allowed =
             self.target.as_ref().is_some_and(|target| now.table.allows(service, &target.instance));
         now.serves && allowed && self.left_ms(now) > 0 && !now.client_left
     }
 
-    fn on_connected(&mut self, now: &Now<'_>) -> Step {
-        let Some(target) = &self.target else { return self.end(Told::Unready) };
+    fn on_connected(&mut self, now: &FlowContext<'_>) -> Step {
+        let Some(target) = &self.target else { return self.end(RequestOutcome::Unready) };
         if !self.is_one_time() || !self.context.logged {
             return match self.may_pass(now) {
-                true => Step::Pass { wait_ms: self.left_ms(now), until_ms: u64::MAX },
+                true => Step::Forward { wait_ms: self.left_ms(now), until_ms: u64::MAX },
                 false => self.next_attempt(now),
             };
         }
         if now.client_left {
-            return self.end(Told::ClientLeft);
+            return self.end(RequestOutcome::ClientLeft);
         }
         let ticket = Ticket {
             key: self.context.key.clone(),
@@ -144,23 +146,23 @@
             instance: target.instance.clone(),
             node: self.context.node,
             number: now.number,
-            settled: None,
+            settlement: None,
             response: None,
             era: 0,
         };
         self.ticket = Some(ticket.clone());
         self.ticket_asked_ms = now.now_ms;
-        Step::AskTicket { ticket, wait_ms: self.left_ms(now).min(TICKET_USE_MS) }
+        Step::RequestTicket { ticket, wait_ms: self.left_ms(now).min(TICKET_USE_MS) }
     }
 
-    fn on_answered(&mut self, now: &Now<'_>, response: Response) -> Step {
+    fn on_answered(&mut self, now: &FlowContext<'_>, response: Response) -> Step {
         match response {
             Response::Granted => {
                 self.proved = true;
                 let fresh = now.now_ms < self.ticket_asked_ms + TICKET_USE_MS;
                 if fresh && self.may_pass(now) {
                     let until_ms = self.ticket_asked_ms + TICKET_USE_MS;
-                    return Step::Pass { wait_ms: self.left_ms(now), until_ms };
+                    return Step::Forward { wait_ms: self.left_ms(now), until_ms };
                 }
                 self.why = "the ticket came too late for its target".into();
                 self.settle_unsent(now)
@@ -171,45 +173,49 @@
             }
             Response::Known(known) => {
                 self.ticket = None;
-                self.end(Told::Known(known))
+                self.end(RequestOutcome::Known(known))
             }
             Response::OtherDigest => {
                 self.ticket = None;
-                self.end(Told::OtherDigest)
+                self.end(RequestOutcome::OtherDigest)
             }
             Response::Full => {
                 self.ticket = None;
                 self.proved = true;
-                self.end(Told::NoTicket("the log has no space for new keys".into()))
+                self.end(RequestOutcome::NoTicket("the log has no space for new keys".into()))
             }
             Response::Refused(why) => {
                 self.ticket = None;
-                self.end(Told::NoTicket(why))
+                self.end(RequestOutcome::NoTicket(why))
             }
             _ => {
                 let settling = self.settle(Settlement::Unsent, None);
-                let verdict = self.verdict(Told::TicketUnknown);
+                let verdict = self.verdict(RequestOutcome::TicketUnknown);
                 Step::Done { verdict, settling }
             }
         }
     }
 
     /// The end of the ticket, if there is one; it is not this flow's any more.
-    fn settle(&mut self, settlement: Settlement, response: Option<Kept>) -> Option<Settling> {
+    fn settle(
+        &mut self,
+        settlement: Settlement,
+        response: Option<StoredResponse>,
+    ) -> Option<TicketSettlement> {
         let ticket = self.ticket.take()?;
-        Some(Settling { ticket, settlement, response })
+        Some(TicketSettlement { ticket, settlement, response })
     }
 
     /// No target ran it. Another attempt may follow once its ticket, if it has one, is settled; nobody
     /// waits for that where the client has left.
-    fn settle_unsent(&mut self, now: &Now<'_>) -> Step {
+    fn settle_unsent(&mut self, now: &FlowContext<'_>) -> Step {
         if now.client_left {
             let settling = self.settle(Settlement::Unsent, None);
-            return Step::Done { verdict: self.verdict(Told::ClientLeft), settling };
+            return Step::Done { verdict: self.verdict(RequestOutcome::ClientLeft), settling };
         }
         match &self.ticket {
             Some(ticket) => Step::Settle {
-                settling: Settling {
+                settling: TicketSettlement {
                     ticket: ticket.clone(),
                     settlement: Settlement::Unsent,
                     response: None,
@@ -220,33 +226,33 @@
         }
     }
 
-    fn on_passed(&mut self, now: &Now<'_>, passed: Passed) -> Step {
+    fn on_passed(&mut self, now: &FlowContext<'_>, passed: AttemptOutcome) -> Step {
         match passed {
-            Passed::Whole(response) => {
+            AttemptOutcome::Complete(response) => {
                 if let Some(load) = &self.load {
                     load.recovered();
                 }
                 let kept = response.kept();
                 let settling = self.settle(Settlement::Ran, kept);
-                Step::Done { verdict: self.verdict(Told::Whole(response)), settling }
+                Step::Done { verdict: self.verdict(RequestOutcome::Complete(response)), settling }
             }
-            Passed::NotRun(why) => {
+            AttemptOutcome::NotRun(why) => {
                 if let Some(load) = &self.load {
                     load.turned_away(now.now_ms);
                 }
                 self.why = why;
                 self.settle_unsent(now)
             }
-            Passed::Unsent(why) => {
+            AttemptOutcome::Unsent(why) => {
                 self.why = why;
                 self.settle_unsent(now)
             }
-            Passed::Unknown { .. } if now.client_left => {
+            AttemptOutcome::Unknown { .. } if now.client_left => {
                 self.sent = true;
                 let settling = self.settle(Settlement::Unknown, None);
-                Step::Done { verdict: self.verdict(Told::ClientLeft), settling }
+                Step::Done { verdict: self.verdict(RequestOutcome::ClientLeft), settling }
             }
-            Passed::Unknown { late, why } => {
+            AttemptOutcome::Unknown { late, why } => {
                 self.load_failed(now);
                 self.sent = true;
                 if !self.is_one_time() && !late {
@@ -254,31 +260,37 @@
                     return self.retry(now);
                 }
                 let settling = self.settle(Settlement::Unknown, None);
-                let told = if late { Told::TargetLate(why) } else { Told::TargetFailed(why) };
+                let told = if late {
+                    RequestOutcome::TargetLate(why)
+                } else {
+                    RequestOutcome::TargetFailed(why)
+                };
                 Step::Done { verdict: self.verdict(told), settling }
             }
         }
     }
 
     /// What may have run is never told as not run, whatever ended it.
-    fn end(&mut self, told: Told) -> Step {
+    fn end(&mut self, told: RequestOutcome) -> Step {
         let told = match told {
-            Told::NoTarget(why) if self.sent => Told::GaveUp(why),
-            Told::Unready if self.sent => Told::GaveUp("this node is not ready".into()),
+            RequestOutcome::NoTarget(why) if self.sent => RequestOutcome::GaveUp(why),
+            RequestOutcome::Unready if self.sent => {
+                RequestOutcome::GaveUp("this node is not ready".into())
+            }
             told => told,
         };
         Step::Done { verdict: self.verdict(told), settling: None }
     }
 
-    fn verdict(&self, told: Told) -> Verdict {
-        let about = About {
+    fn verdict(&self, told: RequestOutcome) -> Completion {
+        let about = ExecutionEvidence {
             one_time: self.is_one_time(),
             keyed: self.context.keyed,
-            proved: self.proved,
+            ticketed: self.proved,
             sent: self.sent,
         };
         let key = (about.one_time && !about.keyed).then(|| self.context.key.clone());
-        Verdict { told, about, key }
+        Completion { outcome: told, evidence: about, key }
     }
 }
 
--- a/crates/node/src/news.rs
+++ b/crates/node/src/updates.rs
@@ -1,15 +1,15 @@
 use crate::{DataNode, Effect};
 use postbarrow_constants::nodes::*;
-use postbarrow_membership::{Deliver, NewsEntry, parent};
+use postbarrow_membership::{Delivery, UpdateEntry, parent};
 use postbarrow_messages::{ImageFrame, Message};
 use postbarrow_state::{Incarnation, State};
-use postbarrow_transactions::{Seen, Tail, decode};
+use postbarrow_transactions::{BatchOutcome, Tail, decode};
 use std::net::SocketAddr;
 
 impl DataNode {
     /// The parent in the tree, or the controller itself while the tree fails this node.
     fn news_from(&self, now_ms: u64) -> Option<SocketAddr> {
-        let controller = self.fresh.controller()?;
+        let controller = self.lease.controller()?;
         if now_ms < self.direct_until_ms || !self.has_image || self.resync {
             return Some(controller);
         }
@@ -20,7 +20,7 @@
     }
 
     pub(crate) fn tail_tick(&mut self, now_ms: u64) {
-        let behind = !self.has_image || self.published < self.fresh.watermark();
+        let behind = !self.has_image || self.published < self.lease.watermark();
         match (behind, self.behind_ms) {
             (false, _) => self.behind_ms = None,
             (true, None) => self.behind_ms = Some(now_ms),
@@ -28,7 +28,7 @@
                 if now_ms > since_ms + RELAY_BEHIND_MS && now_ms >= self.direct_until_ms {
                     self.direct_until_ms = now_ms + DIRECT_MS;
                     self.tail_due_ms = now_ms;
-                    self.effects.push(Effect::Say("tails the controller directly".into()));
+                    self.effects.push(Effect::Log("tails the controller directly".into()));
                 }
             }
         }
@@ -46,7 +46,7 @@
         self.send(from, Message::Tail { after });
     }
 
-    pub(crate) fn on_news(&mut self, now_ms: u64, entries: Vec<NewsEntry>) {
+    pub(crate) fn on_updates(&mut self, now_ms: u64, entries: Vec<UpdateEntry>) {
         for entry in entries {
             if entry.offset <= self.tail.offset() {
                 continue;
@@ -58,13 +58,13 @@
             let seen = decode(&entry.bytes)
                 .and_then(|lines| self.tail.apply(entry.offset, entry.bytes.len(), &lines));
             match seen {
-                Ok(Seen::Pending) => self.relay.push(entry),
+                Ok(BatchOutcome::Pending) => self.relay.push(entry),
                 Ok(_) => {
                     self.relay.push(entry);
                     self.publish();
                 }
                 Err(error) => {
-                    self.effects.push(Effect::Say(format!("news: {error}; fetches an image")));
+                    self.effects.push(Effect::Log(format!("news: {error}; fetches an image")));
                     self.tail = Tail::new(0, State::default());
                     self.resync = true;
                     self.tail_due_ms = now_ms;
@@ -85,7 +85,7 @@
                 self.publish();
             }
             Err(error) => {
-                self.effects.push(Effect::Say(format!("image: {error}")));
+                self.effects.push(Effect::Log(format!("image: {error}")));
                 self.tail_due_ms = now_ms + TAIL_AGAIN_MS;
             }
         }
@@ -111,12 +111,12 @@
         self.encoded.forget_before(self.published);
         for deliver in self.relay.deliver(now_ms, self.tail.offset(), self.published) {
             match deliver {
-                Deliver::News { to, entries } => self.send(to, Message::News { entries }),
-                Deliver::Image { to } => {
+                Delivery::Updates { to, entries } => self.send(to, Message::Updates { entries }),
+                Delivery::Image { to } => {
                     let offset = self.published;
                     let frame = self.encoded.frame(offset, || self.tail.image().as_ref().clone());
                     self.send(to, Message::Image(frame));
-                    self.relay.moved(now_ms, to, offset);
+                    self.relay.on_image_sent(now_ms, to, offset);
                 }
             }
         }
--- a/crates/node/tests/hold.rs
+++ b/crates/node/tests/hold.rs
@@ -1,9 +1,9 @@
 use postbarrow_constants::nodes::*;
-use postbarrow_membership::NewsEntry;
+use postbarrow_membership::UpdateEntry;
 use postbarrow_messages::*;
 use postbarrow_node::{DataNode, Effect, Input};
 use postbarrow_state::{Name, Node, PlanHead, Record, State};
-use postbarrow_transactions::{Line, encode};
+use postbarrow_transactions::{BatchRecord, encode};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -40,7 +40,7 @@
     fn input(&mut self, input: Input) {
         for effect in self.node.handle(self.now_ms, input) {
             match effect {
-                Effect::Send { to, message: Message::Fresh(request) } => {
+                Effect::Send { to, message: Message::LeaseRequest(request) } => {
                     self.asked.push((request.number, self.now_ms));
                     self.asked_at.push(to);
                 }
@@ -62,18 +62,18 @@
     }
 
     fn granted(&mut self, number: u64, term: u64, watermark: u64) {
-        let fresh = Fresh::Granted { term, watermark, members: vec![address(1)] };
-        self.hears(Message::FreshResponse { number, fresh });
+        let fresh = LeaseResponse::Granted { term, watermark, members: vec![address(1)] };
+        self.hears(Message::LeaseResponse { number, fresh });
     }
 
-    fn news(&mut self, prev: u64, offset: u64, lines: &[Line<Record>]) {
-        let entries = vec![NewsEntry { prev, offset, bytes: encode(lines) }];
-        self.hears(Message::News { entries });
+    fn news(&mut self, prev: u64, offset: u64, lines: &[BatchRecord<Record>]) {
+        let entries = vec![UpdateEntry { prev, offset, bytes: encode(lines) }];
+        self.hears(Message::Updates { entries });
     }
 }
 
-fn plan(version: &str) -> Line<Record> {
-    Line::Data(Record::PlanStart { version: version.into(), base: None })
+fn plan(version: &str) -> BatchRecord<Record> {
+    BatchRecord::Data(Record::PlanStart { version: version.into(), base: None })
 }
 
 #[test]
@@ -96,9 +96,9 @@
     bench.granted(bench.asked[0].0, 1, 6);
     bench.news(0, 4, &[plan("v1")]);
     assert!(!bench.node.is_ready(bench.now_ms), "published 4 of 6");
-    bench.news(4, 6, &[Line::begin("v2"), plan("v2")]);
+    bench.news(4, 6, &[BatchRecord::begin("v2"), plan("v2")]);
     assert!(!bench.node.is_ready(bench.now_ms), "a pending delta is not published");
-    bench.news(6, 7, &[Line::End]);
+    bench.news(6, 7, &[BatchRecord::End]);
     assert!(bench.node.is_ready(bench.now_ms));
     assert_eq!(bench.node.image().plan_version(), Some("v2"));
 }
@@ -110,7 +110,7 @@
     bench.news(0, 4, &[plan("v1")]);
     bench.granted(bench.asked[0].0, 3, 4);
     let first = bench.node.lease_until();
-    bench.tick(FRESH_MS);
+    bench.tick(LEASE_RENEW_MS);
     let number = bench.asked.last().unwrap().0;
     bench.granted(number, 2, 4);
     assert_eq!(bench.node.lease_until(), first);
@@ -159,7 +159,7 @@
     bench.tick(5 * NODE_LEASE_MS);
     bench.hears(Message::Introduction { control: vec![address(44)], formed: true });
     bench.asked_at.clear();
-    bench.tick(FRESH_MS);
+    bench.tick(LEASE_RENEW_MS);
     assert!(bench.asked_at.contains(&address(44)), "{:?}", bench.asked_at);
     assert!(bench.node.lease_until() < bench.now_ms, "an introduction grants nothing");
 }
--- a/crates/plan/src/delta.rs
+++ b/crates/plan/src/delta.rs
@@ -1,7 +1,7 @@
 //! A submitted plan as a delta of the plan in force: records in proportion to what differs.
 
 use crate::difference::{Change, changes, trim};
-use postbarrow_constants::plans::{ROUTES_PER_PATCH, SPLICES_PER_PATCH, TEXT_PART_BYTES};
+use postbarrow_constants::plans::{ROUTES_PER_PATCH, SPLICES_PER_PATCH, TEXT_CHUNK_BYTES};
 use postbarrow_state::{PlanHead, Record, Route, Splice, State};
 use postbarrow_transactions::Image as _;
 
@@ -31,7 +31,7 @@
     let (version, base) = (head.version.clone(), head.base.clone());
     let mut records = vec![Record::PlanDelta { version, base }];
     if old.callers != new.callers {
-        records.push(Record::Callers(new.callers.clone()));
+        records.push(Record::ClientLimits(new.callers.clone()));
     }
     let gone = old.services.keys().filter(|name| !new.services.contains_key(*name));
     records.extend(gone.cloned().map(Record::ServiceGone));
@@ -79,7 +79,7 @@
         removed: splice.removed,
         inserted: splice.inserted.into(),
     };
-    let groups = grouped(splices, TEXT_PART_BYTES).into_iter();
+    let groups = grouped(splices, TEXT_CHUNK_BYTES).into_iter();
     groups.map(|group| Record::TextPatch(group.into_iter().map(bytes).collect())).collect()
 }
 
--- a/crates/plan/src/document.rs
+++ b/crates/plan/src/document.rs
@@ -1,9 +1,9 @@
-use crate::{ANY_METHOD, Pattern, aims, limits};
+use crate::{ANY_METHOD, Pattern, limits, route_options};
 use compact_str::CompactString;
 use postbarrow_constants::plans::*;
 use postbarrow_reading::{Fields, Findings, Reading, Value, text};
 use postbarrow_rules::Rule;
-use postbarrow_state::{Callers, Kind, Labels, Route, Service};
+use postbarrow_state::{ClientLimits, Labels, Route, RouteKind, Service};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug)]
@@ -12,7 +12,7 @@
     pub base: Option<String>,
     pub services: Vec<Service>,
     pub routes: Vec<Route>,
-    pub callers: Callers,
+    pub callers: ClientLimits,
     pub text: String,
 }
 
@@ -119,9 +119,9 @@
     }
     let word = fields.text("kind", reading);
     let kind = match word {
-        Some("lookup") => Some(Kind::Lookup),
-        Some("repeatable") => Some(Kind::Lookup),
-        Some("one-time") => Some(Kind::OneTime),
+        Some("lookup") => Some(RouteKind::Lookup),
+        Some("repeatable") => Some(RouteKind::Lookup),
+        Some("one-time") => Some(RouteKind::OneTime),
         Some(_) => {
             let message = "must be lookup, repeatable or one-time";
             reading.find(&fields.place("kind"), message.into());
@@ -137,7 +137,7 @@
         }
     }
     let known = |name: &str| services.contains_key(name);
-    let (service, shares) = aims::services(&mut fields, &known, reading);
+    let (service, shares) = route_options::services(&mut fields, &known, reading);
     let when = fields.text_or_none("when", reading).map(str::to_string);
     if let Some(rule) = &when
         && let Err(message) = Rule::compile(rule)
@@ -145,7 +145,7 @@
         reading.find(&fields.place("when"), message);
     }
     let bounds = limits::read(&mut fields, reading);
-    let aims = aims::read(&mut fields, reading);
+    let aims = route_options::read(&mut fields, reading);
     fields.finish(reading);
     Some(Route {
         path: CompactString::from(path?),
@@ -158,9 +158,9 @@
         concurrency: bounds.concurrency,
         deadline_ms: bounds.deadline_ms,
         host: aims.host,
-        shares,
-        tries: aims.tries,
-        goal_ms: aims.goal_ms,
-        precedence: aims.precedence,
+        weighted_services: shares,
+        max_attempts: aims.max_attempts,
+        latency_target_ms: aims.latency_target_ms,
+        priority: aims.priority,
     })
 }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,23 +1,23 @@
 //! Route plans: reading, checks, records, and the rehearsal against the plan they replace.
 
-mod aims;
 mod delta;
 mod difference;
 mod document;
 mod limits;
 mod path;
 mod rehearsal;
+mod route_options;
 
-pub use aims::weights;
 pub use delta::delta;
 pub use difference::{Change, changes};
 pub use document::Plan;
 pub use path::{Pattern, Segment};
 pub use rehearsal::{Rehearsal, ServiceRehearsal};
+pub use route_options::weights;
 
 use compact_str::CompactString;
-use postbarrow_constants::plans::TEXT_PART_BYTES;
-use postbarrow_state::{Callers, Record};
+use postbarrow_constants::plans::TEXT_CHUNK_BYTES;
+use postbarrow_state::{ClientLimits, Record};
 
 /// A route with this method takes every method.
 pub const ANY_METHOD: &str = "*";
@@ -29,12 +29,12 @@
             version: CompactString::from(&self.version),
             base: self.base.as_deref().map(CompactString::from),
         }];
-        if self.callers != Callers::default() {
-            records.push(Record::Callers(self.callers.clone()));
+        if self.callers != ClientLimits::default() {
+            records.push(Record::ClientLimits(self.callers.clone()));
         }
         records.extend(self.services.iter().cloned().map(Record::Service));
         records.extend(self.routes.iter().cloned().map(Record::Route));
-        let parts = self.text.as_bytes().chunks(TEXT_PART_BYTES);
+        let parts = self.text.as_bytes().chunks(TEXT_CHUNK_BYTES);
         records.extend(parts.map(|part| Record::PlanText(part.to_vec())));
         records
     }
--- a/crates/plan/src/limits.rs
+++ b/crates/plan/src/limits.rs
@@ -1,6 +1,6 @@
 use postbarrow_constants::plans::*;
 use postbarrow_reading::{Fields, Reading};
-use postbarrow_state::Callers;
+use postbarrow_state::ClientLimits;
 
 pub(crate) struct Limits {
     pub body_bytes: u64,
@@ -19,12 +19,12 @@
     let place = route.place("limits");
     let Some(value) = route.get("limits") else { return limits };
     let Some(mut fields) = Fields::of(value, &place, reading) else { return limits };
-    if let Some(most) = fields.number("bodyBytes", 0..=ROUTE_BODY_MOST_BYTES, reading) {
+    if let Some(most) = fields.number("bodyBytes", 0..=ROUTE_BODY_MAX_BYTES, reading) {
         limits.body_bytes = most;
     }
     limits.rate_per_s = fields.number("ratePerS", 1..=1_000_000, reading);
     limits.concurrency = fields.number("concurrency", 1..=1_000_000, reading);
-    if let Some(wait_ms) = fields.number("deadlineMs", 1..=ROUTE_DEADLINE_MOST_MS, reading) {
+    if let Some(wait_ms) = fields.number("deadlineMs", 1..=ROUTE_DEADLINE_MAX_MS, reading) {
         limits.deadline_ms = wait_ms;
     }
     fields.finish(reading);
@@ -32,14 +32,16 @@
 }
 
 /// What every caller is held to, in `callers` of the plan.
-pub(crate) fn callers(plan: &mut Fields<'_>, reading: &mut Reading) -> Callers {
+pub(crate) fn callers(plan: &mut Fields<'_>, reading: &mut Reading) -> ClientLimits {
     let place = plan.place("callers");
-    let Some(value) = plan.get("callers") else { return Callers::default() };
-    let Some(mut fields) = Fields::of(value, &place, reading) else { return Callers::default() };
-    let callers = Callers {
-        head_bytes: fields.number("headBytes", 256..=HEAD_MOST_BYTES, reading),
-        head_wait_ms: fields.number("headWaitMs", 1..=ROUTE_DEADLINE_MOST_MS, reading),
-        idle_ms: fields.number("idleMs", 1..=IDLE_MOST_MS, reading),
+    let Some(value) = plan.get("callers") else { return ClientLimits::default() };
+    let Some(mut fields) = Fields::of(value, &place, reading) else {
+        return ClientLimits::default();
+    };
+    let callers = ClientLimits {
+        head_bytes: fields.number("headBytes", 256..=HEAD_MAX_BYTES, reading),
+        head_wait_ms: fields.number("headWaitMs", 1..=ROUTE_DEADLINE_MAX_MS, reading),
+        idle_ms: fields.number("idleMs", 1..=IDLE_MAX_MS, reading),
     };
     fields.finish(reading);
     callers
--- a/crates/plan/src/aims.rs
+++ b/crates/plan/src/route_options.rs
@@ -1,16 +1,16 @@
 use compact_str::CompactString;
 use postbarrow_constants::plans::*;
 use postbarrow_reading::{Fields, Reading};
-use postbarrow_state::Share;
+use postbarrow_state::WeightedService;
 
-pub(crate) struct Aims {
+pub(crate) struct RouteOptions {
     pub host: Option<CompactString>,
-    pub tries: Option<u64>,
-    pub goal_ms: Option<u64>,
-    pub precedence: u64,
+    pub max_attempts: Option<u64>,
+    pub latency_target_ms: Option<u64>,
+    pub priority: u64,
 }
 
-pub(crate) fn read(route: &mut Fields<'_>, reading: &mut Reading) -> Aims {
+pub(crate) fn read(route: &mut Fields<'_>, reading: &mut Reading) -> RouteOptions {
     let host = route.text_or_none("host", reading).map(str::to_ascii_lowercase);
     let sound = |host: &String| {
         (1..=HOST_BYTES).contains(&host.len())
@@ -19,11 +19,11 @@
     if host.as_ref().is_some_and(|host| !sound(host)) {
         reading.find(&route.place("host"), "must be a host's name without a port".into());
     }
-    Aims {
+    RouteOptions {
         host: host.map(CompactString::from),
-        tries: route.number("tries", 1..=TRIES_MOST, reading),
-        goal_ms: route.number("goalMs", 1..=ROUTE_DEADLINE_MOST_MS, reading),
-        precedence: route.number("precedence", 0..=PRECEDENCE_MOST, reading).unwrap_or(0),
+        max_attempts: route.number("tries", 1..=MAX_ATTEMPTS_LIMIT, reading),
+        latency_target_ms: route.number("goalMs", 1..=ROUTE_DEADLINE_MAX_MS, reading),
+        priority: route.number("precedence", 0..=PRIORITY_MAX, reading).unwrap_or(0),
     }
 }
 
@@ -32,7 +32,7 @@
     route: &mut Fields<'_>,
     known: &dyn Fn(&str) -> bool,
     reading: &mut Reading,
-) -> (Option<CompactString>, Vec<Share>) {
+) -> (Option<CompactString>, Vec<WeightedService>) {
     if route.get("shares").is_none() {
         let service = route.text("service", reading);
         if let Some(name) = service.filter(|name| !known(name)) {
@@ -52,10 +52,10 @@
             reading.find(&fields.place("service"), unknown(name));
         }
         fields.required("share", reading);
-        let weight = fields.number("share", 0..=WEIGHT_MOST, reading);
+        let weight = fields.number("share", 0..=WEIGHT_MAX, reading);
         fields.finish(reading);
         if let (Some(service), Some(weight)) = (service, weight) {
-            shares.push(Share { service: CompactString::from(service), weight });
+            shares.push(WeightedService { service: CompactString::from(service), weight });
         }
     }
     match weights(&shares) {
@@ -75,7 +75,7 @@
 ///
 /// # Errors
 /// No weight is above 0.
-pub fn weights(shares: &[Share]) -> Result<CompactString, String> {
+pub fn weights(shares: &[WeightedService]) -> Result<CompactString, String> {
     let first = shares.iter().find(|share| share.weight > 0);
     first.map(|share| share.service.clone()).ok_or("has no weight above 0".into())
 }
--- a/crates/plan/tests/delta.rs
+++ b/crates/plan/tests/delta.rs
@@ -1,6 +1,6 @@
 //! A plan's delta makes the very state that the whole plan makes, from what differs alone.
 
-use postbarrow_constants::plans::{BATCH_BYTES, TEXT_PART_BYTES};
+use postbarrow_constants::plans::{BATCH_BYTES, TEXT_CHUNK_BYTES};
 use postbarrow_plan::{Change, Plan, changes, delta};
 use postbarrow_state::{Record, Route, State};
 use postbarrow_transactions::{Image as _, split};
@@ -153,7 +153,7 @@
     let row = |route: &Route| format!("{{{} {}}}", route.path, route.deadline_ms).repeat(10);
     let text: String = routes.iter().map(row).collect();
     records.extend(routes.iter().cloned().map(Record::Route));
-    let parts = text.as_bytes().chunks(TEXT_PART_BYTES);
+    let parts = text.as_bytes().chunks(TEXT_CHUNK_BYTES);
     records.extend(parts.map(|part| Record::PlanText(part.to_vec())));
     records
 }
@@ -175,7 +175,7 @@
         let script = delta(&state, &submitted).expect("a delta");
         let before = state.clone();
         state = applied(&state, version as u64, &script);
-        assert_eq!(state.plan_text.len(), state.plan_text().len().div_ceil(TEXT_PART_BYTES));
+        assert_eq!(state.plan_text.len(), state.plan_text().len().div_ceil(TEXT_CHUNK_BYTES));
         let known: HashSet<_> = before.routes.iter().map(Arc::as_ptr).collect();
         let kept = state.routes.iter().filter(|route| known.contains(&Arc::as_ptr(route)));
         assert!(kept.count() >= 298, "version {version}");
@@ -220,9 +220,9 @@
     let state = applied(&State::default(), 1, &records(&draft.text(1)));
     draft.routes[4].1 = 3;
     let script = delta(&state, &records(&draft.text(2))).expect("a delta");
-    let news: Vec<Record> = script.into_iter().filter(Record::is_news).collect();
+    let news: Vec<Record> = script.into_iter().filter(Record::is_routing_update).collect();
     assert_eq!(news.len(), 2, "{news:?}");
-    let node = applied(&state.news_only(), 2, &news);
+    let node = applied(&state.routing_view(), 2, &news);
     assert_eq!(node.routes, applied(&state, 2, &records(&draft.text(2))).routes);
     assert!(node.plan_text.is_empty());
 }
--- a/crates/plan/tests/rehearsal.rs
+++ b/crates/plan/tests/rehearsal.rs
@@ -8,7 +8,7 @@
     Route {
         path: format!("/r{path}").into(),
         methods: vec!["GET".into(), "PUT".into()],
-        kind: Kind::OneTime,
+        kind: RouteKind::OneTime,
         service: format!("s{}", path % 3).as_str().into(),
         when: when.map(|number| format!("path == '{number}'")),
         body_bytes: 1,
@@ -16,10 +16,10 @@
         concurrency: None,
         deadline_ms: wait_ms,
         host: None,
-        shares: Vec::new(),
-        tries: None,
-        goal_ms: None,
-        precedence: 0,
+        weighted_services: Vec::new(),
+        max_attempts: None,
+        latency_target_ms: None,
+        priority: 0,
     }
 }
 
@@ -38,7 +38,7 @@
         draining: false,
         down: false,
         slots: 0,
-        cold: false,
+        warming_up: false,
     })
 }
 
--- a/crates/reading/src/finding.rs
+++ b/crates/reading/src/findings.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
     /// A JSON path such as `$.routes[2].kind`.
-    pub place: String,
+    pub field_path: String,
     pub line: Option<usize>,
     pub offset: Option<usize>,
     pub message: String,
@@ -13,8 +13,8 @@
 impl fmt::Display for Finding {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.line {
-            Some(line) => write!(out, "{} (line {line}): {}", self.place, self.message),
-            None => write!(out, "{}: {}", self.place, self.message),
+            Some(line) => write!(out, "{} (line {line}): {}", self.field_path, self.message),
+            None => write!(out, "{}: {}", self.field_path, self.message),
         }
     }
 }
@@ -29,13 +29,13 @@
         let offset = offset.min(text.len());
         let line = text.as_bytes()[..offset].iter().filter(|byte| **byte == b'\n').count() + 1;
         let finding =
-            Finding { place: place.into(), line: Some(line), offset: Some(offset), message };
+            Finding { field_path: place.into(), line: Some(line), offset: Some(offset), message };
         Findings { findings: vec![finding] }
     }
 
     pub fn bare(place: &str, message: String) -> Self {
         Findings {
-            findings: vec![Finding { place: place.into(), line: None, offset: None, message }],
+            findings: vec![Finding { field_path: place.into(), line: None, offset: None, message }],
         }
     }
 
@@ -43,7 +43,10 @@
     pub fn report(&self, name: &str, text: &str) -> Report {
         let labels = self.findings.iter().filter_map(|finding| {
             let offset = finding.offset.filter(|offset| *offset <= text.len())?;
-            Some(LabeledSpan::at_offset(offset, format!("{}: {}", finding.place, finding.message)))
+            Some(LabeledSpan::at_offset(
+                offset,
+                format!("{}: {}", finding.field_path, finding.message),
+            ))
         });
         let placeless: Vec<String> = self
             .findings
--- a/crates/reading/src/places.rs
+++ b/crates/reading/src/positions.rs
@@ -2,10 +2,10 @@
 use std::collections::HashMap;
 
 /// Where each JSON path stands in the text. Only places: facet-json does the reading.
-pub struct Places {
+pub struct Positions {
     offsets: HashMap<String, usize>,
     lines: Vec<usize>,
-    pub doubled: Vec<String>,
+    pub duplicates: Vec<String>,
 }
 
 enum Level {
@@ -13,12 +13,12 @@
     Array { index: usize },
 }
 
-impl Places {
+impl Positions {
     pub fn scan(text: &str) -> Result<Self, (usize, String)> {
         let bytes = text.as_bytes();
         let lines = bytes.iter().enumerate().filter(|(_, b)| **b == b'\n').map(|(at, _)| at);
         let mut places =
-            Places { offsets: HashMap::new(), lines: lines.collect(), doubled: Vec::new() };
+            Positions { offsets: HashMap::new(), lines: lines.collect(), duplicates: Vec::new() };
         let mut levels: Vec<Level> = Vec::new();
         let mut path = String::from("$");
         let mut ends: Vec<usize> = Vec::new();
@@ -36,7 +36,7 @@
                         path.push_str(raw);
                         *key = Some(raw.to_string());
                         if places.offsets.insert(path.clone(), start).is_some() {
-                            places.doubled.push(path.clone());
+                            places.duplicates.push(path.clone());
                         }
                         continue;
                     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,19 +1,19 @@
 //! From a request to a target: match, limits, pick, and the budget of retries.
 
-mod budget;
+mod compiled_route;
 mod heads;
 mod limits;
-mod made;
-mod pick;
-mod rehearse;
 mod resolved;
+mod retry_budget;
+mod selection;
 mod table;
+mod traffic_rehearsal;
 
-pub use budget::{Budget, Extra};
-pub use limits::{Limits, Refusal};
-pub use pick::{Load, Loads};
-pub use rehearse::{Recent, RouteTraffic, Traffic};
-pub use table::{Entry, Found, Table, Work};
+pub use limits::{LimitExceeded, RouteLimits};
+pub use retry_budget::{RetryAllowance, RetryBudget};
+pub use selection::{Load, Loads};
+pub use table::{BuildStatistics, Entry, RouteMatch, Table};
+pub use traffic_rehearsal::{RecentRequests, RouteTraffic, Traffic};
 
 /// A small generator for picks; quality matters less than a short path.
 pub fn mix(seed: u64) -> u64 {
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -2,57 +2,57 @@
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering::Relaxed};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum LimitExceeded {
     Rate,
     Concurrency,
 }
 
 /// This node's share of a route's rate and concurrency.
 #[derive(Debug)]
-pub struct Limits {
+pub struct RouteLimits {
     rate_per_s: Option<u64>,
     concurrency: Option<u64>,
     milli_asks: AtomicI64,
     refilled_ms: AtomicU64,
-    at_work: AtomicU64,
+    in_flight: AtomicU64,
 }
 
-impl Limits {
+impl RouteLimits {
     pub fn new(route: &Route) -> Self {
-        Limits {
+        RouteLimits {
             rate_per_s: route.rate_per_s,
             concurrency: route.concurrency,
             milli_asks: AtomicI64::new(0),
             refilled_ms: AtomicU64::new(0),
-            at_work: AtomicU64::new(0),
+            in_flight: AtomicU64::new(0),
         }
     }
 
-    pub fn enter(&self, now_ms: u64, nodes: u64) -> Result<(), Refusal> {
+    pub fn enter(&self, now_ms: u64, nodes: u64) -> Result<(), LimitExceeded> {
         let nodes = nodes.max(1);
         if let Some(most) = self.concurrency {
             let share = most.div_ceil(nodes);
             let entered =
-                self.at_work.fetch_update(Relaxed, Relaxed, |at| (at < share).then_some(at + 1));
-            entered.map_err(|_| Refusal::Concurrency)?;
+                self.in_flight.fetch_update(Relaxed, Relaxed, |at| (at < share).then_some(at + 1));
+            entered.map_err(|_| LimitExceeded::Concurrency)?;
         } else {
-            self.at_work.fetch_add(1, Relaxed);
+            self.in_flight.fetch_add(1, Relaxed);
         }
         if let Some(rate) = self.rate_per_s
             && !self.take(now_ms, rate, nodes)
         {
             self.leave();
-            return Err(Refusal::Rate);
+            return Err(LimitExceeded::Rate);
         }
         Ok(())
     }
 
     pub fn at_work(&self) -> u64 {
-        self.at_work.load(Relaxed)
+        self.in_flight.load(Relaxed)
     }
 
     pub fn leave(&self) {
-        self.at_work.fetch_sub(1, Relaxed);
+        self.in_flight.fetch_sub(1, Relaxed);
     }
 
     fn take(&self, now_ms: u64, rate: u64, nodes: u64) -> bool {
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -5,29 +5,29 @@
 
 /// This node's share of the fleet's extra goes to one service, in thousandths of a per cent of a go.
 #[derive(Debug, Default)]
-pub struct Budget {
-    extra: Extra,
+pub struct RetryBudget {
+    extra: RetryAllowance,
     saved: AtomicI64,
     refilled_ms: AtomicU64,
 }
 
 /// Retries of the whole fleet to one service: per cent of its requests, a second beside, saved up.
 #[derive(Clone, Copy, Debug)]
-pub struct Extra {
+pub struct RetryAllowance {
     pub percent: u64,
     pub per_s: u64,
     pub saved: u64,
 }
 
-impl Default for Extra {
+impl Default for RetryAllowance {
     fn default() -> Self {
-        Extra { percent: RETRY_PERCENT, per_s: RETRIES_PER_S, saved: RETRIES_SAVED }
+        RetryAllowance { percent: RETRY_PERCENT, per_s: RETRIES_PER_S, saved: RETRIES_SAVED }
     }
 }
 
-impl Budget {
-    pub fn new(extra: Extra) -> Budget {
-        Budget { extra, ..Budget::default() }
+impl RetryBudget {
+    pub fn new(extra: RetryAllowance) -> RetryBudget {
+        RetryBudget { extra, ..RetryBudget::default() }
     }
 
     pub fn on_request(&self, nodes: u64) {
--- a/crates/routing/src/budget/tests.rs
+++ b/crates/routing/src/retry_budget/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn extra_goes_stay_near_a_fifth_plus_a_small_allowance() {
     let nodes = 12;
-    let fleet: Vec<Budget> = (0..nodes).map(|_| Budget::default()).collect();
+    let fleet: Vec<RetryBudget> = (0..nodes).map(|_| RetryBudget::default()).collect();
     let mut taken = 0;
     let asks = 30_000;
     for ask in 0..asks {
--- a/crates/routing/src/pick.rs
+++ b/crates/routing/src/selection.rs
@@ -8,7 +8,7 @@
 /// What this node knows of one target's occupancy.
 #[derive(Debug, Default)]
 pub struct Load {
-    at_work: AtomicU64,
+    in_flight: AtomicU64,
     /// What a response or a probe told last, without this node's own requests, and when.
     reported: AtomicU64,
     reported_ms: AtomicU64,
@@ -19,13 +19,13 @@
 
 impl Load {
     pub fn enter(&self) {
-        self.at_work.fetch_add(1, Relaxed);
+        self.in_flight.fetch_add(1, Relaxed);
     }
     pub fn leave(&self) {
-        self.at_work.fetch_sub(1, Relaxed);
+        self.in_flight.fetch_sub(1, Relaxed);
     }
     pub fn at_work(&self) -> u64 {
-        self.at_work.load(Relaxed)
+        self.in_flight.load(Relaxed)
     }
     pub fn report(&self, occupancy: u64) {
         self.reported.store(occupancy, Relaxed);
@@ -46,12 +46,12 @@
     }
     pub fn failed(&self, now_ms: u64) {
         let before = self.failures.fetch_add(1, Relaxed).min(16);
-        let pause_ms = (FAILED_PAUSE_MS << before).min(FAILED_PAUSE_MOST_MS);
+        let pause_ms = (EJECTION_MS << before).min(EJECTION_MAX_MS);
         self.failed_until_ms.store(now_ms + pause_ms, Relaxed);
     }
     /// It is full, not ill.
     pub fn turned_away(&self, now_ms: u64) {
-        let until_ms = now_ms + TURNED_AWAY_PAUSE_MS;
+        let until_ms = now_ms + REJECTION_PAUSE_MS;
         self.failed_until_ms.fetch_max(until_ms, Relaxed);
     }
     pub fn recovered(&self) {
@@ -59,7 +59,7 @@
         self.failed_until_ms.store(0, Relaxed);
     }
     fn occupancy(&self) -> u64 {
-        self.at_work.load(Relaxed) + self.reported.load(Relaxed)
+        self.in_flight.load(Relaxed) + self.reported.load(Relaxed)
     }
     fn is_failed(&self, now_ms: u64) -> bool {
         now_ms < self.failed_until_ms.load(Relaxed)
@@ -74,25 +74,26 @@
     state.targets.keys().map(|instance| (instance.clone(), keep(instance))).collect()
 }
 
-pub type Choice = (Arc<Target>, Arc<Load>);
+pub type Candidate = (Arc<Target>, Arc<Load>);
 
 /// The emptier of two drawn, from the own zone unless another is much emptier.
-pub fn pick(
-    targets: &[Choice],
+pub fn select_target(
+    targets: &[Candidate],
     zone: &str,
     tried: &[Name],
     now_ms: u64,
     seed: u64,
-) -> Option<Choice> {
-    let fresh = |choice: &&Choice| !tried.contains(&choice.0.instance);
-    let sound: Vec<&Choice> =
+) -> Option<Candidate> {
+    let fresh = |choice: &&Candidate| !tried.contains(&choice.0.instance);
+    let sound: Vec<&Candidate> =
         targets.iter().filter(fresh).filter(|choice| !choice.1.is_failed(now_ms)).collect();
-    let all: Vec<&Choice> =
+    let all: Vec<&Candidate> =
         if sound.is_empty() { targets.iter().filter(fresh).collect() } else { sound };
     if all.iter().all(|choice| choice.0.slots > 0) {
         return by_slots(&all, zone, now_ms, seed).cloned();
     }
-    let near: Vec<&Choice> = all.iter().filter(|choice| choice.0.zone == zone).copied().collect();
+    let near: Vec<&Candidate> =
+        all.iter().filter(|choice| choice.0.zone == zone).copied().collect();
     let far = emptier(&all, seed)?;
     let chosen = match emptier(&near, mix(seed)) {
         Some(near) if near.1.occupancy() <= far.1.occupancy() + ZONE_SLACK_REQUESTS => near,
@@ -102,17 +103,22 @@
 }
 
 /// The target with the most room, as far as this node knows: its own requests and the last reports.
-fn by_slots<'c>(among: &[&'c Choice], zone: &str, now_ms: u64, seed: u64) -> Option<&'c Choice> {
+fn by_slots<'c>(
+    among: &[&'c Candidate],
+    zone: &str,
+    now_ms: u64,
+    seed: u64,
+) -> Option<&'c Candidate> {
     let told = among.iter().filter(|choice| choice.1.reported_ms.load(Relaxed) > 0);
     let (sum, count) = told
         .fold((0, 0), |(sum, count), choice| (sum + choice.1.reported.load(Relaxed), count + 1));
     let usual = if count == 0 { 0.0 } else { sum as f64 / count as f64 };
     let mut drawn = seed;
-    let mut score = |choice: &Choice| {
+    let mut score = |choice: &Candidate| {
         drawn = mix(drawn);
         let chance = (drawn % 1_024) as f64 / 1_024.0 * CHANCE_SLOTS;
         let requests = choice.1.at_work() as f64 + choice.1.others(now_ms, usual) + 1.0;
-        let cold = if choice.0.cold { COLD_TIMES } else { 1.0 };
+        let cold = if choice.0.warming_up { SLOW_START_FACTOR } else { 1.0 };
         let far = if choice.0.zone == zone { 0.0 } else { FAR_SLOTS };
         requests * cold / choice.0.slots as f64 + far + chance
     };
@@ -120,7 +126,7 @@
     scored.min_by(|one, other| one.0.total_cmp(&other.0)).map(|(_, choice)| choice)
 }
 
-fn emptier<'c>(among: &[&'c Choice], seed: u64) -> Option<&'c Choice> {
+fn emptier<'c>(among: &[&'c Candidate], seed: u64) -> Option<&'c Candidate> {
     let count = among.len() as u64;
     if count == 0 {
         return None;
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,21 +1,21 @@
 //! The routing table of one image: which route a request takes, and which targets it has.
 
+use crate::compiled_route::CompiledRoute;
 use crate::heads::{host_of, in_order};
-use crate::made::Made;
-use crate::pick::{Choice, Loads, pick};
 use crate::resolved::Resolved;
-use crate::{Budget, Extra, mix};
+use crate::selection::{Candidate, Loads, select_target};
+use crate::{RetryAllowance, RetryBudget, mix};
 use postbarrow_plan::{ANY_METHOD, Segment};
-use postbarrow_rules::Facts;
+use postbarrow_rules::RequestFacts;
 use postbarrow_state::{Name, Route, State};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
 /// One route with all that its requests need.
 pub struct Entry {
-    pub made: Arc<Made>,
-    pub budget: Arc<Budget>,
-    targets: Arc<Vec<Choice>>,
+    pub compiled: Arc<CompiledRoute>,
+    pub budget: Arc<RetryBudget>,
+    targets: Arc<Vec<Candidate>>,
     /// Of a split route: the same route on one service each, by weight.
     ways: Vec<(u64, Arc<Entry>)>,
 }
@@ -29,19 +29,19 @@
     any_first: Vec<usize>,
     resolved: Resolved,
     rule_headers: BTreeSet<String>,
-    extra: Extra,
-    work: Work,
+    extra: RetryAllowance,
+    work: BuildStatistics,
 }
 
 /// How much of a table was made anew and not taken from the one before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Work {
+pub struct BuildStatistics {
     pub services_resolved: usize,
     pub routes_compiled: usize,
-    pub entries_made: usize,
+    pub entries_built: usize,
 }
 
-pub enum Found {
+pub enum RouteMatch {
     Route(Arc<Entry>),
     NoRoute,
     OtherMethods(Vec<Name>),
@@ -57,14 +57,14 @@
             any_first: Vec::new(),
             resolved: Resolved::default(),
             rule_headers: BTreeSet::new(),
-            extra: Extra::default(),
-            work: Work::default(),
+            extra: RetryAllowance::default(),
+            work: BuildStatistics::default(),
         }
     }
 
     /// Per cent of requests, a second and saved up; tables made from this one keep it.
     pub fn with_extra(mut self, (percent, per_s, saved): (u64, u64, u64)) -> Self {
-        self.extra = Extra { percent, per_s, saved };
+        self.extra = RetryAllowance { percent, per_s, saved };
         self
     }
 
@@ -73,20 +73,20 @@
     pub fn new(state: Arc<State>, offset: u64, old: &Table) -> Self {
         let resolved = Resolved::new(&state, old);
         let (mut entries, routes_compiled, entries_made) = entries(&state, &resolved, old);
-        entries.sort_by(|a, b| a.made.rank().cmp(&b.made.rank()));
+        entries.sort_by(|a, b| a.compiled.rank().cmp(&b.compiled.rank()));
         let mut by_first: HashMap<Name, Vec<usize>> = HashMap::new();
         let mut any_first = Vec::new();
         for (at, entry) in entries.iter().enumerate() {
-            match entry.made.pattern.segments.first() {
+            match entry.compiled.pattern.segments.first() {
                 Some(Segment::Literal(first)) => {
                     by_first.entry(first.clone()).or_default().push(at)
                 }
                 _ => any_first.push(at),
             }
         }
-        let headers = entries.iter().flat_map(|entry| entry.made.rule_headers.iter().cloned());
+        let headers = entries.iter().flat_map(|entry| entry.compiled.rule_headers.iter().cloned());
         let rule_headers = headers.collect();
-        let services_resolved = resolved.made_anew;
+        let services_resolved = resolved.rebuilt;
         Table {
             state,
             offset,
@@ -96,20 +96,24 @@
             resolved,
             rule_headers,
             extra: old.extra,
-            work: Work { services_resolved, routes_compiled, entries_made },
+            work: BuildStatistics {
+                services_resolved,
+                routes_compiled,
+                entries_built: entries_made,
+            },
         }
     }
 
     /// The most literal pattern wins; among equals, one with a rule that holds.
-    pub fn find(&self, method: &str, path: &str, headers: &[(String, String)]) -> Found {
-        let facts = Facts { method, path, headers };
+    pub fn find(&self, method: &str, path: &str, headers: &[(String, String)]) -> RouteMatch {
+        let facts = RequestFacts { method, path, headers };
         let first = path.strip_prefix('/').map_or("", |rest| rest.split('/').next().unwrap_or(""));
         let named = self.by_first.get(first).map_or(&[][..], |list| list.as_slice());
         let mut others = BTreeSet::new();
         let mut host = None;
         for at in in_order(named, &self.any_first) {
             let entry = &self.entries[at];
-            if !entry.made.pattern.matches(path) {
+            if !entry.compiled.pattern.matches(path) {
                 continue;
             }
             if let Some(wanted) = &entry.route().host
@@ -118,18 +122,18 @@
                 continue;
             }
             let takes = |known: &Name| known == method || known == ANY_METHOD;
-            if !entry.made.route.methods.iter().any(takes) {
-                others.extend(entry.made.route.methods.iter().cloned());
+            if !entry.compiled.route.methods.iter().any(takes) {
+                others.extend(entry.compiled.route.methods.iter().cloned());
                 continue;
             }
-            if entry.made.rule.as_ref().is_none_or(|rule| rule.holds(&facts)) {
-                return Found::Route(entry.clone());
+            if entry.compiled.rule.as_ref().is_none_or(|rule| rule.matches(&facts)) {
+                return RouteMatch::Route(entry.clone());
             }
         }
         if others.is_empty() {
-            Found::NoRoute
+            RouteMatch::NoRoute
         } else {
-            Found::OtherMethods(others.into_iter().collect())
+            RouteMatch::OtherMethods(others.into_iter().collect())
         }
     }
 
@@ -142,11 +146,11 @@
         &self.resolved.loads
     }
 
-    pub fn work(&self) -> Work {
+    pub fn work(&self) -> BuildStatistics {
         self.work
     }
 
-    pub(crate) fn extra(&self) -> Extra {
+    pub(crate) fn extra(&self) -> RetryAllowance {
         self.extra
     }
 
@@ -169,7 +173,7 @@
 /// The image's routes as entries, in its order; how many routes were compiled, and entries made.
 fn entries(state: &State, resolved: &Resolved, old: &Table) -> (Vec<Arc<Entry>>, usize, usize) {
     let kept: HashMap<*const Route, &Arc<Entry>> =
-        old.entries.iter().map(|entry| (Arc::as_ptr(&entry.made.route), entry)).collect();
+        old.entries.iter().map(|entry| (Arc::as_ptr(&entry.compiled.route), entry)).collect();
     let mut entries: Vec<Arc<Entry>> = Vec::with_capacity(state.routes.len());
     let (mut routes_compiled, mut entries_made) = (0, 0);
     for route in &state.routes {
@@ -178,8 +182,8 @@
                 entries.push(Arc::clone(entry));
                 continue;
             }
-            Some(entry) => entry.made.clone(),
-            None => match Made::new(route) {
+            Some(entry) => entry.compiled.clone(),
+            None => match CompiledRoute::new(route) {
                 Ok(made) => {
                     routes_compiled += 1;
                     Arc::new(made)
@@ -194,15 +198,15 @@
 }
 
 impl Entry {
-    fn new(made: Arc<Made>, resolved: &Resolved) -> Entry {
-        let entry = |made: Arc<Made>, service: &Name, ways| Entry {
-            made,
+    fn new(made: Arc<CompiledRoute>, resolved: &Resolved) -> Entry {
+        let entry = |made: Arc<CompiledRoute>, service: &Name, ways| Entry {
+            compiled: made,
             budget: resolved.budgets.get(service).cloned().unwrap_or_default(),
             targets: resolved.choices.get(service).cloned().unwrap_or_default(),
             ways,
         };
         let route = made.route.clone();
-        let ways = route.shares.iter().filter(|share| share.weight > 0).map(|share| {
+        let ways = route.weighted_services.iter().filter(|share| share.weight > 0).map(|share| {
             let made = Arc::new(made.on(&share.service));
             (share.weight, Arc::new(entry(made, &share.service, Vec::new())))
         });
@@ -221,7 +225,7 @@
     }
 
     pub fn route(&self) -> &Route {
-        &self.made.route
+        &self.compiled.route
     }
 
     /// The entry itself, or of a split route the one that this seed draws.
@@ -240,7 +244,7 @@
         self.clone()
     }
 
-    pub fn pick(&self, zone: &str, tried: &[Name], now_ms: u64, seed: u64) -> Option<Choice> {
-        pick(&self.targets, zone, tried, now_ms, seed)
+    pub fn pick(&self, zone: &str, tried: &[Name], now_ms: u64, seed: u64) -> Option<Candidate> {
+        select_target(&self.targets, zone, tried, now_ms, seed)
     }
 }
--- a/crates/routing/src/rehearse.rs
+++ b/crates/routing/src/traffic_rehearsal.rs
@@ -1,4 +1,4 @@
-use crate::{Entry, Found, Table};
+use crate::{Entry, RouteMatch, Table};
 use facet::Facet;
 use postbarrow_constants::plans::REHEARSE_MS;
 use postbarrow_plan::Plan;
@@ -41,7 +41,7 @@
     pub missing: Vec<String>,
 }
 
-pub struct Recent {
+pub struct RecentRequests {
     pub samples: Vec<Sample>,
     pub seen: u64,
     pub seconds: u64,
@@ -52,7 +52,7 @@
         Traffic { missing: vec![why.into()], ..Traffic::default() }
     }
 
-    pub fn of(before: &Plan, after: &Plan, recent: &Recent) -> Traffic {
+    pub fn of(before: &Plan, after: &Plan, recent: &RecentRequests) -> Traffic {
         let (old, new) = (table(before), table(after));
         let mut told = Traffic { seen: recent.seen, seconds: recent.seconds, ..Traffic::default() };
         if recent.samples.is_empty() {
@@ -110,7 +110,7 @@
 fn over_rate(
     new: &Table,
     news: &BTreeMap<String, Vec<String>>,
-    recent: &Recent,
+    recent: &RecentRequests,
     compared: u64,
     routes: &mut BTreeMap<String, RouteTraffic>,
 ) {
@@ -137,8 +137,8 @@
 
 fn find(table: &Table, sample: &Sample) -> Option<Arc<Entry>> {
     match table.find(&sample.method, &sample.path, &sample.headers) {
-        Found::Route(entry) => Some(entry),
-        Found::NoRoute | Found::OtherMethods(_) => None,
+        RouteMatch::Route(entry) => Some(entry),
+        RouteMatch::NoRoute | RouteMatch::OtherMethods(_) => None,
     }
 }
 
--- a/crates/routing/tests/rehearse.rs
+++ b/crates/routing/tests/rehearse.rs
@@ -1,5 +1,5 @@
 use postbarrow_plan::Plan;
-use postbarrow_routing::{Recent, Traffic};
+use postbarrow_routing::{RecentRequests, Traffic};
 use postbarrow_state::Sample;
 
 const BEFORE: &str = r#"{"version":"a","base":null,
@@ -26,8 +26,8 @@
     Sample { method: method.into(), path: path.into(), headers: Vec::new(), body_bytes }
 }
 
-fn recent(samples: Vec<Sample>, seen: u64, seconds: u64) -> Recent {
-    Recent { samples, seen, seconds }
+fn recent(samples: Vec<Sample>, seen: u64, seconds: u64) -> RecentRequests {
+    RecentRequests { samples, seen, seconds }
 }
 
 #[test]
--- a/crates/routing/tests/reuse.rs
+++ b/crates/routing/tests/reuse.rs
@@ -1,7 +1,7 @@
 //! A new table is made from what its image does not share with the last.
 
 use postbarrow_constants::plans::ROUTE_DEADLINE_MS;
-use postbarrow_routing::{Found, Table, Work};
+use postbarrow_routing::{BuildStatistics, RouteMatch, Table};
 use postbarrow_state::*;
 use postbarrow_transactions::Image as _;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
     Route {
         path: format!("/r{at}").into(),
         methods: vec!["GET".into()],
-        kind: Kind::Lookup,
+        kind: RouteKind::Lookup,
         service: service.into(),
         when: at.is_multiple_of(5).then(|| "headers['x-kind'] == 'a'".to_string()),
         body_bytes: 1,
@@ -18,10 +18,10 @@
         concurrency: None,
         deadline_ms: ROUTE_DEADLINE_MS,
         host: None,
-        shares: Vec::new(),
-        tries: None,
-        goal_ms: None,
-        precedence: 0,
+        weighted_services: Vec::new(),
+        max_attempts: None,
+        latency_target_ms: None,
+        priority: 0,
     }
 }
 
@@ -40,7 +40,7 @@
         draining: false,
         down: false,
         slots: 0,
-        cold: false,
+        warming_up: false,
     })
 }
 
@@ -62,8 +62,8 @@
     for at in 0..routes {
         let mut route = route(at, if at % 2 == 0 { "s" } else { "t" });
         if at % 10 == 9 {
-            let share = |service: &str| Share { service: service.into(), weight: 1 };
-            route.shares = vec![share("s"), share("t")];
+            let share = |service: &str| WeightedService { service: service.into(), weight: 1 };
+            route.weighted_services = vec![share("s"), share("t")];
         }
         records.push(Record::Route(route));
     }
@@ -87,21 +87,27 @@
 fn a_changed_route_is_all_that_is_compiled_of_six_hundred() {
     let state = first(600);
     let old = table(&state, &Table::empty());
-    let whole = Work { services_resolved: 2, routes_compiled: 600, entries_made: 600 };
+    let whole = BuildStatistics { services_resolved: 2, routes_compiled: 600, entries_built: 600 };
     assert_eq!(old.work(), whole);
     let mut changed = route(300, "s");
     changed.deadline_ms = 7;
     let state = applied(&state, &change("v2", vec![splice(300, 1, vec![changed])]));
     let new = table(&state, &old);
-    assert_eq!(new.work(), Work { services_resolved: 0, routes_compiled: 1, entries_made: 1 });
+    assert_eq!(
+        new.work(),
+        BuildStatistics { services_resolved: 0, routes_compiled: 1, entries_built: 1 }
+    );
     let headers = [("x-kind".to_string(), "a".to_string())];
-    let Found::Route(entry) = new.find("GET", "/r300", &headers) else { panic!("no route") };
+    let RouteMatch::Route(entry) = new.find("GET", "/r300", &headers) else { panic!("no route") };
     assert_eq!(entry.route().deadline_ms, 7);
     let state = applied(&state, &change("v3", vec![splice(10, 2, vec![route(900, "t")])]));
     let new = table(&state, &new);
-    assert_eq!(new.work(), Work { services_resolved: 0, routes_compiled: 1, entries_made: 1 });
-    assert!(matches!(new.find("GET", "/r900", &headers), Found::Route(_)));
-    assert!(matches!(new.find("GET", "/r11", &[]), Found::NoRoute), "a route that is gone");
+    assert_eq!(
+        new.work(),
+        BuildStatistics { services_resolved: 0, routes_compiled: 1, entries_built: 1 }
+    );
+    assert!(matches!(new.find("GET", "/r900", &headers), RouteMatch::Route(_)));
+    assert!(matches!(new.find("GET", "/r11", &[]), RouteMatch::NoRoute), "a route that is gone");
 }
 
 #[test]
@@ -110,9 +116,9 @@
     let old = table(&state, &Table::empty());
     let state = applied(&state, &change("v2", vec![service("t", "one")]));
     let new = table(&state, &old);
-    let work = Work { services_resolved: 1, routes_compiled: 0, entries_made: 50 };
+    let work = BuildStatistics { services_resolved: 1, routes_compiled: 0, entries_built: 50 };
     assert_eq!(new.work(), work, "odd routes go to it, and the split ones are odd");
-    let Found::Route(entry) = new.find("GET", "/r1", &[]) else { panic!("no route") };
+    let RouteMatch::Route(entry) = new.find("GET", "/r1", &[]) else { panic!("no route") };
     assert_eq!(entry.pick("a", &[], 0, 1).unwrap().0.instance, "one-1");
 }
 
@@ -122,10 +128,10 @@
     let old = table(&state, &Table::empty());
     let state = applied(&state, &change("v2", vec![service("s", "two")]));
     let new = table(&state, &old);
-    let work = Work { services_resolved: 1, routes_compiled: 0, entries_made: 60 };
+    let work = BuildStatistics { services_resolved: 1, routes_compiled: 0, entries_built: 60 };
     assert_eq!(new.work(), work, "even routes go to it, and a share of ten odd ones");
     for seed in 0..20 {
-        let Found::Route(entry) = new.find("GET", "/r99", &[]) else { panic!("no route") };
+        let RouteMatch::Route(entry) = new.find("GET", "/r99", &[]) else { panic!("no route") };
         let target = entry.drawn(seed).pick("a", &[], 0, seed).unwrap().0;
         assert_eq!(target.instance, "two-1", "a split route kept a service as it was");
     }
@@ -137,10 +143,10 @@
     let old = table(&state, &Table::empty());
     let state = applied(&state, &[Record::TargetGone("one-1".into()), target("one-2", "one")]);
     let new = table(&state, &old);
-    let work = Work { services_resolved: 2, routes_compiled: 0, entries_made: 100 };
+    let work = BuildStatistics { services_resolved: 2, routes_compiled: 0, entries_built: 100 };
     assert_eq!(new.work(), work);
     for seed in 0..20 {
-        let Found::Route(entry) = new.find("GET", "/r99", &[]) else { panic!("no route") };
+        let RouteMatch::Route(entry) = new.find("GET", "/r99", &[]) else { panic!("no route") };
         let target = entry.drawn(seed).pick("a", &[], 0, seed).unwrap().0;
         assert_ne!(target.instance, "one-1", "a split route kept a target that is gone");
     }
--- a/crates/routing/tests/slots.rs
+++ b/crates/routing/tests/slots.rs
@@ -1,4 +1,4 @@
-use postbarrow_routing::{Found, Load, Table};
+use postbarrow_routing::{Load, RouteMatch, Table};
 use postbarrow_state::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
     state.routes.push_back(Arc::new(Route {
         path: "/*".into(),
         methods: vec!["*".into()],
-        kind: Kind::Lookup,
+        kind: RouteKind::Lookup,
         service: "s".into(),
         when: None,
         body_bytes: 1,
@@ -18,10 +18,10 @@
         concurrency: None,
         deadline_ms: 1,
         host: Some("h.example".into()),
-        shares: Vec::new(),
-        tries: None,
-        goal_ms: None,
-        precedence: 0,
+        weighted_services: Vec::new(),
+        max_attempts: None,
+        latency_target_ms: None,
+        priority: 0,
     }));
     for (at, (name, zone, slots, cold)) in targets.iter().enumerate() {
         let target = Target {
@@ -33,7 +33,7 @@
             draining: false,
             down: false,
             slots: *slots,
-            cold: *cold,
+            warming_up: *cold,
         };
         state.targets.insert(target.instance.clone(), Arc::new(target));
     }
@@ -47,7 +47,7 @@
 /// How often each is chosen in a hundred draws at this time.
 fn chosen(table: &Table, now_ms: u64) -> BTreeMap<String, u32> {
     let host = [("Host".to_string(), "H.example:8080".to_string())];
-    let Found::Route(entry) = table.find("POST", "/a", &host) else { panic!("no route") };
+    let RouteMatch::Route(entry) = table.find("POST", "/a", &host) else { panic!("no route") };
     let mut counts = BTreeMap::new();
     for seed in 0..100 {
         let (target, _) = entry.pick("a", &[], now_ms, seed).unwrap();
@@ -109,7 +109,7 @@
     let table = table(&[("one", "a", 2, false)]);
     let find = |host: &str| {
         let host = [("host".to_string(), host.to_string())];
-        matches!(table.find("GET", "/a/b", &host), Found::Route(_))
+        matches!(table.find("GET", "/a/b", &host), RouteMatch::Route(_))
     };
     assert!(find("h.example") && find("H.EXAMPLE:80"));
     assert!(!find("other.example") && !find("") && !find("h.example.org"));
--- a/crates/rules/src/check/tests.rs
+++ b/crates/rules/src/check/tests.rs
@@ -1,10 +1,10 @@
 //! Tests of `check`.
 
-use crate::{Facts, Rule};
+use crate::{RequestFacts, Rule};
 
 fn holds(text: &str, headers: &[(String, String)]) -> bool {
-    let facts = Facts { method: "POST", path: "/loans/7", headers };
-    Rule::compile(text).expect("compiles").holds(&facts)
+    let facts = RequestFacts { method: "POST", path: "/loans/7", headers };
+    Rule::compile(text).expect("compiles").matches(&facts)
 }
 
 #[test]
@@ -52,6 +52,6 @@
     let brackets = format!("{}{}true", "(".repeat(8), "true?(-".repeat(8));
     for text in [signs, ternary, chain, members, brackets] {
         let _read = Rule::compile(&text)
-            .map(|rule| rule.holds(&Facts { method: "GET", path: "/", headers: &[] }));
+            .map(|rule| rule.matches(&RequestFacts { method: "GET", path: "/", headers: &[] }));
     }
 }
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -15,7 +15,7 @@
     env: Arc<Env>,
 }
 
-pub struct Facts<'a> {
+pub struct RequestFacts<'a> {
     pub method: &'a str,
     pub path: &'a str,
     pub headers: &'a [(String, String)],
@@ -42,11 +42,11 @@
     }
 
     /// Only a clear true routes: an error or any other value does not.
-    pub fn holds(&self, facts: &Facts<'_>) -> bool {
+    pub fn matches(&self, facts: &RequestFacts<'_>) -> bool {
         matches!(self.evaluate(facts), Ok(Value::Bool(true)))
     }
 
-    fn evaluate(&self, facts: &Facts<'_>) -> Result<Value, String> {
+    fn evaluate(&self, facts: &RequestFacts<'_>) -> Result<Value, String> {
         let mut context = Context::with_env(self.env.clone());
         let mut headers: HashMap<String, String> = HashMap::new();
         for (name, value) in facts.headers {
@@ -67,7 +67,7 @@
 
 /// A rule that gives a plain value of another kind on an empty ask can never route.
 fn drop_unless_boolean(rule: &Rule) -> Result<(), String> {
-    let facts = Facts { method: "GET", path: "/", headers: &[] };
+    let facts = RequestFacts { method: "GET", path: "/", headers: &[] };
     match rule.evaluate(&facts) {
         Ok(Value::Bool(_)) | Err(_) => Ok(()),
         Ok(_) => Err("does not give true or false".into()),
--- a/crates/simulation/src/calls.rs
+++ b/crates/simulation/src/calls.rs
@@ -4,7 +4,7 @@
 use crate::event::Event;
 use crate::world::World;
 use postbarrow_messages::{Request, Response};
-use postbarrow_state::{Call, Change, Name, Outcome, Sort};
+use postbarrow_state::{Call, Change, Name, Outcome, ResourceKind};
 use std::collections::BTreeMap;
 
 const WAIT_MS: u64 = 2_500;
@@ -83,7 +83,7 @@
         let call = match caller {
             WATCHER => {
                 let after = self.callers.told.last().copied().or(self.callers.watch_from);
-                Call::Watch { sort: Sort::Key, prefix: Name::from(""), after }
+                Call::Watch { sort: ResourceKind::Key, prefix: Name::from(""), after }
             }
             _ => self.some_call(caller),
         };
--- a/crates/simulation/src/check.rs
+++ b/crates/simulation/src/check.rs
@@ -20,7 +20,7 @@
         }
         let Some(node) = &self.control[at].node else { return };
         let log = node.consensus().log();
-        let commit = node.consensus().commit();
+        let commit = node.consensus().commit_index();
         let from = commit.saturating_sub(16).max(log.base() + 1);
         let mut found = Vec::new();
         for index in from..=commit {
--- a/crates/simulation/src/cling.rs
+++ b/crates/simulation/src/cling.rs
@@ -158,7 +158,7 @@
         let now_ms = self.local_ms(Who::Control(at));
         let Some(cling) = &mut self.cling else { return };
         cling.open.insert(key, Asked { start_us: asked_us, question });
-        let effects = cling.controller_client.ask(now_ms, key, request, WAIT_MS);
+        let effects = cling.controller_client.send_request(now_ms, key, request, WAIT_MS);
         self.door_does(at, effects);
     }
 
@@ -187,11 +187,11 @@
         let log = node.consensus();
         let members: Vec<_> = log.members().iter().map(|member| member.address).collect();
         match node.contact(now_ms) {
-            Contact::Outside => cling.controller_client.learn(now_ms, None, &members),
+            Contact::Outside => cling.controller_client.on_members(now_ms, None, &members),
             Contact::Leader(leader) => {
-                cling.controller_client.learn(now_ms, Some(leader), &members)
+                cling.controller_client.on_members(now_ms, Some(leader), &members)
             }
-            Contact::Silent { since_ms } => cling.controller_client.hears_no_leader(since_ms),
+            Contact::Silent { since_ms } => cling.controller_client.on_leader_lost(since_ms),
         }
         let effects = cling.controller_client.tick(now_ms);
         self.door_does(at, effects);
--- a/crates/simulation/src/clung.rs
+++ b/crates/simulation/src/clung.rs
@@ -62,7 +62,7 @@
                 .violate(format!("{} is in force from nowhere", handed.order.version));
         };
         let has = |machine: &&crate::control::ControlMachine| {
-            machine.node.as_ref().is_some_and(|node| node.consensus().last() >= began)
+            machine.node.as_ref().is_some_and(|node| node.consensus().last_index() >= began)
         };
         if self.control.iter().filter(has).count() < 2 {
             self.ledger
--- a/crates/simulation/src/control.rs
+++ b/crates/simulation/src/control.rs
@@ -4,7 +4,7 @@
 use crate::event::{Event, Who};
 use crate::world::World;
 use imbl::OrdMap;
-use postbarrow_consensus::{Member, Recovered, Write};
+use postbarrow_consensus::{Member, RecoveredState, Write};
 use postbarrow_constants::consensus::DISK_FULL_PAUSE_MS;
 use postbarrow_controller::{ControlNode, Effect, Input};
 use postbarrow_state::{Name, Target};
@@ -94,7 +94,7 @@
         let opened = open(machine.disk.clone()).and_then(|opened| match opened {
             Opened::Whole { storage, recovered } => Ok((storage, recovered)),
             Opened::Empty(disk) | Opened::Damaged { disk, .. } => {
-                Storage::create(disk, id).map(|made| (made, Recovered::default()))
+                Storage::create(disk, id).map(|made| (made, RecoveredState::default()))
             }
         });
         let (storage, recovered) = match opened {
@@ -113,7 +113,7 @@
         let node = ControlNode::new(own, recovered, &seeds, seed, now_ms);
         let node = node.with_log_bound(LOG_BOUND_BYTES);
         let node = node.with_losses(self.losses).with_voter_dead(self.voter_dead_ms);
-        machine.node = Some(if machine.guest { node.as_guest() } else { node });
+        machine.node = Some(if machine.guest { node.as_observer() } else { node });
         let life = machine.life;
         self.after(0, Event::Tick { who: Who::Control(at), life });
     }
@@ -178,7 +178,7 @@
                     let (index, state) = (snap.index, snap.encode());
                     self.after(100_000, Event::Encoded { at, life, index, state });
                 }
-                Effect::Say(text) => self.say(Who::Control(at), &text),
+                Effect::Log(text) => self.say(Who::Control(at), &text),
             }
         }
         self.check_control(at);
--- a/crates/simulation/src/data.rs
+++ b/crates/simulation/src/data.rs
@@ -121,11 +121,11 @@
                     self.check_published(at);
                 }
                 Effect::Lease { until_ms } => self.data[at].lease_until_ms = until_ms,
-                Effect::Say(text) => self.say(Who::Data(at), &text),
+                Effect::Log(text) => self.say(Who::Data(at), &text),
                 Effect::Answer { key, response } => {
                     match self.data[at].waits.remove(&key).unwrap_or(Waits::Nobody) {
                         Waits::Request(request) => {
-                            let event = postbarrow_node::Event::Answered(response);
+                            let event = postbarrow_node::Event::ControllerResponded(response);
                             let life = self.data[at].life;
                             self.after(0, Event::Resume { request, data: at, life, event });
                         }
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -5,7 +5,7 @@
 use crate::world::World;
 use postbarrow_constants::consensus::VOTERS;
 use postbarrow_messages::Response;
-use postbarrow_node::{Event as GoEvent, Passed};
+use postbarrow_node::{AttemptOutcome, Event as GoEvent};
 
 impl World {
     pub fn bring(&mut self, fault: Fault) {
@@ -95,8 +95,8 @@
             Event::Resume { data, request, event, .. } => {
                 let here = match event {
                     GoEvent::Connected => stage == Stage::Connected,
-                    GoEvent::Answered(Response::Granted) => stage == Stage::Granted,
-                    GoEvent::Passed(Passed::Whole(_)) => stage == Stage::Responded,
+                    GoEvent::ControllerResponded(Response::Granted) => stage == Stage::Granted,
+                    GoEvent::AttemptEnded(AttemptOutcome::Complete(_)) => stage == Stage::Responded,
                     _ => false,
                 };
                 (*data, *request, here)
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -96,7 +96,7 @@
         let now_ms = self.now_us / 1_000;
         let listed = self.control.iter().filter(|machine| machine.is_listed(self.now_us));
         let members: Vec<SocketAddr> = listed.map(|machine| machine.address).collect();
-        self.operator.controller_client.learn(now_ms, None, &members);
+        self.operator.controller_client.on_members(now_ms, None, &members);
         let effects = self.operator.controller_client.tick(now_ms);
         self.operator_does(effects);
         let clung = self.cling.is_some();
@@ -178,7 +178,7 @@
 
     /// By another member than the one that answers now.
     fn submit_elsewhere(&mut self, handed: Handed) {
-        self.operator.controller_client.doubt();
+        self.operator.controller_client.suspect_controller();
         self.submit(handed);
     }
 
@@ -208,8 +208,12 @@
     }
 
     fn operator_asks(&mut self, key: u64, request: Request) {
-        let effects =
-            self.operator.controller_client.ask(self.now_us / 1_000, key, request, WAIT_MS);
+        let effects = self.operator.controller_client.send_request(
+            self.now_us / 1_000,
+            key,
+            request,
+            WAIT_MS,
+        );
         self.operator_does(effects);
     }
 
--- a/crates/simulation/src/passing.rs
+++ b/crates/simulation/src/passing.rs
@@ -2,7 +2,7 @@
 
 use crate::event::{Event, Who};
 use crate::world::World;
-use postbarrow_node::{Passed, TargetResponse};
+use postbarrow_node::{AttemptOutcome, TargetResponse};
 use postbarrow_state::{Name, Target};
 
 /// The way from a node to a target and back.
@@ -15,12 +15,12 @@
             run.connected = found;
         }
         let (took_us, event) = match self.target_at(target.address) {
-            None => (600, postbarrow_node::Event::Unconnected("refused".into())),
+            None => (600, postbarrow_node::Event::ConnectFailed("refused".into())),
             Some(found) if found.frozen => {
-                (800_000, postbarrow_node::Event::Unconnected("no proof in time".into()))
+                (800_000, postbarrow_node::Event::ConnectFailed("no proof in time".into()))
             }
             Some(found) if found.instance != target.instance.as_str() => {
-                (1_200, postbarrow_node::Event::Unconnected("another target".into()))
+                (1_200, postbarrow_node::Event::ConnectFailed("another target".into()))
             }
             Some(_) => (1_200, postbarrow_node::Event::Connected),
         };
@@ -39,7 +39,9 @@
         let allowed = self.data[data].table.allows(&service, &target.instance);
         let client_waits = self.may_send_for_client(request);
         if !(client_waits && allowed && now_ms < until_ms && self.serves(data)) {
-            let event = postbarrow_node::Event::Passed(Passed::Unsent("the gate is shut".into()));
+            let event = postbarrow_node::Event::AttemptEnded(AttemptOutcome::Unsent(
+                "the gate is shut".into(),
+            ));
             return self.after(0, Event::Resume { request, data, life, event });
         }
         self.check_pass(request, data);
@@ -64,7 +66,7 @@
         }) else {
             return;
         };
-        let failed = |late, why: &str| Passed::Unknown { late, why: why.into() };
+        let failed = |late, why: &str| AttemptOutcome::Unknown { late, why: why.into() };
         let (took_us, passed) = if !alive {
             (300, failed(false, "broken"))
         } else if frozen {
@@ -79,10 +81,17 @@
                 (took_us, failed(false, "the response is lost"))
             } else {
                 let headers = vec![("x-id".to_string(), id.to_string())];
-                (took_us, Passed::Whole(TargetResponse { status: 200, headers, body: vec![1] }))
+                (
+                    took_us,
+                    AttemptOutcome::Complete(TargetResponse {
+                        status: 200,
+                        headers,
+                        body: vec![1],
+                    }),
+                )
             }
         };
-        let event = postbarrow_node::Event::Passed(passed);
+        let event = postbarrow_node::Event::AttemptEnded(passed);
         self.after(took_us, Event::Resume { request, data, life, event });
     }
 }
--- a/crates/simulation/src/replacement.rs
+++ b/crates/simulation/src/replacement.rs
@@ -186,7 +186,7 @@
             let address = self.control[*at].address;
             log.members().iter().any(|member| member.address == address)
         };
-        let settled = log.log().config_index() <= log.commit();
+        let settled = log.log().config_index() <= log.commit_index();
         settled && newcomers.iter().all(votes) && !gone.iter().any(votes)
     }
 }
--- a/crates/simulation/src/requests.rs
+++ b/crates/simulation/src/requests.rs
@@ -6,10 +6,10 @@
 use crate::event::{Event, Who};
 use crate::ledger::Told;
 use crate::world::World;
-use postbarrow_constants::coordination::SETTLE_WAIT_MS;
+use postbarrow_constants::coordination::SETTLEMENT_WAIT_MS;
 use postbarrow_messages::Request;
 use postbarrow_node::*;
-use postbarrow_routing::{Found, Load};
+use postbarrow_routing::{Load, RouteMatch};
 use postbarrow_state::{Name, Target};
 use std::sync::Arc;
 
@@ -137,20 +137,28 @@
             return self.ledger.told(id, request, Told::Unreached);
         }
         let one_time = service != "catalogue";
-        let about = About { one_time, keyed, ..About::default() };
+        let about = ExecutionEvidence { one_time, keyed, ..ExecutionEvidence::default() };
         if !self.serves(data) {
             return self.end_request(
                 request,
-                Verdict { told: postbarrow_node::Told::Unready, about, key: None },
+                Completion {
+                    outcome: postbarrow_node::RequestOutcome::Unready,
+                    evidence: about,
+                    key: None,
+                },
             );
         }
         let table = self.data[data].table.clone();
         let (method, path, _) =
             *SERVICES.iter().find(|row| row.2 == service).unwrap_or(&SERVICES[0]);
-        let Found::Route(entry) = table.find(method, path, &[]) else {
+        let RouteMatch::Route(entry) = table.find(method, path, &[]) else {
             return self.end_request(
                 request,
-                Verdict { told: postbarrow_node::Told::NoRoute, about, key: None },
+                Completion {
+                    outcome: postbarrow_node::RequestOutcome::NoRoute,
+                    evidence: about,
+                    key: None,
+                },
             );
         };
         let until_ms = self.local_ms(Who::Data(data)) + entry.route().deadline_ms;
@@ -187,20 +195,20 @@
         let Some(run) = self.requests.get_mut(&request) else { return };
         let Some(flow) = &mut run.flow else { return };
         let client_left = run.saw_client_leave;
-        let now = Now { now_ms, table: &table, serves, number, client_left };
+        let now = FlowContext { now_ms, table: &table, serves, number, client_left };
         match flow.handle(&now, event) {
             Step::Connect { target, load, .. } => {
                 run.target = Some((target.clone(), load));
                 run.awaits = Awaits::Connection;
                 self.connect(request, data, &target);
             }
-            Step::AskTicket { ticket, wait_ms } => {
+            Step::RequestTicket { ticket, wait_ms } => {
                 self.ask_for(request, data, Request::Ticket(ticket), wait_ms);
             }
             Step::Settle { settling, wait_ms } => {
                 self.ask_for(request, data, settling.into(), wait_ms);
             }
-            Step::Pass { until_ms, .. } => {
+            Step::Forward { until_ms, .. } => {
                 run.awaits = Awaits::Sending;
                 let life = self.data[data].life;
                 self.after(20, Event::Send { request, data, life, until_ms });
@@ -208,7 +216,7 @@
             Step::Done { verdict, settling } => {
                 if let Some(settling) = settling {
                     let settle = settling.into();
-                    self.send_to_controller(data, settle, SETTLE_WAIT_MS, Waits::Nobody);
+                    self.send_to_controller(data, settle, SETTLEMENT_WAIT_MS, Waits::Nobody);
                 }
                 self.end_request(request, verdict);
             }
@@ -224,7 +232,7 @@
         self.send_question(data, key, question, wait_ms, Waits::Request(request));
     }
 
-    fn end_request(&mut self, request: u64, verdict: Verdict) {
+    fn end_request(&mut self, request: u64, verdict: Completion) {
         let Some(run) = self.requests.get_mut(&request) else { return };
         run.flow = None;
         if run.client_left {
--- a/crates/simulation/src/requests/leaving.rs
+++ b/crates/simulation/src/requests/leaving.rs
@@ -3,9 +3,9 @@
 use super::Awaits;
 use crate::event::Event;
 use crate::world::World;
-use postbarrow_constants::traffic::CLIENT_LOOK_MS;
+use postbarrow_constants::traffic::CLIENT_CLOSED_CHECK_MS;
 use postbarrow_messages::Response;
-use postbarrow_node::{Input, Passed};
+use postbarrow_node::{AttemptOutcome, Input};
 
 /// Of a thousand requests, so many lose their client before their answer.
 const LEAVES_PER_MILLE: u64 = 40;
@@ -37,7 +37,7 @@
         let (id, keyed, goes, service) = (run.id, run.keyed, run.goes, run.service);
         let (data, life) = (run.data, run.life);
         self.ledger.left(id);
-        let seen_us = self.random.below(CLIENT_LOOK_MS * 1_000);
+        let seen_us = self.random.below(CLIENT_CLOSED_CHECK_MS * 1_000);
         self.after(seen_us, Event::SeesClientLeave { request, data, life });
         if keyed && service != "catalogue" && goes < 3 && self.random.chance(500) {
             let back_us = self.random.below(COMES_BACK_US);
@@ -61,15 +61,15 @@
         let is_lookup = run.service == "catalogue";
         let left = || "the client left".to_string();
         let event = match run.awaits {
-            Awaits::Connection => postbarrow_node::Event::Unconnected(left()),
+            Awaits::Connection => postbarrow_node::Event::ConnectFailed(left()),
             Awaits::Controller { key } => {
                 self.data[data].waits.remove(&key);
                 self.data_input(data, Input::Withdraw { key });
-                postbarrow_node::Event::Answered(Response::TimedOut)
+                postbarrow_node::Event::ControllerResponded(Response::TimedOut)
             }
             Awaits::Target if is_lookup => {
-                let passed = Passed::Unknown { late: false, why: left() };
-                postbarrow_node::Event::Passed(passed)
+                let passed = AttemptOutcome::Unknown { late: false, why: left() };
+                postbarrow_node::Event::AttemptEnded(passed)
             }
             Awaits::Sending | Awaits::Target => return,
         };
--- a/crates/simulation/src/roll.rs
+++ b/crates/simulation/src/roll.rs
@@ -2,7 +2,7 @@
 
 use crate::event::{Event, Who};
 use crate::world::World;
-use postbarrow_constants::consensus::HAND_OVER_MS;
+use postbarrow_constants::consensus::LEADERSHIP_TRANSFER_MS;
 use postbarrow_constants::traffic::{STOP_UNREADY_MS, STOP_WAIT_MS};
 use postbarrow_controller::Input as ControlInput;
 use postbarrow_node::Input as DataInput;
@@ -30,11 +30,11 @@
             Who::Control(at) => {
                 let machine = &self.control[at];
                 let handed = machine.node.as_ref().is_some_and(|node| node.has_handed_over());
-                (machine.life == life, handed || past_ms >= HAND_OVER_MS)
+                (machine.life == life, handed || past_ms >= LEADERSHIP_TRANSFER_MS)
             }
             Who::Data(at) => {
                 let machine = &self.data[at];
-                let open = machine.node.as_ref().map_or(0, |node| node.open_questions());
+                let open = machine.node.as_ref().map_or(0, |node| node.pending_requests());
                 let at_work = self.requests.values().any(|request| request.is_at_work(at));
                 (machine.life == life, (open == 0 && !at_work) || past_ms >= STOP_WAIT_MS)
             }
--- a/crates/simulation/src/search/forwarded.rs
+++ b/crates/simulation/src/search/forwarded.rs
@@ -3,11 +3,11 @@
 use super::Model;
 use super::forwarded_log::{Entry, Member, Origin, Write, elsewhere};
 use super::forwarded_state::{ForwardedState, Progress, Way, address, new_client};
-use postbarrow_constants::coordination::{ASK_AGAIN_MS, ASK_CONTROLLER_MS};
+use postbarrow_constants::coordination::{CONTROLLER_REQUEST_MS, REQUEST_RETRY_MS};
 use postbarrow_controller_client::Effect;
 use postbarrow_messages::{Message, Request};
 use postbarrow_state::{Call, Name, Record};
-use postbarrow_transport::QuestionKeys;
+use postbarrow_transport::RequestKeys;
 
 /// One caller's call, at the client of one member.
 #[derive(Clone, Debug)]
@@ -63,7 +63,7 @@
 impl ForwardedCalls {
     /// As the programs draw keys: from the `QuestionKeys` of this life.
     fn key(&self, question: usize) -> u64 {
-        QuestionKeys::new(self.questions[question].life).next()
+        RequestKeys::new(self.questions[question].life).next()
     }
 
     fn question_of(&self, state: &ForwardedState, client: usize, key: u64) -> Option<usize> {
@@ -97,8 +97,12 @@
         let Question { client, id, call, .. } = self.questions[at].clone();
         state.progress[at] = Progress::Open { number: state.number() };
         let request = Request::Call { id, call };
-        let effects =
-            state.clients[client].ask(state.now_ms, self.key(at), request, ASK_CONTROLLER_MS);
+        let effects = state.clients[client].send_request(
+            state.now_ms,
+            self.key(at),
+            request,
+            CONTROLLER_REQUEST_MS,
+        );
         self.absorb(state, client, effects);
     }
 
@@ -223,11 +227,11 @@
             }
             Ticks => {
                 next.ticks -= 1;
-                next.now_ms += ASK_AGAIN_MS;
+                next.now_ms += REQUEST_RETRY_MS;
                 self.ticks(&mut next);
             }
             TimesOut => {
-                next.now_ms += ASK_CONTROLLER_MS;
+                next.now_ms += CONTROLLER_REQUEST_MS;
                 self.ticks(&mut next);
             }
             Commits => {
--- a/crates/simulation/src/search/forwarded_log.rs
+++ b/crates/simulation/src/search/forwarded_log.rs
@@ -109,11 +109,11 @@
 
 /// Whether a response says that the call was not done.
 pub fn refuses(response: &Response) -> bool {
-    use Outcome::{Conflict, Held, NoKey, NotHeld};
+    use Outcome::{Conflict, LockedByOther, NoKey, NotOwner};
     match response {
         Response::Full => true,
         Response::Outcome(outcome) => {
-            matches!(outcome, Held { .. } | NotHeld | Conflict { .. } | NoKey)
+            matches!(outcome, LockedByOther { .. } | NotOwner | Conflict { .. } | NoKey)
         }
         _ => false,
     }
--- a/crates/simulation/src/search/forwarded_state.rs
+++ b/crates/simulation/src/search/forwarded_state.rs
@@ -70,7 +70,7 @@
 /// A process's client at its start.
 pub fn new_client() -> ControllerClient {
     let mut client = ControllerClient::default();
-    client.learn(0, Some(address(0)), &[address(0), address(1)]);
+    client.on_members(0, Some(address(0)), &[address(0), address(1)]);
     client
 }
 
--- a/crates/simulation/src/search/request_flow.rs
+++ b/crates/simulation/src/search/request_flow.rs
@@ -3,7 +3,7 @@
 use super::request_plan::{context, entry, table, target_name};
 use super::request_wire::Kind;
 use postbarrow_messages::Response;
-use postbarrow_node::{Event, Now, Passed, RequestFlow, Step, Told};
+use postbarrow_node::{AttemptOutcome, Event, FlowContext, RequestFlow, RequestOutcome, Step};
 use postbarrow_state::{Name, Settlement};
 use std::collections::{BTreeMap, HashMap};
 
@@ -144,7 +144,7 @@
     let mut phases = [Phase::Away, Phase::Away];
     let mut tickets = [TicketEnd::None, TicketEnd::None];
     for (number, moment) in moments.iter().enumerate() {
-        let now = Now {
+        let now = FlowContext {
             now_ms: moment.now_ms,
             table: &table,
             serves: moment.serves,
@@ -166,7 +166,7 @@
 /// end is its end.
 fn ticket_after(ticket: TicketEnd, fed: Fed, step: &Step) -> TicketEnd {
     match step {
-        Step::AskTicket { .. } => TicketEnd::Open,
+        Step::RequestTicket { .. } => TicketEnd::Open,
         Step::Done { settling: Some(settling), .. } => {
             TicketEnd::Settled(match settling.settlement {
                 Settlement::Ran => Settled::Ran,
@@ -183,29 +183,33 @@
     match fed {
         Fed::Start => Event::Start,
         Fed::Connected => Event::Connected,
-        Fed::Unconnected => Event::Unconnected("refused".into()),
-        Fed::Granted => Event::Answered(Response::Granted),
-        Fed::Settled => Event::Answered(Response::Settled),
-        Fed::Unheard => Event::Answered(Response::TimedOut),
-        Fed::Passed(passed) => Event::Passed(match passed {
-            PassedAs::Whole(made_for) => Passed::Whole(super::request_wire::response(*made_for)),
-            PassedAs::Unsent => Passed::Unsent("unsent".into()),
-            PassedAs::NotRun => Passed::NotRun("it says so".into()),
-            PassedAs::Unknown { late } => Passed::Unknown { late: *late, why: "lost".into() },
+        Fed::Unconnected => Event::ConnectFailed("refused".into()),
+        Fed::Granted => Event::ControllerResponded(Response::Granted),
+        Fed::Settled => Event::ControllerResponded(Response::Settled),
+        Fed::Unheard => Event::ControllerResponded(Response::TimedOut),
+        Fed::Passed(passed) => Event::AttemptEnded(match passed {
+            PassedAs::Whole(made_for) => {
+                AttemptOutcome::Complete(super::request_wire::response(*made_for))
+            }
+            PassedAs::Unsent => AttemptOutcome::Unsent("unsent".into()),
+            PassedAs::NotRun => AttemptOutcome::NotRun("it says so".into()),
+            PassedAs::Unknown { late } => {
+                AttemptOutcome::Unknown { late: *late, why: "lost".into() }
+            }
         }),
     }
 }
 
 /// What a response is worth to the model.
-pub fn as_fed(passed: &Passed) -> Fed {
+pub fn as_fed(passed: &AttemptOutcome) -> Fed {
     Fed::Passed(match passed {
-        Passed::Whole(response) => {
+        AttemptOutcome::Complete(response) => {
             let made_for = std::str::from_utf8(&response.body).unwrap_or_default();
             PassedAs::Whole(made_for.parse().unwrap_or(usize::MAX))
         }
-        Passed::Unsent(_) => PassedAs::Unsent,
-        Passed::NotRun(_) => PassedAs::NotRun,
-        Passed::Unknown { late, .. } => PassedAs::Unknown { late: *late },
+        AttemptOutcome::Unsent(_) => PassedAs::Unsent,
+        AttemptOutcome::NotRun(_) => PassedAs::NotRun,
+        AttemptOutcome::Unknown { late, .. } => PassedAs::Unknown { late: *late },
     })
 }
 
@@ -214,17 +218,19 @@
         Step::Connect { target, .. } => {
             Phase::Connect(usize::from(target.instance == target_name(1)))
         }
-        Step::AskTicket { .. } => Phase::AskTicket,
-        Step::Pass { .. } => Phase::Pass,
+        Step::RequestTicket { .. } => Phase::AskTicket,
+        Step::Forward { .. } => Phase::Pass,
         Step::Settle { .. } => Phase::Settle,
-        Step::Done { verdict, .. } => match verdict.told {
-            Told::Whole(response) => {
+        Step::Done { verdict, .. } => match verdict.outcome {
+            RequestOutcome::Complete(response) => {
                 let made_for = std::str::from_utf8(&response.body).unwrap_or_default();
                 Phase::Answered(made_for.parse().unwrap_or(usize::MAX))
             }
-            Told::TargetFailed(_) | Told::TargetLate(_) | Told::TicketUnknown => Phase::ToldUnknown,
-            Told::ClientLeft => Phase::ClientLeft,
-            _ if verdict.about.sent => Phase::ToldUnknown,
+            RequestOutcome::TargetFailed(_)
+            | RequestOutcome::TargetLate(_)
+            | RequestOutcome::TicketUnknown => Phase::ToldUnknown,
+            RequestOutcome::ClientLeft => Phase::ClientLeft,
+            _ if verdict.evidence.sent => Phase::ToldUnknown,
             _ => Phase::PromisedNotRun,
         },
     }
--- a/crates/simulation/src/search/request_plan.rs
+++ b/crates/simulation/src/search/request_plan.rs
@@ -3,8 +3,8 @@
 use super::request_flow::{DEADLINE_MS, START_MS};
 use super::request_wire::Kind;
 use postbarrow_node::RequestContext;
-use postbarrow_routing::{Entry, Found, Table};
-use postbarrow_state::{Kind as RouteKind, Labels, Name, PlanHead, Route, Service, State, Target};
+use postbarrow_routing::{Entry, RouteMatch, Table};
+use postbarrow_state::{Labels, Name, PlanHead, Route, RouteKind, Service, State, Target};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -37,8 +37,10 @@
         Kind::Lookup => ("GET", "/stock"),
     };
     match table.find(method, path, &[]) {
-        Found::Route(entry) => entry,
-        Found::NoRoute | Found::OtherMethods(_) => panic!("the model's plan has this route"),
+        RouteMatch::Route(entry) => entry,
+        RouteMatch::NoRoute | RouteMatch::OtherMethods(_) => {
+            panic!("the model's plan has this route")
+        }
     }
 }
 
@@ -63,7 +65,7 @@
             draining: false,
             down: false,
             slots: 0,
-            cold: false,
+            warming_up: false,
         };
         state.targets.insert(target.instance.clone(), Arc::new(target));
     }
@@ -82,9 +84,9 @@
         concurrency: None,
         deadline_ms: DEADLINE_MS,
         host: None,
-        shares: Vec::new(),
-        tries: None,
-        goal_ms: None,
-        precedence: 0,
+        weighted_services: Vec::new(),
+        max_attempts: None,
+        latency_target_ms: None,
+        priority: 0,
     }
 }
--- a/crates/simulation/src/search/request_wire.rs
+++ b/crates/simulation/src/search/request_wire.rs
@@ -4,7 +4,7 @@
 //! the last look on, `read_own`) and `pools.rs` (`Pools::take`); the reading of a name mirrors
 //! `platform/src/front.rs` (`Named::heard`).
 
-use postbarrow_node::Passed;
+use postbarrow_node::AttemptOutcome;
 
 /// What may be done again: a lookup may, a one-time request may not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -63,7 +63,7 @@
 
 /// What reading came to, and whether the connection rests again.
 pub struct Read {
-    pub passed: Passed,
+    pub passed: AttemptOutcome,
     pub rests: bool,
 }
 
@@ -114,7 +114,7 @@
     /// As `TargetConnection::read_own`: reads up to a response that is not another's. `rest`:
     /// bytes that follow it are already read in.
     pub fn read(&mut self, client: usize, rest: bool, strict: bool) -> Option<Read> {
-        let unknown = |why: &str| Passed::Unknown { late: false, why: why.into() };
+        let unknown = |why: &str| AttemptOutcome::Unknown { late: false, why: why.into() };
         while !self.inbox.is_empty() {
             let answer = self.inbox.remove(0);
             let heard = self.heard(client, answer, strict);
@@ -124,8 +124,8 @@
                 Heard::Unsound => {
                     return Some(Read { passed: unknown("unsound"), rests: false });
                 }
-                Heard::NotRun => Passed::NotRun("it says so".into()),
-                Heard::Whole => Passed::Whole(response(answer.made_for)),
+                Heard::NotRun => AttemptOutcome::NotRun("it says so".into()),
+                Heard::Whole => AttemptOutcome::Complete(response(answer.made_for)),
             };
             let rests = self.inbox.is_empty() || !rest;
             return Some(Read { passed, rests });
--- a/crates/simulation/src/slow.rs
+++ b/crates/simulation/src/slow.rs
@@ -52,7 +52,7 @@
                 Write::Slot { snapshot, entries, .. } => {
                     snapshot.state.len() as u64 + size_bytes(entries)
                 }
-                Write::Hard(_) | Write::Truncate { .. } => 0,
+                Write::HardState(_) | Write::Truncate { .. } => 0,
             })
             .sum();
         usual_us * slow.sync_factor + bytes * 1_000_000 / slow.disk_bytes
--- a/crates/simulation/src/steps.rs
+++ b/crates/simulation/src/steps.rs
@@ -109,9 +109,9 @@
         let machine = &self.control[at];
         let Some(node) = machine.node.as_ref().filter(|node| node.is_leading()) else { return };
         let log = node.consensus();
-        let seats = log.log().config_index() > log.commit() || log.members().len() < 3;
+        let seats = log.log().config_index() > log.commit_index() || log.members().len() < 3;
         let busy = match strike.what {
-            What::Plan => log.commit() < log.last(),
+            What::Plan => log.commit_index() < log.last_index(),
             What::Members => seats || !log.learners().is_empty(),
             What::Seats => seats,
             What::Snapshot => machine.writes().any(|write| matches!(write, Write::Slot { .. })),
