--- a/crates/simulation/tests/many_changes.rs
+++ b/crates/simulation/tests/many_changes.rs
@@ -1,7 +1,7 @@
 //! A thousand changes leave no more behind than the first few hundred, and a member that comes late
 //! catches up while they go on.
 
-use postbarrow_constants::plans::TAKEN_PLANS;
+use postbarrow_constants::plans::ACCEPTED_PLANS;
 use postbarrow_simulation::{Fault, SlowMachine, World};
 
 const CHANGES: u64 = 1_000;
@@ -52,7 +52,7 @@
     }
 
     fn commit(&self, at: usize) -> u64 {
-        self.world.control[at].node.as_ref().map_or(0, |node| node.consensus().commit())
+        self.world.control[at].node.as_ref().map_or(0, |node| node.consensus().commit_index())
     }
 
     fn pass_ms(&mut self, for_ms: u64) {
@@ -82,12 +82,12 @@
 
     /// Until as many taken plans are remembered as ever are: a figure can only level off after it.
     fn fill_ledger(&mut self) {
-        while self.world.operator.acknowledged <= TAKEN_PLANS as u64 {
+        while self.world.operator.acknowledged <= ACCEPTED_PLANS as u64 {
             self.step();
         }
         let leader = &self.world.control[self.leader().expect("somebody leads")];
-        let remembered = leader.node.as_ref().map(|node| node.committed().taken_plans.len());
-        assert_eq!(remembered, Some(TAKEN_PLANS));
+        let remembered = leader.node.as_ref().map(|node| node.committed().accepted_plans.len());
+        assert_eq!(remembered, Some(ACCEPTED_PLANS));
     }
 
     fn check(&self) {
@@ -126,7 +126,7 @@
     let leader = run.world.control[run.leader().unwrap()].node.as_ref().unwrap();
     figures.state_bytes = rmp_serde::to_vec(leader.committed()).unwrap().len() as u64;
     let log = leader.consensus().log();
-    let entries = log.range(log.last().saturating_sub(200), log.last());
+    let entries = log.range(log.last_index().saturating_sub(200), log.last_index());
     figures.entry_bytes = entries.iter().map(|entry| entry.size() as u64).sum::<u64>() / 200;
     run.world.end_control(watched, false);
     run.pass_ms(100);
--- a/crates/startup/src/bounds.rs
+++ b/crates/startup/src/bounds.rs
@@ -1,5 +1,5 @@
-use postbarrow_constants::consensus::{LOG_BYTES, VOTER_DEAD_LEAST_MS, VOTER_DEAD_MS};
-use postbarrow_constants::coordination::HISTORY_KEEP_MS;
+use postbarrow_constants::consensus::{LOG_BYTES, VOTER_DEAD_MIN_MS, VOTER_DEAD_MS};
+use postbarrow_constants::coordination::HISTORY_RETENTION_MS;
 use postbarrow_constants::nodes::{LIST_GAP_MS, LIST_HURRY_MS, NODE_LEASE_MS};
 use postbarrow_constants::traffic::*;
 
@@ -45,7 +45,7 @@
 
 impl Bounds {
     /// How long a node serves on one answer of the controller.
-    pub fn hold_ms(&self) -> u64 {
+    pub fn node_lease_ms(&self) -> u64 {
         let given = [self.drain_ms, self.in_force_ms].into_iter().filter(|ms| *ms > 0).min();
         given.map_or(NODE_LEASE_MS, |ms| (ms * LEASE_PERCENT / 100).max(NODE_LEASE_MS))
     }
@@ -75,7 +75,7 @@
     pub fn voter_dead_ms(&self) -> u64 {
         match self.catch_up_ms {
             0 => VOTER_DEAD_MS,
-            catch_up_ms => (catch_up_ms / 2).clamp(VOTER_DEAD_LEAST_MS, VOTER_DEAD_MS),
+            catch_up_ms => (catch_up_ms / 2).clamp(VOTER_DEAD_MIN_MS, VOTER_DEAD_MS),
         }
     }
 
@@ -100,7 +100,7 @@
     }
 
     pub fn history_ms(&self) -> u64 {
-        HISTORY_KEEP_MS.max(self.history_ms * 5 / 4)
+        HISTORY_RETENTION_MS.max(self.history_ms * 5 / 4)
     }
 
     pub fn list_gap_ms(&self) -> u64 {
--- a/crates/startup/src/bounds/tests.rs
+++ b/crates/startup/src/bounds/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn what_a_deployment_leaves_open_is_the_products_own() {
     let own = Bounds::default();
-    assert_eq!(own.hold_ms(), NODE_LEASE_MS);
+    assert_eq!(own.node_lease_ms(), NODE_LEASE_MS);
     assert_eq!(own.stop_ms(), (STOP_UNREADY_MS, STOP_UNREADY_MS + STOP_WAIT_MS));
     assert_eq!(own.extra(), (RETRY_PERCENT, RETRIES_PER_S, RETRIES_SAVED));
     assert_eq!((own.bodies_bytes(), own.log_bytes()), (BODIES_BYTES as u64, LOG_BYTES));
@@ -25,7 +25,11 @@
 fn holds_and_stops_stay_within_what_a_deployment_allows() {
     for (drain_ms, in_force_ms, grace_ms) in [(2_500, 2_000, 6_000), (2_000, 2_000, 3_000)] {
         let bounds = Bounds { drain_ms, in_force_ms, grace_ms, ..Bounds::default() };
-        assert!(bounds.hold_ms() * 3 <= drain_ms.min(in_force_ms) * 2, "{}", bounds.hold_ms());
+        assert!(
+            bounds.node_lease_ms() * 3 <= drain_ms.min(in_force_ms) * 2,
+            "{}",
+            bounds.node_lease_ms()
+        );
         let (unready_ms, end_ms) = bounds.stop_ms();
         assert!(unready_ms * 2 < end_ms && end_ms + 200 <= grace_ms, "{unready_ms} {end_ms}");
     }
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -2,14 +2,14 @@
 
 mod bounds;
 mod logs;
-mod place;
 mod run;
-mod stop;
+mod settings;
+mod signals;
 
 pub use bounds::Bounds;
-pub use place::{Flags, Part, Startup};
 pub use run::checked;
-pub use stop::stop_asked;
+pub use settings::{Flags, ProgramKind, Startup};
+pub use signals::stop_requested;
 
 use logs::start_logs;
-use stop::{reread_asked, watch_signals};
+use signals::{reload_requested, watch_signals};
--- a/crates/startup/src/run.rs
+++ b/crates/startup/src/run.rs
@@ -1,12 +1,14 @@
-use crate::{Flags, Part, Startup, reread_asked, start_logs, stop_asked, watch_signals};
-use postbarrow_constants::traffic::LOOK_FOR_SIGNALS_MS;
+use crate::{
+    Flags, ProgramKind, Startup, reload_requested, start_logs, stop_requested, watch_signals,
+};
+use postbarrow_constants::traffic::SIGNAL_CHECK_MS;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::time::Duration;
 
 impl Startup {
     /// The settings file, if one is named, under the flags; findings come as one report to print.
-    pub fn load(part: Part, file: Option<&str>, flags: &Flags) -> Result<Startup, String> {
+    pub fn load(part: ProgramKind, file: Option<&str>, flags: &Flags) -> Result<Startup, String> {
         let text = match file {
             Some(file) => {
                 std::fs::read_to_string(file).map_err(|error| format!("{file}: {error}"))?
@@ -38,9 +40,9 @@
                 return ExitCode::FAILURE;
             }
         };
-        while !stop_asked() {
-            std::thread::sleep(Duration::from_millis(LOOK_FOR_SIGNALS_MS));
-            if reread_asked() {
+        while !stop_requested() {
+            std::thread::sleep(Duration::from_millis(SIGNAL_CHECK_MS));
+            if reload_requested() {
                 match again() {
                     Ok(startup) => seeds(&running, startup.seeds),
                     Err(findings) => {
--- a/crates/startup/src/place.rs
+++ b/crates/startup/src/settings.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum ProgramKind {
     DataPlane,
     ControlPlane,
 }
@@ -27,10 +27,10 @@
     /// No log is known to exist yet, so empty disks may begin one.
     pub first: bool,
     /// The data folder does not last, so this control node is never a member.
-    pub guest: bool,
+    pub observer: bool,
     /// Control nodes that begin the log together; none: any three with empty disks.
     pub founders: Option<Vec<SocketAddr>>,
-    pub list: Option<String>,
+    pub endpoint_list_url: Option<String>,
     pub log: Option<PathBuf>,
     pub level: log::LevelFilter,
     pub bounds: Bounds,
@@ -63,7 +63,7 @@
     }
 
     /// Reads the file, lets flags overrule it, and reports every finding of both together.
-    pub fn read(part: Part, file: &str, flags: &Flags) -> Result<Startup, Findings> {
+    pub fn read(part: ProgramKind, file: &str, flags: &Flags) -> Result<Startup, Findings> {
         let (value, mut reading) = Reading::parse(file)?;
         let from_file = read_fields(&value, &mut reading);
         let given = merge(from_file, flags);
@@ -72,7 +72,7 @@
             Some(made) => reading.finish(made),
             None => Err(reading.finish(()).err().unwrap_or_else(|| Findings {
                 findings: vec![Finding {
-                    place: "$".into(),
+                    field_path: "$".into(),
                     line: None,
                     offset: None,
                     message: "can't be read".into(),
@@ -122,7 +122,7 @@
     }
 }
 
-fn check(part: Part, given: Flags, reading: &mut Reading) -> Option<Startup> {
+fn check(part: ProgramKind, given: Flags, reading: &mut Reading) -> Option<Startup> {
     let mut address = |field: &str, text: Option<&String>| match text.map(|text| text.parse()) {
         Some(Ok(address)) => Some(address),
         Some(Err(_)) => {
@@ -156,18 +156,20 @@
         }
     }
     match (part, &given.data) {
-        (Part::ControlPlane, None) => reading.find("$.data", "is missing".into()),
-        (Part::DataPlane, Some(_)) => {
+        (ProgramKind::ControlPlane, None) => reading.find("$.data", "is missing".into()),
+        (ProgramKind::DataPlane, Some(_)) => {
             reading.find("$.data", "is for the control plane: data nodes have no disk".into())
         }
         _ => {}
     }
     match (part, &given.list) {
-        (Part::ControlPlane, None) => reading.find("$.list", "is missing".into()),
-        (Part::ControlPlane, Some(list)) if !list.starts_with("http://") => {
+        (ProgramKind::ControlPlane, None) => reading.find("$.list", "is missing".into()),
+        (ProgramKind::ControlPlane, Some(list)) if !list.starts_with("http://") => {
             reading.find("$.list", "must begin with http://".into())
         }
-        (Part::DataPlane, Some(_)) => reading.find("$.list", "is for the control plane".into()),
+        (ProgramKind::DataPlane, Some(_)) => {
+            reading.find("$.list", "is for the control plane".into())
+        }
         _ => {}
     }
     let level = match given.level.as_deref().unwrap_or("info").parse() {
@@ -187,9 +189,9 @@
         seeds,
         data: given.data.map(PathBuf::from),
         first: true,
-        guest: false,
+        observer: false,
         founders: None,
-        list: given.list,
+        endpoint_list_url: given.list,
         log: given.log.map(PathBuf::from),
         level,
         bounds: Bounds::default(),
--- a/crates/startup/src/place/tests.rs
+++ b/crates/startup/src/settings/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn every_finding_is_told_with_its_place() {
     let file = "{\n \"name\": \"\",\n \"zone\": 7,\n \"address\": \"here\",\n \"seeds\": [\"127.0.0.1:1\", \"x\"],\n \"dtaa\": \"/d\"\n}";
-    let findings = Startup::read(Part::ControlPlane, file, &Flags::default()).unwrap_err();
+    let findings = Startup::read(ProgramKind::ControlPlane, file, &Flags::default()).unwrap_err();
     let told = findings.to_string();
     for part in [
         "$.zone (line 3): must be a string",
@@ -31,7 +31,7 @@
         seeds: vec!["127.0.0.1:7000".into()],
         ..Flags::default()
     };
-    let startup = Startup::read(Part::DataPlane, "{\"zone\": \"b\"}", &flags).unwrap();
+    let startup = Startup::read(ProgramKind::DataPlane, "{\"zone\": \"b\"}", &flags).unwrap();
     assert_eq!(startup.zone, "a");
     assert_eq!(startup.seeds.len(), 1);
 }
--- a/crates/startup/src/stop.rs
+++ b/crates/startup/src/signals.rs
@@ -25,11 +25,11 @@
 }
 
 /// Whether a signal asked this process to stop.
-pub fn stop_asked() -> bool {
+pub fn stop_requested() -> bool {
     STOP.load(SeqCst)
 }
 
 /// Whether the settings are to be read again; true once a signal.
-pub fn reread_asked() -> bool {
+pub fn reload_requested() -> bool {
     REREAD.swap(false, SeqCst)
 }
--- a/crates/startup/tests/signals.rs
+++ b/crates/startup/tests/signals.rs
@@ -1,4 +1,4 @@
-use postbarrow_startup::{Flags, Part, Startup};
+use postbarrow_startup::{Flags, ProgramKind, Startup};
 use std::process::ExitCode;
 use std::sync::mpsc::channel;
 use std::time::Duration;
@@ -14,7 +14,7 @@
         level: text("off"),
         ..Flags::default()
     };
-    Startup::read(Part::DataPlane, "{}", &flags).unwrap()
+    Startup::read(ProgramKind::DataPlane, "{}", &flags).unwrap()
 }
 
 /// One test in this file, for signals are the whole process's.
--- a/crates/state/src/apply.rs
+++ b/crates/state/src/apply.rs
@@ -10,7 +10,7 @@
             Record::PlanStart { version, base } => {
                 let head = PlanHead { version: version.clone(), base: base.clone(), offset };
                 self.plan = Some(Arc::new(head));
-                self.callers = Callers::default();
+                self.callers = ClientLimits::default();
                 self.plan_text.clear();
                 self.services.clear();
                 self.routes.clear();
@@ -48,22 +48,22 @@
             }
             Record::Ticket(ticket) => {
                 let old = self.tickets.insert(ticket.key.clone(), Arc::new(ticket.clone()));
-                self.kept_bytes -= kept_bytes(old.as_ref());
+                self.stored_response_bytes -= kept_bytes(old.as_ref());
             }
             Record::Settled { key, settlement, response } => {
                 if let Some(ticket) = self.tickets.get_mut(key) {
-                    self.kept_bytes -= kept_bytes(Some(ticket));
+                    self.stored_response_bytes -= kept_bytes(Some(ticket));
                     let settled = Arc::make_mut(ticket);
-                    settled.settled = Some(*settlement);
+                    settled.settlement = Some(*settlement);
                     settled.response = response.clone().map(Arc::new);
                     settled.era = self.era;
-                    self.kept_bytes += kept_bytes(Some(ticket));
+                    self.stored_response_bytes += kept_bytes(Some(ticket));
                 }
             }
             Record::TicketsForgotten(keys) => {
                 for key in keys {
                     let old = self.tickets.remove(key);
-                    self.kept_bytes -= kept_bytes(old.as_ref());
+                    self.stored_response_bytes -= kept_bytes(old.as_ref());
                 }
             }
             Record::Repeat { id, outcome } => {
@@ -85,10 +85,10 @@
                 }
                 self.history_floor = self.history_floor.max(*floor);
             }
-            Record::Callers(callers) => self.callers = callers.clone(),
+            Record::ClientLimits(callers) => self.callers = callers.clone(),
             Record::Era { by } => self.era += by,
-            Record::PlanTaken { version, base, digest, began_at } => {
-                self.remember_taken(TakenPlan {
+            Record::PlanAccepted { version, base, digest, began_at } => {
+                self.remember_accepted(AcceptedPlan {
                     version: version.clone(),
                     base: base.clone(),
                     digest: *digest,
--- a/crates/state/src/coordination.rs
+++ b/crates/state/src/coordination.rs
@@ -16,7 +16,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Sort {
+pub enum ResourceKind {
     Lock,
     Number,
     Key,
@@ -40,11 +40,11 @@
 }
 
 impl Event {
-    pub fn sort(&self) -> Sort {
+    pub fn resource_kind(&self) -> ResourceKind {
         match self.change {
-            Change::Locked { .. } | Change::Freed => Sort::Lock,
-            Change::Number(_) => Sort::Number,
-            Change::Key(_) | Change::KeyGone => Sort::Key,
+            Change::Locked { .. } | Change::Freed => ResourceKind::Lock,
+            Change::Number(_) => ResourceKind::Number,
+            Change::Key(_) | Change::KeyGone => ResourceKind::Key,
         }
     }
 }
@@ -92,7 +92,7 @@
         name: Name,
     },
     Watch {
-        sort: Sort,
+        sort: ResourceKind,
         prefix: Name,
         after: Option<u64>,
     },
@@ -100,16 +100,32 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
-    Locked { fence: u64, ttl_ms: u64 },
-    Held { fence: u64 },
+    Locked {
+        fence: u64,
+        ttl_ms: u64,
+    },
+    #[serde(rename = "Held")]
+    LockedByOther {
+        fence: u64,
+    },
     Freed,
-    NotHeld,
+    #[serde(rename = "NotHeld")]
+    NotOwner,
     NoLock,
     Number(u64),
     Key(Key),
     NoKey,
-    Conflict { revision: u64 },
-    Removed { revision: u64 },
-    Events { events: Vec<Event>, next: u64 },
-    TooOld { floor: u64 },
+    Conflict {
+        revision: u64,
+    },
+    Removed {
+        revision: u64,
+    },
+    Events {
+        events: Vec<Event>,
+        next: u64,
+    },
+    TooOld {
+        floor: u64,
+    },
 }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,17 +1,17 @@
 //! What the log says: plans, targets, nodes, tickets, locks, numbers and keys, in persistent maps.
 
+mod accepted_plans;
 mod apply;
 mod coordination;
 mod patch;
 mod records;
 mod sample;
-mod taken;
 
+pub use accepted_plans::{AcceptedPlan, RefusedPlan};
 pub use coordination::*;
 pub use patch::{RouteSplice, Splice, TextSplice};
 pub use records::*;
 pub use sample::Sample;
-pub use taken::{RefusedPlan, TakenPlan};
 
 use compact_str::CompactString;
 use imbl::{OrdMap, Vector};
@@ -43,15 +43,15 @@
     pub era: u64,
     /// Bytes of kept responses in all.
     #[serde(default)]
-    pub kept_bytes: u64,
+    pub stored_response_bytes: u64,
     /// Remembered calls, oldest first, by the era of their result.
     #[serde(default)]
     pub repeat_queue: Vector<(u64, Name)>,
     #[serde(default)]
-    pub callers: Callers,
+    pub callers: ClientLimits,
     /// The plans taken last, oldest first, each built on the one before it.
     #[serde(default)]
-    pub taken_plans: Vector<Arc<TakenPlan>>,
+    pub accepted_plans: Vector<Arc<AcceptedPlan>>,
     /// The plans refused last because their base was never taken, oldest first.
     #[serde(default)]
     pub refused_plans: Vector<RefusedPlan>,
@@ -72,7 +72,7 @@
     }
 
     /// What data nodes keep: all that `Record::is_news` can change.
-    pub fn news_only(&self) -> State {
+    pub fn routing_view(&self) -> State {
         State {
             plan: self.plan.clone(),
             services: self.services.clone(),
--- a/crates/state/src/patch.rs
+++ b/crates/state/src/patch.rs
@@ -2,7 +2,7 @@
 
 use crate::Route;
 use imbl::Vector;
-use postbarrow_constants::plans::TEXT_PART_BYTES;
+use postbarrow_constants::plans::TEXT_CHUNK_BYTES;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -60,7 +60,7 @@
     }
     patched.extend_from_slice(&text[position..]);
     let mut old = parts.iter();
-    let even = patched.chunks(TEXT_PART_BYTES).map(|chunk| match old.next() {
+    let even = patched.chunks(TEXT_CHUNK_BYTES).map(|chunk| match old.next() {
         Some(part) if part.as_slice() == chunk => part.clone(),
         _ => Arc::new(chunk.to_vec()),
     });
--- a/crates/state/src/records.rs
+++ b/crates/state/src/records.rs
@@ -22,7 +22,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum RouteKind {
     Lookup,
     OneTime,
 }
@@ -31,7 +31,7 @@
 pub struct Route {
     pub path: Name,
     pub methods: Vec<Name>,
-    pub kind: Kind,
+    pub kind: RouteKind,
     pub service: Name,
     pub when: Option<String>,
     pub body_bytes: u64,
@@ -43,28 +43,28 @@
     pub host: Option<Name>,
     /// Services that share the route's asks by weight; empty: `service` takes all.
     #[serde(default)]
-    pub shares: Vec<Share>,
+    pub weighted_services: Vec<WeightedService>,
     /// Goes of one ask at most; none: the node's own bound.
     #[serde(default)]
-    pub tries: Option<u64>,
+    pub max_attempts: Option<u64>,
     /// Within this time a response has its full worth.
     #[serde(default)]
-    pub goal_ms: Option<u64>,
+    pub latency_target_ms: Option<u64>,
     /// 0 goes first where places run short.
     #[serde(default)]
-    pub precedence: u64,
+    pub priority: u64,
 }
 
 /// Bounds of requests; what a plan leaves open is the node's own.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Callers {
+pub struct ClientLimits {
     pub head_bytes: Option<u64>,
     pub head_wait_ms: Option<u64>,
     pub idle_ms: Option<u64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Share {
+pub struct WeightedService {
     pub service: Name,
     pub weight: u64,
 }
@@ -72,10 +72,10 @@
 impl Route {
     /// Every service that may run an ask of this route.
     pub fn services(&self) -> Vec<&Name> {
-        match self.shares.is_empty() {
+        match self.weighted_services.is_empty() {
             true => vec![&self.service],
             false => {
-                let some = self.shares.iter().filter(|share| share.weight > 0);
+                let some = self.weighted_services.iter().filter(|share| share.weight > 0);
                 some.map(|share| &share.service).collect()
             }
         }
@@ -96,7 +96,7 @@
     pub slots: u64,
     /// Just started, and slow for a while.
     #[serde(default)]
-    pub cold: bool,
+    pub warming_up: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -116,14 +116,14 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct StoredResponse {
     pub status: u16,
     pub headers: Vec<(String, String)>,
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
 
-impl Kept {
+impl StoredResponse {
     pub fn size(&self) -> usize {
         let headers = self.headers.iter().map(|(name, value)| name.len() + value.len());
         headers.sum::<usize>() + self.body.len()
@@ -139,8 +139,8 @@
     pub node: Incarnation,
     /// The node's own number of this go; no two goes share one.
     pub number: u64,
-    pub settled: Option<Settlement>,
-    pub response: Option<Arc<Kept>>,
+    pub settlement: Option<Settlement>,
+    pub response: Option<Arc<StoredResponse>>,
     /// The log's own time when it was settled.
     #[serde(default)]
     pub era: u64,
@@ -167,7 +167,7 @@
     Settled {
         key: Name,
         settlement: Settlement,
-        response: Option<Kept>,
+        response: Option<StoredResponse>,
     },
     TicketsForgotten(Vec<Name>),
     Lock {
@@ -196,13 +196,15 @@
         floor: u64,
     },
     /// What every caller is held to under this plan.
-    Callers(Callers),
+    #[serde(rename = "Callers")]
+    ClientLimits(ClientLimits),
     /// The log's own time goes on: so long, by its controllers' clocks, that none counted twice.
     Era {
         by: u64,
     },
     /// The open transaction's plan is taken; it stands in the same batch as the end.
-    PlanTaken {
+    #[serde(rename = "PlanTaken")]
+    PlanAccepted {
         version: Name,
         base: Option<Name>,
         digest: Digest,
@@ -223,14 +225,14 @@
 
 impl Record {
     /// What data nodes need for routing; the rest stays with the control plane.
-    pub fn is_news(&self) -> bool {
+    pub fn is_routing_update(&self) -> bool {
         matches!(
             self,
             Record::PlanStart { .. }
                 | Record::PlanDelta { .. }
                 | Record::ServiceGone(_)
                 | Record::RoutesPatch(_)
-                | Record::Callers(_)
+                | Record::ClientLimits(_)
                 | Record::Service(_)
                 | Record::Route(_)
                 | Record::Target(_)
--- a/crates/state/tests/taken.rs
+++ b/crates/state/tests/taken.rs
@@ -1,13 +1,13 @@
 //! The ledger of taken plans: filled with its transaction only, bounded, unbroken, and readable
 //! where an older state has none.
 
-use postbarrow_constants::plans::{REFUSED_PLANS, TAKEN_PLANS};
+use postbarrow_constants::plans::{ACCEPTED_PLANS, REFUSED_PLANS};
 use postbarrow_state::*;
-use postbarrow_transactions::{Image, Line, Tail};
+use postbarrow_transactions::{BatchRecord, Image, Tail};
 
 fn taken(version: &str, base: Option<&str>) -> Record {
     let base = base.map(Name::from);
-    Record::PlanTaken { version: version.into(), base, digest: [7; 32], began_at: 1 }
+    Record::PlanAccepted { version: version.into(), base, digest: [7; 32], began_at: 1 }
 }
 
 fn start(version: &str, base: Option<&str>) -> Record {
@@ -29,23 +29,23 @@
     let mut tail = Tail::new(0, chain(1));
     let before = tail.image().as_ref().clone();
     let open = [
-        Line::begin("plan"),
-        Line::Data(start("v1", Some("v0"))),
-        Line::Data(taken("v1", Some("v0"))),
+        BatchRecord::begin("plan"),
+        BatchRecord::Data(start("v1", Some("v0"))),
+        BatchRecord::Data(taken("v1", Some("v0"))),
     ];
     tail.apply(2, 10, &open).unwrap();
-    assert!(tail.staged().unwrap().taken_plan("v1").is_some());
-    tail.apply(3, 10, &[Line::abort("no")]).unwrap();
+    assert!(tail.staged().unwrap().accepted_plan("v1").is_some());
+    tail.apply(3, 10, &[BatchRecord::abort("no")]).unwrap();
     assert_eq!(*tail.image().as_ref(), before);
 }
 
 #[test]
 fn the_ledger_keeps_its_bound_and_the_oldest_goes_first() {
-    let state = chain(TAKEN_PLANS);
-    assert!(state.remembers_every_plan() && state.taken_plan("v0").is_some());
-    let state = chain(TAKEN_PLANS + 1);
-    assert_eq!(state.taken_plans.len(), TAKEN_PLANS);
-    assert!(state.taken_plan("v0").is_none() && state.taken_plan("v1").is_some());
+    let state = chain(ACCEPTED_PLANS);
+    assert!(state.remembers_every_plan() && state.accepted_plan("v0").is_some());
+    let state = chain(ACCEPTED_PLANS + 1);
+    assert_eq!(state.accepted_plans.len(), ACCEPTED_PLANS);
+    assert!(state.accepted_plan("v0").is_none() && state.accepted_plan("v1").is_some());
     assert!(!state.remembers_every_plan());
     let mut state = State::default();
     for at in 0..=REFUSED_PLANS {
@@ -62,7 +62,7 @@
     let mut state = chain(3);
     state.apply(9, &start("v9", Some("v8")));
     state.apply(9, &taken("v9", Some("v8")));
-    assert_eq!(state.taken_plans.len(), 1);
+    assert_eq!(state.accepted_plans.len(), 1);
     assert!(!state.remembers_every_plan());
 }
 
@@ -76,16 +76,16 @@
 
 #[test]
 fn data_nodes_keep_no_ledger() {
-    assert!(!taken("v1", None).is_news());
+    assert!(!taken("v1", None).is_routing_update());
     let refused = RefusedPlan { version: "v1".into(), digest: [1; 32] };
-    assert!(!Record::PlanRefused(refused).is_news());
-    assert!(chain(2).news_only().taken_plans.is_empty());
+    assert!(!Record::PlanRefused(refused).is_routing_update());
+    assert!(chain(2).routing_view().accepted_plans.is_empty());
 }
 
 #[test]
 fn a_state_written_before_the_ledger_is_read_with_an_empty_one() {
     let mut state = chain(1);
-    state.taken_plans.clear();
+    state.accepted_plans.clear();
     let mut old = rmp_serde::to_vec(&state).unwrap();
     assert_eq!(old[0], 0xdc, "an array with a length of two bytes");
     assert_eq!(old[old.len() - 2..], [0x90, 0x90], "two empty arrays at the end");
--- a/crates/storage/src/create.rs
+++ b/crates/storage/src/create.rs
@@ -2,7 +2,7 @@
 
 use crate::frame::read_slot;
 use crate::{Disk, LOGS, SLOTS, Storage, WriteError};
-use postbarrow_consensus::{Hard, MemberId};
+use postbarrow_consensus::{HardState, MemberId};
 use std::io;
 
 /// Bytes to keep for each of the two logs and each of the two slots.
@@ -22,7 +22,7 @@
             disk.sync(file)?;
         }
         let mut made = Storage::blank(disk, id);
-        made.slot(None, Hard::default(), Vec::new()).map_err(io::Error::from)?;
+        made.slot(None, HardState::default(), Vec::new()).map_err(io::Error::from)?;
         Ok(made)
     }
 
--- a/crates/storage/src/frame.rs
+++ b/crates/storage/src/frame.rs
@@ -1,4 +1,4 @@
-use postbarrow_consensus::{Entry, Hard, MemberId, Snapshot};
+use postbarrow_consensus::{Entry, HardState, MemberId, Snapshot};
 use postbarrow_constants::consensus::LOG_RECORD_BYTES;
 use serde::{Deserialize, Serialize};
 use std::io;
@@ -12,14 +12,14 @@
 pub(crate) struct SlotBody {
     pub generation: u64,
     pub id: MemberId,
-    pub hard: Hard,
+    pub hard: HardState,
     pub snapshot: Option<Arc<Snapshot>>,
 }
 
 #[derive(Serialize, Deserialize)]
 pub(crate) enum LogRecord {
     Start { entries: Vec<Entry> },
-    Hard(Hard),
+    Hard(HardState),
     Append(Vec<Entry>),
     Truncate { from: u64 },
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -12,7 +12,7 @@
 pub use recover::{Opened, open};
 
 use frame::{LogRecord, SlotBody, log_record, slot_bytes};
-use postbarrow_consensus::{Entry, Hard, MemberId, Recovered, Snapshot, Write};
+use postbarrow_consensus::{Entry, HardState, MemberId, RecoveredState, Snapshot, Write};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -68,7 +68,7 @@
         let mut count = 0;
         for write in &self.pending {
             let record = match write {
-                Write::Hard(hard) => LogRecord::Hard(*hard),
+                Write::HardState(hard) => LogRecord::Hard(*hard),
                 Write::Append(entries) => LogRecord::Append(entries.clone()),
                 Write::Truncate { from } => LogRecord::Truncate { from: *from },
                 Write::Slot { .. } => break,
@@ -94,7 +94,7 @@
     fn slot(
         &mut self,
         snapshot: Option<Arc<Snapshot>>,
-        hard: Hard,
+        hard: HardState,
         entries: Vec<Entry>,
     ) -> Result<(), WriteError> {
         let generation = self.generation + 1;
@@ -132,10 +132,10 @@
     }
 }
 
-fn recovered(body: &SlotBody) -> Recovered {
-    Recovered {
+fn recovered(body: &SlotBody) -> RecoveredState {
+    RecoveredState {
         term: body.hard.term,
-        voted: body.hard.voted,
+        voted_for: body.hard.voted_for,
         snapshot: body.snapshot.clone(),
         entries: Vec::new(),
     }
--- a/crates/storage/src/recover.rs
+++ b/crates/storage/src/recover.rs
@@ -3,7 +3,7 @@
 use crate::create::create_names;
 use crate::frame::{LogRecord, SlotBody, read_record, read_slot};
 use crate::{Disk, LOGS, SLOTS, Storage, recovered};
-use postbarrow_consensus::Recovered;
+use postbarrow_consensus::RecoveredState;
 use std::io;
 
 /// What a start finds on the disk.
@@ -13,7 +13,7 @@
     /// Synced memory is missing: this disk may not vote as who it was.
     Damaged { disk: D, finding: String },
     /// All that was promised.
-    Whole { storage: Storage<D>, recovered: Recovered },
+    Whole { storage: Storage<D>, recovered: RecoveredState },
 }
 
 /// Reads a disk back and makes sure that what was read lasts.
@@ -81,7 +81,7 @@
 }
 
 struct Replayed {
-    recovered: Recovered,
+    recovered: RecoveredState,
     bytes: u64,
     sequence: u64,
 }
@@ -100,7 +100,7 @@
             LogRecord::Start { entries } => recovered.entries = entries,
             LogRecord::Hard(hard) => {
                 recovered.term = hard.term;
-                recovered.voted = hard.voted;
+                recovered.voted_for = hard.voted_for;
             }
             LogRecord::Append(entries) => recovered.entries.extend(entries),
             LogRecord::Truncate { from } => recovered.entries.retain(|entry| entry.index < from),
--- a/crates/storage/tests/every_power_loss.rs
+++ b/crates/storage/tests/every_power_loss.rs
@@ -1,7 +1,7 @@
 //! Power is lost at every operation of a script, with every choice of the unsynced names and
 //! writes that are kept, each by itself.
 
-use postbarrow_consensus::{Entry, Hard, Member, Payload, Recovered, Snapshot, Write};
+use postbarrow_consensus::{Entry, HardState, Member, Payload, RecoveredState, Snapshot, Write};
 use postbarrow_simulation::SimDisk;
 use postbarrow_storage::{Disk, LOGS, Opened, Reservation, SLOTS, Storage, open};
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 const NEXT_MEMBER: u64 = 10;
 
 fn hard(term: u64) -> Write {
-    Write::Hard(Hard { term, voted: Some(term) })
+    Write::HardState(HardState { term, voted_for: Some(term) })
 }
 
 /// Entries differ in size, so that records of two tries seldom end at the same place.
@@ -23,7 +23,7 @@
     let members = vec![Member { id: MEMBER, address: "10.0.0.1:1".parse().unwrap() }];
     let state = vec![index as u8; 120 - 10 * index as usize];
     let snapshot = Arc::new(Snapshot { index, term, members, state });
-    Write::Slot { snapshot, hard: Hard { term, voted: Some(term) }, entries: Vec::new() }
+    Write::Slot { snapshot, hard: HardState { term, voted_for: Some(term) }, entries: Vec::new() }
 }
 
 /// Groups of writes, each promised once its sync has returned. Two generations go over each file,
@@ -55,8 +55,8 @@
 impl Promise {
     fn after(mut self, write: &Write) -> Promise {
         match write {
-            Write::Hard(hard) | Write::Slot { hard, .. } => {
-                (self.term, self.voted) = (hard.term, hard.voted);
+            Write::HardState(hard) | Write::Slot { hard, .. } => {
+                (self.term, self.voted) = (hard.term, hard.voted_for);
             }
             Write::Append(entries) => self.last = entries.last().unwrap().index,
             Write::Truncate { .. } => unreachable!("the script cuts nothing"),
@@ -69,10 +69,10 @@
         votes && self.last >= other.last
     }
 
-    fn of(found: &Recovered) -> Promise {
+    fn of(found: &RecoveredState) -> Promise {
         let kept = found.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let last = found.entries.last().map_or(kept, |entry| entry.index);
-        Promise { term: found.term, voted: found.voted, last }
+        Promise { term: found.term, voted: found.voted_for, last }
     }
 }
 
@@ -132,7 +132,9 @@
 fn vote_and_lose_power(disk: &SimDisk, told: &str) {
     let (mut storage, found) = start(disk, told);
     let vote = Promise { term: found.term + 1, voted: Some(77), last: found.last };
-    storage.apply(vec![Write::Hard(Hard { term: vote.term, voted: vote.voted })]).unwrap();
+    storage
+        .apply(vec![Write::HardState(HardState { term: vote.term, voted_for: vote.voted })])
+        .unwrap();
     for (choice, after) in choices(disk) {
         let (_, again) = start(&after, told);
         assert_eq!(again, vote, "{told}, then {choice:b}: the vote is forgotten");
--- a/crates/storage/tests/full.rs
+++ b/crates/storage/tests/full.rs
@@ -1,7 +1,7 @@
 //! A disk that is full: space that was kept, writes that are tried again, and failed syncs, which
 //! are not.
 
-use postbarrow_consensus::{Entry, Hard, Member, Payload, Recovered, Snapshot, Write};
+use postbarrow_consensus::{Entry, HardState, Member, Payload, RecoveredState, Snapshot, Write};
 use postbarrow_simulation::{DiskTrouble, Random, SimDisk};
 use postbarrow_storage::*;
 use std::cell::Cell;
@@ -23,7 +23,7 @@
 fn slot(index: u64) -> Write {
     let members = vec![Member { id: MEMBER, address: "10.0.0.1:1".parse().unwrap() }];
     let snapshot = Arc::new(Snapshot { index, term: 1, members, state: vec![7; 300] });
-    Write::Slot { snapshot, hard: Hard { term: 1, voted: Some(1) }, entries: Vec::new() }
+    Write::Slot { snapshot, hard: HardState { term: 1, voted_for: Some(1) }, entries: Vec::new() }
 }
 
 /// One group with two slots amid log records: each file is written.
@@ -31,7 +31,7 @@
     vec![append(1), slot(1), append(2), append(3), slot(3), append(4)]
 }
 
-fn reopen(disk: &SimDisk) -> (Storage<SimDisk>, Recovered) {
+fn reopen(disk: &SimDisk) -> (Storage<SimDisk>, RecoveredState) {
     match open(disk.clone()).unwrap() {
         Opened::Whole { storage, recovered } => (storage, recovered),
         Opened::Empty(_) => panic!("the disk is empty"),
@@ -39,7 +39,7 @@
     }
 }
 
-fn last(found: &Recovered) -> u64 {
+fn last(found: &RecoveredState) -> u64 {
     let kept = found.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
     found.entries.last().map_or(kept, |entry| entry.index)
 }
--- a/crates/storage/tests/power.rs
+++ b/crates/storage/tests/power.rs
@@ -1,4 +1,4 @@
-use postbarrow_consensus::{Entry, Hard, Member, Payload, Recovered, Snapshot, Write};
+use postbarrow_consensus::{Entry, HardState, Member, Payload, RecoveredState, Snapshot, Write};
 use postbarrow_simulation::{DiskTrouble, Random, SimDisk};
 use postbarrow_storage::{Disk, LOGS, Opened, SLOTS, Storage, open};
 use std::sync::Arc;
@@ -7,7 +7,7 @@
     Entry { term, index, payload: Payload::Batch(vec![index as u8; 40]) }
 }
 
-fn reopen(disk: &SimDisk) -> (Storage<SimDisk>, Recovered) {
+fn reopen(disk: &SimDisk) -> (Storage<SimDisk>, RecoveredState) {
     match open(disk.clone()).unwrap() {
         Opened::Whole { storage, recovered } => (storage, recovered),
         Opened::Empty(_) => panic!("the disk is empty"),
@@ -18,7 +18,7 @@
 fn slot(index: u64, term: u64, entries: Vec<Entry>) -> Write {
     let members = vec![Member { id: 1, address: "10.0.0.1:1".parse().unwrap() }];
     let snapshot = Arc::new(Snapshot { index, term, members, state: vec![7; 300] });
-    Write::Slot { snapshot, hard: Hard { term, voted: Some(1) }, entries }
+    Write::Slot { snapshot, hard: HardState { term, voted_for: Some(1) }, entries }
 }
 
 #[test]
@@ -34,7 +34,7 @@
             let write = match random.below(6) {
                 0 => {
                     term += 1;
-                    Write::Hard(Hard { term, voted: Some(2) })
+                    Write::HardState(HardState { term, voted_for: Some(2) })
                 }
                 1 if last > base => {
                     base = last - random.below(last - base);
@@ -46,7 +46,7 @@
                     Write::Append(vec![entry(term, last)])
                 }
             };
-            if matches!(write, Write::Hard(_) | Write::Slot { .. }) {
+            if matches!(write, Write::HardState(_) | Write::Slot { .. }) {
                 written = term;
             }
             storage.apply(vec![write]).unwrap();
@@ -129,8 +129,9 @@
             storage.apply(vec![Write::Append(vec![entry(1, next)])]).unwrap();
             disk.lose_power(&mut Random::new(7));
             let (_, kept) = reopen(&disk);
-            let indexes =
-                |got: &Recovered| got.entries.iter().map(|entry| entry.index).collect::<Vec<_>>();
+            let indexes = |got: &RecoveredState| {
+                got.entries.iter().map(|entry| entry.index).collect::<Vec<_>>()
+            };
             let wanted: Vec<u64> = (1..=next).collect();
             assert_eq!(indexes(&kept), wanted, "{trouble:?}, slot {slots}");
         }
--- a/crates/transactions/src/batch.rs
+++ b/crates/transactions/src/batch.rs
@@ -1,21 +1,21 @@
-use crate::Line;
+use crate::BatchRecord;
 use postbarrow_constants::plans::{BATCH_BYTES, MARKER_TEXT_BYTES};
 use serde::{Serialize, de::DeserializeOwned};
 
 /// Gate of the record format: a reader of another format stops instead of guessing.
 const FORMAT: u8 = 1;
 
-pub fn encode<R: Serialize>(lines: &[Line<R>]) -> Vec<u8> {
+pub fn encode<R: Serialize>(lines: &[BatchRecord<R>]) -> Vec<u8> {
     let mut bytes = vec![FORMAT];
     rmp_serde::encode::write(&mut bytes, lines).expect("records encode into memory");
     bytes
 }
 
-pub fn decode<R: DeserializeOwned>(bytes: &[u8]) -> Result<Vec<Line<R>>, String> {
+pub fn decode<R: DeserializeOwned>(bytes: &[u8]) -> Result<Vec<BatchRecord<R>>, String> {
     let Some((&FORMAT, body)) = bytes.split_first() else {
         return Err(format!("batch of unknown format {:?}", bytes.first()));
     };
-    let lines: Vec<Line<R>> =
+    let lines: Vec<BatchRecord<R>> =
         rmp_serde::from_slice(body).map_err(|error| format!("batch: {error}"))?;
     for (at, line) in lines.iter().enumerate() {
         if line.marker_text().is_some_and(|text| text.len() > MARKER_TEXT_BYTES) {
--- a/crates/transactions/src/lib.rs
+++ b/crates/transactions/src/lib.rs
@@ -5,8 +5,8 @@
 mod writer;
 
 pub use batch::{decode, encode, split};
-pub use tail::{Seen, Tail};
-pub use writer::{Refusal, Writer};
+pub use tail::{BatchOutcome, Tail};
+pub use writer::{TransactionError, Writer};
 
 use postbarrow_constants::plans::MARKER_TEXT_BYTES;
 use serde::{Deserialize, Serialize};
@@ -18,31 +18,31 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Line<R> {
+pub enum BatchRecord<R> {
     Begin { name: Option<String> },
     Data(R),
     End,
     Abort { reason: Option<String> },
 }
 
-impl<R> Line<R> {
+impl<R> BatchRecord<R> {
     pub fn begin(name: &str) -> Self {
-        Line::Begin { name: Some(cut(name)) }
+        BatchRecord::Begin { name: Some(truncate_marker_text(name)) }
     }
     pub fn abort(reason: &str) -> Self {
-        Line::Abort { reason: Some(cut(reason)) }
+        BatchRecord::Abort { reason: Some(truncate_marker_text(reason)) }
     }
     fn marker_text(&self) -> Option<&str> {
         match self {
-            Line::Begin { name } => name.as_deref(),
-            Line::Abort { reason } => reason.as_deref(),
+            BatchRecord::Begin { name } => name.as_deref(),
+            BatchRecord::Abort { reason } => reason.as_deref(),
             _ => None,
         }
     }
 }
 
 /// At most 255 bytes, cut between characters.
-pub fn cut(text: &str) -> String {
+pub fn truncate_marker_text(text: &str) -> String {
     let mut end = text.len().min(MARKER_TEXT_BYTES);
     while !text.is_char_boundary(end) {
         end -= 1;
--- a/crates/transactions/src/tail.rs
+++ b/crates/transactions/src/tail.rs
@@ -1,9 +1,9 @@
-use crate::{Image, Line};
+use crate::{BatchRecord, Image};
 use postbarrow_constants::plans::DELTA_BYTES;
 use std::sync::Arc;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum BatchOutcome {
     Published,
     Pending,
     Aborted { reason: Option<String> },
@@ -34,42 +34,42 @@
         &mut self,
         offset: u64,
         size_bytes: usize,
-        lines: &[Line<I::Record>],
-    ) -> Result<Seen, String> {
+        lines: &[BatchRecord<I::Record>],
+    ) -> Result<BatchOutcome, String> {
         if offset <= self.offset {
             return Err(format!("offset {offset} is not after {}", self.offset));
         }
         let mut pending = self.pending.clone();
         let mut image = None;
-        let mut seen = Seen::Pending;
+        let mut seen = BatchOutcome::Pending;
         for (at, line) in lines.iter().enumerate() {
             let base = || image.clone().unwrap_or_else(|| self.image.as_ref().clone());
             match (line, pending.take()) {
-                (Line::Begin { name }, None) => {
+                (BatchRecord::Begin { name }, None) => {
                     pending = Some(Pending { delta: base(), size_bytes: 0, name: name.clone() });
                 }
-                (Line::Data(record), Some(mut open)) => {
+                (BatchRecord::Data(record), Some(mut open)) => {
                     open.delta.apply(offset, record);
                     pending = Some(open);
                 }
-                (Line::Data(record), None) => {
+                (BatchRecord::Data(record), None) => {
                     let mut next = base();
                     next.apply(offset, record);
                     image = Some(next);
-                    seen = Seen::Published;
+                    seen = BatchOutcome::Published;
                 }
-                (Line::End, Some(open)) => {
+                (BatchRecord::End, Some(open)) => {
                     image = Some(open.delta);
-                    seen = Seen::Published;
+                    seen = BatchOutcome::Published;
                 }
-                (Line::Abort { reason }, Some(_)) => {
-                    seen = Seen::Aborted { reason: reason.clone() }
+                (BatchRecord::Abort { reason }, Some(_)) => {
+                    seen = BatchOutcome::Aborted { reason: reason.clone() }
                 }
-                (Line::Begin { .. }, Some(open)) => {
+                (BatchRecord::Begin { .. }, Some(open)) => {
                     let name = open.name.unwrap_or_default();
                     return Err(format!("offset {offset} line {at}: Begin within {name:?}"));
                 }
-                (Line::End | Line::Abort { .. }, None) => {
+                (BatchRecord::End | BatchRecord::Abort { .. }, None) => {
                     return Err(format!("offset {offset} line {at}: a close without Begin"));
                 }
             }
@@ -101,7 +101,7 @@
     pub fn is_open(&self) -> bool {
         self.pending.is_some()
     }
-    pub fn open_name(&self) -> Option<&str> {
+    pub fn open_transaction_name(&self) -> Option<&str> {
         self.pending.as_ref().and_then(|open| open.name.as_deref())
     }
     pub fn staged(&self) -> Option<&I> {
--- a/crates/transactions/tests/framing.rs
+++ b/crates/transactions/tests/framing.rs
@@ -13,41 +13,44 @@
     }
 }
 
-fn data(value: u64) -> Line<u64> {
-    Line::Data(value)
+fn data(value: u64) -> BatchRecord<u64> {
+    BatchRecord::Data(value)
 }
 
 #[test]
 fn nothing_is_visible_before_end_and_an_abort_leaves_no_trace() {
     let mut tail = Tail::new(0, Sum::default());
-    assert_eq!(tail.apply(1, 1, &[data(1)]), Ok(Seen::Published));
-    assert_eq!(tail.apply(2, 1, &[Line::begin("plan"), data(2)]), Ok(Seen::Pending));
-    assert_eq!(tail.apply(3, 1, &[data(3)]), Ok(Seen::Pending));
+    assert_eq!(tail.apply(1, 1, &[data(1)]), Ok(BatchOutcome::Published));
+    assert_eq!(tail.apply(2, 1, &[BatchRecord::begin("plan"), data(2)]), Ok(BatchOutcome::Pending));
+    assert_eq!(tail.apply(3, 1, &[data(3)]), Ok(BatchOutcome::Pending));
     assert_eq!(tail.image().0, [1]);
     assert_eq!(tail.staged().map(|staged| staged.0.clone()), Some(vec![1, 2, 3]));
-    let aborted = tail.apply(4, 1, &[data(4), Line::abort("broken")]);
-    assert_eq!(aborted, Ok(Seen::Aborted { reason: Some("broken".into()) }));
+    let aborted = tail.apply(4, 1, &[data(4), BatchRecord::abort("broken")]);
+    assert_eq!(aborted, Ok(BatchOutcome::Aborted { reason: Some("broken".into()) }));
     assert_eq!(tail.image().0, [1]);
-    assert_eq!(tail.apply(5, 1, &[Line::begin("again"), data(5), Line::End]), Ok(Seen::Published));
+    assert_eq!(
+        tail.apply(5, 1, &[BatchRecord::begin("again"), data(5), BatchRecord::End]),
+        Ok(BatchOutcome::Published)
+    );
     assert_eq!(tail.image().0, [1, 5]);
 }
 
 #[test]
 fn broken_framing_is_named_and_changes_nothing() {
     let mut tail = Tail::new(0, Sum::default());
-    assert!(tail.apply(1, 1, &[Line::End]).unwrap_err().contains("without Begin"));
-    assert!(tail.apply(1, 1, &[data(7), Line::abort("x")]).is_err());
+    assert!(tail.apply(1, 1, &[BatchRecord::End]).unwrap_err().contains("without Begin"));
+    assert!(tail.apply(1, 1, &[data(7), BatchRecord::abort("x")]).is_err());
     assert_eq!((tail.image().0.len(), tail.offset()), (0, 0));
-    tail.apply(1, 1, &[Line::begin("one")]).unwrap();
-    assert!(tail.apply(2, 1, &[Line::begin("two")]).unwrap_err().contains("within \"one\""));
-    assert_eq!(tail.open_name(), Some("one"));
+    tail.apply(1, 1, &[BatchRecord::begin("one")]).unwrap();
+    assert!(tail.apply(2, 1, &[BatchRecord::begin("two")]).unwrap_err().contains("within \"one\""));
+    assert_eq!(tail.open_transaction_name(), Some("one"));
     assert!(tail.apply(1, 1, &[data(1)]).unwrap_err().contains("not after"));
 }
 
 #[test]
 fn a_pending_delta_over_its_bound_is_refused() {
     let mut tail = Tail::new(0, Sum::default());
-    tail.apply(1, 10, &[Line::begin("big")]).unwrap();
+    tail.apply(1, 10, &[BatchRecord::begin("big")]).unwrap();
     tail.apply(2, DELTA_BYTES - 20, &[data(1)]).unwrap();
     assert!(tail.apply(3, 20, &[data(2)]).unwrap_err().contains("over"));
 }
@@ -55,29 +58,31 @@
 #[test]
 fn the_writer_goes_back_to_where_it_was_at_begin() {
     let mut writer = Writer::new(3, Sum(vec![1]));
-    assert_eq!(writer.begin(100, "plan"), Ok(Line::begin("plan")));
-    assert_eq!(writer.begin(100, "other"), Err(Refusal::AlreadyOpen));
+    assert_eq!(writer.begin(100, "plan"), Ok(BatchRecord::begin("plan")));
+    assert_eq!(writer.begin(100, "other"), Err(TransactionError::AlreadyOpen));
     writer.apply(2, &2);
     assert_eq!(writer.current().0, [1, 2]);
     assert_eq!(writer.rollback().map(|kept| kept.0.clone()), Some(vec![1]));
     assert!(!writer.is_overdue(100 + TRANSACTION_OPEN_MS - 1));
     assert!(writer.is_overdue(100 + TRANSACTION_OPEN_MS));
-    assert_eq!(writer.abort("late"), Ok(Line::abort("late")));
+    assert_eq!(writer.abort("late"), Ok(BatchRecord::abort("late")));
     assert_eq!(writer.current().0, [1]);
-    assert_eq!(writer.end(), Err(Refusal::NoneOpen));
+    assert_eq!(writer.end(), Err(TransactionError::NoneOpen));
     writer.begin(200, "big").unwrap();
     writer.grow(DELTA_BYTES).unwrap();
-    assert_eq!(writer.grow(1), Err(Refusal::OverDelta));
+    assert_eq!(writer.grow(1), Err(TransactionError::OverDelta));
 }
 
 #[test]
 fn marker_texts_are_cut_and_longer_ones_are_not_read() {
     let long = "ü".repeat(200);
-    let Line::<u64>::Begin { name: Some(name) } = Line::begin(&long) else { panic!("a name") };
+    let BatchRecord::<u64>::Begin { name: Some(name) } = BatchRecord::begin(&long) else {
+        panic!("a name")
+    };
     assert!(name.len() <= MARKER_TEXT_BYTES && name.len() > MARKER_TEXT_BYTES - 2);
-    let over = [Line::<u64>::Abort { reason: Some("r".repeat(MARKER_TEXT_BYTES + 1)) }];
+    let over = [BatchRecord::<u64>::Abort { reason: Some("r".repeat(MARKER_TEXT_BYTES + 1)) }];
     assert!(decode::<u64>(&encode(&over)).unwrap_err().contains("over 255"));
-    let whole = vec![Line::begin("a"), data(1), Line::End];
+    let whole = vec![BatchRecord::begin("a"), data(1), BatchRecord::End];
     assert_eq!(decode::<u64>(&encode(&whole)), Ok(whole));
     assert!(decode::<u64>(&[9, 1, 2]).unwrap_err().contains("unknown format"));
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -5,12 +5,12 @@
 mod link;
 mod listen;
 mod poll;
-mod question_keys;
-mod unheard;
+mod request_keys;
+mod tcp_timeouts;
 
 pub use clock::{clock_ms, random};
 pub use link::Links;
 pub use listen::listen;
 pub use poll::{Interest, Readiness, poll};
-pub use question_keys::QuestionKeys;
-pub use unheard::{give_up_unheard, probe_the_silent};
+pub use request_keys::RequestKeys;
+pub use tcp_timeouts::{enable_keepalive, set_unacknowledged_timeout};
--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -1,6 +1,6 @@
 //! Outgoing links.
 
-use crate::give_up_unheard;
+use crate::set_unacknowledged_timeout;
 use log::{debug, warn};
 use postbarrow_constants::traffic::*;
 use postbarrow_messages::{Envelope, Message, to_frame};
@@ -126,7 +126,7 @@
     let stream = TcpStream::connect_timeout(&to, Duration::from_millis(LINK_CONNECT_MS))?;
     stream.set_nodelay(true)?;
     stream.set_write_timeout(Some(Duration::from_millis(LINK_WRITE_MS)))?;
-    give_up_unheard(&stream, LINK_UNHEARD_MS)?;
+    set_unacknowledged_timeout(&stream, LINK_UNACKNOWLEDGED_MS)?;
     Ok(stream)
 }
 
--- a/crates/transport/src/listen.rs
+++ b/crates/transport/src/listen.rs
@@ -1,6 +1,6 @@
 //! Incoming links.
 
-use crate::probe_the_silent;
+use crate::enable_keepalive;
 use log::{debug, warn};
 use postbarrow_constants::traffic::{LINKS, STACK_BYTES};
 use postbarrow_messages::{Envelope, FrameError, read_frame};
@@ -44,7 +44,7 @@
 /// A peer whose machine vanished sends no end: without probes its place would be taken for good.
 fn prepare(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
-    probe_the_silent(stream)
+    enable_keepalive(stream)
 }
 
 fn read(stream: TcpStream, hand: &(impl Fn(Envelope) -> bool + ?Sized)) {
--- a/crates/transport/src/question_keys.rs
+++ b/crates/transport/src/request_keys.rs
@@ -6,15 +6,15 @@
 /// random bits, so that an answer to a question of an earlier life at the same address finds none
 /// of this one; and none comes twice, so that a late answer finds no other question.
 #[derive(Debug)]
-pub struct QuestionKeys {
+pub struct RequestKeys {
     life: u64,
     given: AtomicU64,
 }
 
-impl QuestionKeys {
+impl RequestKeys {
     /// `life` is drawn at random for each process.
-    pub fn new(life: u64) -> QuestionKeys {
-        QuestionKeys { life, given: AtomicU64::new(0) }
+    pub fn new(life: u64) -> RequestKeys {
+        RequestKeys { life, given: AtomicU64::new(0) }
     }
 
     /// A key that never came before in this life.
--- a/crates/transport/src/question_keys/tests.rs
+++ b/crates/transport/src/request_keys/tests.rs
@@ -4,13 +4,13 @@
 use std::collections::HashSet;
 
 fn keys(life: u64, count: usize) -> Vec<u64> {
-    let source = QuestionKeys::new(life);
+    let source = RequestKeys::new(life);
     (0..count).map(|_| source.next()).collect()
 }
 
 #[test]
 fn no_key_comes_twice_in_a_life_whichever_thread_draws_it() {
-    let source = QuestionKeys::new(u64::MAX - 5);
+    let source = RequestKeys::new(u64::MAX - 5);
     let drawn: Vec<u64> = std::thread::scope(|scope| {
         let threads: Vec<_> = (0..4)
             .map(|_| scope.spawn(|| (0..50).map(|_| source.next()).collect::<Vec<u64>>()))
--- a/crates/transport/src/unheard.rs
+++ b/crates/transport/src/tcp_timeouts.rs
@@ -11,7 +11,7 @@
 ///
 /// # Errors
 /// The socket takes no such option.
-pub fn give_up_unheard(stream: &TcpStream, wait_ms: u64) -> io::Result<()> {
+pub fn set_unacknowledged_timeout(stream: &TcpStream, wait_ms: u64) -> io::Result<()> {
     let wait = (wait_ms > 0).then(|| Duration::from_millis(wait_ms));
     SockRef::from(stream).set_tcp_user_timeout(wait)
 }
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 /// The socket takes no such option.
-pub fn probe_the_silent(stream: &TcpStream) -> io::Result<()> {
+pub fn enable_keepalive(stream: &TcpStream) -> io::Result<()> {
     let keepalive = TcpKeepalive::new()
         .with_time(Duration::from_millis(KEEPALIVE_IDLE_MS))
         .with_interval(Duration::from_millis(KEEPALIVE_INTERVAL_MS))
--- a/crates/transport/src/unheard/tests.rs
+++ b/crates/transport/src/tcp_timeouts/tests.rs
@@ -12,7 +12,7 @@
 fn the_system_takes_the_patience_and_gives_it_back() {
     let stream = connected();
     for wait_ms in [400, 0] {
-        give_up_unheard(&stream, wait_ms).unwrap();
+        set_unacknowledged_timeout(&stream, wait_ms).unwrap();
         let wait = SockRef::from(&stream).tcp_user_timeout().unwrap();
         assert_eq!(wait.map_or(0, |wait| wait.as_millis() as u64), wait_ms);
     }
@@ -22,7 +22,7 @@
 fn the_system_probes_a_silent_peer_and_gives_it_up() {
     let stream = connected();
     assert!(!SockRef::from(&stream).keepalive().unwrap());
-    probe_the_silent(&stream).unwrap();
+    enable_keepalive(&stream).unwrap();
     let socket = SockRef::from(&stream);
     assert!(socket.keepalive().unwrap());
     let idle = socket.tcp_keepalive_time().unwrap();
--- a/examples/replicated-sum/src/lib.rs
+++ b/examples/replicated-sum/src/lib.rs
@@ -2,7 +2,7 @@
 //! postbarrow's log, disk and links. One thread owns each member and works through its queue.
 
 use postbarrow_consensus::{
-    Consensus, Effect, Entry, Input, Member, Payload, Recovered, Snapshot, Write,
+    Consensus, Effect, Entry, Input, Member, Payload, RecoveredState, Snapshot, Write,
 };
 use postbarrow_constants::consensus::TICK_MS;
 use postbarrow_messages::{Envelope, Message};
@@ -53,7 +53,7 @@
         let (storage, recovered) = match open(FolderDisk::new(folder)?)? {
             Opened::Whole { storage, recovered } => (storage, recovered),
             Opened::Empty(disk) | Opened::Damaged { disk, .. } => {
-                (Storage::create(disk, random())?, Recovered::default())
+                (Storage::create(disk, random())?, RecoveredState::default())
             }
         };
         let listener = TcpListener::bind(at)?;
@@ -113,10 +113,10 @@
             let wait_ms = tick_ms.saturating_sub(clock_ms()).max(1);
             match queue.recv_timeout(Duration::from_millis(wait_ms)) {
                 Ok(Command::Envelope(Envelope { message, .. })) => self.receive(message),
-                Ok(Command::Begin(members)) => self.handle(Input::Form(members)),
-                Ok(Command::Welcome(member)) => self.handle(Input::Learner(member)),
+                Ok(Command::Begin(members)) => self.handle(Input::Bootstrap(members)),
+                Ok(Command::Welcome(member)) => self.handle(Input::AddLearner(member)),
                 Ok(Command::Add { by, reply }) if self.log.is_ready() => {
-                    self.waits.push_back((self.log.last() + 1, reply));
+                    self.waits.push_back((self.log.last_index() + 1, reply));
                     self.handle(Input::Propose(vec![by.to_le_bytes().to_vec()]));
                 }
                 Ok(Command::Read { reply }) => {
@@ -154,7 +154,7 @@
                     Effect::Commit(entries) => inputs.extend(self.commit(&entries)),
                     Effect::Restore(kept) => self.sum = read(&kept),
                     Effect::Role(_) => self.waits.clear(),
-                    Effect::Handed { .. } => {}
+                    Effect::LeadershipReceived { .. } => {}
                 }
             }
         }
--- a/programs/control-plane/src/client.rs
+++ b/programs/control-plane/src/client.rs
@@ -19,7 +19,11 @@
 ///
 /// # Errors
 /// Why none could be reached, one after the other.
-pub fn ask(control: &[String], path: &str, plan: Option<Vec<u8>>) -> Result<Answer, String> {
+pub fn send_command(
+    control: &[String],
+    path: &str,
+    plan: Option<Vec<u8>>,
+) -> Result<Answer, String> {
     let config = Agent::config_builder()
         .http_status_as_error(false)
         .proxy(None)
--- a/programs/control-plane/src/core.rs
+++ b/programs/control-plane/src/core.rs
@@ -2,7 +2,7 @@
 use crate::stopping::Stopping;
 use log::{info, warn};
 use postbarrow_constants::consensus::TICK_MS;
-use postbarrow_controller::{Contact, ControlNode, Effect, Input, PageResult, Snap};
+use postbarrow_controller::{Contact, ControlNode, Effect, Input, PageResult, PendingSnapshot};
 use postbarrow_controller_client::{ControllerClient, Effect as ClientEffect};
 use postbarrow_messages::{Envelope, Message, Request, Response};
 use postbarrow_transport::{Links, clock_ms};
@@ -118,9 +118,11 @@
         let members = if members.is_empty() { self.node.introduced() } else { members };
         let leader = log.leader().map(|member| member.address);
         match self.node.contact(now_ms) {
-            Contact::Outside => self.controller_client.learn(now_ms, leader, &members),
-            Contact::Leader(leader) => self.controller_client.learn(now_ms, Some(leader), &members),
-            Contact::Silent { since_ms } => self.controller_client.hears_no_leader(since_ms),
+            Contact::Outside => self.controller_client.on_members(now_ms, leader, &members),
+            Contact::Leader(leader) => {
+                self.controller_client.on_members(now_ms, Some(leader), &members)
+            }
+            Contact::Silent { since_ms } => self.controller_client.on_leader_lost(since_ms),
         }
         let effects = self.controller_client.tick(now_ms);
         self.carry_out(effects);
@@ -141,7 +143,7 @@
             }
             Command::Request { key, request, wait_ms, reply } => {
                 self.replies.insert(key, reply);
-                let effects = self.controller_client.ask(now_ms, key, request, wait_ms);
+                let effects = self.controller_client.send_request(now_ms, key, request, wait_ms);
                 self.carry_out(effects);
             }
             Command::Withdraw { key } => {
@@ -185,12 +187,12 @@
                     let _ = self.fetches.send(Fetch { number, cursor });
                 }
                 Effect::Encode(snap) => self.encode(snap),
-                Effect::Say(text) => info!("control: {text}"),
+                Effect::Log(text) => info!("control: {text}"),
             }
         }
     }
 
-    fn encode(&self, snap: Snap) {
+    fn encode(&self, snap: PendingSnapshot) {
         let commands = self.commands.clone();
         let spawned = thread::Builder::new().name("snapshot".into()).spawn(move || {
             let (index, state) = (snap.index, snap.encode());
--- a/programs/control-plane/src/opening.rs
+++ b/programs/control-plane/src/data_folder.rs
@@ -2,9 +2,9 @@
 
 use crate::disk::lock;
 use log::{info, warn};
-use postbarrow_consensus::Recovered;
+use postbarrow_consensus::RecoveredState;
 use postbarrow_constants::consensus::DISK_FULL_PAUSE_MS;
-use postbarrow_startup::{Bounds, stop_asked};
+use postbarrow_startup::{Bounds, stop_requested};
 use postbarrow_storage::{FolderDisk, Opened, Reservation, Storage, is_full, open};
 use postbarrow_transport::random;
 use std::io;
@@ -14,7 +14,10 @@
 
 /// What the folder kept, or a new member's storage. A folder that does not last is not locked: its
 /// process is never a member, and file systems in memory may have no locks.
-pub fn open_folder(folder: &Path, lasts: bool) -> io::Result<(Storage<FolderDisk>, Recovered)> {
+pub fn open_folder(
+    folder: &Path,
+    lasts: bool,
+) -> io::Result<(Storage<FolderDisk>, RecoveredState)> {
     while_full(|| FolderDisk::new(folder.to_path_buf()))?;
     if lasts {
         while_full(|| lock(folder))?;
@@ -27,16 +30,16 @@
     Reservation { log_bytes: bounds.reserved_log_bytes(), slot_bytes: bounds.reserved_slot_bytes() }
 }
 
-fn open_disk(folder: &Path) -> io::Result<(Storage<FolderDisk>, Recovered)> {
+fn open_disk(folder: &Path) -> io::Result<(Storage<FolderDisk>, RecoveredState)> {
     match open(FolderDisk::new(folder.to_path_buf())?)? {
         Opened::Whole { storage, recovered } => Ok((storage, recovered)),
         Opened::Empty(disk) => {
             info!("disk: {} is empty, this is a new member", folder.display());
-            Ok((Storage::create(disk, random())?, Recovered::default()))
+            Ok((Storage::create(disk, random())?, RecoveredState::default()))
         }
         Opened::Damaged { disk, finding } => {
             warn!("disk: {finding}; what it knew is lost, this is a new member");
-            Ok((Storage::create(disk, random())?, Recovered::default()))
+            Ok((Storage::create(disk, random())?, RecoveredState::default()))
         }
     }
 }
@@ -46,7 +49,7 @@
     let mut said = false;
     loop {
         match step() {
-            Err(error) if is_full(&error) && !stop_asked() => {
+            Err(error) if is_full(&error) && !stop_requested() => {
                 if !std::mem::replace(&mut said, true) {
                     warn!("disk: {error}; the start waits for space");
                 }
--- a/programs/control-plane/src/disk/tests.rs
+++ b/programs/control-plane/src/disk/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the disk's worker.
 
 use super::*;
-use postbarrow_consensus::Hard;
+use postbarrow_consensus::HardState;
 use std::collections::HashMap;
 use std::sync::Mutex;
 use std::sync::atomic::AtomicU64;
@@ -94,7 +94,7 @@
 }
 
 fn vote(term: u64) -> Write {
-    Write::Hard(Hard { term, voted: Some(9) })
+    Write::HardState(HardState { term, voted_for: Some(9) })
 }
 
 fn assert_synced(told: &Receiver<Command>, sequence: u64) {
--- a/programs/control-plane/src/lib.rs
+++ b/programs/control-plane/src/lib.rs
@@ -2,22 +2,22 @@
 
 #![deny(missing_docs)]
 
-mod asker;
 pub mod client;
 mod core;
+mod data_folder;
 mod dialect;
 mod disk;
-mod door;
-mod list;
-mod opening;
+mod endpoint_list;
+mod listener;
 mod operator;
-mod rehearse;
+mod rehearsal;
+mod request_sender;
 mod stopping;
 
 use crate::core::{Command, Core};
 use log::info;
 use postbarrow_consensus::Member;
-use postbarrow_constants::consensus::HAND_OVER_MS;
+use postbarrow_constants::consensus::LEADERSHIP_TRANSFER_MS;
 use postbarrow_constants::coordination::SUBMIT_WAIT_MS;
 use postbarrow_controller::ControlNode;
 use postbarrow_startup::Startup;
@@ -31,16 +31,16 @@
 use std::thread;
 use std::time::Duration;
 
-pub use asker::Asker;
-pub use dialect::{Dialect, Own};
-pub use door::{CallerRequest, Callers, open_door};
+pub use dialect::{Dialect, NativeDialect};
+pub use listener::{ClientHandler, ClientRequest, listen_for_clients};
+pub use request_sender::RequestSender;
 
 /// A running control node.
 pub struct ControlPlane {
     commands: Sender<Command>,
     address: SocketAddr,
     http: SocketAddr,
-    asker: Asker,
+    asker: RequestSender,
 }
 
 impl ControlPlane {
@@ -49,24 +49,27 @@
     /// # Errors
     /// A folder, address or thread is refused.
     pub fn start(startup: &Startup) -> io::Result<ControlPlane> {
-        ControlPlane::speaking(startup, Arc::new(Own))
+        ControlPlane::start_with_dialect(startup, Arc::new(NativeDialect))
     }
 
     /// The same node for operators, applications and a list that speak another dialect.
     ///
     /// # Errors
     /// A folder, address or thread is refused.
-    pub fn speaking(startup: &Startup, dialect: Arc<dyn Dialect>) -> io::Result<ControlPlane> {
+    pub fn start_with_dialect(
+        startup: &Startup,
+        dialect: Arc<dyn Dialect>,
+    ) -> io::Result<ControlPlane> {
         let folder = startup.data.clone().ok_or(io::ErrorKind::InvalidInput)?;
-        let (storage, recovered) = opening::open_folder(&folder, !startup.guest)?;
+        let (storage, recovered) = data_folder::open_folder(&folder, !startup.observer)?;
         let (links, address) = startup.listen()?;
         let own = Member { id: storage.id(), address };
         info!("control: {} is member {:016x} at {}", startup.name, own.id, own.address);
         let (commands, queue) = channel();
-        let reservation = (!startup.guest).then(|| opening::reservation(&startup.bounds));
+        let reservation = (!startup.observer).then(|| data_folder::reservation(&startup.bounds));
         let writes = disk::start(storage, reservation, commands.clone())?;
-        let fetches = list::start(
-            startup.list.clone().unwrap_or_default(),
+        let fetches = endpoint_list::start(
+            startup.endpoint_list_url.clone().unwrap_or_default(),
             dialect.clone(),
             commands.clone(),
         )?;
@@ -77,20 +80,20 @@
         if let Some(founders) = &startup.founders {
             node = node.with_founders(founders);
         }
-        if startup.guest {
+        if startup.observer {
             info!("control: {} has no disk that lasts, it only hands questions on", startup.name);
-            node = node.as_guest();
+            node = node.as_observer();
         }
         if !startup.first {
             node = node.with_known_log();
         }
-        let asker = Asker::new(commands.clone());
+        let asker = RequestSender::new(commands.clone());
         let open_requests = asker.open_requests();
         let core = Core::new(node, own.address, writes, fetches, commands.clone(), open_requests);
         thread::Builder::new().name("control".into()).spawn(move || core.run(queue))?;
         let hand = commands.clone();
         listen(links, move |envelope| hand.send(Command::Envelope(envelope)).is_ok())?;
-        let http = open_door(startup.http, asker.clone(), dialect.callers())?;
+        let http = listen_for_clients(startup.http, asker.clone(), dialect.callers())?;
         Ok(ControlPlane { commands, address, http, asker })
     }
 
@@ -120,7 +123,8 @@
         self.asker.stop();
         let (done, ended) = channel();
         if self.commands.send(Command::Stop(done)).is_ok() {
-            let _ = ended.recv_timeout(Duration::from_millis(SUBMIT_WAIT_MS + HAND_OVER_MS));
+            let _ =
+                ended.recv_timeout(Duration::from_millis(SUBMIT_WAIT_MS + LEADERSHIP_TRANSFER_MS));
         }
         info!("control: ends");
     }
--- a/programs/control-plane/src/door.rs
+++ b/programs/control-plane/src/listener.rs
@@ -1,14 +1,14 @@
 //! The door of a control node: connections of operators and applications, each on a small thread.
 
-use crate::Asker;
+use crate::RequestSender;
 use log::warn;
 use postbarrow_constants::plans::PLAN_TEXT_BYTES;
-use postbarrow_constants::traffic::{BODY_WAIT_MS, DESKS, STACK_BYTES};
+use postbarrow_constants::traffic::{BODY_WAIT_MS, CLIENT_CONNECTIONS, STACK_BYTES};
 use postbarrow_downstream::body::{self, Body};
 use postbarrow_downstream::client_watch::ClientWatch;
-use postbarrow_downstream::connection::{Connection, Next, Patience};
+use postbarrow_downstream::connection::{Connection, Next, ReadLimits};
 use postbarrow_downstream::head::{Head, Reject};
-use postbarrow_downstream::memory::Memory;
+use postbarrow_downstream::memory_budget::MemoryBudget;
 use postbarrow_node::TargetResponse;
 use postbarrow_transport::clock_ms;
 use std::io;
@@ -24,27 +24,27 @@
 const ACCEPT_AGAIN_MS: u64 = 10;
 
 /// What the callers of a door speak.
-pub trait Callers: Send + Sync {
+pub trait ClientHandler: Send + Sync {
     /// Answers a request that was read whole.
-    fn answer(&self, request: &CallerRequest<'_>) -> TargetResponse;
+    fn answer(&self, request: &ClientRequest<'_>) -> TargetResponse;
 
     /// Answers one that could not be read.
     fn reject(&self, status: u16, why: &str) -> TargetResponse;
 }
 
 /// A request at the door, read whole.
-pub struct CallerRequest<'a> {
+pub struct ClientRequest<'a> {
     /// Its head.
     pub head: &'a Head,
     /// Its whole body.
     pub body: &'a [u8],
     /// Asks the controller.
-    pub asker: &'a Asker,
+    pub requests: &'a RequestSender,
     /// Tells whether the caller still waits.
     pub client: &'a ClientWatch<'a>,
 }
 
-impl CallerRequest<'_> {
+impl ClientRequest<'_> {
     /// A value in the query, as it stands there; empty where there is only the name.
     pub fn query(&self, name: &str) -> Option<&str> {
         let pairs = self.head.query().split('&');
@@ -57,17 +57,17 @@
 ///
 /// # Errors
 /// The address can't be bound.
-pub fn open_door(
+pub fn listen_for_clients(
     address: SocketAddr,
-    asker: Asker,
-    callers: Arc<dyn Callers>,
+    asker: RequestSender,
+    callers: Arc<dyn ClientHandler>,
 ) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(address)?;
     let address = listener.local_addr()?;
     let door = Door {
         asker,
         callers,
-        bodies: Memory::new(PLANS_AT_ONCE * PLAN_TEXT_BYTES as u64),
+        bodies: MemoryBudget::new(PLANS_AT_ONCE * PLAN_TEXT_BYTES as u64),
         open: Arc::default(),
     };
     thread::Builder::new().name("door".into()).spawn(move || door.accept(&listener))?;
@@ -76,9 +76,9 @@
 
 #[derive(Clone)]
 struct Door {
-    asker: Asker,
-    callers: Arc<dyn Callers>,
-    bodies: Arc<Memory>,
+    asker: RequestSender,
+    callers: Arc<dyn ClientHandler>,
+    bodies: Arc<MemoryBudget>,
     /// Connections that are open.
     open: Arc<AtomicUsize>,
 }
@@ -94,7 +94,7 @@
                     continue;
                 }
             };
-            if self.open.load(Relaxed) >= DESKS {
+            if self.open.load(Relaxed) >= CLIENT_CONNECTIONS {
                 continue;
             }
             self.open.fetch_add(1, Relaxed);
@@ -116,7 +116,7 @@
     fn serve(&self, stream: TcpStream) {
         let Ok(mut connection) = Connection::new(stream) else { return };
         loop {
-            let head = match connection.next(Patience::default(), || self.asker.is_stopping()) {
+            let head = match connection.next(ReadLimits::default(), || self.asker.is_stopping()) {
                 Next::Head(head) => head,
                 Next::Closed => return,
                 Next::Reject(reject) => return self.reject(&mut connection, reject),
@@ -126,10 +126,10 @@
                 Ok(body) => body,
                 Err(reject) => return self.reject(&mut connection, reject),
             };
-            let response = self.callers.answer(&CallerRequest {
+            let response = self.callers.answer(&ClientRequest {
                 head: &head,
                 body: &body.bytes,
-                asker: &self.asker,
+                requests: &self.asker,
                 client: &connection.watch(),
             });
             let close = head.close || self.asker.is_stopping();
@@ -140,7 +140,7 @@
     }
 
     fn read_body(&self, connection: &mut Connection, head: &Head) -> Result<Body, Reject> {
-        if head.waits && connection.go_on().is_err() {
+        if head.expects_continue && connection.send_continue().is_err() {
             return Err(body::CLIENT_LEFT);
         }
         let until_ms = clock_ms() + BODY_WAIT_MS;
--- a/programs/control-plane/src/door/tests.rs
+++ b/programs/control-plane/src/listener/tests.rs
@@ -15,15 +15,15 @@
 
 struct Rig {
     address: SocketAddr,
-    asker: Asker,
+    asker: RequestSender,
     commands: Receiver<Command>,
 }
 
 fn door() -> Rig {
     let (sender, commands) = channel();
-    let asker = Asker::new(sender);
+    let asker = RequestSender::new(sender);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let address = open_door(any, asker.clone(), Arc::new(Operators)).unwrap();
+    let address = listen_for_clients(any, asker.clone(), Arc::new(Operators)).unwrap();
     Rig { address, asker, commands }
 }
 
@@ -97,10 +97,10 @@
         let rig = door();
         let stream = rig.send(&submission(query));
         let (_, request, reply) = rig.asked();
-        assert!(matches!(request, Request::Recent), "{request:?}");
+        assert!(matches!(request, Request::RequestSamples), "{request:?}");
         stream.shutdown(Shutdown::Both).unwrap();
         drop(stream);
-        let none = Response::Recent { samples: Vec::new(), seen: 0, seconds: 1 };
+        let none = Response::RequestSamples { samples: Vec::new(), seen: 0, seconds: 1 };
         let _ = reply.send(none);
         rig.rests();
         let asked_more = rig
--- a/programs/control-plane/src/main.rs
+++ b/programs/control-plane/src/main.rs
@@ -1,7 +1,7 @@
 use gumdrop::Options;
 use postbarrow_control_plane::{ControlPlane, client};
 use postbarrow_plan::Plan;
-use postbarrow_startup::{Flags, Part, Startup, checked};
+use postbarrow_startup::{Flags, ProgramKind, Startup, checked};
 use std::process::ExitCode;
 
 /// Keeps the replicated log; its commands are the operator's.
@@ -140,7 +140,7 @@
         log: place.log,
         level: place.level,
     };
-    let load = || Startup::load(Part::ControlPlane, place.startup.as_deref(), &flags);
+    let load = || Startup::load(ProgramKind::ControlPlane, place.startup.as_deref(), &flags);
     checked(load(), |startup| then(startup, &load))
 }
 
@@ -175,7 +175,7 @@
         eprintln!("--control is needed");
         return ExitCode::from(2);
     }
-    match client::ask(control, path, plan) {
+    match client::send_command(control, path, plan) {
         Ok(answer) => {
             for (name, value) in &answer.about {
                 eprintln!("{name}: {value}");
--- a/programs/control-plane/src/operator.rs
+++ b/programs/control-plane/src/operator.rs
@@ -1,7 +1,7 @@
 //! What operators speak at the product's own door.
 
-use crate::door::{CallerRequest, Callers};
-use crate::rehearse::{self, Allowed, NoController};
+use crate::listener::{ClientHandler, ClientRequest};
+use crate::rehearsal::{self, Allowed, NoController};
 use facet::Facet;
 use log::info;
 use postbarrow_constants::coordination::SUBMIT_WAIT_MS;
@@ -33,9 +33,10 @@
     traffic: Traffic,
 }
 
-impl Callers for Operators {
-    fn answer(&self, request: &CallerRequest<'_>) -> TargetResponse {
-        let ask = |question: Request| request.asker.ask(question, SUBMIT_WAIT_MS, request.client);
+impl ClientHandler for Operators {
+    fn answer(&self, request: &ClientRequest<'_>) -> TargetResponse {
+        let ask =
+            |question: Request| request.requests.ask(question, SUBMIT_WAIT_MS, request.client);
         serve(request, &ask)
     }
 
@@ -46,7 +47,7 @@
 
 type Ask<'a> = &'a dyn Fn(Request) -> Response;
 
-fn serve(request: &CallerRequest<'_>, ask: Ask<'_>) -> TargetResponse {
+fn serve(request: &ClientRequest<'_>, ask: Ask<'_>) -> TargetResponse {
     match (request.head.method.as_str(), request.head.path()) {
         ("POST", "/plans") => submit(request, ask),
         ("GET", "/plan") => tell(ask(Request::Show)),
@@ -62,12 +63,12 @@
 
 /// Rehearses the plan on recent requests and hands it over. An operator that left meanwhile hands
 /// over nothing.
-fn submit(request: &CallerRequest<'_>, ask: Ask<'_>) -> TargetResponse {
+fn submit(request: &ClientRequest<'_>, ask: Ask<'_>) -> TargetResponse {
     let plan = match Plan::read(request.body) {
         Ok(plan) => plan,
         Err(findings) => {
             let rows = findings.findings.into_iter().map(|finding| Finding {
-                place: finding.place,
+                place: finding.field_path,
                 line: finding.line.map(|line| line as u64),
                 message: finding.message,
             });
@@ -78,7 +79,7 @@
         Ok(allowed) => allowed,
         Err(findings) => return refused(400, &findings.join("; "), Vec::new()),
     };
-    let traffic = match rehearse::traffic(&plan, ask) {
+    let traffic = match rehearsal::traffic(&plan, ask) {
         Ok(traffic) => traffic,
         Err(NoController) if allowed.is_bounded() => return tell(Response::Unavailable),
         Err(NoController) => Traffic::unknown("no controller told of recent asks"),
--- a/programs/control-plane/src/operator/tests.rs
+++ b/programs/control-plane/src/operator/tests.rs
@@ -1,7 +1,7 @@
 //! What the operator's door says without a controller.
 
 use super::*;
-use crate::Asker;
+use crate::RequestSender;
 use postbarrow_downstream::client_watch::ClientWatch;
 use postbarrow_downstream::head::parse;
 use std::sync::mpsc::channel;
@@ -12,10 +12,10 @@
     let head = format!("{method} {url} HTTP/1.1\r\nHost: x\r\n\r\n");
     let (head, _) = parse(head.as_bytes()).unwrap().unwrap();
     let (commands, _) = channel();
-    let request = CallerRequest {
+    let request = ClientRequest {
         head: &head,
         body: if method == "POST" { PLAN.as_bytes() } else { &[] },
-        asker: &Asker::new(commands),
+        requests: &RequestSender::new(commands),
         client: &ClientWatch::nobody(),
     };
     let response = serve(&request, &|_| told.clone());
--- a/programs/control-plane/src/rehearse.rs
+++ b/programs/control-plane/src/rehearsal.rs
@@ -1,9 +1,9 @@
 //! What a plan would change for recent requests, and how much of that its operator allows.
 
-use crate::door::CallerRequest;
+use crate::listener::ClientRequest;
 use postbarrow_messages::{Request, Response};
 use postbarrow_plan::Plan;
-use postbarrow_routing::{Recent, Traffic};
+use postbarrow_routing::{RecentRequests, Traffic};
 
 /// No controller told what recent requests would meet.
 #[derive(Debug, PartialEq, Eq)]
@@ -22,7 +22,7 @@
     ///
     /// # Errors
     /// Every bound that is no whole number.
-    pub fn read(request: &CallerRequest<'_>) -> Result<Allowed, Vec<String>> {
+    pub fn read(request: &ClientRequest<'_>) -> Result<Allowed, Vec<String>> {
         let mut findings = Vec::new();
         let mut take = |name: &str| {
             let text = request.query(name)?;
@@ -72,7 +72,7 @@
 /// # Errors
 /// No controller answered: that says nothing of the plan, and must not refuse it.
 pub fn traffic(plan: &Plan, ask: &dyn Fn(Request) -> Response) -> Result<Traffic, NoController> {
-    let Response::Recent { samples, seen, seconds } = ask(Request::Recent) else {
+    let Response::RequestSamples { samples, seen, seconds } = ask(Request::RequestSamples) else {
         return Err(NoController);
     };
     let text = match ask(Request::Show) {
@@ -81,7 +81,7 @@
         _ => return Ok(Traffic::unknown("no plan is in force to compare with")),
     };
     Ok(match Plan::read(&text) {
-        Ok(before) => Traffic::of(&before, plan, &Recent { samples, seen, seconds }),
+        Ok(before) => Traffic::of(&before, plan, &RecentRequests { samples, seen, seconds }),
         Err(_) => Traffic::unknown("the plan in force can't be read by this version"),
     })
 }
--- a/programs/control-plane/src/asker.rs
+++ b/programs/control-plane/src/request_sender.rs
@@ -2,18 +2,18 @@
 
 use crate::core::Command;
 use postbarrow_constants::coordination::CONTROLLER_ANSWER_SLACK_MS;
-use postbarrow_downstream::client_watch::{ClientWatch, Unreceived};
+use postbarrow_downstream::client_watch::{ClientWatch, ReceiveError};
 use postbarrow_messages::{Request, Response};
-use postbarrow_transport::{QuestionKeys, clock_ms, random};
+use postbarrow_transport::{RequestKeys, clock_ms, random};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::SeqCst};
 use std::sync::mpsc::{Sender, sync_channel};
 
 /// Asks whoever is controller, on behalf of operators and applications.
 #[derive(Clone)]
-pub struct Asker {
+pub struct RequestSender {
     commands: Sender<Command>,
-    keys: Arc<QuestionKeys>,
+    keys: Arc<RequestKeys>,
     open: Arc<AtomicUsize>,
     stopping: Arc<AtomicBool>,
 }
@@ -27,10 +27,10 @@
     }
 }
 
-impl Asker {
-    pub(crate) fn new(commands: Sender<Command>) -> Asker {
-        let keys = Arc::new(QuestionKeys::new(random()));
-        Asker { commands, keys, open: Arc::default(), stopping: Arc::default() }
+impl RequestSender {
+    pub(crate) fn new(commands: Sender<Command>) -> RequestSender {
+        let keys = Arc::new(RequestKeys::new(random()));
+        RequestSender { commands, keys, open: Arc::default(), stopping: Arc::default() }
     }
 
     /// The controller's response; `Unavailable` where nobody who could take the question was ever
@@ -44,11 +44,11 @@
         }
         match client.receive(&response, clock_ms() + wait_ms + CONTROLLER_ANSWER_SLACK_MS) {
             Ok(response) => response,
-            Err(Unreceived::ClientLeft) => {
+            Err(ReceiveError::ClientLeft) => {
                 let _ = self.commands.send(Command::Withdraw { key });
                 Response::TimedOut
             }
-            Err(Unreceived::TimedOut | Unreceived::Disconnected) => Response::TimedOut,
+            Err(ReceiveError::TimedOut | ReceiveError::Disconnected) => Response::TimedOut,
         }
     }
 
--- a/programs/control-plane/src/stopping.rs
+++ b/programs/control-plane/src/stopping.rs
@@ -1,6 +1,6 @@
 //! A planned stop: operators get their answers while leadership and seat go to others.
 
-use postbarrow_constants::consensus::HAND_OVER_MS;
+use postbarrow_constants::consensus::LEADERSHIP_TRANSFER_MS;
 use postbarrow_constants::coordination::{ANSWER_WRITE_MS, SUBMIT_WAIT_MS};
 
 /// Decides when a process that was asked to stop may end. Handing over begins with the request to
@@ -19,7 +19,7 @@
     pub fn new(now_ms: u64) -> Stopping {
         Stopping {
             requests_until_ms: now_ms + SUBMIT_WAIT_MS,
-            hand_over_until_ms: now_ms + HAND_OVER_MS,
+            hand_over_until_ms: now_ms + LEADERSHIP_TRANSFER_MS,
             requests_closed_ms: None,
         }
     }
--- a/programs/control-plane/src/stopping/tests.rs
+++ b/programs/control-plane/src/stopping/tests.rs
@@ -29,6 +29,6 @@
 #[test]
 fn waits_for_operators_and_for_an_heir_run_beside_each_other() {
     let mut stopping = Stopping::new(1_000);
-    let latest_ms = 1_000 + SUBMIT_WAIT_MS.max(HAND_OVER_MS);
+    let latest_ms = 1_000 + SUBMIT_WAIT_MS.max(LEADERSHIP_TRANSFER_MS);
     assert!(stopping.may_end(latest_ms, 1, false), "not one after the other");
 }
--- a/programs/data-plane/src/answer.rs
+++ b/programs/data-plane/src/answer.rs
@@ -68,7 +68,7 @@
 fn read_keep_ms(value: &str) -> Option<u64> {
     let told = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     let keep_ms = told.trim().parse::<u64>().ok()?.saturating_mul(1_000);
-    Some(keep_ms.saturating_sub(TARGET_IDLE_MARGIN_MS).min(TARGET_IDLE_MOST_MS))
+    Some(keep_ms.saturating_sub(TARGET_IDLE_MARGIN_MS).min(TARGET_IDLE_MAX_MS))
 }
 
 /// The next chunk if it is whole: how many bytes it takes in all, and where its own are. An empty
--- a/programs/data-plane/src/calls.rs
+++ b/programs/data-plane/src/calls.rs
@@ -3,7 +3,7 @@
 use crate::share::{Place, Shared};
 use facet::Facet;
 use postbarrow_constants::coordination::*;
-use postbarrow_constants::traffic::{CALLS_AT_WORK, RETRY_AFTER_S};
+use postbarrow_constants::traffic::{CALLS_IN_FLIGHT, RETRY_AFTER_S};
 use postbarrow_downstream::client_watch::ClientWatch;
 use postbarrow_messages::{Request, Response};
 use postbarrow_node::TargetResponse;
@@ -91,7 +91,7 @@
         };
         return watch(shared, call, client);
     }
-    let Some(_place) = Place::take(&shared.calls, CALLS_AT_WORK) else {
+    let Some(_place) = Place::take(&shared.calls, CALLS_IN_FLIGHT) else {
         return error(503, "this node is full");
     };
     let given = head.header("idempotency-key");
@@ -102,7 +102,8 @@
     let id = repeat_id(&key, &call);
     let reads =
         matches!(call, Call::ReadKey { .. } | Call::ReadLock { .. } | Call::ReadNumber { .. });
-    let response = shared.request(Request::Call { id: Some(id), call }, ASK_CONTROLLER_MS, client);
+    let response =
+        shared.request(Request::Call { id: Some(id), call }, CONTROLLER_REQUEST_MS, client);
     match response {
         Response::Outcome(outcome) => tell(outcome),
         Response::Refused(why) => error(400, &why),
@@ -135,7 +136,7 @@
     let mut call = call;
     loop {
         let asked = Request::Call { id: None, call: call.clone() };
-        match shared.request(asked, ASK_CONTROLLER_MS, client) {
+        match shared.request(asked, CONTROLLER_REQUEST_MS, client) {
             Response::Outcome(Outcome::Events { events, next })
                 if events.is_empty() && !first && !over() =>
             {
@@ -158,12 +159,12 @@
         Outcome::Locked { fence, ttl_ms } => {
             json(200, &Told { held: Some(true), fence: Some(fence), ttl_ms: Some(ttl_ms), ..none })
         }
-        Outcome::Held { fence } => {
+        Outcome::LockedByOther { fence } => {
             let error = refused("another holder has the lock");
             json(409, &Told { error, held: Some(true), fence: Some(fence), ..none })
         }
         Outcome::Freed | Outcome::NoLock => json(200, &Told { held: Some(false), ..none }),
-        Outcome::NotHeld => json(409, &Told { error: refused("not held by this holder"), ..none }),
+        Outcome::NotOwner => json(409, &Told { error: refused("not held by this holder"), ..none }),
         Outcome::Number(number) => json(200, &Told { number: Some(number), ..none }),
         Outcome::Key(key) => {
             let value = String::from_utf8_lossy(&key.value).into_owned();
--- a/programs/data-plane/src/core.rs
+++ b/programs/data-plane/src/core.rs
@@ -75,7 +75,7 @@
                 Err(RecvTimeoutError::Timeout) => {}
             }
             if let Some((until_ms, done)) = &self.ending
-                && (self.node.open_questions() == 0 || clock_ms() >= *until_ms)
+                && (self.node.pending_requests() == 0 || clock_ms() >= *until_ms)
             {
                 let _ = done.send(());
                 return;
@@ -126,7 +126,7 @@
                     self.shared.table.store(Arc::new(table));
                 }
                 Effect::Lease { until_ms } => self.shared.lease_until_ms.store(until_ms, Release),
-                Effect::Say(text) => info!("node: {text}"),
+                Effect::Log(text) => info!("node: {text}"),
             }
         }
     }
--- a/programs/data-plane/src/downstream/serve.rs
+++ b/programs/data-plane/src/downstream/serve.rs
@@ -1,15 +1,15 @@
 use crate::calls;
-use crate::dialect::OwnCall;
+use crate::dialect::NodeEndpoint;
 use crate::fair::{Counted, is_over_share};
 use crate::forward::{self, Forwarded, Incoming};
 use crate::share::{Place, Shared};
 use postbarrow_constants::traffic::*;
 use postbarrow_downstream::body;
-use postbarrow_downstream::connection::{Connection, Next, Patience};
+use postbarrow_downstream::connection::{Connection, Next, ReadLimits};
 use postbarrow_downstream::head::{Head, Length, Reject};
-use postbarrow_node::{About, TargetResponse, Told, Verdict};
-use postbarrow_routing::{Entry, Found, Refusal};
-use postbarrow_state::Kind;
+use postbarrow_node::{Completion, ExecutionEvidence, RequestOutcome, TargetResponse};
+use postbarrow_routing::{Entry, LimitExceeded, RouteMatch};
+use postbarrow_state::RouteKind;
 use postbarrow_transport::clock_ms;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
@@ -25,7 +25,7 @@
                 return refuse(&mut connection, shared, reject, unsure);
             }
         };
-        let keyed = shared.dialect.key(&head).is_some();
+        let keyed = shared.dialect.idempotency_key(&head).is_some();
         let last = |head: &Head| head.close || shared.stopping.load(Relaxed);
         match one(&mut connection, shared, &head) {
             Ok(Forwarded::ClientLeft) => return,
@@ -45,10 +45,10 @@
 }
 
 /// What the plan in force asks of callers, or else the node.
-fn patience(shared: &Shared) -> Patience {
+fn patience(shared: &Shared) -> ReadLimits {
     let table = shared.table.load();
-    let (callers, own) = (&table.state.callers, Patience::default());
-    Patience {
+    let (callers, own) = (&table.state.callers, ReadLimits::default());
+    ReadLimits {
         head_bytes: callers.head_bytes.map_or(own.head_bytes, |bytes| bytes as usize),
         head_wait_ms: callers.head_wait_ms.unwrap_or(own.head_wait_ms),
         idle_ms: callers.idle_ms.unwrap_or(own.idle_ms),
@@ -58,7 +58,7 @@
 /// This request never ran; whether an earlier one under its key did, nobody here can say.
 fn refuse(connection: &mut Connection, shared: &Shared, reject: Reject, unsure: bool) {
     if reject != body::CLIENT_LEFT {
-        let response = shared.dialect.refused(reject.status, unsure, reject.why);
+        let response = shared.dialect.render_rejection(reject.status, unsure, reject.why);
         let _ = connection.write(&response, "GET", true);
         connection.linger();
     }
@@ -76,12 +76,12 @@
     head: &Head,
 ) -> Result<Forwarded, Unread> {
     let arrived_ms = clock_ms();
-    match shared.dialect.own_call(head) {
-        Some(OwnCall::Ready) => {
+    match shared.dialect.node_endpoint(head) {
+        Some(NodeEndpoint::Ready) => {
             skip_body(connection, shared, head)?;
             return Ok(Forwarded::Answered(calls::ready(shared), None));
         }
-        Some(OwnCall::Coordination) => {
+        Some(NodeEndpoint::Coordination) => {
             let until_ms = clock_ms() + BODY_WAIT_MS;
             let body = read_body(connection, shared, head, calls::BODY_BYTES, until_ms)?;
             let response = calls::serve(shared, head, &body.bytes, &connection.watch());
@@ -89,51 +89,59 @@
         }
         None => {}
     }
-    let turned = |about: About, told| {
-        Unread::Refused(shared.dialect.told(Verdict { told, about, key: None }))
+    let turned = |about: ExecutionEvidence, told| {
+        Unread::Refused(shared.dialect.render_completion(Completion {
+            outcome: told,
+            evidence: about,
+            key: None,
+        }))
     };
-    let keyed = shared.dialect.key(head).is_some();
-    let unread = About { one_time: keyed, keyed, ..About::default() };
+    let keyed = shared.dialect.idempotency_key(head).is_some();
+    let unread = ExecutionEvidence { one_time: keyed, keyed, ..ExecutionEvidence::default() };
     if !shared.serves() {
-        return Err(turned(unread, Told::Unready));
+        return Err(turned(unread, RequestOutcome::Unready));
     }
     let table = shared.table.load_full();
     shared.saw(&table, head);
     let entry = match table.find(&head.method, head.path(), &head.headers) {
-        Found::Route(entry) => entry,
-        Found::NoRoute => return Err(turned(unread, Told::NoRoute)),
-        Found::OtherMethods(methods) => return Err(turned(unread, Told::OtherMethods(methods))),
+        RouteMatch::Route(entry) => entry,
+        RouteMatch::NoRoute => return Err(turned(unread, RequestOutcome::NoRoute)),
+        RouteMatch::OtherMethods(methods) => {
+            return Err(turned(unread, RequestOutcome::OtherMethods(methods)));
+        }
     };
-    let one_time = entry.route().kind == Kind::OneTime;
-    let about = About { one_time, keyed, ..About::default() };
+    let one_time = entry.route().kind == RouteKind::OneTime;
+    let about = ExecutionEvidence { one_time, keyed, ..ExecutionEvidence::default() };
     if one_time && !forward::is_sound_key(shared.dialect.as_ref(), head) {
         let why = "the Idempotency-Key must be one of 1 to 200 printable characters, no colon";
         return Err(Unread::Rejected(Reject { status: 400, why }));
     }
-    let Some(_place) = Place::take(&shared.requests_at_work, REQUESTS_AT_WORK) else {
-        return Err(turned(about, Told::Overloaded));
+    let Some(_place) = Place::take(&shared.requests_at_work, REQUESTS_IN_FLIGHT) else {
+        return Err(turned(about, RequestOutcome::Overloaded));
     };
     let client = shared.clients.of(connection.client());
     let taken = shared.requests_at_work.load(Relaxed);
-    let (own, route) = (client.load(Relaxed), entry.made.limits.at_work() as usize);
-    if is_over_share(taken, own + 1, REQUESTS_AT_WORK, CLIENT_SHARE_PERCENT)
-        || is_over_share(taken, route + 1, REQUESTS_AT_WORK, ROUTE_SHARE_PERCENT)
+    let (own, route) = (client.load(Relaxed), entry.compiled.limits.at_work() as usize);
+    if is_over_share(taken, own + 1, REQUESTS_IN_FLIGHT, CLIENT_SHARE_PERCENT)
+        || is_over_share(taken, route + 1, REQUESTS_IN_FLIGHT, ROUTE_SHARE_PERCENT)
     {
-        return Err(turned(about, Told::Overloaded));
+        return Err(turned(about, RequestOutcome::Overloaded));
     }
     let _client = Counted::one(client);
     let _entered = match enter(&entry, table.nodes()) {
         Ok(entered) => entered,
-        Err(Refusal::Rate) => return Err(turned(about, Told::OverRate)),
-        Err(Refusal::Concurrency) => return Err(turned(about, Told::OverConcurrency)),
+        Err(LimitExceeded::Rate) => return Err(turned(about, RequestOutcome::OverRate)),
+        Err(LimitExceeded::Concurrency) => {
+            return Err(turned(about, RequestOutcome::OverConcurrency));
+        }
     };
     let body_until_ms = body_until_ms(shared, head, arrived_ms);
     let body = match read_body(connection, shared, head, entry.route().body_bytes, body_until_ms) {
         Err(Unread::Rejected(reject)) if reject == body::TOO_LARGE => {
-            return Err(turned(about, Told::BodyTooLarge(entry.route().body_bytes)));
+            return Err(turned(about, RequestOutcome::BodyTooLarge(entry.route().body_bytes)));
         }
         Err(Unread::Rejected(reject)) if reject == body::FULL => {
-            return Err(turned(about, Told::Overloaded));
+            return Err(turned(about, RequestOutcome::Overloaded));
         }
         other => other?,
     };
@@ -145,7 +153,7 @@
 
 /// A client that says how long it waits needs no answer later, so its body is not waited for longer.
 fn body_until_ms(shared: &Shared, head: &Head, arrived_ms: u64) -> u64 {
-    let wait_ms = shared.dialect.wait_ms(head).unwrap_or(BODY_WAIT_MS);
+    let wait_ms = shared.dialect.client_timeout_ms(head).unwrap_or(BODY_WAIT_MS);
     arrived_ms + wait_ms.min(BODY_WAIT_MS)
 }
 
@@ -159,7 +167,7 @@
     if matches!(head.length, Length::Sized(size_bytes) if size_bytes > most_bytes) {
         return Err(Unread::Rejected(body::TOO_LARGE));
     }
-    if head.waits && connection.go_on().is_err() {
+    if head.expects_continue && connection.send_continue().is_err() {
         return Err(Unread::Rejected(body::CLIENT_LEFT));
     }
     body::read(connection, head.length, most_bytes, &shared.memory, until_ms)
@@ -173,13 +181,13 @@
 
 struct Entered(Arc<Entry>);
 
-fn enter(entry: &Arc<Entry>, nodes: u64) -> Result<Entered, Refusal> {
-    entry.made.limits.enter(clock_ms(), nodes)?;
+fn enter(entry: &Arc<Entry>, nodes: u64) -> Result<Entered, LimitExceeded> {
+    entry.compiled.limits.enter(clock_ms(), nodes)?;
     Ok(Entered(entry.clone()))
 }
 
 impl Drop for Entered {
     fn drop(&mut self) {
-        self.0.made.limits.leave();
+        self.0.compiled.limits.leave();
     }
 }
--- a/programs/data-plane/src/forward.rs
+++ b/programs/data-plane/src/forward.rs
@@ -1,17 +1,17 @@
 //! One request on its way through this node: drives its flow on the client's own thread.
 
-use crate::dialect::{Dialect, Heard, on_to_target};
+use crate::dialect::{Dialect, ResponseJudgement, on_to_target};
 use crate::downstream::head::Head;
 use crate::share::Shared;
 use crate::target_connection::{EndsWithClient, Outgoing, TargetConnection, Terms};
-use postbarrow_constants::coordination::{SETTLE_WAIT_MS, TICKET_KEY_BYTES};
+use postbarrow_constants::coordination::{SETTLEMENT_WAIT_MS, TICKET_KEY_BYTES};
 use postbarrow_constants::traffic::PROOF_WAIT_MS;
 use postbarrow_downstream::client_watch::ClientWatch;
-use postbarrow_downstream::memory::Reserved;
+use postbarrow_downstream::memory_budget::Reserved;
 use postbarrow_messages::Request;
 use postbarrow_node::*;
 use postbarrow_routing::{Entry, Load};
-use postbarrow_state::{Digest, Kind, Name, Target};
+use postbarrow_state::{Digest, Name, RouteKind, Target};
 use postbarrow_transport::clock_ms;
 use sha2::{Digest as _, Sha256};
 use std::sync::Arc;
@@ -44,7 +44,7 @@
     let mut event = Event::Start;
     loop {
         let table = shared.table.load_full();
-        let now = Now {
+        let now = FlowContext {
             now_ms: clock_ms(),
             table: &table,
             serves: shared.serves(),
@@ -53,21 +53,27 @@
         };
         event = match flow.handle(&now, event) {
             Step::Connect { target, load, wait_ms } => work.connect(target, load, wait_ms),
-            Step::AskTicket { ticket, wait_ms } => {
+            Step::RequestTicket { ticket, wait_ms } => {
                 let request = Request::Ticket(ticket);
-                Event::Answered(shared.request(request, wait_ms, incoming.client))
+                Event::ControllerResponded(shared.request(request, wait_ms, incoming.client))
             }
-            Step::Pass { wait_ms, until_ms } => Event::Passed(work.pass(wait_ms, until_ms)),
-            Step::Settle { settling, wait_ms } => {
-                Event::Answered(shared.request(settling.into(), wait_ms, incoming.client))
+            Step::Forward { wait_ms, until_ms } => {
+                Event::AttemptEnded(work.pass(wait_ms, until_ms))
             }
+            Step::Settle { settling, wait_ms } => Event::ControllerResponded(shared.request(
+                settling.into(),
+                wait_ms,
+                incoming.client,
+            )),
             Step::Done { verdict, settling } => {
                 if let Some(settling) = settling {
-                    shared.tell(settling.into(), SETTLE_WAIT_MS);
+                    shared.tell(settling.into(), SETTLEMENT_WAIT_MS);
                 }
-                return match verdict.told {
-                    Told::ClientLeft => Forwarded::ClientLeft,
-                    _ => Forwarded::Answered(shared.dialect.told(verdict), work.memory),
+                return match verdict.outcome {
+                    RequestOutcome::ClientLeft => Forwarded::ClientLeft,
+                    _ => {
+                        Forwarded::Answered(shared.dialect.render_completion(verdict), work.memory)
+                    }
                 };
             }
         };
@@ -81,10 +87,10 @@
     let entry = incoming.entry.drawn(seed);
     let until_ms = incoming.start_ms + entry.route().deadline_ms;
     let client_until_ms =
-        dialect.wait_ms(incoming.head).map(|wait_ms| incoming.arrived_ms + wait_ms);
-    let logged = dialect.named().is_none();
-    let is_ticketed = logged && entry.route().kind == Kind::OneTime;
-    let key = dialect.key(incoming.head);
+        dialect.client_timeout_ms(incoming.head).map(|wait_ms| incoming.arrived_ms + wait_ms);
+    let logged = dialect.target_identification().is_none();
+    let is_ticketed = logged && entry.route().kind == RouteKind::OneTime;
+    let key = dialect.idempotency_key(incoming.head);
     let context = RequestContext {
         key: match key {
             Some(key) => Name::from(key),
@@ -120,7 +126,7 @@
             shared,
             incoming,
             service: entry.route().service.clone(),
-            repeatable: entry.route().kind != Kind::OneTime,
+            repeatable: entry.route().kind != RouteKind::OneTime,
             connection: None,
             target: None,
             entered: None,
@@ -142,7 +148,7 @@
             }
             Err(why) => {
                 self.entered = None;
-                Event::Unconnected(why)
+                Event::ConnectFailed(why)
             }
         }
     }
@@ -152,21 +158,21 @@
         let client = self.incoming.client;
         let until_ms = clock_ms() + wait_ms;
         let mut connection = TargetConnection::open(target.address, until_ms, client)?;
-        if self.shared.dialect.named().is_none() {
+        if self.shared.dialect.target_identification().is_none() {
             let until_ms = until_ms.min(clock_ms() + PROOF_WAIT_MS);
             load.report(connection.prove(target, until_ms, client)?);
         }
         Ok(connection)
     }
 
-    fn pass(&mut self, wait_ms: u64, until_ms: u64) -> Passed {
+    fn pass(&mut self, wait_ms: u64, until_ms: u64) -> AttemptOutcome {
         let (Some(connection), Some(target), Some(entered)) =
             (self.connection.take(), &self.target, self.entered.take())
         else {
-            return Passed::Unsent("no connection".into());
+            return AttemptOutcome::Unsent("no connection".into());
         };
         let Some(mut memory) = self.shared.responses.reserve(0) else {
-            return Passed::Unsent("no space".into());
+            return AttemptOutcome::Unsent("no space".into());
         };
         let (head, dialect) = (self.incoming.head, self.shared.dialect.as_ref());
         let request = Outgoing {
@@ -181,15 +187,16 @@
             may_send: &|| self.may_send(&target.instance, until_ms),
             client: self.incoming.client,
             ends_with_client: self.ends_with_client(),
-            judge: &|response, first| match dialect.named() {
-                Some(named) => named.heard(head, response, first),
-                None => Heard::Whole,
+            judge: &|response, first| match dialect.target_identification() {
+                Some(named) => named.judge_response(head, response, first),
+                None => ResponseJudgement::Complete,
             },
         };
         let (passed, kept) = connection.pass(&request, &terms, &mut memory);
         let load = entered.leave();
-        if let (Passed::Whole(response), Some(named)) = (&passed, dialect.named())
-            && let Some(occupancy) = named.occupancy(response)
+        if let (AttemptOutcome::Complete(response), Some(named)) =
+            (&passed, dialect.target_identification())
+            && let Some(occupancy) = named.in_flight(response)
         {
             load.report_at(clock_ms(), occupancy.saturating_sub(load.at_work()));
         }
@@ -201,7 +208,7 @@
     }
 
     fn ends_with_client(&self) -> EndsWithClient {
-        let keyed = self.shared.dialect.key(self.incoming.head).is_some();
+        let keyed = self.shared.dialect.idempotency_key(self.incoming.head).is_some();
         match (self.repeatable, keyed) {
             (true, _) => EndsWithClient::Always,
             (false, true) => EndsWithClient::Never,
@@ -250,7 +257,7 @@
 }
 
 pub fn is_sound_key(dialect: &dyn Dialect, head: &Head) -> bool {
-    if dialect.key(head).is_none() && dialect.named().is_some() {
+    if dialect.idempotency_key(head).is_none() && dialect.target_identification().is_some() {
         return true;
     }
     let keys = head.headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("idempotency-key"));
--- a/programs/data-plane/src/lib.rs
+++ b/programs/data-plane/src/lib.rs
@@ -19,7 +19,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use dialect::{Dialect, Heard, Named, Own, OwnCall};
+pub use dialect::{Dialect, NativeDialect, NodeEndpoint, ResponseJudgement, TargetIdentification};
 
 use crate::core::{Command, Core};
 use log::info;
@@ -48,14 +48,17 @@
     /// # Errors
     /// An address can't be bound, or a thread not started.
     pub fn start(startup: &Startup) -> io::Result<DataPlane> {
-        DataPlane::speaking(startup, Arc::new(Own))
+        DataPlane::start_with_dialect(startup, Arc::new(NativeDialect))
     }
 
     /// The same node for callers and targets that speak another dialect.
     ///
     /// # Errors
     /// An address can't be bound, or a thread not started.
-    pub fn speaking(startup: &Startup, dialect: Arc<dyn Dialect>) -> io::Result<DataPlane> {
+    pub fn start_with_dialect(
+        startup: &Startup,
+        dialect: Arc<dyn Dialect>,
+    ) -> io::Result<DataPlane> {
         let (links, address) = startup.listen()?;
         let http = TcpListener::bind(startup.http)?;
         let own = Node {
@@ -68,7 +71,7 @@
         info!("node: {} is {:016x}, zone {}", own.name, own.incarnation, own.zone);
         let (commands, queue) = channel();
         let shared = Arc::new(Shared::new(own.clone(), dialect, &startup.bounds, commands));
-        let hold_ms = startup.bounds.hold_ms();
+        let hold_ms = startup.bounds.node_lease_ms();
         let node = DataNode::new(own, startup.seeds.clone(), clock_ms()).with_lease(hold_ms);
         let core = Core::new(node, shared.clone());
         thread::Builder::new().name("node".into()).spawn(move || core.run(queue))?;
@@ -77,7 +80,7 @@
             hand.command(Command::Envelope(envelope));
             true
         })?;
-        if shared.dialect.named().is_none() {
+        if shared.dialect.target_identification().is_none() {
             let probing = shared.clone();
             thread::Builder::new().name("probes".into()).spawn(move || probe::run(probing))?;
         }
--- a/programs/data-plane/src/main.rs
+++ b/programs/data-plane/src/main.rs
@@ -1,6 +1,6 @@
 use gumdrop::Options;
 use postbarrow_data_plane::DataPlane;
-use postbarrow_startup::{Flags, Part, Startup, checked};
+use postbarrow_startup::{Flags, ProgramKind, Startup, checked};
 use std::process::ExitCode;
 
 /// Takes requests over HTTP and passes each to a target that the plan in force allows.
@@ -53,7 +53,7 @@
         level: cli.level,
         ..Flags::default()
     };
-    let load = || Startup::load(Part::DataPlane, cli.startup.as_deref(), &flags);
+    let load = || Startup::load(ProgramKind::DataPlane, cli.startup.as_deref(), &flags);
     checked(load(), |startup| {
         if cli.check {
             println!("the settings are sound");
--- a/programs/data-plane/src/proof.rs
+++ b/programs/data-plane/src/proof.rs
@@ -2,14 +2,14 @@
 use postbarrow_state::Labels;
 
 /// Who a target says it is.
-pub struct Proof {
+pub struct TargetIdentity {
     pub instance: String,
     pub service: String,
     pub labels: Labels,
-    pub occupancy: u64,
+    pub in_flight: u64,
 }
 
-pub fn read_proof(given: &str) -> Result<Proof, String> {
+pub fn read_proof(given: &str) -> Result<TargetIdentity, String> {
     let (value, mut reading) = Reading::parse(given).map_err(|findings| findings.to_string())?;
     let mut proof = None;
     if let Some(mut fields) = Fields::of(&value, "$", &mut reading) {
@@ -24,7 +24,7 @@
                 }
             }
         }
-        proof = Some(Proof { instance, service, labels, occupancy });
+        proof = Some(TargetIdentity { instance, service, labels, in_flight: occupancy });
     }
     let read = reading.finish(proof).map_err(|findings| format!("probe: {findings}"))?;
     read.ok_or_else(|| "probe: not an object".into())
--- a/programs/data-plane/src/read_call.rs
+++ b/programs/data-plane/src/read_call.rs
@@ -1,6 +1,6 @@
 use crate::downstream::head::Head;
 use postbarrow_reading::{Fields, Reading};
-use postbarrow_state::{Call, Name, Sort};
+use postbarrow_state::{Call, Name, ResourceKind};
 
 type Refusal = (u16, String);
 
@@ -85,9 +85,9 @@
 
 fn read_watch(head: &Head, name: &str) -> Result<Call, Refusal> {
     let sort = match name {
-        "locks" => Sort::Lock,
-        "numbers" => Sort::Number,
-        "keys" => Sort::Key,
+        "locks" => ResourceKind::Lock,
+        "numbers" => ResourceKind::Number,
+        "keys" => ResourceKind::Key,
         _ => return Err((404, "watch locks, numbers or keys".into())),
     };
     let query = |name: &str| {
--- a/programs/data-plane/src/share.rs
+++ b/programs/data-plane/src/share.rs
@@ -6,14 +6,14 @@
 use arc_swap::ArcSwap;
 use crossbeam_queue::ArrayQueue;
 use postbarrow_constants::coordination::CONTROLLER_ANSWER_SLACK_MS;
-use postbarrow_constants::plans::{SAMPLE_BYTES, SAMPLES_TOLD, SAMPLES_WAITING};
-use postbarrow_downstream::client_watch::{ClientWatch, Unreceived};
-use postbarrow_downstream::memory::Memory;
+use postbarrow_constants::plans::{SAMPLE_BYTES, SAMPLES_PER_REPORT, SAMPLES_WAITING};
+use postbarrow_downstream::client_watch::{ClientWatch, ReceiveError};
+use postbarrow_downstream::memory_budget::MemoryBudget;
 use postbarrow_messages::{Request, Response};
 use postbarrow_routing::Table;
 use postbarrow_startup::Bounds;
 use postbarrow_state::{Name, Node, Sample};
-use postbarrow_transport::{QuestionKeys, clock_ms, random};
+use postbarrow_transport::{RequestKeys, clock_ms, random};
 use sha2::{Digest as _, Sha256};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::*};
@@ -29,9 +29,9 @@
     pub stopping: AtomicBool,
     /// No new client connections.
     pub closed: AtomicBool,
-    pub memory: Arc<Memory>,
+    pub memory: Arc<MemoryBudget>,
     /// The same for responses.
-    pub responses: Arc<Memory>,
+    pub responses: Arc<MemoryBudget>,
     samples: ArrayQueue<Sample>,
     seen: AtomicU64,
     pub clients: Clients,
@@ -43,7 +43,7 @@
     number: AtomicU64,
     /// Known to nobody else: made-up keys can't be guessed.
     secret: [u64; 2],
-    question_keys: QuestionKeys,
+    question_keys: RequestKeys,
     commands: Sender<Command>,
 }
 
@@ -63,8 +63,8 @@
             lease_until_ms: AtomicU64::new(0),
             stopping: AtomicBool::new(false),
             closed: AtomicBool::new(false),
-            memory: Memory::new(bodies),
-            responses: Memory::new(bodies),
+            memory: MemoryBudget::new(bodies),
+            responses: MemoryBudget::new(bodies),
             samples: ArrayQueue::new(SAMPLES_WAITING),
             seen: AtomicU64::new(0),
             clients: Clients::default(),
@@ -75,7 +75,7 @@
             downstreams: AtomicUsize::new(0),
             number: AtomicU64::new(1),
             secret: [random(), random()],
-            question_keys: QuestionKeys::new(random()),
+            question_keys: RequestKeys::new(random()),
             commands,
         }
     }
@@ -119,7 +119,7 @@
 
     /// What was seen since the last look.
     pub fn seen(&self) -> (Vec<Sample>, u64) {
-        let samples = std::iter::from_fn(|| self.samples.pop()).take(SAMPLES_TOLD).collect();
+        let samples = std::iter::from_fn(|| self.samples.pop()).take(SAMPLES_PER_REPORT).collect();
         (samples, self.seen.swap(0, Relaxed))
     }
 
@@ -146,11 +146,11 @@
         }
         match client.receive(&response, clock_ms() + wait_ms + CONTROLLER_ANSWER_SLACK_MS) {
             Ok(response) => response,
-            Err(Unreceived::ClientLeft) => {
+            Err(ReceiveError::ClientLeft) => {
                 self.command(Command::Withdraw { key });
                 Response::TimedOut
             }
-            Err(Unreceived::TimedOut | Unreceived::Disconnected) => Response::TimedOut,
+            Err(ReceiveError::TimedOut | ReceiveError::Disconnected) => Response::TimedOut,
         }
     }
 
--- a/programs/data-plane/src/target_connection.rs
+++ b/programs/data-plane/src/target_connection.rs
@@ -4,12 +4,12 @@
 mod proving;
 mod response;
 
-use crate::dialect::Heard;
+use crate::dialect::ResponseJudgement;
 use postbarrow_constants::traffic::*;
-use postbarrow_downstream::client_watch::{ClientWatch, Waited};
-use postbarrow_downstream::memory::Reserved;
-use postbarrow_node::{Passed, TargetResponse};
-use postbarrow_transport::{Interest, clock_ms, give_up_unheard};
+use postbarrow_downstream::client_watch::{ClientWatch, WaitOutcome};
+use postbarrow_downstream::memory_budget::Reserved;
+use postbarrow_node::{AttemptOutcome, TargetResponse};
+use postbarrow_transport::{Interest, clock_ms, set_unacknowledged_timeout};
 use socket2::SockRef;
 use std::io::{ErrorKind, Write};
 use std::net::TcpStream;
@@ -64,7 +64,7 @@
     pub client: &'a ClientWatch<'a>,
     pub ends_with_client: EndsWithClient,
     /// What a response is worth; the second value says whether it is the connection's first.
-    pub judge: &'a dyn Fn(&TargetResponse, bool) -> Heard,
+    pub judge: &'a dyn Fn(&TargetResponse, bool) -> ResponseJudgement,
 }
 
 /// Why a wait on a connection came to nothing.
@@ -90,7 +90,7 @@
         request: &Outgoing<'_>,
         terms: &Terms<'_>,
         memory: &mut Reserved,
-    ) -> (Passed, Option<TargetConnection>) {
+    ) -> (AttemptOutcome, Option<TargetConnection>) {
         let (passed, is_reusable) = self.exchange(request, terms, memory);
         (passed, is_reusable.then_some(self))
     }
@@ -101,11 +101,11 @@
         request: &Outgoing<'_>,
         terms: &Terms<'_>,
         memory: &mut Reserved,
-    ) -> (Passed, bool) {
+    ) -> (AttemptOutcome, bool) {
         let bytes = encode(request);
         self.be_patient(request.repeatable);
         if !(terms.may_send)() {
-            return (Passed::Unsent("no longer allowed".into()), false);
+            return (AttemptOutcome::Unsent("no longer allowed".into()), false);
         }
         let nobody = ClientWatch::nobody();
         let client = match terms.ends_with_client {
@@ -118,8 +118,8 @@
             }
             let why = interrupted.why("sending");
             let passed = match sent {
-                0 => Passed::Unsent(why),
-                _ => Passed::Unknown { late: false, why },
+                0 => AttemptOutcome::Unsent(why),
+                _ => AttemptOutcome::Unknown { late: false, why },
             };
             return (passed, false);
         }
@@ -133,7 +133,7 @@
         request: &Outgoing<'_>,
         terms: &Terms<'_>,
         memory: &mut Reserved,
-    ) -> (Passed, bool) {
+    ) -> (AttemptOutcome, bool) {
         let nobody = ClientWatch::nobody();
         let client = match terms.ends_with_client {
             EndsWithClient::Always => terms.client,
@@ -146,17 +146,21 @@
                 Err(interrupted) => {
                     let late = matches!(interrupted, Interrupted::Late);
                     let why = interrupted.why("reading");
-                    return (Passed::Unknown { late, why }, false);
+                    return (AttemptOutcome::Unknown { late, why }, false);
                 }
             };
             let heard = (terms.judge)(&response, self.first);
             self.first = false;
             let passed = match heard {
-                Heard::Another if keeps_open => continue,
-                Heard::Another => Passed::Unknown { late: false, why: "another's".into() },
-                Heard::Unsound(why) => return (Passed::Unknown { late: false, why }, false),
-                Heard::NotRun(why) => Passed::NotRun(why),
-                Heard::Whole => Passed::Whole(response),
+                ResponseJudgement::Misdirected if keeps_open => continue,
+                ResponseJudgement::Misdirected => {
+                    AttemptOutcome::Unknown { late: false, why: "another's".into() }
+                }
+                ResponseJudgement::Unsound(why) => {
+                    return (AttemptOutcome::Unknown { late: false, why }, false);
+                }
+                ResponseJudgement::NotRun(why) => AttemptOutcome::NotRun(why),
+                ResponseJudgement::Complete => AttemptOutcome::Complete(response),
             };
             let is_clean = keeps_open && self.start == self.buffer.len();
             self.rest();
@@ -176,9 +180,9 @@
     }
 
     fn be_patient(&mut self, repeatable: bool) {
-        let unheard_ms = if repeatable { TARGET_UNHEARD_MS } else { 0 };
+        let unheard_ms = if repeatable { TARGET_UNRESPONSIVE_MS } else { 0 };
         if unheard_ms != self.unheard_ms {
-            let _ = give_up_unheard(&self.stream, unheard_ms);
+            let _ = set_unacknowledged_timeout(&self.stream, unheard_ms);
             self.unheard_ms = unheard_ms;
         }
     }
@@ -212,9 +216,9 @@
         client: &ClientWatch,
     ) -> Result<(), Interrupted> {
         match client.wait_for(&self.stream, interest, until_ms) {
-            Ok(Waited::Ready) => Ok(()),
-            Ok(Waited::ClientLeft) => Err(Interrupted::ClientLeft),
-            Ok(Waited::TimedOut) => Err(Interrupted::Late),
+            Ok(WaitOutcome::Ready) => Ok(()),
+            Ok(WaitOutcome::ClientLeft) => Err(Interrupted::ClientLeft),
+            Ok(WaitOutcome::TimedOut) => Err(Interrupted::Late),
             Err(error) => Err(Interrupted::Failed(error.to_string())),
         }
     }
@@ -233,7 +237,7 @@
 /// The bytes of a request, with a length of its own for its body.
 fn encode(request: &Outgoing<'_>) -> Vec<u8> {
     let Outgoing { method, path, headers, body, .. } = request;
-    let mut bytes = Vec::with_capacity(HEAD_GUESS_BYTES + body.len());
+    let mut bytes = Vec::with_capacity(HEAD_INITIAL_BYTES + body.len());
     let _ = write!(bytes, "{method} {path} HTTP/1.1\r\n");
     for (name, value) in *headers {
         let _ = write!(bytes, "{name}: {value}\r\n");
--- a/programs/data-plane/src/target_connection/connect.rs
+++ b/programs/data-plane/src/target_connection/connect.rs
@@ -2,7 +2,7 @@
 
 use super::{CLIENT_LEFT, TargetConnection};
 use postbarrow_constants::traffic::{TARGET_CONNECT_MS, TARGET_IDLE_MS};
-use postbarrow_downstream::client_watch::{ClientWatch, Waited};
+use postbarrow_downstream::client_watch::{ClientWatch, WaitOutcome};
 use postbarrow_transport::{Interest, clock_ms};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io::{self, ErrorKind};
@@ -43,8 +43,8 @@
     }
     let stream = TcpStream::from(socket);
     match client.wait_for(&stream, Interest::Write, until_ms)? {
-        Waited::Ready => stream.take_error()?.map_or(Ok(stream), Err),
-        Waited::ClientLeft => Err(io::Error::other(CLIENT_LEFT)),
-        Waited::TimedOut => Err(ErrorKind::TimedOut.into()),
+        WaitOutcome::Ready => stream.take_error()?.map_or(Ok(stream), Err),
+        WaitOutcome::ClientLeft => Err(io::Error::other(CLIENT_LEFT)),
+        WaitOutcome::TimedOut => Err(ErrorKind::TimedOut.into()),
     }
 }
--- a/programs/data-plane/src/target_connection/proving.rs
+++ b/programs/data-plane/src/target_connection/proving.rs
@@ -1,12 +1,12 @@
 //! A target's proof of who it is, on a connection of its own.
 
 use super::{EndsWithClient, Outgoing, TargetConnection, Terms};
-use crate::dialect::Heard;
+use crate::dialect::ResponseJudgement;
 use crate::proof::read_proof;
 use postbarrow_constants::traffic::{HEAD_BYTES, PROOF_PATH};
 use postbarrow_downstream::client_watch::ClientWatch;
-use postbarrow_downstream::memory::Memory;
-use postbarrow_node::{Passed, TargetResponse};
+use postbarrow_downstream::memory_budget::MemoryBudget;
+use postbarrow_node::{AttemptOutcome, TargetResponse};
 use postbarrow_state::Target;
 
 impl TargetConnection {
@@ -34,16 +34,19 @@
             may_send: &|| true,
             client,
             ends_with_client: EndsWithClient::Always,
-            judge: &|_, _| Heard::Whole,
+            judge: &|_, _| ResponseJudgement::Complete,
         };
-        let space = Memory::new(HEAD_BYTES as u64);
+        let space = MemoryBudget::new(HEAD_BYTES as u64);
         let mut memory = space.reserve(0).ok_or("no space for a proof")?;
         match self.exchange(&request, &terms, &mut memory) {
-            (Passed::Whole(response), true) => check_proof(&response, target),
-            (Passed::Whole(_), false) => Err("the target closes after its proof".into()),
-            (Passed::Unsent(why) | Passed::NotRun(why) | Passed::Unknown { why, .. }, _) => {
-                Err(format!("proof: {why}"))
-            }
+            (AttemptOutcome::Complete(response), true) => check_proof(&response, target),
+            (AttemptOutcome::Complete(_), false) => Err("the target closes after its proof".into()),
+            (
+                AttemptOutcome::Unsent(why)
+                | AttemptOutcome::NotRun(why)
+                | AttemptOutcome::Unknown { why, .. },
+                _,
+            ) => Err(format!("proof: {why}")),
         }
     }
 }
@@ -60,5 +63,5 @@
     {
         return Err(format!("another target stands at {}", target.address));
     }
-    Ok(proof.occupancy)
+    Ok(proof.in_flight)
 }
--- a/programs/data-plane/src/target_connection/response.rs
+++ b/programs/data-plane/src/target_connection/response.rs
@@ -4,7 +4,7 @@
 use crate::answer::{self, Parsed, Size};
 use postbarrow_constants::traffic::*;
 use postbarrow_downstream::client_watch::ClientWatch;
-use postbarrow_downstream::memory::Reserved;
+use postbarrow_downstream::memory_budget::Reserved;
 use postbarrow_node::TargetResponse;
 use postbarrow_transport::Interest;
 use std::io::{ErrorKind, Read};
--- a/programs/data-plane/src/tests/asks.rs
+++ b/programs/data-plane/src/tests/asks.rs
@@ -154,7 +154,7 @@
 #[test]
 fn a_full_node_sheds_at_once_and_tells_when_to_come_back() {
     let (found, rig) = one(vec![Script::Whole("x")]);
-    rig.shared.requests_at_work.store(postbarrow_constants::traffic::REQUESTS_AT_WORK, Relaxed);
+    rig.shared.requests_at_work.store(postbarrow_constants::traffic::REQUESTS_IN_FLIGHT, Relaxed);
     let shed = rig.post("", "a");
     assert!(shed.starts_with("HTTP/1.1 503") && shed.contains("Retry-After: 1"), "{shed}");
     assert!(shed.contains("Postbarrow-Outcome: not-run"), "{shed}");
--- a/programs/data-plane/src/tests/client_left.rs
+++ b/programs/data-plane/src/tests/client_left.rs
@@ -84,10 +84,10 @@
     for load in table.loads().values() {
         assert_eq!(load.at_work(), 0, "load of its target");
     }
-    let postbarrow_routing::Found::Route(entry) = table.find("GET", "/look/1", &[]) else {
+    let postbarrow_routing::RouteMatch::Route(entry) = table.find("GET", "/look/1", &[]) else {
         panic!("no route")
     };
-    assert_eq!(entry.made.limits.at_work(), 0, "concurrency of its route");
+    assert_eq!(entry.compiled.limits.at_work(), 0, "concurrency of its route");
 }
 
 fn target_of(found: &ScriptedTarget, instance: &str) -> Target {
@@ -107,10 +107,10 @@
 
 fn publish(rig: &Rig, targets: &[(&str, &ScriptedTarget)]) {
     let cold = |at: usize| at > 0;
-    let targets = targets
-        .iter()
-        .enumerate()
-        .map(|(at, (instance, found))| Target { cold: cold(at), ..target_of(found, instance) });
+    let targets = targets.iter().enumerate().map(|(at, (instance, found))| Target {
+        warming_up: cold(at),
+        ..target_of(found, instance)
+    });
     rig.publish_with(targets.collect(), LONG_MS);
 }
 
--- a/programs/data-plane/src/tests/client_left/repeatable.rs
+++ b/programs/data-plane/src/tests/client_left/repeatable.rs
@@ -92,7 +92,7 @@
         thread::sleep(Duration::from_millis(1));
     }
     assert_eq!(rig.shared.downstreams.load(Relaxed), 0, "connections of clients that left");
-    let free = |memory: &Arc<postbarrow_downstream::memory::Memory>| {
+    let free = |memory: &Arc<postbarrow_downstream::memory_budget::MemoryBudget>| {
         memory.reserve(postbarrow_constants::traffic::BODIES_BYTES as u64).is_some()
     };
     assert!(free(&rig.shared.responses) && free(&rig.shared.memory), "memory of both ways");
--- a/programs/data-plane/src/tests/crowds.rs
+++ b/programs/data-plane/src/tests/crowds.rs
@@ -17,9 +17,9 @@
     let shared = rig.shared.clone();
     let count = shared.clients.of(own);
     let mine: Vec<Counted<'_>> =
-        (0..REQUESTS_AT_WORK * CLIENT_SHARE_PERCENT / 100).map(|_| Counted::one(count)).collect();
+        (0..REQUESTS_IN_FLIGHT * CLIENT_SHARE_PERCENT / 100).map(|_| Counted::one(count)).collect();
     assert!(rig.get("/look/1").starts_with("HTTP/1.1 200"), "places are plenty");
-    shared.requests_at_work.store(REQUESTS_AT_WORK / 2 + 1, Relaxed);
+    shared.requests_at_work.store(REQUESTS_IN_FLIGHT / 2 + 1, Relaxed);
     let told = rig.get("/look/1");
     assert!(told.starts_with("HTTP/1.1 503") && told.contains("Retry-After"), "{told}");
     drop(mine);
@@ -31,13 +31,13 @@
 fn one_route_with_more_than_its_share_leaves_places_to_others() {
     let (_found, rig) = rig();
     let table = rig.shared.table.load_full();
-    let postbarrow_routing::Found::Route(entry) = table.find("GET", "/look/1", &[]) else {
+    let postbarrow_routing::RouteMatch::Route(entry) = table.find("GET", "/look/1", &[]) else {
         panic!("no route")
     };
-    for _ in 0..REQUESTS_AT_WORK * ROUTE_SHARE_PERCENT / 100 {
-        entry.made.limits.enter(1, 1).unwrap();
+    for _ in 0..REQUESTS_IN_FLIGHT * ROUTE_SHARE_PERCENT / 100 {
+        entry.compiled.limits.enter(1, 1).unwrap();
     }
-    rig.shared.requests_at_work.store(REQUESTS_AT_WORK / 2 + 1, Relaxed);
+    rig.shared.requests_at_work.store(REQUESTS_IN_FLIGHT / 2 + 1, Relaxed);
     assert!(rig.get("/look/1").starts_with("HTTP/1.1 503"));
     assert!(rig.post("", "a").starts_with("HTTP/1.1 200"), "the other route has places");
     rig.shared.requests_at_work.store(0, Relaxed);
@@ -46,21 +46,21 @@
 #[test]
 fn nobody_is_over_a_share_while_half_is_free() {
     assert!(!is_over_share(
-        REQUESTS_AT_WORK / 2,
-        REQUESTS_AT_WORK,
-        REQUESTS_AT_WORK,
+        REQUESTS_IN_FLIGHT / 2,
+        REQUESTS_IN_FLIGHT,
+        REQUESTS_IN_FLIGHT,
         CLIENT_SHARE_PERCENT
     ));
     assert!(is_over_share(
-        REQUESTS_AT_WORK / 2 + 1,
-        REQUESTS_AT_WORK,
-        REQUESTS_AT_WORK,
+        REQUESTS_IN_FLIGHT / 2 + 1,
+        REQUESTS_IN_FLIGHT,
+        REQUESTS_IN_FLIGHT,
         CLIENT_SHARE_PERCENT
     ));
     assert!(!is_over_share(
-        REQUESTS_AT_WORK,
-        REQUESTS_AT_WORK / 4,
-        REQUESTS_AT_WORK,
+        REQUESTS_IN_FLIGHT,
+        REQUESTS_IN_FLIGHT / 4,
+        REQUESTS_IN_FLIGHT,
         CLIENT_SHARE_PERCENT
     ));
 }
@@ -84,7 +84,7 @@
     let found = ScriptedTarget::start("s-1", "s", vec![Script::Whole("x")]);
     let rig = Rig::new(vec![target("s-1", "s", found.address)], yes);
     let state = rig.shared.table.load().state.as_ref().clone();
-    let callers = postbarrow_state::Callers {
+    let callers = postbarrow_state::ClientLimits {
         head_bytes: Some(300),
         head_wait_ms: Some(50),
         idle_ms: Some(1),
--- a/programs/data-plane/src/tests/named.rs
+++ b/programs/data-plane/src/tests/named.rs
@@ -1,7 +1,7 @@
 use super::rig::*;
-use crate::{Dialect, Heard, Named, OwnCall};
+use crate::{Dialect, NodeEndpoint, ResponseJudgement, TargetIdentification};
 use postbarrow_downstream::head::Head;
-use postbarrow_node::{TargetResponse, Told, Verdict};
+use postbarrow_node::{Completion, RequestOutcome, TargetResponse};
 use std::sync::Arc;
 
 /// Targets that prove nothing, but name the ask in each response.
@@ -13,44 +13,51 @@
 }
 
 impl Dialect for Words {
-    fn own_call(&self, _head: &Head) -> Option<OwnCall> {
+    fn node_endpoint(&self, _head: &Head) -> Option<NodeEndpoint> {
         None
     }
-    fn wait_ms(&self, head: &Head) -> Option<u64> {
+    fn client_timeout_ms(&self, head: &Head) -> Option<u64> {
         head.header("Wait-Ms")?.parse().ok()
     }
-    fn key<'h>(&self, _head: &'h Head) -> Option<&'h str> {
+    fn idempotency_key<'h>(&self, _head: &'h Head) -> Option<&'h str> {
         None
     }
-    fn told(&self, verdict: Verdict) -> TargetResponse {
-        let (status, sent) = match verdict.told {
-            Told::Whole(response) => return response,
-            _ if verdict.about.sent => (502, "sent"),
+    fn render_completion(&self, verdict: Completion) -> TargetResponse {
+        let (status, sent) = match verdict.outcome {
+            RequestOutcome::Complete(response) => return response,
+            _ if verdict.evidence.sent => (502, "sent"),
             _ => (503, "unsent"),
         };
         TargetResponse { status, headers: Vec::new(), body: sent.into() }
     }
-    fn refused(&self, status: u16, _unsure: bool, why: &str) -> TargetResponse {
+    fn render_rejection(&self, status: u16, _unsure: bool, why: &str) -> TargetResponse {
         TargetResponse { status, headers: Vec::new(), body: why.into() }
     }
-    fn named(&self) -> Option<&dyn Named> {
+    fn target_identification(&self) -> Option<&dyn TargetIdentification> {
         Some(self)
     }
 }
 
-impl Named for Words {
+impl TargetIdentification for Words {
     fn headers(&self, _head: &Head, instance: &str, _left_ms: u64) -> Vec<(String, String)> {
         vec![("For".into(), instance.into())]
     }
-    fn heard(&self, head: &Head, response: &TargetResponse, _first: bool) -> Heard {
+    fn judge_response(
+        &self,
+        head: &Head,
+        response: &TargetResponse,
+        _first: bool,
+    ) -> ResponseJudgement {
         match (header(response, "Ask"), head.header("Ask")) {
-            (Some(told), Some(asked)) if told != asked => Heard::Another,
-            _ if header(response, "Not-Run").is_some() => Heard::NotRun("it says so".into()),
-            (None, _) => Heard::Unsound("no ask".into()),
-            _ => Heard::Whole,
+            (Some(told), Some(asked)) if told != asked => ResponseJudgement::Misdirected,
+            _ if header(response, "Not-Run").is_some() => {
+                ResponseJudgement::NotRun("it says so".into())
+            }
+            (None, _) => ResponseJudgement::Unsound("no ask".into()),
+            _ => ResponseJudgement::Complete,
         }
     }
-    fn occupancy(&self, _response: &TargetResponse) -> Option<u64> {
+    fn in_flight(&self, _response: &TargetResponse) -> Option<u64> {
         None
     }
 }
@@ -66,7 +73,7 @@
     let other = ScriptedTarget::start("s-2", "s", other);
     let slots = |target: postbarrow_state::Target, cold| postbarrow_state::Target {
         slots: 2,
-        cold,
+        warming_up: cold,
         ..target
     };
     let targets = vec![
--- a/programs/data-plane/src/tests/promises.rs
+++ b/programs/data-plane/src/tests/promises.rs
@@ -1,10 +1,10 @@
 use super::rig::*;
-use crate::dialect::Heard;
+use crate::dialect::ResponseJudgement;
 use crate::target_connection::{EndsWithClient, Outgoing, TargetConnection, Terms};
 use postbarrow_downstream::client_watch::ClientWatch;
-use postbarrow_downstream::memory::{Memory, Reserved};
+use postbarrow_downstream::memory_budget::{MemoryBudget, Reserved};
 use postbarrow_messages::{Request, Response};
-use postbarrow_node::Passed;
+use postbarrow_node::AttemptOutcome;
 use postbarrow_state::{Call, Change, Event, Outcome, Target};
 use postbarrow_transport::clock_ms;
 use std::cell::Cell;
@@ -12,7 +12,7 @@
 use std::net::TcpStream;
 
 fn space() -> Reserved {
-    Memory::new(1 << 20).reserve(0).unwrap()
+    MemoryBudget::new(1 << 20).reserve(0).unwrap()
 }
 
 fn header(told: &str, name: &str) -> Option<String> {
@@ -65,7 +65,7 @@
 }
 
 /// Passes a posting on over a new connection that its target proved.
-fn pass(to: &Target, body: &[u8], may_send: &dyn Fn() -> bool) -> (Passed, bool) {
+fn pass(to: &Target, body: &[u8], may_send: &dyn Fn() -> bool) -> (AttemptOutcome, bool) {
     let nobody = ClientWatch::nobody();
     let until_ms = clock_ms() + 60_000;
     let mut connection = TargetConnection::open(to.address, until_ms, &nobody).unwrap();
@@ -82,7 +82,7 @@
         may_send,
         client: &nobody,
         ends_with_client: EndsWithClient::Never,
-        judge: &|_, _| Heard::Whole,
+        judge: &|_, _| ResponseJudgement::Complete,
     };
     let (passed, back) = connection.pass(&request, &terms, &mut space());
     (passed, back.is_some())
@@ -93,12 +93,12 @@
     let found = ScriptedTarget::start("s-1", "s", vec![Script::Whole("fine")]);
     let to = target("s-1", "s", found.address);
     let (passed, is_back) = pass(&to, b"a", &|| false);
-    assert!(matches!(passed, Passed::Unsent(_)) && !is_back, "{passed:?}");
+    assert!(matches!(passed, AttemptOutcome::Unsent(_)) && !is_back, "{passed:?}");
     assert_eq!(found.runs(), 0);
     let asked = Cell::new(0);
     let body = vec![7; 300_000];
     let (passed, is_back) = pass(&to, &body, &|| asked.replace(asked.get() + 1) == 0);
-    assert!(matches!(passed, Passed::Whole(_)) && is_back, "{passed:?}");
+    assert!(matches!(passed, AttemptOutcome::Complete(_)) && is_back, "{passed:?}");
     assert_eq!(asked.get(), 1, "the gate of a proof is not the request's");
     assert_eq!(found.seen.lock().unwrap().bodies[0].len(), body.len());
 }
--- a/programs/data-plane/src/tests/rig.rs
+++ b/programs/data-plane/src/tests/rig.rs
@@ -38,7 +38,7 @@
         draining: false,
         down: false,
         slots: 0,
-        cold: false,
+        warming_up: false,
     }
 }
 
@@ -47,7 +47,7 @@
         targets: Vec<Target>,
         answer: impl Fn(&Request) -> Response + Send + 'static,
     ) -> Rig {
-        Rig::speaking(Arc::new(crate::Own), targets, answer)
+        Rig::speaking(Arc::new(crate::NativeDialect), targets, answer)
     }
 
     pub fn speaking(
@@ -111,15 +111,15 @@
             concurrency: None,
             deadline_ms,
             host: None,
-            shares: Vec::new(),
-            tries: None,
-            goal_ms: None,
-            precedence: 0,
+            weighted_services: Vec::new(),
+            max_attempts: None,
+            latency_target_ms: None,
+            priority: 0,
         };
-        state.routes.push_back(Arc::new(route("/look/*", "GET", Kind::Lookup, "s")));
-        state.routes.push_back(Arc::new(route("/post/*", "POST", Kind::OneTime, "s")));
-        state.routes.push_back(Arc::new(route("/large/*", "PUT", Kind::Lookup, "s")));
-        state.routes.push_back(Arc::new(route("/large/*", "POST", Kind::OneTime, "s")));
+        state.routes.push_back(Arc::new(route("/look/*", "GET", RouteKind::Lookup, "s")));
+        state.routes.push_back(Arc::new(route("/post/*", "POST", RouteKind::OneTime, "s")));
+        state.routes.push_back(Arc::new(route("/large/*", "PUT", RouteKind::Lookup, "s")));
+        state.routes.push_back(Arc::new(route("/large/*", "POST", RouteKind::OneTime, "s")));
         for target in targets {
             state.targets.insert(target.instance.clone(), Arc::new(target));
         }
--- a/programs/data-plane/src/tests/silence.rs
+++ b/programs/data-plane/src/tests/silence.rs
@@ -2,12 +2,12 @@
 
 use super::named::{Words, get, response, two};
 use super::rig::*;
-use crate::Named;
+use crate::TargetIdentification;
 use crate::target_connection::{EndsWithClient, Outgoing, TargetConnection, Terms};
 use postbarrow_downstream::client_watch::ClientWatch;
 use postbarrow_downstream::head::parse;
-use postbarrow_downstream::memory::Memory;
-use postbarrow_node::Passed;
+use postbarrow_downstream::memory_budget::MemoryBudget;
+use postbarrow_node::AttemptOutcome;
 use postbarrow_transport::clock_ms;
 
 /// Long enough for a request to reach its target, short enough for a test.
@@ -136,20 +136,20 @@
         until_ms,
         repeatable: false,
     };
-    let mut memory = Memory::new(1_000).reserve(0).unwrap();
+    let mut memory = MemoryBudget::new(1_000).reserve(0).unwrap();
     let mut pass = |allowed: bool| {
         let terms = Terms {
             may_send: &|| allowed,
             client: &nobody,
             ends_with_client: EndsWithClient::Never,
-            judge: &|response, first| Words.heard(&head, response, first),
+            judge: &|response, first| Words.judge_response(&head, response, first),
         };
         let connection = TargetConnection::open(one.address, until_ms, &nobody).unwrap();
         connection.pass(&request, &terms, &mut memory)
     };
     let (passed, kept) = pass(false);
-    assert!(matches!(passed, Passed::Unsent(_)) && kept.is_none(), "{passed:?}");
+    assert!(matches!(passed, AttemptOutcome::Unsent(_)) && kept.is_none(), "{passed:?}");
     let (passed, kept) = pass(true);
-    assert!(matches!(passed, Passed::Whole(_)) && kept.is_some(), "{passed:?}");
+    assert!(matches!(passed, AttemptOutcome::Complete(_)) && kept.is_some(), "{passed:?}");
     assert_eq!(one.runs(), 1, "the forbidden one never came");
 }
--- a/tools/scale-run/src/runs.rs
+++ b/tools/scale-run/src/runs.rs
@@ -1,7 +1,7 @@
 use crate::Cli;
 use crate::world::{self, Body, World};
 use postbarrow_messages::{Request, Submission};
-use postbarrow_state::{Kind, Labels, Name, Record, Route, Service};
+use postbarrow_state::{Labels, Name, Record, Route, RouteKind, Service};
 
 fn submission(version: u64, routes: usize, services: usize) -> Submission {
     let name = |version: u64| Name::from(format!("v{version}"));
@@ -16,7 +16,7 @@
         records.push(Record::Route(Route {
             path: Name::from(format!("/path{at:05}/*")),
             methods: vec!["*".into()],
-            kind: Kind::Lookup,
+            kind: RouteKind::Lookup,
             service: Name::from(format!("service-{}", at % services)),
             when: None,
             body_bytes: 1_000_000,
@@ -24,10 +24,10 @@
             concurrency: None,
             deadline_ms: 1_500 + version,
             host: Some(Name::from(format!("host{at:05}.example"))),
-            shares: Vec::new(),
-            tries: Some(2),
-            goal_ms: Some(600),
-            precedence: 1,
+            weighted_services: Vec::new(),
+            max_attempts: Some(2),
+            latency_target_ms: Some(600),
+            priority: 1,
         }));
     }
     let text = vec![b'x'; routes * 250];
--- a/tools/scale-run/src/step.rs
+++ b/tools/scale-run/src/step.rs
@@ -1,5 +1,5 @@
 use crate::world::{Body, Event, TICK_US, World};
-use postbarrow_controller::{Effect, Fetched, Input, Listed, PageResult};
+use postbarrow_controller::{Effect, Fetched, Input, ListPage, PageResult};
 use postbarrow_messages::{Envelope, Message, read_frame, to_frame};
 use postbarrow_node::{Effect as NodeEffect, Input as NodeInput};
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
                         let rows = self.targets.chunks(PAGE).nth(page).unwrap_or(&[]).to_vec();
                         let more = (page + 1) * PAGE < self.targets.len();
                         let next = more.then(|| (page + 1).to_string());
-                        let fetched = Fetched::Listed(Listed { targets: rows, next });
+                        let fetched = Fetched::Listed(ListPage { targets: rows, next });
                         Some(Input::Page(PageResult { number, fetched }))
                     }
                 };
@@ -69,7 +69,7 @@
                 let (index, state) = (snap.index, snap.encode());
                 self.push(at, life, ENCODE_US, Event::Encoded(index, state));
             }
-            Effect::Say(_) => {}
+            Effect::Log(_) => {}
         }
     }
 
@@ -84,7 +84,7 @@
                 }
             }
             NodeEffect::Lease { until_ms } => self.processes[at].lease_until_ms = until_ms,
-            NodeEffect::Answer { .. } | NodeEffect::Say(_) => {}
+            NodeEffect::Answer { .. } | NodeEffect::Log(_) => {}
         }
     }
 
--- a/tools/scale-run/src/world.rs
+++ b/tools/scale-run/src/world.rs
@@ -218,6 +218,6 @@
         draining: false,
         down: false,
         slots: 6,
-        cold: false,
+        warming_up: false,
     }
 }
