--- /dev/null
+++ b/crates/controller/tests/golden_bytes.rs
@@ -0,0 +1,88 @@
+//! The bytes of the note that a controller gives to the next one when it stops.
+//!
+//! MessagePack, as `rmp_serde::to_vec` writes it: the note is an array, so its fields are sent by
+//! position and their names are free to change, while their order is not. It has no variants.
+
+mod bench;
+#[path = "../../state/tests/golden/mod.rs"]
+mod golden;
+mod trio;
+
+use bench::*;
+use postbarrow_consensus::{Append, Message as LogMessage, TakeOver};
+use postbarrow_controller::{Fetched, Input, PageResult};
+use postbarrow_messages::*;
+use postbarrow_state::Name;
+use trio::Trio;
+
+const CRATE: &str = env!("CARGO_MANIFEST_DIR");
+
+/// When the last whole walk ended, the order and chain of its pages, the gap between two questions,
+/// and when those of the last window were asked; ages and gap in milliseconds.
+type Note = (Option<u64>, Vec<Name>, Vec<Option<String>>, u64, Vec<u64>);
+
+/// One tick of a controller whose list has two pages; what it sent to a follower as it stops.
+fn step(trio: &mut Trio) -> Option<Vec<u8>> {
+    trio.bench.tick(20);
+    trio.bench.sync();
+    while let Some((number, cursor)) = trio.bench.fetches.pop_front() {
+        let (row, next) = match cursor {
+            None => (Bench::row("catalogue-1", "catalogue", false), "\"second\""),
+            Some(_) => (Bench::row("ledger-1", "ledger", false), "null"),
+        };
+        let text = format!("{{\"targets\":[{row}],\"next\":{next}}}");
+        let fetched = Fetched::Page(text.into_bytes());
+        trio.bench.input(Input::Page(PageResult { number, fetched }));
+    }
+    let note = trio.bench.sent.iter().find_map(|message| match message {
+        Message::Consensus { message: LogMessage::TakeOver(ask), .. } => Some(ask.note.clone()),
+        _ => None,
+    });
+    let responses = trio.follower_responses();
+    trio.deliver(responses);
+    note
+}
+
+fn note_of_a_stop() -> Vec<u8> {
+    let mut trio = Trio::serving();
+    for _ in 0..400 {
+        step(&mut trio);
+    }
+    trio.bench.input(Input::Stop);
+    (0..100).find_map(|_| step(&mut trio)).expect("it hands over")
+}
+
+#[test]
+fn the_note_of_a_stopping_controller_is_written_and_read() {
+    let note = note_of_a_stop();
+    let decoded = golden::decode::<Note>(&note).expect("five fields");
+    assert!(decoded.0.is_some() && decoded.1.len() == 2 && decoded.2.len() == 2, "{decoded:?}");
+    assert!(decoded.3 > 0 && !decoded.4.is_empty(), "{decoded:?}");
+    let case =
+        golden::case_of("note", note, |bytes| Ok(golden::encode(&golden::decode::<Note>(bytes)?)));
+    golden::check(CRATE, "note.hex", &[case]);
+    assert_next_controller_reads(golden::read_fixture(CRATE, "note.hex").remove(0).1);
+}
+
+/// The next controller knows of the list's walk before it walked.
+fn assert_next_controller_reads(note: Vec<u8>) {
+    let mut trio = Trio { bench: Bench::new(recovered(&[1, 2, 3], Vec::new(), 1)) };
+    let sent_ms = trio.bench.now_ms;
+    let entries = Vec::new();
+    let append = Append { term: 1, prev: 0, prev_term: 0, entries, commit: 0, sent_ms };
+    let ask = TakeOver { term: 1, sent_ms, note };
+    for message in [LogMessage::Append(append), LogMessage::TakeOver(ask)] {
+        trio.bench.message(Message::Consensus { from: member(2), to: 1, message });
+    }
+    for _ in 0..5 {
+        trio.bench.sync();
+        let responses = trio.follower_responses();
+        trio.deliver(responses);
+        trio.bench.tick(20);
+    }
+    assert!(trio.bench.node.has_lease(trio.bench.now_ms), "it leads at once");
+    trio.bench.ask(1, Request::Targets);
+    let Some(Response::Operator { body, .. }) = trio.bench.answer(1) else { panic!("no answer") };
+    let body = String::from_utf8_lossy(body);
+    assert!(!body.contains("\"listWalkedMsAgo\":null"), "{body}");
+}
--- /dev/null
+++ b/crates/messages/tests/golden_bytes.rs
@@ -0,0 +1,183 @@
+//! The bytes of what postbarrow's processes send to each other.
+//!
+//! A frame is four bytes of length and MessagePack, as `rmp_serde::to_vec` writes it: structs, also
+//! those within variants, are arrays, so their fields are sent by position and their names are free
+//! to change, while their order is not. Variants of enums are sent by name: a variant that is
+//! renamed needs `#[serde(rename)]` with the name that it goes by on the wire. So there is a value
+//! of every variant here.
+
+#[path = "../../consensus/tests/golden/values.rs"]
+mod consensus_values;
+#[path = "../../state/tests/golden/mod.rs"]
+mod golden;
+#[path = "../../state/tests/golden/values.rs"]
+mod state_values;
+
+use consensus_values::member;
+use golden::{Case, assert_covers, case_of, check, variants};
+use postbarrow_membership::NewsEntry;
+use postbarrow_messages::*;
+use postbarrow_state::Name;
+use serde_bytes::ByteBuf;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+const CRATE: &str = env!("CARGO_MANIFEST_DIR");
+
+fn socket(last: u8) -> SocketAddr {
+    ([10, 3, 0, last], 9_000).into()
+}
+
+fn name(text: &str) -> Name {
+    Name::from(text)
+}
+
+fn submission() -> Submission {
+    let records = state_values::records().into_iter().map(|(_, record)| record).collect();
+    let (version, base) = (name("v2"), Some(name("v1")));
+    Submission { version, base, records, dry_run: true, allow_empty: false }
+}
+
+fn empty_allowed() -> Submission {
+    Submission { records: Vec::new(), dry_run: false, allow_empty: true, ..submission() }
+}
+
+/// Values, each with the name that it goes by on the wire.
+type Named<T> = Vec<(String, T)>;
+
+fn named<T, const COUNT: usize>(values: [(&str, T); COUNT]) -> Named<T> {
+    values.into_iter().map(|(name, value)| (name.to_string(), value)).collect()
+}
+
+/// Every one of the inner values within a variant of this name.
+fn within<I: AsRef<str>, T, U>(
+    name: &str,
+    inner: Vec<(I, T)>,
+    wrap: impl Fn(T) -> U,
+) -> impl Iterator<Item = (String, U)> {
+    let wrapped = |(inner, value): (I, T)| (format!("{name} {}", inner.as_ref()), wrap(value));
+    inner.into_iter().map(wrapped).collect::<Vec<_>>().into_iter()
+}
+
+fn requests() -> Named<Request> {
+    let settle = Request::Settle {
+        ticket: state_values::open_ticket(),
+        settlement: postbarrow_state::Settlement::Ran,
+        response: Some(state_values::kept()),
+    };
+    let mut requests = named([
+        ("Ticket", Request::Ticket(state_values::open_ticket())),
+        ("Settle", settle),
+        ("Submit", Request::Submit(submission())),
+        ("Submit empty allowed", Request::Submit(empty_allowed())),
+        ("Show", Request::Show),
+        ("Targets", Request::Targets),
+        ("Members", Request::Members),
+        ("Status", Request::Status),
+        ("Recent", Request::Recent),
+    ]);
+    let call = |call| Request::Call { id: Some(name("call-1")), call };
+    requests.extend(within("Call", state_values::calls(), call));
+    requests
+}
+
+fn responses() -> Named<Response> {
+    let samples = vec![state_values::sample()];
+    let mut responses = named([
+        ("Granted", Response::Granted),
+        ("Known", Response::Known(Box::new(state_values::settled_ticket()))),
+        ("OtherDigest", Response::OtherDigest),
+        ("Settled", Response::Settled),
+        ("Refused", Response::Refused("no such name".into())),
+        ("Full", Response::Full),
+        ("Plan", Response::Plan { version: name("v2"), offset: 12, text: b"{}\n".to_vec() }),
+        ("Operator", Response::Operator { status: 404, body: b"{\"error\":\"none\"}".to_vec() }),
+        ("Recent", Response::Recent { samples, seen: 99, seconds: 60 }),
+        ("NotController", Response::NotController { controller: Some(socket(1)) }),
+        ("Waiting", Response::Waiting),
+        ("Lost", Response::Lost),
+        ("TimedOut", Response::TimedOut),
+        ("Unavailable", Response::Unavailable),
+    ]);
+    responses.extend(within("Outcome", state_values::outcomes(), Response::Outcome));
+    responses
+}
+
+fn fresh() -> Named<Fresh> {
+    let members = || vec![socket(1), socket(2)];
+    named([
+        ("Granted", Fresh::Granted { term: 5, watermark: 44, members: members() }),
+        ("NotController", Fresh::NotController { controller: Some(socket(3)), members: members() }),
+    ])
+}
+
+fn fresh_ask(ready: bool) -> FreshAsk {
+    FreshAsk {
+        number: 17,
+        node: state_values::node(),
+        published: 43,
+        version: Some(name("v2")),
+        ready,
+        failing: vec![name("ledger-2")],
+        suspects: vec![6, 8],
+        recent: vec![state_values::sample()],
+        seen: 99,
+    }
+}
+
+fn image_frame() -> ImageFrame {
+    let state = EncodedImage::default().frame(44, state_values::state).state;
+    ImageFrame { offset: 44, state: Arc::new(ByteBuf::from(state.to_vec())) }
+}
+
+fn messages() -> Named<Message> {
+    let greet = Greet { member: member(3), fresh: true, knows: vec![3, 2] };
+    let entries = vec![NewsEntry { prev: 42, offset: 44, bytes: b"news\xff".to_vec() }];
+    let mut messages = named([
+        ("Greet", Message::Greet(greet)),
+        ("Form", Message::Form(vec![member(1), member(2)])),
+        ("Introduce", Message::Introduce),
+        (
+            "Introduction",
+            Message::Introduction { control: vec![socket(1), socket(2)], formed: true },
+        ),
+        ("Fresh", Message::Fresh(fresh_ask(true))),
+        ("Tail", Message::Tail { after: 43 }),
+        ("News", Message::News { entries }),
+        ("Image", Message::Image(image_frame())),
+        ("Beat", Message::Beat { node: 5 }),
+    ]);
+    let says = |message| Message::Consensus { from: member(1), to: 2, message };
+    messages.extend(within("Consensus", consensus_values::messages(), says));
+    let told = |fresh| Message::FreshResponse { number: 17, fresh };
+    messages.extend(within("FreshResponse", fresh(), told));
+    let asked = |request| Message::Request { key: 21, request };
+    messages.extend(within("Ask", requests(), asked));
+    let answered = |response| Message::Response { key: 22, response };
+    messages.extend(within("Response", responses(), answered));
+    messages
+}
+
+fn frame(name: &str, message: Message) -> Case {
+    let envelope = Envelope { from: socket(9), message };
+    case_of(name, to_frame(&envelope).expect("a frame"), |bytes| {
+        let envelope = read_frame(&mut &bytes[..]).map_err(|error| error.to_string())?;
+        to_frame(&envelope).map_err(|error| error.to_string())
+    })
+}
+
+/// Every message in its frame, with every request, response and consensus message within.
+#[test]
+fn frames() {
+    let frames: Vec<Case> =
+        messages().into_iter().map(|(name, message)| frame(&name, message)).collect();
+    assert_covers::<Message>(&frames);
+    check(CRATE, "frames.hex", &frames);
+}
+
+#[test]
+fn requests_and_responses() {
+    check(CRATE, "requests.hex", &variants(&requests()));
+    check(CRATE, "responses.hex", &variants(&responses()));
+    check(CRATE, "fresh.hex", &variants(&fresh()));
+}
--- /dev/null
+++ b/crates/state/tests/golden_bytes.rs
@@ -0,0 +1,67 @@
+//! The bytes of what the log and its snapshots store of this crate's types.
+//!
+//! MessagePack, as `rmp_serde::to_vec` writes it: structs, also those within variants, are arrays,
+//! so their fields are stored by position and their names are free to change, while their order is
+//! not. Variants of enums are stored by name: a variant that is renamed needs `#[serde(rename)]`
+//! with its stored name. So there is a value of every variant here.
+
+mod golden;
+#[path = "golden/values.rs"]
+mod values;
+
+use golden::{Case, case, case_of, check, variants};
+use postbarrow_state::{Record, State};
+use postbarrow_transactions::Line;
+
+const CRATE: &str = env!("CARGO_MANIFEST_DIR");
+
+#[test]
+fn records() {
+    check(CRATE, "records.hex", &variants(&values::records()));
+}
+
+#[test]
+fn variants_within_records_calls_and_outcomes() {
+    check(CRATE, "settlements.hex", &variants(&values::settlements()));
+    check(CRATE, "kinds.hex", &variants(&values::kinds()));
+    check(CRATE, "sorts.hex", &variants(&values::sorts()));
+    check(CRATE, "changes.hex", &variants(&values::changes()));
+    check(CRATE, "calls.hex", &variants(&values::calls()));
+    check(CRATE, "outcomes.hex", &variants(&values::outcomes()));
+}
+
+#[test]
+fn state() {
+    let cases = [case("full", &values::state()), case("empty", &State::default())];
+    check(CRATE, "state.hex", &cases);
+}
+
+/// A batch as the log holds it: a byte for the format, then its lines.
+#[test]
+fn batches() {
+    let data = || values::records().into_iter().map(|(_, record)| Line::Data(record));
+    let line = |name: &str, line: Line<Record>| batch(name, &[line]);
+    let cases = [
+        line("Begin", Line::begin("plan v2")),
+        line("Data", data().next().expect("a record")),
+        line("End", Line::End),
+        line("Abort", Line::abort("over the bound")),
+    ];
+    golden::assert_covers::<Line<Record>>(&cases);
+    let begin = std::iter::once(Line::begin("plan v2"));
+    let whole: Vec<Line<Record>> = begin.chain(data()).chain([Line::End]).collect();
+    let more = [
+        batch("Begin without a name", &[Line::Begin { name: None }]),
+        batch("Abort without a reason", &[Line::Abort { reason: None }]),
+        batch("every record", &whole),
+        batch("empty", &[]),
+    ];
+    check(CRATE, "batches.hex", &cases.into_iter().chain(more).collect::<Vec<Case>>());
+}
+
+fn batch(name: &str, lines: &[Line<Record>]) -> Case {
+    case_of(name, postbarrow_transactions::encode(lines), |bytes| {
+        let lines: Vec<Line<Record>> = postbarrow_transactions::decode(bytes)?;
+        Ok(postbarrow_transactions::encode(&lines))
+    })
+}
