--- a/crates/controller/tests/bench/mod.rs
+++ b/crates/controller/tests/bench/mod.rs
@@ -23,6 +23,8 @@
     pub pages: Vec<String>,
     pub encoded: usize,
     pub snapshot: Option<Snapshot>,
+    /// All that its disk was asked to write, in order.
+    pub writes: Vec<Write>,
     unsynced: Option<u64>,
 }
 
@@ -54,6 +56,7 @@
             pages: Vec::new(),
             encoded: 0,
             snapshot: None,
+            writes: Vec::new(),
             unsynced: None,
         }
     }
@@ -86,6 +89,7 @@
             match effect {
                 Effect::Write { sequence, write } => {
                     self.unsynced = Some(sequence);
+                    self.writes.push(write.clone());
                     if let Write::Append(entries) = write {
                         for entry in entries {
                             if let Payload::Batch(bytes) = &entry.payload {
--- /dev/null
+++ b/crates/controller/tests/golden_folder.rs
@@ -0,0 +1,194 @@
+//! A control node on a data folder that commit dfb0489 wrote: all that it promised is still known.
+//!
+//! With POSTBARROW_WRITE_FIXTURES set, the folder is written anew by the present code. Then it no
+//! longer shows that an older release's folder is read, so that is for a further folder only.
+
+mod bench;
+use bench::*;
+
+use postbarrow_consensus::{Recovered, Write};
+use postbarrow_controller::Input;
+use postbarrow_messages::{Request, Response};
+use postbarrow_state::{Call, Kept, Key, Name, Outcome, Settlement, State, Ticket};
+use postbarrow_storage::{FolderDisk, LOGS, Opened, SLOTS, Storage, open};
+use std::path::{Path, PathBuf};
+use std::sync::Once;
+
+/// Below what one plan writes.
+const SNAPSHOT_DUE_BYTES: u64 = 200;
+const LONG_MS: u64 = 60_000;
+
+/// The committed folder; written before the first test looks, if fixtures are to be written.
+fn fixture() -> PathBuf {
+    static WRITTEN: Once = Once::new();
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/folder");
+    if std::env::var_os("POSTBARROW_WRITE_FIXTURES").is_some() {
+        WRITTEN.call_once(|| {
+            let _ = std::fs::remove_dir_all(&folder);
+            write_folder(&folder);
+        });
+    }
+    folder
+}
+
+fn name(text: &str) -> Name {
+    Name::from(text)
+}
+
+fn kept(status: u16) -> Kept {
+    let headers = vec![("Location".to_string(), format!("/orders/{status}"))];
+    Kept { status, headers, body: b"made\x00\xff".to_vec() }
+}
+
+fn settle(ticket: Ticket, response: Kept) -> Request {
+    Request::Settle { ticket, settlement: Settlement::Ran, response: Some(response) }
+}
+
+fn lock(lock: &str) -> Request {
+    call(Call::Lock { name: name(lock), holder: name("me"), ttl_ms: LONG_MS })
+}
+
+fn put(key: &str) -> Request {
+    call(Call::Put { name: name(key), value: b"on\x00".to_vec(), revision: None })
+}
+
+fn next_number(number: &str, by: u64) -> Request {
+    call(Call::Next { name: name(number), by })
+}
+
+fn call(call: Call) -> Request {
+    Request::Call { id: None, call }
+}
+
+fn first_plan() -> String {
+    plan("v1", None, 2, "ledger")
+}
+
+fn second_plan() -> String {
+    plan("v2", Some("v1"), 3, "ledger")
+}
+
+fn answered(bench: &mut Bench, key: u64, request: Request) -> Response {
+    bench.ask(key, request);
+    bench.settle();
+    bench.answer(key).cloned().expect("it is answered")
+}
+
+/// One of each kind of promise, with a name that ends in `part`.
+fn promise(bench: &mut Bench, part: &str, keys: u64, status: u16) {
+    bench.fresh(5);
+    let ticket = ticket(&format!("order-{part}"), keys);
+    answered(bench, keys, Request::Ticket(ticket.clone()));
+    answered(bench, keys + 1, settle(ticket, kept(status)));
+    answered(bench, keys + 2, next_number(&format!("number-{part}"), 7));
+    answered(bench, keys + 3, put(&format!("key-{part}")));
+    answered(bench, keys + 4, lock(&format!("lock-{part}")));
+}
+
+/// The first promises go into a snapshot, and the second ones stay in the log behind it.
+fn write_folder(folder: &Path) {
+    let mut bench = Bench::serving();
+    promise(&mut bench, "old", 100, 201);
+    bench.submit(1, &first_plan());
+    bench.settle();
+    bench.bound(SNAPSHOT_DUE_BYTES);
+    answered(&mut bench, 2, put("last-of-the-snapshot"));
+    let snapshot = bench.snapshot.clone().expect("a snapshot is due");
+    bench.bound(u64::MAX);
+    bench.input(Input::Encoded { index: snapshot.index, state: snapshot.state });
+    bench.settle();
+    bench.submit(3, &second_plan());
+    bench.settle();
+    promise(&mut bench, "new", 200, 202);
+    bench.fresh(5);
+    bench.settle();
+
+    let Recovered { snapshot, .. } = recovered(&[1], Vec::new(), 0);
+    let first = Write::Slot {
+        snapshot: snapshot.expect("the members"),
+        hard: Default::default(),
+        entries: Vec::new(),
+    };
+    let disk = FolderDisk::new(folder.to_path_buf()).expect("a folder");
+    let mut storage = Storage::create(disk, 1).expect("it is new");
+    storage.apply(vec![first]).expect("it is written");
+    storage.apply(bench.writes).expect("it is written");
+}
+
+/// What a start finds in a copy of the committed folder.
+fn recovered_from_copy(copy: &str) -> (u64, Recovered) {
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(copy);
+    let _ = std::fs::remove_dir_all(&folder);
+    std::fs::create_dir_all(&folder).expect("a folder");
+    for file in SLOTS.into_iter().chain(LOGS) {
+        std::fs::copy(fixture().join(file), folder.join(file)).expect("the fixture is committed");
+    }
+    match open(FolderDisk::new(folder).expect("a folder")).expect("it is read") {
+        Opened::Whole { storage, recovered } => (storage.id(), recovered),
+        Opened::Damaged { finding, .. } => panic!("damaged: {finding}"),
+        Opened::Empty(_) => panic!("no slot was read"),
+    }
+}
+
+fn check_promise(state: &State, part: &str, status: u16, fence: u64) {
+    let named = |kind: &str| name(&format!("{kind}-{part}"));
+    let ticket = &state.tickets[&named("order")];
+    assert_eq!(ticket.settled, Some(Settlement::Ran), "{part}");
+    assert_eq!((ticket.service.as_str(), ticket.instance.as_str()), ("ledger", "ledger-1"));
+    assert_eq!(ticket.response.as_deref(), Some(&kept(status)), "{part}");
+    assert_eq!(state.numbers[&named("number")], 7, "{part}");
+    assert_eq!(state.keys[&named("key")].value, b"on\x00", "{part}");
+    let lock = &state.locks[&named("lock")];
+    assert_eq!((lock.holder.as_str(), lock.fence, lock.ttl_ms), ("me", fence, LONG_MS), "{part}");
+}
+
+#[test]
+fn every_promise_of_the_folder_is_known_and_kept() {
+    let (id, recovered) = recovered_from_copy("golden-promises");
+    assert_eq!(id, 1);
+    let snapshot = recovered.snapshot.clone().expect("a snapshot");
+    assert!(snapshot.index > 0 && !recovered.entries.is_empty(), "a snapshot, and a log behind it");
+
+    let mut bench = Bench::new(recovered);
+    let restored = bench.state();
+    assert_eq!(restored.plan_version(), Some("v1"), "the snapshot's plan");
+    check_promise(restored, "old", 201, 1);
+    assert!(!restored.numbers.contains_key("number-new"), "the log's are not committed yet");
+
+    bench.lead();
+    let state = bench.state();
+    assert_eq!(state.plan_version(), Some("v2"), "the log's plan");
+    assert_eq!(state.plan_text(), second_plan().into_bytes());
+    assert_eq!((state.routes.len(), state.services.len()), (3, 1));
+    assert_eq!((state.targets.len(), state.nodes.len()), (3, 1));
+    assert!(state.taken_plan("v1").is_some() && state.remembers_every_plan());
+    check_promise(state, "old", 201, 1);
+    check_promise(state, "new", 202, 2);
+
+    for (key, part, status) in [(1, "old", 201), (2, "new", 202)] {
+        let again = Request::Ticket(ticket(&format!("order-{part}"), 999));
+        let Response::Known(known) = answered(&mut bench, key, again) else { panic!("{part}") };
+        assert_eq!(known.response.as_deref(), Some(&kept(status)), "{part}: the kept answer");
+    }
+    let shown = answered(&mut bench, 3, Request::Show);
+    assert!(matches!(shown, Response::Plan { text, .. } if text == second_plan().into_bytes()));
+    let number = answered(&mut bench, 4, next_number("number-old", 1));
+    assert_eq!(number, Response::Outcome(Outcome::Number(8)), "the number goes on");
+    let fence = answered(&mut bench, 5, lock("lock-third"));
+    let next = Outcome::Locked { fence: 3, ttl_ms: LONG_MS };
+    assert_eq!(fence, Response::Outcome(next), "no fence is given twice");
+    let read = answered(&mut bench, 6, call(Call::ReadKey { name: name("key-old") }));
+    assert!(
+        matches!(&read, Response::Outcome(Outcome::Key(Key { value, .. })) if value == b"on\x00")
+    );
+}
+
+/// A snapshot's content is an array of the state and the offset of the last news.
+#[test]
+fn the_snapshot_reads_and_writes_byte_for_byte() {
+    let (_, recovered) = recovered_from_copy("golden-snapshot");
+    let committed = &recovered.snapshot.expect("a snapshot").state;
+    let content: (State, u64) = rmp_serde::from_slice(committed).expect("it is read");
+    assert!(content.1 > 0, "the offset of the last news");
+    assert_eq!(&rmp_serde::to_vec(&content).expect("it is written"), committed);
+}
