--- a/crates/consensus/tests/golden/values.rs
+++ b/crates/consensus/tests/golden/values.rs
@@ -28,8 +28,8 @@
     (first..).zip(payloads).map(|(index, payload)| Entry { term: 3, index, payload }).collect()
 }
 
-pub fn hard(term: u64) -> Hard {
-    Hard { term, voted: Some(2) }
+pub fn hard(term: u64) -> HardState {
+    HardState { term, voted_for: Some(2) }
 }
 
 pub fn snapshot() -> Snapshot {
@@ -39,26 +39,32 @@
 pub fn writes() -> Vec<(&'static str, Write)> {
     let (snapshot, entries) = (Arc::new(snapshot()), entries(41));
     vec![
-        ("Hard", Write::Hard(hard(3))),
+        ("Hard", Write::HardState(hard(3))),
         ("Append", Write::Append(entries.clone())),
         ("Truncate", Write::Truncate { from: 43 }),
         ("Slot", Write::Slot { snapshot, hard: hard(4), entries }),
     ]
 }
 
-fn vote_ask() -> VoteAsk {
-    VoteAsk { term: 5, last: 44, last_term: 3, handed: true, clear: false }
+fn vote_request() -> VoteRequest {
+    VoteRequest {
+        term: 5,
+        last_index: 44,
+        last_term: 3,
+        leadership_transfer: true,
+        leaderless: false,
+    }
 }
 
-fn clear_vote_ask() -> VoteAsk {
-    VoteAsk { handed: false, clear: true, ..vote_ask() }
+fn leaderless_vote_request() -> VoteRequest {
+    VoteRequest { leadership_transfer: false, leaderless: true, ..vote_request() }
 }
 
-fn snapshot_part() -> SnapshotPart {
-    SnapshotPart {
+fn snapshot_chunk() -> SnapshotChunk {
+    SnapshotChunk {
         term: 5,
         index: 40,
-        index_term: 2,
+        snapshot_term: 2,
         members: members(),
         offset: 1_000,
         total: 2_000,
@@ -73,29 +79,30 @@
     SnapshotResponse { term: 5, index: 40, received, done: true, sent_ms, offset: 1_000 }
 }
 
-fn append() -> Append {
+fn append() -> AppendRequest {
     let entries = entries(41);
-    Append { term: 5, prev: 40, prev_term: 2, entries, commit: 39, sent_ms: 123_456 }
+    AppendRequest { term: 5, prev_index: 40, prev_term: 2, entries, commit: 39, sent_ms: 123_456 }
 }
 
 /// Every message, by its sent name.
 pub fn messages() -> Vec<(&'static str, Message)> {
     let response = AppendResponse { term: 5, matched: Some(43), hint: 44, sent_ms: 123_456 };
-    let take_over = TakeOver { term: 5, sent_ms: 123_456, note: b"note\xff".to_vec() };
+    let timeout_now =
+        TimeoutNow { term: 5, sent_ms: 123_456, handover_state: b"note\xff".to_vec() };
     vec![
-        ("PreVote", Message::PreVote(vote_ask())),
-        ("PreVote clear", Message::PreVote(clear_vote_ask())),
+        ("PreVote", Message::PreVote(vote_request())),
+        ("PreVote clear", Message::PreVote(leaderless_vote_request())),
         ("PreVoteResponse", Message::PreVoteResponse { term: 5, granted: true }),
-        ("Vote", Message::Vote(vote_ask())),
+        ("Vote", Message::Vote(vote_request())),
         ("VoteResponse", Message::VoteResponse { term: 6, granted: true }),
         ("Append", Message::Append(append())),
         ("AppendResponse", Message::AppendResponse(response)),
-        ("Snapshot", Message::Snapshot(snapshot_part())),
+        ("Snapshot", Message::Snapshot(snapshot_chunk())),
         ("SnapshotResponse", Message::SnapshotResponse(snapshot_response())),
-        ("TakeOver", Message::TakeOver(take_over)),
-        ("Who", Message::Who { term: 5, round: 77 }),
-        ("WhoResponse", Message::WhoResponse { term: 5, round: 77, free: true }),
-        ("Leaving", Message::Leaving(Leaving { last: 44 })),
-        ("MayLeave", Message::MayLeave(MayLeave { last: 45 })),
+        ("TakeOver", Message::TimeoutNow(timeout_now)),
+        ("Who", Message::LeaderProbe { term: 5, round: 77 }),
+        ("WhoResponse", Message::LeaderProbeResponse { term: 5, round: 77, free: true }),
+        ("Leaving", Message::DepartureRequest(DepartureRequest { last_index: 44 })),
+        ("MayLeave", Message::DepartureGranted(DepartureGranted { last_index: 45 })),
     ]
 }
--- a/crates/controller/tests/golden_bytes.rs
+++ b/crates/controller/tests/golden_bytes.rs
@@ -9,7 +9,7 @@
 mod trio;
 
 use bench::*;
-use postbarrow_consensus::{Append, Message as LogMessage, TakeOver};
+use postbarrow_consensus::{AppendRequest, Message as LogMessage, TimeoutNow};
 use postbarrow_controller::{Fetched, Input, PageResult};
 use postbarrow_messages::*;
 use postbarrow_state::Name;
@@ -19,7 +19,7 @@
 
 /// When the last whole walk ended, the order and chain of its pages, the gap between two questions,
 /// and when those of the last window were asked; ages and gap in milliseconds.
-type Note = (Option<u64>, Vec<Name>, Vec<Option<String>>, u64, Vec<u64>);
+type ScanHandover = (Option<u64>, Vec<Name>, Vec<Option<String>>, u64, Vec<u64>);
 
 /// One tick of a controller whose list has two pages; what it sent to a follower as it stops.
 fn step(trio: &mut Trio) -> Option<Vec<u8>> {
@@ -35,7 +35,9 @@
         trio.bench.input(Input::Page(PageResult { number, fetched }));
     }
     let note = trio.bench.sent.iter().find_map(|message| match message {
-        Message::Consensus { message: LogMessage::TakeOver(ask), .. } => Some(ask.note.clone()),
+        Message::Consensus { message: LogMessage::TimeoutNow(request), .. } => {
+            Some(request.handover_state.clone())
+        }
         _ => None,
     });
     let responses = trio.follower_responses();
@@ -55,11 +57,12 @@
 #[test]
 fn the_note_of_a_stopping_controller_is_written_and_read() {
     let note = note_of_a_stop();
-    let decoded = golden::decode::<Note>(&note).expect("five fields");
+    let decoded = golden::decode::<ScanHandover>(&note).expect("five fields");
     assert!(decoded.0.is_some() && decoded.1.len() == 2 && decoded.2.len() == 2, "{decoded:?}");
     assert!(decoded.3 > 0 && !decoded.4.is_empty(), "{decoded:?}");
-    let case =
-        golden::case_of("note", note, |bytes| Ok(golden::encode(&golden::decode::<Note>(bytes)?)));
+    let case = golden::case_of("note", note, |bytes| {
+        Ok(golden::encode(&golden::decode::<ScanHandover>(bytes)?))
+    });
     golden::check(CRATE, "note.hex", &[case]);
     assert_next_controller_reads(golden::read_fixture(CRATE, "note.hex").remove(0).1);
 }
@@ -69,9 +72,10 @@
     let mut trio = Trio { bench: Bench::new(recovered(&[1, 2, 3], Vec::new(), 1)) };
     let sent_ms = trio.bench.now_ms;
     let entries = Vec::new();
-    let append = Append { term: 1, prev: 0, prev_term: 0, entries, commit: 0, sent_ms };
-    let ask = TakeOver { term: 1, sent_ms, note };
-    for message in [LogMessage::Append(append), LogMessage::TakeOver(ask)] {
+    let append =
+        AppendRequest { term: 1, prev_index: 0, prev_term: 0, entries, commit: 0, sent_ms };
+    let request = TimeoutNow { term: 1, sent_ms, handover_state: note };
+    for message in [LogMessage::Append(append), LogMessage::TimeoutNow(request)] {
         trio.bench.message(Message::Consensus { from: member(2), to: 1, message });
     }
     for _ in 0..5 {
--- a/crates/controller/tests/golden_folder.rs
+++ b/crates/controller/tests/golden_folder.rs
@@ -6,10 +6,10 @@
 mod bench;
 use bench::*;
 
-use postbarrow_consensus::{Recovered, Write};
+use postbarrow_consensus::{RecoveredState, Write};
 use postbarrow_controller::Input;
 use postbarrow_messages::{Request, Response};
-use postbarrow_state::{Call, Kept, Key, Name, Outcome, Settlement, State, Ticket};
+use postbarrow_state::{Call, Key, Name, Outcome, Settlement, State, StoredResponse, Ticket};
 use postbarrow_storage::{FolderDisk, LOGS, Opened, SLOTS, Storage, open};
 use std::path::{Path, PathBuf};
 use std::sync::Once;
@@ -35,12 +35,12 @@
     Name::from(text)
 }
 
-fn kept(status: u16) -> Kept {
+fn stored_response(status: u16) -> StoredResponse {
     let headers = vec![("Location".to_string(), format!("/orders/{status}"))];
-    Kept { status, headers, body: b"made\x00\xff".to_vec() }
+    StoredResponse { status, headers, body: b"made\x00\xff".to_vec() }
 }
 
-fn settle(ticket: Ticket, response: Kept) -> Request {
+fn settle(ticket: Ticket, response: StoredResponse) -> Request {
     Request::Settle { ticket, settlement: Settlement::Ran, response: Some(response) }
 }
 
@@ -79,7 +79,7 @@
     bench.fresh(5);
     let ticket = ticket(&format!("order-{part}"), keys);
     answered(bench, keys, Request::Ticket(ticket.clone()));
-    answered(bench, keys + 1, settle(ticket, kept(status)));
+    answered(bench, keys + 1, settle(ticket, stored_response(status)));
     answered(bench, keys + 2, next_number(&format!("number-{part}"), 7));
     answered(bench, keys + 3, put(&format!("key-{part}")));
     answered(bench, keys + 4, lock(&format!("lock-{part}")));
@@ -103,7 +103,7 @@
     bench.fresh(5);
     bench.settle();
 
-    let Recovered { snapshot, .. } = recovered(&[1], Vec::new(), 0);
+    let RecoveredState { snapshot, .. } = recovered(&[1], Vec::new(), 0);
     let first = Write::Slot {
         snapshot: snapshot.expect("the members"),
         hard: Default::default(),
@@ -116,7 +116,7 @@
 }
 
 /// What a start finds in a copy of the committed folder.
-fn recovered_from_copy(copy: &str) -> (u64, Recovered) {
+fn recovered_from_copy(copy: &str) -> (u64, RecoveredState) {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(copy);
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -133,9 +133,9 @@
 fn check_promise(state: &State, part: &str, status: u16, fence: u64) {
     let named = |kind: &str| name(&format!("{kind}-{part}"));
     let ticket = &state.tickets[&named("order")];
-    assert_eq!(ticket.settled, Some(Settlement::Ran), "{part}");
+    assert_eq!(ticket.settlement, Some(Settlement::Ran), "{part}");
     assert_eq!((ticket.service.as_str(), ticket.instance.as_str()), ("ledger", "ledger-1"));
-    assert_eq!(ticket.response.as_deref(), Some(&kept(status)), "{part}");
+    assert_eq!(ticket.response.as_deref(), Some(&stored_response(status)), "{part}");
     assert_eq!(state.numbers[&named("number")], 7, "{part}");
     assert_eq!(state.keys[&named("key")].value, b"on\x00", "{part}");
     let lock = &state.locks[&named("lock")];
@@ -161,14 +161,18 @@
     assert_eq!(state.plan_text(), second_plan().into_bytes());
     assert_eq!((state.routes.len(), state.services.len()), (3, 1));
     assert_eq!((state.targets.len(), state.nodes.len()), (3, 1));
-    assert!(state.taken_plan("v1").is_some() && state.remembers_every_plan());
+    assert!(state.accepted_plan("v1").is_some() && state.remembers_every_plan());
     check_promise(state, "old", 201, 1);
     check_promise(state, "new", 202, 2);
 
     for (key, part, status) in [(1, "old", 201), (2, "new", 202)] {
         let again = Request::Ticket(ticket(&format!("order-{part}"), 999));
         let Response::Known(known) = answered(&mut bench, key, again) else { panic!("{part}") };
-        assert_eq!(known.response.as_deref(), Some(&kept(status)), "{part}: the kept answer");
+        assert_eq!(
+            known.response.as_deref(),
+            Some(&stored_response(status)),
+            "{part}: the kept answer"
+        );
     }
     let shown = answered(&mut bench, 3, Request::Show);
     assert!(matches!(shown, Response::Plan { text, .. } if text == second_plan().into_bytes()));
--- a/crates/messages/tests/golden_bytes.rs
+++ b/crates/messages/tests/golden_bytes.rs
@@ -15,7 +15,7 @@
 
 use consensus_values::member;
 use golden::{Case, assert_covers, case_of, check, variants};
-use postbarrow_membership::NewsEntry;
+use postbarrow_membership::UpdateEntry;
 use postbarrow_messages::*;
 use postbarrow_state::Name;
 use serde_bytes::ByteBuf;
@@ -63,7 +63,7 @@
     let settle = Request::Settle {
         ticket: state_values::open_ticket(),
         settlement: postbarrow_state::Settlement::Ran,
-        response: Some(state_values::kept()),
+        response: Some(state_values::stored_response()),
     };
     let mut requests = named([
         ("Ticket", Request::Ticket(state_values::open_ticket())),
@@ -74,7 +74,7 @@
         ("Targets", Request::Targets),
         ("Members", Request::Members),
         ("Status", Request::Status),
-        ("Recent", Request::Recent),
+        ("Recent", Request::RequestSamples),
     ]);
     let call = |call| Request::Call { id: Some(name("call-1")), call };
     requests.extend(within("Call", state_values::calls(), call));
@@ -92,9 +92,9 @@
         ("Full", Response::Full),
         ("Plan", Response::Plan { version: name("v2"), offset: 12, text: b"{}\n".to_vec() }),
         ("Operator", Response::Operator { status: 404, body: b"{\"error\":\"none\"}".to_vec() }),
-        ("Recent", Response::Recent { samples, seen: 99, seconds: 60 }),
+        ("Recent", Response::RequestSamples { samples, seen: 99, seconds: 60 }),
         ("NotController", Response::NotController { controller: Some(socket(1)) }),
-        ("Waiting", Response::Waiting),
+        ("Waiting", Response::Duplicate),
         ("Lost", Response::Lost),
         ("TimedOut", Response::TimedOut),
         ("Unavailable", Response::Unavailable),
@@ -103,16 +103,19 @@
     responses
 }
 
-fn fresh() -> Named<Fresh> {
+fn lease_responses() -> Named<LeaseResponse> {
     let members = || vec![socket(1), socket(2)];
     named([
-        ("Granted", Fresh::Granted { term: 5, watermark: 44, members: members() }),
-        ("NotController", Fresh::NotController { controller: Some(socket(3)), members: members() }),
+        ("Granted", LeaseResponse::Granted { term: 5, watermark: 44, members: members() }),
+        (
+            "NotController",
+            LeaseResponse::NotController { controller: Some(socket(3)), members: members() },
+        ),
     ])
 }
 
-fn fresh_ask(ready: bool) -> FreshAsk {
-    FreshAsk {
+fn lease_request(ready: bool) -> LeaseRequest {
+    LeaseRequest {
         number: 17,
         node: state_values::node(),
         published: 43,
@@ -120,8 +123,8 @@
         ready,
         failing: vec![name("ledger-2")],
         suspects: vec![6, 8],
-        recent: vec![state_values::sample()],
-        seen: 99,
+        samples: vec![state_values::sample()],
+        request_count: 99,
     }
 }
 
@@ -131,30 +134,31 @@
 }
 
 fn messages() -> Named<Message> {
-    let greet = Greet { member: member(3), fresh: true, knows: vec![3, 2] };
-    let entries = vec![NewsEntry { prev: 42, offset: 44, bytes: b"news\xff".to_vec() }];
+    let announcement =
+        DiscoveryAnnouncement { member: member(3), uninitialized: true, known_peers: vec![3, 2] };
+    let entries = vec![UpdateEntry { prev: 42, offset: 44, bytes: b"news\xff".to_vec() }];
     let mut messages = named([
-        ("Greet", Message::Greet(greet)),
-        ("Form", Message::Form(vec![member(1), member(2)])),
+        ("Greet", Message::DiscoveryAnnouncement(announcement)),
+        ("Form", Message::Bootstrap(vec![member(1), member(2)])),
         ("Introduce", Message::Introduce),
         (
             "Introduction",
             Message::Introduction { control: vec![socket(1), socket(2)], formed: true },
         ),
-        ("Fresh", Message::Fresh(fresh_ask(true))),
+        ("Fresh", Message::LeaseRequest(lease_request(true))),
         ("Tail", Message::Tail { after: 43 }),
-        ("News", Message::News { entries }),
+        ("News", Message::Updates { entries }),
         ("Image", Message::Image(image_frame())),
-        ("Beat", Message::Beat { node: 5 }),
+        ("Beat", Message::Heartbeat { node: 5 }),
     ]);
     let says = |message| Message::Consensus { from: member(1), to: 2, message };
     messages.extend(within("Consensus", consensus_values::messages(), says));
-    let told = |fresh| Message::FreshResponse { number: 17, fresh };
-    messages.extend(within("FreshResponse", fresh(), told));
-    let asked = |request| Message::Request { key: 21, request };
-    messages.extend(within("Ask", requests(), asked));
-    let answered = |response| Message::Response { key: 22, response };
-    messages.extend(within("Response", responses(), answered));
+    let granted = |fresh| Message::LeaseResponse { number: 17, fresh };
+    messages.extend(within("FreshResponse", lease_responses(), granted));
+    let request = |request| Message::Request { key: 21, request };
+    messages.extend(within("Ask", requests(), request));
+    let responded = |response| Message::Response { key: 22, response };
+    messages.extend(within("Response", responses(), responded));
     messages
 }
 
@@ -179,5 +183,5 @@
 fn requests_and_responses() {
     check(CRATE, "requests.hex", &variants(&requests()));
     check(CRATE, "responses.hex", &variants(&responses()));
-    check(CRATE, "fresh.hex", &variants(&fresh()));
+    check(CRATE, "fresh.hex", &variants(&lease_responses()));
 }
--- a/crates/state/tests/golden/values.rs
+++ b/crates/state/tests/golden/values.rs
@@ -23,8 +23,12 @@
     (header.into(), value.into())
 }
 
-pub fn kept() -> Kept {
-    Kept { status: 201, headers: vec![header("Location", "/a/7")], body: b"made\xff".to_vec() }
+pub fn stored_response() -> StoredResponse {
+    StoredResponse {
+        status: 201,
+        headers: vec![header("Location", "/a/7")],
+        body: b"made\xff".to_vec(),
+    }
 }
 
 pub fn open_ticket() -> Ticket {
@@ -35,15 +39,15 @@
         instance: name("ledger-1"),
         node: 5,
         number: 900,
-        settled: None,
+        settlement: None,
         response: None,
         era: 4,
     }
 }
 
 pub fn settled_ticket() -> Ticket {
-    let (settled, response) = (Some(Settlement::Ran), Some(Arc::new(kept())));
-    Ticket { settled, response, ..open_ticket() }
+    let (settlement, response) = (Some(Settlement::Ran), Some(Arc::new(stored_response())));
+    Ticket { settlement, response, ..open_ticket() }
 }
 
 pub fn key() -> Key {
@@ -75,7 +79,7 @@
         draining: true,
         down: false,
         slots: 12,
-        cold: true,
+        warming_up: true,
     }
 }
 
@@ -83,7 +87,7 @@
     Service { name: name("books"), labels: labels() }
 }
 
-fn route(kind: Kind) -> Route {
+fn route(kind: RouteKind) -> Route {
     Route {
         path: name("/books/{id}"),
         methods: vec![name("GET"), name("POST")],
@@ -95,15 +99,15 @@
         concurrency: Some(20),
         deadline_ms: 2_500,
         host: Some(name("shop.example")),
-        shares: vec![Share { service: name("papers"), weight: 3 }],
-        tries: Some(2),
-        goal_ms: Some(150),
-        precedence: 1,
+        weighted_services: vec![WeightedService { service: name("papers"), weight: 3 }],
+        max_attempts: Some(2),
+        latency_target_ms: Some(150),
+        priority: 1,
     }
 }
 
-fn callers() -> Callers {
-    Callers { head_bytes: Some(9_000), head_wait_ms: Some(4_000), idle_ms: Some(60_000) }
+fn client_limits() -> ClientLimits {
+    ClientLimits { head_bytes: Some(9_000), head_wait_ms: Some(4_000), idle_ms: Some(60_000) }
 }
 
 fn refused() -> RefusedPlan {
@@ -111,7 +115,11 @@
 }
 
 fn route_splice() -> RouteSplice {
-    Splice { at: 0, removed: 1, inserted: vec![route(Kind::OneTime), route(Kind::Lookup)] }
+    Splice {
+        at: 0,
+        removed: 1,
+        inserted: vec![route(RouteKind::OneTime), route(RouteKind::Lookup)],
+    }
 }
 
 fn text_splice() -> TextSplice {
@@ -126,8 +134,8 @@
         ("PlanStart", Record::PlanStart { version: version.clone(), base: base.clone() }),
         ("PlanText", Record::PlanText(b"{\"version\"}".to_vec())),
         ("Service", Record::Service(service())),
-        ("Route one-time", Record::Route(route(Kind::OneTime))),
-        ("Route lookup", Record::Route(route(Kind::Lookup))),
+        ("Route one-time", Record::Route(route(RouteKind::OneTime))),
+        ("Route lookup", Record::Route(route(RouteKind::Lookup))),
         ("Target", Record::Target(target())),
         ("TargetGone", Record::TargetGone(name("ledger-2"))),
         ("TargetDown", Record::TargetDown { instance: name("ledger-1"), down: true }),
@@ -140,7 +148,7 @@
             Record::Settled {
                 key: name("order-7"),
                 settlement: Settlement::Ran,
-                response: Some(kept()),
+                response: Some(stored_response()),
             },
         ),
         ("TicketsForgotten", Record::TicketsForgotten(vec![name("order-1"), name("order-2")])),
@@ -158,11 +166,11 @@
         ),
         ("RepeatsForgotten", Record::RepeatsForgotten(vec![name("call-0")])),
         ("HistoryTrimmed", Record::HistoryTrimmed { floor: 1 }),
-        ("Callers", Record::Callers(callers())),
+        ("Callers", Record::ClientLimits(client_limits())),
         ("Era", Record::Era { by: 60 }),
         (
             "PlanTaken",
-            Record::PlanTaken {
+            Record::PlanAccepted {
                 version: version.clone(),
                 base: base.clone(),
                 digest: [2; 32],
@@ -185,8 +193,8 @@
     for (offset, (_, record)) in (100..).zip(applied) {
         state.apply(offset, &record);
     }
-    let held = Record::Lock { name: name("l"), holder: name("h"), fence: 45, ttl_ms: 8_000 };
-    state.apply(200, &held);
+    let lock = Record::Lock { name: name("l"), holder: name("h"), fence: 45, ttl_ms: 8_000 };
+    state.apply(200, &lock);
     state
 }
 
@@ -194,12 +202,12 @@
     vec![("Ran", Settlement::Ran), ("Unsent", Settlement::Unsent), ("Unknown", Settlement::Unknown)]
 }
 
-pub fn kinds() -> Vec<(&'static str, Kind)> {
-    vec![("Lookup", Kind::Lookup), ("OneTime", Kind::OneTime)]
+pub fn kinds() -> Vec<(&'static str, RouteKind)> {
+    vec![("Lookup", RouteKind::Lookup), ("OneTime", RouteKind::OneTime)]
 }
 
-pub fn sorts() -> Vec<(&'static str, Sort)> {
-    vec![("Lock", Sort::Lock), ("Number", Sort::Number), ("Key", Sort::Key)]
+pub fn resource_kinds() -> Vec<(&'static str, ResourceKind)> {
+    vec![("Lock", ResourceKind::Lock), ("Number", ResourceKind::Number), ("Key", ResourceKind::Key)]
 }
 
 pub fn changes() -> Vec<(&'static str, Change)> {
@@ -232,7 +240,7 @@
         ("Put", Call::Put { name: name("flag"), value: b"on".to_vec(), revision: Some(31) }),
         ("Remove", Call::Remove { name: name("flag"), revision: Some(32) }),
         ("ReadKey", Call::ReadKey { name: name("flag") }),
-        ("Watch", Call::Watch { sort: Sort::Number, prefix: name("inv"), after: Some(17) }),
+        ("Watch", Call::Watch { sort: ResourceKind::Number, prefix: name("inv"), after: Some(17) }),
     ]
 }
 
@@ -240,9 +248,9 @@
     let event = Event { revision: 18, name: name("flag"), change: Change::Key(key()) };
     vec![
         ("Locked", Outcome::Locked { fence: 44, ttl_ms: 9_000 }),
-        ("Held", Outcome::Held { fence: 43 }),
+        ("Held", Outcome::LockedByOther { fence: 43 }),
         ("Freed", Outcome::Freed),
-        ("NotHeld", Outcome::NotHeld),
+        ("NotHeld", Outcome::NotOwner),
         ("NoLock", Outcome::NoLock),
         ("Number", Outcome::Number(1_234)),
         ("Key", Outcome::Key(key())),
--- a/crates/state/tests/golden_bytes.rs
+++ b/crates/state/tests/golden_bytes.rs
@@ -11,7 +11,7 @@
 
 use golden::{Case, case, case_of, check, variants};
 use postbarrow_state::{Record, State};
-use postbarrow_transactions::Line;
+use postbarrow_transactions::BatchRecord;
 
 const CRATE: &str = env!("CARGO_MANIFEST_DIR");
 
@@ -24,7 +24,7 @@
 fn variants_within_records_calls_and_outcomes() {
     check(CRATE, "settlements.hex", &variants(&values::settlements()));
     check(CRATE, "kinds.hex", &variants(&values::kinds()));
-    check(CRATE, "sorts.hex", &variants(&values::sorts()));
+    check(CRATE, "sorts.hex", &variants(&values::resource_kinds()));
     check(CRATE, "changes.hex", &variants(&values::changes()));
     check(CRATE, "calls.hex", &variants(&values::calls()));
     check(CRATE, "outcomes.hex", &variants(&values::outcomes()));
@@ -39,29 +39,29 @@
 /// A batch as the log holds it: a byte for the format, then its lines.
 #[test]
 fn batches() {
-    let data = || values::records().into_iter().map(|(_, record)| Line::Data(record));
-    let line = |name: &str, line: Line<Record>| batch(name, &[line]);
+    let data = || values::records().into_iter().map(|(_, record)| BatchRecord::Data(record));
+    let line = |name: &str, line: BatchRecord<Record>| batch(name, &[line]);
     let cases = [
-        line("Begin", Line::begin("plan v2")),
+        line("Begin", BatchRecord::begin("plan v2")),
         line("Data", data().next().expect("a record")),
-        line("End", Line::End),
-        line("Abort", Line::abort("over the bound")),
+        line("End", BatchRecord::End),
+        line("Abort", BatchRecord::abort("over the bound")),
     ];
-    golden::assert_covers::<Line<Record>>(&cases);
-    let begin = std::iter::once(Line::begin("plan v2"));
-    let whole: Vec<Line<Record>> = begin.chain(data()).chain([Line::End]).collect();
+    golden::assert_covers::<BatchRecord<Record>>(&cases);
+    let begin = std::iter::once(BatchRecord::begin("plan v2"));
+    let whole: Vec<BatchRecord<Record>> = begin.chain(data()).chain([BatchRecord::End]).collect();
     let more = [
-        batch("Begin without a name", &[Line::Begin { name: None }]),
-        batch("Abort without a reason", &[Line::Abort { reason: None }]),
+        batch("Begin without a name", &[BatchRecord::Begin { name: None }]),
+        batch("Abort without a reason", &[BatchRecord::Abort { reason: None }]),
         batch("every record", &whole),
         batch("empty", &[]),
     ];
     check(CRATE, "batches.hex", &cases.into_iter().chain(more).collect::<Vec<Case>>());
 }
 
-fn batch(name: &str, lines: &[Line<Record>]) -> Case {
+fn batch(name: &str, lines: &[BatchRecord<Record>]) -> Case {
     case_of(name, postbarrow_transactions::encode(lines), |bytes| {
-        let lines: Vec<Line<Record>> = postbarrow_transactions::decode(bytes)?;
+        let lines: Vec<BatchRecord<Record>> = postbarrow_transactions::decode(bytes)?;
         Ok(postbarrow_transactions::encode(&lines))
     })
 }
--- a/crates/storage/tests/golden_bytes.rs
+++ b/crates/storage/tests/golden_bytes.rs
@@ -13,7 +13,7 @@
 
 use consensus_values::{entries, hard, snapshot};
 use golden::{fixture_path, to_hex, writes_fixtures};
-use postbarrow_consensus::{Entry, Recovered, Write};
+use postbarrow_consensus::{Entry, RecoveredState, Write};
 use postbarrow_storage::{Disk, FolderDisk, LOGS, Opened, SLOTS, Storage, open};
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Once};
@@ -56,13 +56,13 @@
 
 /// What follows a slot: a hard state, entries that go again in part, and a hard state.
 fn log_writes(first: u64, term: u64) -> Vec<Write> {
-    let (kept, gone) = (first + 2, entries(first + 3));
+    let (retained_end, truncated) = (first + 2, entries(first + 3));
     vec![
-        Write::Hard(hard(term)),
+        Write::HardState(hard(term)),
         Write::Append(entries(first)),
-        Write::Append(gone),
-        Write::Truncate { from: kept },
-        Write::Hard(hard(term + 1)),
+        Write::Append(truncated),
+        Write::Truncate { from: retained_end },
+        Write::HardState(hard(term + 1)),
     ]
 }
 
@@ -76,7 +76,7 @@
     storage.apply(log_writes(44, 5)).expect("it is written");
 }
 
-fn open_whole(folder: &Path) -> (Storage<FolderDisk>, Recovered) {
+fn open_sound(folder: &Path) -> (Storage<FolderDisk>, RecoveredState) {
     match open(FolderDisk::new(folder.to_path_buf()).expect("a folder")).expect("it is read") {
         Opened::Whole { storage, recovered } => (storage, recovered),
         Opened::Damaged { finding, .. } => panic!("damaged: {finding}"),
@@ -99,24 +99,24 @@
 }
 
 #[test]
-fn the_newer_slot_and_its_log_are_read_whole() {
+fn the_newer_slot_and_its_log_are_read() {
     let folder = copy_of_fixture("golden-newer", files());
-    let (storage, recovered) = open_whole(&folder);
+    let (storage, recovered) = open_sound(&folder);
     assert_eq!(storage.id(), MEMBER);
-    assert_eq!((recovered.term, recovered.voted), (hard(6).term, hard(6).voted));
+    assert_eq!((recovered.term, recovered.voted_for), (hard(6).term, hard(6).voted_for));
     assert_eq!(recovered.snapshot.as_deref(), Some(&snapshot()));
-    let kept = entries(44).into_iter().take(2);
-    assert_eq!(recovered.entries, entries(41).into_iter().chain(kept).collect::<Vec<Entry>>());
+    let retained = entries(44).into_iter().take(2);
+    assert_eq!(recovered.entries, entries(41).into_iter().chain(retained).collect::<Vec<Entry>>());
     assert_same_files(&folder, files());
 }
 
 #[test]
-fn the_older_slot_and_its_log_are_read_whole() {
+fn the_older_slot_and_its_log_are_read() {
     let older = [SLOTS[1], LOGS[1]];
     let folder = copy_of_fixture("golden-older", older);
-    let (storage, recovered) = open_whole(&folder);
+    let (storage, recovered) = open_sound(&folder);
     assert_eq!(storage.id(), MEMBER);
-    assert_eq!((recovered.term, recovered.voted), (hard(3).term, hard(3).voted));
+    assert_eq!((recovered.term, recovered.voted_for), (hard(3).term, hard(3).voted_for));
     assert_eq!(recovered.snapshot, None);
     assert_eq!(recovered.entries, entries(1).into_iter().take(2).collect::<Vec<Entry>>());
     assert_same_files(&folder, older);
@@ -126,11 +126,11 @@
 #[test]
 fn a_committed_folder_is_written_on() {
     let folder = copy_of_fixture("golden-written-on", files());
-    let (mut storage, before) = open_whole(&folder);
+    let (mut storage, before) = open_sound(&folder);
     storage.apply(vec![Write::Append(entries(46))]).expect("it is written");
     let mut disk = storage.into_disk();
     let log = disk.read(LOGS[0]).expect("it is read");
     assert!(log.starts_with(&std::fs::read(fixture().join(LOGS[0])).expect("the fixture")));
-    let (_, after) = open_whole(&folder);
+    let (_, after) = open_sound(&folder);
     assert_eq!(after.entries, before.entries.into_iter().chain(entries(46)).collect::<Vec<_>>());
 }
