--- a/crates/consensus/src/disk_health.rs
+++ b/crates/consensus/src/disk_health.rs
@@ -96,7 +96,7 @@
         };
         if !self.transferring_leadership && !self.should_yield() {
             self.disk.yields_since_ms = None;
-        } else if now_ms >= since_ms + DISK_YIELD_MS {
+        } else if now_ms >= since_ms + DISK_STEP_DOWN_MS {
             self.disk.yields_since_ms = None;
             self.follow(now_ms, self.term, None);
         }
--- a/crates/consensus/tests/disk_health.rs
+++ b/crates/consensus/tests/disk_health.rs
@@ -128,7 +128,7 @@
     let mut three = Three::led_by_one();
     three.stall(1);
     let last = three.node(1).last_index();
-    three.tick(DISK_STALL_MS + DISK_YIELD_MS + ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS);
+    three.tick(DISK_STALL_MS + DISK_STEP_DOWN_MS + ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS);
     assert!(three.node(1).commit_index() >= last, "the two others are a majority");
     let leader = three.leader();
     assert!(matches!(leader, Some(2 | 3)), "{leader:?} leads");
@@ -158,7 +158,7 @@
     three.tick(DISK_STALL_MS + 2 * TICK_MS);
     let _lost = three.nodes[0].handle(three.now_ms, Input::TransferLeadership(Vec::new()));
     three.heal();
-    three.tick(DISK_YIELD_MS + ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS);
+    three.tick(DISK_STEP_DOWN_MS + ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS);
     let leader = three.leader().expect("somebody leads");
     assert!(three.node(leader).lease_until() > three.now_ms, "its hold was given up for good");
 }
--- a/crates/constants/src/consensus.rs
+++ b/crates/constants/src/consensus.rs
@@ -64,7 +64,7 @@
 pub const DISCOVERY_MS: u64 = 200;
 /// A member names the members to seeds that are none at this pace: three small frames a second at
 /// most, and a seed that began anew is of use again well within the time to recover.
-pub const INTRODUCE_MS: u64 = 1_000;
+pub const INTRODUCTION_MS: u64 = 1_000;
 /// A fresh node unheard for ten greetings is no longer counted.
 pub const DISCOVERED_RETENTION_MS: u64 = 10 * DISCOVERY_MS;
 /// A voter that just started asks the others at this pace whether any of them leads.
@@ -81,4 +81,4 @@
 /// The same while a slot is among the writes: it takes three syncs and megabytes.
 pub const DISK_STALL_SLOT_MS: u64 = 1_500;
 /// A leader that could not hand over in this time, its disk stalled, steps down all the same.
-pub const DISK_YIELD_MS: u64 = ELECTION_MIN_MS;
+pub const DISK_STEP_DOWN_MS: u64 = ELECTION_MIN_MS;
--- a/crates/constants/src/coordination.rs
+++ b/crates/constants/src/coordination.rs
@@ -22,9 +22,9 @@
 /// An Idempotency-Key, at most.
 pub const TICKET_KEY_BYTES: usize = 200;
 /// Results of coordination calls kept for repeats; beyond it calls that change anything are shed.
-pub const REPEATS: usize = 60_000;
+pub const STORED_RESULTS: usize = 60_000;
 /// Such a result is kept this long.
-pub const REPEAT_RETENTION_MS: u64 = 120_000;
+pub const STORED_RESULT_RETENTION_MS: u64 = 120_000;
 /// Watch events kept at least this long; the brief asks for about 20 s.
 pub const HISTORY_RETENTION_MS: u64 = 25_000;
 /// Watch events kept at most, shed beyond; 65 calls a second for 25 s is 1 625.
--- a/crates/constants/src/plans.rs
+++ b/crates/constants/src/plans.rs
@@ -5,7 +5,7 @@
 /// A transaction open longer than this gets Abort (ours, start value).
 pub const TRANSACTION_OPEN_MS: u64 = 500;
 /// A page that shows a target leave waits this long for an open transaction, which then gets Abort.
-pub const LEAVING_WAIT_MS: u64 = 200;
+pub const DRAIN_TRANSACTION_WAIT_MS: u64 = 200;
 /// A pending delta above this gets Abort (ours, start value).
 pub const DELTA_BYTES: usize = 8 * 1024 * 1024;
 /// Record bytes in one batch; small enough that tickets behind a batch wait one short sync.
@@ -25,9 +25,9 @@
 /// Bytes of a submission's version name.
 pub const VERSION_BYTES: usize = 128;
 /// A rehearsal runs recent requests through two plans for no longer than this.
-pub const REHEARSE_MS: u64 = 1_000;
+pub const REHEARSAL_MS: u64 = 1_000;
 /// Recent requests that wait at a node to be told of; beyond it they are only counted.
-pub const SAMPLES_WAITING: usize = 32;
+pub const SAMPLES_PENDING: usize = 32;
 /// Of them told with one question for freshness: twelve nodes tell of 320 a second.
 pub const SAMPLES_PER_REPORT: usize = 4;
 /// Recent requests the controller keeps, and for how long.
--- a/crates/constants/src/traffic.rs
+++ b/crates/constants/src/traffic.rs
@@ -9,7 +9,7 @@
 /// A link whose write hangs this long is closed.
 pub const LINK_WRITE_MS: u64 = 1_000;
 /// A refused link is tried again after this pause.
-pub const LINK_AGAIN_MS: u64 = 100;
+pub const LINK_RETRY_MS: u64 = 100;
 /// A link over which nothing goes for so long ends: what goes on does so every second at most, and a
 /// peer that left for good would keep a thread.
 pub const LINK_IDLE_MS: u64 = 60_000;
@@ -58,7 +58,7 @@
 /// Retries allowed to the whole fleet beyond that share, per second; few, so that quiet services recover.
 pub const RETRIES_PER_S: u64 = 1;
 /// Allowance a fleet can save up.
-pub const RETRIES_SAVED: u64 = 10;
+pub const RETRY_BURST: u64 = 10;
 /// Attempts of one lookup.
 pub const ATTEMPTS: usize = 3;
 /// Attempts of one ticketed request: each further one needs a committed *unsent*.
@@ -99,11 +99,11 @@
 /// A process looks for signals at this pace; a stop has seconds.
 pub const SIGNAL_CHECK_MS: u64 = 50;
 /// What a target told of its occupancy is worth a third after this: about one request's time.
-pub const REPORT_FADES_MS: f64 = 400.0;
+pub const LOAD_REPORT_DECAY_MS: f64 = 400.0;
 /// Another zone costs as much as so great a part of a target's slots.
-pub const FAR_SLOTS: f64 = 0.1;
+pub const CROSS_ZONE_PENALTY: f64 = 0.1;
 /// Targets closer than this in their part of taken slots are drawn by lot.
-pub const CHANCE_SLOTS: f64 = 0.1;
+pub const RANDOM_TIE_MARGIN: f64 = 0.1;
 /// A cold target counts as so many times as full.
 pub const SLOW_START_FACTOR: f64 = 2.0;
 /// A link whose bytes are not acknowledged for so long is opened anew: its machine may be back.
--- a/crates/controller/src/coordination.rs
+++ b/crates/controller/src/coordination.rs
@@ -27,7 +27,7 @@
             let outcome = known.as_ref().clone();
             return self.reply_settled(now_ms, origin, Response::Outcome(outcome));
         }
-        let full = state.repeats.len() >= REPEATS || state.history.len() >= HISTORY_EVENTS;
+        let full = state.repeats.len() >= STORED_RESULTS || state.history.len() >= HISTORY_EVENTS;
         let (outcome, mut records) = decide(state, &call);
         if let (Outcome::Locked { ttl_ms, .. }, Call::Lock { name, .. } | Call::Renew { name, .. }) =
             (&outcome, &call)
--- a/crates/controller/src/discovery.rs
+++ b/crates/controller/src/discovery.rs
@@ -3,7 +3,7 @@
 use crate::ControlNode;
 use postbarrow_consensus::{self as consensus, Member, MemberId};
 use postbarrow_constants::consensus::{
-    DISCOVERED_RETENTION_MS, DISCOVERY_MS, ELECTION_MIN_MS, INTRODUCE_MS, VOTERS,
+    DISCOVERED_RETENTION_MS, DISCOVERY_MS, ELECTION_MIN_MS, INTRODUCTION_MS, VOTERS,
 };
 use postbarrow_constants::nodes::INTRODUCTIONS;
 use postbarrow_messages::{DiscoveryAnnouncement, Message};
@@ -196,7 +196,7 @@
         if now_ms < self.directory.introduction_due_ms {
             return;
         }
-        self.directory.introduction_due_ms = now_ms + INTRODUCE_MS;
+        self.directory.introduction_due_ms = now_ms + INTRODUCTION_MS;
         let members: Vec<SocketAddr> =
             self.consensus.members().iter().map(|member| member.address).collect();
         let seeds = self.directory.seeds.clone();
--- a/crates/controller/src/endpoint_list.rs
+++ b/crates/controller/src/endpoint_list.rs
@@ -2,7 +2,7 @@
 use crate::list_page::read_page;
 use crate::{ControlNode, Effect, Fetched, PageResult};
 use postbarrow_constants::nodes::*;
-use postbarrow_constants::plans::LEAVING_WAIT_MS;
+use postbarrow_constants::plans::DRAIN_TRANSACTION_WAIT_MS;
 use postbarrow_state::{Name, Record, State, Target};
 use std::collections::VecDeque;
 
@@ -33,8 +33,9 @@
 
     /// Changes wait for an open transaction, but one that shows a target leave not for long.
     fn take_held(&mut self, now_ms: u64) {
-        let late =
-            |held: &DeferredChange| held.leaving && now_ms >= held.since_ms + LEAVING_WAIT_MS;
+        let late = |held: &DeferredChange| {
+            held.leaving && now_ms >= held.since_ms + DRAIN_TRANSACTION_WAIT_MS
+        };
         let waits = self.leader.as_ref().is_some_and(|lead| lead.deferred_changes.iter().any(late));
         if waits && self.is_open() {
             self.abort_late(now_ms, "a target that leaves waited for it too long");
@@ -138,7 +139,7 @@
     fn tell_bound(&mut self) {
         let Some(lead) = &mut self.leader else { return };
         let bound_ms = lead.scan.leave_bound_ms();
-        let slow = bound_ms > LEAVE_BOUND_MS;
+        let slow = bound_ms > DRAIN_BOUND_MS;
         if slow != lead.is_list_slow {
             lead.is_list_slow = slow;
             self.log_line(match slow {
--- a/crates/controller/src/endpoint_list_scan/absence.rs
+++ b/crates/controller/src/endpoint_list_scan/absence.rs
@@ -1,7 +1,7 @@
 use crate::endpoint_list_scan::EndpointListScan;
 use crate::list_page::ListPage;
 use postbarrow_constants::nodes::*;
-use postbarrow_constants::plans::LEAVING_WAIT_MS;
+use postbarrow_constants::plans::DRAIN_TRANSACTION_WAIT_MS;
 use postbarrow_state::Name;
 use std::collections::BTreeSet;
 
@@ -47,15 +47,15 @@
         let took_ms = now_ms.saturating_sub(self.start_ms);
         let count = self.pages.len() as u64;
         self.cycle_ms =
-            LIST_CYCLE_MS.max(count * self.poll_rate.gap_ms()).max(took_ms + LIST_PAUSE_MS);
+            LIST_SCAN_INTERVAL_MS.max(count * self.poll_rate.gap_ms()).max(took_ms + LIST_PAUSE_MS);
         self.slowest_ms = std::mem::take(&mut self.page_ms);
         self.wait_ms = (4 * self.slowest_ms).clamp(LIST_PAGE_FIRST_WAIT_MS, LIST_PAGE_WAIT_MS);
         let due_ms = match doubtful.is_empty() {
-            true => (now_ms + LIST_PAUSE_MS).max(self.start_ms + LIST_CYCLE_MS),
+            true => (now_ms + LIST_PAUSE_MS).max(self.start_ms + LIST_SCAN_INTERVAL_MS),
             false => now_ms,
         };
         self.restart(due_ms);
-        if self.leave_bound_ms() > LEAVE_BOUND_MS {
+        if self.leave_bound_ms() > DRAIN_BOUND_MS {
             self.poll_rate.relax(now_ms);
         }
         (gone, doubtful)
@@ -86,6 +86,10 @@
 
     /// From a mark in the list to the last ask at that target, at worst, with the list as it is.
     pub fn leave_bound_ms(&self) -> u64 {
-        self.cycle_ms + self.slowest_ms + LEAVING_WAIT_MS + COMMIT_MS + NODE_LEASE_MS
+        self.cycle_ms
+            + self.slowest_ms
+            + DRAIN_TRANSACTION_WAIT_MS
+            + COMMIT_ALLOWANCE_MS
+            + NODE_LEASE_MS
     }
 }
--- a/crates/controller/src/nodes.rs
+++ b/crates/controller/src/nodes.rs
@@ -58,7 +58,7 @@
     fn knows_targets(&self, now_ms: u64) -> bool {
         let Some(lead) = &self.leader else { return false };
         let Some(since_ms) = lead.lease_since_ms else { return false };
-        lead.scan.completed_ms.is_some() || now_ms >= since_ms + LIST_FIRST_MS
+        lead.scan.completed_ms.is_some() || now_ms >= since_ms + LIST_FIRST_SCAN_WAIT_MS
     }
 
     /// A hold that is gained, or gained again, begins with nothing known: neither what the list
@@ -119,7 +119,7 @@
         for node in state.nodes.keys() {
             lead.nodes.entry(*node).or_insert_with(|| NodeReport::at(now_ms));
         }
-        let silent = lead.nodes.iter().filter(|(_, seen)| now_ms > seen.last_ms + NODE_GONE_MS);
+        let silent = lead.nodes.iter().filter(|(_, seen)| now_ms > seen.last_ms + NODE_EXPIRY_MS);
         let mut gone: BTreeSet<Incarnation> = silent.map(|(node, _)| *node).collect();
         gone.extend(suspected(now_ms, &lead.nodes));
         let mut records: Vec<Record> = gone.iter().map(|node| Record::NodeGone(*node)).collect();
--- a/crates/controller/src/poll_rate.rs
+++ b/crates/controller/src/poll_rate.rs
@@ -49,7 +49,7 @@
     /// Who knows nothing yet is in a hurry, as long as the list never refused.
     pub fn permits(&self, now_ms: u64, hurry: bool) -> bool {
         let quick = hurry && self.refusals == 0 && self.min_gap_ms == LIST_GAP_MS;
-        let hurry_ms = if quick { LIST_HURRY_MS } else { self.gap_ms };
+        let hurry_ms = if quick { LIST_FIRST_SCAN_GAP_MS } else { self.gap_ms };
         now_ms >= self.asked_ms + hurry_ms
             && self.within(now_ms) < LIST_WINDOW_MS.div_ceil(self.gap_ms)
     }
@@ -82,7 +82,7 @@
 
     /// A pace too slow for what it is needed for is tried a little quicker, but seldom.
     pub fn relax(&mut self, now_ms: u64) {
-        if now_ms >= self.changed_ms + LIST_RELAX_MS {
+        if now_ms >= self.changed_ms + LIST_GAP_DECREASE_MS {
             self.changed_ms = now_ms;
             self.gap_ms = (self.gap_ms * 9 / 10).max(self.min_gap_ms);
         }
--- a/crates/controller/src/retention.rs
+++ b/crates/controller/src/retention.rs
@@ -46,7 +46,7 @@
             }
             lead.settled_keys.pop_front();
         }
-        let old = |(era, _): &&(u64, Name)| state.era > era + REPEAT_RETENTION_MS / ERA_MS;
+        let old = |(era, _): &&(u64, Name)| state.era > era + STORED_RESULT_RETENTION_MS / ERA_MS;
         let repeats: Vec<Name> = state
             .repeat_queue
             .iter()
--- a/crates/controller/tests/duties.rs
+++ b/crates/controller/tests/duties.rs
@@ -82,7 +82,7 @@
     let mut bench = Bench::serving();
     bench.ask(1, Request::Ticket(ticket("k", 1)));
     bench.settle();
-    for _ in 0..NODE_GONE_MS / 20 + 20 {
+    for _ in 0..NODE_EXPIRY_MS / 20 + 20 {
         bench.tick(20);
         bench.sync();
     }
@@ -139,7 +139,7 @@
     bench.list(&[("ledger-1", "ledger")]);
     assert!(bench.granted());
     let mut blind = leading();
-    for _ in 0..LIST_FIRST_MS / 20 + 3 {
+    for _ in 0..LIST_FIRST_SCAN_WAIT_MS / 20 + 3 {
         blind.tick(20);
     }
     assert!(blind.granted(), "a list out of reach does not stop the service");
--- a/crates/controller/tests/list.rs
+++ b/crates/controller/tests/list.rs
@@ -219,7 +219,7 @@
         let told = text.split("\"leaveBoundMs\":").nth(1).unwrap();
         told.split([',', '}']).next().unwrap().parse::<u64>().unwrap()
     };
-    assert!(bound(&bench, 1) <= LEAVE_BOUND_MS);
+    assert!(bound(&bench, 1) <= DRAIN_BOUND_MS);
     for _ in 0..8 {
         while bench.fetches.is_empty() {
             bench.tick(20);
@@ -231,7 +231,7 @@
         bench.fetches.clear();
     }
     bench.ask(2, Request::Targets);
-    assert!(bound(&bench, 2) > LEAVE_BOUND_MS);
+    assert!(bound(&bench, 2) > DRAIN_BOUND_MS);
 }
 
 #[test]
@@ -251,10 +251,10 @@
         .collect();
     let text = format!("{{\"targets\":[{}],\"next\":\"1\"}}", rows.join(","));
     bench.input(Input::Page(PageResult { number, fetched: Fetched::Page(text.into_bytes()) }));
-    for _ in 0..LEAVING_WAIT_MS / 20 + 2 {
+    for _ in 0..DRAIN_TRANSACTION_WAIT_MS / 20 + 2 {
         bench.tick(20);
     }
-    const { assert!(LEAVING_WAIT_MS + 60 < TRANSACTION_OPEN_MS) };
+    const { assert!(DRAIN_TRANSACTION_WAIT_MS + 60 < TRANSACTION_OPEN_MS) };
     while bench.answer(1).is_none() {
         bench.sync();
     }
--- a/crates/controller/tests/space.rs
+++ b/crates/controller/tests/space.rs
@@ -111,7 +111,7 @@
 #[test]
 fn calls_that_change_anything_are_shed_while_too_many_are_remembered() {
     let mut state = State::default();
-    for at in 0..REPEATS {
+    for at in 0..STORED_RESULTS {
         state.repeats.insert(Name::from(format!("r{at}")), Arc::new(Outcome::Freed));
     }
     let mut bench = from_state(state);
@@ -133,7 +133,7 @@
     bench.settle();
     let mut passed_ms = 0;
     while bench.state().repeats.contains_key("once") {
-        assert!(passed_ms < REPEAT_RETENTION_MS + 12 * ERA_MS, "remembered for ever");
+        assert!(passed_ms < STORED_RESULT_RETENTION_MS + 12 * ERA_MS, "remembered for ever");
         for _ in 0..22 {
             bench.tick(2_000);
             bench.sync();
@@ -146,6 +146,6 @@
         bench.lead();
         passed_ms += 2_000;
     }
-    assert!(passed_ms >= REPEAT_RETENTION_MS, "forgotten after {passed_ms} ms");
+    assert!(passed_ms >= STORED_RESULT_RETENTION_MS, "forgotten after {passed_ms} ms");
     assert!(bench.state().repeat_queue.is_empty());
 }
--- a/crates/downstream/src/body.rs
+++ b/crates/downstream/src/body.rs
@@ -36,7 +36,7 @@
             if !reserved.grow(size_bytes) {
                 return Err(FULL);
             }
-            connection.take(size_bytes as usize, &mut bytes, deadline_ms)?;
+            connection.read_exact(size_bytes as usize, &mut bytes, deadline_ms)?;
         }
         Length::Chunked => loop {
             let size_bytes = chunk_size(connection, deadline_ms)?;
@@ -50,9 +50,9 @@
             if !reserved.grow(size_bytes) {
                 return Err(FULL);
             }
-            connection.take(size_bytes as usize, &mut bytes, deadline_ms)?;
+            connection.read_exact(size_bytes as usize, &mut bytes, deadline_ms)?;
             let mut end = Vec::new();
-            connection.take(2, &mut end, deadline_ms)?;
+            connection.read_exact(2, &mut end, deadline_ms)?;
             if end != b"\r\n" {
                 return Err(BAD_CHUNK);
             }
@@ -62,12 +62,12 @@
 }
 
 /// The client closed its side or the connection broke: nobody is there to hear a refusal.
-pub const CLIENT_LEFT: Reject = Reject { status: 0, why: "the client left" };
+pub const CLIENT_DEPARTED: Reject = Reject { status: 0, reason: "the client left" };
 /// The body is over the bound of its route.
-pub const TOO_LARGE: Reject = Reject { status: 413, why: "the body is too large" };
+pub const TOO_LARGE: Reject = Reject { status: 413, reason: "the body is too large" };
 /// The node has no memory left for the body.
-pub const FULL: Reject = Reject { status: 503, why: "this node is full" };
-const BAD_CHUNK: Reject = Reject { status: 400, why: "a chunk is malformed" };
+pub const FULL: Reject = Reject { status: 503, reason: "this node is full" };
+const BAD_CHUNK: Reject = Reject { status: 400, reason: "a chunk is malformed" };
 
 fn chunk_size(connection: &mut Connection, deadline_ms: u64) -> Result<u64, Reject> {
     loop {
@@ -77,7 +77,7 @@
                 return Ok(size_bytes);
             }
             Ok(httparse::Status::Partial) if connection.buffered().len() < CHUNK_LINE_BYTES => {
-                connection.more(deadline_ms)?;
+                connection.read_more(deadline_ms)?;
             }
             _ => return Err(BAD_CHUNK),
         }
@@ -97,7 +97,7 @@
                 connection.consume(at + 2);
                 skipped += at + 2;
             }
-            None => connection.more(deadline_ms)?,
+            None => connection.read_more(deadline_ms)?,
         }
         if skipped + connection.buffered().len() > 8 * CHUNK_LINE_BYTES {
             return Err(BAD_CHUNK);
--- a/crates/downstream/src/client_watch.rs
+++ b/crates/downstream/src/client_watch.rs
@@ -14,7 +14,7 @@
 pub struct ClientWatch<'a> {
     /// None: nobody who could leave.
     stream: Option<&'a TcpStream>,
-    left: Cell<bool>,
+    departed: Cell<bool>,
     /// Bytes of the client's next request wait, so that more to read says nothing new.
     has_unread: Cell<bool>,
 }
@@ -25,7 +25,7 @@
     /// The socket that was waited for is ready.
     Ready,
     /// The client has left, whether or not the socket is ready as well.
-    ClientLeft,
+    ClientDeparted,
     /// The time is over.
     TimedOut,
 }
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReceiveError {
     /// The client left meanwhile.
-    ClientLeft,
+    ClientDeparted,
     /// The time is over.
     TimedOut,
     /// Nobody is left to send.
@@ -44,27 +44,31 @@
 impl<'a> ClientWatch<'a> {
     /// Watches the connection that the request came on.
     pub fn new(stream: &'a TcpStream) -> ClientWatch<'a> {
-        ClientWatch { stream: Some(stream), left: Cell::new(false), has_unread: Cell::new(false) }
+        ClientWatch {
+            stream: Some(stream),
+            departed: Cell::new(false),
+            has_unread: Cell::new(false),
+        }
     }
 
     /// For work that goes on whoever leaves.
     pub fn nobody() -> ClientWatch<'static> {
-        ClientWatch { stream: None, left: Cell::new(false), has_unread: Cell::new(false) }
+        ClientWatch { stream: None, departed: Cell::new(false), has_unread: Cell::new(false) }
     }
 
     /// Whether an earlier look saw that the client has left.
-    pub fn is_known_left(&self) -> bool {
-        self.left.get()
+    pub fn is_known_departed(&self) -> bool {
+        self.departed.get()
     }
 
     /// Looks whether the client has left by now.
-    pub fn has_left(&self) -> bool {
-        if let Some(stream) = self.stream.filter(|_| !self.left.get()) {
+    pub fn has_departed(&self) -> bool {
+        if let Some(stream) = self.stream.filter(|_| !self.departed.get()) {
             let found = poll([(stream, self.interest())], 0);
             let hung_up = found.map_or(true, |[client]| self.is_hung_up(stream, client));
-            self.left.set(hung_up);
+            self.departed.set(hung_up);
         }
-        self.left.get()
+        self.departed.get()
     }
 
     /// Waits for another socket until a moment of the boot-time clock, or until the client leaves.
@@ -78,8 +82,8 @@
         until_ms: u64,
     ) -> std::io::Result<WaitOutcome> {
         loop {
-            if self.left.get() {
-                return Ok(WaitOutcome::ClientLeft);
+            if self.departed.get() {
+                return Ok(WaitOutcome::ClientDeparted);
             }
             let wait_ms = until_ms.saturating_sub(clock_ms());
             let is_ready = match self.stream {
@@ -87,12 +91,12 @@
                 Some(stream) => {
                     let sockets = [(other, interest), (stream, self.interest())];
                     let [other, client] = poll(sockets, wait_ms)?;
-                    self.left.set(self.is_hung_up(stream, client));
+                    self.departed.set(self.is_hung_up(stream, client));
                     other.is_ready()
                 }
             };
-            if self.left.get() {
-                return Ok(WaitOutcome::ClientLeft);
+            if self.departed.get() {
+                return Ok(WaitOutcome::ClientDeparted);
             }
             if is_ready {
                 return Ok(WaitOutcome::Ready);
@@ -104,7 +108,7 @@
     }
 
     /// Waits for a message of another thread until a moment of the boot-time clock, or until a look,
-    /// one every `CLIENT_LOOK_MS`, sees that the client left.
+    /// one every `CLIENT_CLOSED_CHECK_MS`, sees that the client left.
     ///
     /// # Errors
     /// What came instead of a message.
@@ -116,8 +120,8 @@
             match messages.recv_timeout(Duration::from_millis(wait_ms)) {
                 Ok(message) => return Ok(message),
                 Err(RecvTimeoutError::Disconnected) => return Err(ReceiveError::Disconnected),
-                Err(RecvTimeoutError::Timeout) if self.has_left() => {
-                    return Err(ReceiveError::ClientLeft);
+                Err(RecvTimeoutError::Timeout) if self.has_departed() => {
+                    return Err(ReceiveError::ClientDeparted);
                 }
                 Err(RecvTimeoutError::Timeout) if clock_ms() >= until_ms => {
                     return Err(ReceiveError::TimedOut);
--- a/crates/downstream/src/client_watch/tests.rs
+++ b/crates/downstream/src/client_watch/tests.rs
@@ -22,7 +22,7 @@
 fn a_client_that_waits_has_not_left() {
     let (near, _client) = pair();
     let watch = ClientWatch::new(&near);
-    assert!(!watch.has_left() && !watch.is_known_left());
+    assert!(!watch.has_departed() && !watch.is_known_departed());
 }
 
 #[test]
@@ -33,8 +33,8 @@
         let (near, client) = pair();
         let watch = ClientWatch::new(&near);
         end(client);
-        assert!(watch.has_left());
-        assert!(watch.is_known_left());
+        assert!(watch.has_departed());
+        assert!(watch.is_known_departed());
     }
 }
 
@@ -44,11 +44,11 @@
     let watch = ClientWatch::new(&near);
     client.write_all(b"GET /next HTTP/1.1\r\n\r\n").unwrap();
     while !watch.has_unread.get() {
-        assert!(!watch.has_left(), "bytes are no hangup");
+        assert!(!watch.has_departed(), "bytes are no hangup");
     }
-    assert!(!watch.has_left());
+    assert!(!watch.has_departed());
     drop(client);
-    assert!(watch.has_left());
+    assert!(watch.has_departed());
 }
 
 #[test]
@@ -72,18 +72,21 @@
     drop(client);
     let watch = ClientWatch::new(&near);
     let until_ms = clock_ms() + HANG_MS;
-    assert_eq!(watch.wait_for(&other, Interest::Read, until_ms).unwrap(), WaitOutcome::ClientLeft);
+    assert_eq!(
+        watch.wait_for(&other, Interest::Read, until_ms).unwrap(),
+        WaitOutcome::ClientDeparted
+    );
 }
 
 #[test]
 fn nobody_never_leaves() {
     let (other, mut far) = pair();
     let watch = ClientWatch::nobody();
-    assert!(!watch.has_left());
+    assert!(!watch.has_departed());
     far.write_all(b"a").unwrap();
     let until_ms = clock_ms() + HANG_MS;
     assert_eq!(watch.wait_for(&other, Interest::Read, until_ms).unwrap(), WaitOutcome::Ready);
-    assert!(!watch.has_left());
+    assert!(!watch.has_departed());
 }
 
 #[test]
@@ -96,7 +99,7 @@
     assert_eq!(watch.receive(&messages, until_ms), Ok(7));
     assert_eq!(watch.receive(&messages, clock_ms()), Err(ReceiveError::TimedOut));
     drop(client);
-    assert_eq!(watch.receive(&messages, until_ms), Err(ReceiveError::ClientLeft));
+    assert_eq!(watch.receive(&messages, until_ms), Err(ReceiveError::ClientDeparted));
     drop(sender);
     let nobody = ClientWatch::nobody();
     assert_eq!(nobody.receive(&messages, until_ms), Err(ReceiveError::Disconnected));
--- a/crates/downstream/src/connection.rs
+++ b/crates/downstream/src/connection.rs
@@ -1,6 +1,6 @@
 //! One connection of a caller: its requests in, its responses out.
 
-use crate::body::CLIENT_LEFT;
+use crate::body::CLIENT_DEPARTED;
 use crate::client_watch::ClientWatch;
 use crate::head::{self, Head, Reject, end_to_end_headers};
 use postbarrow_constants::traffic::*;
@@ -40,7 +40,7 @@
 }
 
 /// What comes next on a connection.
-pub enum Next {
+pub enum NextRequest {
     /// A request, whose body is not read yet.
     Head(Head),
     /// Something that is no request; the connection can't go on.
@@ -49,7 +49,7 @@
     Closed,
 }
 
-const SLOW: Reject = Reject { status: 408, why: "the request did not come in time" };
+const SLOW: Reject = Reject { status: 408, reason: "the request did not come in time" };
 
 impl Connection {
     /// Takes a connection as it was accepted.
@@ -66,35 +66,45 @@
     }
 
     /// Waits for the next request; an idle connection ends when the node stops.
-    pub fn next(&mut self, patience: ReadLimits, stopping: impl Fn() -> bool) -> Next {
+    pub fn next_request(
+        &mut self,
+        patience: ReadLimits,
+        stopping: impl Fn() -> bool,
+    ) -> NextRequest {
         let idle_until_ms = clock_ms() + patience.idle_ms;
         while self.buffered().is_empty() {
             if stopping() || clock_ms() >= idle_until_ms {
-                return Next::Closed;
+                return NextRequest::Closed;
             }
             if self.fill().is_err() {
-                return Next::Closed;
+                return NextRequest::Closed;
             }
         }
         let deadline_ms = clock_ms() + patience.head_wait_ms;
         loop {
             match head::parse(self.buffered()) {
                 Ok(Some((_, length))) if length > patience.head_bytes => {
-                    return Next::Reject(Reject { status: 431, why: "the head is too large" });
+                    return NextRequest::Reject(Reject {
+                        status: 431,
+                        reason: "the head is too large",
+                    });
                 }
                 Ok(Some((head, length))) => {
                     self.consume(length);
-                    return Next::Head(head);
+                    return NextRequest::Head(head);
                 }
                 Ok(None) if self.buffered().len() > patience.head_bytes => {
-                    return Next::Reject(Reject { status: 431, why: "the head is too large" });
+                    return NextRequest::Reject(Reject {
+                        status: 431,
+                        reason: "the head is too large",
+                    });
                 }
-                Ok(None) => match self.more(deadline_ms) {
+                Ok(None) => match self.read_more(deadline_ms) {
                     Ok(()) => {}
-                    Err(reject) if reject == CLIENT_LEFT => return Next::Closed,
-                    Err(reject) => return Next::Reject(reject),
+                    Err(reject) if reject == CLIENT_DEPARTED => return NextRequest::Closed,
+                    Err(reject) => return NextRequest::Reject(reject),
                 },
-                Err(reject) => return Next::Reject(reject),
+                Err(reject) => return NextRequest::Reject(reject),
             }
         }
     }
@@ -141,7 +151,7 @@
     ///
     /// # Errors
     /// It is too late, or the client left.
-    pub fn more(&mut self, deadline_ms: u64) -> Result<(), Reject> {
+    pub fn read_more(&mut self, deadline_ms: u64) -> Result<(), Reject> {
         loop {
             if clock_ms() >= deadline_ms {
                 return Err(SLOW);
@@ -149,7 +159,7 @@
             match self.fill() {
                 Ok(true) => return Ok(()),
                 Ok(false) => {}
-                Err(_) => return Err(CLIENT_LEFT),
+                Err(_) => return Err(CLIENT_DEPARTED),
             }
         }
     }
@@ -158,7 +168,7 @@
     ///
     /// # Errors
     /// It is too late, or the client left.
-    pub fn take(
+    pub fn read_exact(
         &mut self,
         length: usize,
         into: &mut Vec<u8>,
@@ -173,7 +183,7 @@
             if left == 0 {
                 return Ok(());
             }
-            self.more(deadline_ms)?;
+            self.read_more(deadline_ms)?;
         }
     }
 
--- a/crates/downstream/src/head.rs
+++ b/crates/downstream/src/head.rs
@@ -36,11 +36,11 @@
     /// The status to answer with.
     pub status: u16,
     /// For the client to read.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 const fn reject(status: u16, why: &'static str) -> Reject {
-    Reject { status, why }
+    Reject { status, reason: why }
 }
 
 impl Head {
@@ -139,7 +139,7 @@
     }
 }
 
-const HOP: [&str; 9] = [
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -161,7 +161,7 @@
         .iter()
         .filter(|(name, _)| {
             let name = name.to_ascii_lowercase();
-            !HOP.contains(&name.as_str())
+            !HOP_BY_HOP_HEADERS.contains(&name.as_str())
                 && !named.contains(&name)
                 && name != "content-length"
                 && name != "expect"
--- a/crates/downstream/src/memory_budget.rs
+++ b/crates/downstream/src/memory_budget.rs
@@ -5,7 +5,7 @@
 
 /// Bytes of bodies this node holds, under one bound.
 pub struct MemoryBudget {
-    most_bytes: u64,
+    max_bytes: u64,
     used_bytes: AtomicU64,
 }
 
@@ -18,7 +18,7 @@
 impl MemoryBudget {
     /// Memory of so many bytes.
     pub fn new(most_bytes: u64) -> Arc<Self> {
-        Arc::new(MemoryBudget { most_bytes, used_bytes: AtomicU64::new(0) })
+        Arc::new(MemoryBudget { max_bytes: most_bytes, used_bytes: AtomicU64::new(0) })
     }
 
     /// Takes a part, if it is free.
@@ -31,7 +31,7 @@
 impl Reserved {
     /// Takes more for it, if that is free.
     pub fn grow(&mut self, size_bytes: u64) -> bool {
-        let most = self.memory.most_bytes;
+        let most = self.memory.max_bytes;
         let grown = self.memory.used_bytes.fetch_update(Relaxed, Relaxed, |used| {
             used.checked_add(size_bytes).filter(|used| *used <= most)
         });
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -1,5 +1,5 @@
 use crate::ring::{watched, watchers};
-use postbarrow_constants::nodes::{RING_HEARTBEAT_MS, RING_SILENT_MS};
+use postbarrow_constants::nodes::{RING_HEARTBEAT_MS, RING_TIMEOUT_MS};
 use std::collections::BTreeMap;
 
 /// Heartbeats out to this node's watchers, and silence of those it watches.
@@ -31,7 +31,7 @@
     }
 
     pub fn suspects(&self, now_ms: u64) -> Vec<u64> {
-        let silent = |heard_ms: u64| now_ms.saturating_sub(heard_ms) > RING_SILENT_MS;
+        let silent = |heard_ms: u64| now_ms.saturating_sub(heard_ms) > RING_TIMEOUT_MS;
         self.heard_ms.iter().filter(|(_, heard)| silent(**heard)).map(|(node, _)| *node).collect()
     }
 }
--- a/crates/membership/tests/relay.rs
+++ b/crates/membership/tests/relay.rs
@@ -125,7 +125,7 @@
             room = room.min(link_bytes_per_ms);
         }
         if now_ms >= tail_due_ms {
-            tail_due_ms = now_ms + if at < own { TAIL_AGAIN_MS } else { TAIL_RENEW_MS };
+            tail_due_ms = now_ms + if at < own { TAIL_RETRY_MS } else { TAIL_RENEW_MS };
             relay.on_tail(now_ms, child(1), at);
         }
         for deliver in relay.deliver(now_ms, own, own) {
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -87,7 +87,7 @@
             self.controller_client.suspect_controller();
         }
         let seeks = self.lease.controller.is_none();
-        self.lease.due_ms = now_ms + if seeks { CONTROLLER_SEEK_MS } else { LEASE_RENEW_MS };
+        self.lease.due_ms = now_ms + if seeks { CONTROLLER_SEARCH_MS } else { LEASE_RENEW_MS };
         let hold_ms = self.lease.lease_ms;
         self.lease.sent_ms.retain(|_, sent_ms| now_ms < *sent_ms + hold_ms);
         self.lease.grants.retain(|grant| now_ms < grant.sent_ms + hold_ms);
--- a/crates/node/src/updates.rs
+++ b/crates/node/src/updates.rs
@@ -25,8 +25,8 @@
             (false, _) => self.behind_ms = None,
             (true, None) => self.behind_ms = Some(now_ms),
             (true, Some(since_ms)) => {
-                if now_ms > since_ms + RELAY_BEHIND_MS && now_ms >= self.direct_until_ms {
-                    self.direct_until_ms = now_ms + DIRECT_MS;
+                if now_ms > since_ms + RELAY_LAG_MS && now_ms >= self.direct_until_ms {
+                    self.direct_until_ms = now_ms + DIRECT_TAIL_MS;
                     self.tail_due_ms = now_ms;
                     self.effects.push(Effect::Log("tails the controller directly".into()));
                 }
@@ -41,7 +41,7 @@
         }
         let Some(from) = from else { return };
         self.tailed_from = Some(from);
-        self.tail_due_ms = now_ms + if behind { TAIL_AGAIN_MS } else { TAIL_RENEW_MS };
+        self.tail_due_ms = now_ms + if behind { TAIL_RETRY_MS } else { TAIL_RENEW_MS };
         let after = if self.resync { 0 } else { self.tail.offset() };
         self.send(from, Message::Tail { after });
     }
@@ -52,7 +52,7 @@
                 continue;
             }
             if entry.prev != self.tail.offset() {
-                self.tail_due_ms = self.tail_due_ms.min(now_ms + TAIL_AGAIN_MS);
+                self.tail_due_ms = self.tail_due_ms.min(now_ms + TAIL_RETRY_MS);
                 return;
             }
             let seen = decode(&entry.bytes)
@@ -86,7 +86,7 @@
             }
             Err(error) => {
                 self.effects.push(Effect::Log(format!("image: {error}")));
-                self.tail_due_ms = now_ms + TAIL_AGAIN_MS;
+                self.tail_due_ms = now_ms + TAIL_RETRY_MS;
             }
         }
     }
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -21,7 +21,7 @@
 
 impl Default for RetryAllowance {
     fn default() -> Self {
-        RetryAllowance { percent: RETRY_PERCENT, per_s: RETRIES_PER_S, saved: RETRIES_SAVED }
+        RetryAllowance { percent: RETRY_PERCENT, per_s: RETRIES_PER_S, saved: RETRY_BURST }
     }
 }
 
--- a/crates/routing/src/retry_budget/tests.rs
+++ b/crates/routing/src/retry_budget/tests.rs
@@ -17,7 +17,7 @@
         }
     }
     let seconds = asks * 2 / 1_000;
-    let most = asks / 5 + seconds * RETRIES_PER_S + nodes + RETRIES_SAVED;
+    let most = asks / 5 + seconds * RETRIES_PER_S + nodes + RETRY_BURST;
     assert!(taken <= most, "{taken} of at most {most}");
     assert!(taken >= asks / 5, "the share itself is there: {taken}");
 }
--- a/crates/routing/src/selection.rs
+++ b/crates/routing/src/selection.rs
@@ -41,7 +41,7 @@
         if told_ms == 0 {
             return usual;
         }
-        let age = now_ms.saturating_sub(told_ms) as f64 / REPORT_FADES_MS;
+        let age = now_ms.saturating_sub(told_ms) as f64 / LOAD_REPORT_DECAY_MS;
         usual + (self.reported.load(Relaxed) as f64 - usual) * (-age).exp()
     }
     pub fn failed(&self, now_ms: u64) {
@@ -116,10 +116,10 @@
     let mut drawn = seed;
     let mut score = |choice: &Candidate| {
         drawn = mix(drawn);
-        let chance = (drawn % 1_024) as f64 / 1_024.0 * CHANCE_SLOTS;
+        let chance = (drawn % 1_024) as f64 / 1_024.0 * RANDOM_TIE_MARGIN;
         let requests = choice.1.at_work() as f64 + choice.1.others(now_ms, usual) + 1.0;
         let cold = if choice.0.warming_up { SLOW_START_FACTOR } else { 1.0 };
-        let far = if choice.0.zone == zone { 0.0 } else { FAR_SLOTS };
+        let far = if choice.0.zone == zone { 0.0 } else { CROSS_ZONE_PENALTY };
         requests * cold / choice.0.slots as f64 + far + chance
     };
     let scored = among.iter().map(|choice| (score(choice), *choice));
--- a/crates/routing/src/traffic_rehearsal.rs
+++ b/crates/routing/src/traffic_rehearsal.rs
@@ -1,6 +1,6 @@
 use crate::{Entry, RouteMatch, Table};
 use facet::Facet;
-use postbarrow_constants::plans::REHEARSE_MS;
+use postbarrow_constants::plans::REHEARSAL_MS;
 use postbarrow_plan::Plan;
 use postbarrow_state::{Sample, Service, State};
 use postbarrow_transactions::Image;
@@ -65,8 +65,8 @@
         let mut routes: BTreeMap<String, RouteTraffic> = BTreeMap::new();
         let mut news: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for sample in &recent.samples {
-            if start.elapsed().as_millis() as u64 > REHEARSE_MS {
-                told.missing.push(format!("stopped after {REHEARSE_MS} ms"));
+            if start.elapsed().as_millis() as u64 > REHEARSAL_MS {
+                told.missing.push(format!("stopped after {REHEARSAL_MS} ms"));
                 break;
             }
             told.compared += 1;
--- a/crates/startup/src/bounds.rs
+++ b/crates/startup/src/bounds.rs
@@ -1,6 +1,6 @@
 use postbarrow_constants::consensus::{LOG_BYTES, VOTER_DEAD_MIN_MS, VOTER_DEAD_MS};
 use postbarrow_constants::coordination::HISTORY_RETENTION_MS;
-use postbarrow_constants::nodes::{LIST_GAP_MS, LIST_HURRY_MS, NODE_LEASE_MS};
+use postbarrow_constants::nodes::{LIST_FIRST_SCAN_GAP_MS, LIST_GAP_MS, NODE_LEASE_MS};
 use postbarrow_constants::traffic::*;
 
 /// Bounds that a deployment sets; what it leaves open is the product's own.
@@ -17,11 +17,11 @@
     /// Watch events are kept at least so long.
     pub history_ms: u64,
     /// Extra goes: so many per cent of a service's asks, and a number in each window beside.
-    pub extra_percent: u64,
-    pub extra_window_ms: u64,
-    pub extra_slack: u64,
+    pub retry_percent: u64,
+    pub retry_window_ms: u64,
+    pub retry_slack: u64,
     /// Disk machines that may be lost at once.
-    pub losses: usize,
+    pub max_losses: usize,
     pub memory_bytes: Option<u64>,
     pub disk_bytes: Option<u64>,
     /// Between two questions to the list.
@@ -34,14 +34,14 @@
 const UNREADY_PERCENT: u64 = 42;
 const STOP_PERCENT: u64 = 92;
 /// A quarter of a process's memory for bodies of requests, and one for those of responses.
-const BODIES_PART: u64 = 4;
+const BODIES_DIVISOR: u64 = 4;
 /// An eighth of a disk for the log between two slots: two slots and two logs fit beside each other.
-const LOG_PART: u64 = 8;
+const LOG_DIVISOR: u64 = 8;
 /// A slot gets so much of the log's bound: its state is what a log's records made, most of them old.
-const RESERVED_SLOT_PART: u64 = 2;
+const RESERVED_SLOT_DIVISOR: u64 = 2;
 
 /// The list is asked with gaps longer by this than its rate permits: two controllers may overlap.
-const LIST_PART: u64 = 130;
+const LIST_GAP_PERCENT: u64 = 130;
 
 impl Bounds {
     /// How long a node serves on one answer of the controller.
@@ -59,12 +59,12 @@
     }
 
     /// Extra goes of the fleet: per cent of asks, a second, and saved up.
-    pub fn extra(&self) -> (u64, u64, u64) {
-        if self.extra_window_ms == 0 {
-            return (RETRY_PERCENT, RETRIES_PER_S, RETRIES_SAVED);
+    pub fn retry_budget(&self) -> (u64, u64, u64) {
+        if self.retry_window_ms == 0 {
+            return (RETRY_PERCENT, RETRIES_PER_S, RETRY_BURST);
         }
-        let per_s = self.extra_slack * 1_000 / self.extra_window_ms / 2;
-        (self.extra_percent, per_s, self.extra_slack / 4)
+        let per_s = self.retry_slack * 1_000 / self.retry_window_ms / 2;
+        (self.retry_percent, per_s, self.retry_slack / 4)
     }
 
     /// Silence after which a voter's seat goes to a learner that stands ready.
@@ -80,12 +80,12 @@
     }
 
     pub fn bodies_bytes(&self) -> u64 {
-        let part = self.memory_bytes.map(|bytes| bytes / BODIES_PART);
+        let part = self.memory_bytes.map(|bytes| bytes / BODIES_DIVISOR);
         part.map_or(BODIES_BYTES as u64, |part| part.min(BODIES_BYTES as u64))
     }
 
     pub fn log_bytes(&self) -> u64 {
-        self.disk_bytes.map_or(LOG_BYTES, |bytes| (bytes / LOG_PART).min(LOG_BYTES))
+        self.disk_bytes.map_or(LOG_BYTES, |bytes| (bytes / LOG_DIVISOR).min(LOG_BYTES))
     }
 
     /// Space kept from the start for each log: the largest bound of a member's log, which is up to
@@ -96,7 +96,7 @@
 
     /// Space kept from the start for each slot; with both logs five eighths of the disk.
     pub fn reserved_slot_bytes(&self) -> u64 {
-        self.log_bytes() / RESERVED_SLOT_PART
+        self.log_bytes() / RESERVED_SLOT_DIVISOR
     }
 
     pub fn history_ms(&self) -> u64 {
@@ -104,7 +104,9 @@
     }
 
     pub fn list_gap_ms(&self) -> u64 {
-        self.list_gap_ms.map_or(LIST_GAP_MS, |gap_ms| (gap_ms * LIST_PART / 100).max(LIST_HURRY_MS))
+        self.list_gap_ms.map_or(LIST_GAP_MS, |gap_ms| {
+            (gap_ms * LIST_GAP_PERCENT / 100).max(LIST_FIRST_SCAN_GAP_MS)
+        })
     }
 }
 
--- a/crates/startup/src/bounds/tests.rs
+++ b/crates/startup/src/bounds/tests.rs
@@ -7,7 +7,7 @@
     let own = Bounds::default();
     assert_eq!(own.node_lease_ms(), NODE_LEASE_MS);
     assert_eq!(own.stop_ms(), (STOP_UNREADY_MS, STOP_UNREADY_MS + STOP_WAIT_MS));
-    assert_eq!(own.extra(), (RETRY_PERCENT, RETRIES_PER_S, RETRIES_SAVED));
+    assert_eq!(own.retry_budget(), (RETRY_PERCENT, RETRIES_PER_S, RETRY_BURST));
     assert_eq!((own.bodies_bytes(), own.log_bytes()), (BODIES_BYTES as u64, LOG_BYTES));
 }
 
@@ -34,8 +34,8 @@
         assert!(unready_ms * 2 < end_ms && end_ms + 200 <= grace_ms, "{unready_ms} {end_ms}");
     }
     let bounds =
-        Bounds { extra_percent: 20, extra_window_ms: 10_000, extra_slack: 68, ..Bounds::default() };
-    let (percent, per_s, saved) = bounds.extra();
+        Bounds { retry_percent: 20, retry_window_ms: 10_000, retry_slack: 68, ..Bounds::default() };
+    let (percent, per_s, saved) = bounds.retry_budget();
     assert_eq!(percent, 20);
     assert!(per_s * 10 + saved <= 68, "{per_s} a second, {saved} saved");
     let quick = Bounds { list_gap_ms: Some(20), ..Bounds::default() };
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -7,7 +7,7 @@
 mod signals;
 
 pub use bounds::Bounds;
-pub use run::checked;
+pub use run::with_checked;
 pub use settings::{Flags, ProgramKind, Startup};
 pub use signals::stop_requested;
 
--- a/crates/startup/src/run.rs
+++ b/crates/startup/src/run.rs
@@ -57,7 +57,7 @@
 }
 
 /// `check`: the findings, or a word that there are none.
-pub fn checked(
+pub fn with_checked(
     loaded: Result<Startup, String>,
     then: impl FnOnce(&Startup) -> ExitCode,
 ) -> ExitCode {
--- a/crates/startup/src/settings.rs
+++ b/crates/startup/src/settings.rs
@@ -21,15 +21,15 @@
     /// Where callers, or operators, reach this one.
     pub http: SocketAddr,
     /// Where a data node is asked whether it is ready, if not at `http`.
-    pub condition: Option<SocketAddr>,
+    pub readiness: Option<SocketAddr>,
     pub seeds: Vec<SocketAddr>,
     pub data: Option<PathBuf>,
     /// No log is known to exist yet, so empty disks may begin one.
-    pub first: bool,
+    pub may_bootstrap: bool,
     /// The data folder does not last, so this control node is never a member.
     pub observer: bool,
     /// Control nodes that begin the log together; none: any three with empty disks.
-    pub founders: Option<Vec<SocketAddr>>,
+    pub bootstrap_members: Option<Vec<SocketAddr>>,
     pub endpoint_list_url: Option<String>,
     pub log: Option<PathBuf>,
     pub level: log::LevelFilter,
@@ -46,7 +46,7 @@
     pub http: Option<String>,
     pub seeds: Vec<String>,
     pub data: Option<String>,
-    pub list: Option<String>,
+    pub endpoint_list_url: Option<String>,
     pub log: Option<String>,
     pub level: Option<String>,
 }
@@ -92,7 +92,7 @@
     given.bind = take("bind");
     given.http = take("http");
     given.data = take("data");
-    given.list = take("list");
+    given.endpoint_list_url = take("list");
     given.log = take("log");
     given.level = take("level");
     if fields.get("seeds").is_some() {
@@ -116,7 +116,7 @@
         http: pick(&flags.http, file.http),
         seeds: if flags.seeds.is_empty() { file.seeds } else { flags.seeds.clone() },
         data: pick(&flags.data, file.data),
-        list: pick(&flags.list, file.list),
+        endpoint_list_url: pick(&flags.endpoint_list_url, file.endpoint_list_url),
         log: pick(&flags.log, file.log),
         level: pick(&flags.level, file.level),
     }
@@ -162,7 +162,7 @@
         }
         _ => {}
     }
-    match (part, &given.list) {
+    match (part, &given.endpoint_list_url) {
         (ProgramKind::ControlPlane, None) => reading.find("$.list", "is missing".into()),
         (ProgramKind::ControlPlane, Some(list)) if !list.starts_with("http://") => {
             reading.find("$.list", "must begin with http://".into())
@@ -185,13 +185,13 @@
         address: own?,
         bind,
         http: http?,
-        condition: None,
+        readiness: None,
         seeds,
         data: given.data.map(PathBuf::from),
-        first: true,
+        may_bootstrap: true,
         observer: false,
-        founders: None,
-        endpoint_list_url: given.list,
+        bootstrap_members: None,
+        endpoint_list_url: given.endpoint_list_url,
         log: given.log.map(PathBuf::from),
         level,
         bounds: Bounds::default(),
--- a/crates/startup/src/signals.rs
+++ b/crates/startup/src/signals.rs
@@ -1,14 +1,14 @@
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 
 static STOP: AtomicBool = AtomicBool::new(false);
-static REREAD: AtomicBool = AtomicBool::new(false);
+static RELOAD: AtomicBool = AtomicBool::new(false);
 
 extern "C" fn on_signal(_signal: libc::c_int) {
     STOP.store(true, SeqCst);
 }
 
 extern "C" fn on_hangup(_signal: libc::c_int) {
-    REREAD.store(true, SeqCst);
+    RELOAD.store(true, SeqCst);
 }
 
 /// SIGTERM and SIGINT ask for a clean stop, SIGHUP to read the settings again; SIGPIPE and SIGXFSZ are left to the writer's error.
@@ -31,5 +31,5 @@
 
 /// Whether the settings are to be read again; true once a signal.
 pub fn reload_requested() -> bool {
-    REREAD.swap(false, SeqCst)
+    RELOAD.swap(false, SeqCst)
 }
--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -24,7 +24,7 @@
 /// Frames waiting are counted beside the queue: one made for so many would take a megabyte a link.
 struct Link {
     queue: Sender<Message>,
-    waiting: Arc<AtomicUsize>,
+    pending: Arc<AtomicUsize>,
 }
 
 impl Links {
@@ -44,13 +44,13 @@
             self.links.retain(|_, link| !link.has_ended());
         }
         let link = self.links.entry(to).or_insert_with(|| start(own, to, idle));
-        if link.waiting.load(Relaxed) >= LINK_FRAMES {
+        if link.pending.load(Relaxed) >= LINK_FRAMES {
             return debug!("link: {to} is full");
         }
-        link.waiting.fetch_add(1, Relaxed);
+        link.pending.fetch_add(1, Relaxed);
         if let Err(SendError(message)) = link.queue.send(message) {
             let link = start(own, to, idle);
-            link.waiting.fetch_add(1, Relaxed);
+            link.pending.fetch_add(1, Relaxed);
             let _ = link.queue.send(message);
             self.links.insert(to, link);
         }
@@ -60,7 +60,7 @@
 impl Link {
     /// Its thread holds the other end of the count while it runs.
     fn has_ended(&self) -> bool {
-        Arc::strong_count(&self.waiting) == 1
+        Arc::strong_count(&self.pending) == 1
     }
 }
 
@@ -75,7 +75,7 @@
     if let Err(error) = spawned {
         warn!("link: no thread for {to}: {error}");
     }
-    Link { queue, waiting }
+    Link { queue, pending: waiting }
 }
 
 fn run(
@@ -104,7 +104,7 @@
                         debug!("link: {to} is out of reach: {error}");
                     }
                     down = true;
-                    thread::sleep(Duration::from_millis(LINK_AGAIN_MS));
+                    thread::sleep(Duration::from_millis(LINK_RETRY_MS));
                     while queue.try_recv().is_ok() {
                         waiting.fetch_sub(1, Relaxed);
                     }
--- a/crates/transport/src/request_keys.rs
+++ b/crates/transport/src/request_keys.rs
@@ -7,20 +7,20 @@
 /// of this one; and none comes twice, so that a late answer finds no other question.
 #[derive(Debug)]
 pub struct RequestKeys {
-    life: u64,
-    given: AtomicU64,
+    incarnation: u64,
+    drawn: AtomicU64,
 }
 
 impl RequestKeys {
     /// `life` is drawn at random for each process.
-    pub fn new(life: u64) -> RequestKeys {
-        RequestKeys { life, given: AtomicU64::new(0) }
+    pub fn new(incarnation: u64) -> RequestKeys {
+        RequestKeys { incarnation, drawn: AtomicU64::new(0) }
     }
 
     /// A key that never came before in this life.
     pub fn next(&self) -> u64 {
-        let number = self.given.fetch_add(1, Relaxed).wrapping_add(1);
-        self.life.wrapping_add(number)
+        let number = self.drawn.fetch_add(1, Relaxed).wrapping_add(1);
+        self.incarnation.wrapping_add(number)
     }
 }
 
--- a/programs/control-plane/src/client.rs
+++ b/programs/control-plane/src/client.rs
@@ -6,7 +6,7 @@
 const WAIT_MS: u64 = 8_000;
 
 /// What a control node answered.
-pub struct Answer {
+pub struct CommandResponse {
     /// HTTP's.
     pub status: u16,
     /// JSON, or a plan's text.
@@ -23,7 +23,7 @@
     control: &[String],
     path: &str,
     plan: Option<Vec<u8>>,
-) -> Result<Answer, String> {
+) -> Result<CommandResponse, String> {
     let config = Agent::config_builder()
         .http_status_as_error(false)
         .proxy(None)
@@ -45,7 +45,7 @@
     Err(failures.join("; "))
 }
 
-fn read(mut response: ureq::http::Response<ureq::Body>) -> Result<Answer, String> {
+fn read(mut response: ureq::http::Response<ureq::Body>) -> Result<CommandResponse, String> {
     let about = response
         .headers()
         .iter()
@@ -56,5 +56,5 @@
         .collect();
     let status = response.status().as_u16();
     let body = response.body_mut().with_config().limit(64 * 1024 * 1024).read_to_string();
-    Ok(Answer { status, body: body.map_err(|error| error.to_string())?, about })
+    Ok(CommandResponse { status, body: body.map_err(|error| error.to_string())?, about })
 }
--- a/programs/control-plane/src/core.rs
+++ b/programs/control-plane/src/core.rs
@@ -1,5 +1,5 @@
-use crate::disk::Writes;
-use crate::stopping::Stopping;
+use crate::disk::DiskWriter;
+use crate::stopping::GracefulShutdown;
 use log::{info, warn};
 use postbarrow_constants::consensus::TICK_MS;
 use postbarrow_controller::{Contact, ControlNode, Effect, Input, PageResult, PendingSnapshot};
@@ -45,33 +45,33 @@
 }
 
 /// The one owner of the control node: works through its queue, carries out effects.
-pub struct Core {
+pub struct ControlLoop {
     node: ControlNode,
     own: SocketAddr,
     links: Links,
     controller_client: ControllerClient,
     /// Who waits for an answer, by the key of the request.
     replies: HashMap<u64, SyncSender<Response>>,
-    writes: Writes,
+    writes: DiskWriter,
     fetches: Sender<Fetch>,
     commands: Sender<Command>,
     local: VecDeque<Envelope>,
     /// Requests at this process's door that have no answer yet.
-    open_requests: Arc<AtomicUsize>,
-    stopping: Option<(Stopping, Sender<()>)>,
+    pending_requests: Arc<AtomicUsize>,
+    stopping: Option<(GracefulShutdown, Sender<()>)>,
 }
 
-impl Core {
+impl ControlLoop {
     pub fn new(
         node: ControlNode,
         own: SocketAddr,
-        writes: Writes,
+        writes: DiskWriter,
         fetches: Sender<Fetch>,
         commands: Sender<Command>,
-        open_requests: Arc<AtomicUsize>,
+        pending_requests: Arc<AtomicUsize>,
     ) -> Self {
         let links = Links::new(own);
-        Core {
+        ControlLoop {
             node,
             own,
             links,
@@ -81,7 +81,7 @@
             fetches,
             commands,
             local: VecDeque::new(),
-            open_requests,
+            pending_requests,
             stopping: None,
         }
     }
@@ -96,7 +96,7 @@
             }
             let wait_ms = tick_ms.saturating_sub(clock_ms()).max(1);
             match queue.recv_timeout(Duration::from_millis(wait_ms)) {
-                Ok(command) => self.work(command),
+                Ok(command) => self.execute(command),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
@@ -128,7 +128,7 @@
         self.carry_out(effects);
     }
 
-    fn work(&mut self, command: Command) {
+    fn execute(&mut self, command: Command) {
         let now_ms = clock_ms();
         match command {
             Command::Envelope(envelope) => self.receive(envelope),
@@ -152,7 +152,7 @@
             }
             Command::Seeds(seeds) => self.handle(now_ms, Input::Seeds(seeds)),
             Command::Stop(done) => {
-                self.stopping = Some((Stopping::new(now_ms), done));
+                self.stopping = Some((GracefulShutdown::new(now_ms), done));
                 self.handle(now_ms, Input::Stop);
             }
         }
@@ -161,7 +161,7 @@
     /// Whom to tell that this process may end, once it may.
     fn ended(&mut self, now_ms: u64) -> Option<Sender<()>> {
         let (stopping, _) = self.stopping.as_mut()?;
-        let open_requests = self.open_requests.load(SeqCst);
+        let open_requests = self.pending_requests.load(SeqCst);
         if !stopping.may_end(now_ms, open_requests, self.node.has_handed_over()) {
             return None;
         }
--- a/programs/control-plane/src/disk.rs
+++ b/programs/control-plane/src/disk.rs
@@ -16,14 +16,14 @@
 use std::time::Duration;
 
 /// The disk's queue. What waits while one sync runs shares the next one.
-pub struct Writes {
+pub struct DiskWriter {
     queue: Option<Sender<(u64, Write)>>,
     worker: Option<JoinHandle<()>>,
     /// The process ends: nobody waits for a full disk any longer.
     ending: Arc<AtomicBool>,
 }
 
-impl Writes {
+impl DiskWriter {
     pub fn write(&self, sequence: u64, write: Write) {
         if let Some(queue) = &self.queue {
             let _ = queue.send((sequence, write));
@@ -31,7 +31,7 @@
     }
 }
 
-impl Drop for Writes {
+impl Drop for DiskWriter {
     fn drop(&mut self) {
         self.queue = None;
         self.ending.store(true, SeqCst);
@@ -46,10 +46,10 @@
     storage: Storage<D>,
     reservation: Option<Reservation>,
     commands: Sender<Command>,
-) -> io::Result<Writes> {
+) -> io::Result<DiskWriter> {
     let (queue, waiting) = channel();
     let ending = Arc::new(AtomicBool::new(false));
-    let worker = Worker {
+    let worker = WriteLoop {
         storage,
         reservation,
         commands,
@@ -59,10 +59,10 @@
         full: false,
     };
     let worker = thread::Builder::new().name("disk".into()).spawn(move || worker.run(&waiting))?;
-    Ok(Writes { queue: Some(queue), worker: Some(worker), ending })
+    Ok(DiskWriter { queue: Some(queue), worker: Some(worker), ending })
 }
 
-struct Worker<D> {
+struct WriteLoop<D> {
     storage: Storage<D>,
     /// Space that is still to be reserved.
     reservation: Option<Reservation>,
@@ -74,7 +74,7 @@
     full: bool,
 }
 
-impl<D: Disk> Worker<D> {
+impl<D: Disk> WriteLoop<D> {
     fn run(mut self, waiting: &Receiver<(u64, Write)>) {
         loop {
             self.reserve();
--- a/programs/control-plane/src/disk/tests.rs
+++ b/programs/control-plane/src/disk/tests.rs
@@ -82,7 +82,7 @@
     }
 }
 
-fn worker(reservation: Option<Reservation>) -> (MemoryDisk, Writes, Receiver<Command>) {
+fn worker(reservation: Option<Reservation>) -> (MemoryDisk, DiskWriter, Receiver<Command>) {
     let disk = MemoryDisk::default();
     let storage = Storage::create(disk.clone(), 9).unwrap();
     if reservation.is_some() {
--- a/programs/control-plane/src/endpoint_list.rs
+++ b/programs/control-plane/src/endpoint_list.rs
@@ -44,7 +44,7 @@
 fn get(agent: &Agent, url: &str, cursor: Option<&str>, dialect: &dyn Dialect) -> Fetched {
     let mut request = agent.get(url);
     if let Some(cursor) = cursor {
-        request = request.query(dialect.page_word(), cursor);
+        request = request.query(dialect.cursor_parameter(), cursor);
     }
     let mut response = match request.call() {
         Ok(response) => response,
@@ -54,7 +54,9 @@
         200 => {
             let limit = LIST_PAGE_BYTES as u64 + 1;
             match response.body_mut().with_config().limit(limit).read_to_vec() {
-                Ok(bytes) => dialect.page(&bytes).map_or_else(Fetched::Failed, Fetched::Listed),
+                Ok(bytes) => {
+                    dialect.parse_page(&bytes).map_or_else(Fetched::Failed, Fetched::Listed)
+                }
                 Err(error) => Fetched::Failed(error.to_string()),
             }
         }
--- a/programs/control-plane/src/lib.rs
+++ b/programs/control-plane/src/lib.rs
@@ -14,7 +14,7 @@
 mod request_sender;
 mod stopping;
 
-use crate::core::{Command, Core};
+use crate::core::{Command, ControlLoop};
 use log::info;
 use postbarrow_consensus::Member;
 use postbarrow_constants::consensus::LEADERSHIP_TRANSFER_MS;
@@ -40,7 +40,7 @@
     commands: Sender<Command>,
     address: SocketAddr,
     http: SocketAddr,
-    asker: RequestSender,
+    requests: RequestSender,
 }
 
 impl ControlPlane {
@@ -76,25 +76,26 @@
         let mut node = ControlNode::new(own, recovered, &startup.seeds, random(), clock_ms());
         let bounds = &startup.bounds;
         node = node.with_bounds(bounds.list_gap_ms(), bounds.history_ms(), bounds.log_bytes());
-        node = node.with_losses(bounds.losses).with_voter_dead(bounds.voter_dead_ms());
-        if let Some(founders) = &startup.founders {
+        node = node.with_losses(bounds.max_losses).with_voter_dead(bounds.voter_dead_ms());
+        if let Some(founders) = &startup.bootstrap_members {
             node = node.with_founders(founders);
         }
         if startup.observer {
             info!("control: {} has no disk that lasts, it only hands questions on", startup.name);
             node = node.as_observer();
         }
-        if !startup.first {
+        if !startup.may_bootstrap {
             node = node.with_known_log();
         }
         let asker = RequestSender::new(commands.clone());
-        let open_requests = asker.open_requests();
-        let core = Core::new(node, own.address, writes, fetches, commands.clone(), open_requests);
+        let open_requests = asker.pending_requests();
+        let core =
+            ControlLoop::new(node, own.address, writes, fetches, commands.clone(), open_requests);
         thread::Builder::new().name("control".into()).spawn(move || core.run(queue))?;
         let hand = commands.clone();
         listen(links, move |envelope| hand.send(Command::Envelope(envelope)).is_ok())?;
-        let http = listen_for_clients(startup.http, asker.clone(), dialect.callers())?;
-        Ok(ControlPlane { commands, address, http, asker })
+        let http = listen_for_clients(startup.http, asker.clone(), dialect.client_handler())?;
+        Ok(ControlPlane { commands, address, http, requests: asker })
     }
 
     /// Other addresses that may lead to the other members.
@@ -113,14 +114,14 @@
     }
 
     /// Requests at its door that have no answer yet.
-    pub fn open_requests(&self) -> usize {
-        self.asker.open_requests().load(SeqCst)
+    pub fn pending_requests(&self) -> usize {
+        self.requests.pending_requests().load(SeqCst)
     }
 
     /// Operators get their answers, another controller leads, a learner that stands ready has this
     /// one's seat, the disk's queue is done: then it ends. All of it begins at once.
     pub fn stop(&self) {
-        self.asker.stop();
+        self.requests.stop();
         let (done, ended) = channel();
         if self.commands.send(Command::Stop(done)).is_ok() {
             let _ =
--- a/programs/control-plane/src/listener.rs
+++ b/programs/control-plane/src/listener.rs
@@ -6,7 +6,7 @@
 use postbarrow_constants::traffic::{BODY_WAIT_MS, CLIENT_CONNECTIONS, STACK_BYTES};
 use postbarrow_downstream::body::{self, Body};
 use postbarrow_downstream::client_watch::ClientWatch;
-use postbarrow_downstream::connection::{Connection, Next, ReadLimits};
+use postbarrow_downstream::connection::{Connection, NextRequest, ReadLimits};
 use postbarrow_downstream::head::{Head, Reject};
 use postbarrow_downstream::memory_budget::MemoryBudget;
 use postbarrow_node::TargetResponse;
@@ -19,9 +19,9 @@
 use std::time::Duration;
 
 /// Plans that may be under way at one door at once.
-const PLANS_AT_ONCE: u64 = 2;
+const CONCURRENT_PLANS: u64 = 2;
 /// Pause after a connection that could not be taken.
-const ACCEPT_AGAIN_MS: u64 = 10;
+const ACCEPT_RETRY_MS: u64 = 10;
 
 /// What the callers of a door speak.
 pub trait ClientHandler: Send + Sync {
@@ -64,10 +64,10 @@
 ) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(address)?;
     let address = listener.local_addr()?;
-    let door = Door {
+    let door = ClientListener {
         asker,
         callers,
-        bodies: MemoryBudget::new(PLANS_AT_ONCE * PLAN_TEXT_BYTES as u64),
+        bodies: MemoryBudget::new(CONCURRENT_PLANS * PLAN_TEXT_BYTES as u64),
         open: Arc::default(),
     };
     thread::Builder::new().name("door".into()).spawn(move || door.accept(&listener))?;
@@ -75,7 +75,7 @@
 }
 
 #[derive(Clone)]
-struct Door {
+struct ClientListener {
     asker: RequestSender,
     callers: Arc<dyn ClientHandler>,
     bodies: Arc<MemoryBudget>,
@@ -83,14 +83,14 @@
     open: Arc<AtomicUsize>,
 }
 
-impl Door {
+impl ClientListener {
     fn accept(self, listener: &TcpListener) {
         for stream in listener.incoming() {
             let stream = match stream {
                 Ok(stream) => stream,
                 Err(error) => {
                     warn!("door: accept: {error}");
-                    thread::sleep(Duration::from_millis(ACCEPT_AGAIN_MS));
+                    thread::sleep(Duration::from_millis(ACCEPT_RETRY_MS));
                     continue;
                 }
             };
@@ -116,12 +116,13 @@
     fn serve(&self, stream: TcpStream) {
         let Ok(mut connection) = Connection::new(stream) else { return };
         loop {
-            let head = match connection.next(ReadLimits::default(), || self.asker.is_stopping()) {
-                Next::Head(head) => head,
-                Next::Closed => return,
-                Next::Reject(reject) => return self.reject(&mut connection, reject),
-            };
-            let _at_work = self.asker.at_work();
+            let head =
+                match connection.next_request(ReadLimits::default(), || self.asker.is_stopping()) {
+                    NextRequest::Head(head) => head,
+                    NextRequest::Closed => return,
+                    NextRequest::Reject(reject) => return self.reject(&mut connection, reject),
+                };
+            let _at_work = self.asker.start_request();
             let body = match self.read_body(&mut connection, &head) {
                 Ok(body) => body,
                 Err(reject) => return self.reject(&mut connection, reject),
@@ -141,15 +142,15 @@
 
     fn read_body(&self, connection: &mut Connection, head: &Head) -> Result<Body, Reject> {
         if head.expects_continue && connection.send_continue().is_err() {
-            return Err(body::CLIENT_LEFT);
+            return Err(body::CLIENT_DEPARTED);
         }
         let until_ms = clock_ms() + BODY_WAIT_MS;
         body::read(connection, head.length, PLAN_TEXT_BYTES as u64, &self.bodies, until_ms)
     }
 
     fn reject(&self, connection: &mut Connection, reject: Reject) {
-        if reject != body::CLIENT_LEFT {
-            let response = self.callers.reject(reject.status, reject.why);
+        if reject != body::CLIENT_DEPARTED {
+            let response = self.callers.reject(reject.status, reject.reason);
             let _ = connection.write(&response, "GET", true);
             connection.linger();
         }
--- a/programs/control-plane/src/listener/tests.rs
+++ b/programs/control-plane/src/listener/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::core::Command;
-use crate::operator::Operators;
+use crate::operator::OperatorHandler;
 use postbarrow_messages::{Request, Response};
 use std::io::{Read, Write};
 use std::net::Shutdown;
@@ -23,7 +23,7 @@
     let (sender, commands) = channel();
     let asker = RequestSender::new(sender);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let address = listen_for_clients(any, asker.clone(), Arc::new(Operators)).unwrap();
+    let address = listen_for_clients(any, asker.clone(), Arc::new(OperatorHandler)).unwrap();
     Rig { address, asker, commands }
 }
 
@@ -48,7 +48,7 @@
 
     fn rests(&self) {
         for _ in 0..HANG.as_millis() {
-            if self.asker.open_requests().load(SeqCst) == 0 {
+            if self.asker.pending_requests().load(SeqCst) == 0 {
                 return;
             }
             thread::sleep(Duration::from_millis(1));
--- a/programs/control-plane/src/main.rs
+++ b/programs/control-plane/src/main.rs
@@ -1,7 +1,7 @@
 use gumdrop::Options;
 use postbarrow_control_plane::{ControlPlane, client};
 use postbarrow_plan::Plan;
-use postbarrow_startup::{Flags, ProgramKind, Startup, checked};
+use postbarrow_startup::{Flags, ProgramKind, Startup, with_checked};
 use std::process::ExitCode;
 
 /// Keeps the replicated log; its commands are the operator's.
@@ -18,25 +18,25 @@
 #[derive(Debug, Options)]
 enum Command {
     #[options(help = "run a control node")]
-    Run(Place),
+    Run(SettingsFlags),
     #[options(help = "read and check the settings, report every finding, and end")]
-    Check(Place),
+    Check(SettingsFlags),
     #[options(help = "hand over a plan; it is in force on all nodes or never was")]
     Submit(Submit),
     #[options(help = "rehearse a plan against the one in force, and throw it away")]
     DryRun(Submit),
     #[options(help = "print the plan in force, byte for byte")]
-    Show(Ask),
+    Show(Query),
     #[options(help = "print the targets with their condition and services")]
-    Targets(Ask),
+    Targets(Query),
     #[options(help = "print the control plane's members")]
-    Members(Ask),
+    Members(Query),
     #[options(help = "print term, watermark, hold, and the version in force on each node")]
-    Status(Ask),
+    Status(Query),
 }
 
 #[derive(Debug, Options)]
-struct Place {
+struct SettingsFlags {
     #[options(help = "print help")]
     help: bool,
     #[options(help = "settings file, JSON", meta = "FILE", short = "s")]
@@ -90,7 +90,7 @@
 }
 
 #[derive(Debug, Options)]
-struct Ask {
+struct Query {
     #[options(help = "print help")]
     help: bool,
     #[options(help = "a control node's operator address; may be repeated", meta = "IP:PORT")]
@@ -125,7 +125,7 @@
 }
 
 fn with_startup(
-    place: Place,
+    place: SettingsFlags,
     then: impl FnOnce(&Startup, &dyn Fn() -> Result<Startup, String>) -> ExitCode,
 ) -> ExitCode {
     let flags = Flags {
@@ -136,12 +136,12 @@
         http: place.http,
         seeds: place.seed,
         data: place.data,
-        list: place.list,
+        endpoint_list_url: place.list,
         log: place.log,
         level: place.level,
     };
     let load = || Startup::load(ProgramKind::ControlPlane, place.startup.as_deref(), &flags);
-    checked(load(), |startup| then(startup, &load))
+    with_checked(load(), |startup| then(startup, &load))
 }
 
 /// The plan is checked here too, so that its findings are shown in its own text.
--- a/programs/control-plane/src/operator.rs
+++ b/programs/control-plane/src/operator.rs
@@ -1,7 +1,7 @@
 //! What operators speak at the product's own door.
 
 use crate::listener::{ClientHandler, ClientRequest};
-use crate::rehearsal::{self, Allowed, NoController};
+use crate::rehearsal::{self, NoControllerResponse, TrafficBounds};
 use facet::Facet;
 use log::info;
 use postbarrow_constants::coordination::SUBMIT_WAIT_MS;
@@ -12,31 +12,31 @@
 use postbarrow_routing::Traffic;
 
 /// The operators of the product; each question goes to the controller.
-pub struct Operators;
+pub struct OperatorHandler;
 
 #[derive(Facet)]
-struct Refused {
+struct RejectionBody {
     error: String,
-    findings: Vec<Finding>,
+    findings: Vec<FindingBody>,
 }
 
 #[derive(Facet)]
-struct Finding {
+struct FindingBody {
     place: String,
     line: Option<u64>,
     message: String,
 }
 
 #[derive(Facet)]
-struct Over {
+struct OverBoundsBody {
     error: String,
     traffic: Traffic,
 }
 
-impl ClientHandler for Operators {
+impl ClientHandler for OperatorHandler {
     fn answer(&self, request: &ClientRequest<'_>) -> TargetResponse {
         let ask =
-            |question: Request| request.requests.ask(question, SUBMIT_WAIT_MS, request.client);
+            |question: Request| request.requests.request(question, SUBMIT_WAIT_MS, request.client);
         serve(request, &ask)
     }
 
@@ -67,7 +67,7 @@
     let plan = match Plan::read(request.body) {
         Ok(plan) => plan,
         Err(findings) => {
-            let rows = findings.findings.into_iter().map(|finding| Finding {
+            let rows = findings.findings.into_iter().map(|finding| FindingBody {
                 place: finding.field_path,
                 line: finding.line.map(|line| line as u64),
                 message: finding.message,
@@ -75,20 +75,20 @@
             return refused(400, "the plan has findings", rows.collect());
         }
     };
-    let allowed = match Allowed::read(request) {
+    let allowed = match TrafficBounds::read(request) {
         Ok(allowed) => allowed,
         Err(findings) => return refused(400, &findings.join("; "), Vec::new()),
     };
     let traffic = match rehearsal::traffic(&plan, ask) {
         Ok(traffic) => traffic,
-        Err(NoController) if allowed.is_bounded() => return tell(Response::Unavailable),
-        Err(NoController) => Traffic::unknown("no controller told of recent asks"),
+        Err(NoControllerResponse) if allowed.is_bounded() => return tell(Response::Unavailable),
+        Err(NoControllerResponse) => Traffic::unknown("no controller told of recent asks"),
     };
     let over = allowed.over(&traffic);
     if !over.is_empty() {
-        return json(422, &Over { error: over.join("; "), traffic });
+        return json(422, &OverBoundsBody { error: over.join("; "), traffic });
     }
-    if request.client.has_left() {
+    if request.client.has_departed() {
         return tell(Response::Unavailable);
     }
     let says = |name: &str| request.query(name).is_some_and(|value| matches!(value, "" | "true"));
@@ -143,8 +143,8 @@
     response
 }
 
-fn refused(status: u16, error: &str, findings: Vec<Finding>) -> TargetResponse {
-    json(status, &Refused { error: error.into(), findings })
+fn refused(status: u16, error: &str, findings: Vec<FindingBody>) -> TargetResponse {
+    json(status, &RejectionBody { error: error.into(), findings })
 }
 
 fn json<'f, T: Facet<'f>>(status: u16, value: &T) -> TargetResponse {
--- a/programs/control-plane/src/rehearsal.rs
+++ b/programs/control-plane/src/rehearsal.rs
@@ -7,22 +7,22 @@
 
 /// No controller told what recent requests would meet.
 #[derive(Debug, PartialEq, Eq)]
-pub struct NoController;
+pub struct NoControllerResponse;
 
 /// The most that a submission allows of the recent asks that it would change.
 #[derive(Default)]
-pub struct Allowed {
+pub struct TrafficBounds {
     lost: Option<u64>,
     changed: Option<u64>,
     limited: Option<u64>,
 }
 
-impl Allowed {
+impl TrafficBounds {
     /// Reads the bounds from a request's query.
     ///
     /// # Errors
     /// Every bound that is no whole number.
-    pub fn read(request: &ClientRequest<'_>) -> Result<Allowed, Vec<String>> {
+    pub fn read(request: &ClientRequest<'_>) -> Result<TrafficBounds, Vec<String>> {
         let mut findings = Vec::new();
         let mut take = |name: &str| {
             let text = request.query(name)?;
@@ -32,7 +32,7 @@
             }
             number
         };
-        let allowed = Allowed {
+        let allowed = TrafficBounds {
             lost: take("most-lost"),
             changed: take("most-changed"),
             limited: take("most-limited"),
@@ -71,13 +71,16 @@
 ///
 /// # Errors
 /// No controller answered: that says nothing of the plan, and must not refuse it.
-pub fn traffic(plan: &Plan, ask: &dyn Fn(Request) -> Response) -> Result<Traffic, NoController> {
+pub fn traffic(
+    plan: &Plan,
+    ask: &dyn Fn(Request) -> Response,
+) -> Result<Traffic, NoControllerResponse> {
     let Response::RequestSamples { samples, seen, seconds } = ask(Request::RequestSamples) else {
-        return Err(NoController);
+        return Err(NoControllerResponse);
     };
     let text = match ask(Request::Show) {
         Response::Plan { text, .. } => text,
-        Response::TimedOut | Response::Unavailable => return Err(NoController),
+        Response::TimedOut | Response::Unavailable => return Err(NoControllerResponse),
         _ => return Ok(Traffic::unknown("no plan is in force to compare with")),
     };
     Ok(match Plan::read(&text) {
--- a/programs/control-plane/src/request_sender.rs
+++ b/programs/control-plane/src/request_sender.rs
@@ -14,14 +14,14 @@
 pub struct RequestSender {
     commands: Sender<Command>,
     keys: Arc<RequestKeys>,
-    open: Arc<AtomicUsize>,
+    pending: Arc<AtomicUsize>,
     stopping: Arc<AtomicBool>,
 }
 
 /// A question at work; this process does not end before it is dropped.
-pub struct AtWork(Arc<AtomicUsize>);
+pub struct PendingRequest(Arc<AtomicUsize>);
 
-impl Drop for AtWork {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
         self.0.fetch_sub(1, SeqCst);
     }
@@ -30,13 +30,13 @@
 impl RequestSender {
     pub(crate) fn new(commands: Sender<Command>) -> RequestSender {
         let keys = Arc::new(RequestKeys::new(random()));
-        RequestSender { commands, keys, open: Arc::default(), stopping: Arc::default() }
+        RequestSender { commands, keys, pending: Arc::default(), stopping: Arc::default() }
     }
 
     /// The controller's response; `Unavailable` where nobody who could take the question was ever
     /// sent it, `TimedOut` after so many milliseconds where somebody may have taken it. A question
     /// whose caller leaves is withdrawn: what it did already stays done, and its end is unknown.
-    pub fn ask(&self, request: Request, wait_ms: u64, client: &ClientWatch) -> Response {
+    pub fn request(&self, request: Request, wait_ms: u64, client: &ClientWatch) -> Response {
         let (reply, response) = sync_channel(1);
         let key = self.keys.next();
         if self.commands.send(Command::Request { key, request, wait_ms, reply }).is_err() {
@@ -44,7 +44,7 @@
         }
         match client.receive(&response, clock_ms() + wait_ms + CONTROLLER_ANSWER_SLACK_MS) {
             Ok(response) => response,
-            Err(ReceiveError::ClientLeft) => {
+            Err(ReceiveError::ClientDeparted) => {
                 let _ = self.commands.send(Command::Withdraw { key });
                 Response::TimedOut
             }
@@ -52,14 +52,14 @@
         }
     }
 
-    pub(crate) fn at_work(&self) -> AtWork {
-        self.open.fetch_add(1, SeqCst);
-        AtWork(self.open.clone())
+    pub(crate) fn start_request(&self) -> PendingRequest {
+        self.pending.fetch_add(1, SeqCst);
+        PendingRequest(self.pending.clone())
     }
 
     /// How many requests are at work here; it is shared, and goes on counting.
-    pub(crate) fn open_requests(&self) -> Arc<AtomicUsize> {
-        self.open.clone()
+    pub(crate) fn pending_requests(&self) -> Arc<AtomicUsize> {
+        self.pending.clone()
     }
 
     pub(crate) fn stop(&self) {
--- a/programs/control-plane/src/stopping.rs
+++ b/programs/control-plane/src/stopping.rs
@@ -6,7 +6,7 @@
 /// Decides when a process that was asked to stop may end. Handing over begins with the request to
 /// stop, so that neither wait comes on top of the other within the process's grace.
 #[derive(Debug)]
-pub struct Stopping {
+pub struct GracefulShutdown {
     /// No operator's request is waited for after this.
     requests_until_ms: u64,
     /// No heir and no learner is waited for after this.
@@ -15,9 +15,9 @@
     requests_closed_ms: Option<u64>,
 }
 
-impl Stopping {
-    pub fn new(now_ms: u64) -> Stopping {
-        Stopping {
+impl GracefulShutdown {
+    pub fn new(now_ms: u64) -> GracefulShutdown {
+        GracefulShutdown {
             requests_until_ms: now_ms + SUBMIT_WAIT_MS,
             hand_over_until_ms: now_ms + LEADERSHIP_TRANSFER_MS,
             requests_closed_ms: None,
--- a/programs/control-plane/tests/stop.rs
+++ b/programs/control-plane/tests/stop.rs
@@ -22,12 +22,12 @@
         address: any,
         bind: None,
         http: any,
-        condition: None,
+        readiness: None,
         seeds,
         data: Some(folder.join(name)),
-        first: true,
+        may_bootstrap: true,
         observer: false,
-        founders: None,
+        bootstrap_members: None,
         endpoint_list_url: None,
         log: None,
         level: log::LevelFilter::Off,
@@ -99,7 +99,7 @@
     let mut order = TcpStream::connect(leaver.http()).expect("it listens");
     let head = "POST /plans HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length:";
     write!(order, "{head} {}\r\n\r\n{begin}", body.len()).expect("it reads");
-    wait_for("the order is not at work", || (leaver.open_requests() > 0).then_some(()));
+    wait_for("the order is not at work", || (leaver.pending_requests() > 0).then_some(()));
 
     let stopped = thread::spawn(move || leaver.stop());
     let heir = wait_for("nobody leads in its place", || {
--- a/programs/data-plane/src/calls.rs
+++ b/programs/data-plane/src/calls.rs
@@ -132,7 +132,7 @@
 fn watch(shared: &Shared, call: Call, client: &ClientWatch) -> TargetResponse {
     let until_ms = clock_ms() + WATCH_WAIT_MS;
     let first = matches!(call, Call::Watch { after: None, .. });
-    let over = || clock_ms() >= until_ms || shared.stopping.load(Relaxed) || client.has_left();
+    let over = || clock_ms() >= until_ms || shared.stopping.load(Relaxed) || client.has_departed();
     let mut call = call;
     loop {
         let asked = Request::Call { id: None, call: call.clone() };
--- a/programs/data-plane/src/downstream/serve.rs
+++ b/programs/data-plane/src/downstream/serve.rs
@@ -5,7 +5,7 @@
 use crate::share::{Place, Shared};
 use postbarrow_constants::traffic::*;
 use postbarrow_downstream::body;
-use postbarrow_downstream::connection::{Connection, Next, ReadLimits};
+use postbarrow_downstream::connection::{Connection, NextRequest, ReadLimits};
 use postbarrow_downstream::head::{Head, Length, Reject};
 use postbarrow_node::{Completion, ExecutionEvidence, RequestOutcome, TargetResponse};
 use postbarrow_routing::{Entry, LimitExceeded, RouteMatch};
@@ -17,10 +17,10 @@
 /// Serves one client connection until either side ends it.
 pub fn serve(mut connection: Connection, shared: &Arc<Shared>) {
     loop {
-        let head = match connection.next(patience(shared), || shared.closed.load(Relaxed)) {
-            Next::Head(head) => head,
-            Next::Closed => return,
-            Next::Reject(reject) => {
+        let head = match connection.next_request(patience(shared), || shared.closed.load(Relaxed)) {
+            NextRequest::Head(head) => head,
+            NextRequest::Closed => return,
+            NextRequest::Reject(reject) => {
                 let unsure = matches!(reject.status, 408 | 431);
                 return refuse(&mut connection, shared, reject, unsure);
             }
@@ -57,8 +57,8 @@
 
 /// This request never ran; whether an earlier one under its key did, nobody here can say.
 fn refuse(connection: &mut Connection, shared: &Shared, reject: Reject, unsure: bool) {
-    if reject != body::CLIENT_LEFT {
-        let response = shared.dialect.render_rejection(reject.status, unsure, reject.why);
+    if reject != body::CLIENT_DEPARTED {
+        let response = shared.dialect.render_rejection(reject.status, unsure, reject.reason);
         let _ = connection.write(&response, "GET", true);
         connection.linger();
     }
@@ -114,7 +114,7 @@
     let about = ExecutionEvidence { one_time, keyed, ..ExecutionEvidence::default() };
     if one_time && !forward::is_sound_key(shared.dialect.as_ref(), head) {
         let why = "the Idempotency-Key must be one of 1 to 200 printable characters, no colon";
-        return Err(Unread::Rejected(Reject { status: 400, why }));
+        return Err(Unread::Rejected(Reject { status: 400, reason: why }));
     }
     let Some(_place) = Place::take(&shared.requests_at_work, REQUESTS_IN_FLIGHT) else {
         return Err(turned(about, RequestOutcome::Overloaded));
@@ -168,7 +168,7 @@
         return Err(Unread::Rejected(body::TOO_LARGE));
     }
     if head.expects_continue && connection.send_continue().is_err() {
-        return Err(Unread::Rejected(body::CLIENT_LEFT));
+        return Err(Unread::Rejected(body::CLIENT_DEPARTED));
     }
     body::read(connection, head.length, most_bytes, &shared.memory, until_ms)
         .map_err(Unread::Rejected)
--- a/programs/data-plane/src/forward.rs
+++ b/programs/data-plane/src/forward.rs
@@ -49,7 +49,7 @@
             table: &table,
             serves: shared.serves(),
             number: shared.number(),
-            client_left: incoming.client.is_known_left(),
+            client_left: incoming.client.is_known_departed(),
         };
         event = match flow.handle(&now, event) {
             Step::Connect { target, load, wait_ms } => work.connect(target, load, wait_ms),
@@ -219,7 +219,7 @@
     /// Looked at right before the first byte: the client still waits, and hold, target and ticket
     /// still stand.
     fn may_send(&self, instance: &Name, until_ms: u64) -> bool {
-        !self.incoming.client.has_left()
+        !self.incoming.client.has_departed()
             && self.shared.table.load().allows(&self.service, instance)
             && clock_ms() < until_ms
             && self.shared.serves()
--- a/programs/data-plane/src/lib.rs
+++ b/programs/data-plane/src/lib.rs
@@ -84,7 +84,7 @@
             let probing = shared.clone();
             thread::Builder::new().name("probes".into()).spawn(move || probe::run(probing))?;
         }
-        if let Some(condition) = startup.condition {
+        if let Some(condition) = startup.readiness {
             downstream::listen(TcpListener::bind(condition)?, shared.clone())?;
         }
         downstream::listen(http, shared.clone())?;
--- a/programs/data-plane/src/main.rs
+++ b/programs/data-plane/src/main.rs
@@ -1,6 +1,6 @@
 use gumdrop::Options;
 use postbarrow_data_plane::DataPlane;
-use postbarrow_startup::{Flags, ProgramKind, Startup, checked};
+use postbarrow_startup::{Flags, ProgramKind, Startup, with_checked};
 use std::process::ExitCode;
 
 /// Takes requests over HTTP and passes each to a target that the plan in force allows.
@@ -54,7 +54,7 @@
         ..Flags::default()
     };
     let load = || Startup::load(ProgramKind::DataPlane, cli.startup.as_deref(), &flags);
-    checked(load(), |startup| {
+    with_checked(load(), |startup| {
         if cli.check {
             println!("the settings are sound");
             return ExitCode::SUCCESS;
--- a/programs/data-plane/src/probe.rs
+++ b/programs/data-plane/src/probe.rs
@@ -1,7 +1,7 @@
 use crate::core::Command;
 use crate::share::Shared;
 use crate::target_connection::TargetConnection;
-use postbarrow_constants::nodes::PROBE_MS;
+use postbarrow_constants::nodes::PROBE_INTERVAL_MS;
 use postbarrow_constants::traffic::{PROOF_WAIT_MS, STACK_BYTES};
 use postbarrow_downstream::client_watch::ClientWatch;
 use postbarrow_state::{Name, Target};
@@ -36,7 +36,7 @@
                 }
             }
         }
-        thread::sleep(Duration::from_millis(PROBE_MS / 2));
+        thread::sleep(Duration::from_millis(PROBE_INTERVAL_MS / 2));
     }
 }
 
@@ -61,7 +61,7 @@
         if shared.stopping.load(Relaxed) {
             return;
         }
-        let pause_ms = (start_ms + PROBE_MS).saturating_sub(clock_ms());
+        let pause_ms = (start_ms + PROBE_INTERVAL_MS).saturating_sub(clock_ms());
         thread::sleep(Duration::from_millis(pause_ms));
     }
 }
--- a/programs/data-plane/src/share.rs
+++ b/programs/data-plane/src/share.rs
@@ -6,7 +6,7 @@
 use arc_swap::ArcSwap;
 use crossbeam_queue::ArrayQueue;
 use postbarrow_constants::coordination::CONTROLLER_ANSWER_SLACK_MS;
-use postbarrow_constants::plans::{SAMPLE_BYTES, SAMPLES_PER_REPORT, SAMPLES_WAITING};
+use postbarrow_constants::plans::{SAMPLE_BYTES, SAMPLES_PENDING, SAMPLES_PER_REPORT};
 use postbarrow_downstream::client_watch::{ClientWatch, ReceiveError};
 use postbarrow_downstream::memory_budget::MemoryBudget;
 use postbarrow_messages::{Request, Response};
@@ -58,14 +58,14 @@
         Shared {
             own,
             dialect,
-            table: ArcSwap::from_pointee(Table::empty().with_extra(bounds.extra())),
+            table: ArcSwap::from_pointee(Table::empty().with_extra(bounds.retry_budget())),
             pools: ArcSwap::from_pointee(Pools::default()),
             lease_until_ms: AtomicU64::new(0),
             stopping: AtomicBool::new(false),
             closed: AtomicBool::new(false),
             memory: MemoryBudget::new(bodies),
             responses: MemoryBudget::new(bodies),
-            samples: ArrayQueue::new(SAMPLES_WAITING),
+            samples: ArrayQueue::new(SAMPLES_PENDING),
             seen: AtomicU64::new(0),
             clients: Clients::default(),
             connections: Clients::default(),
@@ -146,7 +146,7 @@
         }
         match client.receive(&response, clock_ms() + wait_ms + CONTROLLER_ANSWER_SLACK_MS) {
             Ok(response) => response,
-            Err(ReceiveError::ClientLeft) => {
+            Err(ReceiveError::ClientDeparted) => {
                 self.command(Command::Withdraw { key });
                 Response::TimedOut
             }
--- a/programs/data-plane/src/target_connection.rs
+++ b/programs/data-plane/src/target_connection.rs
@@ -217,7 +217,7 @@
     ) -> Result<(), Interrupted> {
         match client.wait_for(&self.stream, interest, until_ms) {
             Ok(WaitOutcome::Ready) => Ok(()),
-            Ok(WaitOutcome::ClientLeft) => Err(Interrupted::ClientLeft),
+            Ok(WaitOutcome::ClientDeparted) => Err(Interrupted::ClientLeft),
             Ok(WaitOutcome::TimedOut) => Err(Interrupted::Late),
             Err(error) => Err(Interrupted::Failed(error.to_string())),
         }
--- a/programs/data-plane/src/target_connection/connect.rs
+++ b/programs/data-plane/src/target_connection/connect.rs
@@ -44,7 +44,7 @@
     let stream = TcpStream::from(socket);
     match client.wait_for(&stream, Interest::Write, until_ms)? {
         WaitOutcome::Ready => stream.take_error()?.map_or(Ok(stream), Err),
-        WaitOutcome::ClientLeft => Err(io::Error::other(CLIENT_LEFT)),
+        WaitOutcome::ClientDeparted => Err(io::Error::other(CLIENT_LEFT)),
         WaitOutcome::TimedOut => Err(ErrorKind::TimedOut.into()),
     }
 }
