--- a/crates/controller/examples/snapshot_cost.rs
+++ b/crates/controller/examples/snapshot_cost.rs
@@ -63,7 +63,7 @@
         println!("  one slot written and synced: {:?}", start.elapsed());
         let start = Instant::now();
         let disk = FolderDisk::new(folder.clone()).expect("a folder");
-        let Opened::Whole { recovered, .. } = open(disk).expect("opens") else { return };
+        let Opened::Recovered { recovered, .. } = open(disk).expect("opens") else { return };
         let opened = start.elapsed();
         let kept = recovered.snapshot.expect("a snapshot");
         let read: State = rmp_serde::from_slice(&kept.state).expect("decodes");
--- a/crates/messages/tests/garbled.rs
+++ b/crates/messages/tests/garbled.rs
@@ -115,14 +115,14 @@
         disk.truncate(file, 0).unwrap();
         disk.write(file, 0, &garbled).unwrap();
         match open(disk).unwrap() {
-            Opened::Whole { recovered, .. } => {
+            Opened::Recovered { recovered, .. } => {
                 let indexes: Vec<u64> = recovered.entries.iter().map(|entry| entry.index).collect();
                 assert_eq!(indexes, (1..=indexes.len() as u64).collect::<Vec<_>>(), "seed {seed}");
                 told[0] += 1;
             }
             Opened::Empty(_) => told[1] += 1,
-            Opened::Damaged { finding, .. } => {
-                assert!(!finding.is_empty());
+            Opened::Damaged { damage, .. } => {
+                assert!(!damage.to_string().is_empty());
                 told[2] += 1;
             }
         }
--- a/crates/simulation/src/control.rs
+++ b/crates/simulation/src/control.rs
@@ -92,7 +92,7 @@
             return self.start_again(at);
         }
         let opened = open(machine.disk.clone()).and_then(|opened| match opened {
-            Opened::Whole { storage, recovered } => Ok((storage, recovered)),
+            Opened::Recovered { storage, recovered } => Ok((storage, recovered)),
             Opened::Empty(disk) | Opened::Damaged { disk, .. } => {
                 Storage::create(disk, id).map(|made| (made, RecoveredState::default()))
             }
--- /dev/null
+++ b/crates/storage/src/log_record.rs
@@ -0,0 +1,71 @@
+//! The format of a log record: magic, length, CRC-32 and a MessagePack body, integers little-endian.
+
+use postbarrow_consensus::{Entry, HardState};
+use postbarrow_constants::consensus::LOG_RECORD_BYTES;
+use serde::{Deserialize, Serialize};
+use std::io;
+
+const MAGIC: [u8; 4] = *b"PBR1";
+const HEADER_BYTES: usize = 12;
+
+/// One change since the slot.
+#[derive(Serialize, Deserialize)]
+pub(crate) enum LogRecord {
+    /// The first record of a log: the entries after the slot's snapshot.
+    Start {
+        entries: Vec<Entry>,
+    },
+    #[serde(rename = "Hard")]
+    HardState(HardState),
+    Append(Vec<Entry>),
+    /// Removes the entries from this index on.
+    Truncate {
+        from: u64,
+    },
+}
+
+/// A record with its position, so that a record of another generation or order is recognised.
+#[derive(Serialize, Deserialize)]
+pub(crate) struct Framed<R> {
+    pub generation: u64,
+    /// Number of the record within its log, from 1.
+    pub sequence: u64,
+    /// The highest sequence known synced when this one was written.
+    pub synced: u64,
+    pub record: R,
+}
+
+pub(crate) fn encode_record(
+    generation: u64,
+    sequence: u64,
+    synced: u64,
+    record: &LogRecord,
+) -> io::Result<Vec<u8>> {
+    let framed = Framed { generation, sequence, synced, record };
+    let body = rmp_serde::to_vec(&framed).map_err(io::Error::other)?;
+    let mut bytes = Vec::with_capacity(body.len() + HEADER_BYTES);
+    bytes.extend(MAGIC);
+    bytes.extend((body.len() as u32).to_le_bytes());
+    bytes.extend(crc32fast::hash(&body).to_le_bytes());
+    bytes.extend(body);
+    Ok(bytes)
+}
+
+/// The record at the start of `bytes` and its length in bytes; None unless it is complete and
+/// intact.
+pub(crate) fn decode_record(bytes: &[u8]) -> Option<(Framed<LogRecord>, usize)> {
+    if bytes.get(..4)? != MAGIC {
+        return None;
+    }
+    let length = u32::from_le_bytes(bytes.get(4..8)?.try_into().ok()?) as usize;
+    let checksum = u32::from_le_bytes(bytes.get(8..12)?.try_into().ok()?);
+    if length > LOG_RECORD_BYTES {
+        return None;
+    }
+    let body = bytes.get(HEADER_BYTES..HEADER_BYTES + length)?;
+    if crc32fast::hash(body) != checksum {
+        return None;
+    }
+    let framed = rmp_serde::from_slice(body).ok()?;
+    Some((framed, HEADER_BYTES + length))
+}
--- /dev/null
+++ b/crates/storage/src/open.rs
@@ -0,0 +1,93 @@
+//! Reads a disk back at the start of a process.
+
+use crate::create::create_files;
+use crate::slot::{SlotBody, decode_slot};
+use crate::torn_tail::{Replayed, continues_newer_slot, replay, without_torn_tail};
+use crate::{Damage, Disk, LOGS, SLOTS, Storage, file_index};
+use postbarrow_consensus::RecoveredState;
+use std::io;
+
+/// What a disk holds when a process starts.
+pub enum Opened<D> {
+    /// Nothing was ever acknowledged from this disk.
+    Empty(D),
+    /// Synced bytes are missing: this disk may not vote as the member that was on it.
+    Damaged {
+        /// The disk, which `Storage::create` may erase for a new member.
+        disk: D,
+        /// What is missing.
+        damage: Damage,
+    },
+    /// Everything that was acknowledged.
+    Recovered {
+        /// Where the member's next writes go.
+        storage: Storage<D>,
+        /// The member's state.
+        recovered: RecoveredState,
+    },
+}
+
+/// Both pairs of files as they were read.
+struct Files {
+    slots: [Vec<u8>; 2],
+    logs: [Vec<u8>; 2],
+}
+
+/// Reads a disk back and makes sure that what was read is durable.
+///
+/// # Errors
+///
+/// Those of the disk; `is_full` tells whether it only lacks space and may be opened again later.
+pub fn open<D: Disk>(mut disk: D) -> io::Result<Opened<D>> {
+    let files = Files {
+        slots: [disk.read(SLOTS[0])?, disk.read(SLOTS[1])?],
+        logs: [disk.read(LOGS[0])?, disk.read(LOGS[1])?],
+    };
+    let slots = [decode_slot(&files.slots[0]), decode_slot(&files.slots[1])];
+    let newest = slots.into_iter().flatten().max_by_key(|body| body.generation);
+    let Some(slot) = newest else {
+        if files.logs.iter().any(|log| continues_newer_slot(log, 0)) {
+            return Ok(Opened::Damaged { disk, damage: Damage::NoIntactSlot });
+        }
+        return Ok(Opened::Empty(disk));
+    };
+    let index = file_index(slot.generation);
+    if continues_newer_slot(&files.logs[1 - index], slot.generation) {
+        let damage = Damage::LostSlot { slot: SLOTS[1 - index] };
+        return Ok(Opened::Damaged { disk, damage });
+    }
+    match replay(&slot, &files.logs[index]) {
+        Err(damage) => Ok(Opened::Damaged { disk, damage }),
+        Ok(replayed) => resume_at(disk, &slot, &files, replayed),
+    }
+}
+
+/// The storage whose next record follows the replayed ones.
+fn resume_at<D: Disk>(
+    disk: D,
+    slot: &SlotBody,
+    files: &Files,
+    replayed: Replayed,
+) -> io::Result<Opened<D>> {
+    let mut storage = Storage {
+        generation: slot.generation,
+        log_bytes: replayed.log_bytes,
+        sequence: replayed.sequence,
+        synced: replayed.sequence,
+        ..Storage::unwritten(disk, slot.id)
+    };
+    let index = storage.file_index();
+    let disk = &mut storage.disk;
+    create_files(disk)?;
+    let log = without_torn_tail(&files.logs[index], &replayed, slot.generation);
+    rewrite(disk, LOGS[index], &log)?;
+    rewrite(disk, SLOTS[index], &files.slots[index])?;
+    Ok(Opened::Recovered { storage, recovered: replayed.recovered })
+}
+
+/// What reads back may be in the page cache only, after a sync that failed: the same bytes are
+/// written and synced again before anything builds on them.
+fn rewrite<D: Disk>(disk: &mut D, file: &str, bytes: &[u8]) -> io::Result<()> {
+    disk.write(file, 0, bytes)?;
+    disk.sync(file)
+}
--- /dev/null
+++ b/crates/storage/src/reserve.rs
@@ -0,0 +1,29 @@
+//! Space that is allocated before it is needed.
+
+use crate::{Disk, LOGS, SLOTS, Storage, WriteError};
+
+/// Bytes to allocate for each of the two logs and each of the two slots.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Reservation {
+    /// Bytes of each log.
+    pub log_bytes: u64,
+    /// Bytes of each slot.
+    pub slot_bytes: u64,
+}
+
+impl<D: Disk> Storage<D> {
+    /// Allocates the space of both slots and both logs, so that a write within these bounds can't
+    /// fail for lack of space.
+    ///
+    /// # Errors
+    ///
+    /// Nothing is lost after `WriteError::Full`: the call may be repeated.
+    pub fn reserve(&mut self, reservation: Reservation) -> Result<(), WriteError> {
+        let logs = LOGS.map(|file| (file, reservation.log_bytes));
+        let slots = SLOTS.map(|file| (file, reservation.slot_bytes));
+        for (file, bytes) in logs.into_iter().chain(slots) {
+            self.disk.reserve(file, bytes).map_err(WriteError::before_sync)?;
+        }
+        Ok(())
+    }
+}
--- a/crates/storage/tests/every_power_loss.rs
+++ b/crates/storage/tests/every_power_loss.rs
@@ -1,5 +1,5 @@
 //! Power is lost at every operation of a script, with every choice of the unsynced names and
-//! writes that are kept, each by itself.
+//! writes that survive, each independently.
 
 use postbarrow_consensus::{Entry, HardState, Member, Payload, RecoveredState, Snapshot, Write};
 use postbarrow_simulation::SimDisk;
@@ -13,7 +13,7 @@
     Write::HardState(HardState { term, voted_for: Some(term) })
 }
 
-/// Entries differ in size, so that records of two tries seldom end at the same place.
+/// Entries differ in size, so that records of two attempts seldom end at the same offset.
 fn append(term: u64, index: u64) -> Write {
     let payload = Payload::Batch(vec![index as u8; 10 + 7 * index as usize]);
     Write::Append(vec![Entry { term, index, payload }])
@@ -26,8 +26,8 @@
     Write::Slot { snapshot, hard: HardState { term, voted_for: Some(term) }, entries: Vec::new() }
 }
 
-/// Groups of writes, each promised once its sync has returned. Two generations go over each file,
-/// the later ones shorter.
+/// Groups of writes, each acknowledged once its sync has returned. Two generations overwrite each
+/// file, the later ones shorter.
 fn script() -> Vec<Vec<Write>> {
     vec![
         vec![hard(1)],
@@ -42,147 +42,155 @@
     ]
 }
 
-/// What a member may not go back behind: its term, its vote in it, and its last entry.
+/// What a member may not fall behind: its term, its vote in it, and its last entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Promise {
+struct Acknowledged {
     term: u64,
     voted: Option<u64>,
     last: u64,
 }
 
-const NOTHING: Promise = Promise { term: 0, voted: None, last: 0 };
+const NONE: Acknowledged = Acknowledged { term: 0, voted: None, last: 0 };
 
-impl Promise {
-    fn after(mut self, write: &Write) -> Promise {
+impl Acknowledged {
+    fn after(mut self, write: &Write) -> Acknowledged {
         match write {
             Write::HardState(hard) | Write::Slot { hard, .. } => {
                 (self.term, self.voted) = (hard.term, hard.voted_for);
             }
             Write::Append(entries) => self.last = entries.last().unwrap().index,
-            Write::Truncate { .. } => unreachable!("the script cuts nothing"),
+            Write::Truncate { .. } => unreachable!("the script truncates nothing"),
         }
         self
     }
 
-    fn covers(&self, other: &Promise) -> bool {
+    fn covers(&self, other: &Acknowledged) -> bool {
         let votes = self.term > other.term || (self.term, self.voted) == (other.term, other.voted);
         votes && self.last >= other.last
     }
 
-    fn of(found: &RecoveredState) -> Promise {
-        let kept = found.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-        let last = found.entries.last().map_or(kept, |entry| entry.index);
-        Promise { term: found.term, voted: found.voted_for, last }
+    fn of(recovered: &RecoveredState) -> Acknowledged {
+        let snapshot_index = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+        let last = recovered.entries.last().map_or(snapshot_index, |entry| entry.index);
+        Acknowledged { term: recovered.term, voted: recovered.voted_for, last }
     }
 }
 
-/// Runs the script on a disk whose power goes after so many operations.
+/// Runs the script on a disk that loses power after so many operations.
 fn run(disk: &SimDisk, fuse: u64) -> Run {
     disk.set_fuse(fuse);
-    let mut run = Run { created: false, promised: NOTHING, asked: NOTHING, whole: false };
+    let mut run = Run { created: false, acknowledged: NONE, requested: NONE, complete: false };
     let Ok(mut storage) = Storage::create(disk.clone(), MEMBER) else { return run };
     run.created = true;
     for group in script() {
-        run.asked = group.iter().fold(run.promised, Promise::after);
+        run.requested = group.iter().fold(run.acknowledged, Acknowledged::after);
         if storage.apply(group).is_err() {
             return run;
         }
-        run.promised = run.asked;
+        run.acknowledged = run.requested;
     }
-    run.whole = true;
+    run.complete = true;
     run
 }
 
 struct Run {
     created: bool,
-    promised: Promise,
-    asked: Promise,
-    /// The script ended before the power did.
-    whole: bool,
+    acknowledged: Acknowledged,
+    requested: Acknowledged,
+    /// The script ended before the power was lost.
+    complete: bool,
 }
 
-/// Every choice of what a loss of power keeps of a disk, as a disk of its own.
+/// Every choice of what survives a loss of power, each as a disk of its own.
 fn choices(disk: &SimDisk) -> impl Iterator<Item = (u64, SimDisk)> {
     let unsynced = disk.unsynced();
-    assert!(unsynced <= 12, "{unsynced} unsynced things are too many to try all");
+    assert!(
+        unsynced <= 12,
+        "{unsynced} unsynced writes and names are too many to test all choices"
+    );
     let disk = disk.clone();
     (0..1u64 << unsynced).map(move |choice| {
-        let kept = disk.copy();
-        kept.lose_power_keeping(|at| choice >> at & 1 == 1);
-        (choice, kept)
+        let survivor = disk.copy();
+        survivor.lose_power_keeping(|at| choice >> at & 1 == 1);
+        (choice, survivor)
     })
 }
 
-fn start(disk: &SimDisk, told: &str) -> (Storage<SimDisk>, Promise) {
+fn start(disk: &SimDisk, context: &str) -> (Storage<SimDisk>, Acknowledged) {
     match open(disk.clone()).unwrap() {
-        Opened::Whole { storage, recovered } => {
-            assert_eq!(storage.id(), MEMBER, "{told}");
+        Opened::Recovered { storage, recovered } => {
+            assert_eq!(storage.id(), MEMBER, "{context}");
             let indexes: Vec<u64> = recovered.entries.iter().map(|entry| entry.index).collect();
             let first = indexes.first().copied().unwrap_or(1);
             let in_order = (first..).take(indexes.len()).collect::<Vec<_>>();
-            assert_eq!(indexes, in_order, "{told}: entries are missing or doubled");
-            (storage, Promise::of(&recovered))
+            assert_eq!(indexes, in_order, "{context}: entries are missing or doubled");
+            (storage, Acknowledged::of(&recovered))
         }
-        Opened::Empty(_) => panic!("{told}: taken for empty"),
-        Opened::Damaged { finding, .. } => panic!("{told}: {finding}"),
+        Opened::Empty(_) => panic!("{context}: opened as empty"),
+        Opened::Damaged { damage, .. } => panic!("{context}: {damage}"),
     }
 }
 
-/// A start votes; whatever the next loss of power keeps, the start after it knows the vote.
-fn vote_and_lose_power(disk: &SimDisk, told: &str) {
-    let (mut storage, found) = start(disk, told);
-    let vote = Promise { term: found.term + 1, voted: Some(77), last: found.last };
+/// A start votes; whatever survives the next loss of power, the start after it recovers the vote.
+fn vote_and_lose_power(disk: &SimDisk, context: &str) {
+    let (mut storage, found) = start(disk, context);
+    let vote = Acknowledged { term: found.term + 1, voted: Some(77), last: found.last };
     storage
         .apply(vec![Write::HardState(HardState { term: vote.term, voted_for: vote.voted })])
         .unwrap();
     for (choice, after) in choices(disk) {
-        let (_, again) = start(&after, told);
-        assert_eq!(again, vote, "{told}, then {choice:b}: the vote is forgotten");
+        let (_, again) = start(&after, context);
+        assert_eq!(again, vote, "{context}, then {choice:b}: the vote is lost");
     }
 }
 
 #[test]
-fn no_loss_of_power_takes_a_promise_back() {
-    let mut tried = 0;
+fn power_loss_at_any_operation_retains_acknowledged_writes() {
+    let mut cases = 0;
     for fuse in 0.. {
         let disk = SimDisk::default();
         let run = run(&disk, fuse);
-        for (choice, kept) in choices(&disk) {
-            tried += 1;
-            let told = format!("power lost after {fuse} operations, kept {choice:b}");
-            if !run.created && !matches!(open(kept.copy()).unwrap(), Opened::Whole { .. }) {
+        for (choice, survivor) in choices(&disk) {
+            cases += 1;
+            let context = format!("power lost after {fuse} operations, surviving {choice:b}");
+            if !run.created && !matches!(open(survivor.copy()).unwrap(), Opened::Recovered { .. }) {
                 continue;
             }
-            let (_, found) = start(&kept.copy(), &told);
-            assert!(found.covers(&run.promised), "{told}: {found:?} for {:?}", run.promised);
-            assert!(run.asked.covers(&found), "{told}: {found:?} was never asked for");
-            vote_and_lose_power(&kept, &told);
+            let (_, found) = start(&survivor.copy(), &context);
+            assert!(
+                found.covers(&run.acknowledged),
+                "{context}: {found:?} for {:?}",
+                run.acknowledged
+            );
+            assert!(run.requested.covers(&found), "{context}: {found:?} was never requested");
+            vote_and_lose_power(&survivor, &context);
         }
-        if run.whole {
+        if run.complete {
             break;
         }
     }
-    assert!(tried > 100, "{tried} losses of power were tried");
+    assert!(cases > 100, "{cases} losses of power were tested");
 }
 
-/// The start after a loss of power loses power too, at each of its own operations.
+/// Recovery after a loss of power loses power too, at each of its own operations.
 #[test]
-fn no_second_loss_of_power_takes_a_promise_back() {
+fn power_loss_during_recovery_retains_acknowledged_writes() {
     for fuse in 0.. {
         let disk = SimDisk::default();
         let run = run(&disk, fuse);
-        for (choice, kept) in choices(&disk).filter(|_| run.created) {
+        for (choice, survivor) in choices(&disk).filter(|_| run.created) {
             for second in 0..8 {
-                let again = kept.copy();
+                let again = survivor.copy();
                 again.set_fuse(second);
                 let opened = open(again.clone()).is_ok();
                 for (later, after) in choices(&again) {
-                    let told = format!("{fuse}, kept {choice:b}, then {second}, kept {later:b}");
-                    let (_, found) = start(&after, &told);
+                    let context =
+                        format!("{fuse}, surviving {choice:b}, then {second}, surviving {later:b}");
+                    let (_, found) = start(&after, &context);
                     assert!(
-                        found.covers(&run.promised),
-                        "{told}: {found:?} for {:?}",
-                        run.promised
+                        found.covers(&run.acknowledged),
+                        "{context}: {found:?} for {:?}",
+                        run.acknowledged
                     );
                 }
                 if opened {
@@ -190,31 +198,31 @@
                 }
             }
         }
-        if run.whole {
+        if run.complete {
             break;
         }
     }
 }
 
-/// Who takes a damaged disk over never comes back as the member that was on it.
+/// A new member on a damaged disk never recovers as the member that was on it.
 #[test]
-fn an_erased_member_never_comes_back() {
+fn create_on_a_damaged_disk_never_recovers_the_former_member() {
     for damaged in LOGS.iter().chain(&SLOTS) {
         for fuse in 0.. {
             let disk = SimDisk::default();
-            assert!(run(&disk, u64::MAX).whole);
+            assert!(run(&disk, u64::MAX).complete);
             disk.lose_power_keeping(|_| true);
             disk.damage(damaged, 30);
             let Opened::Damaged { disk: old, .. } = open(disk.clone()).unwrap() else { break };
             disk.set_fuse(fuse);
             let created = Storage::create(old, NEXT_MEMBER).is_ok();
-            for (choice, kept) in choices(&disk) {
-                let told = format!("{damaged}, {fuse} operations, kept {choice:b}");
-                match open(kept).unwrap() {
-                    Opened::Whole { storage, .. } => {
-                        assert_eq!(storage.id(), NEXT_MEMBER, "{told}")
+            for (choice, survivor) in choices(&disk) {
+                let context = format!("{damaged}, {fuse} operations, surviving {choice:b}");
+                match open(survivor).unwrap() {
+                    Opened::Recovered { storage, .. } => {
+                        assert_eq!(storage.id(), NEXT_MEMBER, "{context}")
                     }
-                    _ => assert!(!created, "{told}: the new member is lost"),
+                    _ => assert!(!created, "{context}: the new member is lost"),
                 }
             }
             if created {
@@ -224,9 +232,9 @@
     }
 }
 
-/// A torn record in front of a whole one: the next start's record ends right where that begins.
+/// A torn record before a complete one: the next start's record ends exactly where that begins.
 #[test]
-fn a_record_behind_a_torn_one_is_never_read_later() {
+fn complete_record_after_a_torn_one_is_never_replayed() {
     let mut disk = SimDisk::default();
     let mut storage = Storage::create(disk.clone(), MEMBER).unwrap();
     let torn = storage.log_bytes();
@@ -239,20 +247,20 @@
     disk.sync(LOGS[1]).unwrap();
 
     let (mut storage, found) = start(&disk, "after the loss of power");
-    assert_eq!(found, NOTHING, "nothing of the torn group was promised");
+    assert_eq!(found, NONE, "nothing of the torn group was acknowledged");
     storage.apply(vec![append(1, 1), append(1, 2)]).unwrap();
     let (_, found) = start(&disk, "after the torn group");
-    assert_eq!(found, Promise { last: 2, ..NOTHING }, "a vote of the torn group came back");
+    assert_eq!(found, Acknowledged { last: 2, ..NONE }, "a vote of the torn group was recovered");
 }
 
 #[test]
-fn reserved_space_changes_nothing_that_is_read() {
+fn reservation_leaves_the_recovered_state_unchanged() {
     let disk = SimDisk::default();
     let mut storage = Storage::create(disk.clone(), MEMBER).unwrap();
     storage.reserve(Reservation { log_bytes: 4_096, slot_bytes: 4_096 }).unwrap();
     for group in script() {
         storage.apply(group).unwrap();
     }
-    let last = script().iter().flatten().fold(NOTHING, Promise::after);
+    let last = script().iter().flatten().fold(NONE, Acknowledged::after);
     assert_eq!(start(&disk, "reserved").1, last);
 }
--- a/crates/storage/tests/full.rs
+++ b/crates/storage/tests/full.rs
@@ -1,5 +1,4 @@
-//! A disk that is full: space that was kept, writes that are tried again, and failed syncs, which
-//! are not.
+//! A full disk: reserved space, writes that are repeated, and failed syncs, which are not.
 
 use postbarrow_consensus::{Entry, HardState, Member, Payload, RecoveredState, Snapshot, Write};
 use postbarrow_simulation::{DiskTrouble, Random, SimDisk};
@@ -26,26 +25,26 @@
     Write::Slot { snapshot, hard: HardState { term: 1, voted_for: Some(1) }, entries: Vec::new() }
 }
 
-/// One group with two slots amid log records: each file is written.
+/// One group with two slots among log records: each file is written.
 fn group() -> Vec<Write> {
     vec![append(1), slot(1), append(2), append(3), slot(3), append(4)]
 }
 
 fn reopen(disk: &SimDisk) -> (Storage<SimDisk>, RecoveredState) {
     match open(disk.clone()).unwrap() {
-        Opened::Whole { storage, recovered } => (storage, recovered),
+        Opened::Recovered { storage, recovered } => (storage, recovered),
         Opened::Empty(_) => panic!("the disk is empty"),
-        Opened::Damaged { finding, .. } => panic!("{finding}"),
+        Opened::Damaged { damage, .. } => panic!("{damage}"),
     }
 }
 
 fn last(found: &RecoveredState) -> u64 {
-    let kept = found.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-    found.entries.last().map_or(kept, |entry| entry.index)
+    let snapshot_index = found.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+    found.entries.last().map_or(snapshot_index, |entry| entry.index)
 }
 
 #[test]
-fn a_disk_full_at_any_operation_stops_writes_until_there_is_space() {
+fn full_disk_at_any_operation_suspends_writes_until_space_is_free() {
     let mut stopped = 0;
     for operations in 0.. {
         let disk = SimDisk::default();
@@ -70,19 +69,19 @@
 }
 
 #[test]
-fn a_start_on_a_full_disk_is_told_and_the_next_one_finds_all() {
+fn open_on_a_full_disk_fails_as_full_and_succeeds_once_space_is_free() {
     let disk = SimDisk::default();
     let mut storage = Storage::create(disk.clone(), MEMBER).unwrap();
     storage.apply(vec![append(1)]).unwrap();
     disk.set_trouble(Some(DiskTrouble::Full));
-    let Err(error) = open(disk.clone()) else { panic!("a full disk was not told") };
+    let Err(error) = open(disk.clone()) else { panic!("a full disk was not reported") };
     assert!(is_full(&error), "{error}");
     disk.set_trouble(None);
     assert_eq!(last(&reopen(&disk).1), 1);
 }
 
 #[test]
-fn writes_in_kept_space_go_on_when_the_disk_is_full() {
+fn writes_within_reserved_space_succeed_on_a_full_disk() {
     let disk = SimDisk::default();
     let mut storage = Storage::create(disk.clone(), MEMBER).unwrap();
     storage.reserve(Reservation { log_bytes: 4_096, slot_bytes: 4_096 }).unwrap();
@@ -97,7 +96,7 @@
 }
 
 #[test]
-fn space_that_can_not_be_kept_yet_is_asked_for_again() {
+fn reservation_refused_by_a_full_disk_succeeds_when_repeated() {
     let disk = SimDisk::default();
     let mut storage = Storage::create(disk.clone(), MEMBER).unwrap();
     disk.set_trouble(Some(DiskTrouble::Full));
@@ -143,15 +142,15 @@
 }
 
 #[test]
-fn a_failed_sync_is_a_failed_disk_even_if_it_says_full() {
+fn sync_refused_for_lack_of_space_is_a_failed_disk() {
     for write in [append(1), slot(1)] {
         let refuses = Rc::new(Cell::new(false));
         let disk = LateRefusal { disk: SimDisk::default(), refuses: refuses.clone() };
         let mut storage = Storage::create(disk, MEMBER).unwrap();
         storage.apply(vec![append(1)]).unwrap();
         refuses.set(true);
-        let told = storage.apply(vec![write]);
-        assert!(matches!(told, Err(WriteError::Failed(_))), "{told:?}");
+        let outcome = storage.apply(vec![write]);
+        assert!(matches!(outcome, Err(WriteError::Failed(_))), "{outcome:?}");
     }
 }
 
@@ -162,20 +161,23 @@
 }
 
 #[test]
-fn a_folders_files_get_their_blocks_and_keep_them() {
-    let folder = folder("kept-blocks");
+fn folder_disk_allocates_and_retains_reserved_blocks() {
+    let folder = folder("reserved-blocks");
     let disk = FolderDisk::new(folder.clone()).unwrap();
     let mut storage = Storage::create(disk, MEMBER).unwrap();
     let reservation = Reservation { log_bytes: 1 << 20, slot_bytes: 1 << 19 };
     storage.reserve(reservation).unwrap();
-    for round in 0..4 {
+    for group_number in 0..4 {
         for file in LOGS.iter().chain(&SLOTS) {
-            let least =
+            let min_bytes =
                 if LOGS.contains(file) { reservation.log_bytes } else { reservation.slot_bytes };
-            let about = std::fs::metadata(folder.join(file)).unwrap();
-            let kept = about.blocks() * STAT_BLOCK_BYTES;
-            assert!(kept >= least, "round {round}: {file} keeps {kept} of {least} bytes");
-            assert!(about.len() < 4_096, "round {round}: {file} got longer");
+            let metadata = std::fs::metadata(folder.join(file)).unwrap();
+            let allocated = metadata.blocks() * STAT_BLOCK_BYTES;
+            assert!(
+                allocated >= min_bytes,
+                "group {group_number}: {file} has {allocated} of {min_bytes} bytes"
+            );
+            assert!(metadata.len() < 4_096, "group {group_number}: {file} got longer");
         }
         storage.apply(group()).unwrap();
     }
@@ -183,11 +185,11 @@
 }
 
 #[test]
-fn a_data_folder_several_levels_down_is_made() {
+fn folder_disk_creates_missing_parent_folders() {
     let top = folder("levels");
     let inner = top.join("one/two");
     drop(Storage::create(FolderDisk::new(inner.clone()).unwrap(), MEMBER).unwrap());
     let opened = open(FolderDisk::new(inner).unwrap()).unwrap();
-    assert!(matches!(opened, Opened::Whole { .. }));
+    assert!(matches!(opened, Opened::Recovered { .. }));
     std::fs::remove_dir_all(top).unwrap();
 }
--- a/crates/storage/tests/power.rs
+++ b/crates/storage/tests/power.rs
@@ -1,3 +1,5 @@
+//! What survives a loss of power, and damage that is no torn tail.
+
 use postbarrow_consensus::{Entry, HardState, Member, Payload, RecoveredState, Snapshot, Write};
 use postbarrow_simulation::{DiskTrouble, Random, SimDisk};
 use postbarrow_storage::{Disk, LOGS, Opened, SLOTS, Storage, open};
@@ -9,9 +11,9 @@
 
 fn reopen(disk: &SimDisk) -> (Storage<SimDisk>, RecoveredState) {
     match open(disk.clone()).unwrap() {
-        Opened::Whole { storage, recovered } => (storage, recovered),
+        Opened::Recovered { storage, recovered } => (storage, recovered),
         Opened::Empty(_) => panic!("the disk is empty"),
-        Opened::Damaged { finding, .. } => panic!("{finding}"),
+        Opened::Damaged { damage, .. } => panic!("{damage}"),
     }
 }
 
@@ -22,7 +24,7 @@
 }
 
 #[test]
-fn whatever_was_synced_is_there_after_power_loss_at_any_operation() {
+fn synced_writes_are_recovered_after_power_loss_at_any_operation() {
     for seed in 0..400 {
         let mut random = Random::new(seed);
         let disk = SimDisk::default();
@@ -52,7 +54,7 @@
             storage.apply(vec![write]).unwrap();
         }
         disk.set_fuse(random.below(5));
-        let torn = storage.apply(vec![
+        let outcome = storage.apply(vec![
             Write::Append(vec![entry(term, last + 1)]),
             slot(last, term, vec![entry(term, last + 1)]),
         ]);
@@ -61,14 +63,14 @@
         assert_eq!(storage.id(), 9, "seed {seed}");
         assert!(recovered.term >= written, "seed {seed}: the term is lost");
         let found = recovered.entries.last().map_or(0, |entry| entry.index);
-        let found = found.max(recovered.snapshot.as_ref().map_or(0, |kept| kept.index));
-        assert!(found >= last, "seed {seed}: {found} of {last} entries, {torn:?}");
-        assert!(found <= last + 1, "seed {seed}: an entry from nowhere");
+        let found = found.max(recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index));
+        assert!(found >= last, "seed {seed}: {found} of {last} entries, {outcome:?}");
+        assert!(found <= last + 1, "seed {seed}: an entry that was never requested");
     }
 }
 
 #[test]
-fn a_cut_tail_and_a_new_term_replace_entries() {
+fn truncate_then_append_in_a_new_term_replaces_entries() {
     let disk = SimDisk::default();
     let mut storage = Storage::create(disk.clone(), 9).unwrap();
     let old = vec![entry(1, 1), entry(1, 2), entry(1, 3)];
@@ -79,7 +81,7 @@
 }
 
 #[test]
-fn damage_to_synced_memory_is_told_and_never_taken_for_a_torn_tail() {
+fn damage_to_synced_bytes_is_reported_and_never_mistaken_for_a_torn_tail() {
     for file in LOGS.iter().chain(&SLOTS) {
         let disk = SimDisk::default();
         let mut storage = Storage::create(disk.clone(), 9).unwrap();
@@ -87,53 +89,53 @@
         for index in 1..=5 {
             storage.apply(vec![Write::Append(vec![entry(1, index)])]).unwrap();
         }
-        let live = disk.length(file) > 0 && (*file == LOGS[0] || *file == SLOTS[0]);
+        let is_live = disk.length(file) > 0 && (*file == LOGS[0] || *file == SLOTS[0]);
         let at = if file.starts_with("log") { 150 } else { 30 };
         disk.damage(file, at);
         match open(disk.clone()).unwrap() {
-            Opened::Damaged { finding, .. } => assert!(live, "{file}: {finding}"),
-            Opened::Whole { recovered, .. } => {
-                assert!(!live, "{file}: damage went unseen");
+            Opened::Damaged { damage, .. } => assert!(is_live, "{file}: {damage}"),
+            Opened::Recovered { recovered, .. } => {
+                assert!(!is_live, "{file}: damage went unnoticed");
                 assert_eq!(recovered.entries.len(), 5);
             }
-            Opened::Empty(_) => panic!("{file}: taken for empty"),
+            Opened::Empty(_) => panic!("{file}: opened as empty"),
         }
     }
 }
 
 #[test]
-fn a_torn_first_start_is_an_empty_disk() {
+fn torn_first_slot_opens_as_empty() {
     let mut disk = SimDisk::default();
     disk.write(SLOTS[1], 0, b"PBSLOT01 half").unwrap();
     assert!(matches!(open(disk).unwrap(), Opened::Empty(_)));
 }
 
-/// After a failed sync the system may take what was due for written: it reads back until the power
-/// goes. Whoever starts on such a disk must not build on that.
+/// After a failed sync the system may treat dirty pages as written: they read back until power is
+/// lost. A start on such a disk must not build on them.
 #[test]
-fn what_a_failed_sync_left_is_written_anew_or_not_read_back() {
-    for trouble in [DiskTrouble::SyncFails, DiskTrouble::WriteFails, DiskTrouble::Full] {
-        for slots in [false, true] {
+fn writes_of_a_failed_sync_are_rewritten_on_open_or_not_recovered() {
+    for fault in [DiskTrouble::SyncFails, DiskTrouble::WriteFails, DiskTrouble::Full] {
+        for with_slot in [false, true] {
             let disk = SimDisk::default();
             let mut storage = Storage::create(disk.clone(), 9).unwrap();
             storage.apply(vec![Write::Append(vec![entry(1, 1)])]).unwrap();
-            disk.set_trouble(Some(trouble));
-            let write = match slots {
+            disk.set_trouble(Some(fault));
+            let write = match with_slot {
                 true => slot(1, 1, vec![entry(1, 2)]),
                 false => Write::Append(vec![entry(1, 2)]),
             };
-            assert!(storage.apply(vec![write]).is_err(), "{trouble:?} is told");
+            assert!(storage.apply(vec![write]).is_err(), "{fault:?} is reported");
             disk.set_trouble(None);
             let (mut storage, found) = reopen(&disk);
             let next = found.entries.last().unwrap().index + 1;
             storage.apply(vec![Write::Append(vec![entry(1, next)])]).unwrap();
             disk.lose_power(&mut Random::new(7));
-            let (_, kept) = reopen(&disk);
-            let indexes = |got: &RecoveredState| {
-                got.entries.iter().map(|entry| entry.index).collect::<Vec<_>>()
+            let (_, durable) = reopen(&disk);
+            let indexes = |state: &RecoveredState| {
+                state.entries.iter().map(|entry| entry.index).collect::<Vec<_>>()
             };
-            let wanted: Vec<u64> = (1..=next).collect();
-            assert_eq!(indexes(&kept), wanted, "{trouble:?}, slot {slots}");
+            let expected: Vec<u64> = (1..=next).collect();
+            assert_eq!(indexes(&durable), expected, "{fault:?}, slot {with_slot}");
         }
     }
 }
--- a/examples/replicated-sum/src/lib.rs
+++ b/examples/replicated-sum/src/lib.rs
@@ -51,7 +51,7 @@
 impl Sum {
     pub fn start(folder: PathBuf, at: SocketAddr) -> io::Result<Sum> {
         let (storage, recovered) = match open(FolderDisk::new(folder)?)? {
-            Opened::Whole { storage, recovered } => (storage, recovered),
+            Opened::Recovered { storage, recovered } => (storage, recovered),
             Opened::Empty(disk) | Opened::Damaged { disk, .. } => {
                 (Storage::create(disk, random())?, RecoveredState::default())
             }
--- a/programs/control-plane/src/data_folder.rs
+++ b/programs/control-plane/src/data_folder.rs
@@ -32,13 +32,13 @@
 
 fn open_disk(folder: &Path) -> io::Result<(Storage<FolderDisk>, RecoveredState)> {
     match open(FolderDisk::new(folder.to_path_buf())?)? {
-        Opened::Whole { storage, recovered } => Ok((storage, recovered)),
+        Opened::Recovered { storage, recovered } => Ok((storage, recovered)),
         Opened::Empty(disk) => {
             info!("disk: {} is empty, this is a new member", folder.display());
             Ok((Storage::create(disk, random())?, RecoveredState::default()))
         }
-        Opened::Damaged { disk, finding } => {
-            warn!("disk: {finding}; what it knew is lost, this is a new member");
+        Opened::Damaged { disk, damage } => {
+            warn!("disk: {damage}; what it knew is lost, this is a new member");
             Ok((Storage::create(disk, random())?, RecoveredState::default()))
         }
     }
