--- a/crates/controller/src/list_page.rs
+++ b/crates/controller/src/list_page.rs
@@ -14,10 +14,13 @@
 /// Reads a page whole or not at all.
 pub fn read_page(bytes: &[u8]) -> Result<ListPage, Findings> {
     if bytes.len() > LIST_PAGE_BYTES {
-        return Err(Findings::bare("$", format!("is larger than {LIST_PAGE_BYTES} bytes")));
+        return Err(Findings::without_position(
+            "$",
+            format!("is larger than {LIST_PAGE_BYTES} bytes"),
+        ));
     }
     let given = std::str::from_utf8(bytes).map_err(|error| {
-        Findings::bare("$", format!("is not UTF-8 at byte {}", error.valid_up_to()))
+        Findings::without_position("$", format!("is not UTF-8 at byte {}", error.valid_up_to()))
     })?;
     let (value, mut reading) = Reading::parse(given)?;
     let mut page = ListPage { targets: Vec::new(), next: None };
@@ -41,7 +44,7 @@
     let draining = match fields.get("draining") {
         None => false,
         Some(value) => value.as_bool().unwrap_or_else(|| {
-            reading.find(&fields.place("draining"), "must be true or false".into());
+            reading.find(&fields.path_of("draining"), "must be true or false".into());
             false
         }),
     };
--- a/crates/node/src/completion.rs
+++ b/crates/node/src/completion.rs
@@ -35,15 +35,15 @@
     /// The log gives it no ticket, and why.
     NoTicket(String),
     /// Its time was over before it went out.
-    Late,
+    DeadlinePassed,
     /// The client left before an end that it could be told.
-    ClientLeft,
+    ClientDeparted,
     /// No word on the ticket: it may yet be granted, though it will not be used.
     TicketUnknown,
     /// The target gave no whole response, and what it gave.
     TargetFailed(String),
     /// The target did not respond in time.
-    TargetLate(String),
+    TargetTimedOut(String),
 }
 
 /// How a request ended, and how sure that is.
@@ -67,7 +67,7 @@
     /// The log granted this request a ticket, so nothing ran under its key before.
     pub ticketed: bool,
     /// A target may have run it.
-    pub sent: bool,
+    pub may_have_run: bool,
 }
 
 #[derive(Facet)]
@@ -123,13 +123,13 @@
                 (502, "unknown", "no target gave a whole response", Some(why))
             }
             RequestOutcome::NoTicket(why) => (503, "not-run", "no ticket", Some(why)),
-            RequestOutcome::Late => (504, "unknown", "the deadline is over", None),
-            RequestOutcome::ClientLeft => (504, "unknown", "the client left", None),
+            RequestOutcome::DeadlinePassed => (504, "unknown", "the deadline is over", None),
+            RequestOutcome::ClientDeparted => (504, "unknown", "the client left", None),
             RequestOutcome::TicketUnknown => (504, "unknown", "no word on the ticket", None),
             RequestOutcome::TargetFailed(why) => {
                 (502, "unknown", "the target gave no whole response", Some(why))
             }
-            RequestOutcome::TargetLate(why) => {
+            RequestOutcome::TargetTimedOut(why) => {
                 (504, "unknown", "the target did not respond in time", Some(why))
             }
         };
--- a/crates/node/src/flow_step.rs
+++ b/crates/node/src/flow_step.rs
@@ -21,9 +21,9 @@
     /// Targets of this zone are nearer.
     pub zone: Name,
     /// One-time requests get a ticket from the log; else this life's own, under its lease.
-    pub logged: bool,
+    pub uses_ticket_log: bool,
     /// When its client has no more use for a response.
-    pub until_ms: u64,
+    pub deadline_ms: u64,
     /// Draws its targets.
     pub seed: u64,
 }
@@ -65,7 +65,7 @@
         /// Its time was over.
         late: bool,
         /// What was seen.
-        why: String,
+        reason: String,
     },
 }
 
@@ -127,16 +127,16 @@
         until_ms: u64,
     },
     /// Has a ticket settled before anything else.
-    Settle {
+    SettleTicket {
         /// Its end.
-        settling: TicketSettlement,
+        settlement: TicketSettlement,
         /// For so long.
         wait_ms: u64,
     },
     /// The request has its end.
     Done {
         /// For the client.
-        verdict: Completion,
+        completion: Completion,
         /// For the log; told until it is taken, waited for by nobody.
         settling: Option<TicketSettlement>,
     },
@@ -153,5 +153,5 @@
     /// A number this node never gave before.
     pub number: u64,
     /// The client of the request has left: nothing more is begun for it.
-    pub client_left: bool,
+    pub client_departed: bool,
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -54,7 +54,7 @@
         sound: bool,
     },
     /// Some of the requests that came, and how many came.
-    Saw {
+    Sampled {
         /// A few of them.
         samples: Vec<Sample>,
         /// All of them.
@@ -167,7 +167,7 @@
             }
             Input::Withdraw { key } => self.controller_client.withdraw(key),
             Input::Probed { instance, sound } => self.on_probed(instance, sound),
-            Input::Saw { samples, seen } => {
+            Input::Sampled { samples, seen } => {
                 self.recent.extend(samples);
                 self.recent.truncate(SAMPLES_PER_REPORT);
                 self.seen += seen;
--- a/crates/node/src/request_flow.rs
+++ b/crates/node/src/request_flow.rs
@@ -49,11 +49,11 @@
     pub fn handle(&mut self, now: &FlowContext<'_>, event: Event) -> Step {
         match event {
             Event::Start => {
-                self.entry.budget.on_request(now.table.nodes());
+                self.entry.retry_budget.on_request(now.table.nodes());
                 self.next_attempt(now)
             }
             Event::ConnectFailed(why) => {
-                if !now.client_left {
+                if !now.client_departed {
                     self.load_failed(now);
                 }
                 self.why = why;
@@ -66,7 +66,7 @@
     }
 
     fn left_ms(&self, now: &FlowContext<'_>) -> u64 {
-        self.context.until_ms.saturating_sub(now.now_ms)
+        self.context.deadline_ms.saturating_sub(now.now_ms)
     }
 
     fn is_one_time(&self) -> bool {
@@ -75,24 +75,25 @@
 
     fn load_failed(&self, now: &FlowContext<'_>) {
         if let Some(load) = &self.load {
-            load.failed(now.now_ms);
+            load.on_failure(now.now_ms);
         }
     }
 
     /// Targets come from the entry the request began with, checked against the image of this moment.
     fn next_attempt(&mut self, now: &FlowContext<'_>) -> Step {
-        if now.client_left {
-            return self.end(RequestOutcome::ClientLeft);
+        if now.client_departed {
+            return self.end(RequestOutcome::ClientDeparted);
         }
         if !now.serves {
             return self.end(RequestOutcome::Unready);
         }
         if self.left_ms(now) == 0 {
-            return self.end(RequestOutcome::Late);
+            return self.end(RequestOutcome::DeadlinePassed);
         }
         loop {
             let seed = mix(self.context.seed ^ self.tried.len() as u64);
-            let picked = self.entry.pick(&self.context.zone, &self.tried, now.now_ms, seed);
+            let picked =
+                self.entry.select_target(&self.context.zone, &self.tried, now.now_ms, seed);
             let Some((target, load)) = picked else {
                 let why = std::mem::take(&mut self.why);
                 return self.end(RequestOutcome::NoTarget(why));
@@ -107,14 +108,14 @@
     }
 
     fn retry(&mut self, now: &FlowContext<'_>) -> Step {
-        if now.client_left {
-            return self.end(RequestOutcome::ClientLeft);
+        if now.client_departed {
+            return self.end(RequestOutcome::ClientDeparted);
         }
         let most = if self.is_one_time() { TICKETED_ATTEMPTS } else { ATTEMPTS };
         let tries = self.entry.route().max_attempts;
         let most = tries.map_or(most, |tries| tries as usize);
         let nodes = now.table.nodes();
-        if self.tried.len() >= most || !self.entry.budget.take(now.now_ms, nodes) {
+        if self.tried.len() >= most || !self.entry.retry_budget.take(now.now_ms, nodes) {
             let why = std::mem::take(&mut self.why);
             return self.end(RequestOutcome::GaveUp(why));
         }
@@ -125,19 +126,19 @@
         let service = &self.entry.route().service;
         let allowed =
             self.target.as_ref().is_some_and(|target| now.table.allows(service, &target.instance));
-        now.serves && allowed && self.left_ms(now) > 0 && !now.client_left
+        now.serves && allowed && self.left_ms(now) > 0 && !now.client_departed
     }
 
     fn on_connected(&mut self, now: &FlowContext<'_>) -> Step {
         let Some(target) = &self.target else { return self.end(RequestOutcome::Unready) };
-        if !self.is_one_time() || !self.context.logged {
+        if !self.is_one_time() || !self.context.uses_ticket_log {
             return match self.may_pass(now) {
                 true => Step::Forward { wait_ms: self.left_ms(now), until_ms: u64::MAX },
                 false => self.next_attempt(now),
             };
         }
-        if now.client_left {
-            return self.end(RequestOutcome::ClientLeft);
+        if now.client_departed {
+            return self.end(RequestOutcome::ClientDeparted);
         }
         let ticket = Ticket {
             key: self.context.key.clone(),
@@ -191,7 +192,7 @@
             _ => {
                 let settling = self.settle(Settlement::Unsent, None);
                 let verdict = self.verdict(RequestOutcome::TicketUnknown);
-                Step::Done { verdict, settling }
+                Step::Done { completion: verdict, settling }
             }
         }
     }
@@ -209,13 +210,16 @@
     /// No target ran it. Another attempt may follow once its ticket, if it has one, is settled; nobody
     /// waits for that where the client has left.
     fn settle_unsent(&mut self, now: &FlowContext<'_>) -> Step {
-        if now.client_left {
+        if now.client_departed {
             let settling = self.settle(Settlement::Unsent, None);
-            return Step::Done { verdict: self.verdict(RequestOutcome::ClientLeft), settling };
+            return Step::Done {
+                completion: self.verdict(RequestOutcome::ClientDeparted),
+                settling,
+            };
         }
         match &self.ticket {
-            Some(ticket) => Step::Settle {
-                settling: TicketSettlement {
+            Some(ticket) => Step::SettleTicket {
+                settlement: TicketSettlement {
                     ticket: ticket.clone(),
                     settlement: Settlement::Unsent,
                     response: None,
@@ -230,15 +234,18 @@
         match passed {
             AttemptOutcome::Complete(response) => {
                 if let Some(load) = &self.load {
-                    load.recovered();
+                    load.on_success();
                 }
                 let kept = response.kept();
                 let settling = self.settle(Settlement::Ran, kept);
-                Step::Done { verdict: self.verdict(RequestOutcome::Complete(response)), settling }
+                Step::Done {
+                    completion: self.verdict(RequestOutcome::Complete(response)),
+                    settling,
+                }
             }
             AttemptOutcome::NotRun(why) => {
                 if let Some(load) = &self.load {
-                    load.turned_away(now.now_ms);
+                    load.on_rejection(now.now_ms);
                 }
                 self.why = why;
                 self.settle_unsent(now)
@@ -247,12 +254,12 @@
                 self.why = why;
                 self.settle_unsent(now)
             }
-            AttemptOutcome::Unknown { .. } if now.client_left => {
+            AttemptOutcome::Unknown { .. } if now.client_departed => {
                 self.sent = true;
                 let settling = self.settle(Settlement::Unknown, None);
-                Step::Done { verdict: self.verdict(RequestOutcome::ClientLeft), settling }
+                Step::Done { completion: self.verdict(RequestOutcome::ClientDeparted), settling }
             }
-            AttemptOutcome::Unknown { late, why } => {
+            AttemptOutcome::Unknown { late, reason: why } => {
                 self.load_failed(now);
                 self.sent = true;
                 if !self.is_one_time() && !late {
@@ -261,11 +268,11 @@
                 }
                 let settling = self.settle(Settlement::Unknown, None);
                 let told = if late {
-                    RequestOutcome::TargetLate(why)
+                    RequestOutcome::TargetTimedOut(why)
                 } else {
                     RequestOutcome::TargetFailed(why)
                 };
-                Step::Done { verdict: self.verdict(told), settling }
+                Step::Done { completion: self.verdict(told), settling }
             }
         }
     }
@@ -279,7 +286,7 @@
             }
             told => told,
         };
-        Step::Done { verdict: self.verdict(told), settling: None }
+        Step::Done { completion: self.verdict(told), settling: None }
     }
 
     fn verdict(&self, told: RequestOutcome) -> Completion {
@@ -287,7 +294,7 @@
             one_time: self.is_one_time(),
             keyed: self.context.keyed,
             ticketed: self.proved,
-            sent: self.sent,
+            may_have_run: self.sent,
         };
         let key = (about.one_time && !about.keyed).then(|| self.context.key.clone());
         Completion { outcome: told, evidence: about, key }
--- a/crates/plan/src/document.rs
+++ b/crates/plan/src/document.rs
@@ -20,10 +20,10 @@
     pub fn read(given: &[u8]) -> Result<Plan, Findings> {
         if given.len() > PLAN_TEXT_BYTES {
             let message = format!("is larger than {PLAN_TEXT_BYTES} bytes");
-            return Err(Findings::bare("$", message));
+            return Err(Findings::without_position("$", message));
         }
         let given = std::str::from_utf8(given).map_err(|error| {
-            Findings::bare("$", format!("is not UTF-8 at byte {}", error.valid_up_to()))
+            Findings::without_position("$", format!("is not UTF-8 at byte {}", error.valid_up_to()))
         })?;
         let (value, mut reading) = Reading::parse(given)?;
         let plan = read_plan(&value, given, &mut reading);
@@ -42,28 +42,28 @@
         let Some(name) = name else { continue };
         if name.is_empty() || name.len() > VERSION_BYTES {
             let message = format!("must have 1 to {VERSION_BYTES} bytes");
-            reading.find(&fields.place(field), message);
+            reading.find(&fields.path_of(field), message);
         }
     }
     if version.is_some() && version == base {
         reading.find("$.base", "is the plan's own version".into());
     }
     let mut services = BTreeMap::new();
-    for (name, place, value) in fields.named("services", reading) {
-        if let Some(service) = read_service(&name, &place, value, reading) {
+    for (name, json_path, value) in fields.named("services", reading) {
+        if let Some(service) = read_service(&name, &json_path, value, reading) {
             services.insert(name, service);
         }
     }
     let mut routes = Vec::new();
     let mut known = BTreeSet::new();
-    for (place, value) in fields.array("routes", reading) {
-        let Some(route) = read_route(&place, value, &services, reading) else { continue };
+    for (json_path, value) in fields.array("routes", reading) {
+        let Some(route) = read_route(&json_path, value, &services, reading) else { continue };
         for method in &route.methods {
             let shape = Pattern::read(&route.path).map(|pattern| pattern.shape());
             let place_of = (shape.ok(), method.clone(), route.when.clone(), route.host.clone());
             if !known.insert(place_of) {
                 let message = format!("has {method} {} a second time", route.path);
-                reading.find(&place, message);
+                reading.find(&json_path, message);
             }
         }
         routes.push(route);
@@ -74,48 +74,53 @@
     Some(Plan { version: version?, base, services, routes, callers, text: given.to_string() })
 }
 
-fn read_service(name: &str, place: &str, value: &Value, reading: &mut Reading) -> Option<Service> {
-    let mut fields = Fields::of(value, place, reading)?;
+fn read_service(
+    name: &str,
+    json_path: &str,
+    value: &Value,
+    reading: &mut Reading,
+) -> Option<Service> {
+    let mut fields = Fields::of(value, json_path, reading)?;
     let mut labels = Labels::new();
-    for (label, place, value) in fields.named("labels", reading) {
-        if let Some(value) = text(value, &place, reading) {
+    for (label, json_path, value) in fields.named("labels", reading) {
+        if let Some(value) = text(value, &json_path, reading) {
             labels.insert(CompactString::from(label), CompactString::from(value));
         }
     }
     if labels.is_empty() {
-        reading.find(place, "chooses by no label, which would be every target".into());
+        reading.find(json_path, "chooses by no label, which would be every target".into());
     }
     fields.finish(reading);
     Some(Service { name: CompactString::from(name), labels })
 }
 
 fn read_route(
-    place: &str,
+    json_path: &str,
     value: &Value,
     services: &BTreeMap<String, Service>,
     reading: &mut Reading,
 ) -> Option<Route> {
-    let mut fields = Fields::of(value, place, reading)?;
+    let mut fields = Fields::of(value, json_path, reading)?;
     let path = fields.text("path", reading);
     if let Some(path) = path
         && let Err(message) = Pattern::read(path)
     {
-        reading.find(&fields.place("path"), message);
+        reading.find(&fields.path_of("path"), message);
     }
     if path.is_some_and(|path| path == "/ready" || path.starts_with("/coordination/")) {
-        reading.find(&fields.place("path"), "is kept for the nodes themselves".into());
+        reading.find(&fields.path_of("path"), "is kept for the nodes themselves".into());
     }
     let mut methods = Vec::new();
-    for (place, value) in fields.array("methods", reading) {
-        let Some(method) = text(value, &place, reading) else { continue };
+    for (json_path, value) in fields.array("methods", reading) {
+        let Some(method) = text(value, &json_path, reading) else { continue };
         let sound = !method.is_empty() && method.bytes().all(|byte| byte.is_ascii_uppercase());
         if method != ANY_METHOD && (!sound || method == "CONNECT") {
-            reading.find(&place, "must be a method in capitals, and not CONNECT, or *".into());
+            reading.find(&json_path, "must be a method in capitals, and not CONNECT, or *".into());
         }
         methods.push(CompactString::from(method));
     }
     if methods.is_empty() {
-        reading.find(&fields.place("methods"), "must name a method".into());
+        reading.find(&fields.path_of("methods"), "must name a method".into());
     }
     let word = fields.text("kind", reading);
     let kind = match word {
@@ -124,7 +129,7 @@
         Some("one-time") => Some(RouteKind::OneTime),
         Some(_) => {
             let message = "must be lookup, repeatable or one-time";
-            reading.find(&fields.place("kind"), message.into());
+            reading.find(&fields.path_of("kind"), message.into());
             None
         }
         None => None,
@@ -133,7 +138,7 @@
         let safe = |method: &CompactString| matches!(method.as_str(), "GET" | "HEAD" | "OPTIONS");
         if !methods.iter().all(safe) {
             let message = "a lookup may run again, so it takes GET, HEAD and OPTIONS only";
-            reading.find(&fields.place("methods"), message.into());
+            reading.find(&fields.path_of("methods"), message.into());
         }
     }
     let known = |name: &str| services.contains_key(name);
@@ -142,7 +147,7 @@
     if let Some(rule) = &when
         && let Err(message) = Rule::compile(rule)
     {
-        reading.find(&fields.place("when"), message);
+        reading.find(&fields.path_of("when"), message);
     }
     let bounds = limits::read(&mut fields, reading);
     let aims = route_options::read(&mut fields, reading);
--- a/crates/plan/src/limits.rs
+++ b/crates/plan/src/limits.rs
@@ -16,9 +16,9 @@
         concurrency: None,
         deadline_ms: ROUTE_DEADLINE_MS,
     };
-    let place = route.place("limits");
+    let json_path = route.path_of("limits");
     let Some(value) = route.get("limits") else { return limits };
-    let Some(mut fields) = Fields::of(value, &place, reading) else { return limits };
+    let Some(mut fields) = Fields::of(value, &json_path, reading) else { return limits };
     if let Some(most) = fields.number("bodyBytes", 0..=ROUTE_BODY_MAX_BYTES, reading) {
         limits.body_bytes = most;
     }
@@ -33,9 +33,9 @@
 
 /// What every caller is held to, in `callers` of the plan.
 pub(crate) fn callers(plan: &mut Fields<'_>, reading: &mut Reading) -> ClientLimits {
-    let place = plan.place("callers");
+    let json_path = plan.path_of("callers");
     let Some(value) = plan.get("callers") else { return ClientLimits::default() };
-    let Some(mut fields) = Fields::of(value, &place, reading) else {
+    let Some(mut fields) = Fields::of(value, &json_path, reading) else {
         return ClientLimits::default();
     };
     let callers = ClientLimits {
--- a/crates/plan/src/route_options.rs
+++ b/crates/plan/src/route_options.rs
@@ -17,7 +17,7 @@
             && host.bytes().all(|byte| byte.is_ascii_graphic() && !b":/?#".contains(&byte))
     };
     if host.as_ref().is_some_and(|host| !sound(host)) {
-        reading.find(&route.place("host"), "must be a host's name without a port".into());
+        reading.find(&route.path_of("host"), "must be a host's name without a port".into());
     }
     RouteOptions {
         host: host.map(CompactString::from),
@@ -36,20 +36,20 @@
     if route.get("shares").is_none() {
         let service = route.text("service", reading);
         if let Some(name) = service.filter(|name| !known(name)) {
-            reading.find(&route.place("service"), unknown(name));
+            reading.find(&route.path_of("service"), unknown(name));
         }
         return (service.map(CompactString::from), Vec::new());
     }
     if route.get("service").is_some() {
-        reading.find(&route.place("service"), "stands beside shares".into());
+        reading.find(&route.path_of("service"), "stands beside shares".into());
     }
     let mut shares = Vec::new();
-    let place = route.place("shares");
-    for (place, value) in route.array("shares", reading) {
-        let Some(mut fields) = Fields::of(value, &place, reading) else { continue };
+    let json_path = route.path_of("shares");
+    for (json_path, value) in route.array("shares", reading) {
+        let Some(mut fields) = Fields::of(value, &json_path, reading) else { continue };
         let service = fields.text("service", reading);
         if let Some(name) = service.filter(|name| !known(name)) {
-            reading.find(&fields.place("service"), unknown(name));
+            reading.find(&fields.path_of("service"), unknown(name));
         }
         fields.required("share", reading);
         let weight = fields.number("share", 0..=WEIGHT_MAX, reading);
@@ -61,7 +61,7 @@
     match weights(&shares) {
         Ok(first) => (Some(first), shares),
         Err(message) => {
-            reading.find(&place, message);
+            reading.find(&json_path, message);
             (None, shares)
         }
     }
--- a/crates/reading/src/fields.rs
+++ b/crates/reading/src/fields.rs
@@ -1,47 +1,47 @@
 use crate::{Reading, Value};
 use std::collections::BTreeSet;
 
-/// One object of the document; what is never asked for is a finding.
+/// One object of the document; a field that is never requested is a finding.
 pub struct Fields<'v> {
     value: &'v Value,
-    place: String,
-    seen: BTreeSet<&'static str>,
+    path: String,
+    requested: BTreeSet<&'static str>,
 }
 
 impl<'v> Fields<'v> {
-    pub fn of(value: &'v Value, place: &str, reading: &mut Reading) -> Option<Self> {
+    pub fn of(value: &'v Value, json_path: &str, reading: &mut Reading) -> Option<Self> {
         if !value.is_object() {
-            reading.find(place, "must be an object".into());
+            reading.find(json_path, "must be an object".into());
             return None;
         }
-        Some(Fields { value, place: place.into(), seen: BTreeSet::new() })
+        Some(Fields { value, path: json_path.into(), requested: BTreeSet::new() })
     }
 
-    pub fn place(&self, field: &str) -> String {
-        format!("{}.{field}", self.place)
+    pub fn path_of(&self, field: &str) -> String {
+        format!("{}.{field}", self.path)
     }
 
     pub fn get(&mut self, field: &'static str) -> Option<&'v Value> {
-        self.seen.insert(field);
+        self.requested.insert(field);
         self.value.as_object()?.get(field).filter(|value| !value.is_null())
     }
 
     pub fn required(&mut self, field: &'static str, reading: &mut Reading) -> Option<&'v Value> {
         let found = self.get(field);
         if found.is_none() {
-            reading.find(&self.place(field), "is missing".into());
+            reading.find(&self.path_of(field), "is missing".into());
         }
         found
     }
 
     pub fn text(&mut self, field: &'static str, reading: &mut Reading) -> Option<&'v str> {
         let value = self.required(field, reading)?;
-        text(value, &self.place(field), reading)
+        text(value, &self.path_of(field), reading)
     }
 
     pub fn text_or_none(&mut self, field: &'static str, reading: &mut Reading) -> Option<&'v str> {
         let value = self.get(field)?;
-        text(value, &self.place(field), reading)
+        text(value, &self.path_of(field), reading)
     }
 
     /// A whole number within bounds; None if absent.
@@ -57,7 +57,7 @@
         if within.is_none() {
             let message =
                 format!("must be a whole number from {} to {}", bounds.start(), bounds.end());
-            reading.find(&self.place(field), message);
+            reading.find(&self.path_of(field), message);
         }
         within
     }
@@ -68,13 +68,13 @@
         reading: &mut Reading,
     ) -> Vec<(String, &'v Value)> {
         let Some(value) = self.required(field, reading) else { return Vec::new() };
-        let place = self.place(field);
+        let json_path = self.path_of(field);
         let Some(array) = value.as_array() else {
-            reading.find(&place, "must be an array".into());
+            reading.find(&json_path, "must be an array".into());
             return Vec::new();
         };
         let rows = array.iter().enumerate();
-        rows.map(|(at, value)| (format!("{place}[{at}]"), value)).collect()
+        rows.map(|(at, value)| (format!("{json_path}[{at}]"), value)).collect()
     }
 
     /// The members of an object whose names the operator chooses.
@@ -84,13 +84,13 @@
         reading: &mut Reading,
     ) -> Vec<(String, String, &'v Value)> {
         let Some(value) = self.required(field, reading) else { return Vec::new() };
-        let place = self.place(field);
+        let json_path = self.path_of(field);
         let Some(object) = value.as_object() else {
-            reading.find(&place, "must be an object".into());
+            reading.find(&json_path, "must be an object".into());
             return Vec::new();
         };
         let rows = object.iter().map(|(name, value)| {
-            (name.as_str().to_string(), format!("{place}.{}", name.as_str()), value)
+            (name.as_str().to_string(), format!("{json_path}.{}", name.as_str()), value)
         });
         rows.collect()
     }
@@ -98,13 +98,13 @@
     pub fn parsed<T: std::str::FromStr>(
         &mut self,
         field: &'static str,
-        what: &str,
+        expected: &str,
         reading: &mut Reading,
     ) -> Option<T> {
         let value = self.text(field, reading)?;
         let parsed = value.parse().ok();
         if parsed.is_none() {
-            reading.find(&self.place(field), format!("must be {what}"));
+            reading.find(&self.path_of(field), format!("must be {expected}"));
         }
         parsed
     }
@@ -112,18 +112,18 @@
     pub fn finish(self, reading: &mut Reading) {
         let Some(object) = self.value.as_object() else { return };
         for (name, _) in object.iter() {
-            if !self.seen.contains(name.as_str()) {
-                let place = format!("{}.{}", self.place, name.as_str());
-                reading.find(&place, "is not a known field".into());
+            if !self.requested.contains(name.as_str()) {
+                let json_path = format!("{}.{}", self.path, name.as_str());
+                reading.find(&json_path, "is not a known field".into());
             }
         }
     }
 }
 
-pub fn text<'v>(value: &'v Value, place: &str, reading: &mut Reading) -> Option<&'v str> {
+pub fn text<'v>(value: &'v Value, json_path: &str, reading: &mut Reading) -> Option<&'v str> {
     let found = value.as_string().map(|text| text.as_str());
     if found.is_none() {
-        reading.find(place, "must be a string".into());
+        reading.find(json_path, "must be a string".into());
     }
     found
 }
--- a/crates/reading/src/findings.rs
+++ b/crates/reading/src/findings.rs
@@ -25,17 +25,26 @@
 }
 
 impl Findings {
-    pub fn one(text: &str, offset: usize, place: &str, message: String) -> Self {
+    pub fn at_offset(text: &str, offset: usize, json_path: &str, message: String) -> Self {
         let offset = offset.min(text.len());
         let line = text.as_bytes()[..offset].iter().filter(|byte| **byte == b'\n').count() + 1;
-        let finding =
-            Finding { field_path: place.into(), line: Some(line), offset: Some(offset), message };
+        let finding = Finding {
+            field_path: json_path.into(),
+            line: Some(line),
+            offset: Some(offset),
+            message,
+        };
         Findings { findings: vec![finding] }
     }
 
-    pub fn bare(place: &str, message: String) -> Self {
+    pub fn without_position(json_path: &str, message: String) -> Self {
         Findings {
-            findings: vec![Finding { field_path: place.into(), line: None, offset: None, message }],
+            findings: vec![Finding {
+                field_path: json_path.into(),
+                line: None,
+                offset: None,
+                message,
+            }],
         }
     }
 
@@ -48,7 +57,7 @@
                 format!("{}: {}", finding.field_path, finding.message),
             ))
         });
-        let placeless: Vec<String> = self
+        let without_offset: Vec<String> = self
             .findings
             .iter()
             .filter(|finding| finding.offset.is_none())
@@ -56,8 +65,8 @@
             .collect();
         let mut diagnostic =
             MietteDiagnostic::new(format!("{} findings", self.findings.len())).with_labels(labels);
-        if !placeless.is_empty() {
-            diagnostic = diagnostic.with_help(placeless.join("\n"));
+        if !without_offset.is_empty() {
+            diagnostic = diagnostic.with_help(without_offset.join("\n"));
         }
         Report::new(diagnostic).with_source_code(NamedSource::new(name, text.to_string()))
     }
--- a/crates/reading/src/lib.rs
+++ b/crates/reading/src/lib.rs
@@ -12,7 +12,7 @@
 use postbarrow_constants::plans::FINDINGS;
 
 pub struct Reading {
-    places: Positions,
+    positions: Positions,
     findings: Vec<Finding>,
     dropped: usize,
 }
@@ -20,28 +20,28 @@
 impl Reading {
     /// Reads the text; what can't be parsed at all is the only finding.
     pub fn parse(text: &str) -> Result<(Value, Reading), Findings> {
-        let places = Positions::scan(text)
-            .map_err(|(offset, message)| Findings::one(text, offset, "$", message))?;
+        let positions = Positions::scan(text)
+            .map_err(|(offset, message)| Findings::at_offset(text, offset, "$", message))?;
         let value: Value = facet_json::from_str(text).map_err(|error| {
             let offset = error.span.map_or(0, |span| span.offset as usize);
-            Findings::one(text, offset, "$", error.kind.to_string())
+            Findings::at_offset(text, offset, "$", error.kind.to_string())
         })?;
-        let mut reading = Reading { places, findings: Vec::new(), dropped: 0 };
-        for place in std::mem::take(&mut reading.places.duplicates) {
-            reading.find(&place, "stands twice".into());
+        let mut reading = Reading { positions, findings: Vec::new(), dropped: 0 };
+        for json_path in std::mem::take(&mut reading.positions.duplicates) {
+            reading.find(&json_path, "stands twice".into());
         }
         Ok((value, reading))
     }
 
-    pub fn find(&mut self, place: &str, message: String) {
+    pub fn find(&mut self, json_path: &str, message: String) {
         if self.findings.len() >= FINDINGS {
             self.dropped += 1;
             return;
         }
-        let at = self.places.offset(place);
+        let at = self.positions.offset(json_path);
         self.findings.push(Finding {
-            field_path: place.to_string(),
-            line: at.map(|offset| self.places.line(offset)),
+            field_path: json_path.to_string(),
+            line: at.map(|offset| self.positions.line(offset)),
             offset: at,
             message,
         });
@@ -51,9 +51,9 @@
         self.findings.is_empty()
     }
 
-    pub fn finish<T>(mut self, made: T) -> Result<T, Findings> {
+    pub fn finish<T>(mut self, value: T) -> Result<T, Findings> {
         if self.findings.is_empty() {
-            return Ok(made);
+            return Ok(value);
         }
         if self.dropped > 0 {
             let message = format!("{} more findings are not shown", self.dropped);
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -47,7 +47,7 @@
         Ok(())
     }
 
-    pub fn at_work(&self) -> u64 {
+    pub fn in_flight(&self) -> u64 {
         self.in_flight.load(Relaxed)
     }
 
--- a/crates/routing/src/selection.rs
+++ b/crates/routing/src/selection.rs
@@ -24,14 +24,14 @@
     pub fn leave(&self) {
         self.in_flight.fetch_sub(1, Relaxed);
     }
-    pub fn at_work(&self) -> u64 {
+    pub fn in_flight(&self) -> u64 {
         self.in_flight.load(Relaxed)
     }
     pub fn report(&self, occupancy: u64) {
         self.reported.store(occupancy, Relaxed);
     }
     /// The same from a target with known slots, whose word grows old.
-    pub fn report_at(&self, now_ms: u64, occupancy: u64) {
+    pub fn report_slots_used(&self, now_ms: u64, occupancy: u64) {
         self.reported.store(occupancy, Relaxed);
         self.reported_ms.store(now_ms, Relaxed);
     }
@@ -44,17 +44,17 @@
         let age = now_ms.saturating_sub(told_ms) as f64 / REPORT_FADES_MS;
         usual + (self.reported.load(Relaxed) as f64 - usual) * (-age).exp()
     }
-    pub fn failed(&self, now_ms: u64) {
+    pub fn on_failure(&self, now_ms: u64) {
         let before = self.failures.fetch_add(1, Relaxed).min(16);
         let pause_ms = (EJECTION_MS << before).min(EJECTION_MAX_MS);
         self.failed_until_ms.store(now_ms + pause_ms, Relaxed);
     }
     /// It is full, not ill.
-    pub fn turned_away(&self, now_ms: u64) {
+    pub fn on_rejection(&self, now_ms: u64) {
         let until_ms = now_ms + REJECTION_PAUSE_MS;
         self.failed_until_ms.fetch_max(until_ms, Relaxed);
     }
-    pub fn recovered(&self) {
+    pub fn on_success(&self) {
         self.failures.store(0, Relaxed);
         self.failed_until_ms.store(0, Relaxed);
     }
@@ -117,7 +117,7 @@
     let mut score = |choice: &Candidate| {
         drawn = mix(drawn);
         let chance = (drawn % 1_024) as f64 / 1_024.0 * CHANCE_SLOTS;
-        let requests = choice.1.at_work() as f64 + choice.1.others(now_ms, usual) + 1.0;
+        let requests = choice.1.in_flight() as f64 + choice.1.others(now_ms, usual) + 1.0;
         let cold = if choice.0.warming_up { SLOW_START_FACTOR } else { 1.0 };
         let far = if choice.0.zone == zone { 0.0 } else { FAR_SLOTS };
         requests * cold / choice.0.slots as f64 + far + chance
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -14,7 +14,7 @@
 /// One route with all that its requests need.
 pub struct Entry {
     pub compiled: Arc<CompiledRoute>,
-    pub budget: Arc<RetryBudget>,
+    pub retry_budget: Arc<RetryBudget>,
     targets: Arc<Vec<Candidate>>,
     /// Of a split route: the same route on one service each, by weight.
     ways: Vec<(u64, Arc<Entry>)>,
@@ -30,7 +30,7 @@
     resolved: Resolved,
     rule_headers: BTreeSet<String>,
     extra: RetryAllowance,
-    work: BuildStatistics,
+    statistics: BuildStatistics,
 }
 
 /// How much of a table was made anew and not taken from the one before.
@@ -58,12 +58,12 @@
             resolved: Resolved::default(),
             rule_headers: BTreeSet::new(),
             extra: RetryAllowance::default(),
-            work: BuildStatistics::default(),
+            statistics: BuildStatistics::default(),
         }
     }
 
     /// Per cent of requests, a second and saved up; tables made from this one keep it.
-    pub fn with_extra(mut self, (percent, per_s, saved): (u64, u64, u64)) -> Self {
+    pub fn with_retry_allowance(mut self, (percent, per_s, saved): (u64, u64, u64)) -> Self {
         self.extra = RetryAllowance { percent, per_s, saved };
         self
     }
@@ -96,7 +96,7 @@
             resolved,
             rule_headers,
             extra: old.extra,
-            work: BuildStatistics {
+            statistics: BuildStatistics {
                 services_resolved,
                 routes_compiled,
                 entries_built: entries_made,
@@ -147,7 +147,7 @@
     }
 
     pub fn work(&self) -> BuildStatistics {
-        self.work
+        self.statistics
     }
 
     pub(crate) fn extra(&self) -> RetryAllowance {
@@ -201,7 +201,7 @@
     fn new(made: Arc<CompiledRoute>, resolved: &Resolved) -> Entry {
         let entry = |made: Arc<CompiledRoute>, service: &Name, ways| Entry {
             compiled: made,
-            budget: resolved.budgets.get(service).cloned().unwrap_or_default(),
+            retry_budget: resolved.budgets.get(service).cloned().unwrap_or_default(),
             targets: resolved.choices.get(service).cloned().unwrap_or_default(),
             ways,
         };
@@ -220,7 +220,7 @@
         let targets = resolved.choices.get(service);
         let budget = resolved.budgets.get(service);
         targets.is_some_and(|targets| Arc::ptr_eq(targets, &self.targets))
-            && budget.is_some_and(|budget| Arc::ptr_eq(budget, &self.budget))
+            && budget.is_some_and(|budget| Arc::ptr_eq(budget, &self.retry_budget))
             && self.ways.iter().all(|(_, way)| way.is_resolved_by(resolved))
     }
 
@@ -229,7 +229,7 @@
     }
 
     /// The entry itself, or of a split route the one that this seed draws.
-    pub fn drawn(self: &Arc<Self>, seed: u64) -> Arc<Entry> {
+    pub fn draw_service(self: &Arc<Self>, seed: u64) -> Arc<Entry> {
         let whole: u64 = self.ways.iter().map(|(weight, _)| weight).sum();
         if whole == 0 {
             return self.clone();
@@ -244,7 +244,13 @@
         self.clone()
     }
 
-    pub fn pick(&self, zone: &str, tried: &[Name], now_ms: u64, seed: u64) -> Option<Candidate> {
+    pub fn select_target(
+        &self,
+        zone: &str,
+        tried: &[Name],
+        now_ms: u64,
+        seed: u64,
+    ) -> Option<Candidate> {
         select_target(&self.targets, zone, tried, now_ms, seed)
     }
 }
--- a/crates/routing/src/traffic_rehearsal.rs
+++ b/crates/routing/src/traffic_rehearsal.rs
@@ -13,7 +13,8 @@
 #[facet(rename_all = "camelCase")]
 pub struct RouteTraffic {
     pub route: String,
-    pub asks: u64,
+    #[facet(rename = "asks")]
+    pub requests: u64,
     pub lose_route: u64,
     pub change_service: u64,
     /// The service is chosen by other labels.
@@ -30,7 +31,8 @@
 pub struct Traffic {
     /// Asks of the sample that were compared, and all that nodes saw in that time.
     pub compared: u64,
-    pub seen: u64,
+    #[facet(rename = "seen")]
+    pub observed: u64,
     pub seconds: u64,
     pub gain_route: u64,
     pub lose_route: u64,
@@ -43,7 +45,7 @@
 
 pub struct RecentRequests {
     pub samples: Vec<Sample>,
-    pub seen: u64,
+    pub observed: u64,
     pub seconds: u64,
 }
 
@@ -54,7 +56,8 @@
 
     pub fn of(before: &Plan, after: &Plan, recent: &RecentRequests) -> Traffic {
         let (old, new) = (table(before), table(after));
-        let mut told = Traffic { seen: recent.seen, seconds: recent.seconds, ..Traffic::default() };
+        let mut told =
+            Traffic { observed: recent.observed, seconds: recent.seconds, ..Traffic::default() };
         if recent.samples.is_empty() {
             told.missing.push("no node has told of any recent ask".into());
         }
@@ -78,7 +81,7 @@
             };
             let name = named(&was);
             let row = routes.entry(name.clone()).or_default();
-            row.asks += 1;
+            row.requests += 1;
             let Some(is) = is else {
                 row.lose_route += 1;
                 continue;
@@ -118,7 +121,7 @@
         let Some(most) = route.rate_per_s else { continue };
         let name = format!("{} {}", route.methods.join(","), route.path);
         let samples = news.get(&name).map_or(&[][..], Vec::as_slice);
-        let all = samples.len() as u64 * recent.seen / compared.max(1);
+        let all = samples.len() as u64 * recent.observed / compared.max(1);
         if all > most * recent.seconds.max(1) {
             for name in samples {
                 routes.entry(name.clone()).or_default().break_rate_limit += 1;
--- a/crates/routing/tests/rehearse.rs
+++ b/crates/routing/tests/rehearse.rs
@@ -27,7 +27,7 @@
 }
 
 fn recent(samples: Vec<Sample>, seen: u64, seconds: u64) -> RecentRequests {
-    RecentRequests { samples, seen, seconds }
+    RecentRequests { samples, observed: seen, seconds }
 }
 
 #[test]
@@ -43,12 +43,12 @@
     ];
     let told = Traffic::of(&plan(BEFORE), &plan(AFTER), &recent(samples, 70, 10));
     let row = |route: &str| told.routes.iter().find(|row| row.route == route).cloned().unwrap();
-    assert_eq!((told.compared, told.seen, told.lose_route, told.gain_route), (7, 70, 2, 0));
-    assert_eq!((row("GET /old").asks, row("GET /old").lose_route), (2, 2));
+    assert_eq!((told.compared, told.observed, told.lose_route, told.gain_route), (7, 70, 2, 0));
+    assert_eq!((row("GET /old").requests, row("GET /old").lose_route), (2, 2));
     let prices = row("GET /prices");
     assert_eq!((prices.change_service, prices.change_targets, prices.change_kind), (1, 1, 1));
     assert_eq!(row("GET /stock/*").change_targets, 1, "other labels choose its targets");
-    assert_eq!((row("POST /transfers").asks, row("POST /transfers").break_body_limit), (2, 1));
+    assert_eq!((row("POST /transfers").requests, row("POST /transfers").break_body_limit), (2, 1));
     assert_eq!(told.changed, 4);
     assert!(told.missing[0].contains("x-store"), "{:?}", told.missing);
 }
--- a/crates/routing/tests/reuse.rs
+++ b/crates/routing/tests/reuse.rs
@@ -119,7 +119,7 @@
     let work = BuildStatistics { services_resolved: 1, routes_compiled: 0, entries_built: 50 };
     assert_eq!(new.work(), work, "odd routes go to it, and the split ones are odd");
     let RouteMatch::Route(entry) = new.find("GET", "/r1", &[]) else { panic!("no route") };
-    assert_eq!(entry.pick("a", &[], 0, 1).unwrap().0.instance, "one-1");
+    assert_eq!(entry.select_target("a", &[], 0, 1).unwrap().0.instance, "one-1");
 }
 
 #[test]
@@ -132,7 +132,7 @@
     assert_eq!(new.work(), work, "even routes go to it, and a share of ten odd ones");
     for seed in 0..20 {
         let RouteMatch::Route(entry) = new.find("GET", "/r99", &[]) else { panic!("no route") };
-        let target = entry.drawn(seed).pick("a", &[], 0, seed).unwrap().0;
+        let target = entry.draw_service(seed).select_target("a", &[], 0, seed).unwrap().0;
         assert_eq!(target.instance, "two-1", "a split route kept a service as it was");
     }
 }
@@ -147,7 +147,7 @@
     assert_eq!(new.work(), work);
     for seed in 0..20 {
         let RouteMatch::Route(entry) = new.find("GET", "/r99", &[]) else { panic!("no route") };
-        let target = entry.drawn(seed).pick("a", &[], 0, seed).unwrap().0;
+        let target = entry.draw_service(seed).select_target("a", &[], 0, seed).unwrap().0;
         assert_ne!(target.instance, "one-1", "a split route kept a target that is gone");
     }
 }
--- a/crates/routing/tests/slots.rs
+++ b/crates/routing/tests/slots.rs
@@ -50,7 +50,7 @@
     let RouteMatch::Route(entry) = table.find("POST", "/a", &host) else { panic!("no route") };
     let mut counts = BTreeMap::new();
     for seed in 0..100 {
-        let (target, _) = entry.pick("a", &[], now_ms, seed).unwrap();
+        let (target, _) = entry.select_target("a", &[], now_ms, seed).unwrap();
         *counts.entry(target.instance.to_string()).or_default() += 1;
     }
     counts
@@ -59,19 +59,19 @@
 #[test]
 fn the_target_with_the_most_room_is_taken_and_old_words_fade() {
     let table = table(&[("one", "a", 2, false), ("two", "a", 2, false), ("three", "a", 6, false)]);
-    load(&table, "one").report_at(1_000, 2);
-    load(&table, "two").report_at(1_000, 0);
-    load(&table, "three").report_at(1_000, 6);
+    load(&table, "one").report_slots_used(1_000, 2);
+    load(&table, "two").report_slots_used(1_000, 0);
+    load(&table, "three").report_slots_used(1_000, 6);
     assert_eq!(chosen(&table, 1_000), BTreeMap::from([("two".into(), 100)]));
     load(&table, "two").enter();
     load(&table, "two").enter();
-    load(&table, "three").report_at(1_000, 1);
+    load(&table, "three").report_slots_used(1_000, 1);
     assert_eq!(chosen(&table, 1_000), BTreeMap::from([("three".into(), 100)]), "own asks count");
     load(&table, "two").leave();
     load(&table, "two").leave();
-    load(&table, "three").report_at(1_000, 9);
-    load(&table, "one").report_at(60_000, 0);
-    load(&table, "two").report_at(60_000, 0);
+    load(&table, "three").report_slots_used(1_000, 9);
+    load(&table, "one").report_slots_used(60_000, 0);
+    load(&table, "two").report_slots_used(60_000, 0);
     let later = chosen(&table, 60_000);
     assert!(later["one"] > 20 && later["two"] > 20, "equals are drawn by lot: {later:?}");
 }
@@ -90,17 +90,17 @@
 fn a_target_that_fails_again_and_again_is_passed_over_longer() {
     let table = table(&[("ill", "a", 2, false), ("well", "a", 2, false)]);
     let ill = load(&table, "ill");
-    ill.failed(1_000);
+    ill.on_failure(1_000);
     assert_eq!(chosen(&table, 1_900), BTreeMap::from([("well".into(), 100)]));
     assert!(chosen(&table, 2_100)["ill"] > 20, "tried again after a while");
-    ill.failed(2_100);
+    ill.on_failure(2_100);
     assert_eq!(chosen(&table, 4_000), BTreeMap::from([("well".into(), 100)]));
-    ill.recovered();
-    ill.turned_away(4_000);
+    ill.on_success();
+    ill.on_rejection(4_000);
     assert_eq!(chosen(&table, 4_100), BTreeMap::from([("well".into(), 100)]));
     assert!(chosen(&table, 4_300)["ill"] > 20, "full is not ill");
-    load(&table, "well").failed(4_300);
-    ill.failed(4_300);
+    load(&table, "well").on_failure(4_300);
+    ill.on_failure(4_300);
     assert!(chosen(&table, 4_400).len() == 2, "somebody must be asked");
 }
 
--- a/crates/simulation/src/passing.rs
+++ b/crates/simulation/src/passing.rs
@@ -66,7 +66,7 @@
         }) else {
             return;
         };
-        let failed = |late, why: &str| AttemptOutcome::Unknown { late, why: why.into() };
+        let failed = |late, why: &str| AttemptOutcome::Unknown { late, reason: why.into() };
         let (took_us, passed) = if !alive {
             (300, failed(false, "broken"))
         } else if frozen {
--- a/crates/simulation/src/requests.rs
+++ b/crates/simulation/src/requests.rs
@@ -175,8 +175,8 @@
             digest: [id as u8; 32],
             node: machine.incarnation,
             zone: machine.zone.clone(),
-            logged: true,
-            until_ms,
+            uses_ticket_log: true,
+            deadline_ms: until_ms,
             seed,
         };
         if let Some(run) = self.requests.get_mut(&request) {
@@ -195,7 +195,8 @@
         let Some(run) = self.requests.get_mut(&request) else { return };
         let Some(flow) = &mut run.flow else { return };
         let client_left = run.saw_client_leave;
-        let now = FlowContext { now_ms, table: &table, serves, number, client_left };
+        let now =
+            FlowContext { now_ms, table: &table, serves, number, client_departed: client_left };
         match flow.handle(&now, event) {
             Step::Connect { target, load, .. } => {
                 run.target = Some((target.clone(), load));
@@ -205,7 +206,7 @@
             Step::RequestTicket { ticket, wait_ms } => {
                 self.ask_for(request, data, Request::Ticket(ticket), wait_ms);
             }
-            Step::Settle { settling, wait_ms } => {
+            Step::SettleTicket { settlement: settling, wait_ms } => {
                 self.ask_for(request, data, settling.into(), wait_ms);
             }
             Step::Forward { until_ms, .. } => {
@@ -213,7 +214,7 @@
                 let life = self.data[data].life;
                 self.after(20, Event::Send { request, data, life, until_ms });
             }
-            Step::Done { verdict, settling } => {
+            Step::Done { completion: verdict, settling } => {
                 if let Some(settling) = settling {
                     let settle = settling.into();
                     self.send_to_controller(data, settle, SETTLEMENT_WAIT_MS, Waits::Nobody);
--- a/crates/simulation/src/requests/leaving.rs
+++ b/crates/simulation/src/requests/leaving.rs
@@ -68,7 +68,7 @@
                 postbarrow_node::Event::ControllerResponded(Response::TimedOut)
             }
             Awaits::Target if is_lookup => {
-                let passed = AttemptOutcome::Unknown { late: false, why: left() };
+                let passed = AttemptOutcome::Unknown { late: false, reason: left() };
                 postbarrow_node::Event::AttemptEnded(passed)
             }
             Awaits::Sending | Awaits::Target => return,
--- a/crates/simulation/src/search/request_flow.rs
+++ b/crates/simulation/src/search/request_flow.rs
@@ -149,7 +149,7 @@
             table: &table,
             serves: moment.serves,
             number: number as u64,
-            client_left: moment.client_left,
+            client_departed: moment.client_left,
         };
         let step = flows[moment.client].handle(&now, event(&moment.fed));
         let ticket = &mut tickets[moment.client];
@@ -158,7 +158,7 @@
     }
     let loads: BTreeMap<&Name, String> =
         table.loads().iter().map(|(name, load)| (name, format!("{load:?}"))).collect();
-    let budget = entry(&table, Kind::Lookup).budget.clone();
+    let budget = entry(&table, Kind::Lookup).retry_budget.clone();
     View { phases, tickets, fingerprint: format!("{flows:?} {loads:?} {budget:?}") }
 }
 
@@ -194,7 +194,7 @@
             PassedAs::Unsent => AttemptOutcome::Unsent("unsent".into()),
             PassedAs::NotRun => AttemptOutcome::NotRun("it says so".into()),
             PassedAs::Unknown { late } => {
-                AttemptOutcome::Unknown { late: *late, why: "lost".into() }
+                AttemptOutcome::Unknown { late: *late, reason: "lost".into() }
             }
         }),
     }
@@ -220,17 +220,17 @@
         }
         Step::RequestTicket { .. } => Phase::AskTicket,
         Step::Forward { .. } => Phase::Pass,
-        Step::Settle { .. } => Phase::Settle,
-        Step::Done { verdict, .. } => match verdict.outcome {
+        Step::SettleTicket { .. } => Phase::Settle,
+        Step::Done { completion: verdict, .. } => match verdict.outcome {
             RequestOutcome::Complete(response) => {
                 let made_for = std::str::from_utf8(&response.body).unwrap_or_default();
                 Phase::Answered(made_for.parse().unwrap_or(usize::MAX))
             }
             RequestOutcome::TargetFailed(_)
-            | RequestOutcome::TargetLate(_)
+            | RequestOutcome::TargetTimedOut(_)
             | RequestOutcome::TicketUnknown => Phase::ToldUnknown,
-            RequestOutcome::ClientLeft => Phase::ClientLeft,
-            _ if verdict.evidence.sent => Phase::ToldUnknown,
+            RequestOutcome::ClientDeparted => Phase::ClientLeft,
+            _ if verdict.evidence.may_have_run => Phase::ToldUnknown,
             _ => Phase::PromisedNotRun,
         },
     }
--- a/crates/simulation/src/search/request_plan.rs
+++ b/crates/simulation/src/search/request_plan.rs
@@ -24,8 +24,8 @@
         digest: [client as u8; 32],
         node: 5,
         zone: Name::from("a"),
-        logged,
-        until_ms: START_MS + DEADLINE_MS,
+        uses_ticket_log: logged,
+        deadline_ms: START_MS + DEADLINE_MS,
         seed: client as u64,
     }
 }
@@ -69,7 +69,7 @@
         };
         state.targets.insert(target.instance.clone(), Arc::new(target));
     }
-    Table::new(Arc::new(state), 1, &Table::empty().with_extra(RETRIES))
+    Table::new(Arc::new(state), 1, &Table::empty().with_retry_allowance(RETRIES))
 }
 
 fn route(path: &str, method: &str, kind: RouteKind) -> Route {
--- a/crates/simulation/src/search/request_wire.rs
+++ b/crates/simulation/src/search/request_wire.rs
@@ -114,7 +114,7 @@
     /// As `TargetConnection::read_own`: reads up to a response that is not another's. `rest`:
     /// bytes that follow it are already read in.
     pub fn read(&mut self, client: usize, rest: bool, strict: bool) -> Option<Read> {
-        let unknown = |why: &str| AttemptOutcome::Unknown { late: false, why: why.into() };
+        let unknown = |why: &str| AttemptOutcome::Unknown { late: false, reason: why.into() };
         while !self.inbox.is_empty() {
             let answer = self.inbox.remove(0);
             let heard = self.heard(client, answer, strict);
--- a/programs/control-plane/src/rehearsal.rs
+++ b/programs/control-plane/src/rehearsal.rs
@@ -81,7 +81,9 @@
         _ => return Ok(Traffic::unknown("no plan is in force to compare with")),
     };
     Ok(match Plan::read(&text) {
-        Ok(before) => Traffic::of(&before, plan, &RecentRequests { samples, seen, seconds }),
+        Ok(before) => {
+            Traffic::of(&before, plan, &RecentRequests { samples, observed: seen, seconds })
+        }
         Err(_) => Traffic::unknown("the plan in force can't be read by this version"),
     })
 }
--- a/programs/data-plane/src/downstream/serve.rs
+++ b/programs/data-plane/src/downstream/serve.rs
@@ -121,7 +121,7 @@
     };
     let client = shared.clients.of(connection.client());
     let taken = shared.requests_at_work.load(Relaxed);
-    let (own, route) = (client.load(Relaxed), entry.compiled.limits.at_work() as usize);
+    let (own, route) = (client.load(Relaxed), entry.compiled.limits.in_flight() as usize);
     if is_over_share(taken, own + 1, REQUESTS_IN_FLIGHT, CLIENT_SHARE_PERCENT)
         || is_over_share(taken, route + 1, REQUESTS_IN_FLIGHT, ROUTE_SHARE_PERCENT)
     {
--- a/programs/data-plane/src/forward.rs
+++ b/programs/data-plane/src/forward.rs
@@ -49,7 +49,7 @@
             table: &table,
             serves: shared.serves(),
             number: shared.number(),
-            client_left: incoming.client.is_known_left(),
+            client_departed: incoming.client.is_known_left(),
         };
         event = match flow.handle(&now, event) {
             Step::Connect { target, load, wait_ms } => work.connect(target, load, wait_ms),
@@ -60,17 +60,15 @@
             Step::Forward { wait_ms, until_ms } => {
                 Event::AttemptEnded(work.pass(wait_ms, until_ms))
             }
-            Step::Settle { settling, wait_ms } => Event::ControllerResponded(shared.request(
-                settling.into(),
-                wait_ms,
-                incoming.client,
-            )),
-            Step::Done { verdict, settling } => {
+            Step::SettleTicket { settlement: settling, wait_ms } => Event::ControllerResponded(
+                shared.request(settling.into(), wait_ms, incoming.client),
+            ),
+            Step::Done { completion: verdict, settling } => {
                 if let Some(settling) = settling {
                     shared.tell(settling.into(), SETTLEMENT_WAIT_MS);
                 }
                 return match verdict.outcome {
-                    RequestOutcome::ClientLeft => Forwarded::ClientLeft,
+                    RequestOutcome::ClientDeparted => Forwarded::ClientLeft,
                     _ => {
                         Forwarded::Answered(shared.dialect.render_completion(verdict), work.memory)
                     }
@@ -84,7 +82,7 @@
 fn describe(shared: &Shared, incoming: &Incoming<'_>) -> (RequestContext, Arc<Entry>) {
     let dialect = shared.dialect.as_ref();
     let seed = shared.own.incarnation ^ shared.number();
-    let entry = incoming.entry.drawn(seed);
+    let entry = incoming.entry.draw_service(seed);
     let until_ms = incoming.start_ms + entry.route().deadline_ms;
     let client_until_ms =
         dialect.client_timeout_ms(incoming.head).map(|wait_ms| incoming.arrived_ms + wait_ms);
@@ -99,10 +97,10 @@
         },
         keyed: key.is_some(),
         digest: if is_ticketed { digest(incoming.head, &incoming.body) } else { [0; 32] },
-        logged,
+        uses_ticket_log: logged,
         node: shared.own.incarnation,
         zone: shared.own.zone.clone(),
-        until_ms: client_until_ms.map_or(until_ms, |client_ms| until_ms.min(client_ms)),
+        deadline_ms: client_until_ms.map_or(until_ms, |client_ms| until_ms.min(client_ms)),
         seed,
     };
     (context, entry)
@@ -198,7 +196,7 @@
             (&passed, dialect.target_identification())
             && let Some(occupancy) = named.in_flight(response)
         {
-            load.report_at(clock_ms(), occupancy.saturating_sub(load.at_work()));
+            load.report_slots_used(clock_ms(), occupancy.saturating_sub(load.in_flight()));
         }
         self.memory = Some(memory);
         if let Some(connection) = kept {
--- a/programs/data-plane/src/share.rs
+++ b/programs/data-plane/src/share.rs
@@ -58,7 +58,7 @@
         Shared {
             own,
             dialect,
-            table: ArcSwap::from_pointee(Table::empty().with_extra(bounds.extra())),
+            table: ArcSwap::from_pointee(Table::empty().with_retry_allowance(bounds.extra())),
             pools: ArcSwap::from_pointee(Pools::default()),
             lease_until_ms: AtomicU64::new(0),
             stopping: AtomicBool::new(false),
--- a/programs/data-plane/src/target_connection.rs
+++ b/programs/data-plane/src/target_connection.rs
@@ -119,7 +119,7 @@
             let why = interrupted.why("sending");
             let passed = match sent {
                 0 => AttemptOutcome::Unsent(why),
-                _ => AttemptOutcome::Unknown { late: false, why },
+                _ => AttemptOutcome::Unknown { late: false, reason: why },
             };
             return (passed, false);
         }
@@ -146,7 +146,7 @@
                 Err(interrupted) => {
                     let late = matches!(interrupted, Interrupted::Late);
                     let why = interrupted.why("reading");
-                    return (AttemptOutcome::Unknown { late, why }, false);
+                    return (AttemptOutcome::Unknown { late, reason: why }, false);
                 }
             };
             let heard = (terms.judge)(&response, self.first);
@@ -154,10 +154,10 @@
             let passed = match heard {
                 ResponseJudgement::Misdirected if keeps_open => continue,
                 ResponseJudgement::Misdirected => {
-                    AttemptOutcome::Unknown { late: false, why: "another's".into() }
+                    AttemptOutcome::Unknown { late: false, reason: "another's".into() }
                 }
                 ResponseJudgement::Unsound(why) => {
-                    return (AttemptOutcome::Unknown { late: false, why }, false);
+                    return (AttemptOutcome::Unknown { late: false, reason: why }, false);
                 }
                 ResponseJudgement::NotRun(why) => AttemptOutcome::NotRun(why),
                 ResponseJudgement::Complete => AttemptOutcome::Complete(response),
--- a/programs/data-plane/src/target_connection/proving.rs
+++ b/programs/data-plane/src/target_connection/proving.rs
@@ -44,7 +44,7 @@
             (
                 AttemptOutcome::Unsent(why)
                 | AttemptOutcome::NotRun(why)
-                | AttemptOutcome::Unknown { why, .. },
+                | AttemptOutcome::Unknown { reason: why, .. },
                 _,
             ) => Err(format!("proof: {why}")),
         }
--- a/programs/data-plane/src/tests/client_left.rs
+++ b/programs/data-plane/src/tests/client_left.rs
@@ -82,12 +82,12 @@
     assert_eq!(rig.shared.clients.of(own).load(Relaxed), 0, "places of the client");
     let table = rig.shared.table.load_full();
     for load in table.loads().values() {
-        assert_eq!(load.at_work(), 0, "load of its target");
+        assert_eq!(load.in_flight(), 0, "load of its target");
     }
     let postbarrow_routing::RouteMatch::Route(entry) = table.find("GET", "/look/1", &[]) else {
         panic!("no route")
     };
-    assert_eq!(entry.compiled.limits.at_work(), 0, "concurrency of its route");
+    assert_eq!(entry.compiled.limits.in_flight(), 0, "concurrency of its route");
 }
 
 fn target_of(found: &ScriptedTarget, instance: &str) -> Target {
--- a/programs/data-plane/src/tests/named.rs
+++ b/programs/data-plane/src/tests/named.rs
@@ -25,7 +25,7 @@
     fn render_completion(&self, verdict: Completion) -> TargetResponse {
         let (status, sent) = match verdict.outcome {
             RequestOutcome::Complete(response) => return response,
-            _ if verdict.evidence.sent => (502, "sent"),
+            _ if verdict.evidence.may_have_run => (502, "sent"),
             _ => (503, "unsent"),
         };
         TargetResponse { status, headers: Vec::new(), body: sent.into() }
