--- a/crates/consensus/tests/cluster/parts.rs
+++ b/crates/consensus/tests/cluster/machine_parts.rs
@@ -47,10 +47,10 @@
         if state.is_empty() {
             return Applied::default();
         }
-        let word = |at: usize| u64::from_le_bytes(state[at * 8..at * 8 + 8].try_into().unwrap());
-        let applied = Applied { index: word(0), digest: word(1) };
+        let word_at = |at: usize| u64::from_le_bytes(state[at * 8..at * 8 + 8].try_into().unwrap());
+        let applied = Applied { index: word_at(0), digest: word_at(1) };
         assert!(state.len() >= STATE_HEAD_BYTES);
-        assert!(applied.encode(word(2), state.len()) == state, "a mixed snapshot was installed");
+        assert!(applied.encode(word_at(2), state.len()) == state, "a mixed snapshot was installed");
         applied
     }
 }
@@ -59,21 +59,21 @@
     FRAME_HEAD_BYTES
         + match message {
             Message::Append(append) => append.entries.iter().map(|one| one.size() as u64).sum(),
-            Message::Snapshot(part) => part.bytes.len() as u64,
+            Message::Snapshot(chunk) => chunk.bytes.len() as u64,
             _ => 0,
         }
 }
 
 pub fn write_bytes(write: &Write) -> u64 {
-    let sum = |entries: &[Entry]| entries.iter().map(|one| one.size() as u64).sum::<u64>();
+    let entry_bytes = |entries: &[Entry]| entries.iter().map(|one| one.size() as u64).sum::<u64>();
     match write {
         Write::HardState(_) | Write::Truncate { .. } => FRAME_HEAD_BYTES,
-        Write::Append(entries) => sum(entries),
-        Write::Slot { snapshot, entries, .. } => snapshot.state.len() as u64 + sum(entries),
+        Write::Append(entries) => entry_bytes(entries),
+        Write::Slot { snapshot, entries, .. } => snapshot.state.len() as u64 + entry_bytes(entries),
     }
 }
 
-pub fn keep(durable: &mut RecoveredState, write: Write) {
+pub fn apply_write(durable: &mut RecoveredState, write: Write) {
     match write {
         Write::HardState(hard) => (durable.term, durable.voted_for) = (hard.term, hard.voted_for),
         Write::Append(entries) => durable.entries.extend(entries),
--- a/crates/consensus/tests/cluster/mod.rs
+++ b/crates/consensus/tests/cluster/mod.rs
@@ -1,10 +1,10 @@
 //! Three members with disks and links of chosen speed, all driven by one clock.
 #![allow(dead_code)]
 
-mod parts;
-pub use parts::{Applied, FAST, SLOW, Speed};
+mod machine_parts;
+pub use machine_parts::{Applied, FAST, SLOW, Speed};
 
-use parts::*;
+use machine_parts::*;
 use postbarrow_consensus::*;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -18,12 +18,12 @@
 }
 
 /// Whether the frame from one member to another is lost.
-pub type Loses = Box<dyn FnMut(u64, u64, &Message) -> bool>;
+pub type DropsFrame = Box<dyn FnMut(u64, u64, &Message) -> bool>;
 
 enum Event {
     Deliver { from: u64, to: u64, message: Message },
-    Synced { at: u64, life: u64, sequence: u64, writes: Vec<Write> },
-    Tick { at: u64, life: u64 },
+    Synced { at: u64, incarnation: u64, sequence: u64, writes: Vec<Write> },
+    Tick { at: u64, incarnation: u64 },
 }
 
 #[derive(Default)]
@@ -31,15 +31,15 @@
     pub node: Option<Consensus>,
     pub applied: Applied,
     /// Over all its lives.
-    most_applied: u64,
+    max_applied: u64,
     pub durable: RecoveredState,
     pub restores: u64,
     /// The newest term in which it served.
-    served_term: u64,
-    pub longest_silence_us: u64,
-    life: u64,
-    heard_us: u64,
-    waiting: VecDeque<(u64, Write)>,
+    max_served_term: u64,
+    pub max_contact_gap_us: u64,
+    incarnation: u64,
+    last_contact_us: u64,
+    unsynced: VecDeque<(u64, Write)>,
     syncing: bool,
     log_bytes: u64,
 }
@@ -49,13 +49,13 @@
     pub machines: BTreeMap<u64, Machine>,
     pub speeds: BTreeMap<u64, Speed>,
     /// Frames of which this says yes are lost.
-    pub loses: Loses,
+    pub drops_frame: DropsFrame,
     pub compact_bytes: u64,
     pub state_bytes: usize,
     pub snapshot_bytes_sent: u64,
-    free_us: BTreeMap<(u64, u64), u64>,
+    link_idle_us: BTreeMap<(u64, u64), u64>,
     queued_bytes: BTreeMap<(u64, u64), u64>,
-    pub most_queued_bytes: BTreeMap<(u64, u64), u64>,
+    pub max_queued_bytes: BTreeMap<(u64, u64), u64>,
     history: BTreeMap<u64, u64>,
     proposed: u64,
     queue: BTreeMap<(u64, u64), Event>,
@@ -72,13 +72,13 @@
             now_us: 1_000_000,
             machines: (1..=MEMBERS).map(machine).collect(),
             speeds: (1..=MEMBERS).map(|id| (id, FAST)).collect(),
-            loses: Box::new(|_, _, _| false),
+            drops_frame: Box::new(|_, _, _| false),
             compact_bytes,
             state_bytes,
             snapshot_bytes_sent: 0,
-            free_us: BTreeMap::new(),
+            link_idle_us: BTreeMap::new(),
             queued_bytes: BTreeMap::new(),
-            most_queued_bytes: BTreeMap::new(),
+            max_queued_bytes: BTreeMap::new(),
             history: BTreeMap::new(),
             proposed: 0,
             queue: BTreeMap::new(),
@@ -110,23 +110,23 @@
         let now_ms = self.now_us / 1_000;
         let machine = self.machines.get_mut(&id).expect("a member");
         let durable = machine.durable.clone();
-        machine.life += 1;
+        machine.incarnation += 1;
         machine.syncing = false;
-        machine.waiting.clear();
-        machine.heard_us = self.now_us;
-        machine.longest_silence_us = 0;
-        let state = durable.snapshot.as_ref().map_or(Vec::new(), |kept| kept.state.clone());
+        machine.unsynced.clear();
+        machine.last_contact_us = self.now_us;
+        machine.max_contact_gap_us = 0;
+        let state = durable.snapshot.as_ref().map_or(Vec::new(), |retained| retained.state.clone());
         machine.applied = Applied::decode(&state);
         machine.node = Some(Consensus::new(id, durable, id, now_ms));
-        let life = machine.life;
-        self.after(0, Event::Tick { at: id, life });
+        let incarnation = machine.incarnation;
+        self.after(0, Event::Tick { at: id, incarnation });
     }
 
     /// Its process and all that was not synced goes.
     pub fn stop(&mut self, id: u64) {
         let machine = self.machines.get_mut(&id).expect("a member");
         machine.node = None;
-        machine.life += 1;
+        machine.incarnation += 1;
     }
 
     fn after(&mut self, delay_us: u64, event: Event) {
@@ -135,13 +135,13 @@
     }
 
     pub fn run_ms(&mut self, for_ms: u64) {
-        let until_us = self.now_us + for_ms * 1_000;
-        while let Some(next) = self.queue.first_entry().filter(|next| next.key().0 <= until_us) {
+        let end_us = self.now_us + for_ms * 1_000;
+        while let Some(next) = self.queue.first_entry().filter(|next| next.key().0 <= end_us) {
             self.now_us = next.key().0;
             let event = next.remove();
             self.step(event);
         }
-        self.now_us = until_us;
+        self.now_us = end_us;
     }
 
     /// So many batches a second of so many bytes, in steps of 10 ms.
@@ -161,7 +161,7 @@
         self.give(leader, Input::Propose(vec![bytes]));
     }
 
-    pub fn settle(&mut self) {
+    pub fn assert_all_converge(&mut self) {
         self.run_ms(5_000);
         let all: Vec<Applied> = self.machines.values().map(|machine| machine.applied).collect();
         assert!(all.iter().all(|one| *one == all[0]), "{all:?}");
@@ -169,32 +169,34 @@
 
     fn step(&mut self, event: Event) {
         match event {
-            Event::Tick { at, life } if self.machines[&at].life == life => {
+            Event::Tick { at, incarnation } if self.machines[&at].incarnation == incarnation => {
                 self.give(at, Input::Tick);
-                self.after(TICK_US, Event::Tick { at, life });
+                self.after(TICK_US, Event::Tick { at, incarnation });
             }
-            Event::Synced { at, life, sequence, writes } if self.machines[&at].life == life => {
+            Event::Synced { at, incarnation, sequence, writes }
+                if self.machines[&at].incarnation == incarnation =>
+            {
                 let machine = self.machines.get_mut(&at).expect("a member");
                 machine.syncing = false;
-                writes.into_iter().for_each(|write| keep(&mut machine.durable, write));
+                writes.into_iter().for_each(|write| apply_write(&mut machine.durable, write));
                 self.give(at, Input::Synced(sequence));
                 self.sync(at);
             }
             Event::Deliver { from, to, message } => {
                 *self.queued_bytes.entry((from, to)).or_default() -= size_bytes(&message);
-                self.hear(to, &message);
+                self.record_contact(to, &message);
                 self.give(to, Input::Receive { from: member(from), message });
             }
             Event::Tick { .. } | Event::Synced { .. } => {}
         }
     }
 
-    fn hear(&mut self, to: u64, message: &Message) {
+    fn record_contact(&mut self, to: u64, message: &Message) {
         let machine = self.machines.get_mut(&to).expect("a member");
         if matches!(message, Message::Append(_) | Message::Snapshot(_)) {
-            let silence_us = self.now_us - machine.heard_us;
-            machine.longest_silence_us = machine.longest_silence_us.max(silence_us);
-            machine.heard_us = self.now_us;
+            let contact_gap_us = self.now_us - machine.last_contact_us;
+            machine.max_contact_gap_us = machine.max_contact_gap_us.max(contact_gap_us);
+            machine.last_contact_us = self.now_us;
         }
     }
 
@@ -212,7 +214,7 @@
                     if matches!(write, Write::Append(_)) {
                         machine.log_bytes += write_bytes(&write);
                     }
-                    machine.waiting.push_back((sequence, write));
+                    machine.unsynced.push_back((sequence, write));
                     self.sync(to);
                 }
                 Effect::Commit(entries) => self.commit(to, entries),
@@ -230,11 +232,11 @@
 
     /// Whoever begins to serve has applied all that anybody ever saw committed.
     fn check_serving(&mut self, at: u64) {
-        let newest = self.machines.values().map(|machine| machine.most_applied).max();
+        let newest = self.machines.values().map(|machine| machine.max_applied).max();
         let machine = self.machines.get_mut(&at).expect("a member");
         let Some(node) = machine.node.as_ref().filter(|node| node.is_ready()) else { return };
-        if machine.served_term < node.term() {
-            machine.served_term = node.term();
+        if machine.max_served_term < node.term() {
+            machine.max_served_term = node.term();
             assert!(Some(machine.applied.index) >= newest, "member {at} serves with old state");
         }
     }
@@ -244,7 +246,7 @@
         for entry in entries {
             assert_eq!(entry.index, machine.applied.index + 1, "nothing is left out");
             machine.applied.index = entry.index;
-            machine.most_applied = machine.most_applied.max(entry.index);
+            machine.max_applied = machine.max_applied.max(entry.index);
             if let Payload::Batch(bytes) = &entry.payload {
                 machine.applied.batch(bytes);
             }
@@ -266,34 +268,34 @@
     fn sync(&mut self, at: u64) {
         let speed = self.speeds[&at];
         let machine = self.machines.get_mut(&at).expect("a member");
-        let Some((sequence, _)) = machine.waiting.back().filter(|_| !machine.syncing) else {
+        let Some((sequence, _)) = machine.unsynced.back().filter(|_| !machine.syncing) else {
             return;
         };
         let sequence = *sequence;
         machine.syncing = true;
-        let writes: Vec<Write> = machine.waiting.drain(..).map(|(_, write)| write).collect();
+        let writes: Vec<Write> = machine.unsynced.drain(..).map(|(_, write)| write).collect();
         let bytes: u64 = writes.iter().map(write_bytes).sum();
-        let life = machine.life;
-        let took_us = speed.sync_us + bytes * 1_000_000 / speed.disk;
-        self.after(took_us, Event::Synced { at, life, sequence, writes });
+        let incarnation = machine.incarnation;
+        let duration_us = speed.sync_us + bytes * 1_000_000 / speed.disk;
+        self.after(duration_us, Event::Synced { at, incarnation, sequence, writes });
     }
 
     fn transmit(&mut self, from: u64, to: u64, message: Message) {
         let bytes = size_bytes(&message);
-        if let Message::Snapshot(part) = &message {
-            self.snapshot_bytes_sent += part.bytes.len() as u64;
+        if let Message::Snapshot(chunk) = &message {
+            self.snapshot_bytes_sent += chunk.bytes.len() as u64;
         }
-        if (self.loses)(from, to, &message) {
+        if (self.drops_frame)(from, to, &message) {
             return;
         }
         let link = self.speeds[&from].link.min(self.speeds[&to].link);
-        let free_us = self.free_us.entry((from, to)).or_default();
-        *free_us = self.now_us.max(*free_us) + bytes * 1_000_000 / link;
-        let delay_us = *free_us + LINK_DELAY_US - self.now_us;
+        let link_idle_us = self.link_idle_us.entry((from, to)).or_default();
+        *link_idle_us = self.now_us.max(*link_idle_us) + bytes * 1_000_000 / link;
+        let delay_us = *link_idle_us + LINK_DELAY_US - self.now_us;
         let queued = self.queued_bytes.entry((from, to)).or_default();
         *queued += bytes;
-        let most = self.most_queued_bytes.entry((from, to)).or_default();
-        *most = (*most).max(*queued);
+        let max_queued = self.max_queued_bytes.entry((from, to)).or_default();
+        *max_queued = (*max_queued).max(*queued);
         self.after(delay_us, Event::Deliver { from, to, message });
     }
 }
--- a/crates/consensus/tests/durable.rs
+++ b/crates/consensus/tests/durable.rs
@@ -6,14 +6,14 @@
     Member { id, address: format!("10.0.0.{id}:1").parse().unwrap() }
 }
 
-fn sent(effects: &[Effect]) -> usize {
+fn sent_count(effects: &[Effect]) -> usize {
     effects.iter().filter(|effect| matches!(effect, Effect::Send { .. })).count()
 }
 
 #[test]
-fn a_learner_says_that_it_holds_a_snapshot_only_once_it_is_synced_also_when_asked_again() {
+fn a_repeated_snapshot_chunk_is_acknowledged_only_after_its_slot_is_synced() {
     let mut learner = Consensus::new(9, RecoveredState::default(), 7, 1_000);
-    let part = SnapshotChunk {
+    let chunk = SnapshotChunk {
         term: 1,
         index: 5,
         snapshot_term: 1,
@@ -24,25 +24,25 @@
         sent_ms: 0,
         checksum: crc32fast::hash(&[1, 2]),
     };
-    let mut wrote = 0;
-    for again_ms in [0, 500] {
-        let message = Message::Snapshot(part.clone());
-        let effects = learner.handle(1_000 + again_ms, Input::Receive { from: member(1), message });
-        assert_eq!(sent(&effects), 0, "nothing is synced yet");
+    let mut write_sequence = 0;
+    for delay_ms in [0, 500] {
+        let message = Message::Snapshot(chunk.clone());
+        let effects = learner.handle(1_000 + delay_ms, Input::Receive { from: member(1), message });
+        assert_eq!(sent_count(&effects), 0, "nothing is synced yet");
         for effect in effects {
             if let Effect::Write { sequence, .. } = effect {
-                wrote = sequence;
+                write_sequence = sequence;
             }
         }
     }
-    let effects = learner.handle(1_600, Input::Synced(wrote));
-    assert_eq!(sent(&effects), 2, "both answers, after the sync");
+    let effects = learner.handle(1_600, Input::Synced(write_sequence));
+    assert_eq!(sent_count(&effects), 2, "both answers, after the sync");
 }
 
 #[test]
-fn a_learner_says_that_it_holds_entries_only_once_they_are_synced() {
+fn entries_are_acknowledged_only_after_they_are_synced() {
     let mut learner = Consensus::new(9, RecoveredState::default(), 7, 1_000);
-    let form = SnapshotChunk {
+    let bootstrap_snapshot = SnapshotChunk {
         term: 1,
         index: 1,
         snapshot_term: 1,
@@ -53,14 +53,14 @@
         sent_ms: 0,
         checksum: crc32fast::hash(&[]),
     };
-    let message = Message::Snapshot(form);
+    let message = Message::Snapshot(bootstrap_snapshot);
     let installed = learner.handle(1_000, Input::Receive { from: member(1), message });
-    let wrote = installed.iter().filter_map(|effect| match effect {
+    let write_sequence = installed.iter().filter_map(|effect| match effect {
         Effect::Write { sequence, .. } => Some(*sequence),
         _ => None,
     });
-    let wrote = wrote.max().expect("a snapshot is written");
-    learner.handle(1_001, Input::Synced(wrote));
+    let write_sequence = write_sequence.max().expect("a snapshot is written");
+    learner.handle(1_001, Input::Synced(write_sequence));
     let entry = Entry { term: 1, index: 2, payload: Payload::Batch(vec![7]) };
     for entries in [vec![entry], Vec::new()] {
         let prev = if entries.is_empty() { 2 } else { 1 };
@@ -74,7 +74,7 @@
         };
         let message = Message::Append(append);
         let effects = learner.handle(1_010, Input::Receive { from: member(1), message });
-        let answered = sent(&effects);
-        assert_eq!(answered, 0, "no answer counts an entry that is not synced: {effects:?}");
+        let response_count = sent_count(&effects);
+        assert_eq!(response_count, 0, "no answer counts an entry that is not synced: {effects:?}");
     }
 }
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -16,7 +16,7 @@
 use postbarrow_constants::consensus::*;
 use prepare::{Prepared, rules};
 use search::Model;
-use world::{Apart, Bounds};
+use world::{Bounds, Isolation};
 
 const STATES: usize = 120_000;
 /// For models whose bounds are too wide to be searched whole.
@@ -27,141 +27,154 @@
     Model { name, rules, choices: CHOICES, states: STATES }
 }
 
-fn wide(name: &'static str, rules: Rules) -> Model {
+fn capped_model(name: &'static str, rules: Rules) -> Model {
     Model { states: WIDE_STATES, ..model(name, rules) }
 }
 
 /// After the start of all: rounds of who leads, and elections by them.
 #[test]
-fn rounds_of_who_leads() {
-    let left = Bounds { ticks: 3, delays: 2, ..Bounds::default() };
-    model("rounds", rules()).search(Prepared::started().with(left));
+fn leader_probe_rounds() {
+    let remaining = Bounds { ticks: 3, delays: 2, ..Bounds::default() };
+    model("rounds", rules()).search(Prepared::started().with_bounds(remaining));
 }
 
 #[test]
-fn rounds_of_who_leads_with_restarts() {
-    let left = Bounds { ticks: 3, delays: 1, crashes: 1, freezes: 1, ..Bounds::default() };
-    wide("rounds, restart, freeze", rules()).search(Prepared::started().with(left));
+fn leader_probe_rounds_with_restarts() {
+    let remaining = Bounds { ticks: 3, delays: 1, crashes: 1, freezes: 1, ..Bounds::default() };
+    capped_model("rounds, restart, freeze", rules())
+        .search(Prepared::started().with_bounds(remaining));
 }
 
 /// Machine 2 is a candidate whose votes are under way; a voter restarts and asks who leads.
 #[test]
-fn rounds_during_an_election() {
-    let mut begun = Prepared::started();
-    begun.act(Action::Tick(2));
-    begun.settle_but(|message| matches!(message, Message::VoteResponse { .. }));
-    let left = Bounds { ticks: 1, delays: 1, crashes: 1, freezes: 1, ..Bounds::default() };
-    wide("rounds during an election", rules()).search(begun.with(left));
+fn leader_probe_rounds_during_an_election() {
+    let mut prepared = Prepared::started();
+    prepared.perform(Action::Tick(2));
+    prepared.deliver_except(|message| matches!(message, Message::VoteResponse { .. }));
+    let remaining = Bounds { ticks: 1, delays: 1, crashes: 1, freezes: 1, ..Bounds::default() };
+    capped_model("rounds during an election", rules()).search(prepared.with_bounds(remaining));
 }
 
 /// Machine 2 restarts while the answers that its earlier life asked for are under way; the others
 /// gave them before machine 0 came to lead.
 #[test]
-fn rounds_with_answers_to_an_earlier_life() {
-    let mut begun = Prepared::started();
-    begun.act(Action::Tick(2));
-    begun.settle_but(|message| matches!(message, Message::LeaderProbeResponse { .. }));
-    begun.act(Action::Tick(0)).settle().act(Action::Crash(2));
-    let left = Bounds { ticks: 2, delays: 1, crashes: 1, freezes: 1, ..Bounds::default() };
-    model("earlier life", rules()).search(begun.with(left));
+fn leader_probe_responses_to_an_earlier_incarnation() {
+    let mut prepared = Prepared::started();
+    prepared.perform(Action::Tick(2));
+    prepared.deliver_except(|message| matches!(message, Message::LeaderProbeResponse { .. }));
+    prepared.perform(Action::Tick(0)).deliver_all().perform(Action::Crash(2));
+    let remaining = Bounds { ticks: 2, delays: 1, crashes: 1, freezes: 1, ..Bounds::default() };
+    model("earlier life", rules()).search(prepared.with_bounds(remaining));
 }
 
 /// A leader with a fresh lease; others restart or lose a disk.
 #[test]
-fn rounds_under_a_lease() {
-    let left =
+fn leader_probe_rounds_under_a_lease() {
+    let remaining =
         Bounds { ticks: 3, delays: 2, crashes: 2, lost_disks: 1, freezes: 1, ..Bounds::default() };
-    wide("rounds under a lease", rules()).search(Prepared::led().with(left));
+    capped_model("rounds under a lease", rules())
+        .search(Prepared::with_leader().with_bounds(remaining));
 }
 
 #[test]
 fn elections_under_a_lease() {
-    let left =
-        Bounds { ticks: 4, advances: 3, cuts: 1, delays: 2, crashes: 1, ..Bounds::default() };
+    let remaining =
+        Bounds { ticks: 4, advances: 3, partitions: 1, delays: 2, crashes: 1, ..Bounds::default() };
     let steps_ms = vec![LEADER_LEASE_MS, ELECTION_MIN_MS - LEADER_LEASE_MS, ELECTION_SPREAD_MS];
     let rules = Rules { steps_ms, ..rules() };
-    wide("cuts and leases", rules).search(Prepared::led().with(left));
+    capped_model("cuts and leases", rules).search(Prepared::with_leader().with_bounds(remaining));
 }
 
 #[test]
 fn proposals_and_truncation() {
-    let left = Bounds {
+    let remaining = Bounds {
         ticks: 3,
         advances: 1,
         proposals: 2,
-        cuts: 1,
+        partitions: 1,
         slow_disks: 1,
         crashes: 1,
         ..Bounds::default()
     };
     let steps_ms = vec![ELECTION_MIN_MS + ELECTION_SPREAD_MS];
     let rules = Rules { steps_ms, ..rules() };
-    wide("proposals and truncation", rules).search(Prepared::led().with(left));
+    capped_model("proposals and truncation", rules)
+        .search(Prepared::with_leader().with_bounds(remaining));
 }
 
 #[test]
 fn votes_and_syncs() {
-    let left = Bounds { ticks: 3, crashes: 1, delays: 1, slow_disks: 1, ..Bounds::default() };
-    let mut begun = Prepared::started();
-    begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
-    wide("votes and syncs", rules()).search(begun.with(left));
+    let remaining = Bounds { ticks: 3, crashes: 1, delays: 1, slow_disks: 1, ..Bounds::default() };
+    let mut prepared = Prepared::started();
+    prepared.perform(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
+    capped_model("votes and syncs", rules()).search(prepared.with_bounds(remaining));
 }
 
 /// Machine 1 stands still, and the answers that let it stand in term 1 are under way; machine 2 may
 /// stand in the same term.
 fn two_candidates() -> Prepared {
-    let mut begun = Prepared::started();
-    begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS)).act(Action::Tick(1));
-    begun.settle_but(|message| matches!(message, Message::PreVoteResponse { .. }));
-    begun.act(Action::Part(Apart { at: 1, frozen: true }));
-    begun.act(Action::Advance(ELECTION_SPREAD_MS));
-    begun
+    let mut prepared = Prepared::started();
+    prepared
+        .perform(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS))
+        .perform(Action::Tick(1));
+    prepared.deliver_except(|message| matches!(message, Message::PreVoteResponse { .. }));
+    prepared.perform(Action::Isolate(Isolation { at: 1, frozen: true }));
+    prepared.perform(Action::Advance(ELECTION_SPREAD_MS));
+    prepared
 }
 
 #[test]
 fn two_candidates_and_a_restart() {
-    let left = Bounds { ticks: 1, advances: 1, delays: 1, crashes: 1, ..Bounds::default() };
-    model("two candidates, restart", rules()).search(two_candidates().with(left));
+    let remaining = Bounds { ticks: 1, advances: 1, delays: 1, crashes: 1, ..Bounds::default() };
+    model("two candidates, restart", rules()).search(two_candidates().with_bounds(remaining));
 }
 
 #[test]
 fn two_candidates_and_a_slow_disk() {
-    let left = Bounds { ticks: 1, advances: 1, slow_disks: 1, crashes: 1, ..Bounds::default() };
-    model("two candidates, slow disk", rules()).search(two_candidates().with(left));
+    let remaining =
+        Bounds { ticks: 1, advances: 1, slow_disks: 1, crashes: 1, ..Bounds::default() };
+    model("two candidates, slow disk", rules()).search(two_candidates().with_bounds(remaining));
 }
 
 /// A leader stood still while answers to it were under way, until the others may elect.
 #[test]
-fn a_leader_wakes_and_gets_late_answers() {
-    let mut begun = Prepared::led();
-    begun.act(Action::Advance(HEARTBEAT_MS)).act(Action::Tick(0));
-    begun.settle_but(|message| matches!(message, Message::AppendResponse(_)));
-    begun.act(Action::Part(Apart { at: 0, frozen: true }));
-    begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
-    let left = Bounds { ticks: 2, advances: 1, crashes: 1, proposals: 1, ..Bounds::default() };
+fn late_responses_to_a_leader_that_was_paused() {
+    let mut prepared = Prepared::with_leader();
+    prepared.perform(Action::Advance(HEARTBEAT_MS)).perform(Action::Tick(0));
+    prepared.deliver_except(|message| matches!(message, Message::AppendResponse(_)));
+    prepared.perform(Action::Isolate(Isolation { at: 0, frozen: true }));
+    prepared.perform(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
+    let remaining = Bounds { ticks: 2, advances: 1, crashes: 1, proposals: 1, ..Bounds::default() };
     let rules = Rules { steps_ms: vec![HEARTBEAT_MS], ..rules() };
-    model("late answers", rules).search(begun.with(left));
+    model("late answers", rules).search(prepared.with_bounds(remaining));
 }
 
 /// Machine 2 was cut off until its election is due; the other follower has just heard the leader.
 #[test]
-fn a_voter_keeps_its_promise() {
-    let mut begun = Prepared::led();
-    begun.act(Action::Part(Apart { at: 2, frozen: false }));
-    begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS)).act(Action::Tick(0));
-    begun.settle().act(Action::Join);
-    let left = Bounds { ticks: 2, crashes: 2, freezes: 1, delays: 1, ..Bounds::default() };
-    model("promise", rules()).search(begun.with(left));
+fn a_voter_in_contact_with_its_leader_is_bound() {
+    let mut prepared = Prepared::with_leader();
+    prepared.perform(Action::Isolate(Isolation { at: 2, frozen: false }));
+    prepared
+        .perform(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS))
+        .perform(Action::Tick(0));
+    prepared.deliver_all().perform(Action::Rejoin);
+    let remaining = Bounds { ticks: 2, crashes: 2, freezes: 1, delays: 1, ..Bounds::default() };
+    model("promise", rules()).search(prepared.with_bounds(remaining));
 }
 
 /// Machine 0 has an entry of its own that the next leader, machine 1, overwrites.
 #[test]
 fn an_entry_of_an_old_term_is_overwritten() {
-    let mut begun = Prepared::led();
-    begun.act(Action::Part(Apart { at: 0, frozen: false })).act(Action::Propose(0)).settle();
-    begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS)).act(Action::Tick(1));
-    begun.settle().act(Action::Join);
-    let left = Bounds {
+    let mut prepared = Prepared::with_leader();
+    prepared
+        .perform(Action::Isolate(Isolation { at: 0, frozen: false }))
+        .perform(Action::Propose(0))
+        .deliver_all();
+    prepared
+        .perform(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS))
+        .perform(Action::Tick(1));
+    prepared.deliver_all().perform(Action::Rejoin);
+    let remaining = Bounds {
         ticks: 2,
         advances: 1,
         proposals: 1,
@@ -170,58 +183,70 @@
         ..Bounds::default()
     };
     let rules = Rules { steps_ms: vec![HEARTBEAT_MS], ..rules() };
-    model("truncation", rules).search(begun.with(left));
+    model("truncation", rules).search(prepared.with_bounds(remaining));
 }
 
 /// Machine 0 leads in term 3 with an entry of term 1 on a majority and its own first entry not yet
 /// synced; machine 2, cut off, has an entry of term 2 at the same place.
 #[test]
 fn an_entry_of_an_old_term_is_not_committed_by_count() {
-    let mut begun = Prepared::led();
-    begun.act(Action::Part(Apart { at: 0, frozen: false })).act(Action::Propose(0)).settle();
-    begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS)).act(Action::Tick(2));
-    begun.settle_but(|message| matches!(message, Message::Append(_)));
-    begun.world.late.clear();
-    begun.act(Action::Join).act(Action::Part(Apart { at: 2, frozen: false }));
-    begun.act(Action::Crash(0)).act(Action::Crash(2));
+    let mut prepared = Prepared::with_leader();
+    prepared
+        .perform(Action::Isolate(Isolation { at: 0, frozen: false }))
+        .perform(Action::Propose(0))
+        .deliver_all();
+    prepared
+        .perform(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS))
+        .perform(Action::Tick(2));
+    prepared.deliver_except(|message| matches!(message, Message::Append(_)));
+    prepared.world.out_of_turn.clear();
+    prepared.perform(Action::Rejoin).perform(Action::Isolate(Isolation { at: 2, frozen: false }));
+    prepared.perform(Action::Crash(0)).perform(Action::Crash(2));
     for _ in 0..2 {
-        begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
-        begun.act(Action::SlowDisk(0)).act(Action::Tick(0)).settle();
-        begun.act(Action::Sync(0)).settle();
+        prepared.perform(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
+        prepared.perform(Action::SlowDisk(0)).perform(Action::Tick(0)).deliver_all();
+        prepared.perform(Action::Sync(0)).deliver_all();
     }
     assert_eq!(
-        (begun.world.machines[0].node.role(), begun.world.machines[0].node.term()),
+        (prepared.world.machines[0].node.role(), prepared.world.machines[0].node.term()),
         (Role::Leader, 3)
     );
-    let left = Bounds { ticks: 2, advances: 2, crashes: 1, ..Bounds::default() };
+    let remaining = Bounds { ticks: 2, advances: 2, crashes: 1, ..Bounds::default() };
     let steps_ms = vec![ELECTION_MIN_MS + ELECTION_SPREAD_MS];
     let rules = Rules { steps_ms, ..rules() };
-    model("old term", rules).search(begun.with(left));
+    model("old term", rules).search(prepared.with_bounds(remaining));
 }
 
 #[test]
-fn a_handover() {
-    let left = Bounds {
+fn a_leadership_transfer() {
+    let remaining = Bounds {
         ticks: 2,
-        hand_overs: 1,
+        leadership_transfers: 1,
         proposals: 1,
         crashes: 1,
         advances: 1,
         delays: 2,
         ..Bounds::default()
     };
-    model("handover", rules()).search(Prepared::led().with(left));
+    model("handover", rules()).search(Prepared::with_leader().with_bounds(remaining));
 }
 
 /// Machine 2 was cut off while the others went on and compacted.
 #[test]
-fn a_snapshot_for_a_late_follower() {
-    let mut begun = Prepared::led();
-    begun.act(Action::Part(Apart { at: 2, frozen: false })).act(Action::Propose(0)).settle();
-    begun.beat(&[2]).act(Action::Compact(0)).act(Action::Compact(1)).act(Action::Join);
-    begun.act(Action::Crash(0)).act(Action::Crash(1));
-    begun.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
-    let left = Bounds {
+fn a_snapshot_for_a_lagging_follower() {
+    let mut prepared = Prepared::with_leader();
+    prepared
+        .perform(Action::Isolate(Isolation { at: 2, frozen: false }))
+        .perform(Action::Propose(0))
+        .deliver_all();
+    prepared
+        .heartbeat(&[2])
+        .perform(Action::Compact(0))
+        .perform(Action::Compact(1))
+        .perform(Action::Rejoin);
+    prepared.perform(Action::Crash(0)).perform(Action::Crash(1));
+    prepared.perform(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
+    let remaining = Bounds {
         ticks: 3,
         advances: 2,
         compactions: 2,
@@ -231,29 +256,29 @@
         ..Bounds::default()
     };
     let rules = Rules { steps_ms: vec![SNAPSHOT_RETRY_MS], ..rules() };
-    model("snapshot", rules).search(begun.with(left));
+    model("snapshot", rules).search(prepared.with_bounds(remaining));
 }
 
 /// Machine 2 lost its disk long ago, and stands by as a learner.
 #[test]
-fn a_member_for_a_lost_disk() {
-    let mut begun = Prepared::led();
-    begun.act(Action::LoseDisk(2));
+fn a_learner_replaces_a_member_with_a_lost_disk() {
+    let mut prepared = Prepared::with_leader();
+    prepared.perform(Action::LoseDisk(2));
     for _ in 0..VOTER_DEAD_MS / HEARTBEAT_MS {
-        begun.beat(&[]);
+        prepared.heartbeat(&[]);
     }
-    begun.act(Action::Compact(0)).act(Action::Learner(0, 2)).beat(&[]);
-    begun.act(Action::Advance(LEARNER_STANDBY_MS)).beat(&[]);
-    let left = Bounds {
+    prepared.perform(Action::Compact(0)).perform(Action::Learner(0, 2)).heartbeat(&[]);
+    prepared.perform(Action::Advance(LEARNER_STANDBY_MS)).heartbeat(&[]);
+    let remaining = Bounds {
         ticks: 4,
         advances: 3,
         crashes: 1,
-        cuts: 1,
+        partitions: 1,
         delays: 1,
         proposals: 1,
         ..Bounds::default()
     };
     let steps_ms = vec![HEARTBEAT_MS];
     let rules = Rules { steps_ms, horizon_ms: VOTER_DEAD_MS, ..rules() };
-    wide("member change", rules).search(begun.with(left));
+    capped_model("member change", rules).search(prepared.with_bounds(remaining));
 }
--- a/crates/consensus/tests/exhaustive/actions.rs
+++ b/crates/consensus/tests/exhaustive/actions.rs
@@ -14,15 +14,15 @@
     /// It comes out of turn.
     Delay,
     DeliverLate(usize),
-    Part(Apart),
-    Join,
+    Isolate(Isolation),
+    Rejoin,
     Tick(usize),
     SlowDisk(usize),
     Sync(usize),
     Crash(usize),
     LoseDisk(usize),
     Propose(usize),
-    HandOver(usize),
+    TransferLeadership(usize),
     Compact(usize),
     /// The leader at the first place is asked to take in the machine at the second.
     Learner(usize, usize),
@@ -49,65 +49,74 @@
 impl World {
     pub fn actions(&self, rules: &Rules) -> Vec<Action> {
         let mut out = Vec::new();
-        let left = &self.left;
-        let quiet = self.flights.is_empty();
-        let mut may = |allowed: bool, action: Action| {
+        let remaining = &self.remaining;
+        let quiet = self.in_flight.is_empty();
+        let mut offer = |allowed: bool, action: Action| {
             if allowed {
                 out.push(action);
             }
         };
-        may(!quiet, Action::Deliver);
-        may(!quiet && left.duplicates > 0, Action::Duplicate);
-        may(!quiet && left.delays > 0, Action::Delay);
-        may(quiet && self.apart.is_some(), Action::Join);
-        for at in 0..self.late.len() {
-            may(!self.is_apart(&self.late[at]), Action::DeliverLate(at));
+        offer(!quiet, Action::Deliver);
+        offer(!quiet && remaining.duplicates > 0, Action::Duplicate);
+        offer(!quiet && remaining.delays > 0, Action::Delay);
+        offer(quiet && self.isolation.is_some(), Action::Rejoin);
+        for at in 0..self.out_of_turn.len() {
+            offer(!self.is_isolated(&self.out_of_turn[at]), Action::DeliverLate(at));
         }
         for at in 0..self.machines.len() {
-            let free = self.apart.is_none() && (quiet || !rules.faults_when_quiet);
-            may(free && left.cuts > 0, Action::Part(Apart { at, frozen: false }));
-            may(free && left.freezes > 0, Action::Part(Apart { at, frozen: true }));
-            self.machine_actions(at, quiet || !rules.faults_when_quiet, &mut may);
+            let can_isolate = self.isolation.is_none() && (quiet || !rules.faults_when_quiet);
+            offer(
+                can_isolate && remaining.partitions > 0,
+                Action::Isolate(Isolation { at, frozen: false }),
+            );
+            offer(
+                can_isolate && remaining.freezes > 0,
+                Action::Isolate(Isolation { at, frozen: true }),
+            );
+            self.machine_actions(at, quiet || !rules.faults_when_quiet, &mut offer);
         }
-        if quiet && left.advances > 0 {
+        if quiet && remaining.advances > 0 {
             out.extend(rules.steps_ms.iter().map(|step_ms| Action::Advance(*step_ms)));
         }
         out
     }
 
-    fn is_apart(&self, flight: &Flight) -> bool {
-        self.apart.is_some_and(|apart| {
-            let id = self.machines[apart.at].node.id();
-            flight.to.id == id || (flight.from.id == id && !apart.frozen)
+    fn is_isolated(&self, flight: &Flight) -> bool {
+        self.isolation.is_some_and(|isolation| {
+            let id = self.machines[isolation.at].node.id();
+            flight.to.id == id || (flight.from.id == id && !isolation.frozen)
         })
     }
 
     fn is_frozen(&self, at: usize) -> bool {
-        self.apart == Some(Apart { at, frozen: true })
+        self.isolation == Some(Isolation { at, frozen: true })
     }
 
     /// The clock, timers and operators act once nothing is under way but what comes out of turn.
-    fn machine_actions(&self, at: usize, faults: bool, may: &mut impl FnMut(bool, Action)) {
-        let (machine, left) = (&self.machines[at], &self.left);
+    fn machine_actions(&self, at: usize, faults: bool, offer: &mut impl FnMut(bool, Action)) {
+        let (machine, remaining) = (&self.machines[at], &self.remaining);
         if self.is_frozen(at) {
             return;
         }
-        may(!machine.unsynced.is_empty(), Action::Sync(at));
-        may(faults && !machine.slow && left.slow_disks > 0, Action::SlowDisk(at));
-        may(faults && left.crashes > 0, Action::Crash(at));
-        may(faults && left.lost_disks > 0, Action::LoseDisk(at));
-        if !self.flights.is_empty() {
+        offer(!machine.unsynced.is_empty(), Action::Sync(at));
+        offer(faults && !machine.slow && remaining.slow_disks > 0, Action::SlowDisk(at));
+        offer(faults && remaining.crashes > 0, Action::Crash(at));
+        offer(faults && remaining.lost_disks > 0, Action::LoseDisk(at));
+        if !self.in_flight.is_empty() {
             return;
         }
-        let leads = machine.node.role() == Role::Leader;
-        may(left.ticks > 0, Action::Tick(at));
-        may(left.proposals > 0 && leads, Action::Propose(at));
-        may(left.hand_overs > 0 && leads, Action::HandOver(at));
-        let fresh = machine.disk.snapshot.as_ref().map_or(0, |kept| kept.index);
-        may(left.compactions > 0 && machine.node.commit_index() > fresh, Action::Compact(at));
-        for (other, stranger) in self.machines.iter().enumerate() {
-            let joins = stranger.before.is_some() && leads && left.learners > 0;
-            may(joins, Action::Learner(at, other));
+        let is_leader = machine.node.role() == Role::Leader;
+        offer(remaining.ticks > 0, Action::Tick(at));
+        offer(remaining.proposals > 0 && is_leader, Action::Propose(at));
+        offer(remaining.leadership_transfers > 0 && is_leader, Action::TransferLeadership(at));
+        let snapshot_index = machine.disk.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+        offer(
+            remaining.compactions > 0 && machine.node.commit_index() > snapshot_index,
+            Action::Compact(at),
+        );
+        for (other, candidate) in self.machines.iter().enumerate() {
+            let can_join = candidate.replaced_id.is_some() && is_leader && remaining.learners > 0;
+            offer(can_join, Action::Learner(at, other));
         }
     }
 
@@ -118,72 +127,72 @@
     }
 
     pub fn perform(&mut self, action: &Action) -> Result<(), String> {
-        let left = &mut self.left;
+        let remaining = &mut self.remaining;
         match *action {
             Action::Deliver => {
-                let flight = self.flights.remove(0);
+                let flight = self.in_flight.remove(0);
                 self.arrive(flight)?;
             }
             Action::Duplicate => {
-                left.duplicates -= 1;
-                let flight = self.flights.remove(0);
-                self.late.push(flight.clone());
+                remaining.duplicates -= 1;
+                let flight = self.in_flight.remove(0);
+                self.out_of_turn.push(flight.clone());
                 self.arrive(flight)?;
             }
             Action::Delay => {
-                left.delays -= 1;
-                self.late.push(self.flights.remove(0));
+                remaining.delays -= 1;
+                self.out_of_turn.push(self.in_flight.remove(0));
             }
             Action::DeliverLate(at) => {
-                let flight = self.late.remove(at);
+                let flight = self.out_of_turn.remove(at);
                 self.arrive(flight)?;
             }
-            Action::Part(apart) => {
-                match apart.frozen {
-                    true => left.freezes -= 1,
-                    false => left.cuts -= 1,
+            Action::Isolate(isolation) => {
+                match isolation.frozen {
+                    true => remaining.freezes -= 1,
+                    false => remaining.partitions -= 1,
                 }
-                self.apart = Some(apart);
+                self.isolation = Some(isolation);
             }
-            Action::Join => self.apart = None,
+            Action::Rejoin => self.isolation = None,
             Action::Tick(at) => {
-                left.ticks -= 1;
+                remaining.ticks -= 1;
                 self.give(at, Input::Tick)?;
             }
             Action::SlowDisk(at) => {
-                left.slow_disks -= 1;
+                remaining.slow_disks -= 1;
                 Arc::make_mut(&mut self.machines[at]).slow = true;
             }
             Action::Sync(at) => self.sync(at)?,
             Action::Crash(at) => {
-                left.crashes -= 1;
+                remaining.crashes -= 1;
                 self.restart(at, false);
             }
             Action::LoseDisk(at) => {
-                left.lost_disks -= 1;
+                remaining.lost_disks -= 1;
                 self.restart(at, true);
             }
             Action::Propose(at) => {
-                left.proposals -= 1;
-                let batch = vec![left.proposals, self.machines[at].node.id() as u8];
+                remaining.proposals -= 1;
+                let batch = vec![remaining.proposals, self.machines[at].node.id() as u8];
                 self.give(at, Input::Propose(vec![batch]))?;
             }
-            Action::HandOver(at) => {
-                left.hand_overs -= 1;
+            Action::TransferLeadership(at) => {
+                remaining.leadership_transfers -= 1;
                 self.give(at, Input::TransferLeadership(Vec::new()))?;
             }
             Action::Compact(at) => {
-                left.compactions -= 1;
+                remaining.compactions -= 1;
                 let index = self.machines[at].node.commit_index();
                 self.give(at, Input::Compact { index, state: vec![index as u8] })?;
             }
             Action::Learner(at, other) => {
-                left.learners -= 1;
-                let joins = member(self.machines[other].node.id());
-                self.give(at, Input::AddLearner(joins))?;
+                remaining.learners -= 1;
+                let can_join = member(self.machines[other].node.id());
+                self.give(at, Input::AddLearner(can_join))?;
             }
             Action::Advance(step_ms) => {
-                left.advances -= 1;
+                remaining.advances -= 1;
                 self.now_ms += step_ms;
             }
         }
@@ -191,20 +200,20 @@
     }
 
     fn arrive(&mut self, flight: Arc<Flight>) -> Result<(), String> {
-        if self.is_apart(&flight) {
-            if self.apart.is_some_and(|apart| apart.frozen) {
-                self.late.push(flight);
+        if self.is_isolated(&flight) {
+            if self.isolation.is_some_and(|isolation| isolation.frozen) {
+                self.out_of_turn.push(flight);
             }
             return Ok(());
         }
-        let stands = |machine: &Arc<Machine>| machine.node.id() == flight.to.id;
-        if let Some(at) = self.machines.iter().position(stands) {
+        let is_recipient = |machine: &Arc<Machine>| machine.node.id() == flight.to.id;
+        if let Some(at) = self.machines.iter().position(is_recipient) {
             let input = Input::Receive { from: flight.from, message: flight.message.clone() };
             return self.give(at, input);
         }
-        let before = |machine: &Arc<Machine>| machine.before == Some(flight.to.id);
+        let lost_its_disk = |machine: &Arc<Machine>| machine.replaced_id == Some(flight.to.id);
         if let (true, Message::LeaderProbe { round, .. }) =
-            (self.machines.iter().any(before), &flight.message)
+            (self.machines.iter().any(lost_its_disk), &flight.message)
         {
             let message = Message::LeaderProbeResponse { term: 0, round: *round, free: true };
             self.send(Flight { from: flight.to, to: flight.from, message });
@@ -232,24 +241,24 @@
             Effect::Send { to, message } => {
                 match &message {
                     Message::VoteResponse { term, granted: true } => {
-                        ledger.votes(*term, id, to.id)?
+                        ledger.on_vote(*term, id, to.id)?
                     }
-                    Message::Vote(ask) => ledger.votes(ask.term, id, id)?,
+                    Message::Vote(request) => ledger.on_vote(request.term, id, id)?,
                     _ => {}
                 }
                 self.send(Flight { from: member(id), to, message });
             }
             Effect::Write { sequence, write } => machine.unsynced.push_back((sequence, write)),
-            Effect::Commit(entries) => ledger.commits(machine, &entries)?,
-            Effect::Restore(kept) => ledger.restores(machine, &kept)?,
-            Effect::Role(Role::Leader) => ledger.leads(&machine.node)?,
+            Effect::Commit(entries) => ledger.on_commit(machine, &entries)?,
+            Effect::Restore(snapshot) => ledger.on_restore(machine, &snapshot)?,
+            Effect::Role(Role::Leader) => ledger.on_leader_elected(&machine.node)?,
             Effect::Role(_) | Effect::LeadershipReceived { .. } => {}
         }
         Ok(())
     }
 
     fn send(&mut self, flight: Flight) {
-        self.flights.push(Arc::new(flight));
+        self.in_flight.push(Arc::new(flight));
     }
 
     /// The oldest write is on disk now, and the member hears of it.
@@ -263,20 +272,20 @@
     }
 
     /// The process starts again from what is synced, or from an empty disk under a new number.
-    fn restart(&mut self, at: usize, lost: bool) {
+    fn restart(&mut self, at: usize, disk_lost: bool) {
         let now_ms = self.now_ms;
         let machine = Arc::make_mut(&mut self.machines[at]);
         machine.unsynced = VecDeque::new();
         machine.slow = false;
-        machine.lives += 1;
+        machine.incarnation += 1;
         let mut id = machine.node.id();
-        if lost {
-            machine.before = Some(id);
+        if disk_lost {
+            machine.replaced_id = Some(id);
             machine.disk = Disk::default();
             id += LOST_DISK_STEP;
         }
-        machine.applied = machine.disk.snapshot.as_ref().map_or(0, |kept| kept.index);
+        machine.applied = machine.disk.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let recovered = machine.disk.recovered();
-        machine.node = Consensus::new(id, recovered, seed(id, machine.lives), now_ms);
+        machine.node = Consensus::new(id, recovered, seed(id, machine.incarnation), now_ms);
     }
 }
--- a/crates/consensus/tests/exhaustive/ledger.rs
+++ b/crates/consensus/tests/exhaustive/ledger.rs
@@ -13,22 +13,28 @@
 }
 
 impl Ledger {
-    pub fn leads(&mut self, node: &Consensus) -> Result<(), String> {
+    pub fn on_leader_elected(&mut self, node: &Consensus) -> Result<(), String> {
         let (term, id) = (node.term(), node.id());
         let first = *self.leaders.entry(term).or_insert(id);
         if first != id {
             return Err(format!("election safety: {first} and {id} both lead in term {term}"));
         }
-        for (entry, known_in) in self.committed.values() {
-            let kept = *known_in >= term || node.log().term_at(entry.index) == Some(entry.term);
-            if !kept && entry.index > node.log().base() {
+        for (entry, committed_term) in self.committed.values() {
+            let is_retained =
+                *committed_term >= term || node.log().term_at(entry.index) == Some(entry.term);
+            if !is_retained && entry.index > node.log().base() {
                 return Err(format!("leader completeness: {id} lacks entry {}", entry.index));
             }
         }
         Ok(())
     }
 
-    pub fn votes(&mut self, term: u64, voter: MemberId, candidate: MemberId) -> Result<(), String> {
+    pub fn on_vote(
+        &mut self,
+        term: u64,
+        voter: MemberId,
+        candidate: MemberId,
+    ) -> Result<(), String> {
         let first = *self.votes.entry((term, voter)).or_insert(candidate);
         match first == candidate {
             true => Ok(()),
@@ -36,7 +42,7 @@
         }
     }
 
-    pub fn commits(&mut self, machine: &mut Machine, entries: &[Entry]) -> Result<(), String> {
+    pub fn on_commit(&mut self, machine: &mut Machine, entries: &[Entry]) -> Result<(), String> {
         for entry in entries {
             if entry.index != machine.applied + 1 {
                 return Err(format!("applied {} after {}", entry.index, machine.applied));
@@ -51,14 +57,15 @@
         Ok(())
     }
 
-    pub fn restores(&self, machine: &mut Machine, kept: &Snapshot) -> Result<(), String> {
-        if kept.index < machine.applied {
-            return Err(format!("restored {} after applying {}", kept.index, machine.applied));
+    pub fn on_restore(&self, machine: &mut Machine, snapshot: &Snapshot) -> Result<(), String> {
+        if snapshot.index < machine.applied {
+            return Err(format!("restored {} after applying {}", snapshot.index, machine.applied));
         }
-        if self.committed.get(&kept.index).is_some_and(|(entry, _)| entry.term != kept.term) {
-            return Err(format!("snapshot {} is not of the committed term", kept.index));
+        if self.committed.get(&snapshot.index).is_some_and(|(entry, _)| entry.term != snapshot.term)
+        {
+            return Err(format!("snapshot {} is not of the committed term", snapshot.index));
         }
-        machine.applied = kept.index;
+        machine.applied = snapshot.index;
         Ok(())
     }
 }
@@ -73,9 +80,10 @@
 
     /// Who holds serves reads and grants targets: two at once may contradict each other.
     fn check_leases(&self) -> Result<(), String> {
-        let holds = |node: &Consensus| node.is_ready() && self.now_ms < node.lease_until();
+        let has_lease = |node: &Consensus| node.is_ready() && self.now_ms < node.lease_until();
         let nodes = self.machines.iter().map(|machine| &machine.node);
-        let holders: Vec<MemberId> = nodes.filter(|node| holds(node)).map(Consensus::id).collect();
+        let holders: Vec<MemberId> =
+            nodes.filter(|node| has_lease(node)).map(Consensus::id).collect();
         match holders.len() > 1 {
             true => Err(format!("leases of {holders:?} overlap")),
             false => Ok(()),
@@ -105,7 +113,7 @@
         let majority = self.machines.len() / 2 + 1;
         for (entry, _) in self.ledger.committed.values() {
             let holders = self.machines.iter().filter(|machine| {
-                machine.before.is_some() || machine.disk.holds(entry.index, entry.term)
+                machine.replaced_id.is_some() || machine.disk.contains(entry.index, entry.term)
             });
             if holders.count() < majority {
                 return Err(format!("committed entry {} is not on a majority", entry.index));
@@ -120,9 +128,9 @@
     let first = one.base().max(other.base()) + 1;
     let mut agreed = false;
     for index in (first..=one.last_index().min(other.last_index())).rev() {
-        let (Some(left), Some(right)) = (one.get(index), other.get(index)) else { continue };
-        agreed |= left.term == right.term;
-        if agreed && left != right {
+        let (Some(entry), Some(other_entry)) = (one.get(index), other.get(index)) else { continue };
+        agreed |= entry.term == other_entry.term;
+        if agreed && entry != other_entry {
             return Err(format!("log matching: entries {index} differ below a common one"));
         }
     }
--- a/crates/consensus/tests/exhaustive/prepare.rs
+++ b/crates/consensus/tests/exhaustive/prepare.rs
@@ -19,10 +19,10 @@
     lost_disks: 9,
     duplicates: 0,
     delays: 200,
-    cuts: 9,
+    partitions: 9,
     freezes: 9,
     proposals: 9,
-    hand_overs: 9,
+    leadership_transfers: 9,
     compactions: 9,
     learners: 9,
     slow_disks: 9,
@@ -40,56 +40,57 @@
     }
 
     /// Machine 0 leads, all follow it, and its lease is fresh.
-    pub fn led() -> Prepared {
-        let mut made = Prepared::started();
-        made.act(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
-        made.act(Action::Tick(0));
-        made.settle();
-        made.beat(&[]);
-        assert_eq!(made.world.machines[0].node.role(), Role::Leader);
-        assert!(made.world.machines[0].node.is_ready());
-        made
+    pub fn with_leader() -> Prepared {
+        let mut prepared = Prepared::started();
+        prepared.perform(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
+        prepared.perform(Action::Tick(0));
+        prepared.deliver_all();
+        prepared.heartbeat(&[]);
+        assert_eq!(prepared.world.machines[0].node.role(), Role::Leader);
+        assert!(prepared.world.machines[0].node.is_ready());
+        prepared
     }
 
-    pub fn act(&mut self, action: Action) -> &mut Self {
+    pub fn perform(&mut self, action: Action) -> &mut Self {
         self.world.perform(&action).expect("a preparation breaks nothing");
         self
     }
 
     /// Delivers everything that is under way, in the order it was sent.
-    pub fn settle(&mut self) -> &mut Self {
-        while !self.world.flights.is_empty() {
-            self.act(Action::Deliver);
+    pub fn deliver_all(&mut self) -> &mut Self {
+        while !self.world.in_flight.is_empty() {
+            self.perform(Action::Deliver);
         }
         self
     }
 
     /// Delivers everything but what the test names; that comes later, or never.
-    pub fn settle_but(&mut self, late: impl Fn(&Message) -> bool) -> &mut Self {
-        while let Some(flight) = self.world.flights.first() {
-            match late(&flight.message) {
-                true => self.act(Action::Delay),
-                false => self.act(Action::Deliver),
+    pub fn deliver_except(&mut self, is_deferred: impl Fn(&Message) -> bool) -> &mut Self {
+        while let Some(flight) = self.world.in_flight.first() {
+            match is_deferred(&flight.message) {
+                true => self.perform(Action::Delay),
+                false => self.perform(Action::Deliver),
             };
         }
         self
     }
 
     /// One heartbeat of machine 0, which those machines that are cut off don't get.
-    pub fn beat(&mut self, cut: &[usize]) -> &mut Self {
-        self.act(Action::Advance(HEARTBEAT_MS)).act(Action::Tick(0));
-        while !self.world.flights.is_empty() {
-            let to = self.world.flights[0].to.id;
-            let off = cut.iter().any(|at| self.world.machines[*at].node.id() == to);
-            match off {
-                true => drop(self.world.flights.remove(0)),
-                false => drop(self.act(Action::Deliver)),
+    pub fn heartbeat(&mut self, unreachable: &[usize]) -> &mut Self {
+        self.perform(Action::Advance(HEARTBEAT_MS)).perform(Action::Tick(0));
+        while !self.world.in_flight.is_empty() {
+            let to = self.world.in_flight[0].to.id;
+            let is_unreachable =
+                unreachable.iter().any(|at| self.world.machines[*at].node.id() == to);
+            match is_unreachable {
+                true => drop(self.world.in_flight.remove(0)),
+                false => drop(self.perform(Action::Deliver)),
             }
         }
         self
     }
 
-    pub fn with(&self, left: Bounds) -> World {
-        World { left, ..self.world.clone() }
+    pub fn with_bounds(&self, remaining: Bounds) -> World {
+        World { remaining, ..self.world.clone() }
     }
 }
--- a/crates/consensus/tests/exhaustive/search.rs
+++ b/crates/consensus/tests/exhaustive/search.rs
@@ -2,7 +2,7 @@
 //! path that breaks a property is one of the fewest choices.
 
 use crate::actions::{Action, Rules};
-use crate::world::{Apart, Flight, World};
+use crate::world::{Flight, Isolation, World};
 use std::collections::HashSet;
 
 pub struct Model {
@@ -20,7 +20,7 @@
 
 struct Step {
     parent: usize,
-    said: String,
+    description: String,
 }
 
 struct Reached {
@@ -30,48 +30,48 @@
 }
 
 struct Search {
-    seen: HashSet<u64>,
+    fingerprints: HashSet<u64>,
     steps: Vec<Step>,
     longest: usize,
-    most: usize,
+    max_states: usize,
 }
 
 impl Model {
     pub fn search(&self, start: World) {
-        let seen = HashSet::from([start.fingerprint(self.rules.horizon_ms)]);
-        let most = self.states * LARGER_STATES;
-        let mut search = Search { seen, steps: Vec::new(), longest: 0, most };
+        let fingerprints = HashSet::from([start.fingerprint(self.rules.horizon_ms)]);
+        let max_states = self.states * LARGER_STATES;
+        let mut search = Search { fingerprints, steps: Vec::new(), longest: 0, max_states };
         let mut frontier = vec![Reached { at: START, steps: 0, world: start }];
-        let mut whole = None;
+        let mut complete_choices = None;
         for choices in 0..=self.choices {
             frontier = self.one_more_choice(frontier, &mut search);
             if search.is_full() || frontier.is_empty() {
                 break;
             }
-            whole = Some(choices);
+            complete_choices = Some(choices);
         }
         let end = match (search.is_full(), frontier.is_empty()) {
             (true, _) => "cut short",
             (_, true) => "all states within the bounds",
             _ => "all states of so many choices",
         };
-        let Search { seen, longest, .. } = search;
-        let whole = whole.map_or(0, |choices| choices);
+        let Search { fingerprints, longest, .. } = search;
+        let complete_choices = complete_choices.map_or(0, |choices| choices);
         println!(
-            "{}: {} states, {whole} choices whole, longest path {longest} steps, {end}",
+            "{}: {} states, {complete_choices} choices whole, longest path {longest} steps, {end}",
             self.name,
-            seen.len()
+            fingerprints.len()
         );
     }
 
     /// Follows all that needs no choice from these, and returns what one more choice leads to.
-    fn one_more_choice(&self, mut open: Vec<Reached>, search: &mut Search) -> Vec<Reached> {
+    fn one_more_choice(&self, mut pending: Vec<Reached>, search: &mut Search) -> Vec<Reached> {
         let mut next = Vec::new();
-        while let Some(reached) = open.pop() {
+        while let Some(reached) = pending.pop() {
             for action in reached.world.actions(&self.rules) {
                 let Some(after) = self.step(&reached, &action, search) else { continue };
                 match action.is_expected() {
-                    true => open.push(after),
+                    true => pending.push(after),
                     false => next.push(after),
                 }
             }
@@ -87,10 +87,10 @@
             Ok(world) => world,
             Err(fault) => self.fail(&fault, from, action, &search.steps),
         };
-        if !search.seen.insert(world.fingerprint(self.rules.horizon_ms)) {
+        if !search.fingerprints.insert(world.fingerprint(self.rules.horizon_ms)) {
             return None;
         }
-        search.steps.push(Step { parent: from.at, said: describe(&from.world, action) });
+        search.steps.push(Step { parent: from.at, description: describe(&from.world, action) });
         let steps = from.steps + 1;
         search.longest = search.longest.max(steps);
         Some(Reached { at: search.steps.len() - 1, steps, world })
@@ -100,7 +100,7 @@
         let mut path = vec![describe(&from.world, action)];
         let mut at = from.at;
         while let Some(step) = steps.get(at) {
-            path.push(step.said.clone());
+            path.push(step.description.clone());
             at = step.parent;
         }
         path.reverse();
@@ -110,7 +110,7 @@
 
 impl Search {
     fn is_full(&self) -> bool {
-        self.seen.len() >= self.most
+        self.fingerprints.len() >= self.max_states
     }
 }
 
@@ -119,13 +119,15 @@
     let flight = |one: &Flight| format!("{} to {}: {:?}", one.from.id, one.to.id, one.message);
     let now_ms = world.now_ms;
     match *action {
-        Action::Deliver => format!("{now_ms} deliver {}", flight(&world.flights[0])),
-        Action::Duplicate => format!("{now_ms} deliver and repeat {}", flight(&world.flights[0])),
-        Action::Delay => format!("{now_ms} delay {}", flight(&world.flights[0])),
-        Action::DeliverLate(at) => format!("{now_ms} deliver late {}", flight(&world.late[at])),
-        Action::Part(Apart { at, frozen: true }) => format!("{now_ms} freeze {}", id(at)),
-        Action::Part(Apart { at, frozen: false }) => format!("{now_ms} cut off {}", id(at)),
-        Action::Join => format!("{now_ms} all reach each other again"),
+        Action::Deliver => format!("{now_ms} deliver {}", flight(&world.in_flight[0])),
+        Action::Duplicate => format!("{now_ms} deliver and repeat {}", flight(&world.in_flight[0])),
+        Action::Delay => format!("{now_ms} delay {}", flight(&world.in_flight[0])),
+        Action::DeliverLate(at) => {
+            format!("{now_ms} deliver late {}", flight(&world.out_of_turn[at]))
+        }
+        Action::Isolate(Isolation { at, frozen: true }) => format!("{now_ms} freeze {}", id(at)),
+        Action::Isolate(Isolation { at, frozen: false }) => format!("{now_ms} cut off {}", id(at)),
+        Action::Rejoin => format!("{now_ms} all reach each other again"),
         Action::Advance(step_ms) => format!("{now_ms} advance by {step_ms}"),
         Action::Tick(at)
         | Action::Sync(at)
@@ -133,7 +135,7 @@
         | Action::Crash(at)
         | Action::LoseDisk(at)
         | Action::Propose(at)
-        | Action::HandOver(at)
+        | Action::TransferLeadership(at)
         | Action::Compact(at)
         | Action::Learner(at, _) => format!("{now_ms} {action:?} of member {}", id(at)),
     }
--- a/crates/consensus/tests/exhaustive/world.rs
+++ b/crates/consensus/tests/exhaustive/world.rs
@@ -24,11 +24,11 @@
     /// Messages that arrive out of turn: at any later moment, or never.
     pub delays: u8,
     /// Times that a machine is cut off, so that what it sends and is sent meanwhile is lost.
-    pub cuts: u8,
+    pub partitions: u8,
     /// Times that a machine stands still; what it is sent meanwhile may reach it afterwards.
     pub freezes: u8,
     pub proposals: u8,
-    pub hand_overs: u8,
+    pub leadership_transfers: u8,
     pub compactions: u8,
     pub learners: u8,
     pub advances: u8,
@@ -67,8 +67,8 @@
         }
     }
 
-    pub fn holds(&self, index: u64, term: u64) -> bool {
-        let covered = self.snapshot.as_ref().is_some_and(|kept| kept.index >= index);
+    pub fn contains(&self, index: u64, term: u64) -> bool {
+        let covered = self.snapshot.as_ref().is_some_and(|snapshot| snapshot.index >= index);
         covered || self.entries.iter().any(|one| (one.index, one.term) == (index, term))
     }
 }
@@ -82,8 +82,8 @@
     pub slow: bool,
     pub applied: u64,
     /// The number of the member that lost its disk here.
-    pub before: Option<MemberId>,
-    pub lives: u64,
+    pub replaced_id: Option<MemberId>,
+    pub incarnation: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -95,7 +95,7 @@
 
 /// A machine that nothing reaches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Apart {
+pub struct Isolation {
     pub at: usize,
     pub frozen: bool,
 }
@@ -105,17 +105,17 @@
     pub now_ms: u64,
     pub machines: Vec<Arc<Machine>>,
     /// In the order they were sent.
-    pub flights: Vec<Arc<Flight>>,
+    pub in_flight: Vec<Arc<Flight>>,
     /// Those out of turn.
-    pub late: Vec<Arc<Flight>>,
-    pub apart: Option<Apart>,
-    pub left: Bounds,
+    pub out_of_turn: Vec<Arc<Flight>>,
+    pub isolation: Option<Isolation>,
+    pub remaining: Bounds,
     pub ledger: Arc<Ledger>,
 }
 
 impl World {
     /// Three members that formed a log and start now.
-    pub fn started(left: Bounds) -> World {
+    pub fn started(remaining: Bounds) -> World {
         let members = (1..=3).map(member).collect();
         let snapshot = Arc::new(Snapshot { index: 0, term: 0, members, state: Vec::new() });
         let disk = Disk { snapshot: Some(snapshot), ..Disk::default() };
@@ -126,54 +126,55 @@
                 unsynced: VecDeque::new(),
                 slow: false,
                 applied: 0,
-                before: None,
-                lives: 0,
+                replaced_id: None,
+                incarnation: 0,
             })
         };
         World {
             now_ms: START_MS,
             machines: (1..=3).map(machine).collect(),
-            flights: Vec::new(),
-            late: Vec::new(),
-            apart: None,
-            left,
+            in_flight: Vec::new(),
+            out_of_turn: Vec::new(),
+            isolation: None,
+            remaining,
             ledger: Arc::default(),
         }
     }
 
     pub fn fingerprint(&self, horizon_ms: u64) -> u64 {
         use std::hash::Hash;
-        let moment = FingerprintTime { now_ms: self.now_ms, horizon_ms };
+        let time = FingerprintTime { now_ms: self.now_ms, horizon_ms };
         let mut hasher = DefaultHasher::new();
         for machine in &self.machines {
-            machine.node.fingerprint(moment, &mut hasher);
+            machine.node.fingerprint(time, &mut hasher);
             machine.disk.hash(&mut hasher);
-            (machine.slow, machine.applied, machine.before, machine.lives).hash(&mut hasher);
+            (machine.slow, machine.applied, machine.replaced_id, machine.incarnation)
+                .hash(&mut hasher);
             machine.unsynced.iter().for_each(|(_, write)| write.hash(&mut hasher));
         }
-        for flight in &self.flights {
-            flight.fingerprint(moment).hash(&mut hasher);
+        for flight in &self.in_flight {
+            flight.fingerprint(time).hash(&mut hasher);
         }
         let mut late = 0u64;
-        for flight in &self.late {
-            late = late.wrapping_add(flight.fingerprint(moment));
+        for flight in &self.out_of_turn {
+            late = late.wrapping_add(flight.fingerprint(time));
         }
-        (late, self.apart, self.left, &*self.ledger).hash(&mut hasher);
+        (late, self.isolation, self.remaining, &*self.ledger).hash(&mut hasher);
         hasher.finish()
     }
 }
 
 impl Flight {
-    pub fn fingerprint(&self, moment: FingerprintTime) -> u64 {
+    pub fn fingerprint(&self, time: FingerprintTime) -> u64 {
         use std::hash::Hash;
         let mut hasher = DefaultHasher::new();
         (self.from.id, self.to.id).hash(&mut hasher);
-        self.message.fingerprint(moment, &mut hasher);
+        self.message.fingerprint(time, &mut hasher);
         hasher.finish()
     }
 }
 
 /// Each life of each member has a seed of its own, as the processes draw theirs at random.
-pub fn seed(id: MemberId, lives: u64) -> u64 {
-    0x9e37_79b9_7f4a_7c15u64.wrapping_mul(2 * (id + 100 * lives) + 1)
+pub fn seed(id: MemberId, incarnation: u64) -> u64 {
+    0x9e37_79b9_7f4a_7c15u64.wrapping_mul(2 * (id + 100 * incarnation) + 1)
 }
--- a/crates/consensus/tests/flow.rs
+++ b/crates/consensus/tests/flow.rs
@@ -10,35 +10,35 @@
 const BATCH_BYTES: usize = 1_000;
 
 #[test]
-fn a_follower_that_does_not_answer_is_sent_no_more_than_its_bound() {
+fn an_unresponsive_follower_is_sent_no_more_than_the_in_flight_bound() {
     let mut cluster = Cluster::new(u64::MAX, 1_000);
-    let (leader, mute) = (cluster.leader().unwrap(), cluster.follower());
+    let (leader, unresponsive) = (cluster.leader().unwrap(), cluster.follower());
     let sent_bytes = Rc::new(Cell::new(0));
     let count = sent_bytes.clone();
-    cluster.loses = Box::new(move |_, to, message| {
+    cluster.drops_frame = Box::new(move |_, to, message| {
         if let Message::Append(append) = message
-            && to == mute
+            && to == unresponsive
         {
             count.set(count.get() + append.entries.iter().map(Entry::size).sum::<usize>() as u64);
         }
-        to == mute
+        to == unresponsive
     });
     cluster.run_with_changes(2_000, 2_000, BATCH_BYTES);
     assert!(cluster.node(leader).commit_index() > 3_000, "the majority goes on");
     assert!(sent_bytes.get() > 0 && sent_bytes.get() <= FOLLOWER_IN_FLIGHT_BYTES, "{sent_bytes:?}");
-    cluster.loses = Box::new(|_, _, _| false);
-    cluster.settle();
+    cluster.drops_frame = Box::new(|_, _, _| false);
+    cluster.assert_all_converge();
 }
 
 #[test]
-fn one_lost_frame_is_sent_again_with_no_more_than_was_under_way() {
+fn a_lost_frame_resends_no_more_than_the_bytes_in_flight() {
     let mut cluster = Cluster::new(u64::MAX, 1_000);
     let slow = cluster.follower();
     cluster.speeds.insert(slow, SLOW);
     let sent_bytes = Rc::new(Cell::new(0));
     let count = sent_bytes.clone();
     let mut frames = 0;
-    cluster.loses = Box::new(move |_, to, message| {
+    cluster.drops_frame = Box::new(move |_, to, message| {
         let Message::Append(append) = message else { return false };
         let bytes: u64 = append.entries.iter().map(|entry| entry.size() as u64).sum();
         if to != slow || bytes == 0 {
@@ -49,7 +49,7 @@
         frames == 100
     });
     cluster.run_with_changes(1_000, 1_200, BATCH_BYTES);
-    cluster.settle();
+    cluster.assert_all_converge();
     let due_bytes = 1_200 * (BATCH_BYTES as u64 + 32);
     let again_bytes = sent_bytes.get() - due_bytes;
     println!("{again_bytes} bytes again for one lost frame");
--- /dev/null
+++ b/crates/consensus/tests/leadership_transfer.rs
@@ -0,0 +1,132 @@
+use postbarrow_consensus::*;
+use std::sync::Arc;
+
+fn member(id: u64) -> Member {
+    Member { id, address: format!("10.0.0.{id}:1").parse().unwrap() }
+}
+
+/// Three voters whose frames arrive at once and whose disks sync at once.
+struct ThreeMembers {
+    nodes: Vec<Consensus>,
+    now_ms: u64,
+    received_handover: Vec<(u64, Vec<u8>)>,
+}
+
+impl ThreeMembers {
+    fn led_by_one() -> ThreeMembers {
+        let members: Vec<Member> = (1..=3).map(member).collect();
+        let snapshot = Arc::new(Snapshot { index: 0, term: 0, members, state: Vec::new() });
+        let recovered = RecoveredState { snapshot: Some(snapshot), ..RecoveredState::default() };
+        let consensus = |id| Consensus::new(id, recovered.clone(), 7, 1_000);
+        let mut cluster = ThreeMembers {
+            nodes: (1..=3).map(consensus).collect(),
+            now_ms: 10_000,
+            received_handover: vec![],
+        };
+        cluster.give(1, Input::Tick);
+        cluster.give(1, Input::Tick);
+        assert_eq!(cluster.node(1).role(), Role::Leader);
+        cluster
+    }
+
+    fn node(&self, id: u64) -> &Consensus {
+        &self.nodes[id as usize - 1]
+    }
+
+    fn give(&mut self, to: u64, input: Input) {
+        let mut queue = vec![(to, input)];
+        while let Some((to, input)) = queue.pop() {
+            let effects = self.nodes[to as usize - 1].handle(self.now_ms, input);
+            for effect in effects {
+                match effect {
+                    Effect::Send { to: other, message } => {
+                        queue.insert(0, (other.id, Input::Receive { from: member(to), message }));
+                    }
+                    Effect::Write { sequence, .. } => {
+                        queue.insert(0, (to, Input::Synced(sequence)))
+                    }
+                    Effect::LeadershipReceived { note, .. } => {
+                        self.received_handover.push((to, note))
+                    }
+                    _ => {}
+                }
+            }
+        }
+    }
+}
+
+#[test]
+fn a_leadership_transfer_ends_the_old_lease_before_the_new_leader_is_elected() {
+    let mut cluster = ThreeMembers::led_by_one();
+    cluster.now_ms += 100;
+    cluster.give(1, Input::Tick);
+    assert!(cluster.node(1).lease_until() > cluster.now_ms);
+    let effects = cluster.nodes[0].handle(cluster.now_ms, Input::TransferLeadership(vec![9]));
+    assert_eq!(
+        cluster.node(1).lease_until(),
+        0,
+        "nothing is granted while another is asked to lead"
+    );
+    let Some(Effect::Send { to, message }) = effects.into_iter().next() else {
+        panic!("nobody asked")
+    };
+    cluster.give(to.id, Input::Receive { from: member(1), message });
+    assert_eq!(cluster.node(to.id).role(), Role::Leader, "without waiting for any promise to end");
+    assert!(cluster.node(to.id).lease_until() > cluster.now_ms);
+    assert_eq!(cluster.node(1).role(), Role::Follower);
+    assert_eq!(cluster.received_handover, [(to.id, vec![9])]);
+}
+
+#[test]
+fn a_relinquished_lease_is_not_renewed_in_the_same_term() {
+    let mut cluster = ThreeMembers::led_by_one();
+    let _lost = cluster.nodes[0].handle(cluster.now_ms, Input::TransferLeadership(Vec::new()));
+    for _ in 0..5 {
+        cluster.now_ms += 100;
+        cluster.give(1, Input::Tick);
+        assert_eq!(cluster.node(1).lease_until(), 0);
+    }
+}
+
+#[test]
+fn only_the_leader_of_the_current_term_can_transfer_leadership() {
+    let mut cluster = ThreeMembers::led_by_one();
+    for (from, term) in [(3, 1), (1, 0), (1, 2)] {
+        let request = TimeoutNow { term, sent_ms: 0, handover_state: Vec::new() };
+        let effects = cluster.nodes[1].handle(
+            cluster.now_ms,
+            Input::Receive { from: member(from), message: Message::TimeoutNow(request) },
+        );
+        assert!(effects.is_empty(), "from {from}, term {term}: {effects:?}");
+    }
+    let vote = VoteRequest {
+        term: 2,
+        last_index: 9,
+        last_term: 9,
+        leadership_transfer: false,
+        leaderless: false,
+    };
+    let message = Message::Vote(vote);
+    let effects =
+        cluster.nodes[1].handle(cluster.now_ms, Input::Receive { from: member(3), message });
+    assert!(effects.is_empty(), "a promise to a leader binds unless that leader gave up");
+}
+
+#[test]
+fn a_delayed_handover_state_reports_its_delay() {
+    let mut cluster = ThreeMembers::led_by_one();
+    let request = TimeoutNow {
+        term: cluster.node(1).term(),
+        sent_ms: cluster.now_ms,
+        handover_state: Vec::new(),
+    };
+    let late_ms = 2_000;
+    let message = Message::TimeoutNow(request);
+    let effects = cluster.nodes[1]
+        .handle(cluster.now_ms + late_ms, Input::Receive { from: member(1), message });
+    let reported_ms = effects.iter().find_map(|effect| match effect {
+        Effect::LeadershipReceived { late_ms, .. } => Some(*late_ms),
+        _ => None,
+    });
+    assert_eq!(reported_ms, Some(late_ms));
+}
--- a/crates/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -20,18 +20,18 @@
             RecoveredState { snapshot: Some(Arc::new(snapshot)), ..RecoveredState::default() };
         let mut bench = Bench { node: Consensus::new(1, recovered, 7, 10_000), now_ms: 10_000 };
         while bench.node.role() != Role::Leader {
-            bench.pass(&[3]);
+            bench.tick(&[3]);
             assert!(bench.now_ms < 20_000, "it never led");
         }
         let until_ms = bench.now_ms + VOTER_DEAD_MS + 500;
         while bench.now_ms < until_ms {
-            bench.pass(&[3]);
+            bench.tick(&[3]);
         }
         bench
     }
 
     /// One tick, in which these answer everything they are sent and all is synced.
-    fn pass(&mut self, answering: &[u64]) {
+    fn tick(&mut self, answering: &[u64]) {
         self.now_ms += 20;
         let mut effects: Vec<Effect> = self.node.handle(self.now_ms, Input::Tick);
         while !effects.is_empty() {
@@ -40,8 +40,8 @@
                 match effect {
                     Effect::Write { sequence, .. } => inputs.push(Input::Synced(sequence)),
                     Effect::Send { to, message } if answering.contains(&to.id) => {
-                        let said = answer(message);
-                        inputs.extend(said.map(|message| Input::Receive { from: to, message }));
+                        let response = response_to(message);
+                        inputs.extend(response.map(|message| Input::Receive { from: to, message }));
                     }
                     _ => {}
                 }
@@ -56,39 +56,41 @@
     }
 }
 
-fn answer(message: Message) -> Option<Message> {
+fn response_to(message: Message) -> Option<Message> {
     match message {
-        Message::PreVote(ask) => Some(Message::PreVoteResponse { term: ask.term, granted: true }),
-        Message::Vote(ask) => Some(Message::VoteResponse { term: ask.term, granted: true }),
+        Message::PreVote(request) => {
+            Some(Message::PreVoteResponse { term: request.term, granted: true })
+        }
+        Message::Vote(request) => Some(Message::VoteResponse { term: request.term, granted: true }),
         Message::Append(append) => Some(Message::AppendResponse(AppendResponse {
             term: append.term,
             matched: Some(append.prev_index + append.entries.len() as u64),
             hint: 0,
             sent_ms: append.sent_ms,
         })),
-        Message::Snapshot(part) => Some(Message::SnapshotResponse(SnapshotResponse {
-            term: part.term,
-            index: part.index,
-            received: part.total,
+        Message::Snapshot(chunk) => Some(Message::SnapshotResponse(SnapshotResponse {
+            term: chunk.term,
+            index: chunk.index,
+            received: chunk.total,
             done: true,
-            sent_ms: part.sent_ms,
-            offset: part.offset,
+            sent_ms: chunk.sent_ms,
+            offset: chunk.offset,
         })),
         _ => None,
     }
 }
 
 #[test]
-fn nobody_leaves_for_a_learner_that_came_as_another_member_fell_silent() {
+fn no_responsive_voter_is_removed_while_another_is_unresponsive() {
     let mut bench = Bench::new();
     bench.node.handle(bench.now_ms, Input::AddLearner(member(9)));
     for _ in 0..400 {
-        bench.pass(&[9]);
+        bench.tick(&[9]);
     }
     assert_eq!(bench.ids(), [1, 2, 3], "the second may only be cut off; the third is what is lost");
-    bench.pass(&[2, 9]);
+    bench.tick(&[2, 9]);
     for _ in 0..400 {
-        bench.pass(&[2, 9]);
+        bench.tick(&[2, 9]);
     }
     let mut ids = bench.ids();
     ids.sort_unstable();
@@ -96,11 +98,11 @@
 }
 
 #[test]
-fn a_learner_that_stands_by_takes_the_place_of_the_silent() {
+fn a_caught_up_learner_replaces_an_unresponsive_voter() {
     let mut bench = Bench::new();
     bench.node.handle(bench.now_ms, Input::AddLearner(member(9)));
     for _ in 0..200 {
-        bench.pass(&[3, 9]);
+        bench.tick(&[3, 9]);
     }
     let mut ids = bench.ids();
     ids.sort_unstable();
--- a/crates/consensus/tests/replacement/cluster.rs
+++ b/crates/consensus/tests/replacement/cluster.rs
@@ -22,11 +22,11 @@
     pub synced_at_ms: Option<u64>,
     /// Numbers of the changes committed here.
     pub applied: BTreeSet<u64>,
-    pub stop_until_ms: Option<u64>,
+    pub stop_deadline_ms: Option<u64>,
     /// End of what it ever acknowledged.
     pub acknowledged: u64,
     /// When it last knew who leads.
-    pub led_ms: u64,
+    pub last_known_leader_ms: u64,
 }
 
 pub struct Cluster {
@@ -42,7 +42,7 @@
     pub slow: Option<MemberId>,
     losses: usize,
     voter_dead_ms: u64,
-    cut: BTreeSet<MemberId>,
+    partition: BTreeSet<MemberId>,
 }
 
 pub fn member(id: MemberId) -> Member {
@@ -63,21 +63,21 @@
             slow: None,
             losses: voters as usize / 2,
             voter_dead_ms,
-            cut: BTreeSet::new(),
+            partition: BTreeSet::new(),
         };
         let members: Vec<Member> = (1..=voters).map(member).collect();
         for id in 1..=voters {
             cluster.start(id);
             cluster.give(id, Input::Bootstrap(members.clone()));
         }
-        cluster.pass(2_000 + CHANGES * CHANGE_MS);
+        cluster.run_ms(2_000 + CHANGES * CHANGE_MS);
         for id in 1..=voters {
             let machine = &cluster.machines[&id];
             let index = machine.node.as_ref().unwrap().commit_index();
             let state = encode(&machine.applied);
             cluster.give(id, Input::Compact { index, state });
         }
-        cluster.pass(500);
+        cluster.run_ms(500);
         assert!(cluster.acknowledged.len() as u64 >= CHANGES, "{}", cluster.acknowledged.len());
         cluster
     }
@@ -95,9 +95,9 @@
             writes: VecDeque::new(),
             synced_at_ms: None,
             applied,
-            stop_until_ms: None,
+            stop_deadline_ms: None,
             acknowledged: 0,
-            led_ms: self.now_ms,
+            last_known_leader_ms: self.now_ms,
         };
         self.machines.insert(id, machine);
     }
@@ -112,25 +112,25 @@
 
     /// Asks for a planned stop, as the control process does it.
     pub fn stop(&mut self, id: MemberId) {
-        self.machines.get_mut(&id).unwrap().stop_until_ms =
+        self.machines.get_mut(&id).unwrap().stop_deadline_ms =
             Some(self.now_ms + LEADERSHIP_TRANSFER_MS);
         self.give(id, Input::Depart);
     }
 
     /// No frame leaves or reaches this one.
-    pub fn cut(&mut self, id: MemberId) {
-        self.cut.insert(id);
+    pub fn partition(&mut self, id: MemberId) {
+        self.partition.insert(id);
     }
 
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.partition.clear();
     }
 
-    pub fn lives(&self, id: MemberId) -> bool {
+    pub fn is_running(&self, id: MemberId) -> bool {
         self.machines[&id].node.is_some()
     }
 
-    pub fn pass(&mut self, for_ms: u64) {
+    pub fn run_ms(&mut self, for_ms: u64) {
         let until_ms = self.now_ms + for_ms;
         while self.now_ms < until_ms {
             self.tick();
@@ -138,10 +138,10 @@
     }
 
     /// Milliseconds until it holds.
-    pub fn until(&mut self, most_ms: u64, holds: impl Fn(&Cluster) -> bool) -> Option<u64> {
+    pub fn run_until(&mut self, max_ms: u64, condition: impl Fn(&Cluster) -> bool) -> Option<u64> {
         let from_ms = self.now_ms;
-        while !holds(self) {
-            if self.now_ms >= from_ms + most_ms {
+        while !condition(self) {
+            if self.now_ms >= from_ms + max_ms {
                 return None;
             }
             self.tick();
@@ -163,7 +163,7 @@
                 self.stop_tick(*id);
             }
             if self.now_ms.is_multiple_of(DISCOVERY_MS) {
-                self.greet(*id);
+                self.send_discovery(*id);
             }
         }
         if self.now_ms.is_multiple_of(self.change_ms)
@@ -176,9 +176,11 @@
 
     fn stop_tick(&mut self, id: MemberId) {
         let machine = &self.machines[&id];
-        let (Some(node), Some(until_ms)) = (&machine.node, machine.stop_until_ms) else { return };
-        let heir = node.leader().is_some_and(|leader| leader.id != id);
-        if self.now_ms >= until_ms || (heir && node.has_left()) {
+        let (Some(node), Some(until_ms)) = (&machine.node, machine.stop_deadline_ms) else {
+            return;
+        };
+        let has_successor = node.leader().is_some_and(|leader| leader.id != id);
+        if self.now_ms >= until_ms || (has_successor && node.has_left()) {
             return self.kill(id);
         }
         if node.is_ready() && node.commit_index() == node.last_index() {
@@ -187,16 +189,16 @@
     }
 
     /// As the controller does: who is left out, or knows of no leader for long, greets.
-    fn greet(&mut self, id: MemberId) {
+    fn send_discovery(&mut self, id: MemberId) {
         let now_ms = self.now_ms;
         let Some(machine) = self.machines.get_mut(&id) else { return };
         let Some(node) = &machine.node else { return };
         if node.leader().is_some() {
-            machine.led_ms = now_ms;
+            machine.last_known_leader_ms = now_ms;
         }
-        let outside = !node.members().iter().any(|one| one.id == id);
-        let lost = now_ms > machine.led_ms + 3 * ELECTION_MIN_MS;
-        if (outside || lost) && machine.stop_until_ms.is_none() {
+        let is_outside = !node.members().iter().any(|one| one.id == id);
+        let voters_to_lose = now_ms > machine.last_known_leader_ms + 3 * ELECTION_MIN_MS;
+        if (is_outside || voters_to_lose) && machine.stop_deadline_ms.is_none() {
             let ids: Vec<MemberId> = self.machines.keys().copied().collect();
             ids.into_iter().for_each(|to| self.frame(id, to, Input::AddLearner(member(id))));
         }
@@ -218,7 +220,7 @@
     }
 
     fn frame(&mut self, from: MemberId, to: MemberId, input: Input) {
-        if self.cut.contains(&from) || self.cut.contains(&to) {
+        if self.partition.contains(&from) || self.partition.contains(&to) {
             return;
         }
         self.order += 1;
@@ -230,7 +232,7 @@
         let Some(machine) = self.machines.get_mut(&id) else { return };
         let Some(node) = &mut machine.node else { return };
         let effects = node.handle(now_ms, input);
-        let leads = node.is_ready();
+        let is_leader = node.is_ready();
         for effect in effects {
             let machine = self.machines.get_mut(&id).unwrap();
             match effect {
@@ -250,7 +252,7 @@
                 Effect::Commit(entries) => {
                     let numbers = entries.iter().filter_map(number);
                     machine.applied.extend(numbers.clone());
-                    if leads {
+                    if is_leader {
                         self.acknowledged.extend(numbers);
                     }
                 }
--- a/crates/consensus/tests/replacement/main.rs
+++ b/crates/consensus/tests/replacement/main.rs
@@ -2,8 +2,8 @@
 
 mod cluster;
 mod disk;
+mod observation;
 mod planned;
-mod seen;
 mod unplanned;
 
 use cluster::Cluster;
@@ -18,7 +18,7 @@
 /// Voters, and the times that they are given.
 const SIZES: [(u64, (u64, u64)); 3] = [(3, SMALL), (5, GROWN), (7, GROWN)];
 
-fn lost(cluster: &Cluster, count: u64, with_leader: bool) -> Vec<u64> {
+fn voters_to_lose(cluster: &Cluster, count: u64, with_leader: bool) -> Vec<u64> {
     let leader = cluster.leader().unwrap();
     let mut ids = cluster.voters();
     ids.retain(|id| *id != leader);
@@ -30,18 +30,20 @@
 }
 
 /// These are lost at once, so many new ones come; how long after their start all of them vote.
-fn replaced(cluster: &mut Cluster, gone: &[u64], catch_up_ms: u64, when: &str) -> u64 {
-    gone.iter().for_each(|id| cluster.kill(*id));
-    cluster.pass(NEWCOMER_MS);
+fn replace_voters(cluster: &mut Cluster, lost_ids: &[u64], catch_up_ms: u64, when: &str) -> u64 {
+    lost_ids.iter().for_each(|id| cluster.kill(*id));
+    cluster.run_ms(NEWCOMER_MS);
     let first = 20 + cluster.now_ms % 100_000 / 10;
-    let newcomers: Vec<u64> = (0..gone.len() as u64).map(|at| 20 + (first + at) % 200).collect();
+    let newcomers: Vec<u64> =
+        (0..lost_ids.len() as u64).map(|at| 20 + (first + at) % 200).collect();
     newcomers.iter().for_each(|id| cluster.start(*id));
-    let voting = |cluster: &Cluster| {
+    let all_vote = |cluster: &Cluster| {
         let voters = cluster.voters();
-        newcomers.iter().all(|id| voters.contains(id)) && gone.iter().all(|id| !voters.contains(id))
+        newcomers.iter().all(|id| voters.contains(id))
+            && lost_ids.iter().all(|id| !voters.contains(id))
     };
-    let vote_ms = cluster.until(catch_up_ms * 3 / 4, voting);
+    let vote_ms = cluster.run_until(catch_up_ms * 3 / 4, all_vote);
     let vote_ms = vote_ms.unwrap_or_else(|| panic!("{when}: {:?}", cluster.voters()));
-    cluster.pass(catch_up_ms - vote_ms);
+    cluster.run_ms(catch_up_ms - vote_ms);
     vote_ms
 }
--- a/crates/consensus/tests/replacement/seen.rs
+++ b/crates/consensus/tests/replacement/observation.rs
@@ -12,10 +12,10 @@
 
     /// The one that leads and may say so.
     pub fn leader(&self) -> Option<MemberId> {
-        let holds = |id: &MemberId| {
+        let condition = |id: &MemberId| {
             self.node(*id).is_some_and(|node| node.is_ready() && node.lease_until() > self.now_ms)
         };
-        self.machines.keys().copied().find(holds)
+        self.machines.keys().copied().find(condition)
     }
 
     /// Members that the leader knows committed, in order.
@@ -30,7 +30,7 @@
     }
 
     /// End of what this one ever acknowledged, and of what its disk holds.
-    pub fn ends(&self, id: MemberId) -> (u64, u64) {
+    pub fn acknowledged_and_durable_index(&self, id: MemberId) -> (u64, u64) {
         let machine = &self.machines[&id];
         let slot = machine.disk.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         (machine.acknowledged, machine.disk.entries.last().map_or(slot, |entry| entry.index))
@@ -40,29 +40,29 @@
     pub fn has_margin(&self) -> bool {
         let Some(node) = self.leader().and_then(|id| self.node(id)) else { return false };
         let members = node.members();
-        let living = members.iter().filter(|one| self.lives(one.id)).count();
+        let living = members.iter().filter(|one| self.is_running(one.id)).count();
         living > members.len() / 2 + 1
     }
 
     /// What was acknowledged and is not held, durably, by any of these.
     pub fn missing_at(&self, id: MemberId, since: &BTreeSet<u64>) -> usize {
         let machine = &self.machines[&id];
-        let kept = machine.disk.snapshot.as_ref();
-        let mut durable = kept.map_or_else(BTreeSet::new, |one| decode(&one.state));
+        let snapshot = machine.disk.snapshot.as_ref();
+        let mut durable = snapshot.map_or_else(BTreeSet::new, |one| decode(&one.state));
         durable.extend(machine.disk.entries.iter().filter_map(number));
         since.difference(&durable).count()
     }
 
     /// Service is back, and whoever leads has committed all that was ever acknowledged.
-    pub fn must_serve(&mut self, most_ms: u64, when: &str) -> u64 {
-        let back_ms = self.until(most_ms, |cluster| cluster.leader().is_some());
-        let back_ms = back_ms.unwrap_or_else(|| panic!("{when}: no leader after {most_ms} ms"));
+    pub fn assert_serves(&mut self, max_ms: u64, when: &str) -> u64 {
+        let back_ms = self.run_until(max_ms, |cluster| cluster.leader().is_some());
+        let back_ms = back_ms.unwrap_or_else(|| panic!("{when}: no leader after {max_ms} ms"));
         let before = self.acknowledged.len();
-        self.pass(500);
+        self.run_ms(500);
         assert!(self.acknowledged.len() > before, "{when}: nothing more is acknowledged");
         let leader = self.leader().unwrap();
-        let lost = self.acknowledged.difference(&self.machines[&leader].applied).count();
-        assert_eq!(lost, 0, "{when}: acknowledged and lost");
+        let voters_to_lose = self.acknowledged.difference(&self.machines[&leader].applied).count();
+        assert_eq!(voters_to_lose, 0, "{when}: acknowledged and lost");
         back_ms
     }
 }
--- a/crates/consensus/tests/replacement/planned.rs
+++ b/crates/consensus/tests/replacement/planned.rs
@@ -5,35 +5,36 @@
 use std::cell::Cell;
 
 #[test]
-fn a_planned_leaver_gives_its_seat_before_it_ends_and_leaves_a_margin_all_the_time() {
+fn a_planned_departure_hands_its_seat_to_a_learner_without_losing_the_margin() {
     for (voters, (catch_up_ms, dead_ms)) in SIZES {
         for with_leader in [false, true] {
             let mut cluster = Cluster::running(voters, dead_ms);
             for turn in 0..2 {
                 let when = format!("{voters} voters, leader {with_leader}, turn {turn}");
-                let (newcomer, leaver) = (30 + turn, lost(&cluster, 1, with_leader)[0]);
+                let (newcomer, departing) =
+                    (30 + turn, voters_to_lose(&cluster, 1, with_leader)[0]);
                 cluster.start(newcomer);
-                cluster.pass(1_000);
-                cluster.stop(leaver);
+                cluster.run_ms(1_000);
+                cluster.stop(departing);
                 let without_margin_ms = Cell::new(0);
-                let ended = |cluster: &Cluster| {
-                    let bare = cluster.leader().is_some() && !cluster.has_margin();
-                    without_margin_ms.set(without_margin_ms.get() + u64::from(bare));
-                    !cluster.lives(leaver)
+                let has_ended = |cluster: &Cluster| {
+                    let lacks_margin = cluster.leader().is_some() && !cluster.has_margin();
+                    without_margin_ms.set(without_margin_ms.get() + u64::from(lacks_margin));
+                    !cluster.is_running(departing)
                 };
-                let end_ms = cluster.until(2_000, ended);
+                let end_ms = cluster.run_until(2_000, has_ended);
                 let end_ms = end_ms.unwrap_or_else(|| panic!("{when}: it doesn't end"));
                 assert_eq!(without_margin_ms.get(), 0, "{when}: no margin for so long");
                 let voters = cluster.voters();
-                assert!(voters.contains(&newcomer) && !voters.contains(&leaver), "{when}");
+                assert!(voters.contains(&newcomer) && !voters.contains(&departing), "{when}");
                 assert!(cluster.has_margin(), "{when}: no margin at its end");
                 println!("planned: {when}: seat given and ended {end_ms} ms after the wish");
-                cluster.pass(catch_up_ms - 1_000 - end_ms);
+                cluster.run_ms(catch_up_ms - 1_000 - end_ms);
                 let next = cluster.leader().unwrap();
                 cluster.kill(next);
-                cluster.must_serve(SERVICE_MS, &when);
+                cluster.assert_serves(SERVICE_MS, &when);
                 cluster.start(next);
-                cluster.pass(2_000);
+                cluster.run_ms(2_000);
             }
         }
     }
@@ -41,37 +42,37 @@
 
 /// The leaver knows of no newcomer yet, ends, and is known to be gone without more silence.
 #[test]
-fn a_newcomer_that_starts_with_the_stop_takes_the_seat_without_waiting_for_silence() {
+fn a_learner_started_with_the_departure_is_seated_before_the_dead_voter_timeout() {
     for with_leader in [false, true] {
         let mut cluster = Cluster::running(3, SMALL.1);
-        let leaver = lost(&cluster, 1, with_leader)[0];
-        cluster.stop(leaver);
-        cluster.pass(50);
+        let departing = voters_to_lose(&cluster, 1, with_leader)[0];
+        cluster.stop(departing);
+        cluster.run_ms(50);
         cluster.start(30);
-        let seated = |cluster: &Cluster| {
+        let has_seat = |cluster: &Cluster| {
             let voters = cluster.voters();
-            voters.contains(&30) && !voters.contains(&leaver)
+            voters.contains(&30) && !voters.contains(&departing)
         };
-        let vote_ms = cluster.until(1_500, seated);
+        let vote_ms = cluster.run_until(1_500, has_seat);
         println!("stop and start at once: leader {with_leader}: vote {vote_ms:?} ms after");
         assert!(vote_ms.is_some(), "leader {with_leader}: {:?}", cluster.voters());
     }
 }
 
 #[test]
-fn a_mere_restart_changes_no_member() {
+fn a_restart_without_a_learner_changes_no_member() {
     for with_leader in [false, true] {
         let mut cluster = Cluster::running(3, SMALL.1);
         for _ in 0..4 {
             let before = cluster.voters();
-            let one = lost(&cluster, 1, with_leader)[0];
+            let one = voters_to_lose(&cluster, 1, with_leader)[0];
             cluster.stop(one);
-            let end_ms = cluster.until(1_500, |cluster| !cluster.lives(one));
+            let end_ms = cluster.run_until(1_500, |cluster| !cluster.is_running(one));
             println!("restart: leader {with_leader}: ended {:?} ms after the wish", end_ms);
             assert!(end_ms.is_some(), "a restart waits for nobody");
-            cluster.pass(300);
+            cluster.run_ms(300);
             cluster.start(one);
-            cluster.pass(2_000);
+            cluster.run_ms(2_000);
             assert_eq!(cluster.voters(), before);
         }
     }
@@ -79,93 +80,97 @@
 
 /// B is cut off while A and C acknowledge; then A is asked to stop, and a newcomer comes.
 #[test]
-fn a_leaver_that_holds_what_only_one_other_holds_stays_until_another_does() {
+fn a_departing_member_stays_until_a_majority_of_the_others_has_its_entries() {
     let mut cluster = Cluster::running(3, 60_000);
     let leader = cluster.leader().unwrap();
-    let mut others = lost(&cluster, 2, false);
+    let mut others = voters_to_lose(&cluster, 2, false);
     let (behind, other) = (others.remove(0), others.remove(0));
-    cluster.cut(behind);
-    cluster.pass(1_000);
-    let held = cluster.acknowledged.clone();
-    assert!(cluster.missing_at(behind, &held) > 50, "what only two hold");
+    cluster.partition(behind);
+    cluster.run_ms(1_000);
+    let acknowledged_changes = cluster.acknowledged.clone();
+    assert!(cluster.missing_at(behind, &acknowledged_changes) > 50, "what only two hold");
     cluster.stop(leader);
-    cluster.pass(1_500);
-    assert!(cluster.lives(leader), "only one other holds what it acknowledged");
-    let held = cluster.acknowledged.clone();
+    cluster.run_ms(1_500);
+    assert!(cluster.is_running(leader), "only one other holds what it acknowledged");
+    let acknowledged_changes = cluster.acknowledged.clone();
     cluster.heal();
-    let end_ms = cluster.until(1_400, |cluster| !cluster.lives(leader));
+    let end_ms = cluster.run_until(1_400, |cluster| !cluster.is_running(leader));
     assert!(end_ms.is_some(), "both others hold it");
-    assert_eq!(cluster.missing_at(behind, &held), 0);
-    assert_eq!(cluster.missing_at(other, &held), 0);
-    cluster.must_serve(SERVICE_MS, "after it ended");
+    assert_eq!(cluster.missing_at(behind, &acknowledged_changes), 0);
+    assert_eq!(cluster.missing_at(other, &acknowledged_changes), 0);
+    cluster.assert_serves(SERVICE_MS, "after it ended");
 }
 
 #[test]
-fn what_a_leaver_acknowledged_outlives_it_and_the_next_to_go() {
+fn acknowledged_entries_survive_a_departure_and_the_next_loss() {
     for with_leader in [false, true] {
         let mut cluster = Cluster::running(3, SMALL.1);
         cluster.start(30);
-        cluster.pass(700);
-        let leaver = lost(&cluster, 1, with_leader)[0];
-        cluster.stop(leaver);
-        cluster.until(3_000, |cluster| !cluster.lives(leaver)).expect("it ends");
-        let held = cluster.acknowledged.clone();
+        cluster.run_ms(700);
+        let departing = voters_to_lose(&cluster, 1, with_leader)[0];
+        cluster.stop(departing);
+        cluster.run_until(3_000, |cluster| !cluster.is_running(departing)).expect("it ends");
+        let acknowledged_changes = cluster.acknowledged.clone();
         let next = cluster.leader().unwrap();
         cluster.kill(next);
-        for id in [1, 2, 3, 30].into_iter().filter(|id| *id != leaver && *id != next) {
-            assert!(cluster.missing_at(id, &held) <= 1, "{id} lacks {}", {
-                cluster.missing_at(id, &held)
+        for id in [1, 2, 3, 30].into_iter().filter(|id| *id != departing && *id != next) {
+            assert!(cluster.missing_at(id, &acknowledged_changes) <= 1, "{id} lacks {}", {
+                cluster.missing_at(id, &acknowledged_changes)
             });
         }
-        cluster.must_serve(SERVICE_MS, "after the next loss");
+        cluster.assert_serves(SERVICE_MS, "after the next loss");
     }
 }
 
 /// A loss beside the one that is planned: the leaver's seat must not be waited for by the log.
 #[test]
-fn the_leader_is_lost_at_any_moment_of_a_planned_replacement() {
+fn a_leader_lost_at_any_time_of_a_departure_costs_no_service() {
     for after_ms in (0..=120).step_by(10) {
         let mut cluster = Cluster::running(3, SMALL.1);
         let when = format!("leader lost {after_ms} ms after the stop");
-        let (leader, leaver) = (cluster.leader().unwrap(), lost(&cluster, 1, false)[0]);
+        let (leader, departing) =
+            (cluster.leader().unwrap(), voters_to_lose(&cluster, 1, false)[0]);
         cluster.start(30);
-        cluster.pass(1_000);
-        cluster.stop(leaver);
-        cluster.pass(after_ms);
+        cluster.run_ms(1_000);
+        cluster.stop(departing);
+        cluster.run_ms(after_ms);
         cluster.kill(leader);
-        cluster.must_serve(SERVICE_MS, &when);
-        let end_ms = cluster.until(1_000, |cluster| !cluster.lives(leaver));
+        cluster.assert_serves(SERVICE_MS, &when);
+        let end_ms = cluster.run_until(1_000, |cluster| !cluster.is_running(departing));
         assert!(end_ms.is_some(), "{when}: the leaver waits for the dead one's silence");
-        cluster.pass(SMALL.0);
-        cluster.must_serve(1, &format!("{when}, after the leaver's end"));
+        cluster.run_ms(SMALL.0);
+        cluster.assert_serves(1, &format!("{when}, after the leaver's end"));
         cluster.start(31);
-        cluster.pass(SMALL.0);
+        cluster.run_ms(SMALL.0);
         let voters = cluster.voters();
         assert!(voters.contains(&30) && voters.contains(&31), "{when}: {voters:?}");
     }
 }
 
 #[test]
-fn who_ends_has_acknowledged_nothing_that_the_living_do_not_hold() {
+fn all_remaining_members_have_what_a_departed_member_acknowledged() {
     for (voters, dead_ms) in [(3, SMALL.1), (5, GROWN.1)] {
         let mut cluster = Cluster::running(voters, dead_ms);
         for change_ms in [1, 3, 10] {
             cluster.change_ms = change_ms;
             for offset_ms in 0..8 {
-                cluster.pass(1_000 + offset_ms);
-                let others = lost(&cluster, 2, false);
+                cluster.run_ms(1_000 + offset_ms);
+                let others = voters_to_lose(&cluster, 2, false);
                 let (one, slow) = (others[0], others[1]);
                 cluster.slow = Some(slow);
-                cluster.pass(200);
+                cluster.run_ms(200);
                 cluster.stop(one);
-                let end_ms = cluster.until(1_000, |cluster| !cluster.lives(one));
+                let end_ms = cluster.run_until(1_000, |cluster| !cluster.is_running(one));
                 let when =
                     format!("{voters} voters, a change each {change_ms} ms, offset {offset_ms}");
                 assert!(end_ms.is_some(), "{when}: it doesn't end");
-                let (acknowledged, _) = cluster.ends(one);
+                let (acknowledged, _) = cluster.acknowledged_and_durable_index(one);
                 for other in cluster.voters().into_iter().filter(|other| *other != one) {
-                    let (_, held) = cluster.ends(other);
-                    assert!(held >= acknowledged, "{when}: {other} holds {held} of {acknowledged}");
+                    let (_, acknowledged_changes) = cluster.acknowledged_and_durable_index(other);
+                    assert!(
+                        acknowledged_changes >= acknowledged,
+                        "{when}: {other} holds {acknowledged_changes} of {acknowledged}"
+                    );
                 }
                 cluster.slow = None;
                 cluster.start(one);
@@ -175,30 +180,30 @@
 }
 
 #[test]
-fn a_newcomer_that_dies_half_way_twice_costs_nothing() {
+fn learners_that_are_lost_during_a_departure_cost_no_service() {
     for voters in [3, 5] {
         for after_ms in [20, 250, 500, 620, 650, 700, 2_100, 2_200] {
             let mut cluster = Cluster::running(voters, SMALL.1);
             let when = format!("{voters} voters, newcomer dies after {after_ms} ms");
-            let leaver = lost(&cluster, 1, false)[0];
+            let departing = voters_to_lose(&cluster, 1, false)[0];
             cluster.start(30);
-            cluster.pass(300);
-            cluster.stop(leaver);
-            cluster.pass(after_ms);
+            cluster.run_ms(300);
+            cluster.stop(departing);
+            cluster.run_ms(after_ms);
             cluster.kill(30);
-            cluster.pass(1_000);
+            cluster.run_ms(1_000);
             cluster.start(31);
-            cluster.pass(after_ms);
+            cluster.run_ms(after_ms);
             cluster.kill(31);
-            cluster.pass(1_000);
-            cluster.must_serve(SERVICE_MS, &when);
+            cluster.run_ms(1_000);
+            cluster.assert_serves(SERVICE_MS, &when);
             cluster.start(32);
-            cluster.pass(2 * SMALL.0);
+            cluster.run_ms(2 * SMALL.0);
             assert!(cluster.voters().contains(&32), "{when}: {:?}", cluster.voters());
             assert_eq!(cluster.voters().len() as u64, voters, "{when}");
             let next = cluster.leader().unwrap();
             cluster.kill(next);
-            cluster.must_serve(SERVICE_MS, &when);
+            cluster.assert_serves(SERVICE_MS, &when);
         }
     }
 }
--- a/crates/consensus/tests/votes.rs
+++ b/crates/consensus/tests/votes.rs
@@ -6,12 +6,12 @@
     Member { id, address: format!("10.0.0.{id}:1").parse().unwrap() }
 }
 
-fn voter(now_ms: u64, hard: HardState) -> Consensus {
+fn voter(now_ms: u64, hard_state: HardState) -> Consensus {
     let members = (1..=3).map(member).collect();
     let snapshot = Snapshot { index: 0, term: 0, members, state: Vec::new() };
     let recovered = RecoveredState {
-        term: hard.term,
-        voted_for: hard.voted_for,
+        term: hard_state.term,
+        voted_for: hard_state.voted_for,
         snapshot: Some(Arc::new(snapshot)),
         entries: Vec::new(),
     };
@@ -22,7 +22,7 @@
     node.handle(now_ms, Input::Receive { from: member(from), message })
 }
 
-fn ask(term: u64) -> VoteRequest {
+fn vote_request(term: u64) -> VoteRequest {
     VoteRequest { term, last_index: 0, last_term: 0, leadership_transfer: false, leaderless: false }
 }
 
@@ -57,42 +57,42 @@
 const START_MS: u64 = 10_000;
 
 #[test]
-fn who_heard_a_leader_promises_nothing_until_its_hold_is_over() {
+fn a_voter_in_contact_with_a_leader_grants_no_vote_before_the_election_timeout() {
     let mut node = voter(START_MS, HardState::default());
-    let heard_ms = START_MS + 5_000;
-    receive(&mut node, heard_ms, 2, append(1));
-    let soon_ms = heard_ms + ELECTION_MIN_MS - 1;
-    assert!(soon_ms > heard_ms + LEADER_LEASE_MS, "the hold ends for its holder first");
-    let early = receive(&mut node, soon_ms, 3, Message::PreVote(ask(2)));
+    let last_contact_ms = START_MS + 5_000;
+    receive(&mut node, last_contact_ms, 2, append(1));
+    let bound_ms = last_contact_ms + ELECTION_MIN_MS - 1;
+    assert!(bound_ms > last_contact_ms + LEADER_LEASE_MS, "the hold ends for its holder first");
+    let early = receive(&mut node, bound_ms, 3, Message::PreVote(vote_request(2)));
     assert_eq!(granted(&early), Some(false));
-    let early = receive(&mut node, soon_ms, 3, Message::Vote(ask(2)));
+    let early = receive(&mut node, bound_ms, 3, Message::Vote(vote_request(2)));
     assert!(early.is_empty(), "not even the term is taken up");
-    let due = receive(&mut node, soon_ms + 1, 3, Message::PreVote(ask(2)));
+    let due = receive(&mut node, bound_ms + 1, 3, Message::PreVote(vote_request(2)));
     assert_eq!(granted(&due), Some(true));
 }
 
 #[test]
-fn who_just_started_may_have_promised_and_waits_as_long() {
+fn a_restarted_voter_grants_no_vote_before_the_election_timeout() {
     let mut node = voter(START_MS, HardState::default());
-    let soon_ms = START_MS + ELECTION_MIN_MS - 1;
-    assert!(receive(&mut node, soon_ms, 3, Message::Vote(ask(2))).is_empty());
-    let due = receive(&mut node, soon_ms + 1, 3, Message::Vote(ask(2)));
+    let bound_ms = START_MS + ELECTION_MIN_MS - 1;
+    assert!(receive(&mut node, bound_ms, 3, Message::Vote(vote_request(2))).is_empty());
+    let due = receive(&mut node, bound_ms + 1, 3, Message::Vote(vote_request(2)));
     assert_eq!(granted(&due), None, "no word before the vote is on disk");
-    assert_eq!(granted(&sync(&mut node, soon_ms + 2, &due)), Some(true));
+    assert_eq!(granted(&sync(&mut node, bound_ms + 2, &due)), Some(true));
 }
 
 #[test]
-fn a_vote_outlives_its_process() {
+fn a_vote_persists_across_a_restart() {
     let now_ms = START_MS + ELECTION_MIN_MS;
     let mut node = voter(START_MS, HardState { term: 4, voted_for: Some(2) });
-    let other = receive(&mut node, now_ms, 3, Message::Vote(ask(4)));
+    let other = receive(&mut node, now_ms, 3, Message::Vote(vote_request(4)));
     assert_eq!(granted(&other), Some(false), "it voted for 2 in this term");
-    let again = receive(&mut node, now_ms, 2, Message::Vote(ask(4)));
+    let again = receive(&mut node, now_ms, 2, Message::Vote(vote_request(4)));
     assert_eq!(granted(&sync(&mut node, now_ms, &again)), Some(true));
 }
 
 #[test]
-fn a_shorter_log_gets_no_vote() {
+fn a_candidate_with_a_shorter_log_is_refused() {
     let mut node = voter(START_MS, HardState::default());
     let entry = Entry { term: 1, index: 1, payload: Payload::Batch(vec![1]) };
     let append = AppendRequest {
@@ -104,15 +104,15 @@
         sent_ms: 5,
     };
     let effects = receive(&mut node, START_MS, 2, Message::Append(append));
-    let said = |effects: &[Effect]| {
+    let has_acknowledged = |effects: &[Effect]| {
         effects.iter().any(|effect| {
             matches!(effect, Effect::Send { message: Message::AppendResponse(_), .. })
         })
     };
-    assert!(!said(&effects), "no yes before the sync");
+    assert!(!has_acknowledged(&effects), "no yes before the sync");
     let now_ms = START_MS + 2 * ELECTION_MIN_MS;
-    assert!(said(&sync(&mut node, START_MS, &effects)));
-    let shorter = receive(&mut node, now_ms, 3, Message::Vote(ask(5)));
+    assert!(has_acknowledged(&sync(&mut node, START_MS, &effects)));
+    let shorter = receive(&mut node, now_ms, 3, Message::Vote(vote_request(5)));
     assert_eq!(granted(&sync(&mut node, now_ms, &shorter)), Some(false));
     let longer = VoteRequest {
         term: 6,
@@ -125,11 +125,11 @@
     assert_eq!(granted(&sync(&mut node, now_ms, &longer)), Some(true));
 }
 
-fn clear(term: u64) -> VoteRequest {
-    VoteRequest { leaderless: true, ..ask(term) }
+fn leaderless_request(term: u64) -> VoteRequest {
+    VoteRequest { leaderless: true, ..vote_request(term) }
 }
 
-fn asked(effects: &[Effect]) -> Option<u64> {
+fn probe_round(effects: &[Effect]) -> Option<u64> {
     effects.iter().find_map(|effect| match effect {
         Effect::Send { message: Message::LeaderProbe { round, .. }, .. } => Some(*round),
         _ => None,
@@ -137,66 +137,84 @@
 }
 
 #[test]
-fn when_all_say_in_one_round_that_they_do_not_lead_nobody_waits_for_a_hold() {
+fn a_complete_probe_round_without_a_leader_starts_an_election_at_once() {
     let mut node = voter(START_MS, HardState::default());
-    let round = asked(&node.handle(START_MS + 20, Input::Tick)).expect("it asks at once");
-    let free = |round| Message::LeaderProbeResponse { term: 0, round, free: true };
-    assert!(receive(&mut node, START_MS + 21, 2, free(round)).is_empty(), "one is not all");
-    let tries = receive(&mut node, START_MS + 22, 3, free(round));
-    let pre = |effect: &Effect| matches!(effect, Effect::Send { message: Message::PreVote(ask), .. } if ask.leaderless);
-    assert!(tries.iter().any(pre), "both others said so in one round");
+    let round = probe_round(&node.handle(START_MS + 20, Input::Tick)).expect("it asks at once");
+    let not_leading = |round| Message::LeaderProbeResponse { term: 0, round, free: true };
+    assert!(receive(&mut node, START_MS + 21, 2, not_leading(round)).is_empty(), "one is not all");
+    let campaign = receive(&mut node, START_MS + 22, 3, not_leading(round));
+    let is_leaderless_pre_vote = |effect: &Effect| matches!(effect, Effect::Send { message: Message::PreVote(request), .. } if request.leaderless);
+    assert!(campaign.iter().any(is_leaderless_pre_vote), "both others said so in one round");
     let mut node = voter(START_MS, HardState::default());
-    let first = asked(&node.handle(START_MS + 20, Input::Tick)).unwrap();
-    let second = asked(&node.handle(START_MS + 120, Input::Tick)).unwrap();
-    assert!(receive(&mut node, START_MS + 121, 2, free(first)).is_empty());
-    assert!(receive(&mut node, START_MS + 122, 3, free(second)).is_empty(), "two rounds");
+    let first = probe_round(&node.handle(START_MS + 20, Input::Tick)).unwrap();
+    let second = probe_round(&node.handle(START_MS + 120, Input::Tick)).unwrap();
+    assert!(receive(&mut node, START_MS + 121, 2, not_leading(first)).is_empty());
+    assert!(receive(&mut node, START_MS + 122, 3, not_leading(second)).is_empty(), "two rounds");
     let leads = Message::LeaderProbeResponse { term: 0, round: second, free: false };
     assert!(receive(&mut node, START_MS + 123, 2, leads).is_empty(), "one leads");
 }
 
 #[test]
-fn a_voter_that_heard_a_leader_since_its_word_is_bound_all_the_same() {
+fn a_voter_contacted_by_a_leader_after_its_denial_refuses_a_leaderless_vote() {
     let mut node = voter(START_MS, HardState::default());
-    let soon_ms = START_MS + 100;
-    assert_eq!(granted(&receive(&mut node, soon_ms, 3, Message::PreVote(clear(2)))), Some(false));
-    receive(&mut node, soon_ms, 3, Message::LeaderProbe { term: 0, round: 1 });
-    assert_eq!(granted(&receive(&mut node, soon_ms, 3, Message::PreVote(ask(2)))), Some(false));
-    assert_eq!(granted(&receive(&mut node, soon_ms, 3, Message::PreVote(clear(2)))), Some(true));
-    receive(&mut node, soon_ms + 1, 2, append(1));
-    assert_eq!(granted(&receive(&mut node, soon_ms, 3, Message::PreVote(clear(2)))), Some(false));
-    assert!(receive(&mut node, soon_ms + 2, 3, Message::Vote(clear(2))).is_empty());
-    receive(&mut node, soon_ms + 3, 3, Message::LeaderProbe { term: 0, round: 2 });
-    receive(&mut node, soon_ms + 4, 2, append(1));
-    assert!(receive(&mut node, soon_ms + 5, 3, Message::Vote(clear(2))).is_empty(), "heard again");
+    let bound_ms = START_MS + 100;
+    assert_eq!(
+        granted(&receive(&mut node, bound_ms, 3, Message::PreVote(leaderless_request(2)))),
+        Some(false)
+    );
+    receive(&mut node, bound_ms, 3, Message::LeaderProbe { term: 0, round: 1 });
+    assert_eq!(
+        granted(&receive(&mut node, bound_ms, 3, Message::PreVote(vote_request(2)))),
+        Some(false)
+    );
+    assert_eq!(
+        granted(&receive(&mut node, bound_ms, 3, Message::PreVote(leaderless_request(2)))),
+        Some(true)
+    );
+    receive(&mut node, bound_ms + 1, 2, append(1));
+    assert_eq!(
+        granted(&receive(&mut node, bound_ms, 3, Message::PreVote(leaderless_request(2)))),
+        Some(false)
+    );
+    assert!(receive(&mut node, bound_ms + 2, 3, Message::Vote(leaderless_request(2))).is_empty());
+    receive(&mut node, bound_ms + 3, 3, Message::LeaderProbe { term: 0, round: 2 });
+    receive(&mut node, bound_ms + 4, 2, append(1));
+    assert!(
+        receive(&mut node, bound_ms + 5, 3, Message::Vote(leaderless_request(2))).is_empty(),
+        "heard again"
+    );
 }
 
 #[test]
-fn an_answer_to_an_earlier_life_counts_in_no_round_of_this_one() {
+fn a_probe_response_to_an_earlier_incarnation_is_ignored() {
     let mut before = voter(START_MS, HardState::default());
-    let earlier = asked(&before.handle(START_MS, Input::Tick)).expect("it asks at once");
+    let earlier = probe_round(&before.handle(START_MS, Input::Tick)).expect("it asks at once");
     let members = (1..=3).map(member).collect();
     let snapshot = Snapshot { index: 0, term: 0, members, state: Vec::new() };
     let recovered =
         RecoveredState { snapshot: Some(Arc::new(snapshot)), ..RecoveredState::default() };
     let mut node = Consensus::new(1, recovered, 8, START_MS + 1);
-    let round = asked(&node.handle(START_MS + 1, Input::Tick)).expect("it asks again");
-    let free = |round| Message::LeaderProbeResponse { term: 0, round, free: true };
-    assert!(receive(&mut node, START_MS + 2, 2, free(round)).is_empty());
-    let late = receive(&mut node, START_MS + 3, 3, free(earlier));
+    let round = probe_round(&node.handle(START_MS + 1, Input::Tick)).expect("it asks again");
+    let not_leading = |round| Message::LeaderProbeResponse { term: 0, round, free: true };
+    assert!(receive(&mut node, START_MS + 2, 2, not_leading(round)).is_empty());
+    let late = receive(&mut node, START_MS + 3, 3, not_leading(earlier));
     assert!(late.is_empty(), "3 may have begun to lead since");
-    let tries = receive(&mut node, START_MS + 4, 3, free(round));
-    assert!(!tries.is_empty(), "both others said so in one round of this life");
+    let campaign = receive(&mut node, START_MS + 4, 3, not_leading(round));
+    assert!(!campaign.is_empty(), "both others said so in one round of this life");
 }
 
 #[test]
-fn an_answer_from_before_a_leader_was_heard_counts_no_more() {
+fn a_probe_response_from_before_a_leader_contact_is_ignored() {
     let mut node = voter(START_MS, HardState::default());
-    let round = asked(&node.handle(START_MS, Input::Tick)).expect("it asks at once");
-    let free = |term| Message::LeaderProbeResponse { term, round, free: true };
-    assert!(receive(&mut node, START_MS + 1, 3, free(0)).is_empty());
+    let round = probe_round(&node.handle(START_MS, Input::Tick)).expect("it asks at once");
+    let not_leading = |term| Message::LeaderProbeResponse { term, round, free: true };
+    assert!(receive(&mut node, START_MS + 1, 3, not_leading(0)).is_empty());
     receive(&mut node, START_MS + 2, 3, append(1));
     let refused =
         Message::AppendResponse(AppendResponse { term: 2, matched: None, hint: 0, sent_ms: 0 });
     receive(&mut node, START_MS + 3, 2, refused);
-    assert!(receive(&mut node, START_MS + 4, 2, free(1)).is_empty(), "3 led since its answer");
+    assert!(
+        receive(&mut node, START_MS + 4, 2, not_leading(1)).is_empty(),
+        "3 led since its answer"
+    );
 }
