--- a/crates/simulation/src/calls.rs
+++ b/crates/simulation/src/calls.rs
@@ -12,7 +12,7 @@
 
 /// One finished call: when it was asked and answered, and what it found or made.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Done {
+pub struct CompletedCall {
     pub caller: usize,
     pub start_us: u64,
     pub end_us: u64,
@@ -21,7 +21,7 @@
 }
 
 #[derive(Clone)]
-struct Open {
+struct PendingCall {
     number: u64,
     start_us: u64,
     call: Call,
@@ -31,13 +31,13 @@
 
 #[derive(Default)]
 pub struct Callers {
-    pub done: Vec<Done>,
-    pub told: Vec<u64>,
+    pub done: Vec<CompletedCall>,
+    pub watched_revisions: Vec<u64>,
     pub watch_from: Option<u64>,
     pub too_old: u64,
-    open: BTreeMap<usize, Open>,
-    held: BTreeMap<usize, (Name, u64, u64)>,
-    holder: Option<(usize, u64)>,
+    pending: BTreeMap<usize, PendingCall>,
+    locks: BTreeMap<usize, (Name, u64, u64)>,
+    lock_owner: Option<(usize, u64)>,
     number: u64,
     revisions: BTreeMap<Name, u64>,
 }
@@ -47,9 +47,9 @@
 
 impl Callers {
     /// The highest number or revision of the same name that was told before.
-    pub fn most_told(&self, call: &Call, before_us: u64) -> u64 {
-        let told = self.done.iter().filter(|done| done.end_us < before_us);
-        let values = told.filter_map(|done| match (call, &done.call, &done.outcome) {
+    pub fn max_acknowledged(&self, call: &Call, before_us: u64) -> u64 {
+        let finished = self.done.iter().filter(|done| done.end_us < before_us);
+        let values = finished.filter_map(|done| match (call, &done.call, &done.outcome) {
             (
                 Call::ReadNumber { name },
                 Call::Next { name: other, .. } | Call::ReadNumber { name: other },
@@ -70,10 +70,10 @@
     /// Asks the next thing, or requests the same again where the node that was asked is gone.
     pub fn next_call(&mut self, caller: usize) {
         self.after(40_000, Event::NextCall { caller });
-        if let Some(open) = self.callers.open.get(&caller).cloned() {
-            let lost = self.data[open.node].node.is_none();
-            if lost || self.now_us > open.sent_us + STALE_US {
-                self.call_goes(caller, open);
+        if let Some(pending) = self.callers.pending.get(&caller).cloned() {
+            let lost = self.data[pending.node].node.is_none();
+            if lost || self.now_us > pending.sent_us + STALE_US {
+                self.send_call(caller, pending);
             }
             return;
         }
@@ -82,24 +82,25 @@
         }
         let call = match caller {
             WATCHER => {
-                let after = self.callers.told.last().copied().or(self.callers.watch_from);
+                let after =
+                    self.callers.watched_revisions.last().copied().or(self.callers.watch_from);
                 Call::Watch { sort: ResourceKind::Key, prefix: Name::from(""), after }
             }
-            _ => self.some_call(caller),
+            _ => self.draw_call(caller),
         };
         self.callers.number += 1;
         let number = self.callers.number;
-        let open = Open { number, start_us: self.now_us, call, node: 0, sent_us: 0 };
-        self.call_goes(caller, open);
+        let pending = PendingCall { number, start_us: self.now_us, call, node: 0, sent_us: 0 };
+        self.send_call(caller, pending);
     }
 
-    fn some_call(&mut self, caller: usize) -> Call {
-        if let Some((name, fence, _)) = self.callers.held.get(&caller).cloned() {
+    fn draw_call(&mut self, caller: usize) -> Call {
+        if let Some((name, fence, _)) = self.callers.locks.get(&caller).cloned() {
             let holder = Name::from(format!("caller-{caller}"));
             if self.random.chance(400) {
                 return Call::Renew { name, holder, fence, ttl_ms: None };
             }
-            self.lets_go(caller);
+            self.release_lock(caller);
             return Call::Free { name, holder, fence };
         }
         let name = Name::from(format!("n{}", self.random.below(2)));
@@ -121,16 +122,16 @@
         }
     }
 
-    fn call_goes(&mut self, caller: usize, mut open: Open) {
+    fn send_call(&mut self, caller: usize, mut pending: PendingCall) {
         let alive: Vec<usize> =
             (0..self.data.len()).filter(|at| self.data[*at].node.is_some()).collect();
         if alive.is_empty() {
             return;
         }
-        open.node = alive[self.random.below(alive.len() as u64) as usize];
-        open.sent_us = self.now_us;
-        let (node, number, call) = (open.node, open.number, open.call.clone());
-        self.callers.open.insert(caller, open);
+        pending.node = alive[self.random.below(alive.len() as u64) as usize];
+        pending.sent_us = self.now_us;
+        let (node, number, call) = (pending.node, pending.number, pending.call.clone());
+        self.callers.pending.insert(caller, pending);
         let id = Some(Name::from(format!("call-{number}")));
         self.send_to_controller(
             node,
@@ -140,22 +141,22 @@
         );
     }
 
-    pub fn caller_hears(&mut self, caller: usize, number: u64, response: Response) {
-        let Some(open) = self.callers.open.get(&caller).cloned() else { return };
-        if open.number != number {
+    pub fn caller_receives(&mut self, caller: usize, number: u64, response: Response) {
+        let Some(pending) = self.callers.pending.get(&caller).cloned() else { return };
+        if pending.number != number {
             return;
         }
         let Response::Outcome(outcome) = response else {
-            return self.call_goes(caller, open);
+            return self.send_call(caller, pending);
         };
-        self.callers.open.remove(&caller);
-        match (&open.call, &outcome) {
+        self.callers.pending.remove(&caller);
+        match (&pending.call, &outcome) {
             (_, Outcome::Events { events, next }) => {
                 for event in events {
                     if !matches!(event.change, Change::Key(_) | Change::KeyGone) {
                         self.ledger.violate("a watch on keys was told of something else".into());
                     }
-                    self.callers.told.push(event.revision);
+                    self.callers.watched_revisions.push(event.revision);
                 }
                 if self.callers.watch_from.is_none() {
                     self.callers.watch_from = Some(*next);
@@ -163,9 +164,14 @@
             }
             (_, Outcome::TooOld { .. }) => self.callers.too_old += 1,
             (Call::Lock { name, .. } | Call::Renew { name, .. }, Outcome::Locked { fence, .. }) => {
-                self.takes(caller, name.clone(), *fence, open.sent_us.min(open.start_us));
+                self.acquire_lock(
+                    caller,
+                    name.clone(),
+                    *fence,
+                    pending.sent_us.min(pending.start_us),
+                );
             }
-            (Call::Renew { .. }, _) => self.lets_go(caller),
+            (Call::Renew { .. }, _) => self.release_lock(caller),
             (Call::Put { name, .. } | Call::ReadKey { name }, Outcome::Key(key)) => {
                 self.callers.revisions.insert(name.clone(), key.revision);
             }
@@ -174,30 +180,36 @@
             }
             _ => {}
         }
-        let (start_us, end_us) = (open.start_us, self.now_us);
-        self.callers.done.push(Done { caller, start_us, end_us, call: open.call, outcome });
+        let (start_us, end_us) = (pending.start_us, self.now_us);
+        self.callers.done.push(CompletedCall {
+            caller,
+            start_us,
+            end_us,
+            call: pending.call,
+            outcome,
+        });
     }
 
     /// A holder counts its time from when it asked.
-    fn takes(&mut self, caller: usize, name: Name, fence: u64, asked_us: u64) {
-        let until_us = asked_us + TTL_MS * 1_000;
+    fn acquire_lock(&mut self, caller: usize, name: Name, fence: u64, requested_us: u64) {
+        let until_us = requested_us + TTL_MS * 1_000;
         if self.now_us >= until_us {
             return;
         }
-        if let Some((other, other_us)) = self.callers.holder
+        if let Some((other, other_us)) = self.callers.lock_owner
             && other != caller
             && self.now_us < other_us
         {
             self.ledger.violate(format!("callers {other} and {caller} hold the lock at once"));
         }
-        self.callers.holder = Some((caller, until_us));
-        self.callers.held.insert(caller, (name, fence, until_us));
+        self.callers.lock_owner = Some((caller, until_us));
+        self.callers.locks.insert(caller, (name, fence, until_us));
     }
 
-    fn lets_go(&mut self, caller: usize) {
-        self.callers.held.remove(&caller);
-        if self.callers.holder.is_some_and(|(holder, _)| holder == caller) {
-            self.callers.holder = None;
+    fn release_lock(&mut self, caller: usize) {
+        self.callers.locks.remove(&caller);
+        if self.callers.lock_owner.is_some_and(|(holder, _)| holder == caller) {
+            self.callers.lock_owner = None;
         }
     }
 }
--- a/crates/simulation/src/check.rs
+++ b/crates/simulation/src/check.rs
@@ -1,6 +1,6 @@
 //! Checks that run after every event: one history, at most one lease, no older plan, no leaving target.
 
-use crate::event::Who;
+use crate::event::ProcessId;
 use crate::world::World;
 use postbarrow_consensus::Payload;
 
@@ -9,14 +9,14 @@
 impl World {
     /// At most one controller's lease at any moment, and one history for all.
     pub fn check_control(&mut self, at: usize) {
-        let holding: Vec<usize> = (0..self.control.len())
+        let lease_holders: Vec<usize> = (0..self.control.len())
             .filter(|at| {
-                let now_ms = self.local_ms(Who::Control(*at));
+                let now_ms = self.local_ms(ProcessId::Control(*at));
                 self.control[*at].node.as_ref().is_some_and(|node| node.has_lease(now_ms))
             })
             .collect();
-        if holding.len() > 1 {
-            self.ledger.violate(format!("control {holding:?} hold at once"));
+        if lease_holders.len() > 1 {
+            self.ledger.violate(format!("control {lease_holders:?} hold at once"));
         }
         let Some(node) = &self.control[at].node else { return };
         let log = node.consensus().log();
@@ -53,7 +53,8 @@
             .filter(|instance| !now.contains_key(*instance))
             .map(ToString::to_string)
             .filter(|instance| {
-                self.list.rows.contains_key(instance) && !self.list.left.contains_key(instance)
+                self.list.rows.contains_key(instance)
+                    && !self.list.departures.contains_key(instance)
             })
             .filter(|instance| self.targets.iter().any(|target| target.instance == *instance))
             .collect();
@@ -74,8 +75,8 @@
     }
 
     /// Whenever a node forwards a request: no older plan, no leaving target.
-    pub fn check_pass(&mut self, request: u64, at: usize) {
-        self.ledger.passes += 1;
+    pub fn check_forward(&mut self, request: u64, at: usize) {
+        self.ledger.forwards += 1;
         if self.requests.get(&request).is_some_and(|run| run.client_left) {
             let text = format!("data-{at} passed request {request} on for a client that left");
             self.ledger.violate(text);
@@ -89,9 +90,9 @@
             self.ledger.violate(format!("data-{at} passed request {request} by an older plan"));
         }
         let Some(target) = self.target_of(request) else { return };
-        if let Some(left_us) = self.list.left.get(&target) {
-            let late_us = now_us.saturating_sub(*left_us);
-            let late_us = late_us.saturating_sub(self.list.mute_us(*left_us, now_us));
+        if let Some(departed_us) = self.list.departures.get(&target) {
+            let late_us = now_us.saturating_sub(*departed_us);
+            let late_us = late_us.saturating_sub(self.list.unavailable_us(*departed_us, now_us));
             self.ledger.longest_leave_us = self.ledger.longest_leave_us.max(late_us);
             if late_us > 2_500_000 {
                 let text =
--- a/crates/simulation/src/clung.rs
+++ b/crates/simulation/src/check_pinned.rs
@@ -1,25 +1,27 @@
 //! What those who cling to one control machine were told, against what others were told before.
 
-use crate::cling::Question;
-use crate::operator::Handed;
+use crate::operator::SubmittedOrder;
+use crate::pinned::PinnedRequest;
 use crate::world::World;
 use postbarrow_messages::Response;
 use postbarrow_state::{Call, Outcome};
 
 impl World {
     /// Whatever the machine told must hold at some moment between question and answer.
-    pub fn check_told(&mut self, start_us: u64, question: Question, response: Response) {
-        match (question, response) {
-            (Question::Show, Response::Plan { offset, .. }) => self.check_shown(start_us, offset),
-            (Question::Show, _) => self.check_shown(start_us, 0),
-            (Question::Order(handed), Response::Operator { status, body }) => {
-                self.check_order(&handed, status, &String::from_utf8_lossy(&body));
+    pub fn check_answer(&mut self, start_us: u64, request: PinnedRequest, response: Response) {
+        match (request, response) {
+            (PinnedRequest::Show, Response::Plan { offset, .. }) => {
+                self.check_shown(start_us, offset)
             }
-            (Question::Call(call), Response::Outcome(outcome)) => {
+            (PinnedRequest::Show, _) => self.check_shown(start_us, 0),
+            (PinnedRequest::Order(submitted), Response::Operator { status, body }) => {
+                self.check_order(&submitted, status, &String::from_utf8_lossy(&body));
+            }
+            (PinnedRequest::Call(call), Response::Outcome(outcome)) => {
                 self.check_outcome(start_us, &call, &outcome);
             }
-            (question, response) => {
-                self.ledger.violate(format!("{question:?} was answered by {response:?}"));
+            (request, response) => {
+                self.ledger.violate(format!("{request:?} was answered by {response:?}"));
             }
         }
     }
@@ -34,19 +36,19 @@
     }
 
     /// No proper order is refused, and none is acknowledged that no majority has.
-    fn check_order(&mut self, handed: &Handed, status: u16, body: &str) {
-        let order = &handed.order;
+    fn check_order(&mut self, submitted: &SubmittedOrder, status: u16, body: &str) {
+        let order = &submitted.order;
         let proper = self.operator.version == order.base
             || self.operator.version.as_ref() == Some(&order.version);
         match status {
             200 => {
-                self.check_majority(handed, body);
-                if self.cling.as_ref().is_some_and(|cling| cling.is_order(handed)) {
+                self.check_majority(submitted, body);
+                if self.pinned.as_ref().is_some_and(|pinned| pinned.is_order(submitted)) {
                     self.operator.unsure.remove(&order.text);
                     let found = self.ledger.orders.acknowledged(order);
                     found.into_iter().for_each(|text| self.ledger.violate(text));
                     self.plan_acknowledged(order.clone(), body);
-                    self.cling.iter_mut().for_each(|cling| cling.order = None);
+                    self.pinned.iter_mut().for_each(|pinned| pinned.order = None);
                 }
             }
             503 => {}
@@ -55,25 +57,27 @@
         }
     }
 
-    fn check_majority(&mut self, handed: &Handed, body: &str) {
+    fn check_majority(&mut self, submitted: &SubmittedOrder, body: &str) {
         let Some(began) = crate::operator::began_at(body) else {
             return self
                 .ledger
-                .violate(format!("{} is in force from nowhere", handed.order.version));
+                .violate(format!("{} is in force from nowhere", submitted.order.version));
         };
         let has = |machine: &&crate::control::ControlMachine| {
             machine.node.as_ref().is_some_and(|node| node.consensus().last_index() >= began)
         };
         if self.control.iter().filter(has).count() < 2 {
-            self.ledger
-                .violate(format!("{} was acknowledged without a majority", handed.order.version));
+            self.ledger.violate(format!(
+                "{} was acknowledged without a majority",
+                submitted.order.version
+            ));
         }
     }
 
     fn check_outcome(&mut self, start_us: u64, call: &Call, outcome: &Outcome) {
         let value = match (call, outcome) {
             (Call::Next { .. }, Outcome::Number(value)) => {
-                return self.cling.iter_mut().for_each(|cling| cling.numbers.push(*value));
+                return self.pinned.iter_mut().for_each(|pinned| pinned.numbers.push(*value));
             }
             (Call::ReadNumber { .. }, Outcome::Number(value)) => *value,
             (Call::ReadKey { .. }, Outcome::Key(key)) => key.revision,
@@ -81,9 +85,9 @@
             (Call::Put { .. }, Outcome::Conflict { revision }) => *revision,
             _ => return self.ledger.violate(format!("{call:?} was answered by {outcome:?}")),
         };
-        let most = self.callers.most_told(call, start_us);
-        if value < most {
-            self.ledger.violate(format!("{call:?} was told {value}, after {most} was told"));
+        let max = self.callers.max_acknowledged(call, start_us);
+        if value < max {
+            self.ledger.violate(format!("{call:?} was told {value}, after {max} was told"));
         }
     }
 }
--- a/crates/simulation/src/control.rs
+++ b/crates/simulation/src/control.rs
@@ -1,7 +1,7 @@
 //! Control machines: a real control node each, over a simulated disk and network.
 
 use crate::disk::SimDisk;
-use crate::event::{Event, Who};
+use crate::event::{Event, ProcessId};
 use crate::world::World;
 use imbl::OrdMap;
 use postbarrow_consensus::{Member, RecoveredState, Write};
@@ -26,7 +26,7 @@
 pub struct ControlMachine {
     pub address: SocketAddr,
     pub disk: SimDisk,
-    pub life: u64,
+    pub incarnation: u64,
     pub offset_ms: u64,
     /// By how many thousandths its clock is fast.
     pub rate: u64,
@@ -37,9 +37,9 @@
     /// Since when it is gone for good: its process does not begin again once it has ended.
     pub retired_us: Option<u64>,
     /// It has no disk that lasts, so it is never a member.
-    pub guest: bool,
+    pub observer: bool,
     /// How many of the writes the storage has and could not carry out yet.
-    handed: usize,
+    in_storage: usize,
     /// Targets as last seen committed here, to find what was dropped.
     pub targets: OrdMap<Name, Arc<Target>>,
 }
@@ -49,7 +49,7 @@
         ControlMachine {
             address,
             disk: SimDisk::default(),
-            life: 0,
+            incarnation: 0,
             offset_ms,
             rate,
             node: None,
@@ -57,8 +57,8 @@
             writes: VecDeque::new(),
             syncing: false,
             retired_us: None,
-            guest: false,
-            handed: 0,
+            observer: false,
+            in_storage: 0,
             targets: OrdMap::new(),
         }
     }
@@ -79,17 +79,17 @@
     pub fn start_control(&mut self, at: usize) {
         let seed = self.random.draw();
         let id = self.random.draw().max(1);
-        let now_ms = self.local_ms(Who::Control(at));
+        let now_ms = self.local_ms(ProcessId::Control(at));
         let mut seeds = self.seeds.clone();
-        if !seeds.contains(&self.control[at].address) && !self.core_seeds_only {
+        if !seeds.contains(&self.control[at].address) && !self.control_seeds_only {
             seeds[2] = self.data[0].address;
         }
         let machine = &mut self.control[at];
-        if machine.guest {
+        if machine.observer {
             machine.disk = SimDisk::default();
         }
         if machine.disk.is_stalled() {
-            return self.start_again(at);
+            return self.start_later(at);
         }
         let opened = open(machine.disk.clone()).and_then(|opened| match opened {
             Opened::Whole { storage, recovered } => Ok((storage, recovered)),
@@ -99,23 +99,23 @@
         });
         let (storage, recovered) = match opened {
             Ok(opened) => opened,
-            Err(error) if is_full(&error) => return self.start_again(at),
+            Err(error) if is_full(&error) => return self.start_later(at),
             Err(error) => return self.disk_failed(at, &error),
         };
         let machine = &mut self.control[at];
         let own = Member { id: storage.id(), address: machine.address };
-        machine.life += 1;
+        machine.incarnation += 1;
         machine.storage = Some(storage);
         machine.writes.clear();
         machine.syncing = false;
-        machine.handed = 0;
+        machine.in_storage = 0;
         machine.targets = OrdMap::new();
         let node = ControlNode::new(own, recovered, &seeds, seed, now_ms);
         let node = node.with_log_bound(LOG_BOUND_BYTES);
         let node = node.with_losses(self.losses).with_voter_dead(self.voter_dead_ms);
-        machine.node = Some(if machine.guest { node.as_observer() } else { node });
-        let life = machine.life;
-        self.after(0, Event::Tick { who: Who::Control(at), life });
+        machine.node = Some(if machine.observer { node.as_observer() } else { node });
+        let incarnation = machine.incarnation;
+        self.after(0, Event::Tick { process: ProcessId::Control(at), incarnation });
     }
 
     /// Ends the process; with `power`, what was not synced goes too, perhaps amid a write.
@@ -132,14 +132,15 @@
     fn end(&mut self, at: usize, fuse: Option<u64>) {
         let machine = &mut self.control[at];
         machine.node = None;
-        machine.life += 1;
+        machine.incarnation += 1;
         if let Some(mut storage) = machine.storage.take()
             && let Some(fuse) = fuse
             && !machine.writes.is_empty()
         {
             machine.disk.set_fuse(fuse);
-            let handed = std::mem::take(&mut machine.handed);
-            let writes = machine.writes.drain(..).map(|(_, write)| write).skip(handed).collect();
+            let in_storage = std::mem::take(&mut machine.in_storage);
+            let writes =
+                machine.writes.drain(..).map(|(_, write)| write).skip(in_storage).collect();
             let _torn = storage.apply(writes);
         }
         if fuse.is_some() {
@@ -148,17 +149,17 @@
     }
 
     pub fn control_input(&mut self, at: usize, input: Input) {
-        let now_ms = self.local_ms(Who::Control(at));
+        let now_ms = self.local_ms(ProcessId::Control(at));
         let machine = &mut self.control[at];
         let Some(node) = &mut machine.node else { return };
         let effects = node.handle(now_ms, input);
-        let (from, life) = (machine.address, machine.life);
+        let (from, incarnation) = (machine.address, machine.incarnation);
         for effect in effects {
             match effect {
                 Effect::Send { to, message } => self.transmit(from, to, message),
                 Effect::Write { sequence, write } => {
                     let machine = &mut self.control[at];
-                    if machine.life != life {
+                    if machine.incarnation != incarnation {
                         return;
                     }
                     machine.writes.push_back((sequence, write));
@@ -169,64 +170,64 @@
                             false => self.random.between(300, 4_000),
                         };
                         let took_us = self.sync_us(at, took_us);
-                        self.after(took_us, Event::Synced { at, life });
+                        self.after(took_us, Event::Synced { at, incarnation });
                     }
-                    self.strike_at(at);
+                    self.inject_at_step(at);
                 }
                 Effect::Fetch { number, cursor } => self.fetch(at, number, cursor),
                 Effect::Encode(snap) => {
                     let (index, state) = (snap.index, snap.encode());
-                    self.after(100_000, Event::Encoded { at, life, index, state });
+                    self.after(100_000, Event::Encoded { at, incarnation, index, state });
                 }
-                Effect::Log(text) => self.say(Who::Control(at), &text),
+                Effect::Log(text) => self.log_line(ProcessId::Control(at), &text),
             }
         }
         self.check_control(at);
     }
 
     /// As the program does: its start waits while its disk takes nothing.
-    fn start_again(&mut self, at: usize) {
-        self.after(AGAIN_US, Event::Start(Who::Control(at)));
+    fn start_later(&mut self, at: usize) {
+        self.after(AGAIN_US, Event::Start(ProcessId::Control(at)));
     }
 
     /// As the program does: it ends, for it can't promise anything, and is begun again.
     fn disk_failed(&mut self, at: usize, error: &std::io::Error) {
-        self.say(Who::Control(at), &format!("ends: {error}"));
+        self.log_line(ProcessId::Control(at), &format!("ends: {error}"));
         self.disk_failures += 1;
         self.end_control(at, false);
-        self.start_again(at);
+        self.start_later(at);
     }
 
     /// All that waited shares this sync. While the disk takes nothing, the same is tried again.
     pub fn disk_done(&mut self, at: usize) {
         let machine = &mut self.control[at];
         if machine.disk.is_stalled() {
-            return self.try_disk_again(at);
+            return self.retry_disk(at);
         }
         machine.syncing = false;
         let Some(last) = machine.writes.back().map(|(sequence, _)| *sequence) else { return };
         let writes: Vec<Write> = machine.writes.iter().map(|(_, write)| write.clone()).collect();
         let Some(storage) = &mut machine.storage else { return };
         let count = writes.len();
-        match storage.apply(writes.into_iter().skip(machine.handed).collect()) {
+        match storage.apply(writes.into_iter().skip(machine.in_storage).collect()) {
             Ok(()) => {
                 machine.writes.clear();
-                machine.handed = 0;
+                machine.in_storage = 0;
                 self.synced = (self.synced.0 + 1, self.synced.1 + count);
-                self.strike_at(at);
+                self.inject_at_step(at);
                 self.control_input(at, Input::Synced(last));
             }
             Err(WriteError::Full(_)) => {
-                machine.handed = count;
+                machine.in_storage = count;
                 machine.syncing = true;
-                self.try_disk_again(at);
+                self.retry_disk(at);
             }
             Err(WriteError::Failed(error)) => self.disk_failed(at, &error),
         }
     }
 
-    fn try_disk_again(&mut self, at: usize) {
-        let life = self.control[at].life;
-        self.after(DISK_FULL_PAUSE_MS * 1_000, Event::Synced { at, life });
+    fn retry_disk(&mut self, at: usize) {
+        let incarnation = self.control[at].incarnation;
+        self.after(DISK_FULL_PAUSE_MS * 1_000, Event::Synced { at, incarnation });
     }
 }
--- a/crates/simulation/src/data.rs
+++ b/crates/simulation/src/data.rs
@@ -1,6 +1,6 @@
 //! Data machines: a real data node each, with the requests that it serves.
 
-use crate::event::{Event, Who};
+use crate::event::{Event, ProcessId};
 use crate::world::{World, address};
 use postbarrow_node::{DataNode, Effect, Input};
 use postbarrow_routing::Table;
@@ -20,7 +20,7 @@
 pub struct DataMachine {
     pub address: SocketAddr,
     pub zone: Name,
-    pub life: u64,
+    pub incarnation: u64,
     pub offset_ms: u64,
     /// By how many thousandths its clock is fast.
     pub rate: u64,
@@ -29,7 +29,7 @@
     pub lease_until_ms: u64,
     /// When the platform last saw it ready.
     pub ready_us: u64,
-    pub incarnation: u64,
+    pub announced_incarnation: u64,
     pub number: u64,
     pub waits: BTreeMap<u64, Waits>,
     at: usize,
@@ -40,14 +40,14 @@
         DataMachine {
             address: address(2, at, 1),
             zone: Name::from(["a", "b", "c"][at % 3]),
-            life: 0,
+            incarnation: 0,
             offset_ms,
             rate,
             node: None,
             table: Arc::new(Table::empty()),
             lease_until_ms: 0,
             ready_us: 0,
-            incarnation: 0,
+            announced_incarnation: 0,
             number: 0,
             waits: BTreeMap::new(),
             at,
@@ -57,50 +57,50 @@
 
 impl World {
     pub fn start_data(&mut self, at: usize) {
-        let incarnation = self.random.draw();
-        let now_ms = self.local_ms(Who::Data(at));
+        let announced_incarnation = self.random.draw();
+        let now_ms = self.local_ms(ProcessId::Data(at));
         let mut seeds = self.seeds.clone();
-        if at > 0 && !self.core_seeds_only {
+        if at > 0 && !self.control_seeds_only {
             seeds[2] = self.data[0].address;
         }
         let machine = &mut self.data[at];
-        machine.life += 1;
-        machine.incarnation = incarnation;
+        machine.incarnation += 1;
+        machine.announced_incarnation = announced_incarnation;
         machine.table = Arc::new(Table::empty());
         machine.lease_until_ms = 0;
         machine.waits.clear();
         let own = Node {
-            incarnation,
+            incarnation: announced_incarnation,
             name: Name::from(format!("data-{}", machine.at)),
             address: machine.address,
             http: machine.address,
             zone: machine.zone.clone(),
         };
         machine.node = Some(DataNode::new(own, seeds, now_ms));
-        let life = machine.life;
-        self.after(0, Event::Tick { who: Who::Data(at), life });
-        self.after(200_000, Event::Probe { data: at, life });
+        let incarnation = machine.incarnation;
+        self.after(0, Event::Tick { process: ProcessId::Data(at), incarnation });
+        self.after(200_000, Event::Probe { data: at, incarnation });
     }
 
     pub fn end_data(&mut self, at: usize) {
         let machine = &mut self.data[at];
         machine.node = None;
-        machine.life += 1;
+        machine.incarnation += 1;
         machine.waits.clear();
     }
 
     pub fn serves(&self, at: usize) -> bool {
         let machine = &self.data[at];
-        machine.node.is_some() && self.local_ms(Who::Data(at)) < machine.lease_until_ms
+        machine.node.is_some() && self.local_ms(ProcessId::Data(at)) < machine.lease_until_ms
     }
 
     pub fn is_ready(&self, at: usize) -> bool {
-        let now_ms = self.local_ms(Who::Data(at));
+        let now_ms = self.local_ms(ProcessId::Data(at));
         self.data[at].node.as_ref().is_some_and(|node| node.is_ready(now_ms))
     }
 
     pub fn data_input(&mut self, at: usize, input: Input) {
-        let (now_us, now_ms) = (self.now_us, self.local_ms(Who::Data(at)));
+        let (now_us, now_ms) = (self.now_us, self.local_ms(ProcessId::Data(at)));
         let machine = &mut self.data[at];
         let Some(node) = &mut machine.node else { return };
         let effects = node.handle(now_ms, input);
@@ -121,16 +121,16 @@
                     self.check_published(at);
                 }
                 Effect::Lease { until_ms } => self.data[at].lease_until_ms = until_ms,
-                Effect::Log(text) => self.say(Who::Data(at), &text),
+                Effect::Log(text) => self.log_line(ProcessId::Data(at), &text),
                 Effect::Answer { key, response } => {
                     match self.data[at].waits.remove(&key).unwrap_or(Waits::Nobody) {
                         Waits::Request(request) => {
                             let event = postbarrow_node::Event::ControllerResponded(response);
-                            let life = self.data[at].life;
-                            self.after(0, Event::Resume { request, data: at, life, event });
+                            let incarnation = self.data[at].incarnation;
+                            self.after(0, Event::Resume { request, data: at, incarnation, event });
                         }
                         Waits::Caller { caller, number } => {
-                            self.caller_hears(caller, number, response)
+                            self.caller_receives(caller, number, response)
                         }
                         Waits::Nobody => {}
                     }
@@ -146,17 +146,17 @@
         wait_ms: u64,
         waits: Waits,
     ) {
-        let key = self.next_question_key(at);
-        self.send_question(at, key, request, wait_ms, waits);
+        let key = self.next_request_key(at);
+        self.send_keyed_request(at, key, request, wait_ms, waits);
     }
 
-    pub fn next_question_key(&mut self, at: usize) -> u64 {
+    pub fn next_request_key(&mut self, at: usize) -> u64 {
         let machine = &mut self.data[at];
         machine.number += 1;
         machine.number
     }
 
-    pub fn send_question(
+    pub fn send_keyed_request(
         &mut self,
         at: usize,
         key: u64,
@@ -168,8 +168,8 @@
         self.data_input(at, Input::Request { key, request, wait_ms });
     }
 
-    pub fn probe(&mut self, at: usize, life: u64) {
-        if self.data[at].life != life || self.data[at].node.is_none() {
+    pub fn probe(&mut self, at: usize, incarnation: u64) {
+        if self.data[at].incarnation != incarnation || self.data[at].node.is_none() {
             return;
         }
         let table = self.data[at].table.clone();
@@ -180,6 +180,6 @@
             let instance = instance.clone();
             self.data_input(at, Input::Probed { instance, sound });
         }
-        self.after(500_000, Event::Probe { data: at, life });
+        self.after(500_000, Event::Probe { data: at, incarnation });
     }
 }
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -8,23 +8,23 @@
 use std::collections::BTreeMap;
 use std::io;
 use std::rc::Rc;
-use unsynced::{Op, SimFile, carry_out};
+use unsynced::{Op, SimFile, apply_op};
 
 #[derive(Clone, Default)]
 struct Files {
     files: BTreeMap<String, SimFile>,
     /// Operations left before the power goes; None for plenty.
     fuse: Option<u64>,
-    trouble: Option<DiskTrouble>,
+    fault: Option<DiskFault>,
     /// A trouble that begins after so many operations.
-    trouble_due: Option<(u64, DiskTrouble)>,
+    scheduled_fault: Option<(u64, DiskFault)>,
     syncs: u64,
     written_bytes: u64,
 }
 
 /// What a disk does to the process that uses it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DiskTrouble {
+pub enum DiskFault {
     /// One sync fails. What it should have kept is forgotten as due, though it still reads back.
     SyncFails,
     /// One write fails halfway.
@@ -55,22 +55,22 @@
 
     fn lose(&self, mut split: impl FnMut(usize) -> usize, mut keeps: impl FnMut(usize) -> bool) {
         let mut files = self.0.borrow_mut();
-        (files.fuse, files.trouble_due) = (None, None);
+        (files.fuse, files.scheduled_fault) = (None, None);
         let mut next = 0;
-        let mut kept = || {
+        let mut survives = || {
             next += 1;
             keeps(next - 1)
         };
         files.files.retain(|_, file| {
-            let named = file.named || kept();
+            let named = file.named || survives();
             for op in std::mem::take(&mut file.unsynced) {
-                for part in op.parts(&mut split) {
-                    if kept() {
-                        carry_out(&mut file.durable, &part);
+                for fragment in op.fragments(&mut split) {
+                    if survives() {
+                        apply_op(&mut file.durable, &fragment);
                     }
                 }
             }
-            file.seen = file.durable.clone();
+            file.visible = file.durable.clone();
             file.named = true;
             named
         });
@@ -80,8 +80,8 @@
     pub fn unsynced(&self) -> usize {
         let files = self.0.borrow();
         let count = |file: &SimFile| {
-            let parts = file.unsynced.iter().map(Op::count).sum::<usize>();
-            usize::from(!file.named) + parts
+            let fragments = file.unsynced.iter().map(Op::count).sum::<usize>();
+            usize::from(!file.named) + fragments
         };
         files.files.values().map(count).sum()
     }
@@ -92,7 +92,7 @@
     }
 
     pub fn is_stalled(&self) -> bool {
-        self.0.borrow().trouble == Some(DiskTrouble::Stalls)
+        self.0.borrow().fault == Some(DiskFault::Stalls)
     }
 
     /// The disk itself is lost.
@@ -104,22 +104,22 @@
         self.0.borrow_mut().fuse = Some(operations);
     }
 
-    pub fn set_trouble(&self, trouble: Option<DiskTrouble>) {
-        self.0.borrow_mut().trouble = trouble;
+    pub fn set_fault(&self, fault: Option<DiskFault>) {
+        self.0.borrow_mut().fault = fault;
     }
 
-    pub fn set_trouble_after(&self, operations: u64, trouble: DiskTrouble) {
-        self.0.borrow_mut().trouble_due = Some((operations, trouble));
+    pub fn set_fault_after(&self, operations: u64, fault: DiskFault) {
+        self.0.borrow_mut().scheduled_fault = Some((operations, fault));
     }
 
     /// Whether this operation meets its trouble; all but a full disk pass.
-    fn meets(&self, trouble: DiskTrouble) -> bool {
+    fn consume_fault(&self, fault: DiskFault) -> bool {
         let mut files = self.0.borrow_mut();
-        let met = files.trouble == Some(trouble);
-        if met && trouble != DiskTrouble::Full {
-            files.trouble = None;
+        let matches = files.fault == Some(fault);
+        if matches && fault != DiskFault::Full {
+            files.fault = None;
         }
-        met
+        matches
     }
 
     pub fn syncs(&self) -> u64 {
@@ -133,7 +133,7 @@
 
     /// Bytes of all its files: what a start reads.
     pub fn total_bytes(&self) -> u64 {
-        self.0.borrow().files.values().map(|file| file.seen.len() as u64).sum()
+        self.0.borrow().files.values().map(|file| file.visible.len() as u64).sum()
     }
 
     /// Changes synced bytes behind the storage's back.
@@ -143,7 +143,7 @@
             && at < file.durable.len()
         {
             file.durable[at] ^= 0x55;
-            file.seen = file.durable.clone();
+            file.visible = file.durable.clone();
         }
     }
 
@@ -151,17 +151,17 @@
         self.0.borrow().files.get(name).map_or(0, |file| file.durable.len())
     }
 
-    fn burn(&self) -> io::Result<()> {
+    fn count_operation(&self) -> io::Result<()> {
         let mut files = self.0.borrow_mut();
-        match files.trouble_due.take() {
-            Some((0, trouble)) => files.trouble = Some(trouble),
-            Some((left, trouble)) => files.trouble_due = Some((left - 1, trouble)),
+        match files.scheduled_fault.take() {
+            Some((0, fault)) => files.fault = Some(fault),
+            Some((remaining, fault)) => files.scheduled_fault = Some((remaining - 1, fault)),
             None => {}
         }
         match &mut files.fuse {
             Some(0) => Err(io::Error::other("the power is gone")),
-            Some(left) => {
-                *left -= 1;
+            Some(remaining) => {
+                *remaining -= 1;
                 Ok(())
             }
             None => Ok(()),
@@ -169,22 +169,22 @@
     }
 
     fn change(&self, name: &str, op: Op) -> io::Result<()> {
-        self.burn()?;
+        self.count_operation()?;
         if let Op::Write { offset, bytes } = &op
             && *offset + bytes.len() as u64 > self.reserved(name)
-            && self.meets(DiskTrouble::Full)
+            && self.consume_fault(DiskFault::Full)
         {
             return Err(io::ErrorKind::StorageFull.into());
         }
         let op = match op {
-            Op::Write { offset, bytes } if self.meets(DiskTrouble::WriteFails) => {
-                let part = bytes[..bytes.len() / 2].to_vec();
-                self.carry(name, Op::Write { offset, bytes: part });
+            Op::Write { offset, bytes } if self.consume_fault(DiskFault::WriteFails) => {
+                let fragment = bytes[..bytes.len() / 2].to_vec();
+                self.apply_change(name, Op::Write { offset, bytes: fragment });
                 return Err(io::Error::other("the write failed"));
             }
             op => op,
         };
-        self.carry(name, op);
+        self.apply_change(name, op);
         Ok(())
     }
 
@@ -192,7 +192,7 @@
         self.0.borrow().files.get(name).map_or(0, |file| file.reserved)
     }
 
-    fn carry(&self, name: &str, op: Op) {
+    fn apply_change(&self, name: &str, op: Op) {
         let mut files = self.0.borrow_mut();
         if let Op::Write { bytes, .. } = &op {
             files.written_bytes += bytes.len() as u64;
@@ -201,24 +201,24 @@
         if let Op::Truncate { .. } = op {
             file.reserved = 0;
         }
-        carry_out(&mut file.seen, &op);
+        apply_op(&mut file.visible, &op);
         file.unsynced.push(op);
     }
 }
 
 impl Disk for SimDisk {
     fn read(&mut self, file: &str) -> io::Result<Vec<u8>> {
-        Ok(self.0.borrow().files.get(file).map_or_else(Vec::new, |file| file.seen.clone()))
+        Ok(self.0.borrow().files.get(file).map_or_else(Vec::new, |file| file.visible.clone()))
     }
 
     fn create(&mut self, file: &str) -> io::Result<()> {
-        self.burn()?;
+        self.count_operation()?;
         self.0.borrow_mut().files.entry(file.to_string()).or_default();
         Ok(())
     }
 
     fn sync_names(&mut self) -> io::Result<()> {
-        self.burn()?;
+        self.count_operation()?;
         self.0.borrow_mut().files.values_mut().for_each(|file| file.named = true);
         Ok(())
     }
@@ -232,8 +232,8 @@
     }
 
     fn sync(&mut self, file: &str) -> io::Result<()> {
-        self.burn()?;
-        let failed = self.meets(DiskTrouble::SyncFails);
+        self.count_operation()?;
+        let failed = self.consume_fault(DiskFault::SyncFails);
         let mut files = self.0.borrow_mut();
         files.syncs += 1;
         let Some(file) = files.files.get_mut(file) else { return Ok(()) };
@@ -242,14 +242,14 @@
             return Err(io::Error::other("the sync failed"));
         }
         for op in &due {
-            carry_out(&mut file.durable, op);
+            apply_op(&mut file.durable, op);
         }
         Ok(())
     }
 
     fn reserve(&mut self, file: &str, bytes: u64) -> io::Result<()> {
-        self.burn()?;
-        if self.reserved(file) < bytes && self.meets(DiskTrouble::Full) {
+        self.count_operation()?;
+        if self.reserved(file) < bytes && self.consume_fault(DiskFault::Full) {
             return Err(io::ErrorKind::StorageFull.into());
         }
         if let Some(file) = self.0.borrow_mut().files.get_mut(file) {
--- a/crates/simulation/src/disk/unsynced.rs
+++ b/crates/simulation/src/disk/unsynced.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Default)]
 pub(super) struct SimFile {
     pub durable: Vec<u8>,
-    pub seen: Vec<u8>,
+    pub visible: Vec<u8>,
     pub unsynced: Vec<Op>,
     /// Whether its name lasts.
     pub named: bool,
@@ -19,7 +19,7 @@
 }
 
 /// Makes the change in these bytes.
-pub(super) fn carry_out(into: &mut Vec<u8>, op: &Op) {
+pub(super) fn apply_op(into: &mut Vec<u8>, op: &Op) {
     match op {
         Op::Write { offset, bytes } => {
             let end = *offset as usize + bytes.len();
@@ -34,13 +34,13 @@
 
 impl Op {
     /// What lasts or goes by itself: two parts of a write, as with two blocks of a disk.
-    pub fn parts(&self, split: &mut impl FnMut(usize) -> usize) -> Vec<Op> {
+    pub fn fragments(&self, split: &mut impl FnMut(usize) -> usize) -> Vec<Op> {
         match self {
             Op::Write { offset, bytes } => {
                 let (first, second) = bytes.split_at(split(bytes.len()));
                 let later = offset + first.len() as u64;
-                let part = |offset, bytes: &[u8]| Op::Write { offset, bytes: bytes.to_vec() };
-                vec![part(*offset, first), part(later, second)]
+                let fragment = |offset, bytes: &[u8]| Op::Write { offset, bytes: bytes.to_vec() };
+                vec![fragment(*offset, first), fragment(later, second)]
             }
             Op::Truncate { .. } => vec![self.clone()],
         }
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -1,7 +1,7 @@
 //! The kinds of fault, and at which moments each may strike.
 
-use crate::disk::DiskTrouble;
-use crate::list::Trouble;
+use crate::disk::DiskFault;
+use crate::list::ListFault;
 
 /// Between these, a node can stand still.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,10 +23,10 @@
     PowerLossOfAll,
     KillAllControl,
     EmptyDisk,
-    EmptyDiskElsewhere,
+    EmptyDiskAtNewAddress,
     FreezeControl,
     CutControl,
-    SplitCore,
+    SplitControl,
     OneWayCut,
     KillData,
     KillManyData,
@@ -37,23 +37,23 @@
     KillTarget,
     FreezeTarget,
     DrainTarget,
-    PassAddress,
+    ReuseAddress,
     /// A control machine's disk is in trouble; a full or stalled one leaves the process alive.
-    Disk(DiskTrouble),
+    Disk(DiskFault),
     /// Every sync takes 10 to 50 ms.
     SlowDisks,
     /// A data node freezes at this step of a one-time request, and wakes after every bound has passed.
     FreezeAt(Stage),
     /// The platform's list itself is in trouble.
-    List(Trouble),
+    List(ListFault),
     /// The controller itself, for measuring how long the others need.
     KillController,
     /// This core machine's disk is lost and it comes back empty at a new address.
-    SwapCore(usize),
+    ReplaceControl(usize),
     RestartData(usize),
     /// A planned stop and start of this process.
-    RollControl(usize),
-    RollData(usize),
+    RollingRestartControl(usize),
+    RollingRestartData(usize),
     Heal,
 }
 
@@ -63,10 +63,10 @@
     Fault::PowerLossOfAll,
     Fault::KillAllControl,
     Fault::EmptyDisk,
-    Fault::EmptyDiskElsewhere,
+    Fault::EmptyDiskAtNewAddress,
     Fault::FreezeControl,
     Fault::CutControl,
-    Fault::SplitCore,
+    Fault::SplitControl,
     Fault::OneWayCut,
     Fault::KillData,
     Fault::KillManyData,
@@ -77,24 +77,24 @@
     Fault::KillTarget,
     Fault::FreezeTarget,
     Fault::DrainTarget,
-    Fault::PassAddress,
-    Fault::Disk(DiskTrouble::SyncFails),
-    Fault::Disk(DiskTrouble::WriteFails),
-    Fault::Disk(DiskTrouble::Full),
-    Fault::Disk(DiskTrouble::Stalls),
+    Fault::ReuseAddress,
+    Fault::Disk(DiskFault::SyncFails),
+    Fault::Disk(DiskFault::WriteFails),
+    Fault::Disk(DiskFault::Full),
+    Fault::Disk(DiskFault::Stalls),
     Fault::SlowDisks,
     Fault::FreezeAt(Stage::Arrived),
     Fault::FreezeAt(Stage::Connected),
     Fault::FreezeAt(Stage::Granted),
     Fault::FreezeAt(Stage::Sending),
     Fault::FreezeAt(Stage::Responded),
-    Fault::List(Trouble::Slow),
-    Fault::List(Trouble::Limited),
-    Fault::List(Trouble::Down),
-    Fault::List(Trouble::Empty),
-    Fault::List(Trouble::Less),
-    Fault::List(Trouble::Garbled),
-    Fault::List(Trouble::Round),
-    Fault::List(Trouble::Shifts),
-    Fault::List(Trouble::Lost),
+    Fault::List(ListFault::Slow),
+    Fault::List(ListFault::Limited),
+    Fault::List(ListFault::Down),
+    Fault::List(ListFault::Empty),
+    Fault::List(ListFault::Truncated),
+    Fault::List(ListFault::Garbled),
+    Fault::List(ListFault::CursorLoop),
+    Fault::List(ListFault::ShiftingRows),
+    Fault::List(ListFault::LostPages),
 ];
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -1,6 +1,6 @@
 //! How each fault is brought about in a world.
 
-use crate::event::{Event, Who};
+use crate::event::{Event, ProcessId};
 use crate::fault::{Fault, Stage};
 use crate::world::World;
 use postbarrow_constants::consensus::VOTERS;
@@ -8,10 +8,10 @@
 use postbarrow_node::{AttemptOutcome, Event as GoEvent};
 
 impl World {
-    pub fn bring(&mut self, fault: Fault) {
-        let say = format!("{:.3} fault {fault:?}", self.now_us as f64 / 1e6);
+    pub fn inject(&mut self, fault: Fault) {
+        let log_line = format!("{:.3} fault {fault:?}", self.now_us as f64 / 1e6);
         if let Some(log) = &mut self.log {
-            log.push(say);
+            log.push(log_line);
         }
         let leader = self
             .control
@@ -26,52 +26,52 @@
             Fault::PowerLossOfAll => (0..3).for_each(|at| self.end_control(at, true)),
             Fault::KillAllControl => (0..3).for_each(|at| self.end_control(at, false)),
             Fault::EmptyDisk => self.empty_disk(control, false),
-            Fault::EmptyDiskElsewhere => self.empty_disk(control, true),
-            Fault::FreezeControl => self.freeze(Who::Control(control)),
+            Fault::EmptyDiskAtNewAddress => self.empty_disk(control, true),
+            Fault::FreezeControl => self.freeze(ProcessId::Control(control)),
             Fault::CutControl => self.isolate(control),
-            Fault::SplitCore => {
+            Fault::SplitControl => {
                 let one = self.control[control].address.ip();
                 let others = (0..3).filter(|other| *other != control);
                 for other in
                     others.map(|other| self.control[other].address.ip()).collect::<Vec<_>>()
                 {
-                    self.net.cut(one, other);
-                    self.net.cut(other, one);
+                    self.net.partition(one, other);
+                    self.net.partition(other, one);
                 }
             }
             Fault::OneWayCut => {
                 let (one, other) =
                     (self.control[some].address, self.control[(some + 1) % 3].address);
-                self.net.cut(one.ip(), other.ip());
+                self.net.partition(one.ip(), other.ip());
             }
             Fault::KillData => self.end_data(data),
             Fault::KillManyData => (0..self.data.len() / 2).for_each(|at| self.end_data(at)),
-            Fault::FreezeData => self.freeze(Who::Data(data)),
+            Fault::FreezeData => self.freeze(ProcessId::Data(data)),
             Fault::CutData => {
-                let cut = self.data[data].address.ip();
+                let isolated = self.data[data].address.ip();
                 for other in self.addresses() {
-                    self.net.cut(cut, other);
-                    self.net.cut(other, cut);
+                    self.net.partition(isolated, other);
+                    self.net.partition(other, isolated);
                 }
             }
             Fault::SlowLinks => self.net.slow_us = 30_000,
             Fault::LossyLinks => self.net.loss_per_mille = 100,
-            Fault::KillTarget => self.target_goes(|target| target.alive = false),
-            Fault::FreezeTarget => self.target_goes(|target| target.frozen = true),
+            Fault::KillTarget => self.change_some_target(|target| target.alive = false),
+            Fault::FreezeTarget => self.change_some_target(|target| target.frozen = true),
             Fault::DrainTarget => self.drain(),
-            Fault::PassAddress => self.pass_address(),
-            Fault::Disk(trouble) => self.control[control].disk.set_trouble(Some(trouble)),
+            Fault::ReuseAddress => self.reuse_address(),
+            Fault::Disk(fault) => self.control[control].disk.set_fault(Some(fault)),
             Fault::SlowDisks => self.slow_disks = true,
             Fault::FreezeAt(stage) => self.freeze_before = Some(stage),
-            Fault::List(trouble) => self.trouble(trouble),
+            Fault::List(fault) => self.inject_list_fault(fault),
             Fault::KillController => self.end_control(leader.unwrap_or(some), false),
-            Fault::SwapCore(at) => self.empty_disk(at, true),
+            Fault::ReplaceControl(at) => self.empty_disk(at, true),
             Fault::RestartData(at) => {
                 self.end_data(at);
                 self.start_data(at);
             }
-            Fault::RollControl(at) => self.roll_control(at),
-            Fault::RollData(at) => self.roll_data(at),
+            Fault::RollingRestartControl(at) => self.rolling_restart_control(at),
+            Fault::RollingRestartData(at) => self.rolling_restart_data(at),
             Fault::Heal => self.heal(),
         }
     }
@@ -81,10 +81,10 @@
         control.chain(self.data.iter().map(|machine| machine.address.ip())).collect()
     }
 
-    fn freeze(&mut self, who: Who) {
-        self.frozen.entry(who).or_default();
+    fn freeze(&mut self, process: ProcessId) {
+        self.frozen.entry(process).or_default();
         let for_us = self.random.between(200_000, 6_000_000);
-        self.after(for_us, Event::Wake(who));
+        self.after(for_us, Event::Wake(process));
     }
 
     pub fn freeze_before(&mut self, event: &Event) {
@@ -104,19 +104,19 @@
             _ => return,
         };
         let one_time = self.requests.get(&request).is_some_and(|run| run.service != "catalogue");
-        if here && one_time && !self.frozen.contains_key(&Who::Data(data)) {
+        if here && one_time && !self.frozen.contains_key(&ProcessId::Data(data)) {
             self.freeze_before = None;
-            self.frozen.insert(Who::Data(data), Vec::new());
+            self.frozen.insert(ProcessId::Data(data), Vec::new());
             let for_us = self.random.between(3_000_000, 8_000_000);
-            self.after(for_us, Event::Wake(Who::Data(data)));
+            self.after(for_us, Event::Wake(ProcessId::Data(data)));
         }
     }
 
     pub fn isolate(&mut self, at: usize) {
-        let cut = self.control[at].address.ip();
+        let isolated = self.control[at].address.ip();
         for other in self.addresses() {
-            self.net.cut(cut, other);
-            self.net.cut(other, cut);
+            self.net.partition(isolated, other);
+            self.net.partition(other, isolated);
         }
     }
 
@@ -135,14 +135,14 @@
     }
 
     fn can_spare(&self, at: usize) -> bool {
-        let whole = |other: &usize| {
+        let is_full_member = |other: &usize| {
             let machine = &self.control[*other];
             let Some(node) = &machine.node else { return false };
             let own = node.consensus().id();
             let members = node.consensus().members();
             members.len() == VOTERS
                 && members.iter().any(|member| member.id == own)
-                && !self.frozen.contains_key(&Who::Control(*other))
+                && !self.frozen.contains_key(&ProcessId::Control(*other))
         };
         let others: Vec<usize> = (0..3).filter(|other| *other != at).collect();
         let ids = |other: &usize| {
@@ -152,13 +152,13 @@
             ids.sort_unstable();
             Some(ids)
         };
-        others.iter().all(whole) && ids(&others[0]) == ids(&others[1])
+        others.iter().all(is_full_member) && ids(&others[0]) == ids(&others[1])
     }
 
-    fn target_goes(&mut self, how: impl Fn(&mut crate::targets::Target)) {
+    fn change_some_target(&mut self, change: impl Fn(&mut crate::targets::Target)) {
         let Some(instance) = self.some_target() else { return };
         if let Some(target) = self.target_mut(&instance) {
-            how(target);
+            change(target);
         }
     }
 
@@ -176,7 +176,7 @@
 
     fn drain(&mut self) {
         let Some(instance) = self.some_target() else { return };
-        self.shows_leaving(&instance);
+        self.record_departure(&instance);
         if let Some(row) = self.list.rows.get_mut(&instance) {
             row.draining = true;
         }
@@ -185,14 +185,14 @@
     }
 
     /// A ledger is retired and a photo store takes its address before the list knows.
-    fn pass_address(&mut self) {
+    fn reuse_address(&mut self) {
         let found =
             self.targets.iter().position(|target| target.alive && target.service == "ledger");
         let Some(at) = found else { return };
         self.targets[at].alive = false;
         let (instance, address) = (self.targets[at].instance.clone(), self.targets[at].address);
-        let stranger = self.add_target("photos", Some(address));
-        self.list.rows.remove(&stranger);
+        let unlisted = self.add_target("photos", Some(address));
+        self.list.rows.remove(&unlisted);
         self.add_target("ledger", None);
         let _still_listed = instance;
     }
@@ -201,11 +201,11 @@
     pub fn heal(&mut self) {
         self.net.heal();
         self.slow_disks = false;
-        self.control.iter().for_each(|machine| machine.disk.set_trouble(None));
+        self.control.iter().for_each(|machine| machine.disk.set_fault(None));
         self.freeze_before = None;
         self.list.heal(self.now_us);
-        let frozen: Vec<Who> = self.frozen.keys().copied().collect();
-        frozen.into_iter().for_each(|who| self.wake(who));
+        let frozen: Vec<ProcessId> = self.frozen.keys().copied().collect();
+        frozen.into_iter().for_each(|process| self.wake(process));
         for at in 0..3 {
             if self.control[at].node.is_none() {
                 self.start_control(at);
@@ -216,15 +216,15 @@
                 self.start_data(at);
             }
         }
-        let gone: Vec<String> = self
+        let departed: Vec<String> = self
             .targets
             .iter()
             .filter(|target| !target.alive || target.frozen)
             .map(|target| target.instance.clone())
             .collect();
-        for instance in gone {
+        for instance in departed {
             if self.list.rows.remove(&instance).is_some() {
-                self.shows_leaving(&instance);
+                self.record_departure(&instance);
                 let service = instance.split('-').next().unwrap_or_default().to_string();
                 self.add_target(&service, None);
             }
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -36,9 +36,9 @@
     for (name, rows) in &highest {
         for (start_us, _, value, write) in rows {
             let before = rows.iter().filter(|(_, end_us, _, _)| end_us < start_us);
-            let most = before.map(|(_, _, value, _)| *value).max().unwrap_or(0);
-            if *value < most || (*write && *value == most && most > 0) {
-                found.push(format!("{name}: {value} after {most} was told"));
+            let max = before.map(|(_, _, value, _)| *value).max().unwrap_or(0);
+            if *value < max || (*write && *value == max && max > 0) {
+                found.push(format!("{name}: {value} after {max} was told"));
             }
         }
         let writes: Vec<u64> = rows.iter().filter(|row| row.3).map(|row| row.2).collect();
@@ -46,15 +46,15 @@
             found.push(format!("{name}: two writes made the same"));
         }
     }
-    let told = &world.callers.told;
-    if told.windows(2).any(|pair| pair[0] >= pair[1]) {
+    let watched_revisions = &world.callers.watched_revisions;
+    if watched_revisions.windows(2).any(|pair| pair[0] >= pair[1]) {
         found.push("a watch was told twice or out of order".into());
     }
     let from = world.callers.watch_from.unwrap_or(u64::MAX);
-    let last = told.last().copied().unwrap_or(0);
-    let seen: BTreeSet<u64> = told.iter().copied().collect();
+    let last = watched_revisions.last().copied().unwrap_or(0);
+    let observed: BTreeSet<u64> = watched_revisions.iter().copied().collect();
     for put in puts.into_iter().filter(|put| *put > from && *put <= last) {
-        if !seen.contains(&put) && world.callers.too_old == 0 {
+        if !observed.contains(&put) && world.callers.too_old == 0 {
             found.push(format!("a watch was never told of revision {put}"));
         }
     }
--- a/crates/simulation/src/linear/tests.rs
+++ b/crates/simulation/src/linear/tests.rs
@@ -3,27 +3,27 @@
 use super::*;
 use postbarrow_state::Key;
 
-fn done(start_us: u64, end_us: u64, call: Call, outcome: Outcome) -> Done {
-    Done { caller: 0, start_us, end_us, call, outcome }
+fn done(start_us: u64, end_us: u64, call: Call, outcome: Outcome) -> CompletedCall {
+    CompletedCall { caller: 0, start_us, end_us, call, outcome }
 }
 
-fn next(start_us: u64, end_us: u64, value: u64) -> Done {
+fn next(start_us: u64, end_us: u64, value: u64) -> CompletedCall {
     let call = Call::Next { name: "n".into(), by: 1 };
     done(start_us, end_us, call, Outcome::Number(value))
 }
 
-fn put(start_us: u64, end_us: u64, asked: u64, revision: u64) -> Done {
-    let call = Call::Put { name: "k".into(), value: vec![], revision: Some(asked) };
+fn put(start_us: u64, end_us: u64, expected: u64, revision: u64) -> CompletedCall {
+    let call = Call::Put { name: "k".into(), value: vec![], revision: Some(expected) };
     done(start_us, end_us, call, Outcome::Key(Key { value: vec![], revision }))
 }
 
-fn read(start_us: u64, end_us: u64, revision: u64) -> Done {
+fn read(start_us: u64, end_us: u64, revision: u64) -> CompletedCall {
     let call = Call::ReadKey { name: "k".into() };
     done(start_us, end_us, call, Outcome::Key(Key { value: vec![], revision }))
 }
 
 #[test]
-fn planted_bad_histories_are_found_and_good_ones_pass() {
+fn invalid_histories_are_found_and_valid_ones_are_accepted() {
     assert!(check(&[next(0, 9, 2), next(1, 8, 1), next(10, 11, 3)]).is_empty());
     assert_eq!(check(&[next(0, 1, 2), next(2, 3, 1)]).len(), 1, "real time turned round");
     assert_eq!(check(&[next(0, 5, 1), next(1, 6, 1)]).len(), 1, "one number given twice");
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,7 +1,10 @@
 //! Runs many seeds and prints each that fails, so that it can be run again alone.
 
 use gumdrop::Options;
-use postbarrow_simulation::{Ends, Fault, HOWS, How, Scenario, Step, WHATS, What};
+use postbarrow_simulation::{
+    Fault, INJECTED_FAULTS, InjectedFault, InjectionPoint, OPERATIONS, Operation, OutcomeCounts,
+    Scenario,
+};
 use std::process::ExitCode;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
@@ -37,39 +40,46 @@
 
 /// What can't be run is told, all of it, and nothing is.
 fn findings(cli: &Cli) -> Vec<String> {
-    let least = [
+    let minimums = [
         ("--seeds", cli.seeds, 1),
         ("--threads", cli.threads as u64, 1),
         ("--nodes", cli.nodes as u64, 2),
         ("--targets", cli.targets as u64, 6),
     ];
-    let low = least.iter().filter(|(_, given, least)| given < least);
-    low.map(|(flag, given, least)| format!("{flag} {given}: at least {least}")).collect()
+    let low = minimums.iter().filter(|(_, given, min)| given < min);
+    low.map(|(flag, given, min)| format!("{flag} {given}: at least {min}")).collect()
 }
 
 /// Every step of every kind, until the controller takes no more.
 fn steps(cli: &Cli) -> ExitCode {
-    let kinds: Vec<(What, How)> =
-        WHATS.into_iter().flat_map(|what| HOWS.map(|how| (what, how))).collect();
+    let kinds: Vec<(Operation, InjectedFault)> = OPERATIONS
+        .into_iter()
+        .flat_map(|operation| INJECTED_FAULTS.map(|fault| (operation, fault)))
+        .collect();
     let next = AtomicUsize::new(0);
     let failed = AtomicUsize::new(0);
     std::thread::scope(|scope| {
         for _ in 0..cli.threads {
             scope.spawn(|| {
-                while let Some((what, how)) = kinds.get(next.fetch_add(1, Relaxed)).copied() {
-                    let most = if what == What::Snapshot { 12 } else { u64::MAX };
-                    let mut struck = 0;
-                    while struck < most {
-                        let step =
-                            Step { seed: cli.seed + struck % cli.seeds, what, how, at: struck };
-                        let Some(ended) = step.run() else { break };
-                        struck += 1;
-                        for violation in &ended.violations {
+                while let Some((operation, fault)) = kinds.get(next.fetch_add(1, Relaxed)).copied()
+                {
+                    let max = if operation == Operation::Snapshot { 12 } else { u64::MAX };
+                    let mut injected = 0;
+                    while injected < max {
+                        let step = InjectionPoint {
+                            seed: cli.seed + injected % cli.seeds,
+                            operation,
+                            fault,
+                            at: injected,
+                        };
+                        let Some(result) = step.run() else { break };
+                        injected += 1;
+                        for violation in &result.violations {
                             failed.fetch_add(1, Relaxed);
                             println!("{step:?}: {violation}");
                         }
                     }
-                    println!("{what:?} {how:?}: {struck} steps");
+                    println!("{operation:?} {fault:?}: {injected} steps");
                 }
             });
         }
@@ -123,10 +133,11 @@
     let failed = outcomes.iter().filter(|outcome| !outcome.violations.is_empty()).count();
     let mut recovery: Vec<u64> = outcomes.iter().map(|outcome| outcome.recovery_ms).collect();
     recovery.sort_unstable();
-    let at = |share: usize| recovery.get(recovery.len() * share / 100).copied().unwrap_or(0);
+    let at = |percent: usize| recovery.get(recovery.len() * percent / 100).copied().unwrap_or(0);
     let sum =
-        |of: fn(&postbarrow_simulation::Ended) -> usize| outcomes.iter().map(of).sum::<usize>();
-    let ends = outcomes.iter().fold(Ends::default(), |sum, outcome| sum.plus(outcome.told));
+        |of: fn(&postbarrow_simulation::RunResult) -> usize| outcomes.iter().map(of).sum::<usize>();
+    let counts =
+        outcomes.iter().fold(OutcomeCounts::default(), |sum, outcome| sum.plus(outcome.outcomes));
     println!(
         "{} seeds, {failed} failed; {} plans, {} refused; {} calls, {} events",
         outcomes.len(),
@@ -137,14 +148,14 @@
     );
     println!(
         "{} requests: {} ran, {} not run, {} unknown, {} pending, {} unreached, {} unanswered, {} left",
-        ends.total(),
-        ends.ran,
-        ends.not_run,
-        ends.unknown,
-        ends.pending,
-        ends.unreached,
-        ends.unanswered,
-        ends.left,
+        counts.total(),
+        counts.ran,
+        counts.not_run,
+        counts.unknown,
+        counts.pending,
+        counts.unreached,
+        counts.unanswered,
+        counts.departed,
     );
     let synced = |part: fn(&(usize, usize)) -> usize| {
         outcomes.iter().map(|outcome| part(&outcome.synced)).sum::<usize>()
--- a/crates/simulation/src/net.rs
+++ b/crates/simulation/src/net.rs
@@ -7,7 +7,7 @@
 /// Delays, order within a link, and cuts that may be one-way.
 #[derive(Default)]
 pub struct Net {
-    cut: BTreeSet<(IpAddr, IpAddr)>,
+    partitions: BTreeSet<(IpAddr, IpAddr)>,
     last: BTreeMap<(SocketAddr, SocketAddr), u64>,
     pub slow_us: u64,
     pub loss_per_mille: u64,
@@ -32,7 +32,7 @@
         to: SocketAddr,
         random: &mut Random,
     ) -> Option<u64> {
-        if self.is_cut(from.ip(), to.ip()) || random.chance(self.loss_per_mille) {
+        if self.is_partitioned(from.ip(), to.ip()) || random.chance(self.loss_per_mille) {
             return None;
         }
         let far = if zone(from.ip()) == zone(to.ip()) { 0 } else { self.zone_us };
@@ -43,16 +43,16 @@
         Some(at_us)
     }
 
-    pub fn is_cut(&self, from: IpAddr, to: IpAddr) -> bool {
-        self.cut.contains(&(from, to))
+    pub fn is_partitioned(&self, from: IpAddr, to: IpAddr) -> bool {
+        self.partitions.contains(&(from, to))
     }
 
-    pub fn cut(&mut self, from: IpAddr, to: IpAddr) {
-        self.cut.insert((from, to));
+    pub fn partition(&mut self, from: IpAddr, to: IpAddr) {
+        self.partitions.insert((from, to));
     }
 
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.partitions.clear();
         self.slow_us = 0;
         self.loss_per_mille = 0;
     }
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -24,7 +24,7 @@
 
 /// An order on its way.
 #[derive(Clone, Debug)]
-pub struct Handed {
+pub struct SubmittedOrder {
     pub order: Order,
     pub routes: usize,
     pub purpose: Purpose,
@@ -41,7 +41,7 @@
     pub unsure: BTreeSet<String>,
     pub texts: BTreeMap<String, String>,
     controller_client: ControllerClient,
-    handed: BTreeMap<u64, Handed>,
+    submitted: BTreeMap<u64, SubmittedOrder>,
     key: u64,
     pub number: u64,
 }
@@ -68,7 +68,7 @@
             unsure: BTreeSet::new(),
             texts: BTreeMap::new(),
             controller_client: ControllerClient::default(),
-            handed: BTreeMap::new(),
+            submitted: BTreeMap::new(),
             key: 0,
             number: 0,
         }
@@ -86,7 +86,7 @@
 impl Operator {
     /// Every plan of its own has its end.
     pub fn is_idle(&self) -> bool {
-        self.handed.is_empty() && self.version.is_some()
+        self.submitted.is_empty() && self.version.is_some()
     }
 }
 
@@ -98,72 +98,76 @@
         let members: Vec<SocketAddr> = listed.map(|machine| machine.address).collect();
         self.operator.controller_client.on_members(now_ms, None, &members);
         let effects = self.operator.controller_client.tick(now_ms);
-        self.operator_does(effects);
-        let clung = self.cling.is_some();
-        let waits = self.cling.as_ref().is_some_and(|cling| cling.has_order());
-        let idle = self.operator.handed.is_empty() && !waits;
+        self.apply_operator_effects(effects);
+        let has_pinned_clients = self.pinned.is_some();
+        let has_pinned_order = self.pinned.as_ref().is_some_and(|pinned| pinned.has_order());
+        let idle = self.operator.submitted.is_empty() && !has_pinned_order;
         if idle && (self.operator.version.is_none() || (!self.quiet && self.random.chance(25))) {
             match self.random.below(12) {
-                _ if self.operator.version.is_none() => self.hand_over(0, false, false),
-                0 => self.hand_over(0, true, false),
-                1 => self.hand_over(0, false, true),
-                2 => self.hand_over(if clung { FEW_ROUTES } else { MANY_ROUTES }, false, false),
+                _ if self.operator.version.is_none() => self.submit_plan(0, false, false),
+                0 => self.submit_plan(0, true, false),
+                1 => self.submit_plan(0, false, true),
+                2 => self.submit_plan(
+                    if has_pinned_clients { FEW_ROUTES } else { MANY_ROUTES },
+                    false,
+                    false,
+                ),
                 3 => {
-                    self.hand_over(0, false, false);
-                    self.hand_over(5, false, false);
+                    self.submit_plan(0, false, false);
+                    self.submit_plan(5, false, false);
                 }
                 4 => self.race(),
-                5 => self.hand_over_twice(),
+                5 => self.submit_plan_twice(),
                 6 | 7 => {
                     self.send_old_orders();
-                    self.hand_over(4, false, false);
+                    self.submit_plan(4, false, false);
                 }
                 8 => self.send_old_orders(),
-                _ => self.hand_over(3, false, false),
+                _ => self.submit_plan(3, false, false),
             }
         }
         self.after(50_000, Event::Operate);
     }
 
-    pub fn hand_over(&mut self, routes: u64, dry: bool, empty: bool) {
+    pub fn submit_plan(&mut self, routes: u64, dry: bool, empty: bool) {
         self.operator.number += 1;
-        let handed = self.draw_up(routes, dry, empty);
-        self.submit(handed);
+        let submitted = self.prepare_order(routes, dry, empty);
+        self.submit(submitted);
     }
 
     /// Up to eight operators pick one number for different changes.
     fn race(&mut self) {
         self.operator.number += 1;
         for routes in 0..self.random.between(2, RACERS) {
-            let handed = self.draw_up(routes, false, false);
-            self.submit_elsewhere(handed);
+            let submitted = self.prepare_order(routes, false, false);
+            self.submit_elsewhere(submitted);
         }
     }
 
     /// One order by two paths at once.
-    fn hand_over_twice(&mut self) {
+    fn submit_plan_twice(&mut self) {
         self.operator.number += 1;
-        let handed = self.draw_up(2, false, false);
-        self.submit(handed.clone());
-        self.submit_elsewhere(handed);
+        let submitted = self.prepare_order(2, false, false);
+        self.submit(submitted.clone());
+        self.submit_elsewhere(submitted);
     }
 
     /// An order that was acknowledged and one that was refused are sent again as they were.
     fn send_old_orders(&mut self) {
-        let (taken, refused) =
-            (self.ledger.orders.taken_orders(), self.ledger.orders.refused_orders());
+        let (accepted, refused) =
+            (self.ledger.orders.accepted_orders(), self.ledger.orders.refused_orders());
         let mut old = Vec::new();
-        for orders in [taken, refused] {
+        for orders in [accepted, refused] {
             if !orders.is_empty() {
                 old.push(orders[self.random.below(orders.len() as u64) as usize].clone());
             }
         }
         for order in old {
-            self.submit_elsewhere(Handed { order, routes: 0, purpose: Purpose::Repeat });
+            self.submit_elsewhere(SubmittedOrder { order, routes: 0, purpose: Purpose::Repeat });
         }
     }
 
-    fn draw_up(&mut self, routes: u64, dry: bool, empty: bool) -> Handed {
+    fn prepare_order(&mut self, routes: u64, dry: bool, empty: bool) -> SubmittedOrder {
         let version = format!("v{}", self.operator.number);
         let base = self.operator.version.clone();
         let text = plan_text(&version, base.as_deref(), routes, empty);
@@ -173,59 +177,59 @@
         }
         self.operator.texts.insert(version.clone(), text.clone());
         let purpose = if dry { Purpose::DryRun } else { Purpose::Change };
-        Handed { order: Order { version, base, text }, routes, purpose }
+        SubmittedOrder { order: Order { version, base, text }, routes, purpose }
     }
 
     /// By another member than the one that answers now.
-    fn submit_elsewhere(&mut self, handed: Handed) {
+    fn submit_elsewhere(&mut self, submitted: SubmittedOrder) {
         self.operator.controller_client.suspect_controller();
-        self.submit(handed);
+        self.submit(submitted);
     }
 
-    pub fn submit(&mut self, handed: Handed) {
-        let order = &handed.order;
+    pub fn submit(&mut self, submitted: SubmittedOrder) {
+        let order = &submitted.order;
         let plan = Plan::read(order.text.as_bytes()).expect("the simulator's plans are sound");
         let submission = Submission {
             version: order.version.as_str().into(),
             base: order.base.as_deref().map(Into::into),
             records: plan.records(),
-            dry_run: handed.purpose == Purpose::DryRun,
+            dry_run: submitted.purpose == Purpose::DryRun,
             allow_empty: self.operator.version.is_none(),
         };
         self.operator.key += 1;
         let key = self.operator.key;
-        if handed.purpose != Purpose::Repeat {
+        if submitted.purpose != Purpose::Repeat {
             self.operator.unsure.insert(order.text.clone());
         }
-        self.operator.handed.insert(key, handed);
-        self.operator_asks(key, Request::Submit(submission));
+        self.operator.submitted.insert(key, submitted);
+        self.send_operator_request(key, Request::Submit(submission));
     }
 
     pub fn show(&mut self) {
         self.operator.key += 1;
         let key = self.operator.key;
-        self.operator_asks(key, Request::Show);
+        self.send_operator_request(key, Request::Show);
     }
 
-    fn operator_asks(&mut self, key: u64, request: Request) {
+    fn send_operator_request(&mut self, key: u64, request: Request) {
         let effects = self.operator.controller_client.send_request(
             self.now_us / 1_000,
             key,
             request,
             WAIT_MS,
         );
-        self.operator_does(effects);
+        self.apply_operator_effects(effects);
     }
 
-    pub fn operator_hears(&mut self, envelope: Envelope) {
+    pub fn operator_receives(&mut self, envelope: Envelope) {
         if let Message::Response { key, response } = envelope.message {
             let effects =
                 self.operator.controller_client.on_response(self.now_us / 1_000, key, response);
-            self.operator_does(effects);
+            self.apply_operator_effects(effects);
         }
     }
 
-    fn operator_does(&mut self, effects: Vec<Effect>) {
+    fn apply_operator_effects(&mut self, effects: Vec<Effect>) {
         let from = self.operator.address;
         for effect in effects {
             match effect {
@@ -234,8 +238,8 @@
                     self.operator.shown = String::from_utf8(text).ok();
                 }
                 Effect::Answer { key, response } => {
-                    if let Some(handed) = self.operator.handed.remove(&key) {
-                        self.plan_ended(handed, response);
+                    if let Some(submitted) = self.operator.submitted.remove(&key) {
+                        self.plan_ended(submitted, response);
                     }
                 }
             }
@@ -244,13 +248,13 @@
 
     /// An order without a clear answer is sent again as it was, and so is one whose
     /// acknowledgement was lost.
-    fn plan_ended(&mut self, handed: Handed, response: Response) {
+    fn plan_ended(&mut self, submitted: SubmittedOrder, response: Response) {
         let Response::Operator { status, body } = response else {
-            return self.submit_elsewhere(handed);
+            return self.submit_elsewhere(submitted);
         };
         let text = String::from_utf8_lossy(&body).into_owned();
-        let order = handed.order.clone();
-        match (status, handed.purpose) {
+        let order = submitted.order.clone();
+        match (status, submitted.purpose) {
             (200, Purpose::DryRun) => {
                 self.operator.unsure.remove(&order.text);
             }
@@ -259,7 +263,10 @@
                 let found = self.ledger.orders.acknowledged(&order);
                 found.into_iter().for_each(|text| self.ledger.violate(text));
                 if lost && purpose == Purpose::Change {
-                    return self.submit_elsewhere(Handed { purpose: Purpose::Repeat, ..handed });
+                    return self.submit_elsewhere(SubmittedOrder {
+                        purpose: Purpose::Repeat,
+                        ..submitted
+                    });
                 }
                 self.operator.unsure.remove(&order.text);
                 self.plan_acknowledged(order, &text);
@@ -270,15 +277,15 @@
                     let found = self.ledger.orders.refused(&order);
                     found.into_iter().for_each(|text| self.ledger.violate(text));
                 }
-                self.plan_refused(&handed, &text);
+                self.plan_refused(&submitted, &text);
             }
         }
     }
 
-    fn plan_refused(&mut self, handed: &Handed, text: &str) {
+    fn plan_refused(&mut self, submitted: &SubmittedOrder, text: &str) {
         self.operator.refusals += 1;
-        if handed.purpose != Purpose::Repeat {
-            self.ledger.refused.insert((handed.order.version.clone(), handed.routes));
+        if submitted.purpose != Purpose::Repeat {
+            self.ledger.refused.insert((submitted.order.version.clone(), submitted.routes));
         }
         (0..self.data.len()).for_each(|at| self.check_published(at));
         let named = text.split("\"versionInForce\":\"").nth(1);
--- a/crates/simulation/src/orders.rs
+++ b/crates/simulation/src/orders.rs
@@ -15,7 +15,7 @@
 pub struct OrderLedger {
     by_version: BTreeMap<String, String>,
     by_base: BTreeMap<Option<String>, String>,
-    taken: BTreeSet<Order>,
+    accepted: BTreeSet<Order>,
     refused: BTreeSet<Order>,
 }
 
@@ -33,13 +33,13 @@
         if self.refused.contains(order) {
             found.push(format!("{} was acknowledged after it was refused", order.version));
         }
-        self.taken.insert(order.clone());
+        self.accepted.insert(order.clone());
         found
     }
 
     pub fn refused(&mut self, order: &Order) -> Vec<String> {
         let mut found = Vec::new();
-        if self.taken.contains(order) {
+        if self.accepted.contains(order) {
             found.push(format!("{} was refused after it was acknowledged", order.version));
         }
         self.refused.insert(order.clone());
@@ -47,8 +47,8 @@
     }
 
     /// In an order that is the same in every run of a seed.
-    pub fn taken_orders(&self) -> Vec<&Order> {
-        self.taken.iter().collect()
+    pub fn accepted_orders(&self) -> Vec<&Order> {
+        self.accepted.iter().collect()
     }
 
     pub fn refused_orders(&self) -> Vec<&Order> {
--- a/crates/simulation/src/passing.rs
+++ b/crates/simulation/src/passing.rs
@@ -1,6 +1,6 @@
 //! A request on its connection to a target, and what the target does with it.
 
-use crate::event::{Event, Who};
+use crate::event::{Event, ProcessId};
 use crate::world::World;
 use postbarrow_node::{AttemptOutcome, TargetResponse};
 use postbarrow_state::{Name, Target};
@@ -9,7 +9,7 @@
 impl World {
     /// The connection's other end says who it is before anything is sent.
     pub fn connect(&mut self, request: u64, data: usize, target: &Target) {
-        let life = self.data[data].life;
+        let incarnation = self.data[data].incarnation;
         let found = self.target_at(target.address).map(|found| found.instance.clone());
         if let Some(run) = self.requests.get_mut(&request) {
             run.connected = found;
@@ -24,36 +24,36 @@
             }
             Some(_) => (1_200, postbarrow_node::Event::Connected),
         };
-        self.after(took_us, Event::Resume { request, data, life, event });
+        self.after(took_us, Event::Resume { request, data, incarnation, event });
     }
 
     /// The look right before the first byte, then the bytes.
     pub fn send(&mut self, request: u64, data: usize, until_ms: u64) {
-        let life = self.data[data].life;
-        let now_ms = self.local_ms(Who::Data(data));
+        let incarnation = self.data[data].incarnation;
+        let now_ms = self.local_ms(ProcessId::Data(data));
         let Some((target, load)) = self.requests.get(&request).and_then(|run| run.target.clone())
         else {
             return;
         };
         let service = Name::from(self.requests[&request].service);
         let allowed = self.data[data].table.allows(&service, &target.instance);
-        let client_waits = self.may_send_for_client(request);
+        let client_waits = self.check_client_before_send(request);
         if !(client_waits && allowed && now_ms < until_ms && self.serves(data)) {
             let event = postbarrow_node::Event::AttemptEnded(AttemptOutcome::Unsent(
                 "the gate is shut".into(),
             ));
-            return self.after(0, Event::Resume { request, data, life, event });
+            return self.after(0, Event::Resume { request, data, incarnation, event });
         }
-        self.check_pass(request, data);
+        self.check_forward(request, data);
         let Some(run) = self.requests.get_mut(&request) else { return };
         load.enter();
         let Some(instance) = run.connected.clone() else { return };
         let delay_us = self.random.between(200, 900);
-        self.after(delay_us, Event::Run { request, data, life, instance });
+        self.after(delay_us, Event::Run { request, data, incarnation, instance });
     }
 
     /// The bytes reach the target, or the connection has broken under way: then nobody can say.
-    pub fn run(&mut self, request: u64, data: usize, life: u64, instance: &str) {
+    pub fn run(&mut self, request: u64, data: usize, incarnation: u64, instance: &str) {
         let Some(run) = self.requests.get(&request) else { return };
         let (id, service) = (run.id, run.service);
         if let Some((_, load)) = &run.target {
@@ -66,8 +66,8 @@
         }) else {
             return;
         };
-        let failed = |late, why: &str| AttemptOutcome::Unknown { late, why: why.into() };
-        let (took_us, passed) = if !alive {
+        let failed = |late, reason: &str| AttemptOutcome::Unknown { late, why: reason.into() };
+        let (took_us, outcome) = if !alive {
             (300, failed(false, "broken"))
         } else if frozen {
             self.ledger.ran(id, request, instance, &kind, service);
@@ -91,7 +91,7 @@
                 )
             }
         };
-        let event = postbarrow_node::Event::AttemptEnded(passed);
-        self.after(took_us, Event::Resume { request, data, life, event });
+        let event = postbarrow_node::Event::AttemptEnded(outcome);
+        self.after(took_us, Event::Resume { request, data, incarnation, event });
     }
 }
--- /dev/null
+++ b/crates/simulation/src/pinned.rs
@@ -0,0 +1,264 @@
+//! Operators and callers that send all they have to one control machine, whatever becomes of it.
+
+use crate::event::{Event, ProcessId};
+use crate::operator::{Purpose, ROUTES, SubmittedOrder, plan_text};
+use crate::orders::Order;
+use crate::world::World;
+use postbarrow_controller::{Contact, Input};
+use postbarrow_controller_client::{ControllerClient, Effect};
+use postbarrow_messages::{Envelope, Request, Response, Submission};
+use postbarrow_plan::Plan;
+use postbarrow_state::{Call, Name};
+use std::collections::BTreeMap;
+
+/// A question every so often, of each kind in turn.
+const QUESTION_US: u64 = 20_000;
+/// So long a question waits at the door of its machine.
+const WAIT_MS: u64 = 2_500;
+/// An order without a clear end is handed to the other operators after this.
+const ORDER_US: u64 = 1_500_000;
+/// A key's revision that never is, so that a put on it is always a conflict and tells the real one.
+const NO_REVISION: u64 = u64::MAX;
+/// The number that only these callers count.
+const OWN_NUMBER: &str = "clung";
+/// The number and the key that all callers use.
+const SHARED: &str = "n0";
+
+#[derive(Clone, Debug)]
+pub enum PinnedRequest {
+    Show,
+    Order(SubmittedOrder),
+    Call(Call),
+}
+
+#[derive(Clone, Debug)]
+struct PendingRequest {
+    start_us: u64,
+    request: PinnedRequest,
+}
+
+/// The door of one control machine, and those who never try another.
+pub struct PinnedClients {
+    pub at: usize,
+    pub answered: usize,
+    pub unavailable: usize,
+    pub unclear: usize,
+    /// The longest that any question waited for "unavailable", by when it was asked.
+    pub waits_us: Vec<(u64, u64)>,
+    /// Numbers that were told, and how many were asked for without a clear end.
+    pub numbers: Vec<u64>,
+    pub numbers_unclear: usize,
+    pub orders: usize,
+    incarnation: u64,
+    controller_client: ControllerClient,
+    pending: BTreeMap<u64, PendingRequest>,
+    key: u64,
+    pub order: Option<(u64, SubmittedOrder)>,
+}
+
+impl PinnedClients {
+    fn new(at: usize, incarnation: u64) -> Self {
+        PinnedClients {
+            at,
+            answered: 0,
+            unavailable: 0,
+            unclear: 0,
+            waits_us: Vec::new(),
+            numbers: Vec::new(),
+            numbers_unclear: 0,
+            orders: 0,
+            incarnation,
+            controller_client: ControllerClient::default(),
+            pending: BTreeMap::new(),
+            key: 0,
+            order: None,
+        }
+    }
+
+    pub fn has_order(&self) -> bool {
+        self.order.is_some()
+    }
+
+    /// Questions that should have had an end by then.
+    pub fn overdue(&self, now_us: u64) -> usize {
+        let due_us = (WAIT_MS + 500) * 1_000;
+        self.pending.values().filter(|pending| now_us > pending.start_us + due_us).count()
+    }
+}
+
+impl World {
+    /// From now on some cling to this control machine.
+    pub fn pin_clients_to(&mut self, at: usize) {
+        self.pinned = Some(PinnedClients::new(at, self.control[at].incarnation));
+        self.after(0, Event::SendPinned);
+    }
+
+    /// Asks the next thing at the door.
+    pub fn send_pinned_request(&mut self) {
+        let Some(pinned) = &mut self.pinned else { return };
+        pinned.key += 1;
+        let (at, key) = (pinned.at, pinned.key);
+        self.order_tick();
+        let call = |call| PinnedRequest::Call(call);
+        let (number, shared) = (Name::from(OWN_NUMBER), Name::from(SHARED));
+        let request = match key % 6 {
+            0 => PinnedRequest::Show,
+            1 => call(Call::ReadNumber { name: shared }),
+            2 => call(Call::ReadKey { name: shared }),
+            3 => call(Call::Put { name: shared, value: vec![9], revision: Some(NO_REVISION) }),
+            4 => call(Call::Next { name: number, by: 1 }),
+            _ => match self.pinned.as_ref().and_then(|pinned| pinned.order.clone()) {
+                Some((_, submitted)) => PinnedRequest::Order(submitted),
+                None => PinnedRequest::Show,
+            },
+        };
+        let requested_us = self.now_us;
+        self.after(0, Event::PinnedArrives { at, key, requested_us, request });
+        self.after(QUESTION_US, Event::SendPinned);
+    }
+
+    /// One order at a time in the whole cluster, so that each is a proper one.
+    fn order_tick(&mut self) {
+        let now_us = self.now_us;
+        let idle = self.operator.is_idle() && !self.quiet && self.random.chance(30);
+        let Some(pinned) = &mut self.pinned else { return };
+        match pinned.order.take() {
+            Some((since_us, submitted)) if now_us > since_us + ORDER_US => self.submit(submitted),
+            Some(order) => pinned.order = Some(order),
+            None if idle => {
+                pinned.orders += 1;
+                self.operator.number += 1;
+                let version = format!("v{}", self.operator.number);
+                let base = self.operator.version.clone();
+                let text = plan_text(&version, base.as_deref(), 0, false);
+                self.operator.texts.insert(version.clone(), text.clone());
+                self.operator.unsure.insert(text.clone());
+                let order = Order { version, base, text };
+                let submitted = SubmittedOrder { order, routes: ROUTES, purpose: Purpose::Change };
+                pinned.order = Some((now_us, submitted));
+            }
+            None => {}
+        }
+    }
+
+    /// A question arrives at the machine; a process that is down takes none.
+    pub fn pinned_request_arrives(&mut self, key: u64, requested_us: u64, request: PinnedRequest) {
+        let Some(at) = self.pinned.as_ref().map(|pinned| pinned.at) else { return };
+        if self.control[at].node.is_none() {
+            return;
+        }
+        self.drop_requests_of_earlier_incarnation(at);
+        let message = match &request {
+            PinnedRequest::Show => Request::Show,
+            PinnedRequest::Order(submitted) => Request::Submit(submission(submitted)),
+            PinnedRequest::Call(call) => {
+                Request::Call { id: Some(Name::from(format!("cling-{key}"))), call: call.clone() }
+            }
+        };
+        let now_ms = self.local_ms(ProcessId::Control(at));
+        let Some(pinned) = &mut self.pinned else { return };
+        pinned.pending.insert(key, PendingRequest { start_us: requested_us, request });
+        let effects = pinned.controller_client.send_request(now_ms, key, message, WAIT_MS);
+        self.apply_pinned_effects(at, effects);
+    }
+
+    /// With the process go its questions: nobody can say what became of them.
+    fn drop_requests_of_earlier_incarnation(&mut self, at: usize) {
+        let incarnation = self.control[at].incarnation;
+        let Some(pinned) = &mut self.pinned else { return };
+        if pinned.incarnation == incarnation {
+            return;
+        }
+        pinned.incarnation = incarnation;
+        pinned.controller_client = ControllerClient::default();
+        for pending in std::mem::take(&mut pinned.pending).into_values() {
+            pinned.numbers_unclear += usize::from(is_own_number(&pending.request));
+        }
+    }
+
+    /// As the program does at each tick.
+    pub fn pinned_clients_tick(&mut self, at: usize) {
+        if self.pinned.as_ref().is_none_or(|pinned| pinned.at != at) {
+            return;
+        }
+        self.drop_requests_of_earlier_incarnation(at);
+        let now_ms = self.local_ms(ProcessId::Control(at));
+        let (Some(node), Some(pinned)) = (&self.control[at].node, &mut self.pinned) else { return };
+        let log = node.consensus();
+        let members: Vec<_> = log.members().iter().map(|member| member.address).collect();
+        match node.contact(now_ms) {
+            Contact::Outside => pinned.controller_client.on_members(now_ms, None, &members),
+            Contact::Leader(leader) => {
+                pinned.controller_client.on_members(now_ms, Some(leader), &members)
+            }
+            Contact::Silent { since_ms } => pinned.controller_client.on_leader_lost(since_ms),
+        }
+        let effects = pinned.controller_client.tick(now_ms);
+        self.apply_pinned_effects(at, effects);
+    }
+
+    /// A response to a question from this machine's door.
+    pub fn pinned_clients_receive(&mut self, at: usize, key: u64, response: Response) {
+        let now_ms = self.local_ms(ProcessId::Control(at));
+        let Some(pinned) = self.pinned.as_mut().filter(|pinned| pinned.at == at) else { return };
+        let effects = pinned.controller_client.on_response(now_ms, key, response);
+        self.apply_pinned_effects(at, effects);
+    }
+
+    fn apply_pinned_effects(&mut self, at: usize, effects: Vec<Effect>) {
+        let from = self.control[at].address;
+        for effect in effects {
+            match effect {
+                Effect::Send { to, message } if to == from => {
+                    self.control_input(at, Input::Receive(Envelope { from, message }));
+                }
+                Effect::Send { to, message } => self.transmit(from, to, message),
+                Effect::Answer { key, response } => self.pinned_request_answered(key, response),
+            }
+        }
+    }
+
+    fn pinned_request_answered(&mut self, key: u64, response: Response) {
+        let now_us = self.now_us;
+        let Some(pinned) = &mut self.pinned else { return };
+        let Some(pending) = pinned.pending.remove(&key) else { return };
+        let own_number = is_own_number(&pending.request);
+        match response {
+            Response::Unavailable => {
+                pinned.unavailable += 1;
+                pinned.waits_us.push((pending.start_us, now_us - pending.start_us));
+            }
+            Response::TimedOut => {
+                pinned.unclear += 1;
+                pinned.numbers_unclear += usize::from(own_number);
+            }
+            response => {
+                pinned.answered += 1;
+                self.check_answer(pending.start_us, pending.request, response);
+            }
+        }
+    }
+}
+
+impl PinnedClients {
+    /// Whether this is the order that has no end yet.
+    pub fn is_order(&self, submitted: &SubmittedOrder) -> bool {
+        self.order.as_ref().is_some_and(|(_, pending)| pending.order == submitted.order)
+    }
+}
+
+fn is_own_number(request: &PinnedRequest) -> bool {
+    matches!(request, PinnedRequest::Call(Call::Next { .. }))
+}
+
+fn submission(submitted: &SubmittedOrder) -> Submission {
+    let order = &submitted.order;
+    let plan = Plan::read(order.text.as_bytes()).expect("the simulator's plans are sound");
+    Submission {
+        version: order.version.as_str().into(),
+        base: order.base.as_deref().map(Into::into),
+        records: plan.records(),
+        dry_run: false,
+        allow_empty: true,
+    }
+}
--- a/crates/simulation/src/random.rs
+++ b/crates/simulation/src/random.rs
@@ -21,8 +21,8 @@
         self.draw() % count.max(1)
     }
 
-    pub fn between(&mut self, least: u64, most: u64) -> u64 {
-        least + self.below(most - least + 1)
+    pub fn between(&mut self, min: u64, max: u64) -> u64 {
+        min + self.below(max - min + 1)
     }
 
     pub fn chance(&mut self, per_mille: u64) -> bool {
--- a/crates/simulation/src/requests.rs
+++ b/crates/simulation/src/requests.rs
@@ -1,10 +1,10 @@
 //! Clients' requests on their way through data nodes.
 
-mod leaving;
+mod departure;
 
 use crate::data::Waits;
-use crate::event::{Event, Who};
-use crate::ledger::Told;
+use crate::event::{Event, ProcessId};
+use crate::ledger::ClientOutcome;
 use crate::world::World;
 use postbarrow_constants::coordination::SETTLEMENT_WAIT_MS;
 use postbarrow_messages::Request;
@@ -17,11 +17,11 @@
 pub struct RequestRun {
     pub id: u64,
     pub keyed: bool,
-    pub goes: u32,
+    pub attempts: u32,
     pub service: &'static str,
     data: usize,
     /// The life of the node that took it, and when it must have answered at the latest.
-    life: u64,
+    incarnation: u64,
     answer_due_us: u64,
     flow: Option<RequestFlow>,
     pub target: Option<(Arc<Target>, Arc<Load>)>,
@@ -29,7 +29,7 @@
     pub connected: Option<String>,
     /// Its client closed the connection, and whether the node has seen that.
     pub client_left: bool,
-    saw_client_leave: bool,
+    departure_observed: bool,
     awaits: Awaits,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl RequestRun {
-    pub fn is_at_work(&self, data: usize) -> bool {
+    pub fn is_in_flight(&self, data: usize) -> bool {
         self.data == data && self.flow.is_some()
     }
 
@@ -89,52 +89,52 @@
     }
 
     /// The platform gives clients to ready nodes; now and then it is a little behind.
-    fn client_sends(&mut self, id: u64, service: &'static str, keyed: bool, goes: u32) {
+    fn client_sends(&mut self, id: u64, service: &'static str, keyed: bool, attempts: u32) {
         let any = self.random.chance(50);
         let behind = |at: usize| any && self.now_us < self.data[at].ready_us + BEHIND_US;
         let nodes: Vec<usize> =
             (0..self.data.len()).filter(|at| behind(*at) || self.is_ready(*at)).collect();
-        self.ledger.asked(id, service != "catalogue");
+        self.ledger.record_request(id, service != "catalogue");
         let request = self.requests.len() as u64;
         if nodes.is_empty() {
-            return self.ledger.told(id, request, Told::Unreached);
+            return self.ledger.record_outcome(id, request, ClientOutcome::Unreached);
         }
         let data = nodes[self.random.below(nodes.len() as u64) as usize];
-        let life = self.data[data].life;
+        let incarnation = self.data[data].incarnation;
         let run = RequestRun {
             id,
             keyed,
-            goes,
+            attempts,
             service,
             data,
-            life,
+            incarnation,
             answer_due_us: u64::MAX,
             flow: None,
             target: None,
             connected: None,
             client_left: false,
-            saw_client_leave: false,
+            departure_observed: false,
             awaits: Awaits::Connection,
         };
         self.requests.insert(request, run);
-        self.after(500, Event::Arrive { request, data, life });
-        self.may_lose_its_client(request);
+        self.after(500, Event::Arrive { request, data, incarnation });
+        self.schedule_departure(request);
     }
 
     /// Requests that a node took, in its present life, and did not answer in time.
     pub fn overdue(&self) -> Vec<u64> {
         let overdue = |run: &&RequestRun| {
-            let same_life = self.data[run.data].life == run.life;
-            same_life && run.flow.is_some() && run.answer_due_us < self.now_us
+            let same_incarnation = self.data[run.data].incarnation == run.incarnation;
+            same_incarnation && run.flow.is_some() && run.answer_due_us < self.now_us
         };
         self.requests.values().filter(overdue).map(|run| run.id).collect()
     }
 
-    pub fn request_arrives(&mut self, request: u64, data: usize, life: u64) {
+    pub fn request_arrives(&mut self, request: u64, data: usize, incarnation: u64) {
         let Some(run) = self.requests.get(&request) else { return };
         let (id, service, keyed) = (run.id, run.service, run.keyed);
-        if self.data[data].life != life {
-            return self.ledger.told(id, request, Told::Unreached);
+        if self.data[data].incarnation != incarnation {
+            return self.ledger.record_outcome(id, request, ClientOutcome::Unreached);
         }
         let one_time = service != "catalogue";
         let about = ExecutionEvidence { one_time, keyed, ..ExecutionEvidence::default() };
@@ -161,19 +161,19 @@
                 },
             );
         };
-        let until_ms = self.local_ms(Who::Data(data)) + entry.route().deadline_ms;
+        let until_ms = self.local_ms(ProcessId::Data(data)) + entry.route().deadline_ms;
         let seed = self.random.draw();
         let machine = &mut self.data[data];
         machine.number += 1;
         let key = match keyed {
             true => format!("key-{id}"),
-            false => format!("{}:{}", machine.incarnation, machine.number),
+            false => format!("{}:{}", machine.announced_incarnation, machine.number),
         };
         let context = RequestContext {
             key: Name::from(key),
             keyed,
             digest: [id as u8; 32],
-            node: machine.incarnation,
+            node: machine.announced_incarnation,
             zone: machine.zone.clone(),
             logged: true,
             until_ms,
@@ -183,18 +183,18 @@
             run.answer_due_us = self.now_us + answer_bound_us(entry.route().deadline_ms);
             run.flow = Some(RequestFlow::new(context, entry));
         }
-        self.go_on(request, data, postbarrow_node::Event::Start);
+        self.resume_request(request, data, postbarrow_node::Event::Start);
     }
 
-    pub fn go_on(&mut self, request: u64, data: usize, event: postbarrow_node::Event) {
-        let now_ms = self.local_ms(Who::Data(data));
+    pub fn resume_request(&mut self, request: u64, data: usize, event: postbarrow_node::Event) {
+        let now_ms = self.local_ms(ProcessId::Data(data));
         let serves = self.serves(data);
         self.data[data].number += 1;
         let number = self.data[data].number;
         let table = self.data[data].table.clone();
         let Some(run) = self.requests.get_mut(&request) else { return };
         let Some(flow) = &mut run.flow else { return };
-        let client_left = run.saw_client_leave;
+        let client_left = run.departure_observed;
         let now = FlowContext { now_ms, table: &table, serves, number, client_left };
         match flow.handle(&now, event) {
             Step::Connect { target, load, .. } => {
@@ -203,60 +203,60 @@
                 self.connect(request, data, &target);
             }
             Step::RequestTicket { ticket, wait_ms } => {
-                self.ask_for(request, data, Request::Ticket(ticket), wait_ms);
+                self.request_controller(request, data, Request::Ticket(ticket), wait_ms);
             }
             Step::Settle { settling, wait_ms } => {
-                self.ask_for(request, data, settling.into(), wait_ms);
+                self.request_controller(request, data, settling.into(), wait_ms);
             }
             Step::Forward { until_ms, .. } => {
                 run.awaits = Awaits::Sending;
-                let life = self.data[data].life;
-                self.after(20, Event::Send { request, data, life, until_ms });
+                let incarnation = self.data[data].incarnation;
+                self.after(20, Event::Send { request, data, incarnation, until_ms });
             }
-            Step::Done { verdict, settling } => {
+            Step::Done { verdict: completion, settling } => {
                 if let Some(settling) = settling {
                     let settle = settling.into();
                     self.send_to_controller(data, settle, SETTLEMENT_WAIT_MS, Waits::Nobody);
                 }
-                self.end_request(request, verdict);
+                self.end_request(request, completion);
             }
         }
     }
 
     /// Asks the controller on behalf of a request, which waits for the answer.
-    fn ask_for(&mut self, request: u64, data: usize, question: Request, wait_ms: u64) {
-        let key = self.next_question_key(data);
+    fn request_controller(&mut self, request: u64, data: usize, question: Request, wait_ms: u64) {
+        let key = self.next_request_key(data);
         if let Some(run) = self.requests.get_mut(&request) {
             run.awaits = Awaits::Controller { key };
         }
-        self.send_question(data, key, question, wait_ms, Waits::Request(request));
+        self.send_keyed_request(data, key, question, wait_ms, Waits::Request(request));
     }
 
-    fn end_request(&mut self, request: u64, verdict: Completion) {
+    fn end_request(&mut self, request: u64, completion: Completion) {
         let Some(run) = self.requests.get_mut(&request) else { return };
         run.flow = None;
         if run.client_left {
             return;
         }
-        let (id, keyed, goes, service) = (run.id, run.keyed, run.goes, run.service);
-        let response = verdict.into_response();
+        let (id, keyed, attempts, service) = (run.id, run.keyed, run.attempts, run.service);
+        let response = completion.into_response();
         let header = |name: &str| {
             let found = response.headers.iter().find(|(known, _)| known.eq_ignore_ascii_case(name));
             found.map(|(_, value)| value.clone())
         };
-        let told = match header(OUTCOME).as_deref() {
-            Some("ran") if response.status == 200 => Told::Ran,
-            Some("not-run") => Told::NotRun,
-            Some("pending") => Told::Pending,
-            _ => Told::Unknown,
+        let outcome = match header(OUTCOME).as_deref() {
+            Some("ran") if response.status == 200 => ClientOutcome::Ran,
+            Some("not-run") => ClientOutcome::NotRun,
+            Some("pending") => ClientOutcome::Pending,
+            _ => ClientOutcome::Unknown,
         };
-        if told == Told::Ran && header("x-id") != Some(id.to_string()) {
+        if outcome == ClientOutcome::Ran && header("x-id") != Some(id.to_string()) {
             self.ledger.violate(format!("request {id} was given another's response"));
         }
-        self.ledger.told(id, request, told);
-        let again = matches!(told, Told::Unknown | Told::Pending);
-        if keyed && again && goes < 3 {
-            self.client_sends(id, service, true, goes + 1);
+        self.ledger.record_outcome(id, request, outcome);
+        let again = matches!(outcome, ClientOutcome::Unknown | ClientOutcome::Pending);
+        if keyed && again && attempts < 3 {
+            self.client_sends(id, service, true, attempts + 1);
         }
     }
 }
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -3,7 +3,7 @@
 use crate::event::Event;
 use crate::fault::{ALL, Fault};
 use crate::history::check_calls;
-use crate::ledger::Ends;
+use crate::ledger::OutcomeCounts;
 use crate::random::Random;
 use crate::world::World;
 use std::collections::BTreeSet;
@@ -29,12 +29,12 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Ended {
+pub struct RunResult {
     pub violations: Vec<String>,
     pub recovery_ms: u64,
     pub requests: usize,
-    pub told: Ends,
-    pub passes: u64,
+    pub outcomes: OutcomeCounts,
+    pub forwards: u64,
     pub plans: u64,
     pub refusals: u64,
     pub calls: usize,
@@ -73,7 +73,7 @@
         Scenario::new(seed, &ALL, 6)
     }
 
-    pub fn run(&self) -> Ended {
+    pub fn run(&self) -> RunResult {
         let mut world = World::new(self.seed, self.data_nodes, self.targets);
         if self.log {
             world.log = Some(Vec::new());
@@ -82,7 +82,7 @@
         world.net.zone_us = self.zone_us;
         let mut random = Random::new(self.seed ^ 0xfa_017);
         world.run_until(6_000_000);
-        let formed = world.is_well();
+        let formed = world.has_full_service();
         let mut at_us = 6_000_000;
         for (pause_ms, fault) in &self.script {
             at_us += pause_ms * 1_000;
@@ -101,13 +101,13 @@
             }
         }
         world.quiet = true;
-        world.bring(Fault::Heal);
+        world.inject(Fault::Heal);
         if let Some(last) = self.last {
-            let settled_us = world.now_us + 5_000_000;
-            world.run_until(settled_us);
-            world.bring(last);
+            let stable_us = world.now_us + 5_000_000;
+            world.run_until(stable_us);
+            world.inject(last);
         }
-        let mut outcome = Ended { recovery_ms: recover(&mut world), ..Ended::default() };
+        let mut outcome = RunResult { recovery_ms: recover(&mut world), ..RunResult::default() };
         world.request_pause_us = 0;
         let end_us = world.now_us + 6_000_000;
         world.run_until(end_us);
@@ -129,7 +129,7 @@
         let next_us = world.now_us + 50_000;
         world.run_until(next_us);
         let ran = world.ledger.ran_us.last().is_some_and(|ran_us| ran_us + 500_000 > world.now_us);
-        match (world.is_well() && ran, well_us) {
+        match (world.has_full_service() && ran, well_us) {
             (true, None) => well_us = Some(world.now_us),
             (true, Some(since_us)) if world.now_us > since_us + 1_000_000 => break,
             (false, _) => well_us = None,
@@ -140,7 +140,7 @@
 }
 
 impl World {
-    pub fn is_well(&self) -> bool {
+    pub fn has_full_service(&self) -> bool {
         let versions: BTreeSet<_> =
             self.data.iter().map(|machine| machine.table.state.plan_version()).collect();
         (0..self.data.len()).all(|at| self.is_ready(at)) && versions.len() == 1
@@ -151,7 +151,7 @@
     }
 }
 
-pub(crate) fn finish(world: &mut World, outcome: &mut Ended) {
+pub(crate) fn finish(world: &mut World, outcome: &mut RunResult) {
     if outcome.recovery_ms > RECOVERY_MS {
         outcome.violations.push(format!("no full service {RECOVERY_MS} ms after the last fault"));
     }
@@ -164,12 +164,12 @@
     }
     outcome.violations.append(&mut world.ledger.violations);
     outcome.requests = world.ledger.requests();
-    outcome.told = world.ledger.ends();
-    outcome.passes = world.ledger.passes;
+    outcome.outcomes = world.ledger.outcome_counts();
+    outcome.forwards = world.ledger.forwards;
     outcome.plans = world.operator.acknowledged;
     outcome.refusals = world.operator.refusals;
     outcome.calls = world.callers.done.len();
-    outcome.events = world.callers.told.len();
+    outcome.events = world.callers.watched_revisions.len();
     outcome.extra = (lookups, extra);
     outcome.longest_leave_ms = world.ledger.longest_leave_us / 1_000;
     let leader = world
--- a/crates/simulation/src/search/forwarded.rs
+++ b/crates/simulation/src/search/forwarded.rs
@@ -1,8 +1,8 @@
 //! Model of calls forwarded to the controller: real clients at two members, over a modelled log.
 
 use super::Model;
-use super::forwarded_log::{Entry, Member, Origin, Write, elsewhere};
-use super::forwarded_state::{ForwardedState, Progress, Way, address, new_client};
+use super::forwarded_log::{Entry, Member, Origin, Write, not_controller};
+use super::forwarded_state::{ForwardedState, Frame, Progress, address, new_client};
 use postbarrow_constants::coordination::{CONTROLLER_REQUEST_MS, REQUEST_RETRY_MS};
 use postbarrow_controller_client::Effect;
 use postbarrow_messages::{Message, Request};
@@ -11,10 +11,10 @@
 
 /// One caller's call, at the client of one member.
 #[derive(Clone, Debug)]
-pub struct Question {
+pub struct ForwardedCall {
     pub client: usize,
     /// Which life of that member's process.
-    pub life: u64,
+    pub incarnation: u64,
     pub id: Option<Name>,
     pub call: Call,
 }
@@ -22,7 +22,7 @@
 /// Calls, and how much may go wrong.
 #[derive(Clone, Debug, Default)]
 pub struct ForwardedCalls {
-    pub questions: Vec<Question>,
+    pub calls: Vec<ForwardedCall>,
     /// Committed before any call.
     pub before: Vec<Record>,
     /// What another caller does meanwhile, or time: once, at any moment.
@@ -40,7 +40,7 @@
 /// One event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForwardedAction {
-    Asks(usize),
+    Sends(usize),
     Arrives(usize),
     IsLost(usize),
     /// Time for clients to send again.
@@ -62,30 +62,34 @@
 
 impl ForwardedCalls {
     /// As the programs draw keys: from the `QuestionKeys` of this life.
-    fn key(&self, question: usize) -> u64 {
-        RequestKeys::new(self.questions[question].life).next()
+    fn key(&self, source: usize) -> u64 {
+        RequestKeys::new(self.calls[source].incarnation).next()
     }
 
     fn question_of(&self, state: &ForwardedState, client: usize, key: u64) -> Option<usize> {
-        (0..self.questions.len()).find(|at| {
-            let question = &self.questions[*at];
-            let open = matches!(state.progress[*at], Progress::Open { .. });
-            question.client == client && open && self.key(*at) == key
+        (0..self.calls.len()).find(|at| {
+            let source = &self.calls[*at];
+            let open = matches!(state.progress[*at], Progress::Pending { .. });
+            source.client == client && open && self.key(*at) == key
         })
     }
 
-    fn absorb(&self, state: &mut ForwardedState, client: usize, effects: Vec<Effect>) {
+    fn apply_effects(&self, state: &mut ForwardedState, client: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Send { to, message: Message::Request { key, request } } => {
                     let to = usize::from(to == address(1));
-                    state.ways.push(Way::Question { to, origin: Origin { client, key }, request });
+                    state.in_flight.push(Frame::ToMember {
+                        to,
+                        origin: Origin { client, key },
+                        request,
+                    });
                 }
                 Effect::Answer { key, response } => {
                     if let Some(at) = self.question_of(state, client, key)
-                        && let Progress::Open { number } = state.progress[at]
+                        && let Progress::Pending { number } = state.progress[at]
                     {
-                        state.progress[at] = Progress::Heard { number, response };
+                        state.progress[at] = Progress::Answered { number, response };
                     }
                 }
                 Effect::Send { .. } => {}
@@ -94,8 +98,8 @@
     }
 
     fn requests(&self, state: &mut ForwardedState, at: usize) {
-        let Question { client, id, call, .. } = self.questions[at].clone();
-        state.progress[at] = Progress::Open { number: state.number() };
+        let ForwardedCall { client, id, call, .. } = self.calls[at].clone();
+        state.progress[at] = Progress::Pending { number: state.number() };
         let request = Request::Call { id, call };
         let effects = state.clients[client].send_request(
             state.now_ms,
@@ -103,64 +107,64 @@
             request,
             CONTROLLER_REQUEST_MS,
         );
-        self.absorb(state, client, effects);
+        self.apply_effects(state, client, effects);
     }
 
     fn ticks(&self, state: &mut ForwardedState) {
         for client in 0..state.clients.len() {
             let effects = state.clients[client].tick(state.now_ms);
-            self.absorb(state, client, effects);
+            self.apply_effects(state, client, effects);
         }
     }
 
     fn arrives(&self, state: &mut ForwardedState, at: usize) {
-        match state.ways.remove(at) {
-            Way::Answer { origin, response } => {
+        match state.in_flight.remove(at) {
+            Frame::ToClient { origin, response } => {
                 let client = &mut state.clients[origin.client];
                 let effects = client.on_response(state.now_ms, origin.key, response);
-                self.absorb(state, origin.client, effects);
+                self.apply_effects(state, origin.client, effects);
             }
-            Way::Question { to, origin, request } if state.members[to].leads => {
+            Frame::ToMember { to, origin, request } if state.members[to].is_leading => {
                 let Request::Call { id, call } = request else { return };
-                let asked = self.asked_as(origin, &call);
-                let write = Write { question: asked, id, call: &call, full: state.full };
-                let told = state.members[to].takes(origin, write);
-                state.answers(told);
+                let call_index = self.call_index(origin, &call);
+                let write = Write { source: call_index, id, call: &call, full: state.full };
+                let replies = state.members[to].accept_write(origin, write);
+                state.send_replies(replies);
             }
-            Way::Question { origin, .. } => {
-                state.answers(vec![(origin, elsewhere(address(state.leader)))]);
+            Frame::ToMember { origin, .. } => {
+                state.send_replies(vec![(origin, not_controller(address(state.leader)))]);
             }
         }
     }
 
     /// Whose question really arrives, whoever shares its key.
-    fn asked_as(&self, origin: Origin, call: &Call) -> usize {
-        let asked = self
-            .questions
+    fn call_index(&self, origin: Origin, call: &Call) -> usize {
+        let call_index = self
+            .calls
             .iter()
-            .position(|question| question.client == origin.client && question.call == *call);
-        asked.expect("every question is one of the model's")
+            .position(|source| source.client == origin.client && source.call == *call);
+        call_index.expect("every question is one of the model's")
     }
 
     fn restarts(&self, state: &mut ForwardedState) {
-        state.lives[0] += 1;
+        state.incarnations[0] += 1;
         state.clients[0] = new_client();
-        for (at, question) in self.questions.iter().enumerate() {
-            let open = matches!(state.progress[at], Progress::Open { .. } | Progress::Unasked);
-            if question.client == 0 && self.life_of(at) == 0 && open {
+        for (at, source) in self.calls.iter().enumerate() {
+            let open = matches!(state.progress[at], Progress::Pending { .. } | Progress::Unsent);
+            if source.client == 0 && self.incarnation_of(at) == 0 && open {
                 state.progress[at] = Progress::Gone;
             }
         }
     }
 
     /// Lives of the first member's process, counted from 0 by when their questions come.
-    fn life_of(&self, at: usize) -> u64 {
-        let before = &self.questions[..at];
-        before.iter().filter(|question| question.client == self.questions[at].client).count() as u64
+    fn incarnation_of(&self, at: usize) -> u64 {
+        let before = &self.calls[..at];
+        before.iter().filter(|source| source.client == self.calls[at].client).count() as u64
     }
 
     fn has_restart(&self) -> bool {
-        (0..self.questions.len()).any(|at| self.life_of(at) > 0)
+        (0..self.calls.len()).any(|at| self.incarnation_of(at) > 0)
     }
 }
 
@@ -169,15 +173,15 @@
     type Action = ForwardedAction;
 
     fn initial(&self) -> ForwardedState {
-        let log = vec![Entry { question: None, records: self.before.clone() }];
-        let member = Member { log, committed: 1, leads: false, replies: Vec::new() };
+        let log = vec![Entry { source: None, records: self.before.clone() }];
+        let member = Member { log, committed: 1, is_leading: false, replies: Vec::new() };
         let mut state = ForwardedState {
             now_ms: 0,
             clients: [new_client(), new_client()],
-            lives: [0, 0],
-            members: [Member { leads: true, ..member.clone() }, member],
-            ways: Vec::new(),
-            progress: vec![Progress::Unasked; self.questions.len()],
+            incarnations: [0, 0],
+            members: [Member { is_leading: true, ..member.clone() }, member],
+            in_flight: Vec::new(),
+            progress: vec![Progress::Unsent; self.calls.len()],
             leader: 0,
             full: self.full,
             meanwhile: !self.meanwhile.is_empty(),
@@ -185,19 +189,19 @@
             ticks: self.ticks,
             printed: String::new(),
         };
-        state.settle();
+        state.canonicalize();
         state
     }
 
     fn actions(&self, state: &ForwardedState) -> Vec<ForwardedAction> {
         use ForwardedAction::*;
-        let unasked = |at: &usize| {
-            let lives = state.lives[self.questions[*at].client];
-            state.progress[*at] == Progress::Unasked && self.life_of(*at) == lives
+        let unsent = |at: &usize| {
+            let incarnations = state.incarnations[self.calls[*at].client];
+            state.progress[*at] == Progress::Unsent && self.incarnation_of(*at) == incarnations
         };
-        let mut actions: Vec<_> = (0..self.questions.len()).filter(unasked).map(Asks).collect();
-        actions.extend((0..state.ways.len()).map(Arrives));
-        let lossy = if state.losses > 0 { state.ways.len() } else { 0 };
+        let mut actions: Vec<_> = (0..self.calls.len()).filter(unsent).map(Sends).collect();
+        actions.extend((0..state.in_flight.len()).map(Arrives));
+        let lossy = if state.losses > 0 { state.in_flight.len() } else { 0 };
         actions.extend((0..lossy).map(IsLost));
         let leader = &state.members[state.leader];
         let may = [
@@ -206,10 +210,10 @@
             (leader.committed < leader.log.len(), Commits),
             (self.elects && state.leader == 0, Elects { with_all: false }),
             (self.elects && state.leader == 0, Elects { with_all: true }),
-            (state.leader == 1 && state.members[0].leads, Deposes),
+            (state.leader == 1 && state.members[0].is_leading, Deposes),
             (state.meanwhile, Meanwhile),
             (state.full, SpaceReturns),
-            (self.has_restart() && state.lives[0] == 0, Restarts),
+            (self.has_restart() && state.incarnations[0] == 0, Restarts),
         ];
         actions.extend(may.into_iter().filter(|(may, _)| *may).map(|(_, action)| action));
         actions
@@ -219,11 +223,11 @@
         use ForwardedAction::*;
         let mut next = state.clone();
         match *action {
-            Asks(at) => self.requests(&mut next, at),
+            Sends(at) => self.requests(&mut next, at),
             Arrives(at) => self.arrives(&mut next, at),
             IsLost(at) => {
                 next.losses -= 1;
-                next.ways.remove(at);
+                next.in_flight.remove(at);
             }
             Ticks => {
                 next.ticks -= 1;
@@ -235,38 +239,38 @@
                 self.ticks(&mut next);
             }
             Commits => {
-                let told = next.members[next.leader].commits();
-                next.answers(told);
+                let replies = next.members[next.leader].commit_all();
+                next.send_replies(replies);
             }
             Elects { with_all } => {
                 let (first, second) = next.members.split_at_mut(1);
                 let length = if with_all { first[0].log.len() } else { first[0].committed };
                 second[0].log = first[0].log[..length].to_vec();
                 second[0].committed = first[0].committed;
-                second[0].leads = true;
+                second[0].is_leading = true;
                 next.leader = 1;
             }
             Deposes => {
                 let leader = next.members[1].clone();
-                let told = next.members[0].is_deposed(&leader);
-                next.answers(told);
+                let replies = next.members[0].step_down(&leader);
+                next.send_replies(replies);
             }
             Meanwhile => {
                 next.meanwhile = false;
                 let records = self.meanwhile.clone();
-                next.members[next.leader].log.push(Entry { question: None, records });
+                next.members[next.leader].log.push(Entry { source: None, records });
             }
             SpaceReturns => next.full = false,
             Restarts => self.restarts(&mut next),
         }
-        next.settle();
+        next.canonicalize();
         next
     }
 
     fn check(&self, state: &ForwardedState) -> Result<(), String> {
         for (at, progress) in state.progress.iter().enumerate() {
-            if let Progress::Heard { number, .. } = progress {
-                self.check_heard(state, at, *number)?;
+            if let Progress::Answered { number, .. } = progress {
+                self.check_answered(state, at, *number)?;
             }
             self.check_once(state, at)?;
         }
--- a/crates/simulation/src/search/forwarded_log.rs
+++ b/crates/simulation/src/search/forwarded_log.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 pub struct Entry {
     /// None: another caller's, or the log's own.
-    pub question: Option<usize>,
+    pub source: Option<usize>,
     pub records: Vec<Record>,
 }
 
@@ -28,7 +28,7 @@
 }
 
 /// What a node sends back.
-pub type Told = (Origin, Response);
+pub type Reply = (Origin, Response);
 
 /// One control node.
 #[derive(Clone, Debug, Default)]
@@ -36,13 +36,13 @@
     pub log: Vec<Entry>,
     pub committed: usize,
     /// It takes itself for the leader.
-    pub leads: bool,
+    pub is_leading: bool,
     pub replies: Vec<(usize, Origin, Response)>,
 }
 
 /// A write, as its question brings it.
 pub struct Write<'a> {
-    pub question: usize,
+    pub source: usize,
     pub id: Option<Name>,
     pub call: &'a Call,
     pub full: bool,
@@ -59,7 +59,7 @@
 
 impl Member {
     /// As `on_write`.
-    pub fn takes(&mut self, origin: Origin, write: Write<'_>) -> Vec<Told> {
+    pub fn accept_write(&mut self, origin: Origin, write: Write<'_>) -> Vec<Reply> {
         let state = state_of(&self.log);
         if let Some(known) = write.id.as_ref().and_then(|id| state.repeats.get(id)) {
             return self.reply(origin, Response::Outcome(known.as_ref().clone()));
@@ -74,12 +74,12 @@
         if let Some(id) = write.id {
             records.push(Record::Repeat { id, outcome: outcome.clone() });
         }
-        self.log.push(Entry { question: Some(write.question), records });
+        self.log.push(Entry { source: Some(write.source), records });
         self.reply(origin, Response::Outcome(outcome))
     }
 
     /// As `reply_at` of the log's last entry.
-    fn reply(&mut self, origin: Origin, response: Response) -> Vec<Told> {
+    fn reply(&mut self, origin: Origin, response: Response) -> Vec<Reply> {
         if self.committed >= self.log.len() {
             return vec![(origin, response)];
         }
@@ -88,14 +88,14 @@
     }
 
     /// All that it has is committed.
-    pub fn commits(&mut self) -> Vec<Told> {
+    pub fn commit_all(&mut self) -> Vec<Reply> {
         self.committed = self.log.len();
         self.replies.drain(..).map(|(_, origin, response)| (origin, response)).collect()
     }
 
     /// It hears that another leads, and takes over its log.
-    pub fn is_deposed(&mut self, by: &Member) -> Vec<Told> {
-        self.leads = false;
+    pub fn step_down(&mut self, by: &Member) -> Vec<Reply> {
+        self.is_leading = false;
         self.log.clone_from(&by.log);
         self.committed = by.committed;
         self.replies.drain(..).map(|(_, origin, _)| (origin, Response::Lost)).collect()
@@ -103,12 +103,12 @@
 }
 
 /// As a node that does not lead answers.
-pub fn elsewhere(controller: SocketAddr) -> Response {
+pub fn not_controller(controller: SocketAddr) -> Response {
     Response::NotController { controller: Some(controller) }
 }
 
 /// Whether a response says that the call was not done.
-pub fn refuses(response: &Response) -> bool {
+pub fn is_refusal(response: &Response) -> bool {
     use Outcome::{Conflict, LockedByOther, NoKey, NotOwner};
     match response {
         Response::Full => true,
--- a/crates/simulation/src/search/forwarded_rules.rs
+++ b/crates/simulation/src/search/forwarded_rules.rs
@@ -1,7 +1,7 @@
 //! What must hold of every forwarded call.
 
 use super::forwarded::ForwardedCalls;
-use super::forwarded_log::refuses;
+use super::forwarded_log::is_refusal;
 use super::forwarded_state::{ForwardedState, Progress};
 use postbarrow_messages::Response;
 use postbarrow_state::{Outcome, Record};
@@ -9,43 +9,42 @@
 
 impl ForwardedCalls {
     /// Whatever a caller was told is true of its own call.
-    pub(super) fn check_heard(
+    pub(super) fn check_answered(
         &self,
         state: &ForwardedState,
         at: usize,
         floor: u64,
     ) -> Result<(), String> {
-        let Progress::Heard { response, .. } = &state.progress[at] else { return Ok(()) };
+        let Progress::Answered { response, .. } = &state.progress[at] else { return Ok(()) };
         let own: Vec<&Record> = state
             .committed()
             .iter()
-            .filter(|entry| entry.question == Some(at))
+            .filter(|entry| entry.source == Some(at))
             .flat_map(|entry| &entry.records)
             .collect();
-        if refuses(response) && !own.is_empty() {
+        if is_refusal(response) && !own.is_empty() {
             return Err(format!("call {at} was told {response:?} and took effect"));
         }
-        let done = match response {
-            Response::Outcome(Outcome::Number(told)) => {
-                *told > floor
-                    && own
-                        .iter()
-                        .any(|found| matches!(found, Record::Number { value, .. } if value == told))
-            }
-            Response::Outcome(Outcome::Locked { fence: told, .. }) => {
-                own.iter().any(|found| matches!(found, Record::Lock { fence, .. } if fence == told))
-            }
-            Response::Outcome(Outcome::Key(told)) => own
-                .iter()
-                .any(|found| matches!(found, Record::Key { key: Some(key), .. } if key == told)),
-            _ => true,
-        };
+        let done =
+            match response {
+                Response::Outcome(Outcome::Number(reported)) => *reported > floor
+                    && own.iter().any(
+                        |found| matches!(found, Record::Number { value, .. } if value == reported),
+                    ),
+                Response::Outcome(Outcome::Locked { fence: reported, .. }) => own
+                    .iter()
+                    .any(|found| matches!(found, Record::Lock { fence, .. } if fence == reported)),
+                Response::Outcome(Outcome::Key(reported)) => own.iter().any(
+                    |found| matches!(found, Record::Key { key: Some(key), .. } if key == reported),
+                ),
+                _ => true,
+            };
         if done { Ok(()) } else { Err(format!("call {at} was told {response:?}, not its own")) }
     }
 
     /// A put has one revision and a lock one fence, however often its question arrives.
     pub(super) fn check_once(&self, state: &ForwardedState, at: usize) -> Result<(), String> {
-        let own = state.committed().iter().filter(|entry| entry.question == Some(at));
+        let own = state.committed().iter().filter(|entry| entry.source == Some(at));
         let marks: BTreeSet<u64> = own
             .flat_map(|entry| &entry.records)
             .filter_map(|record| match record {
--- a/crates/simulation/src/search/forwarded_state.rs
+++ b/crates/simulation/src/search/forwarded_state.rs
@@ -1,6 +1,6 @@
 //! Where the members, their clients and the callers of the forwarded calls' model stand.
 
-use super::forwarded_log::{Entry, Member, Origin, Told, state_of};
+use super::forwarded_log::{Entry, Member, Origin, Reply, state_of};
 use postbarrow_controller_client::ControllerClient;
 use postbarrow_messages::{Request, Response};
 use std::hash::{Hash, Hasher};
@@ -8,20 +8,20 @@
 
 /// A message on its way.
 #[derive(Clone, Debug)]
-pub enum Way {
-    Question { to: usize, origin: Origin, request: Request },
-    Answer { origin: Origin, response: Response },
+pub enum Frame {
+    ToMember { to: usize, origin: Origin, request: Request },
+    ToClient { origin: Origin, response: Response },
 }
 
 /// How far a call has come.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Progress {
-    Unasked,
+    Unsent,
     /// Asked when the number stood so high.
-    Open {
+    Pending {
         number: u64,
     },
-    Heard {
+    Answered {
         number: u64,
         response: Response,
     },
@@ -33,9 +33,9 @@
 pub struct ForwardedState {
     pub(super) now_ms: u64,
     pub(super) clients: [ControllerClient; 2],
-    pub(super) lives: [u64; 2],
+    pub(super) incarnations: [u64; 2],
     pub(super) members: [Member; 2],
-    pub(super) ways: Vec<Way>,
+    pub(super) in_flight: Vec<Frame>,
     pub(super) progress: Vec<Progress>,
     pub(super) leader: usize,
     pub(super) full: bool,
@@ -76,21 +76,23 @@
 
 impl ForwardedState {
     /// Messages without an order between them, and nothing that no event reads.
-    pub fn settle(&mut self) {
-        let mut printed: Vec<(String, Way)> =
-            self.ways.drain(..).map(|way| (format!("{way:?}"), way)).collect();
+    pub fn canonicalize(&mut self) {
+        let mut printed: Vec<(String, Frame)> =
+            self.in_flight.drain(..).map(|frame| (format!("{frame:?}"), frame)).collect();
         printed.sort_by(|one, other| one.0.cmp(&other.0));
         let names: Vec<&String> = printed.iter().map(|(name, _)| name).collect();
-        let standing = (&self.clients, &self.members, &names, &self.progress, self.leader);
-        let left = (self.full, self.meanwhile, self.losses, self.ticks, self.now_ms, self.lives);
-        self.printed = format!("{standing:?} {left:?}");
-        self.ways = printed.into_iter().map(|(_, way)| way).collect();
+        let shared = (&self.clients, &self.members, &names, &self.progress, self.leader);
+        let remaining =
+            (self.full, self.meanwhile, self.losses, self.ticks, self.now_ms, self.incarnations);
+        self.printed = format!("{shared:?} {remaining:?}");
+        self.in_flight = printed.into_iter().map(|(_, frame)| frame).collect();
     }
 
     /// Responses are sent.
-    pub fn answers(&mut self, told: Vec<Told>) {
-        let ways = told.into_iter().map(|(origin, response)| Way::Answer { origin, response });
-        self.ways.extend(ways);
+    pub fn send_replies(&mut self, replies: Vec<Reply>) {
+        let in_flight =
+            replies.into_iter().map(|(origin, response)| Frame::ToClient { origin, response });
+        self.in_flight.extend(in_flight);
     }
 
     /// How high the number stands for all.
--- a/crates/simulation/src/search/mod.rs
+++ b/crates/simulation/src/search/mod.rs
@@ -12,7 +12,7 @@
 mod request_state;
 mod request_wire;
 
-pub use forwarded::{ForwardedAction, ForwardedCalls, Question};
+pub use forwarded::{ForwardedAction, ForwardedCall, ForwardedCalls};
 pub use forwarded_state::{ForwardedState, NUMBER};
 pub use request::{Faults, Requests};
 pub use request_actions::RequestAction;
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 pub struct Counterexample<A> {
     /// What does not hold.
-    pub broken: String,
+    pub violation: String,
     /// The events from the first state on.
     pub path: Vec<A>,
 }
@@ -85,26 +85,26 @@
 /// The nearest state in which something does not hold.
 pub fn search<M: Model>(model: &M, bounds: Bounds) -> Result<Covered, Counterexample<M::Action>> {
     let first = Rc::new(model.initial());
-    let mut seen = HashSet::from([first.clone()]);
+    let mut visited = HashSet::from([first.clone()]);
     let mut nodes: Vec<Node<M>> = vec![Node { state: first, from: None, depth: 0 }];
     let mut covered = Covered { states: 1, depth: 0, complete: true };
     let mut at = 0;
     while at < nodes.len() {
         let (state, depth) = (nodes[at].state.clone(), nodes[at].depth);
         covered.depth = depth;
-        if let Err(broken) = model.check(&state) {
-            return Err(Counterexample { broken, path: path_to(&nodes, at) });
+        if let Err(violation) = model.check(&state) {
+            return Err(Counterexample { violation, path: path_to(&nodes, at) });
         }
         for action in model.actions(&state) {
             let next = Rc::new(model.step(&state, &action));
-            if seen.contains(&next) {
+            if visited.contains(&next) {
                 continue;
             }
             if depth >= bounds.depth || nodes.len() >= bounds.states {
                 covered.complete = false;
                 continue;
             }
-            seen.insert(next.clone());
+            visited.insert(next.clone());
             nodes.push(Node { state: next, from: Some((at, action)), depth: depth + 1 });
         }
         at += 1;
--- a/crates/simulation/src/search/request.rs
+++ b/crates/simulation/src/search/request.rs
@@ -3,10 +3,11 @@
 use super::Model;
 use super::request_actions::RequestAction;
 use super::request_flow::{
-    DEADLINE_MS, Fed, Moment, PassedAs, Phase, START_MS, TicketEnd, Views, as_fed,
+    AttemptEnd, DEADLINE_MS, FlowEvent, FlowInput, FlowStates, Phase, START_MS, TicketEnd,
+    as_flow_event,
 };
 use super::request_state::RequestState;
-use super::request_wire::{Connection, Content, Kind, Use};
+use super::request_wire::{Connection, ConnectionUse, Content, Kind};
 use std::cell::RefCell;
 
 /// How much may go wrong.
@@ -21,90 +22,90 @@
     /// The node may stand still beyond its deadlines, and its lease may end.
     pub freezes: bool,
     /// Clients may leave at any moment.
-    pub leaves: bool,
+    pub departures: bool,
 }
 
 /// Two requests through one node to two targets.
 pub struct Requests {
     pub(super) kinds: [Kind; 2],
     logged: bool,
-    strict: bool,
-    looks: bool,
+    requires_name: bool,
+    checks_client: bool,
     faults: Faults,
-    views: RefCell<Views>,
+    flow_states: RefCell<FlowStates>,
 }
 
 impl Requests {
     /// `logged`: tickets come from the log, and connections prove who is there; else requests name
     /// their targets.
     pub fn new(kinds: [Kind; 2], logged: bool, faults: Faults) -> Requests {
-        let views = RefCell::new(Views::new(kinds, logged));
-        Requests { kinds, logged, strict: true, looks: true, faults, views }
+        let flow_states = RefCell::new(FlowStates::new(kinds, logged));
+        Requests { kinds, logged, requires_name: true, checks_client: true, faults, flow_states }
     }
 
     /// Nobody looks for the client right before the first byte.
-    pub fn without_a_last_look(self) -> Requests {
-        Requests { looks: false, ..self }
+    pub fn without_client_check(self) -> Requests {
+        Requests { checks_client: false, ..self }
     }
 
     /// A nameless word 'not run' counts on every response of a connection, not on its first alone.
-    pub fn believing_nameless_refusals(self) -> Requests {
-        Requests { strict: false, ..self }
+    pub fn accepting_unnamed_refusals(self) -> Requests {
+        Requests { requires_name: false, ..self }
     }
 }
 
 impl Requests {
-    fn feed(&self, state: &mut RequestState, client: usize, fed: Fed) {
+    fn feed(&self, state: &mut RequestState, client: usize, event: FlowEvent) {
         let now_ms = if state.late { START_MS + DEADLINE_MS } else { START_MS };
-        let client_left = state.seen_gone[client];
-        let moment = Moment { client, now_ms, serves: state.serves, client_left, fed };
-        let mut views = self.views.borrow_mut();
-        state.view = views.after(state.view, moment);
-        state.phases = views.phases(state.view);
-        state.tickets = views.tickets(state.view);
+        let client_left = state.departure_observed[client];
+        let input = FlowInput { client, now_ms, serves: state.serves, client_left, event };
+        let mut flow_states = self.flow_states.borrow_mut();
+        state.flow_state = flow_states.after(state.flow_state, input);
+        state.phases = flow_states.phases(state.flow_state);
+        state.tickets = flow_states.tickets(state.flow_state);
     }
 
     /// As a wait that ends with `Waited::ClientLeft` or `Unreceived::ClientLeft`.
     fn abandons(&self, state: &mut RequestState, client: usize) {
-        state.seen_gone[client] = true;
+        state.departure_observed[client] = true;
         match state.phases[client] {
-            Phase::Connect(_) => self.feed(state, client, Fed::Unconnected),
-            Phase::AskTicket | Phase::Settle => self.feed(state, client, Fed::Unheard),
-            _ => self.ends(state, client, PassedAs::Unknown { late: false }),
+            Phase::Connect(_) => self.feed(state, client, FlowEvent::ConnectFailed),
+            Phase::RequestTicket | Phase::Settle => self.feed(state, client, FlowEvent::NoResponse),
+            _ => self.outcome_counts(state, client, AttemptEnd::Unknown { late: false }),
         }
     }
 
     fn connects(&self, state: &mut RequestState, client: usize) {
         let Phase::Connect(target) = state.phases[client] else { return };
-        state.drops_unfit(target);
-        match state.resting(target) {
-            Some(at) => state.connections[at].used = Use::Taken(client),
-            None if self.logged && state.lives[target] > 0 => {
-                return self.feed(state, client, Fed::Unconnected);
+        state.drop_unusable(target);
+        match state.idle_connection(target) {
+            Some(at) => state.connections[at].usage = ConnectionUse::InUse(client),
+            None if self.logged && state.incarnations[target] > 0 => {
+                return self.feed(state, client, FlowEvent::ConnectFailed);
             }
             None => {
-                let life = state.lives[target];
-                state.connections.push(Connection::open(target, life, client));
+                let incarnation = state.incarnations[target];
+                state.connections.push(Connection::open(target, incarnation, client));
             }
         }
-        self.feed(state, client, Fed::Connected);
+        self.feed(state, client, FlowEvent::Connected);
     }
 
     /// As `TargetConnection::exchange` up to the end of its write.
     fn writes(&self, state: &mut RequestState, client: usize) {
         let Some(at) = state.connection_of(client) else { return };
         let connection = &mut state.connections[at];
-        if self.looks && state.gone[client] {
-            state.seen_gone[client] = true;
-            connection.used = Use::Dropped;
-            return self.feed(state, client, Fed::Passed(PassedAs::Unsent));
+        if self.checks_client && state.departed[client] {
+            state.departure_observed[client] = true;
+            connection.usage = ConnectionUse::Dropped;
+            return self.feed(state, client, FlowEvent::AttemptEnded(AttemptEnd::Unsent));
         }
-        state.sent_for_nobody[client] |= state.gone[client];
+        state.sent_after_departure[client] |= state.departed[client];
         if !state.serves {
-            connection.used = Use::Dropped;
-            return self.feed(state, client, Fed::Passed(PassedAs::Unsent));
+            connection.usage = ConnectionUse::Dropped;
+            return self.feed(state, client, FlowEvent::AttemptEnded(AttemptEnd::Unsent));
         }
-        connection.used = Use::Reading(client);
+        connection.usage = ConnectionUse::Reading(client);
         if !connection.closed {
             connection.pending = Some((client, 0));
         }
@@ -113,16 +114,16 @@
     fn reads(&self, state: &mut RequestState, client: usize, rest: bool) {
         let Some(at) = state.connection_of(client) else { return };
         let connection = &mut state.connections[at];
-        let Some(read) = connection.read(client, rest, self.strict) else { return };
-        connection.used = if read.rests { Use::Resting } else { Use::Dropped };
-        self.feed(state, client, as_fed(&read.passed));
+        let Some(read) = connection.read(client, rest, self.requires_name) else { return };
+        connection.usage = if read.is_idle { ConnectionUse::Idle } else { ConnectionUse::Dropped };
+        self.feed(state, client, as_flow_event(&read.outcome));
     }
 
-    fn ends(&self, state: &mut RequestState, client: usize, passed: PassedAs) {
+    fn outcome_counts(&self, state: &mut RequestState, client: usize, outcome: AttemptEnd) {
         if let Some(at) = state.connection_of(client) {
-            state.connections[at].used = Use::Dropped;
+            state.connections[at].usage = ConnectionUse::Dropped;
         }
-        self.feed(state, client, Fed::Passed(passed));
+        self.feed(state, client, FlowEvent::AttemptEnded(outcome));
     }
 }
 
@@ -132,18 +133,18 @@
 
     fn initial(&self) -> RequestState {
         RequestState {
-            view: 0,
-            phases: [Phase::Away; 2],
+            flow_state: 0,
+            phases: [Phase::NotArrived; 2],
             tickets: [TicketEnd::None; 2],
-            gone: [false; 2],
-            seen_gone: [false; 2],
-            sent_for_nobody: [false; 2],
+            departed: [false; 2],
+            departure_observed: [false; 2],
+            sent_after_departure: [false; 2],
             connections: Vec::new(),
-            lives: [0, 0],
+            incarnations: [0, 0],
             ran: [0, 0],
             late: false,
             serves: true,
-            left: self.faults,
+            remaining: self.faults,
         }
     }
 
@@ -151,17 +152,17 @@
         let standing = state;
         let mut actions: Vec<RequestAction> =
             (0..2).flat_map(|client| self.client_actions(state, client)).collect();
-        actions.extend((0..2).flat_map(|client| self.leaving_actions(state, client)));
+        actions.extend((0..2).flat_map(|client| self.departure_actions(state, client)));
         for at in 0..standing.connections.len() {
             actions.extend(self.target_actions(state, at));
         }
-        if standing.left.replaces > 0 {
+        if standing.remaining.replaces > 0 {
             actions.extend([0, 1].map(RequestAction::Replaces));
         }
-        if standing.left.freezes && !standing.late {
+        if standing.remaining.freezes && !standing.late {
             actions.push(RequestAction::TimePasses);
         }
-        if standing.left.freezes && standing.serves {
+        if standing.remaining.freezes && standing.serves {
             actions.push(RequestAction::LeaseEnds);
         }
         actions
@@ -171,46 +172,48 @@
         use RequestAction::*;
         let mut next = state.clone();
         match *action {
-            Comes(client) => self.feed(&mut next, client, Fed::Start),
+            Arrives(client) => self.feed(&mut next, client, FlowEvent::Start),
             Connects(client) => self.connects(&mut next, client),
-            ConnectFails(client) => self.feed(&mut next, client, Fed::Unconnected),
-            TicketGranted(client) => self.feed(&mut next, client, Fed::Granted),
-            TicketSettled(client) => self.feed(&mut next, client, Fed::Settled),
-            TicketUnheard(client) => self.feed(&mut next, client, Fed::Unheard),
+            ConnectFails(client) => self.feed(&mut next, client, FlowEvent::ConnectFailed),
+            TicketGranted(client) => self.feed(&mut next, client, FlowEvent::Granted),
+            TicketSettled(client) => self.feed(&mut next, client, FlowEvent::Settled),
+            TicketTimesOut(client) => self.feed(&mut next, client, FlowEvent::NoResponse),
             Writes(client) => self.writes(&mut next, client),
-            WriteRefused(client) => self.ends(&mut next, client, PassedAs::Unsent),
+            WriteRefused(client) => self.outcome_counts(&mut next, client, AttemptEnd::Unsent),
             Reads { client, rest } => self.reads(&mut next, client, rest),
-            Expires(client) => self.ends(&mut next, client, PassedAs::Unknown { late: true }),
-            Runs(at) => next.runs(at, Some(Content::Whole)),
-            RunsInSilence(at) => next.runs(at, None),
-            RunsAndCutsItsAnswer(at) => {
-                next.runs(at, Some(Content::Cut));
+            Expires(client) => {
+                self.outcome_counts(&mut next, client, AttemptEnd::Unknown { late: true })
+            }
+            Runs(at) => next.runs(at, Some(Content::Complete)),
+            RunsWithoutResponse(at) => next.runs(at, None),
+            RunsAndTruncatesResponse(at) => {
+                next.runs(at, Some(Content::Truncated));
                 next.connections[at].closed = true;
             }
-            TurnsAway { connection, named } => {
+            Rejects { connection, is_named } => {
                 let connection = &mut next.connections[connection];
                 if let Some((client, _)) = connection.pending.take() {
-                    connection.answers(client, Some(Content::NotRun), named);
+                    connection.push_response(client, Some(Content::NotRun), is_named);
                 }
             }
-            Strays { connection, content, named } => {
-                next.left.strays -= 1;
+            Strays { connection, content, is_named } => {
+                next.remaining.strays -= 1;
                 let connection = &mut next.connections[connection];
-                let made_for = connection.answered.unwrap_or_default();
-                connection.answers(made_for, Some(content), named);
+                let for_client = connection.answered.unwrap_or_default();
+                connection.push_response(for_client, Some(content), is_named);
             }
             Closes(at) => {
-                next.left.closes -= 1;
+                next.remaining.closes -= 1;
                 next.connections[at].closed = true;
             }
             Replaces(target) => next.replaces(target),
-            Leaves(client) => next.gone[client] = true,
-            SeesGone(client) => next.seen_gone[client] = true,
+            ClientDeparts(client) => next.departed[client] = true,
+            ObservesDeparture(client) => next.departure_observed[client] = true,
             Abandons(client) => self.abandons(&mut next, client),
             TimePasses => next.late = true,
             LeaseEnds => next.serves = false,
         }
-        next.tidy();
+        next.remove_unused_connections();
         next
     }
 
--- a/crates/simulation/src/search/request_actions.rs
+++ b/crates/simulation/src/search/request_actions.rs
@@ -8,12 +8,12 @@
 /// One event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestAction {
-    Comes(usize),
+    Arrives(usize),
     Connects(usize),
     ConnectFails(usize),
     TicketGranted(usize),
     TicketSettled(usize),
-    TicketUnheard(usize),
+    TicketTimesOut(usize),
     /// The request's bytes go out, if its last look allows it.
     Writes(usize),
     /// The first byte is refused, for the target's reset is known already.
@@ -27,23 +27,23 @@
     Expires(usize),
     /// The target at the other end runs the request and answers.
     Runs(usize),
-    RunsInSilence(usize),
-    RunsAndCutsItsAnswer(usize),
-    TurnsAway {
+    RunsWithoutResponse(usize),
+    RunsAndTruncatesResponse(usize),
+    Rejects {
         connection: usize,
-        named: bool,
+        is_named: bool,
     },
     Strays {
         connection: usize,
         content: Content,
-        named: bool,
+        is_named: bool,
     },
     Closes(usize),
     Replaces(usize),
     /// The client closes its connection.
-    Leaves(usize),
+    ClientDeparts(usize),
     /// The node sees that it did, while it waits for something else.
-    SeesGone(usize),
+    ObservesDeparture(usize),
     /// The node, which waits for a socket, gives up what it waits for: its client left.
     Abandons(usize),
     /// Deadlines pass, as for a node that was frozen.
@@ -56,14 +56,14 @@
         use RequestAction::*;
         let at = state.connection_of(client).map(|at| &state.connections[at]);
         match &state.phases[client] {
-            Phase::Away => vec![Comes(client)],
-            Phase::Connect(target) => match state.resting(*target) {
+            Phase::NotArrived => vec![Arrives(client)],
+            Phase::Connect(target) => match state.idle_connection(*target) {
                 Some(_) => vec![Connects(client)],
                 None => vec![Connects(client), ConnectFails(client)],
             },
-            Phase::AskTicket => vec![TicketGranted(client), TicketUnheard(client)],
-            Phase::Settle => vec![TicketSettled(client), TicketUnheard(client)],
-            Phase::Pass if state.is_reading(client) => {
+            Phase::RequestTicket => vec![TicketGranted(client), TicketTimesOut(client)],
+            Phase::Settle => vec![TicketSettled(client), TicketTimesOut(client)],
+            Phase::Forward if state.is_reading(client) => {
                 let mut actions = Vec::new();
                 if at.is_some_and(|at| !at.inbox.is_empty() || at.closed) {
                     actions.push(Reads { client, rest: false });
@@ -76,43 +76,44 @@
                 }
                 actions
             }
-            Phase::Pass if at.is_some_and(|at| at.closed) => {
+            Phase::Forward if at.is_some_and(|at| at.closed) => {
                 vec![Writes(client), WriteRefused(client)]
             }
-            Phase::Pass => vec![Writes(client)],
-            Phase::Answered(_) | Phase::PromisedNotRun | Phase::ToldUnknown | Phase::ClientLeft => {
-                Vec::new()
-            }
+            Phase::Forward => vec![Writes(client)],
+            Phase::Answered(_)
+            | Phase::ReportedNotRun
+            | Phase::ReportedUnknown
+            | Phase::ClientLeft => Vec::new(),
         }
     }
 
     /// What a client that may leave, and a node that may see it, do. A one-time request at its
     /// target is not watched.
-    pub(super) fn leaving_actions(
+    pub(super) fn departure_actions(
         &self,
         state: &RequestState,
         client: usize,
     ) -> Vec<RequestAction> {
         use RequestAction::*;
-        let is_at_work = matches!(
+        let is_in_flight = matches!(
             state.phases[client],
-            Phase::Connect(_) | Phase::AskTicket | Phase::Settle | Phase::Pass
+            Phase::Connect(_) | Phase::RequestTicket | Phase::Settle | Phase::Forward
         );
-        if !state.left.leaves || !is_at_work {
+        if !state.remaining.departures || !is_in_flight {
             return Vec::new();
         }
-        if !state.gone[client] {
-            return vec![Leaves(client)];
+        if !state.departed[client] {
+            return vec![ClientDeparts(client)];
         }
         let is_reading = state.is_reading(client);
         let is_watched = !is_reading || self.kinds[client] == Kind::Lookup;
         let mut actions = Vec::new();
-        if is_watched && !state.seen_gone[client] {
-            actions.push(SeesGone(client));
+        if is_watched && !state.departure_observed[client] {
+            actions.push(ObservesDeparture(client));
         }
         let waits = match state.phases[client] {
-            Phase::Pass => is_reading,
-            Phase::Connect(target) => state.resting(target).is_none(),
+            Phase::Forward => is_reading,
+            Phase::Connect(target) => state.idle_connection(target).is_none(),
             _ => true,
         };
         if is_watched && waits {
@@ -125,24 +126,24 @@
         use RequestAction::*;
         let connection = &state.connections[at];
         let mut actions = Vec::new();
-        if let Some((_, life)) = connection.pending {
-            if life == connection.life {
-                actions.extend([Runs(at), RunsInSilence(at), RunsAndCutsItsAnswer(at)]);
+        if let Some((_, incarnation)) = connection.pending {
+            if incarnation == connection.incarnation {
+                actions.extend([Runs(at), RunsWithoutResponse(at), RunsAndTruncatesResponse(at)]);
             }
-            actions.push(TurnsAway { connection: at, named: true });
-            actions.push(TurnsAway { connection: at, named: false });
+            actions.push(Rejects { connection: at, is_named: true });
+            actions.push(Rejects { connection: at, is_named: false });
         }
         if connection.closed {
             return actions;
         }
-        if state.left.strays > 0 && connection.answered.is_some() {
-            for content in [Content::Whole, Content::NotRun] {
-                actions.push(Strays { connection: at, content, named: true });
-                actions.push(Strays { connection: at, content, named: false });
+        if state.remaining.strays > 0 && connection.answered.is_some() {
+            for content in [Content::Complete, Content::NotRun] {
+                actions.push(Strays { connection: at, content, is_named: true });
+                actions.push(Strays { connection: at, content, is_named: false });
             }
-            actions.push(Strays { connection: at, content: Content::Garbage, named: false });
+            actions.push(Strays { connection: at, content: Content::Garbage, is_named: false });
         }
-        if state.left.closes > 0 {
+        if state.remaining.closes > 0 {
             actions.push(Closes(at));
         }
         actions
--- a/crates/simulation/src/search/request_flow.rs
+++ b/crates/simulation/src/search/request_flow.rs
@@ -14,21 +14,21 @@
 
 /// One event of one request, as its flow is told it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Fed {
+pub enum FlowEvent {
     Start,
     Connected,
-    Unconnected,
+    ConnectFailed,
     Granted,
     Settled,
     /// No word from the controller.
-    Unheard,
-    Passed(PassedAs),
+    NoResponse,
+    AttemptEnded(AttemptEnd),
 }
 
 /// A way in which a request was passed on, with whose response it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum PassedAs {
-    Whole(usize),
+pub enum AttemptEnd {
+    Complete(usize),
     Unsent,
     NotRun,
     Unknown { late: bool },
@@ -36,29 +36,29 @@
 
 /// An event, to whom it went and what the node then knew.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Moment {
+pub struct FlowInput {
     pub client: usize,
     pub now_ms: u64,
     pub serves: bool,
     /// The node has seen that the client left.
     pub client_left: bool,
-    pub fed: Fed,
+    pub event: FlowEvent,
 }
 
 /// What a request waits for now, or how it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
     /// Not yet come.
-    Away,
+    NotArrived,
     Connect(usize),
-    AskTicket,
+    RequestTicket,
     Settle,
-    Pass,
+    Forward,
     /// The client got the response that was made for this request.
     Answered(usize),
     /// The client was told that its request did not run.
-    PromisedNotRun,
-    ToldUnknown,
+    ReportedNotRun,
+    ReportedUnknown,
     /// Nobody was there to be told.
     ClientLeft,
 }
@@ -69,7 +69,7 @@
     /// None was asked for.
     None,
     /// Asked for, and its end not told.
-    Open,
+    Pending,
     Settled(Settled),
 }
 
@@ -83,90 +83,96 @@
 
 /// Where both flows stand: their phases, and all that decides their next steps.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct View {
+pub struct FlowState {
     pub phases: [Phase; 2],
     pub tickets: [TicketEnd; 2],
     fingerprint: String,
 }
 
 /// Every view met so far, so that each event of a flow is worked out once.
-pub struct Views {
+pub struct FlowStates {
     kinds: [Kind; 2],
     logged: bool,
     /// Each with events that lead to it.
-    met: Vec<(View, Vec<Moment>)>,
-    numbers: HashMap<View, usize>,
-    after: HashMap<(usize, Moment), usize>,
+    known: Vec<(FlowState, Vec<FlowInput>)>,
+    numbers: HashMap<FlowState, usize>,
+    after: HashMap<(usize, FlowInput), usize>,
 }
 
-impl Views {
+impl FlowStates {
     /// Begins with the view in which no request has come.
-    pub fn new(kinds: [Kind; 2], logged: bool) -> Views {
+    pub fn new(kinds: [Kind; 2], logged: bool) -> FlowStates {
         let first = replay(kinds, logged, &[]);
         let numbers = HashMap::from([(first.clone(), 0)]);
-        Views { kinds, logged, met: vec![(first, Vec::new())], numbers, after: HashMap::new() }
+        FlowStates {
+            kinds,
+            logged,
+            known: vec![(first, Vec::new())],
+            numbers,
+            after: HashMap::new(),
+        }
     }
 
     /// What the requests wait for in this view.
-    pub fn phases(&self, view: usize) -> [Phase; 2] {
-        self.met[view].0.phases
+    pub fn phases(&self, flow_state: usize) -> [Phase; 2] {
+        self.known[flow_state].0.phases
     }
 
     /// What became of the requests' tickets in this view.
-    pub fn tickets(&self, view: usize) -> [TicketEnd; 2] {
-        self.met[view].0.tickets
+    pub fn tickets(&self, flow_state: usize) -> [TicketEnd; 2] {
+        self.known[flow_state].0.tickets
     }
 
     /// The view after an event.
-    pub fn after(&mut self, view: usize, moment: Moment) -> usize {
-        if let Some(known) = self.after.get(&(view, moment)) {
+    pub fn after(&mut self, flow_state: usize, input: FlowInput) -> usize {
+        if let Some(known) = self.after.get(&(flow_state, input)) {
             return *known;
         }
-        let mut moments = self.met[view].1.clone();
-        moments.push(moment);
-        let found = replay(self.kinds, self.logged, &moments);
-        let number = *self.numbers.entry(found.clone()).or_insert(self.met.len());
-        if number == self.met.len() {
-            self.met.push((found, moments));
+        let mut inputs = self.known[flow_state].1.clone();
+        inputs.push(input);
+        let found = replay(self.kinds, self.logged, &inputs);
+        let number = *self.numbers.entry(found.clone()).or_insert(self.known.len());
+        if number == self.known.len() {
+            self.known.push((found, inputs));
         }
-        self.after.insert((view, moment), number);
+        self.after.insert((flow_state, input), number);
         number
     }
 }
 
 /// Feeds the events, in their order, to two new flows over one table.
-fn replay(kinds: [Kind; 2], logged: bool, moments: &[Moment]) -> View {
+fn replay(kinds: [Kind; 2], logged: bool, inputs: &[FlowInput]) -> FlowState {
     let table = table();
     let mut flows = [0, 1].map(|client| {
         let entry = entry(&table, kinds[client]);
         RequestFlow::new(context(client, logged), entry)
     });
-    let mut phases = [Phase::Away, Phase::Away];
+    let mut phases = [Phase::NotArrived, Phase::NotArrived];
     let mut tickets = [TicketEnd::None, TicketEnd::None];
-    for (number, moment) in moments.iter().enumerate() {
+    for (number, input) in inputs.iter().enumerate() {
         let now = FlowContext {
-            now_ms: moment.now_ms,
+            now_ms: input.now_ms,
             table: &table,
-            serves: moment.serves,
+            serves: input.serves,
             number: number as u64,
-            client_left: moment.client_left,
+            client_left: input.client_left,
         };
-        let step = flows[moment.client].handle(&now, event(&moment.fed));
-        let ticket = &mut tickets[moment.client];
-        *ticket = ticket_after(*ticket, moment.fed, &step);
-        phases[moment.client] = phase(step);
+        let step = flows[input.client].handle(&now, event(&input.event));
+        let ticket = &mut tickets[input.client];
+        *ticket = ticket_after(*ticket, input.event, &step);
+        phases[input.client] = phase(step);
     }
     let loads: BTreeMap<&Name, String> =
         table.loads().iter().map(|(name, load)| (name, format!("{load:?}"))).collect();
     let budget = entry(&table, Kind::Lookup).budget.clone();
-    View { phases, tickets, fingerprint: format!("{flows:?} {loads:?} {budget:?}") }
+    FlowState { phases, tickets, fingerprint: format!("{flows:?} {loads:?} {budget:?}") }
 }
 
 /// A ticket is open from its question on; what was settled with the controller's word or told at the
 /// end is its end.
-fn ticket_after(ticket: TicketEnd, fed: Fed, step: &Step) -> TicketEnd {
+fn ticket_after(ticket: TicketEnd, event: FlowEvent, step: &Step) -> TicketEnd {
     match step {
-        Step::RequestTicket { .. } => TicketEnd::Open,
+        Step::RequestTicket { .. } => TicketEnd::Pending,
         Step::Done { settling: Some(settling), .. } => {
             TicketEnd::Settled(match settling.settlement {
                 Settlement::Ran => Settled::Ran,
@@ -174,26 +180,26 @@
                 Settlement::Unknown => Settled::Unknown,
             })
         }
-        _ if fed == Fed::Settled => TicketEnd::Settled(Settled::Unsent),
+        _ if event == FlowEvent::Settled => TicketEnd::Settled(Settled::Unsent),
         _ => ticket,
     }
 }
 
-fn event(fed: &Fed) -> Event {
-    match fed {
-        Fed::Start => Event::Start,
-        Fed::Connected => Event::Connected,
-        Fed::Unconnected => Event::ConnectFailed("refused".into()),
-        Fed::Granted => Event::ControllerResponded(Response::Granted),
-        Fed::Settled => Event::ControllerResponded(Response::Settled),
-        Fed::Unheard => Event::ControllerResponded(Response::TimedOut),
-        Fed::Passed(passed) => Event::AttemptEnded(match passed {
-            PassedAs::Whole(made_for) => {
-                AttemptOutcome::Complete(super::request_wire::response(*made_for))
+fn event(event: &FlowEvent) -> Event {
+    match event {
+        FlowEvent::Start => Event::Start,
+        FlowEvent::Connected => Event::Connected,
+        FlowEvent::ConnectFailed => Event::ConnectFailed("refused".into()),
+        FlowEvent::Granted => Event::ControllerResponded(Response::Granted),
+        FlowEvent::Settled => Event::ControllerResponded(Response::Settled),
+        FlowEvent::NoResponse => Event::ControllerResponded(Response::TimedOut),
+        FlowEvent::AttemptEnded(outcome) => Event::AttemptEnded(match outcome {
+            AttemptEnd::Complete(for_client) => {
+                AttemptOutcome::Complete(super::request_wire::response(*for_client))
             }
-            PassedAs::Unsent => AttemptOutcome::Unsent("unsent".into()),
-            PassedAs::NotRun => AttemptOutcome::NotRun("it says so".into()),
-            PassedAs::Unknown { late } => {
+            AttemptEnd::Unsent => AttemptOutcome::Unsent("unsent".into()),
+            AttemptEnd::NotRun => AttemptOutcome::NotRun("it says so".into()),
+            AttemptEnd::Unknown { late } => {
                 AttemptOutcome::Unknown { late: *late, why: "lost".into() }
             }
         }),
@@ -201,15 +207,15 @@
 }
 
 /// What a response is worth to the model.
-pub fn as_fed(passed: &AttemptOutcome) -> Fed {
-    Fed::Passed(match passed {
+pub fn as_flow_event(outcome: &AttemptOutcome) -> FlowEvent {
+    FlowEvent::AttemptEnded(match outcome {
         AttemptOutcome::Complete(response) => {
-            let made_for = std::str::from_utf8(&response.body).unwrap_or_default();
-            PassedAs::Whole(made_for.parse().unwrap_or(usize::MAX))
+            let for_client = std::str::from_utf8(&response.body).unwrap_or_default();
+            AttemptEnd::Complete(for_client.parse().unwrap_or(usize::MAX))
         }
-        AttemptOutcome::Unsent(_) => PassedAs::Unsent,
-        AttemptOutcome::NotRun(_) => PassedAs::NotRun,
-        AttemptOutcome::Unknown { late, .. } => PassedAs::Unknown { late: *late },
+        AttemptOutcome::Unsent(_) => AttemptEnd::Unsent,
+        AttemptOutcome::NotRun(_) => AttemptEnd::NotRun,
+        AttemptOutcome::Unknown { late, .. } => AttemptEnd::Unknown { late: *late },
     })
 }
 
@@ -218,20 +224,20 @@
         Step::Connect { target, .. } => {
             Phase::Connect(usize::from(target.instance == target_name(1)))
         }
-        Step::RequestTicket { .. } => Phase::AskTicket,
-        Step::Forward { .. } => Phase::Pass,
+        Step::RequestTicket { .. } => Phase::RequestTicket,
+        Step::Forward { .. } => Phase::Forward,
         Step::Settle { .. } => Phase::Settle,
-        Step::Done { verdict, .. } => match verdict.outcome {
+        Step::Done { verdict: completion, .. } => match completion.outcome {
             RequestOutcome::Complete(response) => {
-                let made_for = std::str::from_utf8(&response.body).unwrap_or_default();
-                Phase::Answered(made_for.parse().unwrap_or(usize::MAX))
+                let for_client = std::str::from_utf8(&response.body).unwrap_or_default();
+                Phase::Answered(for_client.parse().unwrap_or(usize::MAX))
             }
             RequestOutcome::TargetFailed(_)
             | RequestOutcome::TargetLate(_)
-            | RequestOutcome::TicketUnknown => Phase::ToldUnknown,
+            | RequestOutcome::TicketUnknown => Phase::ReportedUnknown,
             RequestOutcome::ClientLeft => Phase::ClientLeft,
-            _ if verdict.evidence.sent => Phase::ToldUnknown,
-            _ => Phase::PromisedNotRun,
+            _ if completion.evidence.sent => Phase::ReportedUnknown,
+            _ => Phase::ReportedNotRun,
         },
     }
 }
--- a/crates/simulation/src/search/request_rules.rs
+++ b/crates/simulation/src/search/request_rules.rs
@@ -12,29 +12,35 @@
         if self.kinds[client] == Kind::OneTime && ran > 1 {
             return Err(format!("request {client} ran {ran} times"));
         }
-        if matches!(phase, Phase::Answered(made_for) if made_for != client) {
+        if matches!(phase, Phase::Answered(for_client) if for_client != client) {
             return Err(format!("client {client} got another request's answer"));
         }
         let mut connections = state.connections.iter();
-        let will =
-            connections.any(|connection| connection.pending == Some((client, connection.life)));
-        if phase == Phase::PromisedNotRun && (ran > 0 || will) {
+        let will_run = connections
+            .any(|connection| connection.pending == Some((client, connection.incarnation)));
+        if phase == Phase::ReportedNotRun && (ran > 0 || will_run) {
             return Err(format!("request {client} was told 'not run' and ran, or will"));
         }
-        if state.sent_for_nobody[client] {
+        if state.sent_after_departure[client] {
             return Err(format!("request {client} went out after its client had left"));
         }
-        self.check_ticket(state, client, ran > 0 || will)
+        self.check_ticket(state, client, ran > 0 || will_run)
     }
 
     /// A ticket is settled with the truth, and none is left open by a request that ended.
     fn check_ticket(&self, state: &RequestState, client: usize, runs: bool) -> Result<(), String> {
         let is_over = !matches!(
             state.phases[client],
-            Phase::Away | Phase::Connect(_) | Phase::AskTicket | Phase::Settle | Phase::Pass
+            Phase::NotArrived
+                | Phase::Connect(_)
+                | Phase::RequestTicket
+                | Phase::Settle
+                | Phase::Forward
         );
         match state.tickets[client] {
-            TicketEnd::Open if is_over => Err(format!("the ticket of request {client} stays open")),
+            TicketEnd::Pending if is_over => {
+                Err(format!("the ticket of request {client} stays open"))
+            }
             TicketEnd::Settled(Settled::Unsent) if runs && is_over => {
                 Err(format!("request {client} was settled as unsent and ran, or will"))
             }
--- a/crates/simulation/src/search/request_wire.rs
+++ b/crates/simulation/src/search/request_wire.rs
@@ -16,29 +16,29 @@
 /// What a response says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Content {
-    Whole,
+    Complete,
     /// The target's word that it did not run the request, nor will.
     NotRun,
     Garbage,
     /// The first bytes of a response, and then the end of its connection.
-    Cut,
+    Truncated,
 }
 
 /// A response on its way to the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Answer {
+pub struct TargetMessage {
     pub content: Content,
     /// Whose request it really answers.
-    pub made_for: usize,
+    pub for_client: usize,
     /// It tells whose it is.
-    pub named: bool,
+    pub is_named: bool,
 }
 
 /// What the node's end of a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Use {
-    Resting,
-    Taken(usize),
+pub enum ConnectionUse {
+    Idle,
+    InUse(usize),
     Reading(usize),
     Dropped,
 }
@@ -48,8 +48,8 @@
 pub struct Connection {
     pub target: usize,
     /// Which process is at the other end.
-    pub life: u8,
-    pub used: Use,
+    pub incarnation: u8,
+    pub usage: ConnectionUse,
     /// No response was read on it yet.
     pub first: bool,
     /// The target's end is closed.
@@ -58,29 +58,29 @@
     pub pending: Option<(usize, u8)>,
     /// Whose request was answered last.
     pub answered: Option<usize>,
-    pub inbox: Vec<Answer>,
+    pub inbox: Vec<TargetMessage>,
 }
 
 /// What reading came to, and whether the connection rests again.
 pub struct Read {
-    pub passed: AttemptOutcome,
-    pub rests: bool,
+    pub outcome: AttemptOutcome,
+    pub is_idle: bool,
 }
 
 /// How a target's response is to be taken.
-enum Heard {
-    Another,
-    Unsound,
+enum Classification {
+    OtherRequest,
+    Malformed,
     NotRun,
-    Whole,
+    Complete,
 }
 
 impl Connection {
-    pub fn open(target: usize, life: u8, client: usize) -> Connection {
+    pub fn open(target: usize, incarnation: u8, client: usize) -> Connection {
         Connection {
             target,
-            life,
-            used: Use::Taken(client),
+            incarnation,
+            usage: ConnectionUse::InUse(client),
             first: true,
             closed: false,
             pending: None,
@@ -90,52 +90,57 @@
     }
 
     /// As `TargetConnection::is_fresh`: nothing came since it was given back, and it is not closed.
-    pub fn is_fresh(&self) -> bool {
+    pub fn is_unused(&self) -> bool {
         self.inbox.is_empty() && !self.closed
     }
 
     /// As `Named::heard`.
-    fn heard(&self, client: usize, answer: Answer, strict: bool) -> Heard {
-        if matches!(answer.content, Content::Garbage | Content::Cut) {
-            return Heard::Unsound;
+    fn classify(
+        &self,
+        client: usize,
+        answer: TargetMessage,
+        requires_name: bool,
+    ) -> Classification {
+        if matches!(answer.content, Content::Garbage | Content::Truncated) {
+            return Classification::Malformed;
         }
-        if answer.named && answer.made_for != client {
-            return Heard::Another;
+        if answer.is_named && answer.for_client != client {
+            return Classification::OtherRequest;
         }
-        let nameless = !answer.named && !self.first;
+        let is_unnamed = !answer.is_named && !self.first;
         match answer.content {
-            Content::NotRun if nameless && strict => Heard::Unsound,
-            Content::NotRun => Heard::NotRun,
-            _ if nameless => Heard::Unsound,
-            _ => Heard::Whole,
+            Content::NotRun if is_unnamed && requires_name => Classification::Malformed,
+            Content::NotRun => Classification::NotRun,
+            _ if is_unnamed => Classification::Malformed,
+            _ => Classification::Complete,
         }
     }
 
     /// As `TargetConnection::read_own`: reads up to a response that is not another's. `rest`:
     /// bytes that follow it are already read in.
-    pub fn read(&mut self, client: usize, rest: bool, strict: bool) -> Option<Read> {
+    pub fn read(&mut self, client: usize, rest: bool, requires_name: bool) -> Option<Read> {
         let unknown = |why: &str| AttemptOutcome::Unknown { late: false, why: why.into() };
         while !self.inbox.is_empty() {
             let answer = self.inbox.remove(0);
-            let heard = self.heard(client, answer, strict);
+            let classification = self.classify(client, answer, requires_name);
             self.first = false;
-            let passed = match heard {
-                Heard::Another => continue,
-                Heard::Unsound => {
-                    return Some(Read { passed: unknown("unsound"), rests: false });
+            let outcome = match classification {
+                Classification::OtherRequest => continue,
+                Classification::Malformed => {
+                    return Some(Read { outcome: unknown("unsound"), is_idle: false });
                 }
-                Heard::NotRun => AttemptOutcome::NotRun("it says so".into()),
-                Heard::Whole => AttemptOutcome::Complete(response(answer.made_for)),
+                Classification::NotRun => AttemptOutcome::NotRun("it says so".into()),
+                Classification::Complete => AttemptOutcome::Complete(response(answer.for_client)),
             };
-            let rests = self.inbox.is_empty() || !rest;
-            return Some(Read { passed, rests });
+            let is_idle = self.inbox.is_empty() || !rest;
+            return Some(Read { outcome, is_idle });
         }
-        self.closed.then(|| Read { passed: unknown("closed before the end"), rests: false })
+        self.closed.then(|| Read { outcome: unknown("closed before the end"), is_idle: false })
     }
 }
 
 /// A response that carries whose it really is.
-pub fn response(made_for: usize) -> postbarrow_node::TargetResponse {
-    let body = made_for.to_string().into_bytes();
+pub fn response(for_client: usize) -> postbarrow_node::TargetResponse {
+    let body = for_client.to_string().into_bytes();
     postbarrow_node::TargetResponse { status: 200, headers: Vec::new(), body }
 }
--- a/crates/simulation/src/targets.rs
+++ b/crates/simulation/src/targets.rs
@@ -41,7 +41,7 @@
         self.targets.iter_mut().find(|target| target.instance == instance)
     }
 
-    pub fn shows_leaving(&mut self, instance: &str) {
-        self.list.left.entry(instance.to_string()).or_insert(self.now_us);
+    pub fn record_departure(&mut self, instance: &str) {
+        self.list.departures.entry(instance.to_string()).or_insert(self.now_us);
     }
 }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -1,19 +1,19 @@
 //! All machines, clients and faults of one simulated run, and the queue of its events.
 
 use crate::calls::Callers;
-use crate::cling::Cling;
 use crate::control::ControlMachine;
 use crate::data::DataMachine;
-use crate::event::{Event, Who};
+use crate::event::{Event, ProcessId};
 use crate::fault::Stage;
 use crate::ledger::Ledger;
 use crate::list::PlatformList;
 use crate::net::Net;
 use crate::operator::Operator;
+use crate::pinned::PinnedClients;
 use crate::random::Random;
 use crate::requests::RequestRun;
 use crate::slow::SlowMachine;
-use crate::steps::Strike;
+use crate::steps::Injection;
 use crate::targets::Target;
 use postbarrow_constants::consensus::{TICK_MS, VOTER_DEAD_MS};
 use postbarrow_controller::Input as ControlInput;
@@ -24,7 +24,7 @@
 
 /// Clocks run up to a hundredth faster than true time: far more than any machine's does.
 const RATE_SCALE: u64 = 1_000;
-const RATE_MOST: u64 = 11;
+const MAX_RATE: u64 = 11;
 
 /// A whole cluster with its surroundings, on one queue of events.
 pub struct World {
@@ -37,11 +37,11 @@
     pub list: PlatformList,
     pub operator: Operator,
     pub callers: Callers,
-    pub(crate) cling: Option<Cling>,
+    pub(crate) pinned: Option<PinnedClients>,
     pub requests: BTreeMap<u64, RequestRun>,
     pub ledger: Ledger,
     pub seeds: Vec<SocketAddr>,
-    pub frozen: BTreeMap<Who, Vec<Event>>,
+    pub frozen: BTreeMap<ProcessId, Vec<Event>>,
     /// The next node about to take this step of a request freezes right before it.
     pub freeze_before: Option<Stage>,
     pub next_request: u64,
@@ -54,10 +54,10 @@
     /// What the deployment says of its core: losses to bear, and the silence of a dead voter.
     pub losses: usize,
     /// A machine that begins is told of no data node beside its seeds.
-    pub core_seeds_only: bool,
+    pub control_seeds_only: bool,
     pub voter_dead_ms: u64,
     pub slow: Option<SlowMachine>,
-    pub(crate) strike: Option<Strike>,
+    pub(crate) injection: Option<Injection>,
     /// Syncs that were done, and the writes that shared them.
     pub synced: (usize, usize),
     pub disk_failures: usize,
@@ -81,7 +81,7 @@
             list: PlatformList::default(),
             operator: Operator::new(address(3, 0, 1)),
             callers: Callers::default(),
-            cling: None,
+            pinned: None,
             requests: BTreeMap::new(),
             ledger: Ledger::default(),
             seeds: (0..3).map(|at| address(1, at, 1)).collect(),
@@ -95,10 +95,10 @@
             snapshots: 0,
             slow_disks: false,
             losses: 1,
-            core_seeds_only: false,
+            control_seeds_only: false,
             voter_dead_ms: VOTER_DEAD_MS,
             slow: None,
-            strike: None,
+            injection: None,
             synced: (0, 0),
             disk_failures: 0,
             queue: BTreeMap::new(),
@@ -106,12 +106,12 @@
         };
         for at in 0..3 {
             let offset_ms = world.random.below(1_000_000);
-            let rate = world.random.below(RATE_MOST);
+            let rate = world.random.below(MAX_RATE);
             world.control.push(ControlMachine::new(address(1, at, 1), offset_ms, rate));
         }
         for at in 0..data_nodes {
             let offset_ms = world.random.below(1_000_000);
-            let rate = world.random.below(RATE_MOST);
+            let rate = world.random.below(MAX_RATE);
             world.data.push(DataMachine::new(at, offset_ms, rate));
         }
         for at in 0..targets {
@@ -142,10 +142,10 @@
     }
 
     /// A process's own clock: it shares neither zero nor rate with any other.
-    pub fn local_ms(&self, who: Who) -> u64 {
-        let (offset_ms, rate) = match who {
-            Who::Control(at) => (self.control[at].offset_ms, self.control[at].rate),
-            Who::Data(at) => (self.data[at].offset_ms, self.data[at].rate),
+    pub fn local_ms(&self, process: ProcessId) -> u64 {
+        let (offset_ms, rate) = match process {
+            ProcessId::Control(at) => (self.control[at].offset_ms, self.control[at].rate),
+            ProcessId::Data(at) => (self.data[at].offset_ms, self.data[at].rate),
         };
         (self.now_us + self.now_us * rate / RATE_SCALE) / 1_000 + offset_ms
     }
@@ -162,9 +162,9 @@
         }
     }
 
-    pub fn say(&mut self, who: Who, text: &str) {
+    pub fn log_line(&mut self, process: ProcessId, text: &str) {
         if let Some(log) = &mut self.log {
-            log.push(format!("{:.3} {who:?}: {text}", self.now_us as f64 / 1e6));
+            log.push(format!("{:.3} {process:?}: {text}", self.now_us as f64 / 1e6));
         }
     }
 
@@ -182,91 +182,107 @@
     }
 
     fn step(&mut self, event: Event) {
-        let whose = self.whose(&event);
+        let process = self.process_of(&event);
         self.freeze_before(&event);
-        if let Some(held) = whose.and_then(|who| self.frozen.get_mut(&who)) {
-            return held.push(event);
+        if let Some(pending) = process.and_then(|process| self.frozen.get_mut(&process)) {
+            return pending.push(event);
         }
         match event {
-            Event::Tick { who, life } => self.tick(who, life),
-            Event::Deliver { to, envelope } => match whose {
-                Some(Who::Control(at)) => self.control_hears(at, envelope),
-                Some(Who::Data(at)) => self.data_input(at, DataInput::Receive(envelope)),
-                None if to == self.operator.address => self.operator_hears(envelope),
+            Event::Tick { process, incarnation } => self.tick(process, incarnation),
+            Event::Deliver { to, envelope } => match process {
+                Some(ProcessId::Control(at)) => self.control_receives(at, envelope),
+                Some(ProcessId::Data(at)) => self.data_input(at, DataInput::Receive(envelope)),
+                None if to == self.operator.address => self.operator_receives(envelope),
                 None => {}
             },
-            Event::Synced { at, life } if self.control[at].life == life => self.disk_done(at),
-            Event::ListRead { at, life, number, cursor } => {
-                self.list_read(at, life, number, cursor)
+            Event::Synced { at, incarnation } if self.control[at].incarnation == incarnation => {
+                self.disk_done(at)
             }
-            Event::Page { at, life, result } if self.control[at].life == life => {
+            Event::ListRead { at, incarnation, number, cursor } => {
+                self.list_read(at, incarnation, number, cursor)
+            }
+            Event::Page { at, incarnation, result }
+                if self.control[at].incarnation == incarnation =>
+            {
                 self.control_input(at, ControlInput::Page(result))
             }
-            Event::Encoded { at, life, index, state } if self.control[at].life == life => {
+            Event::Encoded { at, incarnation, index, state }
+                if self.control[at].incarnation == incarnation =>
+            {
                 self.snapshots += 1;
                 self.control_input(at, ControlInput::Encoded { index, state })
             }
             Event::Synced { .. } | Event::Page { .. } | Event::Encoded { .. } => {}
-            Event::Arrive { request, data, life } => self.request_arrives(request, data, life),
-            Event::ClientLeaves { request } => self.client_leaves(request),
-            Event::SeesClientLeave { request, data, life } => {
-                self.sees_client_leave(request, data, life)
+            Event::Arrive { request, data, incarnation } => {
+                self.request_arrives(request, data, incarnation)
+            }
+            Event::ClientDeparts { request } => self.client_departs(request),
+            Event::DepartureObserved { request, data, incarnation } => {
+                self.observe_departure(request, data, incarnation)
             }
-            Event::ClientComesBack { request } => self.client_comes_back(request),
-            Event::Resume { request, data, life, event } => {
-                if self.data[data].life == life {
-                    self.go_on(request, data, event);
+            Event::ClientReturns { request } => self.client_returns(request),
+            Event::Resume { request, data, incarnation, event } => {
+                if self.data[data].incarnation == incarnation {
+                    self.resume_request(request, data, event);
                 }
             }
-            Event::Send { request, data, life, until_ms } => {
-                if self.data[data].life == life {
+            Event::Send { request, data, incarnation, until_ms } => {
+                if self.data[data].incarnation == incarnation {
                     self.send(request, data, until_ms);
                 }
             }
-            Event::Run { request, data, life, instance } => {
-                self.run(request, data, life, &instance)
+            Event::Run { request, data, incarnation, instance } => {
+                self.run(request, data, incarnation, &instance)
             }
-            Event::Probe { data, life } => self.probe(data, life),
+            Event::Probe { data, incarnation } => self.probe(data, incarnation),
             Event::NextRequest => self.next_request(),
             Event::NextCall { caller } => self.next_call(caller),
             Event::Operate => self.operate(),
-            Event::Cling => self.cling(),
-            Event::Door { key, asked_us, question, .. } => self.door_asked(key, asked_us, question),
-            Event::Fault(fault) => self.bring(fault),
-            Event::Wake(who) => self.wake(who),
-            Event::Start(who) => self.start(who),
-            Event::Leave { who, life, since_us } => self.leave(who, life, since_us),
+            Event::SendPinned => self.send_pinned_request(),
+            Event::PinnedArrives { key, requested_us, request, .. } => {
+                self.pinned_request_arrives(key, requested_us, request)
+            }
+            Event::Fault(fault) => self.inject(fault),
+            Event::Wake(process) => self.wake(process),
+            Event::Start(process) => self.start(process),
+            Event::Leave { process, incarnation, since_us } => {
+                self.leave(process, incarnation, since_us)
+            }
         }
     }
 
-    fn tick(&mut self, who: Who, life: u64) {
-        let alive = match who {
-            Who::Control(at) => self.control[at].life == life && self.control[at].node.is_some(),
-            Who::Data(at) => self.data[at].life == life && self.data[at].node.is_some(),
+    fn tick(&mut self, process: ProcessId, incarnation: u64) {
+        let alive = match process {
+            ProcessId::Control(at) => {
+                self.control[at].incarnation == incarnation && self.control[at].node.is_some()
+            }
+            ProcessId::Data(at) => {
+                self.data[at].incarnation == incarnation && self.data[at].node.is_some()
+            }
         };
         if !alive {
             return;
         }
-        match who {
-            Who::Control(at) => {
+        match process {
+            ProcessId::Control(at) => {
                 self.control_input(at, ControlInput::Tick);
-                self.door_tick(at);
+                self.pinned_clients_tick(at);
             }
-            Who::Data(at) => self.data_input(at, DataInput::Tick),
+            ProcessId::Data(at) => self.data_input(at, DataInput::Tick),
         }
-        self.after(TICK_MS * 1_000, Event::Tick { who, life });
+        self.after(TICK_MS * 1_000, Event::Tick { process, incarnation });
     }
 
     /// Responses are for the door of this machine, all else for the node.
-    fn control_hears(&mut self, at: usize, envelope: Envelope) {
+    fn control_receives(&mut self, at: usize, envelope: Envelope) {
         match envelope.message {
-            Message::Response { key, response } => self.door_hears(at, key, response),
+            Message::Response { key, response } => self.pinned_clients_receive(at, key, response),
             _ => self.control_input(at, ControlInput::Receive(envelope)),
         }
     }
 
-    pub fn wake(&mut self, who: Who) {
-        for event in self.frozen.remove(&who).unwrap_or_default() {
+    pub fn wake(&mut self, process: ProcessId) {
+        for event in self.frozen.remove(&process).unwrap_or_default() {
             self.after(0, event);
         }
     }
--- a/crates/simulation/tests/disks.rs
+++ b/crates/simulation/tests/disks.rs
@@ -2,7 +2,7 @@
 
 use postbarrow_consensus::Write;
 use postbarrow_constants::consensus::*;
-use postbarrow_simulation::{DiskTrouble, World};
+use postbarrow_simulation::{DiskFault, World};
 
 const FORMED_US: u64 = 6_000_000;
 const STALLED_US: u64 = 8_000_000;
@@ -17,11 +17,11 @@
 
 /// The bound of a stall is a longer one while the leader writes a slot, as in seed 2.
 #[test]
-fn another_leads_within_an_elections_time_when_the_leaders_disk_stalls() {
+fn stalled_leader_disk_leads_to_a_new_leader_within_an_election() {
     for seed in 1..=5 {
         let (mut world, stalled) = formed(seed);
-        let life = world.control[stalled].life;
-        world.control[stalled].disk.set_trouble(Some(DiskTrouble::Stalls));
+        let incarnation = world.control[stalled].incarnation;
+        world.control[stalled].disk.set_fault(Some(DiskFault::Stalls));
         let others = |world: &World| world.leader().filter(|leader| *leader != stalled);
         while others(&world).is_none() && world.now_us < FORMED_US + STALLED_US {
             let next_us = world.now_us + TICK_MS * 1_000;
@@ -38,7 +38,10 @@
             let leader = world.leader();
             assert!(leader.is_some_and(|leader| leader != stalled), "seed {seed}: {leader:?}");
         }
-        assert_eq!(world.control[stalled].life, life, "seed {seed}: its process ended");
+        assert_eq!(
+            world.control[stalled].incarnation, incarnation,
+            "seed {seed}: its process ended"
+        );
         assert!(world.ledger.violations.is_empty(), "seed {seed}: {:?}", world.ledger.violations);
     }
 }
