--- a/crates/storage/tests/full.rs
+++ b/crates/storage/tests/full.rs
@@ -74,7 +74,7 @@
     let mut storage = Storage::create(disk.clone(), MEMBER).unwrap();
     storage.apply(vec![append(1)]).unwrap();
     disk.set_fault(Some(DiskFault::Full));
-    let Err(error) = open(disk.clone()) else { panic!("a full disk was not told") };
+    let Err(error) = open(disk.clone()) else { panic!("a full disk was not reported") };
     assert!(is_full(&error), "{error}");
     disk.set_fault(None);
     assert_eq!(last(&reopen(&disk).1), 1);
--- a/crates/storage/tests/power.rs
+++ b/crates/storage/tests/power.rs
@@ -113,18 +113,18 @@
 /// After a failed sync the system may treat dirty pages as written: they read back until power is
 /// lost. A start on such a disk must not build on them.
 #[test]
-fn what_a_failed_sync_left_is_written_anew_or_not_read_back() {
-    for trouble in [DiskFault::SyncFails, DiskFault::WriteFails, DiskFault::Full] {
-        for slots in [false, true] {
+fn writes_of_a_failed_sync_are_rewritten_on_open_or_not_recovered() {
+    for fault in [DiskFault::SyncFails, DiskFault::WriteFails, DiskFault::Full] {
+        for with_slot in [false, true] {
             let disk = SimDisk::default();
             let mut storage = Storage::create(disk.clone(), 9).unwrap();
             storage.apply(vec![Write::Append(vec![entry(1, 1)])]).unwrap();
-            disk.set_fault(Some(trouble));
-            let write = match slots {
+            disk.set_fault(Some(fault));
+            let write = match with_slot {
                 true => slot(1, 1, vec![entry(1, 2)]),
                 false => Write::Append(vec![entry(1, 2)]),
             };
-            assert!(storage.apply(vec![write]).is_err(), "{trouble:?} is told");
+            assert!(storage.apply(vec![write]).is_err(), "{fault:?} is reported");
             disk.set_fault(None);
             let (mut storage, found) = reopen(&disk);
             let next = found.entries.last().unwrap().index + 1;
