--- /dev/null
+++ b/crates/controller/tests/surface.rs
@@ -0,0 +1,42 @@
+//! The keys of the JSON that a controller answers to operators, with a row of each kind.
+
+mod bench;
+#[path = "../../../programs/control-plane/tests/outer/mod.rs"]
+mod outer;
+mod trio;
+
+use bench::*;
+use postbarrow_messages::{Request, Response, Submission};
+use trio::Trio;
+
+fn answer(trio: &mut Trio, what: &str, key: u64, request: Request) -> String {
+    trio.bench.ask(key, request);
+    trio.settle();
+    match trio.bench.answer(key) {
+        Some(Response::Operator { status, body }) => {
+            let body = String::from_utf8_lossy(body);
+            format!("$ {what}\n{status}\n{}\n", outer::shape(&body))
+        }
+        other => panic!("{what}: {other:?}"),
+    }
+}
+
+#[test]
+fn keys_of_operators_json() {
+    let mut trio = Trio::serving();
+    let dry_run = Submission { dry_run: true, ..submission(&plan("v1", None, 2, "ledger")) };
+    let asked = [
+        ("show without a plan", Request::Show),
+        ("dry run", Request::Submit(dry_run)),
+        ("submit", Request::Submit(submission(&plan("v1", None, 2, "ledger")))),
+        ("submit on another base", Request::Submit(submission(&plan("v3", Some("v2"), 1, "x")))),
+        ("status", Request::Status),
+        ("members", Request::Members),
+        ("targets", Request::Targets),
+    ];
+    let answers: Vec<String> = (1..)
+        .zip(asked)
+        .map(|(key, (what, request))| answer(&mut trio, what, key, request))
+        .collect();
+    insta::assert_snapshot!(answers.concat());
+}
--- /dev/null
+++ b/crates/node/tests/surface.rs
@@ -0,0 +1,15 @@
+//! The names of the product's own headers and paths.
+
+use postbarrow_constants::traffic::PROOF_PATH;
+use postbarrow_node::{KEY, OUTCOME, REPLAYED};
+
+#[test]
+fn own_headers_and_paths() {
+    let names = [OUTCOME, KEY, REPLAYED, PROOF_PATH].join("\n");
+    insta::assert_snapshot!(names, @r"
+    Postbarrow-Outcome
+    Postbarrow-Key
+    Postbarrow-Replayed
+    /.well-known/postbarrow-target
+    ");
+}
--- /dev/null
+++ b/programs/control-plane/tests/surface.rs
@@ -0,0 +1,94 @@
+//! What operators see of a control plane: the help, the paths, the headers and the keys of JSON.
+
+mod outer;
+
+use outer::{help, listed_verbs, response};
+use postbarrow_control_plane::ControlPlane;
+use postbarrow_startup::{Bounds, Startup};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+const PROGRAM: &str = env!("CARGO_BIN_EXE_postbarrow-control-plane");
+const VERBS: [&str; 8] =
+    ["run", "check", "submit", "dry-run", "show", "targets", "members", "status"];
+/// Long past anything that the cluster needs; reached only if it hangs.
+const TRIES: usize = 2_000;
+const PAUSE: Duration = Duration::from_millis(10);
+const PLAN: &str = r#"{"version":"v1","base":null,"services":{},"routes":[]}"#;
+
+#[test]
+fn help_of_every_verb() {
+    let text = help(PROGRAM, &VERBS);
+    assert_eq!(listed_verbs(&text), VERBS);
+    insta::assert_snapshot!(text);
+}
+
+fn start(name: &str, folder: &Path, seeds: Vec<SocketAddr>) -> ControlPlane {
+    let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
+    let startup = Startup {
+        name: name.into(),
+        zone: "a".into(),
+        address: any,
+        bind: None,
+        http: any,
+        condition: None,
+        seeds,
+        data: Some(folder.join(name)),
+        first: true,
+        guest: false,
+        founders: None,
+        list: None,
+        log: None,
+        level: log::LevelFilter::Off,
+        bounds: Bounds::default(),
+    };
+    ControlPlane::start(&startup).expect("it starts")
+}
+
+fn empty_folder(name: &str) -> PathBuf {
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    let _ = std::fs::remove_dir_all(&folder);
+    std::fs::create_dir_all(&folder).expect("a folder");
+    folder
+}
+
+#[test]
+fn paths_headers_and_keys_of_the_operators_door() {
+    let folder = empty_folder("surface");
+    let first = start("one", &folder, Vec::new());
+    let seeds = vec![first.address()];
+    let _others = ["two", "three"].map(|name| start(name, &folder, seeds.clone()));
+    let door = first.http();
+    let leads = (0..TRIES).any(|_| {
+        std::thread::sleep(PAUSE);
+        response(door, "GET", "/status", "").contains(" 200 ")
+    });
+    assert!(leads, "nobody leads");
+    let asked = [
+        ("GET", "/plan", ""),
+        ("POST", "/plans", "{}"),
+        ("POST", "/plans?dry-run=true&allow-empty=true", PLAN),
+        ("POST", "/plans", PLAN),
+        ("POST", "/plans?most-lost=x", PLAN),
+        ("POST", "/plans", r#"{"version":"v3","base":"v2","services":{},"routes":[]}"#),
+        ("GET", "/plan", ""),
+        ("GET", "/status", ""),
+        ("GET", "/targets", ""),
+        ("GET", "/members", ""),
+        ("GET", "/plans", ""),
+        ("POST", "/plan", ""),
+        ("POST", "/status", ""),
+        ("POST", "/targets", ""),
+        ("POST", "/members", ""),
+        ("GET", "/elsewhere", ""),
+    ];
+    let responses = asked.map(|(method, path, body)| {
+        let text = response(door, method, path, body);
+        // Which rows a young cluster has is a matter of time; their keys stand in the test of the
+        // controller that tells them.
+        let told = method == "GET" && ["/status", "/targets", "/members"].contains(&path);
+        if told { text.split("\n{").next().expect("a head").to_string() + "\n\n" } else { text }
+    });
+    insta::assert_snapshot!(responses.concat());
+}
