--- a/crates/transactions/src/batch.rs
+++ b/crates/transactions/src/batch.rs
@@ -1,31 +1,43 @@
-use crate::BatchRecord;
+//! The encoding of a batch, and the grouping of records into batches.
+
+use crate::{BatchRecord, TransactionError};
 use postbarrow_constants::plans::{BATCH_BYTES, MARKER_TEXT_BYTES};
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Gate of the record format: a reader of another format stops instead of guessing.
+/// The first byte of a batch: a reader of another format stops instead of guessing.
 const FORMAT: u8 = 1;
 
-pub fn encode<R: Serialize>(lines: &[BatchRecord<R>]) -> Vec<u8> {
+/// A batch as it stands in the log: a byte for the format and a MessagePack array of records.
+///
+/// # Panics
+///
+/// If a record can't be encoded, which no type with derived serialization does.
+pub fn encode<R: Serialize>(records: &[BatchRecord<R>]) -> Vec<u8> {
     let mut bytes = vec![FORMAT];
-    rmp_serde::encode::write(&mut bytes, lines).expect("records encode into memory");
+    rmp_serde::encode::write(&mut bytes, records).expect("records encode into memory");
     bytes
 }
 
-pub fn decode<R: DeserializeOwned>(bytes: &[u8]) -> Result<Vec<BatchRecord<R>>, String> {
+/// The records of a batch.
+///
+/// # Errors
+///
+/// `UnknownFormat`, `Malformed` or `MarkerTextTooLong`.
+pub fn decode<R: DeserializeOwned>(bytes: &[u8]) -> Result<Vec<BatchRecord<R>>, TransactionError> {
     let Some((&FORMAT, body)) = bytes.split_first() else {
-        return Err(format!("batch of unknown format {:?}", bytes.first()));
+        return Err(TransactionError::UnknownFormat(bytes.first().copied()));
     };
-    let lines: Vec<BatchRecord<R>> =
-        rmp_serde::from_slice(body).map_err(|error| format!("batch: {error}"))?;
-    for (at, line) in lines.iter().enumerate() {
-        if line.marker_text().is_some_and(|text| text.len() > MARKER_TEXT_BYTES) {
-            return Err(format!("batch line {at}: marker text over {MARKER_TEXT_BYTES} bytes"));
+    let records: Vec<BatchRecord<R>> = rmp_serde::from_slice(body)
+        .map_err(|error| TransactionError::Malformed(error.to_string()))?;
+    for (position, record) in records.iter().enumerate() {
+        if record.marker_text().is_some_and(|text| text.len() > MARKER_TEXT_BYTES) {
+            return Err(TransactionError::MarkerTextTooLong { position });
         }
     }
-    Ok(lines)
+    Ok(records)
 }
 
-/// Groups records into batches of bounded size, in order.
+/// Groups records in order into batches of at most `BATCH_BYTES`; a longer record is a batch alone.
 pub fn split<R: Serialize>(records: Vec<R>) -> Vec<Vec<R>> {
     let mut batches = Vec::new();
     let mut batch = Vec::new();
--- a/crates/transactions/tests/framing.rs
+++ b/crates/transactions/tests/framing.rs
@@ -1,3 +1,5 @@
+//! The framing of transactions, and what a reader and the writer do with it.
+
 use postbarrow_constants::plans::{
     BATCH_BYTES, DELTA_BYTES, MARKER_TEXT_BYTES, TRANSACTION_OPEN_MS,
 };
@@ -18,7 +20,7 @@
 }
 
 #[test]
-fn nothing_is_visible_before_end_and_an_abort_leaves_no_trace() {
+fn image_is_published_at_end_only_and_is_unchanged_by_an_abort() {
     let mut tail = Tail::new(0, Sum::default());
     assert_eq!(tail.apply(1, 1, &[data(1)]), Ok(BatchOutcome::Published));
     assert_eq!(tail.apply(2, 1, &[BatchRecord::begin("plan"), data(2)]), Ok(BatchOutcome::Pending));
@@ -36,60 +38,67 @@
 }
 
 #[test]
-fn broken_framing_is_named_and_changes_nothing() {
+fn misplaced_markers_are_errors_and_leave_the_tail_unchanged() {
     let mut tail = Tail::new(0, Sum::default());
-    assert!(tail.apply(1, 1, &[BatchRecord::End]).unwrap_err().contains("without Begin"));
+    assert!(
+        tail.apply(1, 1, &[BatchRecord::End]).unwrap_err().to_string().contains("without Begin")
+    );
     assert!(tail.apply(1, 1, &[data(7), BatchRecord::abort("x")]).is_err());
     assert_eq!((tail.image().0.len(), tail.offset()), (0, 0));
     tail.apply(1, 1, &[BatchRecord::begin("one")]).unwrap();
-    assert!(tail.apply(2, 1, &[BatchRecord::begin("two")]).unwrap_err().contains("within \"one\""));
+    assert!(
+        tail.apply(2, 1, &[BatchRecord::begin("two")])
+            .unwrap_err()
+            .to_string()
+            .contains("within \"one\"")
+    );
     assert_eq!(tail.open_transaction_name(), Some("one"));
-    assert!(tail.apply(1, 1, &[data(1)]).unwrap_err().contains("not after"));
+    assert!(tail.apply(1, 1, &[data(1)]).unwrap_err().to_string().contains("not after"));
 }
 
 #[test]
-fn a_pending_delta_over_its_bound_is_refused() {
+fn pending_delta_over_its_bound_is_an_error() {
     let mut tail = Tail::new(0, Sum::default());
     tail.apply(1, 10, &[BatchRecord::begin("big")]).unwrap();
     tail.apply(2, DELTA_BYTES - 20, &[data(1)]).unwrap();
-    assert!(tail.apply(3, 20, &[data(2)]).unwrap_err().contains("over"));
+    assert!(tail.apply(3, 20, &[data(2)]).unwrap_err().to_string().contains("over"));
 }
 
 #[test]
-fn the_writer_goes_back_to_where_it_was_at_begin() {
+fn abort_returns_the_writer_to_its_state_at_begin() {
     let mut writer = Writer::new(3, Sum(vec![1]));
     assert_eq!(writer.begin(100, "plan"), Ok(BatchRecord::begin("plan")));
     assert_eq!(writer.begin(100, "other"), Err(TransactionError::AlreadyOpen));
     writer.apply(2, &2);
     assert_eq!(writer.current().0, [1, 2]);
-    assert_eq!(writer.rollback().map(|kept| kept.0.clone()), Some(vec![1]));
+    assert_eq!(writer.rollback().map(|rollback| rollback.0.clone()), Some(vec![1]));
     assert!(!writer.is_overdue(100 + TRANSACTION_OPEN_MS - 1));
     assert!(writer.is_overdue(100 + TRANSACTION_OPEN_MS));
     assert_eq!(writer.abort("late"), Ok(BatchRecord::abort("late")));
     assert_eq!(writer.current().0, [1]);
-    assert_eq!(writer.end(), Err(TransactionError::NoneOpen));
+    assert_eq!(writer.end(), Err(TransactionError::NotOpen));
     writer.begin(200, "big").unwrap();
     writer.grow(DELTA_BYTES).unwrap();
     assert_eq!(writer.grow(1), Err(TransactionError::OverDelta));
 }
 
 #[test]
-fn marker_texts_are_cut_and_longer_ones_are_not_read() {
+fn marker_texts_are_truncated_when_written_and_rejected_over_the_bound_when_read() {
     let long = "ü".repeat(200);
     let BatchRecord::<u64>::Begin { name: Some(name) } = BatchRecord::begin(&long) else {
         panic!("a name")
     };
     assert!(name.len() <= MARKER_TEXT_BYTES && name.len() > MARKER_TEXT_BYTES - 2);
     let over = [BatchRecord::<u64>::Abort { reason: Some("r".repeat(MARKER_TEXT_BYTES + 1)) }];
-    assert!(decode::<u64>(&encode(&over)).unwrap_err().contains("over 255"));
-    let whole = vec![BatchRecord::begin("a"), data(1), BatchRecord::End];
-    assert_eq!(decode::<u64>(&encode(&whole)), Ok(whole));
-    assert!(decode::<u64>(&[9, 1, 2]).unwrap_err().contains("unknown format"));
+    assert!(decode::<u64>(&encode(&over)).unwrap_err().to_string().contains("over 255"));
+    let complete = vec![BatchRecord::begin("a"), data(1), BatchRecord::End];
+    assert_eq!(decode::<u64>(&encode(&complete)), Ok(complete));
+    assert!(decode::<u64>(&[9, 1, 2]).unwrap_err().to_string().contains("unknown format"));
 }
 
 #[test]
-fn records_are_split_in_order_into_bounded_batches() {
-    let records: Vec<String> = (0..100).map(|at| format!("{at:04}").repeat(1_000)).collect();
+fn split_groups_records_in_order_into_bounded_batches() {
+    let records: Vec<String> = (0..100).map(|index| format!("{index:04}").repeat(1_000)).collect();
     let batches = split(records.clone());
     assert!(batches.len() > 3);
     for batch in &batches {
