--- a/crates/controller/tests/golden_folder.rs
+++ b/crates/controller/tests/golden_folder.rs
@@ -124,8 +124,8 @@
         std::fs::copy(fixture().join(file), folder.join(file)).expect("the fixture is committed");
     }
     match open(FolderDisk::new(folder).expect("a folder")).expect("it is read") {
-        Opened::Whole { storage, recovered } => (storage.id(), recovered),
-        Opened::Damaged { finding, .. } => panic!("damaged: {finding}"),
+        Opened::Recovered { storage, recovered } => (storage.id(), recovered),
+        Opened::Damaged { damage, .. } => panic!("damaged: {damage}"),
         Opened::Empty(_) => panic!("no slot was read"),
     }
 }
--- a/crates/state/tests/golden_bytes.rs
+++ b/crates/state/tests/golden_bytes.rs
@@ -61,7 +61,8 @@
 
 fn batch(name: &str, lines: &[BatchRecord<Record>]) -> Case {
     case_of(name, postbarrow_transactions::encode(lines), |bytes| {
-        let lines: Vec<BatchRecord<Record>> = postbarrow_transactions::decode(bytes)?;
+        let lines: Vec<BatchRecord<Record>> =
+            postbarrow_transactions::decode(bytes).map_err(|error| error.to_string())?;
         Ok(postbarrow_transactions::encode(&lines))
     })
 }
--- a/crates/storage/tests/golden_bytes.rs
+++ b/crates/storage/tests/golden_bytes.rs
@@ -78,8 +78,8 @@
 
 fn open_sound(folder: &Path) -> (Storage<FolderDisk>, RecoveredState) {
     match open(FolderDisk::new(folder.to_path_buf()).expect("a folder")).expect("it is read") {
-        Opened::Whole { storage, recovered } => (storage, recovered),
-        Opened::Damaged { finding, .. } => panic!("damaged: {finding}"),
+        Opened::Recovered { storage, recovered } => (storage, recovered),
+        Opened::Damaged { damage, .. } => panic!("damaged: {damage}"),
         Opened::Empty(_) => panic!("no slot was read"),
     }
 }
