--- a/crates/routing/src/compiled_route.rs
+++ b/crates/routing/src/compiled_route.rs
@@ -1,15 +1,17 @@
 //! A route compiled: its pattern, rule and limits.
 
 use crate::RouteLimits;
-use crate::heads::header_names;
+use crate::rule_headers::header_names;
 use postbarrow_plan::Pattern;
 use postbarrow_rules::Rule;
 use postbarrow_state::{Name, Route};
 use std::sync::Arc;
 
-/// What a route needs that only its plan decides; kept while the route stays.
+/// What a route needs that only its plan decides; retained while the route stays.
 pub struct CompiledRoute {
+    /// As the plan has it.
     pub route: Arc<Route>,
+    /// Shared by the route's weighted services.
     pub limits: Arc<RouteLimits>,
     pub(crate) pattern: Pattern,
     pub(crate) rule: Option<Rule>,
@@ -18,29 +20,29 @@
 }
 
 impl CompiledRoute {
-    /// A route that does not compile here is left out; the plan was checked, so it does.
-    pub(crate) fn new(route: &Arc<Route>) -> Result<CompiledRoute, String> {
-        let rule = route.when.as_deref().map(Rule::compile).transpose()?;
-        let pattern = Pattern::read(&route.path)?;
+    /// The route compiled; none if its rule or pattern does not compile, which the check of the plan
+    /// rules out.
+    pub(crate) fn new(route: &Arc<Route>) -> Option<CompiledRoute> {
+        let rule = route.when.as_deref().map(Rule::compile).transpose().ok()?;
+        let pattern = Pattern::read(&route.path).ok()?;
         let limits = Arc::new(RouteLimits::new(route));
         let rule_headers = route.when.as_deref().map(header_names).unwrap_or_default();
-        Ok(CompiledRoute { route: route.clone(), limits, pattern, rule, rule_headers })
+        Some(CompiledRoute { route: route.clone(), limits, pattern, rule, rule_headers })
     }
 
     /// The same route, all of it on one service.
-    pub(crate) fn on(&self, service: &Name) -> CompiledRoute {
+    pub(crate) fn on_service(&self, service: &Name) -> CompiledRoute {
         let route = Route { service: service.clone(), ..self.route.as_ref().clone() };
-        let (limits, pattern) = (self.limits.clone(), self.pattern.clone());
         CompiledRoute {
             route: Arc::new(route),
-            limits,
-            pattern,
+            limits: self.limits.clone(),
+            pattern: self.pattern.clone(),
             rule: None,
             rule_headers: Vec::new(),
         }
     }
 
-    /// Routes for a host before those for any, literal patterns first, those with a rule first.
+    /// Routes are tried by rising rank; see [`crate::route_match`].
     pub(crate) fn rank(&self) -> (bool, &Pattern, bool) {
         (self.route.host.is_none(), &self.pattern, self.rule.is_none())
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,24 +1,44 @@
-//! From a request to a target: match, limits, pick, and the budget of retries.
+//! From a request to a target, without I/O.
+//!
+//! Each decision on the way of a request stands in a module of its own, in the order in which a
+//! request meets them:
+//!
+//! | decision | module |
+//! | --- | --- |
+//! | which route takes the request | [`route_match`] |
+//! | whether the route's rate and concurrency admit it | [`limits`] |
+//! | which of a route's weighted services gets it | [`entry`] |
+//! | which target gets an attempt | [`selection`] |
+//! | which targets are passed over after failures or rejections | [`ejection`] |
+//! | whether a further attempt is allowed | [`retry_budget`] |
+//!
+//! A [`Table`] holds all of them for one image of the state; it is built from what the image does
+//! not share with the last one and swapped in as a whole. Counters ([`Load`], [`RouteLimits`],
+//! [`RetryBudget`]) are atomics that outlive the table, so that a new plan does not reset them.
 
-mod compiled_route;
-mod heads;
-mod limits;
-mod resolved;
-mod retry_budget;
-mod selection;
-mod table;
-mod traffic_rehearsal;
+#![deny(missing_docs)]
 
+pub mod compiled_route;
+pub mod ejection;
+pub mod entry;
+pub mod limits;
+pub mod load;
+mod mix;
+mod resolved_services;
+pub mod retry_budget;
+pub mod route_match;
+mod rule_headers;
+pub mod selection;
+pub mod table;
+pub mod traffic_rehearsal;
+
+pub use ejection::Ejection;
+pub use entry::Entry;
 pub use limits::{LimitExceeded, RouteLimits};
+pub use load::{Load, Loads};
+pub use mix::mix;
 pub use retry_budget::{RetryAllowance, RetryBudget};
-pub use selection::{Load, Loads};
-pub use table::{BuildStatistics, Entry, RouteMatch, Table};
+pub use route_match::RouteMatch;
+pub use selection::{Candidate, select_target};
+pub use table::{BuildStatistics, Table};
 pub use traffic_rehearsal::{RecentRequests, RouteTraffic, Traffic};
-
-/// A small generator for picks; quality matters less than a short path.
-pub fn mix(seed: u64) -> u64 {
-    let mut mixed = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
-    mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    mixed ^ (mixed >> 31)
-}
--- a/crates/routing/src/selection.rs
+++ b/crates/routing/src/selection.rs
@@ -1,82 +1,31 @@
-use crate::mix;
-use postbarrow_constants::traffic::*;
-use postbarrow_state::{Name, State, Target};
-use std::collections::HashMap;
-use std::sync::Arc;
-use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
-
-/// What this node knows of one target's occupancy.
-#[derive(Debug, Default)]
-pub struct Load {
-    in_flight: AtomicU64,
-    /// What a response or a probe told last, without this node's own requests, and when.
-    reported: AtomicU64,
-    reported_ms: AtomicU64,
-    failed_until_ms: AtomicU64,
-    /// Failures in a row.
-    failures: AtomicU64,
-}
-
-impl Load {
-    pub fn enter(&self) {
-        self.in_flight.fetch_add(1, Relaxed);
-    }
-    pub fn leave(&self) {
-        self.in_flight.fetch_sub(1, Relaxed);
-    }
-    pub fn in_flight(&self) -> u64 {
-        self.in_flight.load(Relaxed)
-    }
-    pub fn report(&self, occupancy: u64) {
-        self.reported.store(occupancy, Relaxed);
-    }
-    /// The same from a target with known slots, whose word grows old.
-    pub fn report_slots_used(&self, now_ms: u64, occupancy: u64) {
-        self.reported.store(occupancy, Relaxed);
-        self.reported_ms.store(now_ms, Relaxed);
-    }
-    /// Asks of others there, as far as is known: what was told drifts towards what is usual.
-    fn others(&self, now_ms: u64, usual: f64) -> f64 {
-        let told_ms = self.reported_ms.load(Relaxed);
-        if told_ms == 0 {
-            return usual;
-        }
-        let age = now_ms.saturating_sub(told_ms) as f64 / REPORT_FADES_MS;
-        usual + (self.reported.load(Relaxed) as f64 - usual) * (-age).exp()
-    }
-    pub fn on_failure(&self, now_ms: u64) {
-        let before = self.failures.fetch_add(1, Relaxed).min(16);
-        let pause_ms = (EJECTION_MS << before).min(EJECTION_MAX_MS);
-        self.failed_until_ms.store(now_ms + pause_ms, Relaxed);
-    }
-    /// It is full, not ill.
-    pub fn on_rejection(&self, now_ms: u64) {
-        let until_ms = now_ms + REJECTION_PAUSE_MS;
-        self.failed_until_ms.fetch_max(until_ms, Relaxed);
-    }
-    pub fn on_success(&self) {
-        self.failures.store(0, Relaxed);
-        self.failed_until_ms.store(0, Relaxed);
-    }
-    fn occupancy(&self) -> u64 {
-        self.in_flight.load(Relaxed) + self.reported.load(Relaxed)
-    }
-    fn is_failed(&self, now_ms: u64) -> bool {
-        now_ms < self.failed_until_ms.load(Relaxed)
-    }
-}
+//! Selection: which target gets an attempt.
+//!
+//! 1. Targets that this request tried already are out.
+//! 2. Ejected targets are out, unless all that remain are ejected.
+//! 3. If all that remain report their slots, the one with the lowest score is selected:
+//!    `(own + others + 1) * slow start / slots + zone + chance`, where a target that is warming up
+//!    counts [`SLOW_START_FACTOR`] times as loaded (2.0), another zone costs [`FAR_SLOTS`] of the
+//!    slots (0.1), and `chance` is drawn below [`CHANCE_SLOTS`] (0.1), so that nodes with the same
+//!    reports do not all select the same target.
+//! 4. Otherwise two are drawn and the one with fewer requests in flight is selected (the power of
+//!    two choices: Mitzenmacher, 2001), from the own zone unless the one drawn from all zones has
+//!    more than [`ZONE_SLACK_REQUESTS`] (4) fewer in flight: a request within its zone is quicker,
+//!    though not at any cost.
 
-pub type Loads = HashMap<Name, Arc<Load>>;
-
-/// Loads outlive the plan: a table made anew keeps those of targets it still has.
-pub fn carry(old: &Loads, state: &State) -> Loads {
-    let keep = |instance: &Name| old.get(instance).cloned().unwrap_or_default();
-    state.targets.keys().map(|instance| (instance.clone(), keep(instance))).collect()
-}
+use crate::{Load, mix};
+use postbarrow_constants::traffic::{
+    CHANCE_SLOTS, FAR_SLOTS, SLOW_START_FACTOR, ZONE_SLACK_REQUESTS,
+};
+use postbarrow_state::{Name, Target};
+use std::sync::Arc;
 
+/// A target that a request may go to, with its load.
 pub type Candidate = (Arc<Target>, Arc<Load>);
 
-/// The emptier of two drawn, from the own zone unless another is much emptier.
+/// Separates the second draw of two from the first.
+const SECOND_DRAW: u64 = 0x5bd1_e995;
+
+/// The target for the next attempt of a request of this zone; none if all were tried.
 pub fn select_target(
     targets: &[Candidate],
     zone: &str,
@@ -84,55 +33,70 @@
     now_ms: u64,
     seed: u64,
 ) -> Option<Candidate> {
-    let fresh = |choice: &&Candidate| !tried.contains(&choice.0.instance);
-    let sound: Vec<&Candidate> =
-        targets.iter().filter(fresh).filter(|choice| !choice.1.is_failed(now_ms)).collect();
-    let all: Vec<&Candidate> =
-        if sound.is_empty() { targets.iter().filter(fresh).collect() } else { sound };
-    if all.iter().all(|choice| choice.0.slots > 0) {
-        return by_slots(&all, zone, now_ms, seed).cloned();
+    let candidates = eligible(targets, tried, now_ms);
+    if candidates.iter().all(|(target, _)| target.slots > 0) {
+        return lowest_score(&candidates, zone, now_ms, seed).cloned();
     }
-    let near: Vec<&Candidate> =
-        all.iter().filter(|choice| choice.0.zone == zone).copied().collect();
-    let far = emptier(&all, seed)?;
-    let chosen = match emptier(&near, mix(seed)) {
-        Some(near) if near.1.occupancy() <= far.1.occupancy() + ZONE_SLACK_REQUESTS => near,
-        _ => far,
+    let in_zone: Vec<&Candidate> =
+        candidates.iter().filter(|(target, _)| target.zone == zone).copied().collect();
+    let anywhere = less_loaded_of_two(&candidates, seed)?;
+    let selected = match less_loaded_of_two(&in_zone, mix(seed)) {
+        Some(near)
+            if near.1.total_in_flight() <= anywhere.1.total_in_flight() + ZONE_SLACK_REQUESTS =>
+        {
+            near
+        }
+        _ => anywhere,
     };
-    Some(chosen.clone())
+    Some(selected.clone())
+}
+
+/// Targets not tried yet, without ejected ones if any other is there.
+fn eligible<'c>(targets: &'c [Candidate], tried: &[Name], now_ms: u64) -> Vec<&'c Candidate> {
+    let is_untried = |candidate: &&Candidate| !tried.contains(&candidate.0.instance);
+    let healthy: Vec<&Candidate> = targets
+        .iter()
+        .filter(is_untried)
+        .filter(|candidate| !candidate.1.is_ejected(now_ms))
+        .collect();
+    if healthy.is_empty() { targets.iter().filter(is_untried).collect() } else { healthy }
 }
 
-/// The target with the most room, as far as this node knows: its own requests and the last reports.
-fn by_slots<'c>(
-    among: &[&'c Candidate],
+/// The target with the lowest score by its slots; one number is drawn for each, in their order.
+fn lowest_score<'c>(
+    candidates: &[&'c Candidate],
     zone: &str,
     now_ms: u64,
     seed: u64,
 ) -> Option<&'c Candidate> {
-    let told = among.iter().filter(|choice| choice.1.reported_ms.load(Relaxed) > 0);
-    let (sum, count) = told
-        .fold((0, 0), |(sum, count), choice| (sum + choice.1.reported.load(Relaxed), count + 1));
-    let usual = if count == 0 { 0.0 } else { sum as f64 / count as f64 };
+    let mean = mean_report(candidates);
     let mut drawn = seed;
-    let mut score = |choice: &Candidate| {
+    let mut score = |(target, load): &Candidate| {
         drawn = mix(drawn);
         let chance = (drawn % 1_024) as f64 / 1_024.0 * CHANCE_SLOTS;
-        let requests = choice.1.in_flight() as f64 + choice.1.others(now_ms, usual) + 1.0;
-        let cold = if choice.0.warming_up { SLOW_START_FACTOR } else { 1.0 };
-        let far = if choice.0.zone == zone { 0.0 } else { FAR_SLOTS };
-        requests * cold / choice.0.slots as f64 + far + chance
+        let requests = load.in_flight() as f64 + load.others_in_flight(now_ms, mean) + 1.0;
+        let slow_start = if target.warming_up { SLOW_START_FACTOR } else { 1.0 };
+        let far = if target.zone == zone { 0.0 } else { FAR_SLOTS };
+        requests * slow_start / target.slots as f64 + far + chance
     };
-    let scored = among.iter().map(|choice| (score(choice), *choice));
-    scored.min_by(|one, other| one.0.total_cmp(&other.0)).map(|(_, choice)| choice)
+    let scored = candidates.iter().map(|candidate| (score(candidate), *candidate));
+    scored.min_by(|one, other| one.0.total_cmp(&other.0)).map(|(_, candidate)| candidate)
+}
+
+/// What the candidates' targets report on average; 0 if none reported.
+fn mean_report(candidates: &[&Candidate]) -> f64 {
+    let reports = candidates.iter().filter_map(|candidate| candidate.1.last_report());
+    let (sum, count) = reports.fold((0, 0), |(sum, count), report| (sum + report, count + 1));
+    if count == 0 { 0.0 } else { sum as f64 / count as f64 }
 }
 
-fn emptier<'c>(among: &[&'c Candidate], seed: u64) -> Option<&'c Candidate> {
-    let count = among.len() as u64;
+/// The one of two drawn candidates with fewer requests in flight; the first among equals.
+fn less_loaded_of_two<'c>(candidates: &[&'c Candidate], seed: u64) -> Option<&'c Candidate> {
+    let count = candidates.len() as u64;
     if count == 0 {
         return None;
     }
-    let first = (mix(seed) % count) as usize;
-    let second = (mix(seed ^ 0x5bd1_e995) % count) as usize;
-    let (one, two) = (among[first], among[second]);
-    Some(if two.1.occupancy() < one.1.occupancy() { two } else { one })
+    let first = candidates[(mix(seed) % count) as usize];
+    let second = candidates[(mix(seed ^ SECOND_DRAW) % count) as usize];
+    Some(if second.1.total_in_flight() < first.1.total_in_flight() { second } else { first })
 }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,140 +1,82 @@
-//! The routing table of one image: which route a request takes, and which targets it has.
+//! The routing table of one image, built from what the image does not share with the last one.
 
 use crate::compiled_route::CompiledRoute;
-use crate::heads::{host_of, in_order};
-use crate::resolved::Resolved;
-use crate::selection::{Candidate, Loads, select_target};
-use crate::{RetryAllowance, RetryBudget, mix};
-use postbarrow_plan::{ANY_METHOD, Segment};
-use postbarrow_rules::RequestFacts;
+use crate::load::Loads;
+use crate::resolved_services::ResolvedServices;
+use crate::route_match::RouteIndex;
+use crate::{Entry, RetryAllowance, RouteMatch};
 use postbarrow_state::{Name, Route, State};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// One route with all that its requests need.
-pub struct Entry {
-    pub compiled: Arc<CompiledRoute>,
-    pub retry_budget: Arc<RetryBudget>,
-    targets: Arc<Vec<Candidate>>,
-    /// Of a split route: the same route on one service each, by weight.
-    ways: Vec<(u64, Arc<Entry>)>,
-}
-
-/// A whole image made ready for requests; replaced whole by one swap.
+/// An image made ready for requests; replaced as a whole by one swap.
 pub struct Table {
+    /// The image.
     pub state: Arc<State>,
+    /// Up to where in the log the image reaches.
     pub offset: u64,
-    entries: Vec<Arc<Entry>>,
-    by_first: HashMap<Name, Vec<usize>>,
-    any_first: Vec<usize>,
-    resolved: Resolved,
+    routes: RouteIndex,
+    resolved: ResolvedServices,
     rule_headers: BTreeSet<String>,
-    extra: RetryAllowance,
+    retry_allowance: RetryAllowance,
     statistics: BuildStatistics,
 }
 
-/// How much of a table was made anew and not taken from the one before.
+/// How much of a table was built anew and not taken from the one before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BuildStatistics {
+    /// Services whose targets were looked for.
     pub services_resolved: usize,
+    /// Routes whose pattern and rule were compiled.
     pub routes_compiled: usize,
+    /// Entries that were built, of compiled or known routes.
     pub entries_built: usize,
 }
 
-pub enum RouteMatch {
-    Route(Arc<Entry>),
-    NoRoute,
-    OtherMethods(Vec<Name>),
-}
-
 impl Table {
+    /// The table before the first image: no route takes any request.
     pub fn empty() -> Self {
         Table {
             state: Arc::new(State::default()),
             offset: 0,
-            entries: Vec::new(),
-            by_first: HashMap::new(),
-            any_first: Vec::new(),
-            resolved: Resolved::default(),
+            routes: RouteIndex::default(),
+            resolved: ResolvedServices::default(),
             rule_headers: BTreeSet::new(),
-            extra: RetryAllowance::default(),
+            retry_allowance: RetryAllowance::default(),
             statistics: BuildStatistics::default(),
         }
     }
 
-    /// Per cent of requests, a second and saved up; tables made from this one keep it.
+    /// Sets the retries per cent of requests, a second and saved up; tables built from this one
+    /// inherit them.
     pub fn with_retry_allowance(mut self, (percent, per_s, saved): (u64, u64, u64)) -> Self {
-        self.extra = RetryAllowance { percent, per_s, saved };
+        self.retry_allowance = RetryAllowance { percent, per_s, saved };
         self
     }
 
-    /// Takes from the old table what the new image shares with it: the work is that of what
-    /// changed, and one pass over the routes.
+    /// Builds the table of a new image. What it shares with the old one is taken over: the work is
+    /// that of what changed, and one pass over the routes.
     pub fn new(state: Arc<State>, offset: u64, old: &Table) -> Self {
-        let resolved = Resolved::new(&state, old);
-        let (mut entries, routes_compiled, entries_made) = entries(&state, &resolved, old);
-        entries.sort_by(|a, b| a.compiled.rank().cmp(&b.compiled.rank()));
-        let mut by_first: HashMap<Name, Vec<usize>> = HashMap::new();
-        let mut any_first = Vec::new();
-        for (at, entry) in entries.iter().enumerate() {
-            match entry.compiled.pattern.segments.first() {
-                Some(Segment::Literal(first)) => {
-                    by_first.entry(first.clone()).or_default().push(at)
-                }
-                _ => any_first.push(at),
-            }
-        }
-        let headers = entries.iter().flat_map(|entry| entry.compiled.rule_headers.iter().cloned());
-        let rule_headers = headers.collect();
-        let services_resolved = resolved.rebuilt;
+        let resolved = ResolvedServices::new(&state, old);
+        let mut statistics =
+            BuildStatistics { services_resolved: resolved.rebuilt, ..BuildStatistics::default() };
+        let routes = RouteIndex::new(build_entries(&state, &resolved, old, &mut statistics));
+        let compiled = routes.entries().iter().map(|entry| &entry.compiled);
+        let rule_headers = compiled.flat_map(|route| route.rule_headers.iter().cloned()).collect();
         Table {
             state,
             offset,
-            entries,
-            by_first,
-            any_first,
+            routes,
             resolved,
             rule_headers,
-            extra: old.extra,
-            statistics: BuildStatistics {
-                services_resolved,
-                routes_compiled,
-                entries_built: entries_made,
-            },
+            retry_allowance: old.retry_allowance,
+            statistics,
         }
     }
 
-    /// The most literal pattern wins; among equals, one with a rule that holds.
+    /// The route that takes a request, by the rules of [`crate::route_match`].
     pub fn find(&self, method: &str, path: &str, headers: &[(String, String)]) -> RouteMatch {
-        let facts = RequestFacts { method, path, headers };
-        let first = path.strip_prefix('/').map_or("", |rest| rest.split('/').next().unwrap_or(""));
-        let named = self.by_first.get(first).map_or(&[][..], |list| list.as_slice());
-        let mut others = BTreeSet::new();
-        let mut host = None;
-        for at in in_order(named, &self.any_first) {
-            let entry = &self.entries[at];
-            if !entry.compiled.pattern.matches(path) {
-                continue;
-            }
-            if let Some(wanted) = &entry.route().host
-                && !host.get_or_insert_with(|| host_of(headers)).eq_ignore_ascii_case(wanted)
-            {
-                continue;
-            }
-            let takes = |known: &Name| known == method || known == ANY_METHOD;
-            if !entry.compiled.route.methods.iter().any(takes) {
-                others.extend(entry.compiled.route.methods.iter().cloned());
-                continue;
-            }
-            if entry.compiled.rule.as_ref().is_none_or(|rule| rule.matches(&facts)) {
-                return RouteMatch::Route(entry.clone());
-            }
-        }
-        if others.is_empty() {
-            RouteMatch::NoRoute
-        } else {
-            RouteMatch::OtherMethods(others.into_iter().collect())
-        }
+        self.routes.find(method, path, headers)
     }
 
     /// Names of the headers that rules read.
@@ -142,22 +84,25 @@
         &self.rule_headers
     }
 
+    /// The loads of all known targets.
     pub fn loads(&self) -> &Loads {
         &self.resolved.loads
     }
 
-    pub fn work(&self) -> BuildStatistics {
+    /// How much of it was built anew.
+    pub fn statistics(&self) -> BuildStatistics {
         self.statistics
     }
 
-    pub(crate) fn extra(&self) -> RetryAllowance {
-        self.extra
+    pub(crate) fn retry_allowance(&self) -> RetryAllowance {
+        self.retry_allowance
     }
 
-    pub(crate) fn resolved(&self) -> &Resolved {
+    pub(crate) fn resolved(&self) -> &ResolvedServices {
         &self.resolved
     }
 
+    /// Nodes among which limits and retries of the fleet are divided; at least one.
     pub fn nodes(&self) -> u64 {
         self.state.nodes.len().max(1) as u64
     }
@@ -170,87 +115,32 @@
     }
 }
 
-/// The image's routes as entries, in its order; how many routes were compiled, and entries made.
-fn entries(state: &State, resolved: &Resolved, old: &Table) -> (Vec<Arc<Entry>>, usize, usize) {
-    let kept: HashMap<*const Route, &Arc<Entry>> =
-        old.entries.iter().map(|entry| (Arc::as_ptr(&entry.compiled.route), entry)).collect();
+/// The image's routes as entries, in its order. A route that does not compile is left out.
+fn build_entries(
+    state: &State,
+    resolved: &ResolvedServices,
+    old: &Table,
+    statistics: &mut BuildStatistics,
+) -> Vec<Arc<Entry>> {
+    let old_entries = old.routes.entries().iter();
+    let known: HashMap<*const Route, &Arc<Entry>> =
+        old_entries.map(|entry| (Arc::as_ptr(&entry.compiled.route), entry)).collect();
     let mut entries: Vec<Arc<Entry>> = Vec::with_capacity(state.routes.len());
-    let (mut routes_compiled, mut entries_made) = (0, 0);
     for route in &state.routes {
-        let made = match kept.get(&Arc::as_ptr(route)) {
+        let compiled = match known.get(&Arc::as_ptr(route)) {
             Some(entry) if entry.is_resolved_by(resolved) => {
                 entries.push(Arc::clone(entry));
                 continue;
             }
             Some(entry) => entry.compiled.clone(),
-            None => match CompiledRoute::new(route) {
-                Ok(made) => {
-                    routes_compiled += 1;
-                    Arc::new(made)
-                }
-                Err(_) => continue,
-            },
-        };
-        entries_made += 1;
-        entries.push(Arc::new(Entry::new(made, resolved)));
-    }
-    (entries, routes_compiled, entries_made)
-}
-
-impl Entry {
-    fn new(made: Arc<CompiledRoute>, resolved: &Resolved) -> Entry {
-        let entry = |made: Arc<CompiledRoute>, service: &Name, ways| Entry {
-            compiled: made,
-            retry_budget: resolved.budgets.get(service).cloned().unwrap_or_default(),
-            targets: resolved.choices.get(service).cloned().unwrap_or_default(),
-            ways,
-        };
-        let route = made.route.clone();
-        let ways = route.weighted_services.iter().filter(|share| share.weight > 0).map(|share| {
-            let made = Arc::new(made.on(&share.service));
-            (share.weight, Arc::new(entry(made, &share.service, Vec::new())))
-        });
-        let ways = ways.collect();
-        entry(made, &route.service, ways)
-    }
-
-    /// Whether it holds the very targets and budgets that its services have now.
-    fn is_resolved_by(&self, resolved: &Resolved) -> bool {
-        let service = &self.route().service;
-        let targets = resolved.choices.get(service);
-        let budget = resolved.budgets.get(service);
-        targets.is_some_and(|targets| Arc::ptr_eq(targets, &self.targets))
-            && budget.is_some_and(|budget| Arc::ptr_eq(budget, &self.retry_budget))
-            && self.ways.iter().all(|(_, way)| way.is_resolved_by(resolved))
-    }
-
-    pub fn route(&self) -> &Route {
-        &self.compiled.route
-    }
-
-    /// The entry itself, or of a split route the one that this seed draws.
-    pub fn draw_service(self: &Arc<Self>, seed: u64) -> Arc<Entry> {
-        let whole: u64 = self.ways.iter().map(|(weight, _)| weight).sum();
-        if whole == 0 {
-            return self.clone();
-        }
-        let mut left = mix(seed) % whole;
-        for (weight, way) in &self.ways {
-            if left < *weight {
-                return way.clone();
+            None => {
+                let Some(compiled) = CompiledRoute::new(route) else { continue };
+                statistics.routes_compiled += 1;
+                Arc::new(compiled)
             }
-            left -= weight;
-        }
-        self.clone()
-    }
-
-    pub fn select_target(
-        &self,
-        zone: &str,
-        tried: &[Name],
-        now_ms: u64,
-        seed: u64,
-    ) -> Option<Candidate> {
-        select_target(&self.targets, zone, tried, now_ms, seed)
+        };
+        statistics.entries_built += 1;
+        entries.push(Arc::new(Entry::new(compiled, resolved)));
     }
+    entries
 }
--- a/crates/routing/tests/reuse.rs
+++ b/crates/routing/tests/table_reuse.rs
@@ -1,4 +1,4 @@
-//! A new table is made from what its image does not share with the last.
+//! A new table is built from what its image does not share with the last.
 
 use postbarrow_constants::plans::ROUTE_DEADLINE_MS;
 use postbarrow_routing::{BuildStatistics, RouteMatch, Table};
@@ -50,8 +50,8 @@
     state
 }
 
-/// Two services of one target each, and so many routes; each tenth is split between both.
-fn first(routes: usize) -> State {
+/// Two services of one target each, and so many routes; each tenth is weighted between both.
+fn initial_state(routes: usize) -> State {
     let mut records = vec![
         Record::PlanStart { version: "v1".into(), base: None },
         service("s", "one"),
@@ -62,8 +62,8 @@
     for at in 0..routes {
         let mut route = route(at, if at % 2 == 0 { "s" } else { "t" });
         if at % 10 == 9 {
-            let share = |service: &str| WeightedService { service: service.into(), weight: 1 };
-            route.weighted_services = vec![share("s"), share("t")];
+            let weighted = |service: &str| WeightedService { service: service.into(), weight: 1 };
+            route.weighted_services = vec![weighted("s"), weighted("t")];
         }
         records.push(Record::Route(route));
     }
@@ -84,17 +84,17 @@
 }
 
 #[test]
-fn a_changed_route_is_all_that_is_compiled_of_six_hundred() {
-    let state = first(600);
+fn one_changed_route_of_six_hundred_is_the_only_one_compiled() {
+    let state = initial_state(600);
     let old = table(&state, &Table::empty());
-    let whole = BuildStatistics { services_resolved: 2, routes_compiled: 600, entries_built: 600 };
-    assert_eq!(old.work(), whole);
+    let all = BuildStatistics { services_resolved: 2, routes_compiled: 600, entries_built: 600 };
+    assert_eq!(old.statistics(), all);
     let mut changed = route(300, "s");
     changed.deadline_ms = 7;
     let state = applied(&state, &change("v2", vec![splice(300, 1, vec![changed])]));
     let new = table(&state, &old);
     assert_eq!(
-        new.work(),
+        new.statistics(),
         BuildStatistics { services_resolved: 0, routes_compiled: 1, entries_built: 1 }
     );
     let headers = [("x-kind".to_string(), "a".to_string())];
@@ -103,51 +103,51 @@
     let state = applied(&state, &change("v3", vec![splice(10, 2, vec![route(900, "t")])]));
     let new = table(&state, &new);
     assert_eq!(
-        new.work(),
+        new.statistics(),
         BuildStatistics { services_resolved: 0, routes_compiled: 1, entries_built: 1 }
     );
     assert!(matches!(new.find("GET", "/r900", &headers), RouteMatch::Route(_)));
-    assert!(matches!(new.find("GET", "/r11", &[]), RouteMatch::NoRoute), "a route that is gone");
+    assert!(matches!(new.find("GET", "/r11", &[]), RouteMatch::NoRoute), "a removed route");
 }
 
 #[test]
-fn a_changed_service_touches_the_routes_that_go_to_it() {
-    let state = first(100);
+fn a_changed_service_rebuilds_the_entries_of_its_routes_only() {
+    let state = initial_state(100);
     let old = table(&state, &Table::empty());
     let state = applied(&state, &change("v2", vec![service("t", "one")]));
     let new = table(&state, &old);
-    let work = BuildStatistics { services_resolved: 1, routes_compiled: 0, entries_built: 50 };
-    assert_eq!(new.work(), work, "odd routes go to it, and the split ones are odd");
+    let expected = BuildStatistics { services_resolved: 1, routes_compiled: 0, entries_built: 50 };
+    assert_eq!(new.statistics(), expected, "odd routes use it, and the weighted ones are odd");
     let RouteMatch::Route(entry) = new.find("GET", "/r1", &[]) else { panic!("no route") };
     assert_eq!(entry.select_target("a", &[], 0, 1).unwrap().0.instance, "one-1");
 }
 
 #[test]
-fn a_split_route_is_made_anew_when_any_of_its_services_changes() {
-    let state = first(100);
+fn a_weighted_route_is_rebuilt_when_any_of_its_services_changes() {
+    let state = initial_state(100);
     let old = table(&state, &Table::empty());
     let state = applied(&state, &change("v2", vec![service("s", "two")]));
     let new = table(&state, &old);
-    let work = BuildStatistics { services_resolved: 1, routes_compiled: 0, entries_built: 60 };
-    assert_eq!(new.work(), work, "even routes go to it, and a share of ten odd ones");
+    let expected = BuildStatistics { services_resolved: 1, routes_compiled: 0, entries_built: 60 };
+    assert_eq!(new.statistics(), expected, "even routes use it, and ten weighted odd ones");
     for seed in 0..20 {
         let RouteMatch::Route(entry) = new.find("GET", "/r99", &[]) else { panic!("no route") };
         let target = entry.draw_service(seed).select_target("a", &[], 0, seed).unwrap().0;
-        assert_eq!(target.instance, "two-1", "a split route kept a service as it was");
+        assert_eq!(target.instance, "two-1", "a weighted route retained a service as it was");
     }
 }
 
 #[test]
-fn a_changed_target_is_seen_by_every_route_and_compiles_none() {
-    let state = first(100);
+fn a_changed_target_rebuilds_every_entry_and_compiles_no_route() {
+    let state = initial_state(100);
     let old = table(&state, &Table::empty());
     let state = applied(&state, &[Record::TargetGone("one-1".into()), target("one-2", "one")]);
     let new = table(&state, &old);
-    let work = BuildStatistics { services_resolved: 2, routes_compiled: 0, entries_built: 100 };
-    assert_eq!(new.work(), work);
+    let expected = BuildStatistics { services_resolved: 2, routes_compiled: 0, entries_built: 100 };
+    assert_eq!(new.statistics(), expected);
     for seed in 0..20 {
         let RouteMatch::Route(entry) = new.find("GET", "/r99", &[]) else { panic!("no route") };
         let target = entry.draw_service(seed).select_target("a", &[], 0, seed).unwrap().0;
-        assert_ne!(target.instance, "one-1", "a split route kept a target that is gone");
+        assert_ne!(target.instance, "one-1", "a weighted route retained a removed target");
     }
 }
