--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -2,10 +2,10 @@
 //!
 //! A node counts its own requests exactly. Those of other nodes it learns from the target's reports
 //! in responses and probes, which grow old: a report's weight falls to a third in
-//! [`REPORT_FADES_MS`] (400 ms, about one request's time), and the estimate drifts towards the mean of what is reported.
+//! [`LOAD_REPORT_DECAY_MS`] (400 ms, about one request's time), and the estimate drifts towards the mean of what is reported.
 
 use crate::Ejection;
-use postbarrow_constants::traffic::REPORT_FADES_MS;
+use postbarrow_constants::traffic::LOAD_REPORT_DECAY_MS;
 use postbarrow_state::{Name, State};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -80,7 +80,7 @@
         if reported_ms == 0 {
             return mean;
         }
-        let age = now_ms.saturating_sub(reported_ms) as f64 / REPORT_FADES_MS;
+        let age = now_ms.saturating_sub(reported_ms) as f64 / LOAD_REPORT_DECAY_MS;
         mean + (self.reported.load(Relaxed) as f64 - mean) * (-age).exp()
     }
 
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -1,12 +1,12 @@
 //! Retry budget: whether a further attempt at a service is allowed.
 //!
 //! Retries of the whole fleet to one service may be [`RETRY_PERCENT`] (20 %) of its requests, and
-//! [`RETRIES_PER_S`] (1) a second beside; up to [`RETRIES_SAVED`] (10) are saved up. Each of `n` nodes
+//! [`RETRIES_PER_S`] (1) a second beside; up to [`RETRY_BURST`] (10) are saved up. Each of `n` nodes
 //! has an `n`th of it, and can always save one retry. The percentage bounds what a failing service
 //! gets on top of its requests, so that retries do not keep it from recovering; the retries by time
 //! let quiet services retry at all.
 
-use postbarrow_constants::traffic::{RETRIES_PER_S, RETRIES_SAVED, RETRY_PERCENT};
+use postbarrow_constants::traffic::{RETRIES_PER_S, RETRY_BURST, RETRY_PERCENT};
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering::Relaxed};
 
 /// One retry in the units that are saved, fine enough for a per cent of a node's part.
@@ -40,7 +40,7 @@
 
 impl Default for RetryAllowance {
     fn default() -> Self {
-        RetryAllowance { percent: RETRY_PERCENT, per_s: RETRIES_PER_S, saved: RETRIES_SAVED }
+        RetryAllowance { percent: RETRY_PERCENT, per_s: RETRIES_PER_S, saved: RETRY_BURST }
     }
 }
 
--- a/crates/routing/src/retry_budget/tests.rs
+++ b/crates/routing/src/retry_budget/tests.rs
@@ -17,7 +17,7 @@
         }
     }
     let seconds = requests * 2 / 1_000;
-    let max = requests / 5 + seconds * RETRIES_PER_S + nodes + RETRIES_SAVED;
+    let max = requests / 5 + seconds * RETRIES_PER_S + nodes + RETRY_BURST;
     assert!(retries <= max, "{retries} of at most {max}");
     assert!(retries >= requests / 5, "the percentage itself is allowed: {retries}");
 }
--- a/crates/routing/src/selection.rs
+++ b/crates/routing/src/selection.rs
@@ -4,8 +4,8 @@
 //! 2. Ejected targets are out, unless all that remain are ejected.
 //! 3. If all that remain report their slots, the one with the lowest score is selected:
 //!    `(own + others + 1) * slow start / slots + zone + chance`, where a target that is warming up
-//!    counts [`SLOW_START_FACTOR`] times as loaded (2.0), another zone costs [`FAR_SLOTS`] of the
-//!    slots (0.1), and `chance` is drawn below [`CHANCE_SLOTS`] (0.1), so that nodes with the same
+//!    counts [`SLOW_START_FACTOR`] times as loaded (2.0), another zone costs [`CROSS_ZONE_PENALTY`] of the
+//!    slots (0.1), and `chance` is drawn below [`RANDOM_TIE_MARGIN`] (0.1), so that nodes with the same
 //!    reports do not all select the same target.
 //! 4. Otherwise two are drawn and the one with fewer requests in flight is selected (the power of
 //!    two choices: Mitzenmacher, 2001), from the own zone unless the one drawn from all zones has
@@ -14,7 +14,7 @@
 
 use crate::{Load, mix};
 use postbarrow_constants::traffic::{
-    CHANCE_SLOTS, FAR_SLOTS, SLOW_START_FACTOR, ZONE_SLACK_REQUESTS,
+    CROSS_ZONE_PENALTY, RANDOM_TIE_MARGIN, SLOW_START_FACTOR, ZONE_SLACK_REQUESTS,
 };
 use postbarrow_state::{Name, Target};
 use std::sync::Arc;
@@ -73,10 +73,10 @@
     let mut drawn = seed;
     let mut score = |(target, load): &Candidate| {
         drawn = mix(drawn);
-        let chance = (drawn % 1_024) as f64 / 1_024.0 * CHANCE_SLOTS;
+        let chance = (drawn % 1_024) as f64 / 1_024.0 * RANDOM_TIE_MARGIN;
         let requests = load.in_flight() as f64 + load.others_in_flight(now_ms, mean) + 1.0;
         let slow_start = if target.warming_up { SLOW_START_FACTOR } else { 1.0 };
-        let far = if target.zone == zone { 0.0 } else { FAR_SLOTS };
+        let far = if target.zone == zone { 0.0 } else { CROSS_ZONE_PENALTY };
         requests * slow_start / target.slots as f64 + far + chance
     };
     let scored = candidates.iter().map(|candidate| (score(candidate), *candidate));
--- a/crates/routing/src/traffic_rehearsal.rs
+++ b/crates/routing/src/traffic_rehearsal.rs
@@ -4,7 +4,7 @@
 
 use crate::{Entry, RouteMatch, Table};
 use facet::Facet;
-use postbarrow_constants::plans::REHEARSE_MS;
+use postbarrow_constants::plans::REHEARSAL_MS;
 use postbarrow_plan::Plan;
 use postbarrow_state::{Labels, Sample, State};
 use postbarrow_transactions::Image;
@@ -76,7 +76,7 @@
         Traffic { missing: vec![reason.into()], ..Traffic::default() }
     }
 
-    /// Runs recent requests through both plans, for [`REHEARSE_MS`] at most.
+    /// Runs recent requests through both plans, for [`REHEARSAL_MS`] at most.
     pub fn of(before: &Plan, after: &Plan, recent: &RecentRequests) -> Traffic {
         let mut comparison = Comparison::new(table(before), table(after));
         let mut traffic =
@@ -90,8 +90,8 @@
         }
         let start = Instant::now();
         for sample in &recent.samples {
-            if start.elapsed().as_millis() as u64 > REHEARSE_MS {
-                traffic.missing.push(format!("stopped after {REHEARSE_MS} ms"));
+            if start.elapsed().as_millis() as u64 > REHEARSAL_MS {
+                traffic.missing.push(format!("stopped after {REHEARSAL_MS} ms"));
                 break;
             }
             traffic.compared += 1;
