--- a/crates/controller/examples/snapshot_cost.rs
+++ b/crates/controller/examples/snapshot_cost.rs
@@ -1,4 +1,4 @@
-//! What a full log costs: memory, the thread that keeps the lease, one slot of a small disk, a restart.
+//! What a full log costs: memory, the thread that renews the lease, one slot of a small disk, a restart.
 
 use postbarrow_consensus::{HardState, Member, Snapshot, Write};
 use postbarrow_constants::coordination::{STORED_RESPONSE_BYTES, STORED_RESPONSES_BYTES, TICKETS};
@@ -11,13 +11,13 @@
     let mut state = State::default();
     for at in 0..tickets as u64 {
         let key = Name::from(format!("made-{:x}-{at}-0123456789abcdef01234567", 0x1234_5678u64));
-        let kept = StoredResponse {
+        let stored = StoredResponse {
             status: 200,
             headers: Vec::new(),
             body: vec![7; STORED_RESPONSE_BYTES],
         };
-        let fits = state.stored_response_bytes + kept.size() as u64 <= STORED_RESPONSES_BYTES;
-        state.stored_response_bytes += if fits { kept.size() as u64 } else { 0 };
+        let fits = state.stored_response_bytes + stored.size() as u64 <= STORED_RESPONSES_BYTES;
+        state.stored_response_bytes += if fits { stored.size() as u64 } else { 0 };
         let ticket = Ticket {
             key: key.clone(),
             digest: [7; 32],
@@ -26,7 +26,7 @@
             node: 9,
             number: at,
             settlement: Some(Settlement::Ran),
-            response: fits.then(|| Arc::new(kept)),
+            response: fits.then(|| Arc::new(stored)),
             era: 0,
         };
         state.tickets.insert(key, Arc::new(ticket));
@@ -47,7 +47,7 @@
         println!("{tickets} tickets, {} MiB more in memory", memory_mib().saturating_sub(before));
         let start = Instant::now();
         let clone = state.clone();
-        println!("  clone, on the thread that keeps the hold: {:?}", start.elapsed());
+        println!("  clone, on the thread that renews the lease: {:?}", start.elapsed());
         let start = Instant::now();
         let bytes = rmp_serde::to_vec(&clone).expect("a state encodes into memory");
         println!("  encode, aside: {:?}, {} MiB", start.elapsed(), bytes.len() >> 20);
@@ -65,8 +65,8 @@
         let disk = FolderDisk::new(folder.clone()).expect("a folder");
         let Opened::Whole { recovered, .. } = open(disk).expect("opens") else { return };
         let opened = start.elapsed();
-        let kept = recovered.snapshot.expect("a snapshot");
-        let read: State = rmp_serde::from_slice(&kept.state).expect("decodes");
+        let stored = recovered.snapshot.expect("a snapshot");
+        let read: State = rmp_serde::from_slice(&stored.state).expect("decodes");
         println!("  restart: disk {opened:?}, state {:?} more", start.elapsed() - opened);
         assert_eq!(read.tickets.len(), tickets);
         let _ = std::fs::remove_dir_all(folder);
--- a/crates/controller/src/commit.rs
+++ b/crates/controller/src/commit.rs
@@ -10,9 +10,9 @@
 use std::sync::Arc;
 
 #[derive(Debug, Serialize, Deserialize)]
-struct Kept {
+struct SnapshotContent {
     state: Arc<State>,
-    news_offset: u64,
+    update_offset: u64,
 }
 
 impl ControlNode {
@@ -24,42 +24,42 @@
             }
             self.compact(now_ms);
         }
-        self.answer_committed(now_ms);
-        self.tell_watches(now_ms);
-        self.continue_open(now_ms);
+        self.send_committed_replies(now_ms);
+        self.answer_watches(now_ms);
+        self.continue_plan(now_ms);
     }
 
     fn on_batch(&mut self, now_ms: u64, offset: u64, bytes: &[u8]) {
-        let lines: Vec<BatchRecord<Record>> =
+        let records: Vec<BatchRecord<Record>> =
             decode(bytes).unwrap_or_else(|error| panic!("log offset {offset}: {error}"));
-        let seen = match self.tail.apply(offset, bytes.len(), &lines) {
-            Ok(seen) => seen,
+        let outcome = match self.tail.apply(offset, bytes.len(), &records) {
+            Ok(outcome) => outcome,
             Err(error) => panic!("log offset {offset}: {error}"),
         };
         if self.leader.is_some() {
-            self.track_committed(now_ms, &lines);
+            self.track_committed(now_ms, &records);
         }
-        let news: Vec<BatchRecord<Record>> = lines.into_iter().filter(is_news).collect();
-        if !news.is_empty() {
-            let entry = UpdateEntry { prev: self.update_offset, offset, bytes: encode(&news) };
+        let updates: Vec<BatchRecord<Record>> = records.into_iter().filter(is_update).collect();
+        if !updates.is_empty() {
+            let entry = UpdateEntry { prev: self.update_offset, offset, bytes: encode(&updates) };
             self.relay.push(entry);
             self.update_offset = offset;
-            if seen != BatchOutcome::Pending {
+            if outcome != BatchOutcome::Pending {
                 self.image_offset = offset;
             }
         }
     }
 
     pub(crate) fn restore(&mut self, snapshot: &Snapshot) {
-        let kept = if snapshot.state.is_empty() {
-            Kept { state: Arc::default(), news_offset: 0 }
+        let content = if snapshot.state.is_empty() {
+            SnapshotContent { state: Arc::default(), update_offset: 0 }
         } else {
             rmp_serde::from_slice(&snapshot.state)
                 .unwrap_or_else(|error| panic!("snapshot {}: {error}", snapshot.index))
         };
-        self.tail = Tail::new(snapshot.index, kept.state.as_ref().clone());
-        self.update_offset = kept.news_offset;
-        self.image_offset = kept.news_offset;
+        self.tail = Tail::new(snapshot.index, content.state.as_ref().clone());
+        self.update_offset = content.update_offset;
+        self.image_offset = content.update_offset;
         self.relay.clear();
         self.count_log();
     }
@@ -84,8 +84,9 @@
             return;
         }
         self.encoding_ms = Some(now_ms);
-        let kept = Kept { state: self.tail.image().clone(), news_offset: self.update_offset };
-        self.effects.push(Effect::Encode(PendingSnapshot { index, kept }));
+        let content =
+            SnapshotContent { state: self.tail.image().clone(), update_offset: self.update_offset };
+        self.effects.push(Effect::Encode(PendingSnapshot { index, content }));
     }
 
     pub(crate) fn on_encoded(&mut self, now_ms: u64, index: u64, state: Vec<u8>) {
@@ -106,17 +107,17 @@
 #[derive(Debug)]
 pub struct PendingSnapshot {
     pub index: u64,
-    kept: Kept,
+    content: SnapshotContent,
 }
 
 impl PendingSnapshot {
     pub fn encode(&self) -> Vec<u8> {
-        rmp_serde::to_vec(&self.kept).expect("a state encodes into memory")
+        rmp_serde::to_vec(&self.content).expect("a state encodes into memory")
     }
 }
 
-fn is_news(line: &BatchRecord<Record>) -> bool {
-    match line {
+fn is_update(record: &BatchRecord<Record>) -> bool {
+    match record {
         BatchRecord::Data(record) => record.is_routing_update(),
         BatchRecord::Begin { .. } | BatchRecord::End | BatchRecord::Abort { .. } => true,
     }
--- a/crates/controller/src/coordination.rs
+++ b/crates/controller/src/coordination.rs
@@ -6,8 +6,8 @@
 
 impl ControlNode {
     pub(crate) fn on_call(&mut self, now_ms: u64, origin: Origin, id: Option<Name>, call: Call) {
-        if let Err(why) = sound(&call) {
-            return self.respond(origin, Response::Refused(why));
+        if let Err(reason) = check_call(&call) {
+            return self.respond(origin, Response::Refused(reason));
         }
         match &call {
             Call::ReadLock { .. } | Call::ReadNumber { .. } | Call::ReadKey { .. } => {
@@ -25,19 +25,19 @@
         let Some(state) = self.current() else { return };
         if let Some(known) = id.as_ref().and_then(|id| state.repeats.get(id)) {
             let outcome = known.as_ref().clone();
-            return self.reply_settled(now_ms, origin, Response::Outcome(outcome));
+            return self.reply_when_committed(now_ms, origin, Response::Outcome(outcome));
         }
         let full = state.repeats.len() >= REPEATS || state.history.len() >= HISTORY_EVENTS;
         let (outcome, mut records) = decide(state, &call);
         if let (Outcome::Locked { ttl_ms, .. }, Call::Lock { name, .. } | Call::Renew { name, .. }) =
             (&outcome, &call)
-            && let Some(lead) = &mut self.leader
+            && let Some(leader) = &mut self.leader
         {
-            let due_ms = lead.locks_due_ms.entry(name.clone()).or_default();
+            let due_ms = leader.locks_due_ms.entry(name.clone()).or_default();
             *due_ms = (*due_ms).max(now_ms + ttl_ms);
         }
         if records.is_empty() {
-            return self.reply_settled(now_ms, origin, Response::Outcome(outcome));
+            return self.reply_when_committed(now_ms, origin, Response::Outcome(outcome));
         }
         if full {
             return self.shed(now_ms, origin);
@@ -52,32 +52,33 @@
     /// Ends locks whose time is up. A controller that stood still gives its holders that time back.
     pub(crate) fn lock_tick(&mut self, now_ms: u64, gap_ms: u64) {
         let open = self.is_open();
-        let Some(lead) = &mut self.leader else { return };
+        let Some(leader) = &mut self.leader else { return };
         if gap_ms > HEARTBEAT_MS {
-            lead.locks_due_ms.values_mut().for_each(|due_ms| *due_ms += gap_ms);
+            leader.locks_due_ms.values_mut().for_each(|due_ms| *due_ms += gap_ms);
         }
         if open {
             return;
         }
-        let due: Vec<Name> = lead
+        let due: Vec<Name> = leader
             .locks_due_ms
             .iter()
             .filter(|(_, due_ms)| **due_ms <= now_ms)
             .map(|(name, _)| name.clone())
             .collect();
         for name in &due {
-            lead.locks_due_ms.remove(name);
+            leader.locks_due_ms.remove(name);
         }
-        let held = |name: &Name| self.current().is_some_and(|state| state.locks.contains_key(name));
+        let is_locked =
+            |name: &Name| self.current().is_some_and(|state| state.locks.contains_key(name));
         let freed: Vec<Record> =
-            due.into_iter().filter(held).map(|name| Record::LockFreed { name }).collect();
+            due.into_iter().filter(is_locked).map(|name| Record::LockFreed { name }).collect();
         if !freed.is_empty() {
             self.propose(now_ms, freed);
         }
     }
 }
 
-fn sound(call: &Call) -> Result<(), String> {
+fn check_call(call: &Call) -> Result<(), String> {
     let (name, holder) = match call {
         Call::Lock { name, holder, .. }
         | Call::Renew { name, holder, .. }
@@ -88,11 +89,11 @@
         | Call::Put { name, .. }
         | Call::Remove { name, .. }
         | Call::ReadKey { name } => (name, None),
-        Call::Watch { prefix, .. } => return within("prefix", prefix.len(), 0, NAME_BYTES),
+        Call::Watch { prefix, .. } => return check_length("prefix", prefix.len(), 0, NAME_BYTES),
     };
-    within("name", name.len(), 1, NAME_BYTES)?;
+    check_length("name", name.len(), 1, NAME_BYTES)?;
     if let Some(holder) = holder {
-        within("holder", holder.len(), 1, NAME_BYTES)?;
+        check_length("holder", holder.len(), 1, NAME_BYTES)?;
     }
     match call {
         Call::Lock { ttl_ms, .. } | Call::Renew { ttl_ms: Some(ttl_ms), .. }
@@ -100,17 +101,17 @@
         {
             Err(format!("ttlMs must be from {LOCK_TTL_MIN_MS} to {LOCK_TTL_MAX_MS}"))
         }
-        Call::Put { value, .. } => within("value", value.len(), 0, VALUE_BYTES),
+        Call::Put { value, .. } => check_length("value", value.len(), 0, VALUE_BYTES),
         Call::Next { by: 0, .. } => Err("by must be at least 1".into()),
         _ => Ok(()),
     }
 }
 
-fn within(what: &str, length: usize, least: usize, most: usize) -> Result<(), String> {
-    if (least..=most).contains(&length) {
+fn check_length(name: &str, length: usize, min: usize, max: usize) -> Result<(), String> {
+    if (min..=max).contains(&length) {
         Ok(())
     } else {
-        Err(format!("{what} must have {least} to {most} bytes"))
+        Err(format!("{name} must have {min} to {max} bytes"))
     }
 }
 
@@ -165,25 +166,25 @@
             _ => (Outcome::NotOwner, Vec::new()),
         },
         Call::Next { name, by } => {
-            let now = state.numbers.get(name).copied().unwrap_or(0);
-            match now.checked_add(*by) {
+            let current = state.numbers.get(name).copied().unwrap_or(0);
+            match current.checked_add(*by) {
                 Some(value) => {
                     (Outcome::Number(value), vec![Record::Number { name: name.clone(), value }])
                 }
-                None => (Outcome::Conflict { revision: now }, Vec::new()),
+                None => (Outcome::Conflict { revision: current }, Vec::new()),
             }
         }
         Call::Put { name, value, revision } => {
-            let now = state.keys.get(name).map_or(0, |key| key.revision);
-            if revision.is_some_and(|asked| asked != now) {
-                return (Outcome::Conflict { revision: now }, Vec::new());
+            let current = state.keys.get(name).map_or(0, |key| key.revision);
+            if revision.is_some_and(|expected| expected != current) {
+                return (Outcome::Conflict { revision: current }, Vec::new());
             }
             let key = Key { value: value.clone(), revision: state.revision + 1 };
             (Outcome::Key(key.clone()), vec![Record::Key { name: name.clone(), key: Some(key) }])
         }
         Call::Remove { name, revision } => match state.keys.get(name) {
             None => (Outcome::NoKey, Vec::new()),
-            Some(key) if revision.is_some_and(|asked| asked != key.revision) => {
+            Some(key) if revision.is_some_and(|expected| expected != key.revision) => {
                 (Outcome::Conflict { revision: key.revision }, Vec::new())
             }
             Some(_) => {
--- a/crates/controller/src/discovery.rs
+++ b/crates/controller/src/discovery.rs
@@ -55,7 +55,7 @@
         self.addresses.iter().copied().collect()
     }
 
-    pub fn meet(&mut self, seeds: &[SocketAddr]) {
+    pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         self.seeds = seeds.to_vec();
         self.introduction_due_ms = 0;
         seeds.iter().for_each(|seed| self.add(*seed));
@@ -79,60 +79,61 @@
         if member {
             self.introduce_to_seeds(now_ms);
         }
-        let lost = now_ms > self.directory.leader_ms + 3 * ELECTION_MIN_MS;
-        if now_ms < self.directory.due_ms || (member && !lost) || self.stopping {
+        let leaderless = now_ms > self.directory.leader_ms + 3 * ELECTION_MIN_MS;
+        if now_ms < self.directory.due_ms || (member && !leaderless) || self.stopping {
             return;
         }
         self.directory.due_ms = now_ms + DISCOVERY_MS;
         let own = self.own;
-        let fresh = self.consensus.is_pristine();
-        self.directory.discovered.retain(|_, heard| now_ms < heard.at_ms + DISCOVERED_RETENTION_MS);
+        let is_pristine = self.consensus.is_pristine();
+        self.directory.discovered.retain(|_, peer| now_ms < peer.at_ms + DISCOVERED_RETENTION_MS);
         let mut knows: BTreeSet<MemberId> = self.directory.discovered.keys().copied().collect();
         knows.insert(self.own.id);
-        let greet = DiscoveryAnnouncement {
+        let announcement = DiscoveryAnnouncement {
             member: self.own,
-            uninitialized: fresh,
+            uninitialized: is_pristine,
             known_peers: knows.iter().copied().collect(),
         };
         let known: BTreeSet<SocketAddr> =
-            self.consensus.members().iter().map(|one| one.address).collect();
+            self.consensus.members().iter().map(|peer| peer.address).collect();
         let to: BTreeSet<SocketAddr> = known.union(&self.directory.addresses).copied().collect();
         for address in to.into_iter().filter(|address| *address != own.address) {
             if !self.directory.observer {
-                self.send(address, Message::DiscoveryAnnouncement(greet.clone()));
+                self.send(address, Message::DiscoveryAnnouncement(announcement.clone()));
             }
             self.send(address, Message::Introduce);
         }
-        if fresh && !self.directory.observer {
-            self.try_form(now_ms, knows);
+        if is_pristine && !self.directory.observer {
+            self.try_bootstrap(now_ms, knows);
         }
     }
 
     /// The lowest of the founders begins the log, once all of them named each other and nobody
     /// reached knows of a log already. Without founders, any three empty disks that named the same
     /// three are.
-    fn try_form(&mut self, now_ms: u64, knows: BTreeSet<MemberId>) {
-        let heard = self.directory.discovered.values();
+    fn try_bootstrap(&mut self, now_ms: u64, knows: BTreeSet<MemberId>) {
+        let peers = self.directory.discovered.values();
         let (ids, wanted): (BTreeSet<MemberId>, usize) = match &self.directory.founders {
             None => (knows, VOTERS),
             Some(founders) if !founders.contains(&self.own.address) => return,
             Some(founders) => {
-                let there = heard.clone().filter(|one| founders.contains(&one.member.address));
-                let ids = there.map(|one| one.member.id).chain([self.own.id]);
+                let present_founders =
+                    peers.clone().filter(|peer| founders.contains(&peer.member.address));
+                let ids = present_founders.map(|peer| peer.member.id).chain([self.own.id]);
                 (ids.collect(), founders.len())
             }
         };
-        let mut others = heard.filter(|one| ids.contains(&one.member.id));
-        let agreed = match self.directory.founders {
-            None => others.all(|one| one.knows == ids),
-            Some(_) => others.all(|one| one.knows.is_superset(&ids)),
+        let mut others = peers.filter(|peer| ids.contains(&peer.member.id));
+        let agree = match self.directory.founders {
+            None => others.all(|peer| peer.knows == ids),
+            Some(_) => others.all(|peer| peer.knows.is_superset(&ids)),
         };
-        let first = ids.first() == Some(&self.own.id);
-        if self.directory.log_exists || ids.len() != wanted || !agreed || !first {
+        let is_lowest_id = ids.first() == Some(&self.own.id);
+        if self.directory.log_exists || ids.len() != wanted || !agree || !is_lowest_id {
             return;
         }
-        let heard = self.directory.discovered.values().map(|heard| heard.member);
-        let mut members: Vec<Member> = heard.filter(|one| ids.contains(&one.id)).collect();
+        let peers = self.directory.discovered.values().map(|peer| peer.member);
+        let mut members: Vec<Member> = peers.filter(|peer| ids.contains(&peer.id)).collect();
         members.push(self.own);
         members.sort_unstable();
         self.log_line(format!("begins a new log of {} members", ids.len()));
@@ -147,33 +148,35 @@
         &mut self,
         now_ms: u64,
         from: SocketAddr,
-        greet: DiscoveryAnnouncement,
+        announcement: DiscoveryAnnouncement,
     ) {
         self.directory.add(from);
         if self.consensus.is_uninitialized() {
-            if greet.uninitialized {
-                let knows = greet.known_peers.into_iter().collect();
-                let heard = DiscoveredPeer { member: greet.member, knows, at_ms: now_ms };
-                self.directory.discovered.insert(greet.member.id, heard);
+            if announcement.uninitialized {
+                let knows = announcement.known_peers.into_iter().collect();
+                let peer = DiscoveredPeer { member: announcement.member, knows, at_ms: now_ms };
+                self.directory.discovered.insert(announcement.member.id, peer);
             } else {
                 self.directory.log_exists = true;
             }
             return;
         }
-        let begun = self.consensus.log().members_at(0);
-        if greet.uninitialized && begun.contains(&greet.member) && self.consensus.log().base() == 0
+        let bootstrap_members = self.consensus.log().members_at(0);
+        if announcement.uninitialized
+            && bootstrap_members.contains(&announcement.member)
+            && self.consensus.log().base() == 0
         {
-            return self.send(from, Message::Bootstrap(begun));
+            return self.send(from, Message::Bootstrap(bootstrap_members));
         }
-        self.log(now_ms, consensus::Input::AddLearner(greet.member));
+        self.log(now_ms, consensus::Input::AddLearner(announcement.member));
     }
 
     /// Another member stood at this address before, and lost its disk: it leads no more, for its
     /// process is gone. That is all that can be said for it.
-    pub(crate) fn vouch(&mut self, asker: Member, before: MemberId, round: u64) {
+    pub(crate) fn on_probe_of_predecessor(&mut self, prober: Member, before: MemberId, round: u64) {
         let before = Member { id: before, address: self.own.address };
         let message = consensus::Message::LeaderProbeResponse { term: 0, round, free: true };
-        self.send(asker.address, Message::Consensus { from: before, to: asker.id, message });
+        self.send(prober.address, Message::Consensus { from: before, to: prober.id, message });
     }
 
     /// Names the members, or who may lead to them. One that is no member itself, a guest for one,
@@ -181,10 +184,10 @@
     pub(crate) fn introduce(&mut self, from: SocketAddr) {
         let members: Vec<SocketAddr> =
             self.consensus.members().iter().map(|member| member.address).collect();
-        let is_fresh = self.consensus.is_uninitialized();
-        let formed = !is_fresh || self.directory.log_exists;
+        let is_uninitialized = self.consensus.is_uninitialized();
+        let formed = !is_uninitialized || self.directory.log_exists;
         let mut control = members;
-        if is_fresh {
+        if is_uninitialized {
             control.extend(self.directory.addresses.iter().copied());
         }
         self.send(from, Message::Introduction { control, formed });
--- a/crates/controller/src/endpoint_list_scan.rs
+++ b/crates/controller/src/endpoint_list_scan.rs
@@ -11,16 +11,16 @@
 struct Page {
     number: u64,
     cursor: Option<String>,
-    asked_ms: u64,
+    requested_ms: u64,
     read: Option<ListPage>,
 }
 
 /// What one page, taken in, amounts to.
-pub(crate) enum Taken {
+pub(crate) enum PageOutcome {
     Stale,
-    Part(Vec<Target>),
+    Incomplete(Vec<Target>),
     /// The walk's last piece: besides the page's rows, who is no longer listed, and who may not be.
-    Whole {
+    Complete {
         rows: Vec<Target>,
         gone: Vec<Name>,
         doubtful: Vec<Name>,
@@ -42,7 +42,7 @@
     suspects: BTreeMap<Name, u8>,
     /// Walks in a row that were whole and found less than half of what was known.
     shrunk_walks: u8,
-    guesses: bool,
+    fetches_ahead: bool,
     failures: u32,
     pub poll_rate: PollRate,
     pub completed_ms: Option<u64>,
@@ -64,7 +64,7 @@
             order: Vec::new(),
             suspects: BTreeMap::new(),
             shrunk_walks: 0,
-            guesses: true,
+            fetches_ahead: true,
             failures: 0,
             poll_rate: PollRate::new(now_ms, gap_ms),
             completed_ms: None,
@@ -78,7 +78,9 @@
 
     pub fn handover_state(&self, now_ms: u64) -> ScanHandover {
         ScanHandover {
-            completed_age_ms: self.completed_ms.map(|whole_ms| now_ms.saturating_sub(whole_ms)),
+            completed_age_ms: self
+                .completed_ms
+                .map(|completed_ms| now_ms.saturating_sub(completed_ms)),
             order: self.order.clone(),
             chain: self.chain.clone(),
             gap_ms: self.poll_rate.gap_ms(),
@@ -87,21 +89,21 @@
     }
 
     /// Goes on where the controller before left off.
-    pub fn take(&mut self, handed: ReceivedHandover) {
-        let ReceivedHandover { at_ms, scan: note } = handed;
+    pub fn continue_from(&mut self, received: ReceivedHandover) {
+        let ReceivedHandover { at_ms, scan: handover } = received;
         self.poll_rate = PollRate::from_handover(
             at_ms,
             self.poll_rate.min_gap_ms(),
-            note.gap_ms,
-            &note.recent_request_ages_ms,
+            handover.gap_ms,
+            &handover.recent_request_ages_ms,
         );
-        self.order = note.order;
-        self.chain = note.chain;
-        self.completed_ms = note.completed_age_ms.map(|walked_ms| at_ms.saturating_sub(walked_ms));
+        self.order = handover.order;
+        self.chain = handover.chain;
+        self.completed_ms = handover.completed_age_ms.map(|age_ms| at_ms.saturating_sub(age_ms));
         self.restart(at_ms);
     }
 
-    pub fn begin_again(&mut self, now_ms: u64) {
+    pub fn start_anew(&mut self, now_ms: u64) {
         self.restart(now_ms);
         self.completed_ms = None;
     }
@@ -115,9 +117,9 @@
 
     /// The next page to ask for, if its time has come.
     pub fn next(&mut self, now_ms: u64) -> Option<(u64, Option<String>)> {
-        let open = self.pages.iter().filter(|page| page.read.is_none()).count();
+        let in_flight = self.pages.iter().filter(|page| page.read.is_none()).count();
         if now_ms < self.due_ms
-            || open >= LIST_IN_FLIGHT
+            || in_flight >= LIST_IN_FLIGHT
             || !self.poll_rate.permits(now_ms, self.completed_ms.is_none())
         {
             return None;
@@ -125,7 +127,7 @@
         let cursor = match self.pages.last() {
             None => None,
             Some(Page { read: Some(read), .. }) => Some(read.next.clone()?),
-            Some(_) if !self.guesses => return None,
+            Some(_) if !self.fetches_ahead => return None,
             Some(_) => Some(self.chain.get(self.pages.len())?.clone()?),
         };
         if self.pages.is_empty() {
@@ -133,32 +135,32 @@
         }
         self.number += 1;
         self.poll_rate.on_request(now_ms);
-        let page = Page { number: self.number, cursor, asked_ms: now_ms, read: None };
-        let asked = (page.number, page.cursor.clone());
+        let page = Page { number: self.number, cursor, requested_ms: now_ms, read: None };
+        let request = (page.number, page.cursor.clone());
         self.pages.push(page);
-        Some(asked)
+        Some(request)
     }
 
-    fn place(&self, number: u64) -> Option<usize> {
+    fn position(&self, number: u64) -> Option<usize> {
         self.pages.iter().position(|page| page.number == number && page.read.is_none())
     }
 
     /// A page that takes far longer than others did is asked for again; a slow list is given more.
-    pub fn gave_up(&mut self, now_ms: u64) -> bool {
+    pub fn restart_if_page_overdue(&mut self, now_ms: u64) -> bool {
         let wait_ms = self.wait_ms;
-        let late = |page: &Page| page.read.is_none() && now_ms > page.asked_ms + wait_ms;
-        let stuck = self.pages.iter().any(late);
-        if stuck {
+        let is_overdue = |page: &Page| page.read.is_none() && now_ms > page.requested_ms + wait_ms;
+        let is_stuck = self.pages.iter().any(is_overdue);
+        if is_stuck {
             self.wait_ms = (2 * wait_ms).min(LIST_PAGE_WAIT_MS);
             self.shrunk_walks = 0;
             self.restart(now_ms);
         }
-        stuck
+        is_stuck
     }
 
     /// Refused for now: asked for again when the list permits, slower from then on.
     pub fn on_limited(&mut self, now_ms: u64, number: u64, wait_ms: u64) -> bool {
-        let Some(at) = self.place(number) else { return false };
+        let Some(at) = self.position(number) else { return false };
         self.pages.truncate(at);
         self.poll_rate.refused(now_ms);
         self.due_ms = now_ms + wait_ms.clamp(LIST_PAUSE_MS, LIST_RETRY_MAX_MS);
@@ -168,11 +170,11 @@
     /// A page that failed is asked for again, a few times a walk. One that only a remembered cursor
     /// named says nothing of this walk. A list in trouble says little: short answers around a
     /// failure are not in a row.
-    pub fn on_failed(&mut self, now_ms: u64, number: u64, why: String) -> Option<String> {
-        let at = self.place(number)?;
+    pub fn on_failed(&mut self, now_ms: u64, number: u64, reason: String) -> Option<String> {
+        let at = self.position(number)?;
         if at > 0 && self.pages[at - 1].read.is_none() {
             self.pages.truncate(at);
-            self.guesses = false;
+            self.fetches_ahead = false;
             return None;
         }
         self.shrunk_walks = 0;
@@ -182,44 +184,50 @@
         } else {
             self.pages.truncate(at);
         }
-        Some(why)
+        Some(reason)
     }
 
     fn fail(&mut self, now_ms: u64) {
         self.shrunk_walks = 0;
-        self.guesses = true;
+        self.fetches_ahead = true;
         self.restart(now_ms + LIST_RETRY_MS);
     }
 
-    pub fn on_page(&mut self, now_ms: u64, number: u64, listed: ListPage, known: &[Name]) -> Taken {
-        let Some(at) = self.place(number) else { return Taken::Stale };
-        let seen = |row: &Target| row.draining || self.is_leaving(&row.instance);
+    pub fn on_page(
+        &mut self,
+        now_ms: u64,
+        number: u64,
+        listed: ListPage,
+        known: &[Name],
+    ) -> PageOutcome {
+        let Some(at) = self.position(number) else { return PageOutcome::Stale };
+        let is_draining = |row: &Target| row.draining || self.is_departing(&row.instance);
         let rows: Vec<Target> = listed
             .targets
             .iter()
-            .map(|row| Target { draining: seen(row), ..row.clone() })
+            .map(|row| Target { draining: is_draining(row), ..row.clone() })
             .collect();
         let next = listed.next.clone();
-        self.page_ms = self.page_ms.max(now_ms.saturating_sub(self.pages[at].asked_ms));
+        self.page_ms = self.page_ms.max(now_ms.saturating_sub(self.pages[at].requested_ms));
         if self.pages.get(at + 1).is_some_and(|after| after.cursor != next) {
             self.pages.truncate(at + 1);
         }
         self.pages[at].read = Some(listed);
-        let before = &self.pages[..=at];
-        if next.is_some() && before.iter().any(|page| page.cursor == next) {
+        let pages_so_far = &self.pages[..=at];
+        if next.is_some() && pages_so_far.iter().any(|page| page.cursor == next) {
             self.fail(now_ms);
-            return Taken::Failed("its cursors go round".into());
+            return PageOutcome::Failed("its cursors go round".into());
         }
         if self.pages.len() > LIST_PAGES {
             self.fail(now_ms);
-            return Taken::Failed("has no last page".into());
+            return PageOutcome::Failed("has no last page".into());
         }
         let last = self.pages.last().and_then(|page| page.read.as_ref());
-        let ends = last.is_some_and(|read| read.next.is_none());
-        if !ends || self.pages.iter().any(|page| page.read.is_none()) {
-            return Taken::Part(rows);
+        let reaches_end = last.is_some_and(|read| read.next.is_none());
+        if !reaches_end || self.pages.iter().any(|page| page.read.is_none()) {
+            return PageOutcome::Incomplete(rows);
         }
-        let (gone, doubtful) = self.whole(now_ms, known);
-        Taken::Whole { rows, gone, doubtful }
+        let (gone, doubtful) = self.complete(now_ms, known);
+        PageOutcome::Complete { rows, gone, doubtful }
     }
 }
--- a/crates/controller/src/endpoint_list_scan/absence.rs
+++ b/crates/controller/src/endpoint_list_scan/absence.rs
@@ -7,7 +7,7 @@
 
 /// What a whole walk says of those it did not find.
 impl EndpointListScan {
-    pub(crate) fn is_leaving(&self, instance: &Name) -> bool {
+    pub(crate) fn is_departing(&self, instance: &Name) -> bool {
         let read = self.pages.iter().filter_map(|page| page.read.as_ref());
         read.flat_map(|listed| &listed.targets).any(|row| row.draining && row.instance == *instance)
     }
@@ -15,7 +15,7 @@
     /// Who is missing, of those that were known: for certain, or doubtfully. A row may only have been
     /// pushed to a page read before, and a list that shrank sharply may be the list's own trouble:
     /// these need further walks, made at once, to be believed.
-    pub(crate) fn whole(&mut self, now_ms: u64, known: &[Name]) -> (Vec<Name>, Vec<Name>) {
+    pub(crate) fn complete(&mut self, now_ms: u64, known: &[Name]) -> (Vec<Name>, Vec<Name>) {
         let read: Vec<&ListPage> =
             self.pages.iter().filter_map(|page| page.read.as_ref()).collect();
         let rows = || read.iter().flat_map(|listed| &listed.targets);
@@ -33,13 +33,15 @@
         let mut order: Vec<Name> = rows().map(|row| row.instance.clone()).collect();
         for name in doubtful.iter().filter(|name| self.order.contains(name)) {
             let before = self.order.iter().take_while(|known| *known != name);
-            let last = before.filter_map(|known| order.iter().position(|kept| kept == known)).max();
+            let last = before
+                .filter_map(|known| order.iter().position(|is_found| is_found == known))
+                .max();
             order.insert(last.map_or(0, |at| at + 1), name.clone());
         }
         self.suspects = doubtful.iter().map(|name| (name.clone(), missed(name))).collect();
         self.chain = self.pages.iter().map(|page| page.cursor.clone()).collect();
         self.order = order;
-        self.guesses = true;
+        self.fetches_ahead = true;
         self.finding = None;
         if doubtful.is_empty() {
             self.completed_ms = Some(now_ms);
@@ -65,9 +67,9 @@
     /// page that had been read already.
     fn is_certain(&self, name: &Name, found: &BTreeSet<&Name>, read: &[&ListPage]) -> bool {
         let Some(at) = self.order.iter().position(|known| known == name) else { return false };
-        let kept = |known: &&Name| found.contains(*known);
-        let before = self.order[..at].iter().rev().find(kept);
-        let after = self.order[at + 1..].iter().find(kept);
+        let is_found = |known: &&Name| found.contains(*known);
+        let before = self.order[..at].iter().rev().find(is_found);
+        let after = self.order[at + 1..].iter().find(is_found);
         let on = |wanted: &Name| {
             read.iter().enumerate().find_map(|(page, listed)| {
                 let row = listed.targets.iter().position(|row| row.instance == *wanted)?;
@@ -76,7 +78,7 @@
         };
         match (before.and_then(on), after.and_then(on)) {
             (Some((page, row)), Some((next, later))) => page == next && later == row + 1,
-            (None, Some(place)) => before.is_none() && place == (0, 0),
+            (None, Some(position)) => before.is_none() && position == (0, 0),
             (Some((page, row)), None) => {
                 after.is_none() && page + 1 == read.len() && row + 1 == read[page].targets.len()
             }
--- a/crates/controller/src/leader_state.rs
+++ b/crates/controller/src/leader_state.rs
@@ -71,29 +71,30 @@
 
 impl ControlNode {
     /// Once this term's first entry is committed: abort what a dead controller left open, then serve.
-    pub(crate) fn take_over(&mut self, now_ms: u64) {
+    pub(crate) fn finish_take_over(&mut self, now_ms: u64) {
         let applied = self.has_applied_commit();
-        let Some(lead) = &mut self.leader else { return };
-        if lead.ready || !self.consensus.is_ready() || !applied {
+        let Some(leader) = &mut self.leader else { return };
+        if leader.ready || !self.consensus.is_ready() || !applied {
             return;
         }
         let state = self.tail.image().as_ref().clone();
-        lead.ready = true;
-        lead.locks_due_ms =
+        leader.ready = true;
+        leader.locks_due_ms =
             state.locks.iter().map(|(name, lock)| (name.clone(), now_ms + lock.ttl_ms)).collect();
         let settled = state.tickets.iter().filter(|(_, ticket)| ticket.settlement.is_some());
         let mut settled: Vec<_> = settled.map(|(key, ticket)| (ticket.era, key.clone())).collect();
         settled.sort_unstable();
-        lead.settled_keys = settled.into();
-        lead.history_revisions.push_back((now_ms, state.revision));
-        lead.nodes = state.nodes.keys().map(|node| (*node, NodeReport::at(now_ms))).collect();
-        let orphans = crate::nodes::open_tickets(&state, |node| !state.nodes.contains_key(&node));
+        leader.settled_keys = settled.into();
+        leader.history_revisions.push_back((now_ms, state.revision));
+        leader.nodes = state.nodes.keys().map(|node| (*node, NodeReport::at(now_ms))).collect();
+        let orphans =
+            crate::nodes::unknown_settlements(&state, |node| !state.nodes.contains_key(&node));
         let aborted = self.tail.open_transaction_name().map(str::to_string);
-        lead.writer = Some(Writer::new(lead.term, state));
+        leader.writer = Some(Writer::new(leader.term, state));
         if self.tail.is_open() {
             let name = aborted.unwrap_or_default();
             self.log_line(format!("aborts {name:?}, left open by an earlier controller"));
-            self.propose_lines(
+            self.propose_batch(
                 now_ms,
                 vec![BatchRecord::abort("the controller that began it is gone")],
             );
@@ -105,31 +106,31 @@
 
     /// A higher term or a lost majority: optimistic state goes, the committed tail stays.
     pub(crate) fn step_down(&mut self) {
-        let Some(lead) = self.leader.take() else { return };
-        self.log_line(format!("no longer leads term {}", lead.term));
-        for reply in lead.replies {
+        let Some(leader) = self.leader.take() else { return };
+        self.log_line(format!("no longer leads term {}", leader.term));
+        for reply in leader.replies {
             self.respond(reply.origin, reply.when_deposed());
         }
-        if let Some(open) = lead.open_plan {
-            self.respond(open.origin, Response::Lost);
+        if let Some(plan) = leader.open_plan {
+            self.respond(plan.origin, Response::Lost);
         }
-        for (_, origin, _) in lead.waiting_requests {
+        for (_, origin, _) in leader.waiting_requests {
             self.respond(origin, Response::NotController { controller: None });
         }
-        for parked in lead.pending_watches {
-            self.respond(parked.origin, Response::NotController { controller: None });
+        for pending_watch in leader.pending_watches {
+            self.respond(pending_watch.origin, Response::NotController { controller: None });
         }
         self.relay.clear();
     }
 
     /// One atomic batch of records outside any transaction, or of the one that is open.
     pub(crate) fn propose(&mut self, now_ms: u64, records: Vec<Record>) -> u64 {
-        self.propose_lines(now_ms, records.into_iter().map(BatchRecord::Data).collect())
+        self.propose_batch(now_ms, records.into_iter().map(BatchRecord::Data).collect())
     }
 
-    pub(crate) fn propose_lines(&mut self, now_ms: u64, lines: Vec<BatchRecord<Record>>) -> u64 {
+    pub(crate) fn propose_batch(&mut self, now_ms: u64, lines: Vec<BatchRecord<Record>>) -> u64 {
         let offset = self.consensus.last_index() + 1;
-        let writer = self.leader.as_mut().and_then(|lead| lead.writer.as_mut());
+        let writer = self.leader.as_mut().and_then(|leader| leader.writer.as_mut());
         if let Some(writer) = writer {
             for line in &lines {
                 if let BatchRecord::Data(record) = line {
@@ -148,7 +149,7 @@
     }
 
     pub(crate) fn is_open(&self) -> bool {
-        self.leader.as_ref().is_some_and(|lead| lead.open_plan.is_some())
+        self.leader.as_ref().is_some_and(|leader| leader.open_plan.is_some())
     }
 
     pub(crate) fn leader_tick(&mut self, now_ms: u64, gap_ms: u64) {
--- a/crates/controller/src/leadership_transfer.rs
+++ b/crates/controller/src/leadership_transfer.rs
@@ -35,11 +35,11 @@
     pub(crate) fn stop(&mut self, now_ms: u64) {
         self.stopping = true;
         self.log(now_ms, postbarrow_consensus::Input::Depart);
-        self.hand_over_tick(now_ms);
+        self.leadership_transfer_tick(now_ms);
     }
 
     /// Why this controller is to give its hold to another, if it is.
-    fn handover_reason(&self) -> Option<Reason> {
+    fn transfer_reason(&self) -> Option<Reason> {
         match (self.stopping, self.consensus.should_yield()) {
             (true, _) => Some(Reason::Stopping),
             (_, true) => Some(Reason::DiskStalled),
@@ -48,40 +48,43 @@
     }
 
     /// About to hand over, with nothing begun that is still open: nothing new is begun either.
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.handover_reason().is_some() && !self.is_open()
+    pub(crate) fn is_departing(&self) -> bool {
+        self.transfer_reason().is_some() && !self.is_open()
     }
 
     /// A controller about to hand over lets what it began commit, then gives its hold to another.
-    pub(crate) fn hand_over_tick(&mut self, now_ms: u64) {
-        let Some(reason) = self.handover_reason() else { return };
-        let Some(lead) = self.leader.as_ref().filter(|lead| lead.ready) else { return };
-        if lead.open_plan.is_some() || self.consensus.commit_index() < self.consensus.last_index() {
+    pub(crate) fn leadership_transfer_tick(&mut self, now_ms: u64) {
+        let Some(reason) = self.transfer_reason() else { return };
+        let Some(leader) = self.leader.as_ref().filter(|leader| leader.ready) else { return };
+        if leader.open_plan.is_some() || self.consensus.commit_index() < self.consensus.last_index()
+        {
             return;
         }
-        let note = rmp_serde::to_vec(&lead.scan.handover_state(now_ms)).unwrap_or_default();
+        let handover = rmp_serde::to_vec(&leader.scan.handover_state(now_ms)).unwrap_or_default();
         if reason == Reason::DiskStalled {
             self.log_line("hands over: its disk is stalled".into());
         }
-        self.log(now_ms, postbarrow_consensus::Input::TransferLeadership(note));
+        self.log(now_ms, postbarrow_consensus::Input::TransferLeadership(handover));
     }
 
-    pub(crate) fn on_leadership_received(&mut self, now_ms: u64, note: &[u8], late_ms: u64) {
-        if let Ok(mut note) = rmp_serde::from_slice::<ScanHandover>(note) {
-            note.completed_age_ms = note.completed_age_ms.map(|walked_ms| walked_ms + late_ms);
-            self.received_handover = Some(ReceivedHandover { at_ms: now_ms, scan: note });
+    pub(crate) fn on_leadership_received(&mut self, now_ms: u64, handover: &[u8], late_ms: u64) {
+        if let Ok(mut handover) = rmp_serde::from_slice::<ScanHandover>(handover) {
+            handover.completed_age_ms = handover.completed_age_ms.map(|age_ms| age_ms + late_ms);
+            self.received_handover = Some(ReceivedHandover { at_ms: now_ms, scan: handover });
         }
     }
 
     /// What the last controller knew is worth something only right after it said so.
-    pub(crate) fn take_handover(&mut self, now_ms: u64) -> Option<ReceivedHandover> {
-        self.received_handover.take().filter(|handed| now_ms < handed.at_ms + HANDOVER_RETENTION_MS)
+    pub(crate) fn take_handover_state(&mut self, now_ms: u64) -> Option<ReceivedHandover> {
+        self.received_handover
+            .take()
+            .filter(|received| now_ms < received.at_ms + HANDOVER_RETENTION_MS)
     }
 
     /// Another leads, and the log needs nothing of this process: its seat is given to a learner that
     /// stood ready, if one did, and those that stay hold all that it acknowledged.
-    pub fn has_handed_over(&self) -> bool {
-        let heir = self.consensus.leader().is_some_and(|leader| leader.id != self.own.id);
-        self.leader.is_none() && heir && self.consensus.has_left()
+    pub fn has_departed(&self) -> bool {
+        let has_successor = self.consensus.leader().is_some_and(|leader| leader.id != self.own.id);
+        self.leader.is_none() && has_successor && self.consensus.has_left()
     }
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -116,7 +116,7 @@
         match input {
             Input::Tick => self.tick(now_ms),
             Input::Stop => self.stop(now_ms),
-            Input::Seeds(seeds) => self.directory.meet(&seeds),
+            Input::Seeds(seeds) => self.directory.set_seeds(&seeds),
             Input::Receive(envelope) => self.receive(now_ms, envelope),
             Input::Synced(sequence) => self.log(now_ms, consensus::Input::Synced(sequence)),
             Input::Page(result) => self.on_page(now_ms, result),
@@ -136,14 +136,16 @@
                 from,
                 to,
                 message: consensus::Message::LeaderProbe { round, .. },
-            } => self.vouch(from, to, round),
-            Message::DiscoveryAnnouncement(greet) => self.on_discovery(now_ms, from, greet),
+            } => self.on_probe_of_predecessor(from, to, round),
+            Message::DiscoveryAnnouncement(announcement) => {
+                self.on_discovery(now_ms, from, announcement)
+            }
             Message::Bootstrap(members) => self.log(now_ms, consensus::Input::Bootstrap(members)),
             Message::Introduce => self.introduce(from),
             Message::Introduction { control, formed } => self.on_introduction(control, formed),
             Message::LeaseRequest(request) => self.on_lease_request(now_ms, from, request),
             Message::Tail { after } => {
-                if self.leader.as_ref().is_some_and(|lead| lead.ready) {
+                if self.leader.as_ref().is_some_and(|leader| leader.ready) {
                     self.relay.on_tail(now_ms, from, after);
                 }
             }
@@ -165,10 +167,10 @@
         self.log(now_ms, consensus::Input::Tick);
         self.contact_tick(now_ms, gap_ms);
         self.discovery_tick(now_ms);
-        if !self.is_leaving() {
+        if !self.is_departing() {
             self.leader_tick(now_ms, gap_ms);
         }
-        self.hand_over_tick(now_ms);
+        self.leadership_transfer_tick(now_ms);
         self.compact(now_ms);
     }
 
@@ -203,7 +205,7 @@
                 LogEffect::Send { .. } | LogEffect::Write { .. } => {}
             }
         }
-        self.take_over(now_ms);
+        self.finish_take_over(now_ms);
     }
 
     fn on_role(&mut self, now_ms: u64, role: Role) {
@@ -218,7 +220,7 @@
     }
 
     fn deliver(&mut self, now_ms: u64) {
-        if !self.leader.as_ref().is_some_and(|lead| lead.ready) {
+        if !self.leader.as_ref().is_some_and(|leader| leader.ready) {
             return;
         }
         self.encoded.forget_before(self.image_offset);
@@ -257,7 +259,7 @@
         &self.tail
     }
     pub fn is_leading(&self) -> bool {
-        self.leader.as_ref().is_some_and(|lead| lead.ready)
+        self.leader.as_ref().is_some_and(|leader| leader.ready)
     }
     pub fn has_lease(&self, now_ms: u64) -> bool {
         self.is_leading() && now_ms < self.consensus.lease_until()
@@ -268,6 +270,6 @@
     }
     /// Clients' questions waiting for the open transaction, and the longest wait so far.
     pub fn stall_ms(&self) -> u64 {
-        self.leader.as_ref().map_or(0, |lead| lead.longest_stall_ms)
+        self.leader.as_ref().map_or(0, |leader| leader.longest_stall_ms)
     }
 }
--- a/crates/controller/src/list_page.rs
+++ b/crates/controller/src/list_page.rs
@@ -16,14 +16,14 @@
     if bytes.len() > LIST_PAGE_BYTES {
         return Err(Findings::bare("$", format!("is larger than {LIST_PAGE_BYTES} bytes")));
     }
-    let given = std::str::from_utf8(bytes).map_err(|error| {
+    let content = std::str::from_utf8(bytes).map_err(|error| {
         Findings::bare("$", format!("is not UTF-8 at byte {}", error.valid_up_to()))
     })?;
-    let (value, mut reading) = Reading::parse(given)?;
+    let (value, mut reading) = Reading::parse(content)?;
     let mut page = ListPage { targets: Vec::new(), next: None };
     if let Some(mut fields) = Fields::of(&value, "$", &mut reading) {
-        for (place, value) in fields.array("targets", &mut reading) {
-            if let Some(target) = read_target(value, &place, &mut reading) {
+        for (position, value) in fields.array("targets", &mut reading) {
+            if let Some(target) = read_target(value, &position, &mut reading) {
                 page.targets.push(target);
             }
         }
@@ -32,8 +32,8 @@
     reading.finish(page)
 }
 
-fn read_target(value: &Value, place: &str, reading: &mut Reading) -> Option<Target> {
-    let mut fields = Fields::of(value, place, reading)?;
+fn read_target(value: &Value, position: &str, reading: &mut Reading) -> Option<Target> {
+    let mut fields = Fields::of(value, position, reading)?;
     let instance = fields.text("instance", reading).map(CompactString::from);
     let service = fields.text("service", reading).map(CompactString::from);
     let address: Option<SocketAddr> = fields.parsed("address", "an IP address and port", reading);
@@ -47,8 +47,8 @@
     };
     let mut labels = Labels::new();
     if fields.get("labels").is_some() {
-        for (label, place, value) in fields.named("labels", reading) {
-            if let Some(value) = text(value, &place, reading) {
+        for (label, position, value) in fields.named("labels", reading) {
+            if let Some(value) = text(value, &position, reading) {
                 labels.insert(CompactString::from(label), CompactString::from(value));
             }
         }
--- a/crates/controller/src/poll_rate.rs
+++ b/crates/controller/src/poll_rate.rs
@@ -7,7 +7,7 @@
     /// The list's owner allows no smaller gap.
     min_gap_ms: u64,
     start_ms: u64,
-    asked_ms: u64,
+    requested_ms: u64,
     changed_ms: u64,
     requests_ms: VecDeque<u64>,
     pub refusals: u64,
@@ -19,19 +19,20 @@
             gap_ms: min_gap_ms,
             min_gap_ms,
             start_ms: now_ms,
-            asked_ms: 0,
+            requested_ms: 0,
             changed_ms: now_ms,
             requests_ms: VecDeque::new(),
             refusals: 0,
         }
     }
 
-    pub fn from_handover(now_ms: u64, least_ms: u64, gap_ms: u64, asked_ms: &[u64]) -> Self {
-        let mut pace = PollRate::new(now_ms, least_ms);
-        pace.gap_ms = gap_ms.clamp(least_ms, LIST_GAP_MAX_MS.max(least_ms));
-        pace.requests_ms = asked_ms.iter().map(|ago_ms| now_ms.saturating_sub(*ago_ms)).collect();
-        pace.asked_ms = pace.requests_ms.back().copied().unwrap_or(0);
-        pace
+    pub fn from_handover(now_ms: u64, min_gap_ms: u64, gap_ms: u64, requested_ms: &[u64]) -> Self {
+        let mut rate = PollRate::new(now_ms, min_gap_ms);
+        rate.gap_ms = gap_ms.clamp(min_gap_ms, LIST_GAP_MAX_MS.max(min_gap_ms));
+        rate.requests_ms =
+            requested_ms.iter().map(|ago_ms| now_ms.saturating_sub(*ago_ms)).collect();
+        rate.requested_ms = rate.requests_ms.back().copied().unwrap_or(0);
+        rate
     }
 
     pub fn request_ages_ms(&self, now_ms: u64) -> Vec<u64> {
@@ -47,19 +48,19 @@
     }
 
     /// Who knows nothing yet is in a hurry, as long as the list never refused.
-    pub fn permits(&self, now_ms: u64, hurry: bool) -> bool {
-        let quick = hurry && self.refusals == 0 && self.min_gap_ms == LIST_GAP_MS;
-        let hurry_ms = if quick { LIST_HURRY_MS } else { self.gap_ms };
-        now_ms >= self.asked_ms + hurry_ms
-            && self.within(now_ms) < LIST_WINDOW_MS.div_ceil(self.gap_ms)
+    pub fn permits(&self, now_ms: u64, urgent: bool) -> bool {
+        let may_hurry = urgent && self.refusals == 0 && self.min_gap_ms == LIST_GAP_MS;
+        let min_wait_ms = if may_hurry { LIST_HURRY_MS } else { self.gap_ms };
+        now_ms >= self.requested_ms + min_wait_ms
+            && self.requests_in_window(now_ms) < LIST_WINDOW_MS.div_ceil(self.gap_ms)
     }
 
-    fn within(&self, now_ms: u64) -> u64 {
+    fn requests_in_window(&self, now_ms: u64) -> u64 {
         self.requests_ms.iter().filter(|at_ms| now_ms < **at_ms + LIST_WINDOW_MS).count() as u64
     }
 
     pub fn on_request(&mut self, now_ms: u64) {
-        self.asked_ms = now_ms;
+        self.requested_ms = now_ms;
         self.requests_ms.push_back(now_ms);
         while self.requests_ms.front().is_some_and(|at_ms| now_ms >= at_ms + LIST_WINDOW_MS) {
             self.requests_ms.pop_front();
@@ -70,12 +71,12 @@
     /// may have asked as well, so that says nothing yet.
     pub fn refused(&mut self, now_ms: u64) {
         self.refusals += 1;
-        let taken = self.within(now_ms).saturating_sub(1).max(1);
-        let gap_ms = LIST_WINDOW_MS.div_ceil(taken) * 21 / 20;
+        let accepted = self.requests_in_window(now_ms).saturating_sub(1).max(1);
+        let gap_ms = LIST_WINDOW_MS.div_ceil(accepted) * 21 / 20;
         self.requests_ms.clear();
         if now_ms >= self.start_ms + 2 * LIST_WINDOW_MS {
-            let most_ms = LIST_GAP_MAX_MS.min(2 * self.gap_ms);
-            self.gap_ms = self.gap_ms.max(gap_ms).min(most_ms);
+            let max_ms = LIST_GAP_MAX_MS.min(2 * self.gap_ms);
+            self.gap_ms = self.gap_ms.max(gap_ms).min(max_ms);
             self.changed_ms = now_ms;
         }
     }
--- a/crates/controller/src/reply.rs
+++ b/crates/controller/src/reply.rs
@@ -48,32 +48,32 @@
     /// For a response for which nothing is written: a refusal, a repeat, a conflict. It rests on
     /// optimistic state, so it waits until all of that is committed, and is told only within the
     /// hold.
-    pub(crate) fn reply_settled(&mut self, now_ms: u64, origin: Origin, response: Response) {
+    pub(crate) fn reply_when_committed(&mut self, now_ms: u64, origin: Origin, response: Response) {
         let offset = self.consensus.last_index();
         self.reply(now_ms, Reply { origin, offset, cover: Cover::Lease, response });
     }
 
     fn reply(&mut self, now_ms: u64, reply: Reply) {
         if self.consensus.commit_index() >= reply.offset {
-            return self.tell(now_ms, reply);
+            return self.send_reply(now_ms, reply);
         }
-        if let Some(lead) = &mut self.leader {
-            lead.replies.push_back(reply);
+        if let Some(leader) = &mut self.leader {
+            leader.replies.push_back(reply);
         }
     }
 
     /// The answers whose offset is committed now.
-    pub(crate) fn answer_committed(&mut self, now_ms: u64) {
+    pub(crate) fn send_committed_replies(&mut self, now_ms: u64) {
         let commit = self.consensus.commit_index();
-        let Some(lead) = &mut self.leader else { return };
-        let replies = std::mem::take(&mut lead.replies);
+        let Some(leader) = &mut self.leader else { return };
+        let replies = std::mem::take(&mut leader.replies);
         let (due, waiting): (Vec<Reply>, Vec<Reply>) =
             replies.into_iter().partition(|reply| reply.offset <= commit);
-        lead.replies = waiting.into();
-        due.into_iter().for_each(|reply| self.tell(now_ms, reply));
+        leader.replies = waiting.into();
+        due.into_iter().for_each(|reply| self.send_reply(now_ms, reply));
     }
 
-    fn tell(&mut self, now_ms: u64, reply: Reply) {
+    fn send_reply(&mut self, now_ms: u64, reply: Reply) {
         let covered = reply.cover == Cover::OwnEntry || self.has_lease(now_ms);
         let response = if covered { reply.response } else { reply.when_deposed() };
         self.respond(reply.origin, response);
--- a/crates/controller/src/requests.rs
+++ b/crates/controller/src/requests.rs
@@ -8,12 +8,12 @@
     /// which another leader may have changed, and nothing is written: so "not the controller"
     /// always says that this question did nothing here.
     pub(crate) fn on_request(&mut self, now_ms: u64, origin: Origin, request: Request) {
-        if !self.has_lease(now_ms) || self.is_leaving() {
+        if !self.has_lease(now_ms) || self.is_departing() {
             let controller = self.consensus.leader().map(|leader| leader.address);
             let controller = controller.filter(|address| *address != self.own.address);
             return self.respond(origin, Response::NotController { controller });
         }
-        let reads = matches!(
+        let is_operator_read = matches!(
             request,
             Request::Show
                 | Request::Targets
@@ -21,7 +21,7 @@
                 | Request::Status
                 | Request::RequestSamples
         );
-        if !reads && self.is_open() && !is_read(&request) {
+        if !is_operator_read && self.is_open() && !is_read_only_call(&request) {
             return self.wait_for_close(now_ms, origin, request);
         }
         match request {
@@ -42,28 +42,30 @@
     /// Nothing is interleaved with an open transaction; a repeat of a waiting question is
     /// dropped, and its sender told so.
     fn wait_for_close(&mut self, now_ms: u64, origin: Origin, request: Request) {
-        let Some(lead) = &mut self.leader else { return };
-        let waits = |other: &Origin| other.to == origin.to && other.key == origin.key;
-        let open = lead.open_plan.as_ref().is_some_and(|open| waits(&open.origin));
-        if open || lead.waiting_requests.iter().any(|(_, other, _)| waits(other)) {
+        let Some(leader) = &mut self.leader else { return };
+        let is_repeat = |other: &Origin| other.to == origin.to && other.key == origin.key;
+        let repeats_open_plan =
+            leader.open_plan.as_ref().is_some_and(|plan| is_repeat(&plan.origin));
+        if repeats_open_plan || leader.waiting_requests.iter().any(|(_, other, _)| is_repeat(other))
+        {
             return self.respond(origin, Response::Duplicate);
         }
-        lead.waiting_requests.push_back((now_ms, origin, request));
+        leader.waiting_requests.push_back((now_ms, origin, request));
     }
 
     pub(crate) fn drain_waiting(&mut self, now_ms: u64) {
         while !self.is_open() {
-            let Some(lead) = &mut self.leader else { return };
-            let Some((since_ms, origin, request)) = lead.waiting_requests.pop_front() else {
+            let Some(leader) = &mut self.leader else { return };
+            let Some((since_ms, origin, request)) = leader.waiting_requests.pop_front() else {
                 return;
             };
-            lead.longest_stall_ms = lead.longest_stall_ms.max(now_ms.saturating_sub(since_ms));
+            leader.longest_stall_ms = leader.longest_stall_ms.max(now_ms.saturating_sub(since_ms));
             self.on_request(now_ms, origin, request);
         }
     }
 }
 
-fn is_read(request: &Request) -> bool {
+fn is_read_only_call(request: &Request) -> bool {
     use postbarrow_state::Call;
     matches!(
         request,
--- a/crates/controller/src/status.rs
+++ b/crates/controller/src/status.rs
@@ -14,7 +14,7 @@
 }
 
 #[derive(Facet)]
-struct MembersTold {
+struct MembersReport {
     members: Vec<MemberRow>,
 }
 
@@ -39,20 +39,27 @@
     term: u64,
     log_end: u64,
     watermark: u64,
-    news_watermark: u64,
-    hold_left_ms: u64,
+    #[facet(rename = "newsWatermark")]
+    update_watermark: u64,
+    #[facet(rename = "holdLeftMs")]
+    lease_remaining_ms: u64,
     version: Option<String>,
     open_transaction: Option<String>,
     open_ms: Option<u64>,
     longest_stall_ms: u64,
     tickets: u64,
     open_tickets: u64,
-    tickets_most: u64,
-    kept_bytes: u64,
-    kept_bytes_most: u64,
+    #[facet(rename = "ticketsMost")]
+    max_tickets: u64,
+    #[facet(rename = "keptBytes")]
+    stored_response_bytes: u64,
+    #[facet(rename = "keptBytesMost")]
+    max_stored_response_bytes: u64,
     /// Responses not kept, and asks and calls shed, for want of space under this controller.
-    unkept: u64,
-    shed: u64,
+    #[facet(rename = "unkept")]
+    responses_not_stored: u64,
+    #[facet(rename = "shed")]
+    requests_shed: u64,
     locks: u64,
     keys: u64,
     numbers: u64,
@@ -81,35 +88,35 @@
                 lag_entries: lag,
             });
         }
-        self.respond(origin, json(200, &MembersTold { members }));
+        self.respond(origin, json(200, &MembersReport { members }));
     }
 
     pub(crate) fn on_status(&mut self, now_ms: u64, origin: Origin) {
         let state = self.committed();
-        let seen = self.seen();
+        let reports = self.node_reports();
         let row = |node: &postbarrow_state::Node| {
-            let seen = seen.and_then(|seen| seen.get(&node.incarnation));
+            let report = reports.and_then(|reports| reports.get(&node.incarnation));
             NodeRow {
                 name: node.name.to_string(),
                 incarnation: format!("{:016x}", node.incarnation),
                 address: node.address.to_string(),
                 http: node.http.to_string(),
                 zone: node.zone.to_string(),
-                ready: seen.is_some_and(|seen| seen.ready),
-                published: seen.map_or(0, |seen| seen.published),
-                version: seen.and_then(|seen| seen.version.as_ref()).map(ToString::to_string),
-                silent_ms: seen.map_or(0, |seen| now_ms.saturating_sub(seen.last_ms)),
+                ready: report.is_some_and(|report| report.ready),
+                published: report.map_or(0, |report| report.published),
+                version: report.and_then(|report| report.version.as_ref()).map(ToString::to_string),
+                silent_ms: report.map_or(0, |report| now_ms.saturating_sub(report.last_ms)),
             }
         };
-        let lead = self.leader.as_ref();
-        let writer = lead.and_then(|lead| lead.writer.as_ref());
-        let told = StatusReport {
+        let leader = self.leader.as_ref();
+        let writer = leader.and_then(|leader| leader.writer.as_ref());
+        let body = StatusReport {
             controller: self.own.address.to_string(),
             term: self.consensus.term(),
             log_end: self.consensus.last_index(),
             watermark: self.consensus.commit_index(),
-            news_watermark: self.image_offset,
-            hold_left_ms: self.consensus.lease_until().saturating_sub(now_ms),
+            update_watermark: self.image_offset,
+            lease_remaining_ms: self.consensus.lease_until().saturating_sub(now_ms),
             version: state.plan_version().map(str::to_string),
             open_transaction: self.tail.open_transaction_name().map(str::to_string),
             open_ms: writer.and_then(|writer| writer.open_duration_ms(now_ms)),
@@ -120,11 +127,11 @@
                 .values()
                 .filter(|ticket| ticket.settlement.is_none())
                 .count() as u64,
-            tickets_most: TICKETS as u64,
-            kept_bytes: state.stored_response_bytes,
-            kept_bytes_most: STORED_RESPONSES_BYTES,
-            unkept: lead.map_or(0, |lead| lead.responses_not_stored),
-            shed: lead.map_or(0, |lead| lead.requests_shed),
+            max_tickets: TICKETS as u64,
+            stored_response_bytes: state.stored_response_bytes,
+            max_stored_response_bytes: STORED_RESPONSES_BYTES,
+            responses_not_stored: leader.map_or(0, |leader| leader.responses_not_stored),
+            requests_shed: leader.map_or(0, |leader| leader.requests_shed),
             locks: state.locks.len() as u64,
             keys: state.keys.len() as u64,
             numbers: state.numbers.len() as u64,
@@ -132,6 +139,6 @@
             history_floor: state.history_floor,
             nodes: state.nodes.values().map(|node| row(node)).collect(),
         };
-        self.respond(origin, json(200, &told));
+        self.respond(origin, json(200, &body));
     }
 }
--- a/crates/controller/src/submission.rs
+++ b/crates/controller/src/submission.rs
@@ -56,7 +56,7 @@
     digest: &Digest,
 ) -> SubmissionDecision {
     let (version, base) = (submission.version.as_str(), submission.base.as_deref());
-    let verdict = judge_known(state, submission, digest).unwrap_or_else(|| {
+    let decision = decide_known_version(state, submission, digest).unwrap_or_else(|| {
         if state.is_refused(version, digest) {
             SubmissionDecision::Refused(RefusalReason::RefusedBefore)
         } else if state.plan_version() == base {
@@ -69,17 +69,19 @@
             SubmissionDecision::Unknown
         }
     });
-    if submission.dry_run { judge_dry_run(state, submission, verdict) } else { verdict }
+    if submission.dry_run { decide_dry_run(state, submission, decision) } else { decision }
 }
 
 /// A version that was taken can't be taken again.
-fn judge_known(
+fn decide_known_version(
     state: &State,
     submission: &Submission,
     digest: &Digest,
 ) -> Option<SubmissionDecision> {
     let (base, known_digest, began_at, ended_at) = match state.accepted_plan(&submission.version) {
-        Some(taken) => (&taken.base, taken.digest, taken.began_at, Some(taken.ended_at)),
+        Some(accepted) => {
+            (&accepted.base, accepted.digest, accepted.began_at, Some(accepted.ended_at))
+        }
         None => {
             let plan = state.plan.as_ref().filter(|plan| plan.version == submission.version)?;
             (&plan.base, text_digest(&state.plan_text()), plan.offset, None)
@@ -93,12 +95,12 @@
 }
 
 /// A dry run is never taken: it runs on the plan in force, or beside itself when that is in force.
-fn judge_dry_run(
+fn decide_dry_run(
     state: &State,
     submission: &Submission,
-    verdict: SubmissionDecision,
+    decision: SubmissionDecision,
 ) -> SubmissionDecision {
-    match verdict {
+    match decision {
         SubmissionDecision::AlreadyAccepted { .. }
             if state.plan_version() == Some(submission.version.as_str()) =>
         {
@@ -107,6 +109,6 @@
         SubmissionDecision::AlreadyAccepted { .. } | SubmissionDecision::Unknown => {
             SubmissionDecision::Refused(RefusalReason::BaseBuiltUpon)
         }
-        SubmissionDecision::Proceed | SubmissionDecision::Refused(_) => verdict,
+        SubmissionDecision::Proceed | SubmissionDecision::Refused(_) => decision,
     }
 }
--- a/crates/controller/src/targets.rs
+++ b/crates/controller/src/targets.rs
@@ -19,7 +19,8 @@
 #[facet(rename_all = "camelCase")]
 struct TargetsReport {
     targets: Vec<TargetRow>,
-    list_walked_ms_ago: Option<u64>,
+    #[facet(rename = "listWalkedMsAgo")]
+    list_scan_age_ms: Option<u64>,
     list_finding: Option<String>,
     /// From a mark in the list to the last ask, at worst, with the list as it is.
     leave_bound_ms: Option<u64>,
@@ -51,16 +52,16 @@
                 .map(|service| service.name.to_string())
                 .collect(),
         });
-        let walk = self.leader.as_ref().map(|lead| &lead.scan);
-        let told = TargetsReport {
+        let scan = self.leader.as_ref().map(|leader| &leader.scan);
+        let body = TargetsReport {
             targets: rows.collect(),
-            list_walked_ms_ago: walk
-                .and_then(|walk| walk.completed_ms)
+            list_scan_age_ms: scan
+                .and_then(|scan| scan.completed_ms)
                 .map(|at_ms| now_ms.saturating_sub(at_ms)),
-            list_finding: walk.and_then(|walk| walk.finding.clone()),
-            leave_bound_ms: walk.map(|walk| walk.leave_bound_ms()),
-            list_refusals: walk.map_or(0, |walk| walk.poll_rate.refusals),
+            list_finding: scan.and_then(|scan| scan.finding.clone()),
+            leave_bound_ms: scan.map(|scan| scan.leave_bound_ms()),
+            list_refusals: scan.map_or(0, |scan| scan.poll_rate.refusals),
         };
-        self.respond(origin, json(200, &told));
+        self.respond(origin, json(200, &body));
     }
 }
--- a/crates/controller/src/watches.rs
+++ b/crates/controller/src/watches.rs
@@ -34,32 +34,33 @@
             Some(outcome) => self.respond(origin, Response::Outcome(outcome)),
             None => {
                 let until_ms = now_ms + WATCH_POLL_MS;
-                let Some(lead) = &mut self.leader else { return };
-                lead.pending_watches
+                let Some(leader) = &mut self.leader else { return };
+                leader
+                    .pending_watches
                     .retain(|other| other.origin.to != origin.to || other.origin.key != origin.key);
-                lead.pending_watches.push(PendingWatch { origin, sort, prefix, after, until_ms });
+                leader.pending_watches.push(PendingWatch { origin, sort, prefix, after, until_ms });
             }
         }
     }
 
     /// Events that were committed without the lease wait for it: they may be old by now.
-    pub(crate) fn tell_watches(&mut self, now_ms: u64) {
+    pub(crate) fn answer_watches(&mut self, now_ms: u64) {
         if !self.has_lease(now_ms) {
             return;
         }
         let state = self.tail.image().clone();
-        let Some(lead) = &mut self.leader else { return };
-        let mut told = Vec::new();
-        lead.pending_watches.retain(|parked| {
-            match events(&state, parked.sort, &parked.prefix, parked.after) {
+        let Some(leader) = &mut self.leader else { return };
+        let mut answered = Vec::new();
+        leader.pending_watches.retain(|watch| {
+            match events(&state, watch.sort, &watch.prefix, watch.after) {
                 Some(outcome) => {
-                    told.push((parked.origin, outcome));
+                    answered.push((watch.origin, outcome));
                     false
                 }
                 None => true,
             }
         });
-        for (origin, outcome) in told {
+        for (origin, outcome) in answered {
             self.respond(origin, Response::Outcome(outcome));
         }
     }
@@ -67,28 +68,28 @@
     pub(crate) fn watch_tick(&mut self, now_ms: u64) {
         let leased = self.has_lease(now_ms);
         let state = self.tail.image().clone();
-        let Some(lead) = &mut self.leader else { return };
-        let (due, parked) = std::mem::take(&mut lead.pending_watches)
+        let Some(leader) = &mut self.leader else { return };
+        let (due, pending) = std::mem::take(&mut leader.pending_watches)
             .into_iter()
-            .partition::<Vec<_>, _>(|parked| now_ms >= parked.until_ms);
-        lead.pending_watches = parked;
-        for parked in due {
+            .partition::<Vec<_>, _>(|watch| now_ms >= watch.until_ms);
+        leader.pending_watches = pending;
+        for watch in due {
             let response = if leased {
-                let found = events(&state, parked.sort, &parked.prefix, parked.after);
+                let found = events(&state, watch.sort, &watch.prefix, watch.after);
                 let none = Outcome::Events { events: Vec::new(), next: state.revision };
                 Response::Outcome(found.unwrap_or(none))
             } else {
                 Response::NotController { controller: None }
             };
-            self.respond(parked.origin, response);
+            self.respond(watch.origin, response);
         }
     }
 }
 
 /// Events after a revision, oldest first; None when there is none to tell.
 fn events(state: &State, sort: ResourceKind, prefix: &Name, after: u64) -> Option<Outcome> {
-    let fresh = state.revision.saturating_sub(after) as usize;
-    let skipped = state.history.len().saturating_sub(fresh);
+    let new_events = state.revision.saturating_sub(after) as usize;
+    let skipped = state.history.len().saturating_sub(new_events);
     let matching = |event: &&std::sync::Arc<Event>| {
         event.revision > after
             && event.resource_kind() == sort
--- /dev/null
+++ b/crates/controller/tests/endpoint_list.rs
@@ -0,0 +1,267 @@
+//! The endpoint list with shifted rows, failures and cycles, page by page.
+
+mod harness;
+use harness::*;
+use postbarrow_constants::nodes::*;
+use postbarrow_constants::plans::*;
+use postbarrow_controller::{Fetched, Input, PageResult};
+use postbarrow_messages::{Request, Response};
+
+/// Answers the pending fetches of this cursor, in whatever order they were sent.
+fn answer_cursor(harness: &mut Harness, cursor: Option<&str>, rows: &[&str], next: Option<&str>) {
+    let wanted = |fetch: &(u64, Option<String>)| fetch.1.as_deref() == cursor;
+    for _ in 0..200 {
+        if harness.fetches.iter().any(wanted) {
+            break;
+        }
+        harness.tick(20);
+    }
+    assert!(harness.fetches.iter().any(wanted), "page {cursor:?} is requested");
+    let requested: Vec<u64> =
+        harness.fetches.iter().filter(|one| wanted(one)).map(|one| one.0).collect();
+    harness.fetches.retain(|fetch| !wanted(fetch));
+    let rows: Vec<String> = rows
+        .iter()
+        .map(|row| Harness::row(row.trim_end_matches('!'), "ledger", row.ends_with('!')))
+        .collect();
+    let next = next.map_or("null".into(), |next| format!("\"{next}\""));
+    let text = format!("{{\"targets\":[{}],\"next\":{next}}}", rows.join(","));
+    for number in requested {
+        let fetched = Fetched::Page(text.clone().into_bytes());
+        harness.input(Input::Page(PageResult { number, fetched }));
+        harness.sync();
+    }
+}
+
+fn scan(harness: &mut Harness, pages: &[&[&str]]) {
+    for (at, rows) in pages.iter().enumerate() {
+        let cursor = (at > 0).then(|| at.to_string());
+        let next = (at + 1 < pages.len()).then(|| (at + 1).to_string());
+        answer_cursor(harness, cursor.as_deref(), rows, next.as_deref());
+    }
+}
+
+fn harness_with_list() -> Harness {
+    let mut harness = Harness::new(recovered(&[1], Vec::new(), 0));
+    harness.become_leader();
+    scan(&mut harness, &[&["l1", "l2"], &["l3", "l4"], &["l5", "l6"]]);
+    assert_eq!(live(&harness), ["l1", "l2", "l3", "l4", "l5", "l6"]);
+    harness
+}
+
+fn live(harness: &Harness) -> Vec<String> {
+    let targets = harness.state().targets.values();
+    targets.filter(|target| !target.draining).map(|target| target.instance.to_string()).collect()
+}
+
+fn known(harness: &Harness) -> usize {
+    harness.state().targets.len()
+}
+
+#[test]
+fn a_row_that_shifts_to_a_page_already_read_is_not_removed() {
+    let mut harness = harness_with_list();
+    scan(&mut harness, &[&["l1", "l2"], &["l4", "l5"], &["l6"]]);
+    assert_eq!(known(&harness), 6, "l3 may be at the end of the first page");
+    assert_eq!(live(&harness).len(), 5, "but is draining while others are live");
+    scan(&mut harness, &[&["l2", "l3"], &["l4", "l5"], &["l6"]]);
+    assert_eq!(known(&harness), 5, "l1 is removed");
+    assert!(live(&harness).contains(&"l3".to_string()));
+}
+
+#[test]
+fn a_row_missing_between_its_neighbours_is_removed_at_once() {
+    let mut harness = harness_with_list();
+    scan(&mut harness, &[&["l1", "l3"], &["l4", "l5"], &["l6"]]);
+    assert_eq!(live(&harness), ["l1", "l3", "l4", "l5", "l6"]);
+    assert_eq!(known(&harness), 5);
+}
+
+#[test]
+fn a_row_missing_at_a_page_boundary_is_removed_after_repeated_scans() {
+    let mut harness = harness_with_list();
+    for count in 1..=LIST_MISSES {
+        scan(&mut harness, &[&["l1", "l2"], &["l4"], &["l5", "l6"]]);
+        let gone = count == LIST_MISSES;
+        assert_eq!(known(&harness), if gone { 5 } else { 6 }, "scan {count}");
+    }
+}
+
+#[test]
+fn an_empty_or_sharply_shrunk_list_is_accepted_after_repeated_scans() {
+    for rows in [&[][..], &["l1"][..]] {
+        let mut harness = harness_with_list();
+        scan(&mut harness, &[rows]);
+        assert_eq!(known(&harness), 6, "one scan is not enough");
+        scan(&mut harness, &[&["l1", "l2"], &["l3", "l4"], &["l5", "l6"]]);
+        scan(&mut harness, &[rows]);
+        assert_eq!(known(&harness), 6, "nor are two with a complete scan between them");
+        scan(&mut harness, &[rows]);
+        assert_eq!(known(&harness), 6, "nor two consecutive ones");
+        scan(&mut harness, &[rows]);
+        let remaining = known(&harness);
+        scan(&mut harness, &[rows]);
+        assert!(remaining <= 1 + rows.len() && known(&harness) == rows.len(), "{remaining} remain");
+    }
+}
+
+/// How the list fails between two shrunk scans.
+#[derive(Clone, Copy, Debug)]
+enum ScanFailure {
+    CursorCycle,
+    EveryPageFails,
+    /// The second fetch succeeds and the scan continues.
+    OnePageFails,
+    PageTimeout,
+}
+
+fn fail_scan(harness: &mut Harness, failure: ScanFailure) {
+    match failure {
+        ScanFailure::CursorCycle => {
+            answer_cursor(harness, None, &["l1"], Some("1"));
+            answer_cursor(harness, Some("1"), &["l2"], Some("1"));
+        }
+        ScanFailure::EveryPageFails | ScanFailure::OnePageFails => {
+            let failures = match failure {
+                ScanFailure::OnePageFails => 1,
+                _ => LIST_PAGE_RETRIES + 1,
+            };
+            for _ in 0..failures {
+                while harness.fetches.is_empty() {
+                    harness.tick(20);
+                }
+                let (number, _) = harness.fetches.pop_front().expect("a page is requested");
+                let fetched = Fetched::Failed("the list is not there".into());
+                harness.input(Input::Page(PageResult { number, fetched }));
+            }
+        }
+        ScanFailure::PageTimeout => {
+            while harness.fetches.is_empty() {
+                harness.tick(20);
+            }
+            harness.tick(LIST_PAGE_WAIT_MS + 20);
+        }
+    }
+    harness.fetches.clear();
+}
+
+/// Found by `simulate --seed 3008795`: truncated, unreachable, a cursor cycle, truncated again.
+#[test]
+fn shrunk_scans_with_a_failure_between_them_are_not_consecutive() {
+    for failure in [
+        ScanFailure::CursorCycle,
+        ScanFailure::EveryPageFails,
+        ScanFailure::OnePageFails,
+        ScanFailure::PageTimeout,
+    ] {
+        for rows in [&[][..], &["l1"][..]] {
+            let mut harness = harness_with_list();
+            for count in 1..=LIST_MISSES {
+                scan(&mut harness, &[rows]);
+                assert_eq!(known(&harness), 6, "{failure:?}: shrunk scan {count}");
+                fail_scan(&mut harness, failure);
+            }
+            for _ in 0..=LIST_SHRUNK_SCANS {
+                scan(&mut harness, &[rows]);
+            }
+            assert_eq!(known(&harness), rows.len(), "{failure:?}: accepted once it persists");
+        }
+    }
+}
+
+#[test]
+fn pages_are_fetched_concurrently_and_a_changed_cursor_discards_a_guessed_page() {
+    let mut harness = harness_with_list();
+    harness.fetches.clear();
+    while harness.fetches.len() < 3 {
+        harness.tick(20);
+    }
+    let cursors: Vec<Option<String>> =
+        harness.fetches.iter().map(|fetch| fetch.1.clone()).collect();
+    assert_eq!(cursors, [None, Some("1".into()), Some("2".into())]);
+    answer_cursor(&mut harness, Some("2"), &["x9"], None);
+    answer_cursor(&mut harness, None, &["l1", "l2"], Some("9"));
+    answer_cursor(&mut harness, Some("9"), &["l3", "l4!", "l5", "l6"], None);
+    assert_eq!(live(&harness), ["l1", "l2", "l3", "l5", "l6"], "a guessed page is discarded");
+}
+
+#[test]
+fn a_draining_row_on_one_page_is_not_undone_by_another_page() {
+    let mut harness = harness_with_list();
+    while harness.fetches.len() < 2 {
+        harness.tick(20);
+    }
+    answer_cursor(&mut harness, Some("1"), &["l2!", "l3"], Some("2"));
+    answer_cursor(&mut harness, None, &["l1", "l2"], Some("1"));
+    assert!(!live(&harness).contains(&"l2".to_string()));
+}
+
+#[test]
+fn a_cursor_cycle_ends_the_scan_and_removes_no_target() {
+    let mut harness = harness_with_list();
+    for _ in 0..3 {
+        answer_cursor(&mut harness, None, &["l1"], Some("1"));
+        answer_cursor(&mut harness, Some("1"), &["l2"], Some("1"));
+        harness.fetches.clear();
+    }
+    assert_eq!(known(&harness), 6);
+    harness.request(1, Request::Targets);
+    let Some(Response::Operator { body, .. }) = harness.response(1) else { panic!("no targets") };
+    assert!(String::from_utf8_lossy(body).contains("its cursors go round"));
+}
+
+#[test]
+fn a_slow_list_raises_the_reported_leave_bound() {
+    let mut harness = harness_with_list();
+    scan(&mut harness, &[&["l1", "l2"], &["l3", "l4"], &["l5", "l6"]]);
+    harness.request(1, Request::Targets);
+    let bound = |harness: &Harness, key| {
+        let Some(Response::Operator { body, .. }) = harness.response(key) else {
+            panic!("no targets")
+        };
+        let text = String::from_utf8_lossy(body).into_owned();
+        let tail = text.split("\"leaveBoundMs\":").nth(1).unwrap();
+        tail.split([',', '}']).next().unwrap().parse::<u64>().unwrap()
+    };
+    assert!(bound(&harness, 1) <= LEAVE_BOUND_MS);
+    for _ in 0..8 {
+        while harness.fetches.is_empty() {
+            harness.tick(20);
+        }
+        harness.tick(1_100);
+        if harness.fetches.len() == 1 || harness.fetches[0].1.is_none() {
+            answer_cursor(&mut harness, None, &["l1", "l2", "l3", "l4", "l5", "l6"], None);
+        }
+        harness.fetches.clear();
+    }
+    harness.request(2, Request::Targets);
+    assert!(bound(&harness, 2) > LEAVE_BOUND_MS);
+}
+
+#[test]
+fn a_draining_row_aborts_a_long_transaction() {
+    let mut harness = harness_with_list();
+    harness.renew_lease(5);
+    harness.run_until_idle();
+    harness.fetches.clear();
+    while harness.fetches.is_empty() {
+        harness.tick(20);
+    }
+    let (number, _) = harness.fetches.pop_back().expect("a page is requested");
+    harness.submit(1, &plan("v1", None, 8_000, "ledger"));
+    let rows: Vec<String> = ["l1", "l2", "l3", "l4", "l5"]
+        .iter()
+        .map(|row| Harness::row(row, "ledger", *row == "l1"))
+        .collect();
+    let text = format!("{{\"targets\":[{}],\"next\":\"1\"}}", rows.join(","));
+    harness.input(Input::Page(PageResult { number, fetched: Fetched::Page(text.into_bytes()) }));
+    for _ in 0..LEAVING_WAIT_MS / 20 + 2 {
+        harness.tick(20);
+    }
+    const { assert!(LEAVING_WAIT_MS + 60 < TRANSACTION_OPEN_MS) };
+    while harness.response(1).is_none() {
+        harness.sync();
+    }
+    assert_eq!(harness.response(1), Some(&Response::TimedOut), "the plan may be submitted again");
+    assert!(!live(&harness).contains(&"l1".to_string()));
+}
--- a/crates/controller/tests/bench/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -1,3 +1,5 @@
+//! One control node driven by hand: time, disk, messages and pages of the endpoint list.
+
 #![allow(dead_code)]
 use postbarrow_consensus::{
     AppendRequest, Entry, Member, Message as LogMessage, Payload, RecoveredState, Snapshot, Write,
@@ -12,7 +14,7 @@
 use std::sync::Arc;
 
 /// One control node that is its own majority; the test decides when its disk syncs.
-pub struct Bench {
+pub struct Harness {
     pub node: ControlNode,
     pub now_ms: u64,
     pub lines: Vec<BatchRecord<Record>>,
@@ -40,10 +42,10 @@
     RecoveredState { term, voted_for: None, snapshot: Some(Arc::new(snapshot)), entries }
 }
 
-impl Bench {
-    pub fn new(recovered: RecoveredState) -> Bench {
+impl Harness {
+    pub fn new(recovered: RecoveredState) -> Harness {
         let now_ms = 50_000;
-        Bench {
+        Harness {
             node: ControlNode::new(member(1), recovered, &[], 7, now_ms),
             now_ms,
             lines: Vec::new(),
@@ -59,21 +61,25 @@
     }
 
     /// Leads, with a list of one target a service and one node.
-    pub fn serving() -> Bench {
-        let mut bench = Bench::new(recovered(&[1], Vec::new(), 0));
-        bench.lead();
-        bench.list(&[("catalogue-1", "catalogue"), ("ledger-1", "ledger"), ("ledger-2", "ledger")]);
-        bench.fresh(5);
-        bench.settle();
-        bench
+    pub fn serving() -> Harness {
+        let mut harness = Harness::new(recovered(&[1], Vec::new(), 0));
+        harness.become_leader();
+        harness.answer_list(&[
+            ("catalogue-1", "catalogue"),
+            ("ledger-1", "ledger"),
+            ("ledger-2", "ledger"),
+        ]);
+        harness.renew_lease(5);
+        harness.run_until_idle();
+        harness
     }
 
-    pub fn bound(&mut self, size_bytes: u64) {
+    pub fn set_log_bound(&mut self, size_bytes: u64) {
         let idle = ControlNode::new(member(1), RecoveredState::default(), &[], 7, self.now_ms);
         self.node = std::mem::replace(&mut self.node, idle).with_log_bound(size_bytes);
     }
 
-    pub fn lead(&mut self) {
+    pub fn become_leader(&mut self) {
         for _ in 0..100 {
             self.tick(20);
             self.sync();
@@ -100,11 +106,11 @@
                 }
                 Effect::Send { message, .. } => self.sent.push(message),
                 Effect::Fetch { number, cursor } => self.fetches.push_back((number, cursor)),
-                Effect::Encode(snap) => {
+                Effect::Encode(pending) => {
                     self.encoded += 1;
-                    let (members, index) = (vec![member(1)], snap.index);
+                    let (members, index) = (vec![member(1)], pending.index);
                     let term = self.node.consensus().term();
-                    let state = snap.encode();
+                    let state = pending.encode();
                     self.snapshot = Some(Snapshot { index, term, members, state });
                 }
                 Effect::Log(_) => {}
@@ -112,8 +118,8 @@
         }
     }
 
-    pub fn tick(&mut self, pass_ms: u64) {
-        self.now_ms += pass_ms;
+    pub fn tick(&mut self, elapsed_ms: u64) {
+        self.now_ms += elapsed_ms;
         self.input(Input::Tick);
     }
 
@@ -123,7 +129,7 @@
         }
     }
 
-    pub fn settle(&mut self) {
+    pub fn run_until_idle(&mut self) {
         for _ in 0..400 {
             self.tick(1);
             self.sync();
@@ -135,7 +141,7 @@
     }
 
     /// A leader of the next term commits this record where this node's committed log ends.
-    pub fn is_deposed_by(&mut self, record: Record) {
+    pub fn depose_with(&mut self, record: Record) {
         let log = self.node.consensus();
         let (prev, term) = (log.commit_index(), log.term() + 1);
         let prev_term = log.log().term_at(prev).unwrap();
@@ -153,16 +159,16 @@
         self.message(Message::Consensus { from: member(2), to: 1, message });
     }
 
-    pub fn ask(&mut self, key: u64, request: Request) {
+    pub fn request(&mut self, key: u64, request: Request) {
         self.message(Message::Request { key, request });
     }
 
-    pub fn answer(&self, key: u64) -> Option<&Response> {
-        self.responses.iter().rev().find(|(known, _)| *known == key).map(|(_, answer)| answer)
+    pub fn response(&self, key: u64) -> Option<&Response> {
+        self.responses.iter().rev().find(|(known, _)| *known == key).map(|(_, response)| response)
     }
 
     pub fn status(&self, key: u64) -> Option<u16> {
-        let Some(Response::Operator { status, .. }) = self.answer(key) else { return None };
+        let Some(Response::Operator { status, .. }) = self.response(key) else { return None };
         Some(*status)
     }
 
@@ -170,7 +176,7 @@
         self.node.committed()
     }
 
-    pub fn fresh(&mut self, incarnation: u64) {
+    pub fn renew_lease(&mut self, incarnation: u64) {
         let request = LeaseRequest {
             number: self.now_ms,
             node: node(incarnation),
@@ -186,9 +192,9 @@
         self.sync();
     }
 
-    pub fn granted(&mut self) -> bool {
+    pub fn lease_is_granted(&mut self) -> bool {
         self.sent.clear();
-        self.fresh(5);
+        self.renew_lease(5);
         self.sent.iter().any(|message| {
             matches!(message, Message::LeaseResponse { fresh: LeaseResponse::Granted { .. }, .. })
         })
@@ -200,35 +206,35 @@
         )
     }
 
-    pub fn page(&mut self, fetched: Fetched) {
+    pub fn answer_fetch(&mut self, fetched: Fetched) {
         for _ in 0..200 {
             if !self.fetches.is_empty() {
                 break;
             }
             self.tick(20);
         }
-        let (number, _) = self.fetches.pop_back().expect("a page is asked for");
+        let (number, _) = self.fetches.pop_back().expect("a page is requested");
         self.fetches.clear();
         self.input(Input::Page(PageResult { number, fetched }));
         self.sync();
     }
 
-    pub fn rows(&mut self, rows: &[String], next: Option<&str>) {
+    pub fn answer_page(&mut self, rows: &[String], next: Option<&str>) {
         let next = next.map_or("null".into(), |next| format!("\"{next}\""));
         let text = format!("{{\"targets\":[{}],\"next\":{next}}}", rows.join(","));
-        self.page(Fetched::Page(text.into_bytes()));
+        self.answer_fetch(Fetched::Page(text.into_bytes()));
     }
 
-    pub fn list(&mut self, targets: &[(&str, &str)]) {
+    pub fn answer_list(&mut self, targets: &[(&str, &str)]) {
         let rows: Vec<String> = targets
             .iter()
-            .map(|(instance, service)| Bench::row(instance, service, false))
+            .map(|(instance, service)| Harness::row(instance, service, false))
             .collect();
-        self.rows(&rows, None);
+        self.answer_page(&rows, None);
     }
 
     pub fn submit(&mut self, key: u64, text: &str) {
-        self.ask(key, Request::Submit(submission(text)));
+        self.request(key, Request::Submit(submission(text)));
     }
 }
 
--- a/crates/controller/tests/operator_json.rs
+++ b/crates/controller/tests/operator_json.rs
@@ -1,26 +1,26 @@
 //! The bodies that operators read, byte for byte.
 
-mod bench;
-use bench::*;
+mod harness;
+use harness::*;
 use postbarrow_messages::{Request, Response};
 
-fn body(bench: &mut Bench, key: u64, request: Request) -> String {
-    bench.ask(key, request);
-    bench.settle();
-    let Some(Response::Operator { body, .. }) = bench.answer(key) else { panic!("no answer") };
+fn body(harness: &mut Harness, key: u64, request: Request) -> String {
+    harness.request(key, request);
+    harness.run_until_idle();
+    let Some(Response::Operator { body, .. }) = harness.response(key) else { panic!("no answer") };
     String::from_utf8_lossy(body).into_owned()
 }
 
 #[test]
-fn bodies_for_operators_keep_their_names_order_and_values() {
-    let mut bench = Bench::serving();
+fn bodies_for_operators_are_pinned_byte_for_byte() {
+    let mut harness = Harness::serving();
     let bodies = [
-        body(&mut bench, 1, Request::Submit(submission(&plan("v1", None, 1, "catalogue")))),
-        body(&mut bench, 2, Request::Submit(submission(&plan("v1", None, 1, "catalogue")))),
-        body(&mut bench, 3, Request::Submit(submission(&plan("v2", None, 1, "catalogue")))),
-        body(&mut bench, 4, Request::Members),
-        body(&mut bench, 5, Request::Targets),
-        body(&mut bench, 6, Request::Status),
+        body(&mut harness, 1, Request::Submit(submission(&plan("v1", None, 1, "catalogue")))),
+        body(&mut harness, 2, Request::Submit(submission(&plan("v1", None, 1, "catalogue")))),
+        body(&mut harness, 3, Request::Submit(submission(&plan("v2", None, 1, "catalogue")))),
+        body(&mut harness, 4, Request::Members),
+        body(&mut harness, 5, Request::Targets),
+        body(&mut harness, 6, Request::Status),
     ];
     assert_eq!(
         bodies,
--- /dev/null
+++ b/crates/controller/tests/space_bounds.rs
@@ -0,0 +1,155 @@
+//! Retention times of the log, and what is shed at its bounds of space.
+
+mod harness;
+use harness::*;
+use postbarrow_consensus::{RecoveredState, Snapshot};
+use postbarrow_constants::coordination::*;
+use postbarrow_messages::{Request, Response};
+use postbarrow_state::*;
+use std::sync::Arc;
+
+fn from_state(state: State) -> Harness {
+    let state = rmp_serde::to_vec(&(state, 0u64)).unwrap();
+    let snapshot = Snapshot { index: 0, term: 0, members: vec![member(1)], state };
+    let snapshot = Some(Arc::new(snapshot));
+    let mut harness = Harness::new(RecoveredState { snapshot, ..RecoveredState::default() });
+    harness.become_leader();
+    harness.answer_list(&[("ledger-1", "ledger")]);
+    harness.renew_lease(5);
+    harness.run_until_idle();
+    harness
+}
+
+fn settled_as_ran(key: &str, response: Option<StoredResponse>) -> Request {
+    Request::Settle { ticket: ticket(key, 1), settlement: Settlement::Ran, response }
+}
+
+fn stored(bytes: usize) -> StoredResponse {
+    StoredResponse { status: 200, headers: Vec::new(), body: vec![1; bytes] }
+}
+
+#[test]
+fn a_settled_key_is_retained_for_its_time_across_changes_of_leader() {
+    let mut harness = Harness::serving();
+    harness.request(1, Request::Ticket(ticket("k", 1)));
+    harness.run_until_idle();
+    harness.request(2, settled_as_ran("k", None));
+    harness.run_until_idle();
+    let mut elapsed_ms = 0;
+    let mut term = 1;
+    while !harness.state().tickets.is_empty() {
+        assert!(elapsed_ms < TICKET_RETENTION_MS + 12 * ERA_MS, "retained for ever");
+        for _ in 0..100 {
+            harness.tick(2_000);
+            harness.sync();
+            elapsed_ms += 2_000;
+            let retained = harness.state().tickets.contains_key("k");
+            assert!(retained || elapsed_ms >= TICKET_RETENTION_MS, "removed after {elapsed_ms} ms");
+        }
+        term += 1;
+        let entries = harness.entries.clone();
+        let mut next = Harness::new(recovered(&[1], entries.clone(), term));
+        next.entries = entries;
+        next.now_ms = harness.now_ms;
+        harness = next;
+        harness.become_leader();
+        elapsed_ms += 2_000;
+    }
+}
+
+#[test]
+fn new_keys_are_shed_and_old_ones_retained_at_the_ticket_bound() {
+    let mut state = State::default();
+    for at in 0..TICKETS {
+        let key = Name::from(format!("old-{at}"));
+        let known = Ticket { settlement: Some(Settlement::Ran), ..ticket(&key, 1) };
+        state.tickets.insert(key, Arc::new(known));
+    }
+    let mut harness = from_state(state);
+    harness.request(1, Request::Ticket(ticket("new", 1)));
+    harness.request(2, Request::Ticket(ticket("old-7", 3)));
+    harness.run_until_idle();
+    assert_eq!(harness.response(1), Some(&Response::Full));
+    assert!(matches!(harness.response(2), Some(Response::Known(_))), "{:?}", harness.response(2));
+    assert_eq!(harness.state().tickets.len(), TICKETS, "none was removed before its time");
+    harness.request(3, Request::Status);
+    let Some(Response::Operator { body, .. }) = harness.response(3) else { panic!("no status") };
+    assert!(String::from_utf8_lossy(body).contains("\"shed\":1"), "status reports it");
+}
+
+#[test]
+fn over_the_bound_of_stored_responses_a_key_is_settled_without_its_response() {
+    let state = State { stored_response_bytes: STORED_RESPONSES_BYTES - 1_500, ..State::default() };
+    let mut harness = from_state(state);
+    for (at, key) in ["a", "b"].into_iter().enumerate() {
+        harness.request(at as u64, Request::Ticket(ticket(key, 1)));
+        harness.run_until_idle();
+        harness.request(10 + at as u64, settled_as_ran(key, Some(stored(1_000))));
+        harness.run_until_idle();
+    }
+    let response = |key: &str| harness.state().tickets[key].response.is_some();
+    assert_eq!((response("a"), response("b")), (true, false));
+    assert_eq!(harness.state().tickets["b"].settlement, Some(Settlement::Ran));
+    assert_eq!(harness.state().stored_response_bytes, STORED_RESPONSES_BYTES - 500);
+}
+
+#[test]
+fn removed_responses_release_their_bytes() {
+    let mut harness = Harness::serving();
+    harness.request(1, Request::Ticket(ticket("k", 1)));
+    harness.request(2, settled_as_ran("k", Some(stored(700))));
+    harness.request(3, settled_as_ran("k", Some(stored(700))));
+    harness.run_until_idle();
+    assert_eq!(harness.state().stored_response_bytes, 700);
+    harness.tick(TICKET_RETENTION_MS + 2 * ERA_MS);
+    harness.run_until_idle();
+    harness.tick(RETENTION_MS);
+    harness.run_until_idle();
+    assert_eq!((harness.state().tickets.len(), harness.state().stored_response_bytes), (0, 0));
+}
+
+#[test]
+fn writing_calls_are_shed_at_the_bound_of_remembered_calls() {
+    let mut state = State::default();
+    for at in 0..REPEATS {
+        state.repeats.insert(Name::from(format!("r{at}")), Arc::new(Outcome::Freed));
+    }
+    let mut harness = from_state(state);
+    let next = Call::Next { name: "n".into(), by: 1 };
+    harness.request(1, Request::Call { id: Some("new".into()), call: next.clone() });
+    harness.request(2, Request::Call { id: Some("r3".into()), call: next });
+    harness.request(3, Request::Call { id: None, call: Call::ReadNumber { name: "n".into() } });
+    harness.run_until_idle();
+    assert_eq!(harness.response(1), Some(&Response::Full));
+    assert_eq!(
+        harness.response(2),
+        Some(&Response::Outcome(Outcome::Freed)),
+        "known calls are answered"
+    );
+    assert_eq!(harness.response(3), Some(&Response::Outcome(Outcome::Number(0))));
+}
+
+#[test]
+fn a_remembered_call_is_removed_in_time_across_changes_of_leader() {
+    let mut harness = Harness::serving();
+    let call = Call::Next { name: "n".into(), by: 1 };
+    harness.request(1, Request::Call { id: Some("once".into()), call });
+    harness.run_until_idle();
+    let mut elapsed_ms = 0;
+    while harness.state().repeats.contains_key("once") {
+        assert!(elapsed_ms < REPEAT_RETENTION_MS + 12 * ERA_MS, "remembered for ever");
+        for _ in 0..22 {
+            harness.tick(2_000);
+            harness.sync();
+            elapsed_ms += 2_000;
+        }
+        let (entries, term) = (harness.entries.clone(), elapsed_ms / 1_000);
+        let mut next = Harness::new(recovered(&[1], entries.clone(), term));
+        (next.entries, next.now_ms) = (entries, harness.now_ms);
+        harness = next;
+        harness.become_leader();
+        elapsed_ms += 2_000;
+    }
+    assert!(elapsed_ms >= REPEAT_RETENTION_MS, "removed after {elapsed_ms} ms");
+    assert!(harness.state().repeat_queue.is_empty());
+}
--- a/crates/simulation/src/roll.rs
+++ b/crates/simulation/src/roll.rs
@@ -29,7 +29,7 @@
         let (here, done) = match who {
             Who::Control(at) => {
                 let machine = &self.control[at];
-                let handed = machine.node.as_ref().is_some_and(|node| node.has_handed_over());
+                let handed = machine.node.as_ref().is_some_and(|node| node.has_departed());
                 (machine.life == life, handed || past_ms >= LEADERSHIP_TRANSFER_MS)
             }
             Who::Data(at) => {
--- a/programs/control-plane/src/core.rs
+++ b/programs/control-plane/src/core.rs
@@ -162,7 +162,7 @@
     fn ended(&mut self, now_ms: u64) -> Option<Sender<()>> {
         let (stopping, _) = self.stopping.as_mut()?;
         let open_requests = self.open_requests.load(SeqCst);
-        if !stopping.may_end(now_ms, open_requests, self.node.has_handed_over()) {
+        if !stopping.may_end(now_ms, open_requests, self.node.has_departed()) {
             return None;
         }
         self.stopping.take().map(|(_, done)| done)
