--- a/crates/simulation/src/rolling_restart.rs
+++ b/crates/simulation/src/rolling_restart.rs
@@ -35,7 +35,7 @@
         let (here, done) = match process {
             ProcessId::Control(at) => {
                 let machine = &self.control[at];
-                let transferred = machine.node.as_ref().is_some_and(|node| node.has_handed_over());
+                let transferred = machine.node.as_ref().is_some_and(|node| node.has_departed());
                 (
                     machine.incarnation == incarnation,
                     transferred || past_ms >= LEADERSHIP_TRANSFER_MS,
