--- /dev/null
+++ b/crates/consensus/src/campaign.rs
@@ -0,0 +1,172 @@
+//! A member's own candidacy: the election timer, pre-vote (thesis, 9.6) and the election (3.4).
+
+use crate::{Consensus, Member, MemberId, Message, Role, VoteRequest};
+use postbarrow_constants::consensus::{ELECTION_MIN_MS, ELECTION_SPREAD_MS};
+use std::collections::BTreeSet;
+use std::hash::{Hash, Hasher};
+
+/// The election timer and the candidacy in progress.
+#[derive(Clone, Debug)]
+pub(crate) struct Election {
+    due_ms: u64,
+    /// Start of this incarnation.
+    started_ms: u64,
+    /// Members that granted the vote or pre-vote in progress, with this one.
+    votes: BTreeSet<MemberId>,
+    /// The candidacy follows a probe round in which nobody led.
+    pub leaderless: bool,
+    /// State of the generator that spreads the timers.
+    random: u64,
+}
+
+impl Election {
+    /// A timer with its first spread.
+    pub fn new(seed: u64, now_ms: u64) -> Self {
+        let mut election = Election {
+            due_ms: 0,
+            started_ms: now_ms,
+            votes: BTreeSet::new(),
+            leaderless: false,
+            random: seed | 1,
+        };
+        election.reset_timer(now_ms);
+        election
+    }
+
+    /// Starts the timer anew, with a spread drawn at random (thesis, 3.4).
+    pub fn reset_timer(&mut self, now_ms: u64) {
+        let spread_ms = self.random() % ELECTION_SPREAD_MS;
+        self.due_ms = now_ms + ELECTION_MIN_MS + spread_ms;
+    }
+
+    /// Gives a candidate time to win.
+    fn postpone(&mut self, until_ms: u64) {
+        self.due_ms = self.due_ms.max(until_ms);
+    }
+
+    /// Whether the timer has run out.
+    pub fn is_due(&self, now_ms: u64) -> bool {
+        now_ms >= self.due_ms
+    }
+
+    /// Until when an earlier incarnation of this member may be bound to a leader.
+    pub fn bound_by_start_until_ms(&self) -> u64 {
+        self.started_ms + ELECTION_MIN_MS
+    }
+
+    /// Defers to a candidate that this member gave its pre-vote.
+    pub fn defer_to_candidate(&mut self, now_ms: u64) {
+        self.postpone(now_ms + ELECTION_SPREAD_MS);
+    }
+
+    /// What later behaviour depends on, but for the generator's state.
+    pub fn fingerprint(&self, time: crate::FingerprintTime, into: &mut impl Hasher) {
+        (&self.votes, self.leaderless).hash(into);
+        (time.age(self.started_ms), time.until(self.due_ms)).hash(into);
+    }
+
+    fn random(&mut self) -> u64 {
+        self.random ^= self.random << 13;
+        self.random ^= self.random >> 7;
+        self.random ^= self.random << 17;
+        self.random
+    }
+}
+
+impl Consensus {
+    /// Asks all members whether this one would win an election, without a new term.
+    pub(crate) fn start_pre_vote(&mut self, now_ms: u64, leaderless: bool) {
+        self.election.reset_timer(now_ms);
+        if self.is_disk_stalled() {
+            return;
+        }
+        self.election.leaderless = leaderless;
+        self.set_role(Role::PreCandidate);
+        self.contact.leader = None;
+        self.election.votes = [self.id].into();
+        let request = self.vote_request(self.term + 1, false, leaderless);
+        for to in self.peers() {
+            self.send(to, Message::PreVote(request.clone()));
+        }
+        if self.has_won() {
+            self.start_vote(now_ms, false);
+        }
+    }
+
+    /// Begins a term as candidate. Its own vote is synced before it requests others.
+    pub(crate) fn start_vote(&mut self, now_ms: u64, leadership_transfer: bool) {
+        self.election.reset_timer(now_ms);
+        if self.is_disk_stalled() {
+            return;
+        }
+        self.set_role(Role::Candidate);
+        self.term += 1;
+        self.voted_for = Some(self.id);
+        self.election.votes = [self.id].into();
+        self.write_hard_state();
+        let leaderless = self.election.leaderless && !leadership_transfer;
+        let request = self.vote_request(self.term, leadership_transfer, leaderless);
+        for to in self.peers() {
+            self.send_after_sync(to, Message::Vote(request.clone()));
+        }
+        if self.has_won() {
+            self.become_leader(now_ms);
+        }
+    }
+
+    fn vote_request(&self, term: u64, leadership_transfer: bool, leaderless: bool) -> VoteRequest {
+        VoteRequest {
+            term,
+            last_index: self.log.last_index(),
+            last_term: self.log.last_term(),
+            leadership_transfer,
+            leaderless,
+        }
+    }
+
+    pub(crate) fn on_pre_vote_response(
+        &mut self,
+        now_ms: u64,
+        from: Member,
+        term: u64,
+        granted: bool,
+    ) {
+        if !granted {
+            if term > self.term {
+                self.become_follower(now_ms, term, None);
+            }
+            return;
+        }
+        if self.role != Role::PreCandidate || term != self.term + 1 {
+            return;
+        }
+        self.count_vote(from);
+        if self.has_won() {
+            self.start_vote(now_ms, false);
+        }
+    }
+
+    pub(crate) fn on_vote_response(&mut self, now_ms: u64, from: Member, term: u64, granted: bool) {
+        if term > self.term {
+            return self.become_follower(now_ms, term, None);
+        }
+        if self.role != Role::Candidate || term != self.term || !granted {
+            return;
+        }
+        self.count_vote(from);
+        if self.has_won() {
+            self.become_leader(now_ms);
+        }
+    }
+
+    /// Only voters of this member's own configuration count (thesis, 4.1).
+    fn count_vote(&mut self, from: Member) {
+        if self.log.is_member(from.id) {
+            self.election.votes.insert(from.id);
+        }
+    }
+
+    fn has_won(&self) -> bool {
+        self.election.votes.len() >= self.majority()
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/commit.rs
@@ -0,0 +1,29 @@
+//! Where an entry is committed (thesis, 3.5 and 3.6.2).
+
+use crate::{Consensus, Effect};
+
+impl Consensus {
+    /// Leader: commits what a majority of the voters has on disk. Only an entry of the leader's own
+    /// term is committed by counting; entries of earlier terms are committed with it (thesis,
+    /// 3.6.2).
+    pub(crate) fn advance_commit(&mut self) {
+        let members = self.log.members();
+        let mut matched: Vec<u64> = members.iter().map(|member| self.matched(member.id)).collect();
+        matched.sort_unstable_by(|a, b| b.cmp(a));
+        let replicated = matched.get(members.len() / 2).copied().unwrap_or(0);
+        if replicated > self.commit_index && self.log.term_at(replicated) == Some(self.term) {
+            self.commit_to(replicated);
+        }
+    }
+
+    /// All members: everything up to `index`, as far as this log has it, is committed.
+    pub(crate) fn commit_to(&mut self, index: u64) {
+        let index = index.min(self.log.last_index());
+        if index <= self.commit_index {
+            return;
+        }
+        let entries = self.log.range(self.commit_index + 1, index);
+        self.commit_index = index;
+        self.effects.push(Effect::Commit(entries));
+    }
+}
--- a/crates/consensus/src/disk_health.rs
+++ b/crates/consensus/src/disk_health.rs
@@ -1,104 +1,123 @@
 //! Whether this member's disk keeps up, judged from its own writes: no I/O is needed.
 //!
 //! A disk is stalled while its oldest unsynced write is older than a bound. Such a member neither
-//! seeks votes nor gives any, and if it leads it hands over: everything it promises waits for its
-//! disk. The first sync that returns makes it an ordinary follower again.
+//! campaigns nor votes, and if it leads it transfers leadership: everything it acknowledges waits for
+//! its disk. The first sync that returns makes it an ordinary follower again.
 
 use crate::{Consensus, FingerprintTime, Role};
 use postbarrow_constants::consensus::*;
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
 
-/// Two ticks further apart than this mean that the process itself stood still.
-const STOOD_STILL_MS: u64 = 5 * TICK_MS;
+/// Two inputs further apart than this mean that the process itself was paused.
+const PROCESS_PAUSE_MS: u64 = 5 * TICK_MS;
+
+/// Consecutive writes of one millisecond that are not synced.
+#[derive(Clone, Copy, Debug)]
+struct UnsyncedWrites {
+    last_sequence: u64,
+    issued_ms: u64,
+}
 
 /// The writes that wait for their sync, by age.
 #[derive(Clone, Debug)]
 pub(crate) struct DiskHealth {
     now_ms: u64,
-    /// Sequence and time of each unsynced write, one for all of a millisecond.
-    unsynced: VecDeque<(u64, u64)>,
-    /// The newest slot among them.
-    slot: u64,
-    /// Since when this leader has wanted to hand over because of its disk.
-    yields_since_ms: Option<u64>,
+    unsynced: VecDeque<UnsyncedWrites>,
+    /// The newest write of a slot, which takes longer.
+    newest_slot: u64,
+    /// Since when this leader has been due to transfer leadership because of its disk.
+    transfer_due_since_ms: Option<u64>,
 }
 
 impl DiskHealth {
+    /// Nothing is written yet.
     pub fn new(now_ms: u64) -> Self {
-        DiskHealth { now_ms, unsynced: VecDeque::new(), slot: 0, yields_since_ms: None }
+        DiskHealth {
+            now_ms,
+            unsynced: VecDeque::new(),
+            newest_slot: 0,
+            transfer_due_since_ms: None,
+        }
     }
 
-    /// What a process learns of its disk, it learns while it runs: a pause makes no write older.
-    pub fn at(&mut self, now_ms: u64) {
+    /// A process observes its disk while it runs: a pause makes no write older.
+    pub fn advance_clock(&mut self, now_ms: u64) {
         let gap_ms = now_ms.saturating_sub(self.now_ms);
         self.now_ms = self.now_ms.max(now_ms);
-        if gap_ms > STOOD_STILL_MS {
-            self.unsynced.iter_mut().for_each(|(_, since_ms)| *since_ms += gap_ms);
+        if gap_ms > PROCESS_PAUSE_MS {
+            self.unsynced.iter_mut().for_each(|writes| writes.issued_ms += gap_ms);
         }
     }
 
-    pub fn issued(&mut self, sequence: u64, slot: bool) {
-        if slot {
-            self.slot = sequence;
+    /// A write is issued now.
+    pub fn on_write(&mut self, sequence: u64, is_slot: bool) {
+        if is_slot {
+            self.newest_slot = sequence;
         }
         match self.unsynced.back_mut() {
-            Some((last, since_ms)) if *since_ms == self.now_ms => *last = sequence,
-            _ => self.unsynced.push_back((sequence, self.now_ms)),
+            Some(writes) if writes.issued_ms == self.now_ms => writes.last_sequence = sequence,
+            _ => self
+                .unsynced
+                .push_back(UnsyncedWrites { last_sequence: sequence, issued_ms: self.now_ms }),
         }
     }
 
-    pub fn synced(&mut self, sequence: u64) {
-        while self.unsynced.front().is_some_and(|(last, _)| *last <= sequence) {
+    /// All writes up to `sequence` are synced.
+    pub fn on_synced(&mut self, sequence: u64) {
+        while self.unsynced.front().is_some_and(|writes| writes.last_sequence <= sequence) {
             self.unsynced.pop_front();
         }
     }
 
-    /// What later behaviour rests on, for searches over many states.
-    pub fn fingerprint(&self, synced: u64, moment: FingerprintTime, into: &mut impl Hasher) {
-        for (sequence, since_ms) in &self.unsynced {
-            (sequence.saturating_sub(synced), moment.age(*since_ms)).hash(into);
+    /// What later behaviour depends on.
+    pub fn fingerprint(&self, synced: u64, time: FingerprintTime, into: &mut impl Hasher) {
+        for writes in &self.unsynced {
+            let ahead = writes.last_sequence.saturating_sub(synced);
+            (ahead, time.age(writes.issued_ms)).hash(into);
         }
-        self.slot.saturating_sub(synced).hash(into);
-        self.yields_since_ms.map(|since_ms| moment.age(since_ms)).hash(into);
+        self.newest_slot.saturating_sub(synced).hash(into);
+        self.transfer_due_since_ms.map(|since_ms| time.age(since_ms)).hash(into);
     }
 
     fn is_stalled(&self) -> bool {
-        let Some((first, since_ms)) = self.unsynced.front() else { return false };
-        let bound_ms = if self.slot >= *first { DISK_STALL_SLOT_MS } else { DISK_STALL_MS };
-        self.now_ms.saturating_sub(*since_ms) > bound_ms
+        let Some(oldest) = self.unsynced.front() else { return false };
+        let is_slot = self.newest_slot >= oldest.last_sequence;
+        let bound_ms = if is_slot { DISK_STALL_SLOT_MS } else { DISK_STALL_MS };
+        self.now_ms.saturating_sub(oldest.issued_ms) > bound_ms
     }
 }
 
 impl Consensus {
-    /// This member's disk keeps it waiting: it is no candidate, no voter and no good leader.
+    /// Whether this member's disk is stalled: it neither campaigns nor votes, and should not lead.
     pub fn is_disk_stalled(&self) -> bool {
         self.disk.is_stalled()
     }
 
-    /// Another could lead in this one's place, which the owner should bring about by a handover.
-    pub fn should_yield(&self) -> bool {
-        let heard = |id| self.is_responsive(self.disk.now_ms, id);
+    /// Whether this member leads with a stalled disk while another member responds: its owner
+    /// should give [`Input::TransferLeadership`](crate::Input::TransferLeadership).
+    pub fn should_transfer_leadership(&self) -> bool {
         self.role == Role::Leader
             && self.is_disk_stalled()
-            && self.others().iter().any(|other| heard(other.id))
+            && self.peers().iter().any(|peer| self.is_responsive(self.disk.now_ms, peer.id))
     }
 
-    /// A leader whose handover led to nothing steps down, so that the others hold an election.
-    pub(crate) fn yield_tick(&mut self, now_ms: u64) {
+    /// A leader with a stalled disk whose transfer did not succeed steps down, so that the others
+    /// hold an election.
+    pub(crate) fn stalled_leader_tick(&mut self, now_ms: u64) {
         if self.role != Role::Leader {
-            self.disk.yields_since_ms = None;
+            self.disk.transfer_due_since_ms = None;
             return;
         }
-        let Some(since_ms) = self.disk.yields_since_ms else {
-            self.disk.yields_since_ms = self.should_yield().then_some(now_ms);
+        let Some(since_ms) = self.disk.transfer_due_since_ms else {
+            self.disk.transfer_due_since_ms = self.should_transfer_leadership().then_some(now_ms);
             return;
         };
-        if !self.transferring_leadership && !self.should_yield() {
-            self.disk.yields_since_ms = None;
+        if !self.leader_state.is_transferring && !self.should_transfer_leadership() {
+            self.disk.transfer_due_since_ms = None;
         } else if now_ms >= since_ms + DISK_YIELD_MS {
-            self.disk.yields_since_ms = None;
-            self.follow(now_ms, self.term, None);
+            self.disk.transfer_due_since_ms = None;
+            self.become_follower(now_ms, self.term, None);
         }
     }
 }
--- a/crates/consensus/src/fingerprint.rs
+++ b/crates/consensus/src/fingerprint.rs
@@ -1,13 +1,16 @@
-//! Identity of a state for searches over many of them: equal fingerprints mean equal behaviour from
-//! here on, but for the spread of election timers.
+//! Identity of a state, for searches over many of them: equal fingerprints mean equal behaviour from
+//! there on, but for the spread of election timers.
 
 use crate::{Consensus, Message};
 use std::hash::{Hash, Hasher};
 
-/// Times are hashed by their distance from now, and those older than the horizon are all alike.
+/// The time of a state. Times are hashed by their distance from it, and those older than the horizon
+/// are all alike.
 #[derive(Clone, Copy)]
 pub struct FingerprintTime {
+    /// Time of the state, in milliseconds.
     pub now_ms: u64,
+    /// Age from which times no longer differ, in milliseconds.
     pub horizon_ms: u64,
 }
 
@@ -16,21 +19,21 @@
         self.now_ms.saturating_sub(at_ms).min(self.horizon_ms)
     }
 
-    fn until(&self, due_ms: u64) -> u64 {
+    pub(crate) fn until(&self, due_ms: u64) -> u64 {
         due_ms.saturating_sub(self.now_ms)
     }
 }
 
 impl Message {
-    /// The send time it carries becomes its age; all else is hashed as it stands.
-    pub fn fingerprint(&self, moment: FingerprintTime, into: &mut impl Hasher) {
+    /// Hashes the message with its send time as an age, and all else as it is.
+    pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
         let mut message = self.clone();
         match &mut message {
-            Message::Append(one) => one.sent_ms = moment.age(one.sent_ms),
-            Message::AppendResponse(one) => one.sent_ms = moment.age(one.sent_ms),
-            Message::Snapshot(one) => one.sent_ms = moment.age(one.sent_ms),
-            Message::SnapshotResponse(one) => one.sent_ms = moment.age(one.sent_ms),
-            Message::TimeoutNow(one) => one.sent_ms = moment.age(one.sent_ms),
+            Message::Append(append) => append.sent_ms = time.age(append.sent_ms),
+            Message::AppendResponse(response) => response.sent_ms = time.age(response.sent_ms),
+            Message::Snapshot(chunk) => chunk.sent_ms = time.age(chunk.sent_ms),
+            Message::SnapshotResponse(response) => response.sent_ms = time.age(response.sent_ms),
+            Message::TimeoutNow(request) => request.sent_ms = time.age(request.sent_ms),
             _ => {}
         }
         message.hash(into);
@@ -38,29 +41,16 @@
 }
 
 impl Consensus {
-    /// All that later behaviour rests on; the random state and the clock offset are left out,
-    /// and so is what a planned stop adds, for no search begins one.
-    pub fn fingerprint(&self, moment: FingerprintTime, into: &mut impl Hasher) {
-        (self.id, self.term, self.voted_for, self.commit_index, self.role, self.leader).hash(into);
-        (&self.log, &self.votes, &self.learners, &self.snapshot, &self.incoming).hash(into);
-        (self.term_start, self.transferring_leadership, self.self_match, self.voters).hash(into);
-        (self.probe_round, &self.non_leaders, &self.denied_leadership, self.leaderless).hash(into);
-        (moment.age(self.leader_contact_ms), moment.age(self.started_ms)).hash(into);
-        (moment.until(self.election_due_ms), moment.until(self.heartbeat_due_ms)).hash(into);
-        moment.until(self.probe_due_ms).hash(into);
-        for known in self.progress.values() {
-            known.fingerprint(moment, into);
-        }
-        self.disk.fingerprint(self.synced, moment, into);
-        self.fingerprint_writes(moment, into);
-    }
-
-    /// Only how far each write is ahead of the newest sync matters, not its number.
-    fn fingerprint_writes(&self, moment: FingerprintTime, into: &mut impl Hasher) {
-        (self.sequence - self.synced).hash(into);
-        for (wrote, last) in &self.appended {
-            (wrote.saturating_sub(self.synced), last).hash(into);
-        }
-        self.after_sync.fingerprint(self.synced, moment, into);
+    /// Hashes all that later behaviour depends on. The state of the random generator and the clock
+    /// offset are omitted, and so is what a departure adds, since no search begins one.
+    pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
+        (self.id, self.term, self.voted_for, self.commit_index, self.role).hash(into);
+        (&self.log, &self.snapshot, &self.incoming, self.seats.voters).hash(into);
+        self.election.fingerprint(time, into);
+        self.probe.fingerprint(time, into);
+        self.contact.fingerprint(time, into);
+        self.leader_state.fingerprint(time, into);
+        self.disk.fingerprint(self.durability.synced(), time, into);
+        self.durability.fingerprint(time, into);
     }
 }
--- a/crates/consensus/src/leader_probe.rs
+++ b/crates/consensus/src/leader_probe.rs
@@ -1,68 +1,103 @@
-use crate::*;
-use postbarrow_constants::consensus::{ELECTION_MIN_MS, LEADER_PROBE_MS};
+//! How a cluster without a leader elects at once.
+//!
+//! A lease is only in the memory of the leader. So when every member denies in one round that it
+//! leads, no lease is left, and nobody needs to wait for its end: after all have restarted at once,
+//! or the leader alone.
+//!
+//! Rounds are numbered from a random start in each incarnation, so that no response to an earlier
+//! incarnation counts. A member that comes to lead after its response starts its term with an entry
+//! that the prober lacks, and the members that confirm its lease have that entry and refuse the
+//! prober their votes.
+
+use crate::{Consensus, FingerprintTime, Member, MemberId, Message, Role};
+use postbarrow_constants::consensus::LEADER_PROBE_MS;
+use std::collections::BTreeSet;
+use std::hash::{Hash, Hasher};
+
+/// Rounds of asking all other members whether they lead.
+#[derive(Clone, Debug)]
+pub(crate) struct ProbeState {
+    round: u64,
+    due_ms: u64,
+    /// Members that denied in this round that they lead.
+    non_leaders: BTreeSet<MemberId>,
+    /// This member denied that it leads, and had contact with no leader since.
+    pub denied_leadership: bool,
+}
+
+impl ProbeState {
+    /// Before the first round of an incarnation.
+    pub fn new(seed: u64, now_ms: u64) -> Self {
+        ProbeState {
+            round: seed >> 1,
+            due_ms: now_ms,
+            non_leaders: BTreeSet::new(),
+            denied_leadership: false,
+        }
+    }
+
+    /// Later responses to this round are ignored: they may tell of a time before what was received
+    /// since.
+    pub fn end_round(&mut self) {
+        self.round += 1;
+        self.non_leaders.clear();
+    }
+
+    /// What later behaviour depends on.
+    pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
+        (self.round, &self.non_leaders, self.denied_leadership).hash(into);
+        time.until(self.due_ms).hash(into);
+    }
+}
 
-/// A hold is only in the memory of who leads. So when every member says in one round that it does
-/// not lead, no lease is left, and nobody need wait for its end: after all have restarted at once,
-/// or the leader alone.
-///
-/// Rounds are numbered from a random begin in each life, so that no answer to an earlier life counts.
-/// Whoever comes to lead after its answer begins its term with an entry that the asker lacks, and
-/// those that confirm its lease have that entry and give the asker no vote.
 impl Consensus {
-    /// One that just started and knows of no leader asks all others, round after round.
-    pub(crate) fn who_tick(&mut self, now_ms: u64) {
-        let waits = self.role == Role::Follower
-            && self.leader.is_none()
-            && now_ms < self.started_ms + ELECTION_MIN_MS
+    /// A member that just started and knows of no leader probes all others, round after round.
+    pub(crate) fn probe_tick(&mut self, now_ms: u64) {
+        let is_probing = self.is_without_leader()
+            && now_ms < self.election.bound_by_start_until_ms()
             && self.log.is_member(self.id);
-        if !waits || now_ms < self.probe_due_ms {
+        if !is_probing || now_ms < self.probe.due_ms {
             return;
         }
-        self.probe_due_ms = now_ms + LEADER_PROBE_MS;
-        self.end_round();
-        let (term, round) = (self.term, self.probe_round);
-        for to in self.others() {
+        self.probe.due_ms = now_ms + LEADER_PROBE_MS;
+        self.probe.end_round();
+        let (term, round) = (self.term, self.probe.round);
+        for to in self.peers() {
             self.send(to, Message::LeaderProbe { term, round });
         }
     }
 
-    /// Later answers to it don't count: they may speak of a time before what was heard since.
-    pub(crate) fn end_round(&mut self) {
-        self.probe_round += 1;
-        self.non_leaders.clear();
-    }
-
-    pub(crate) fn on_who(&mut self, from: Member, round: u64) {
-        let free = self.role != Role::Leader;
-        self.denied_leadership = free;
-        self.send(from, Message::LeaderProbeResponse { term: self.term, round, free });
+    pub(crate) fn on_leader_probe(&mut self, from: Member, round: u64) {
+        let not_leading = self.role != Role::Leader;
+        self.probe.denied_leadership = not_leading;
+        self.send(from, Message::LeaderProbeResponse { term: self.term, round, not_leading });
     }
 
-    pub(crate) fn on_who_response(
+    /// Campaigns once all other members denied in one round that they lead.
+    pub(crate) fn on_leader_probe_response(
         &mut self,
         now_ms: u64,
         from: Member,
         term: u64,
         round: u64,
-        free: bool,
+        not_leading: bool,
     ) {
-        let waits = self.role == Role::Follower && self.leader.is_none();
-        if round != self.probe_round || !free || !waits || !self.log.is_member(self.id) {
+        let counts = round == self.probe.round && not_leading;
+        if !counts || !self.is_without_leader() || !self.log.is_member(self.id) {
             return;
         }
         if term > self.term {
-            return self.follow(now_ms, term, None);
+            return self.become_follower(now_ms, term, None);
         }
-        self.non_leaders.insert(from.id);
-        if self.others().iter().all(|other| self.non_leaders.contains(&other.id)) {
-            self.end_round();
-            self.denied_leadership = true;
+        self.probe.non_leaders.insert(from.id);
+        if self.peers().iter().all(|peer| self.probe.non_leaders.contains(&peer.id)) {
+            self.probe.end_round();
+            self.probe.denied_leadership = true;
             self.start_pre_vote(now_ms, true);
         }
     }
 
-    /// Since this one said that it does not lead, nobody else was heard to.
-    pub(crate) fn is_clear(&self, ask: &VoteRequest) -> bool {
-        ask.leaderless && self.denied_leadership && self.role != Role::Leader
+    fn is_without_leader(&self) -> bool {
+        self.role == Role::Follower && self.contact.leader.is_none()
     }
 }
--- a/crates/consensus/src/leadership_transfer.rs
+++ b/crates/consensus/src/leadership_transfer.rs
@@ -1,42 +1,43 @@
-//! A leader gives up its lease and lets a caught-up follower lead at once.
+//! Leadership transfer (thesis, 3.10): a leader relinquishes its lease and lets a caught-up follower
+//! campaign at once.
 
-use crate::*;
+use crate::{Consensus, Effect, Member, Message, Role, TimeoutNow};
 
 impl Consensus {
-    /// The hold ends first and for the rest of the term, so that the others need not wait for it.
-    pub(crate) fn hand_over(&mut self, now_ms: u64, note: Vec<u8>) {
+    /// The lease ends first and for the rest of the term, so that the others need not wait for it.
+    /// Without a caught-up follower nothing happens.
+    pub(crate) fn transfer_leadership(&mut self, now_ms: u64, handover_state: Vec<u8>) {
         if self.role != Role::Leader {
             return;
         }
-        let last = self.log.last_index();
-        let heir = self.progress.values().filter(|known| {
-            known.matched == last
-                && self.log.is_member(known.member.id)
-                && self.is_responsive(now_ms, known.member.id)
-                && !self.is_leaving(now_ms, known.member.id)
+        let Some(transferee) = self.transferee(now_ms) else { return };
+        self.leader_state.is_transferring = true;
+        let request = TimeoutNow { term: self.term, sent_ms: now_ms, handover_state };
+        self.send(transferee, Message::TimeoutNow(request));
+    }
+
+    fn transferee(&self, now_ms: u64) -> Option<Member> {
+        let last_index = self.log.last_index();
+        let mut candidates = self.leader_state.progress.values().filter(|progress| {
+            let id = progress.member.id;
+            progress.matched == last_index
+                && self.log.is_member(id)
+                && self.is_responsive(now_ms, id)
+                && !self.is_departing(now_ms, id)
         });
-        let Some(heir) = heir.map(|known| known.member).next() else {
-            return;
-        };
-        self.transferring_leadership = true;
-        let ask = TimeoutNow { term: self.term, sent_ms: now_ms, handover_state: note };
-        self.send(heir, Message::TimeoutNow(ask));
+        candidates.next().map(|progress| progress.member)
     }
 
-    pub(crate) fn on_take_over(&mut self, now_ms: u64, from: Member, ask: TimeoutNow) {
-        let led = self.role == Role::Follower && self.leader == Some(from.id);
-        if ask.term != self.term || !led || !self.log.is_member(self.id) {
+    /// This member's leader lets it campaign: without a pre-vote, and though voters are bound to
+    /// that leader.
+    pub(crate) fn on_timeout_now(&mut self, now_ms: u64, from: Member, request: TimeoutNow) {
+        let is_follower = self.role == Role::Follower && self.contact.leader == Some(from.id);
+        if request.term != self.term || !is_follower || !self.log.is_member(self.id) {
             return;
         }
-        let offset_ms = now_ms as i64 - ask.sent_ms as i64;
-        let late_ms = self.leader_offset_ms.map_or(0, |least| (offset_ms - least).max(0) as u64);
-        self.effects.push(Effect::LeadershipReceived { note: ask.handover_state, late_ms });
+        let late_ms = self.contact.excess_delay_ms(now_ms, request.sent_ms);
+        let handover_state = request.handover_state;
+        self.effects.push(Effect::LeadershipReceived { handover_state, late_ms });
         self.start_vote(now_ms, true);
     }
-
-    pub(crate) fn note_offset(&mut self, now_ms: u64, sent_ms: u64) {
-        let offset_ms = now_ms as i64 - sent_ms as i64;
-        let least = self.leader_offset_ms.map_or(offset_ms, |least| least.min(offset_ms));
-        self.leader_offset_ms = Some(least);
-    }
 }
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,121 +1,139 @@
-//! Who votes: the first members, learners, and the one step at a time by which seats change.
+//! How the members change: one member at a time (thesis, chapter 4), with learners that catch up
+//! before they vote (4.2.1).
 
-use crate::*;
-use postbarrow_constants::consensus::*;
+use crate::progress::Progress;
+use crate::{Consensus, Member, MemberId, Payload, Role};
+use postbarrow_constants::consensus::{
+    LEARNER_LAG_ENTRIES, LEARNER_STANDBY_MS, RESPONSIVE_MS, VOTER_DEAD_MS, VOTERS,
+};
 
-impl Consensus {
-    /// First start of three empty disks that all named the same three.
-    pub(crate) fn form(&mut self, members: Vec<Member>) {
-        if !self.is_uninitialized()
-            || self.log.last_index() > 0
-            || !members.iter().any(|member| member.id == self.id)
-        {
-            return;
-        }
-        let snapshot = Arc::new(Snapshot { index: 0, term: 0, members, state: Vec::new() });
-        self.log.reset(&snapshot);
-        self.write_slot(snapshot);
+/// How many voters there should be, and when one of them is replaced.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct SeatPolicy {
+    /// Voters that the configuration grows to while learners are caught up.
+    pub voters: usize,
+    /// A voter without a response for this long is removed while a learner is caught up.
+    pub voter_dead_ms: u64,
+}
+
+impl Default for SeatPolicy {
+    fn default() -> Self {
+        SeatPolicy { voters: VOTERS, voter_dead_ms: VOTER_DEAD_MS }
+    }
+}
+
+impl SeatPolicy {
+    /// As many voters as a majority needs after so many losses at once.
+    pub fn set_losses(&mut self, losses: usize) {
+        self.voters = VOTERS.max(2 * losses + 1);
     }
+}
 
-    pub(crate) fn learner(&mut self, now_ms: u64, member: Member) {
-        if self.role != Role::Leader || member.id == self.id || self.is_leaving(now_ms, member.id) {
+impl Consensus {
+    /// A process asks to follow the log: it becomes a learner, or a voter's address is updated.
+    pub(crate) fn add_learner(&mut self, now_ms: u64, member: Member) {
+        let is_departing = self.is_departing(now_ms, member.id);
+        if self.role != Role::Leader || member.id == self.id || is_departing {
             return;
         }
-        if let Some(known) = self.log.members().iter().find(|known| known.id == member.id) {
-            if known.address != member.address && self.log.config_index() <= self.commit_index {
-                self.move_member(now_ms, member);
+        if let Some(voter) = self.log.members().iter().find(|voter| voter.id == member.id) {
+            if voter.address != member.address && self.log.config_index() <= self.commit_index {
+                self.change_address(now_ms, member);
             }
             return;
         }
         let next = self.log.last_index() + 1;
-        self.learners.insert(member.id, member);
-        self.progress.entry(member.id).or_insert_with(|| Progress::new(member, next, now_ms));
+        self.leader_state.learners.insert(member.id, member);
+        self.follow_progress_of(now_ms, member, next);
     }
 
-    /// One step at a time, and none that would leave the log without a majority of those heard
-    /// lately.
-    pub(crate) fn change_members(&mut self, now_ms: u64) {
+    /// One step at a time (thesis, 4.1), and none that would leave the log without a majority of
+    /// responsive voters.
+    pub(crate) fn membership_tick(&mut self, now_ms: u64) {
         if !self.is_ready() || self.log.config_index() > self.commit_index {
             return;
         }
         let Some(members) = self.next_members(now_ms) else { return };
-        let live =
-            members.iter().filter(|one| one.id == self.id || self.is_responsive(now_ms, one.id));
-        if live.count() > members.len() / 2 {
+        let responsive = members
+            .iter()
+            .filter(|member| member.id == self.id || self.is_responsive(now_ms, member.id));
+        if responsive.count() > members.len() / 2 {
             self.propose_members(now_ms, members);
         }
     }
 
-    /// A dead voter leaves first, then the learner joins: a learner that dies meanwhile can't be
-    /// missed by a majority of four. A living one that is about to end leaves last: four that all
-    /// live bear a loss at each step, and if one is silent, the leaver's own end is the surer loss.
-    /// No voter makes place before the learner has been here for longer than 'lately', for it may
-    /// stand where one of the others stood a moment ago.
+    /// A dead voter is removed first, then the learner joins: if the learner is lost meanwhile, no
+    /// majority of four lacks it. A responsive voter that departs is removed last: four responsive
+    /// voters bear a loss at each step, and if one of them does not respond, the departure is the
+    /// more certain loss. No voter is removed before the learner has responded for longer than
+    /// `RESPONSIVE_MS`, since it may run on the machine of a voter that was lost a moment ago.
     fn next_members(&self, now_ms: u64) -> Option<Vec<Member>> {
         let members = self.log.members();
-        if members.len() > self.voters {
-            let leaves = self.dead_voter(now_ms).or_else(|| self.leaver(now_ms))?;
-            return Some(self.members_without(leaves));
+        if members.len() > self.seats.voters {
+            let removed = self.dead_voter(now_ms).or_else(|| self.departing_voter(now_ms))?;
+            return Some(self.members_without(removed));
         }
-        let learner = self.caught_up(now_ms)?;
-        let joined = || members.iter().copied().chain([learner]).collect();
-        if members.len() < self.voters {
-            return Some(joined());
+        let learner = self.caught_up_learner(now_ms)?;
+        let with_learner = || members.iter().copied().chain([learner]).collect();
+        if members.len() < self.seats.voters {
+            return Some(with_learner());
         }
-        let since_ms = self.progress.get(&learner.id).map_or(now_ms, |known| known.since_ms);
+        let progress = self.leader_state.progress.get(&learner.id);
+        let since_ms = progress.map_or(now_ms, |progress| progress.since_ms);
         if now_ms < since_ms + LEARNER_STANDBY_MS {
             return None;
         }
         match self.dead_voter(now_ms) {
             Some(dead) => Some(self.members_without(dead)),
-            None => self.leaver(now_ms).map(|_| joined()),
+            None => self.departing_voter(now_ms).map(|_| with_learner()),
         }
     }
 
-    fn members_without(&self, gone: MemberId) -> Vec<Member> {
-        self.log.members().iter().filter(|one| one.id != gone).copied().collect()
+    fn members_without(&self, removed: MemberId) -> Vec<Member> {
+        self.log.members().iter().filter(|member| member.id != removed).copied().collect()
     }
 
-    /// The voter silent longest of those that are taken for dead.
+    /// Of the voters that count as dead, the one whose last response is oldest.
     fn dead_voter(&self, now_ms: u64) -> Option<MemberId> {
         let silent_ms = |id: MemberId| {
-            self.progress.get(&id).map_or(0, |known| now_ms.saturating_sub(known.last_response_ms))
+            self.leader_state.progress.get(&id).map_or(0, |progress| progress.silent_ms(now_ms))
         };
-        let others = self.log.members().iter().map(|one| one.id).filter(|id| *id != self.id);
-        let dead =
-            others.filter(|id| silent_ms(*id) >= self.voter_dead_ms || self.is_gone(now_ms, *id));
-        dead.max_by_key(|id| silent_ms(*id))
+        let is_dead = |id: &MemberId| {
+            silent_ms(*id) >= self.seats.voter_dead_ms || self.has_stopped(now_ms, *id)
+        };
+        self.peer_ids().filter(is_dead).max_by_key(|id| silent_ms(*id))
+    }
+
+    /// A responsive voter that announced its departure.
+    fn departing_voter(&self, now_ms: u64) -> Option<MemberId> {
+        self.peer_ids().find(|id| self.is_departing(now_ms, *id))
     }
 
-    /// A voter that still lives and is about to end.
-    fn leaver(&self, now_ms: u64) -> Option<MemberId> {
-        let mut others = self.log.members().iter().map(|one| one.id).filter(|id| *id != self.id);
-        others.find(|id| self.is_leaving(now_ms, *id))
+    fn peer_ids(&self) -> impl Iterator<Item = MemberId> {
+        self.log.members().iter().map(|member| member.id).filter(|id| *id != self.id)
     }
 
-    /// It answered this leader lately, or this one was elected lately and knows no better.
+    /// Whether it responded to this leader lately, or this member was elected lately and cannot
+    /// tell yet.
     pub(crate) fn is_responsive(&self, now_ms: u64, id: MemberId) -> bool {
-        let known = self.progress.get(&id);
-        known.is_some_and(|known| now_ms.saturating_sub(known.last_response_ms) < RESPONSIVE_MS)
+        let progress = self.leader_state.progress.get(&id);
+        progress.is_some_and(|progress| progress.silent_ms(now_ms) < RESPONSIVE_MS)
     }
 
-    fn caught_up(&self, now_ms: u64) -> Option<Member> {
-        let caught = |learner: &&Member| {
-            self.progress.get(&learner.id).is_some_and(|known| {
-                self.is_responsive(now_ms, learner.id)
-                    && !self.is_leaving(now_ms, learner.id)
-                    && known.matched + LEARNER_LAG_ENTRIES >= self.log.last_index()
-            })
+    fn caught_up_learner(&self, now_ms: u64) -> Option<Member> {
+        let is_caught_up = |learner: &&Member| {
+            self.is_responsive(now_ms, learner.id)
+                && !self.is_departing(now_ms, learner.id)
+                && self.matched(learner.id) + LEARNER_LAG_ENTRIES >= self.log.last_index()
         };
-        self.learners.values().find(caught).copied()
+        self.leader_state.learners.values().find(is_caught_up).copied()
     }
 
-    /// The same disk at another address: the same voters, so one step does.
-    fn move_member(&mut self, now_ms: u64, moved: Member) {
-        let mut members = self.log.members().to_vec();
-        members.retain(|member| member.id != moved.id);
+    /// The same disk at another address: the voters remain the same, so one step is enough.
+    fn change_address(&mut self, now_ms: u64, moved: Member) {
+        let mut members = self.members_without(moved.id);
         members.push(moved);
-        self.progress.remove(&moved.id);
+        self.leader_state.progress.remove(&moved.id);
         self.propose_members(now_ms, members);
     }
 
@@ -123,33 +141,19 @@
         self.append_own(now_ms, vec![Payload::Members(members.clone())]);
         let next = self.log.last_index() + 1;
         for member in &members {
-            self.learners.remove(&member.id);
+            self.leader_state.learners.remove(&member.id);
             if member.id != self.id {
-                self.progress
-                    .entry(member.id)
-                    .or_insert_with(|| Progress::new(*member, next, now_ms));
+                self.follow_progress_of(now_ms, *member, next);
             }
         }
-        let learners = &self.learners;
-        self.progress.retain(|id, _| {
+        let learners = &self.leader_state.learners;
+        self.leader_state.progress.retain(|id, _| {
             members.iter().any(|member| member.id == *id) || learners.contains_key(id)
         });
     }
 
-    pub fn learners(&self) -> Vec<Member> {
-        self.learners.values().copied().collect()
-    }
-
-    /// Silence and lag of each known member, for status.
-    pub fn followers(&self, now_ms: u64) -> Vec<(Member, u64, u64)> {
-        let last = self.log.last_index();
-        let row = |known: &Progress| {
-            (
-                known.member,
-                now_ms.saturating_sub(known.last_response_ms),
-                last.saturating_sub(known.matched),
-            )
-        };
-        self.progress.values().map(row).collect()
+    fn follow_progress_of(&mut self, now_ms: u64, member: Member, next: u64) {
+        let progress = self.leader_state.progress.entry(member.id);
+        progress.or_insert_with(|| Progress::new(member, next, now_ms));
     }
 }
--- /dev/null
+++ b/crates/consensus/src/outgoing_snapshot.rs
@@ -0,0 +1,123 @@
+//! The sender's end of one snapshot's transfer: chunks in flight, and those that are sent again.
+
+use crate::{FingerprintTime, Snapshot, SnapshotChunk, SnapshotResponse};
+use postbarrow_constants::consensus::{
+    FOLLOWER_IN_FLIGHT_BYTES, SNAPSHOT_CHUNK_BYTES, SNAPSHOT_RETRY_MAX_MS, SNAPSHOT_RETRY_MS,
+};
+use std::hash::{Hash, Hasher};
+use std::sync::Arc;
+
+/// A transfer in progress: it continues with its own snapshot over newer ones.
+#[derive(Clone, Debug)]
+pub(crate) struct OutgoingSnapshot {
+    snapshot: Arc<Snapshot>,
+    checksum: u32,
+    /// A chunk was sent; even an empty state has one.
+    is_started: bool,
+    /// Bytes that the follower has received without a gap.
+    confirmed: u64,
+    /// Bytes sent.
+    sent: u64,
+    /// When a chunk was last answered, or sent again for want of a response.
+    last_attempt_ms: u64,
+    retry_interval_ms: u64,
+    /// When a chunk was sent again; nothing else is sent before its response.
+    resent_ms: Option<u64>,
+    /// When `sent` was last set back: responses to older chunks say nothing of what was sent since.
+    rewound_ms: u64,
+}
+
+impl OutgoingSnapshot {
+    /// Begins at the first byte.
+    pub fn new(snapshot: Arc<Snapshot>, now_ms: u64) -> Self {
+        OutgoingSnapshot {
+            checksum: crc32fast::hash(&snapshot.state),
+            snapshot,
+            is_started: false,
+            confirmed: 0,
+            sent: 0,
+            last_attempt_ms: now_ms,
+            retry_interval_ms: SNAPSHOT_RETRY_MS,
+            resent_ms: None,
+            rewound_ms: 0,
+        }
+    }
+
+    /// The last entry that the snapshot covers.
+    pub fn index(&self) -> u64 {
+        self.snapshot.index
+    }
+
+    /// Bytes of the complete state.
+    pub fn total(&self) -> u64 {
+        self.snapshot.state.len() as u64
+    }
+
+    /// Chunks to send now: as many as the in-flight bound allows, or one again that was not
+    /// answered.
+    pub fn take_due_chunks(&mut self, now_ms: u64, term: u64) -> Vec<SnapshotChunk> {
+        if self.is_started && now_ms >= self.last_attempt_ms + self.retry_interval_ms {
+            self.last_attempt_ms = now_ms;
+            self.retry_interval_ms = (self.retry_interval_ms * 2).min(SNAPSHOT_RETRY_MAX_MS);
+            self.resent_ms = Some(now_ms);
+            return vec![self.chunk(self.confirmed, now_ms, term)];
+        }
+        let mut chunks = Vec::new();
+        while self.resent_ms.is_none() && (!self.is_started || self.has_capacity()) {
+            self.is_started = true;
+            let chunk = self.chunk(self.sent, now_ms, term);
+            self.sent += chunk.bytes.len() as u64;
+            chunks.push(chunk);
+        }
+        chunks
+    }
+
+    /// What later behaviour depends on.
+    pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
+        let interval_ms = self.retry_interval_ms;
+        (self.snapshot.index, self.is_started, self.confirmed, self.sent, interval_ms).hash(into);
+        (time.age(self.last_attempt_ms), time.age(self.rewound_ms)).hash(into);
+        self.resent_ms.map(|resent_ms| time.age(resent_ms)).hash(into);
+    }
+
+    fn has_capacity(&self) -> bool {
+        let in_flight_bytes = self.sent - self.confirmed;
+        self.sent < self.total()
+            && in_flight_bytes + SNAPSHOT_CHUNK_BYTES <= FOLLOWER_IN_FLIGHT_BYTES
+    }
+
+    fn chunk(&self, offset: u64, now_ms: u64, term: u64) -> SnapshotChunk {
+        let end = (offset + SNAPSHOT_CHUNK_BYTES).min(self.total());
+        SnapshotChunk {
+            term,
+            index: self.snapshot.index,
+            snapshot_term: self.snapshot.term,
+            members: self.snapshot.members.clone(),
+            offset,
+            total: self.total(),
+            bytes: self.snapshot.state[offset as usize..end as usize].to_vec(),
+            sent_ms: now_ms,
+            checksum: self.checksum,
+        }
+    }
+
+    /// Continues after a chunk that joined, or goes back to where the follower lacks one. A response
+    /// to a chunk that was sent again covers all chunks before it, since a link keeps its order.
+    pub fn on_response(&mut self, now_ms: u64, response: &SnapshotResponse) {
+        self.last_attempt_ms = now_ms;
+        self.retry_interval_ms = SNAPSHOT_RETRY_MS;
+        let received = response.received.min(self.total());
+        let answers_resent = self.resent_ms.is_some_and(|resent_ms| response.sent_ms >= resent_ms);
+        let reports_gap =
+            response.offset > response.received && response.sent_ms >= self.rewound_ms;
+        if answers_resent || reports_gap {
+            self.confirmed = received;
+            self.sent = received;
+            self.resent_ms = None;
+            self.rewound_ms = now_ms;
+        } else if response.offset <= response.received {
+            self.confirmed = self.confirmed.max(received);
+            self.sent = self.sent.max(self.confirmed);
+        }
+    }
+}
--- a/crates/consensus/src/raft_log.rs
+++ b/crates/consensus/src/raft_log.rs
@@ -1,7 +1,10 @@
+//! The log in memory: entries after a base, and the configurations that apply to them.
+
 use crate::{Entry, Member, MemberId, Payload, RecoveredState, Snapshot};
 use std::collections::VecDeque;
 
-/// Entries since a base; the base's members and every later change are kept beside them.
+/// Entries after a base. Beside them, the base's configuration and each later one with the index
+/// from which it applies.
 #[derive(Clone, Debug, Hash)]
 pub struct RaftLog {
     base_index: u64,
@@ -11,6 +14,7 @@
 }
 
 impl RaftLog {
+    /// The log that the disk returned. Entries that don't continue it are left out.
     pub fn recovered(recovered: &RecoveredState) -> Self {
         let mut log =
             RaftLog { base_index: 0, base_term: 0, entries: VecDeque::new(), configs: Vec::new() };
@@ -25,6 +29,7 @@
         log
     }
 
+    /// Replaces everything by a snapshot's index, term and configuration.
     pub fn reset(&mut self, snapshot: &Snapshot) {
         self.base_index = snapshot.index;
         self.base_term = snapshot.term;
@@ -32,6 +37,7 @@
         self.configs = vec![(snapshot.index, snapshot.members.clone())];
     }
 
+    /// Appends the next entry. A configuration applies from here on, committed or not (thesis, 4.1).
     pub fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last_index() + 1);
         if let Payload::Members(members) = &entry.payload {
@@ -40,6 +46,7 @@
         self.entries.push_back(entry);
     }
 
+    /// Removes the entries from `from` on, and their configurations.
     pub fn truncate(&mut self, from: u64) {
         while self.last_index() >= from && !self.entries.is_empty() {
             self.entries.pop_back();
@@ -51,47 +58,53 @@
         }
     }
 
-    /// Drops entries up to `index`, of which the snapshot at or above speaks.
+    /// Drops entries up to `index`, which a snapshot covers.
     pub fn compact_to(&mut self, index: u64) {
         while self.base_index < index {
             let Some(entry) = self.entries.pop_front() else { break };
             self.base_index = entry.index;
             self.base_term = entry.term;
         }
-        let kept = self.configs.iter().rposition(|(at, _)| *at <= self.base_index).unwrap_or(0);
-        self.configs.drain(..kept);
+        let base_config = self.configs.iter().rposition(|(index, _)| *index <= self.base_index);
+        self.configs.drain(..base_config.unwrap_or(0));
     }
 
     /// Bytes of all entries after `index`.
     pub fn bytes_after(&self, index: u64) -> u64 {
-        let known = index.saturating_sub(self.base_index) as usize;
-        self.entries.iter().skip(known).map(|entry| entry.size() as u64).sum()
+        let skipped = index.saturating_sub(self.base_index) as usize;
+        self.entries.iter().skip(skipped).map(|entry| entry.size() as u64).sum()
     }
 
-    /// The lowest base that keeps, up to `index`, no more than so many entries and bytes.
-    pub fn base_keeping(&self, index: u64, entries: u64, size_bytes: u64) -> u64 {
+    /// The lowest base that retains, up to `index`, no more than so many entries and bytes.
+    pub fn base_retaining(&self, index: u64, entries: u64, size_bytes: u64) -> u64 {
         let mut base = index.min(self.last_index());
-        let mut left_bytes = size_bytes;
+        let mut remaining_bytes = size_bytes;
         while index - base < entries
             && let Some(entry) = self.get(base)
-            && let Some(left) = left_bytes.checked_sub(entry.size() as u64)
+            && let Some(rest_bytes) = remaining_bytes.checked_sub(entry.size() as u64)
         {
-            left_bytes = left;
+            remaining_bytes = rest_bytes;
             base -= 1;
         }
         base
     }
 
+    /// Index of the entry before the first one in memory.
     pub fn base(&self) -> u64 {
         self.base_index
     }
+
+    /// Index of the last entry.
     pub fn last_index(&self) -> u64 {
         self.base_index + self.entries.len() as u64
     }
+
+    /// Term of the last entry.
     pub fn last_term(&self) -> u64 {
         self.entries.back().map_or(self.base_term, |entry| entry.term)
     }
 
+    /// Term of an entry in memory or of the base.
     pub fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -99,18 +112,20 @@
         self.get(index).map(|entry| entry.term)
     }
 
+    /// An entry in memory.
     pub fn get(&self, index: u64) -> Option<&Entry> {
         let offset = index.checked_sub(self.base_index + 1)?;
         self.entries.get(offset as usize)
     }
 
-    pub fn slice(&self, from: u64, most: usize) -> Vec<Entry> {
+    /// Entries from `from` on, up to so many bytes; the first is returned whatever its size.
+    pub fn slice(&self, from: u64, max_bytes: usize) -> Vec<Entry> {
         let mut out = Vec::new();
-        let mut size = 0;
+        let mut size_bytes = 0;
         let mut index = from;
         while let Some(entry) = self.get(index) {
-            size += entry.size();
-            if !out.is_empty() && size > most {
+            size_bytes += entry.size();
+            if !out.is_empty() && size_bytes > max_bytes {
                 break;
             }
             out.push(entry.clone());
@@ -119,20 +134,28 @@
         out
     }
 
+    /// The entries in memory from `from` to `to`, with both.
     pub fn range(&self, from: u64, to: u64) -> Vec<Entry> {
         (from..=to).filter_map(|index| self.get(index).cloned()).collect()
     }
 
+    /// The newest configuration.
     pub fn members(&self) -> &[Member] {
         self.configs.last().map_or(&[], |(_, members)| members)
     }
+
+    /// The configuration that applies at `index`.
     pub fn members_at(&self, index: u64) -> Vec<Member> {
-        let found = self.configs.iter().rev().find(|(at, _)| *at <= index);
-        found.map_or_else(Vec::new, |(_, members)| members.clone())
+        let config = self.configs.iter().rev().find(|(from, _)| *from <= index);
+        config.map_or_else(Vec::new, |(_, members)| members.clone())
     }
+
+    /// Index of the newest configuration's entry.
     pub fn config_index(&self) -> u64 {
         self.configs.last().map_or(0, |(index, _)| *index)
     }
+
+    /// Whether this is a voter of the newest configuration.
     pub fn is_member(&self, id: MemberId) -> bool {
         self.members().iter().any(|member| member.id == id)
     }
--- /dev/null
+++ b/crates/consensus/src/snapshot_sending.rs
@@ -0,0 +1,50 @@
+//! How a leader sends its snapshot to a follower whose entries are dropped (thesis, figure 5.3).
+
+use crate::outgoing_snapshot::OutgoingSnapshot;
+use crate::{Consensus, Member, MemberId, Message, Role, SnapshotResponse};
+
+impl Consensus {
+    /// Sends the chunks that are due. A transfer continues to its end over newer snapshots, unless
+    /// its follower does not respond any more.
+    pub(crate) fn send_snapshot(&mut self, now_ms: u64, id: MemberId) {
+        let Some(newest) = self.snapshot.clone() else { return };
+        let term = self.term;
+        let Some(progress) = self.leader_state.progress.get_mut(&id) else { return };
+        let (to, is_live) = (progress.member, progress.is_live(now_ms));
+        progress.snapshot.take_if(|sending| !is_live && sending.index() < newest.index);
+        let sending =
+            progress.snapshot.get_or_insert_with(|| OutgoingSnapshot::new(newest, now_ms));
+        for chunk in sending.take_due_chunks(now_ms, term) {
+            self.send(to, Message::Snapshot(chunk));
+        }
+    }
+
+    /// A follower received a chunk, or has the complete snapshot on disk.
+    pub(crate) fn on_snapshot_response(
+        &mut self,
+        now_ms: u64,
+        from: Member,
+        response: SnapshotResponse,
+    ) {
+        if response.term > self.term {
+            return self.become_follower(now_ms, response.term, None);
+        }
+        if self.role != Role::Leader || response.term < self.term {
+            return;
+        }
+        let Some(progress) = self.leader_state.progress.get_mut(&from.id) else { return };
+        progress.on_response(now_ms, response.sent_ms);
+        if response.done {
+            progress.on_confirmed(response.index, response.sent_ms);
+            if progress.snapshot.take_if(|sending| sending.index() <= response.index).is_some() {
+                progress.restart_at(progress.matched + 1, now_ms);
+            }
+            return self.send_append(now_ms, from.id, true);
+        }
+        let sending = progress.snapshot.as_mut();
+        if let Some(sending) = sending.filter(|sending| sending.index() == response.index) {
+            sending.on_response(now_ms, &response);
+            self.send_snapshot(now_ms, from.id);
+        }
+    }
+}
--- a/crates/consensus/tests/disk_health.rs
+++ b/crates/consensus/tests/disk_health.rs
@@ -115,7 +115,7 @@
     cluster.tick(DISK_STALL_MS - TICK_MS);
     assert!(!cluster.node(1).is_disk_stalled(), "the age of a synced write counts no longer");
     cluster.tick(3 * TICK_MS);
-    assert!(cluster.node(1).is_disk_stalled() && cluster.node(1).should_yield());
+    assert!(cluster.node(1).is_disk_stalled() && cluster.node(1).should_transfer_leadership());
     cluster.heal();
     assert!(!cluster.node(1).is_disk_stalled());
 }
@@ -151,7 +151,7 @@
     let mut cluster = ThreeMembers::led_by_one();
     cluster.stall(1);
     cluster.tick(DISK_STALL_MS + 2 * TICK_MS);
-    assert!(cluster.node(1).should_yield());
+    assert!(cluster.node(1).should_transfer_leadership());
     cluster.give(1, Input::TransferLeadership(Vec::new()));
     assert!(matches!(cluster.leader(), Some(2 | 3)));
     assert_eq!(cluster.node(1).role(), Role::Follower);
@@ -228,7 +228,7 @@
         cluster.now_ms += TICK_MS;
         let _lost = cluster.nodes[0].handle(cluster.now_ms, Input::Tick);
     }
-    assert!(cluster.node(1).is_disk_stalled() && !cluster.node(1).should_yield());
+    assert!(cluster.node(1).is_disk_stalled() && !cluster.node(1).should_transfer_leadership());
 }
 
 #[test]
--- a/crates/consensus/tests/exhaustive/actions.rs
+++ b/crates/consensus/tests/exhaustive/actions.rs
@@ -215,7 +215,8 @@
         if let (true, Message::LeaderProbe { round, .. }) =
             (self.machines.iter().any(lost_its_disk), &flight.message)
         {
-            let message = Message::LeaderProbeResponse { term: 0, round: *round, free: true };
+            let message =
+                Message::LeaderProbeResponse { term: 0, round: *round, not_leading: true };
             self.send(Flight { from: flight.to, to: flight.from, message });
         }
         Ok(())
--- a/crates/consensus/tests/leadership_transfer.rs
+++ b/crates/consensus/tests/leadership_transfer.rs
@@ -45,7 +45,7 @@
                     Effect::Write { sequence, .. } => {
                         queue.insert(0, (to, Input::Synced(sequence)))
                     }
-                    Effect::LeadershipReceived { note, .. } => {
+                    Effect::LeadershipReceived { handover_state: note, .. } => {
                         self.received_handover.push((to, note))
                     }
                     _ => {}
--- a/crates/consensus/tests/replacement/cluster.rs
+++ b/crates/consensus/tests/replacement/cluster.rs
@@ -180,7 +180,7 @@
             return;
         };
         let has_successor = node.leader().is_some_and(|leader| leader.id != id);
-        if self.now_ms >= until_ms || (has_successor && node.has_left()) {
+        if self.now_ms >= until_ms || (has_successor && node.has_departed()) {
             return self.kill(id);
         }
         if node.is_ready() && node.commit_index() == node.last_index() {
--- a/crates/consensus/tests/votes.rs
+++ b/crates/consensus/tests/votes.rs
@@ -140,7 +140,7 @@
 fn a_complete_probe_round_without_a_leader_starts_an_election_at_once() {
     let mut node = voter(START_MS, HardState::default());
     let round = probe_round(&node.handle(START_MS + 20, Input::Tick)).expect("it asks at once");
-    let not_leading = |round| Message::LeaderProbeResponse { term: 0, round, free: true };
+    let not_leading = |round| Message::LeaderProbeResponse { term: 0, round, not_leading: true };
     assert!(receive(&mut node, START_MS + 21, 2, not_leading(round)).is_empty(), "one is not all");
     let campaign = receive(&mut node, START_MS + 22, 3, not_leading(round));
     let is_leaderless_pre_vote = |effect: &Effect| matches!(effect, Effect::Send { message: Message::PreVote(request), .. } if request.leaderless);
@@ -150,7 +150,7 @@
     let second = probe_round(&node.handle(START_MS + 120, Input::Tick)).unwrap();
     assert!(receive(&mut node, START_MS + 121, 2, not_leading(first)).is_empty());
     assert!(receive(&mut node, START_MS + 122, 3, not_leading(second)).is_empty(), "two rounds");
-    let leads = Message::LeaderProbeResponse { term: 0, round: second, free: false };
+    let leads = Message::LeaderProbeResponse { term: 0, round: second, not_leading: false };
     assert!(receive(&mut node, START_MS + 123, 2, leads).is_empty(), "one leads");
 }
 
@@ -195,7 +195,7 @@
         RecoveredState { snapshot: Some(Arc::new(snapshot)), ..RecoveredState::default() };
     let mut node = Consensus::new(1, recovered, 8, START_MS + 1);
     let round = probe_round(&node.handle(START_MS + 1, Input::Tick)).expect("it asks again");
-    let not_leading = |round| Message::LeaderProbeResponse { term: 0, round, free: true };
+    let not_leading = |round| Message::LeaderProbeResponse { term: 0, round, not_leading: true };
     assert!(receive(&mut node, START_MS + 2, 2, not_leading(round)).is_empty());
     let late = receive(&mut node, START_MS + 3, 3, not_leading(earlier));
     assert!(late.is_empty(), "3 may have begun to lead since");
@@ -207,7 +207,7 @@
 fn a_probe_response_from_before_a_leader_contact_is_ignored() {
     let mut node = voter(START_MS, HardState::default());
     let round = probe_round(&node.handle(START_MS, Input::Tick)).expect("it asks at once");
-    let not_leading = |term| Message::LeaderProbeResponse { term, round, free: true };
+    let not_leading = |term| Message::LeaderProbeResponse { term, round, not_leading: true };
     assert!(receive(&mut node, START_MS + 1, 3, not_leading(0)).is_empty());
     receive(&mut node, START_MS + 2, 3, append(1));
     let refused =
--- a/crates/controller/src/discovery.rs
+++ b/crates/controller/src/discovery.rs
@@ -172,7 +172,7 @@
     /// process is gone. That is all that can be said for it.
     pub(crate) fn vouch(&mut self, asker: Member, before: MemberId, round: u64) {
         let before = Member { id: before, address: self.own.address };
-        let message = consensus::Message::LeaderProbeResponse { term: 0, round, free: true };
+        let message = consensus::Message::LeaderProbeResponse { term: 0, round, not_leading: true };
         self.send(asker.address, Message::Consensus { from: before, to: asker.id, message });
     }
 
--- a/crates/controller/src/leadership_transfer.rs
+++ b/crates/controller/src/leadership_transfer.rs
@@ -40,7 +40,7 @@
 
     /// Why this controller is to give its hold to another, if it is.
     fn handover_reason(&self) -> Option<Reason> {
-        match (self.stopping, self.consensus.should_yield()) {
+        match (self.stopping, self.consensus.should_transfer_leadership()) {
             (true, _) => Some(Reason::Stopping),
             (_, true) => Some(Reason::DiskStalled),
             _ => None,
@@ -82,6 +82,6 @@
     /// stood ready, if one did, and those that stay hold all that it acknowledged.
     pub fn has_handed_over(&self) -> bool {
         let heir = self.consensus.leader().is_some_and(|leader| leader.id != self.own.id);
-        self.leader.is_none() && heir && self.consensus.has_left()
+        self.leader.is_none() && heir && self.consensus.has_departed()
     }
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -197,8 +197,8 @@
                 LogEffect::Commit(entries) => self.on_commit(now_ms, entries),
                 LogEffect::Restore(snapshot) => self.restore(&snapshot),
                 LogEffect::Role(role) => self.on_role(now_ms, role),
-                LogEffect::LeadershipReceived { note, late_ms } => {
-                    self.on_leadership_received(now_ms, &note, late_ms)
+                LogEffect::LeadershipReceived { handover_state, late_ms } => {
+                    self.on_leadership_received(now_ms, &handover_state, late_ms)
                 }
                 LogEffect::Send { .. } | LogEffect::Write { .. } => {}
             }
--- a/crates/controller/tests/strangers.rs
+++ b/crates/controller/tests/strangers.rs
@@ -21,8 +21,8 @@
         Message::Consensus {
             from,
             to: 2,
-            message: LogMessage::LeaderProbeResponse { round, free, .. },
-        } => Some((from.id, *round, *free)),
+            message: LogMessage::LeaderProbeResponse { round, not_leading, .. },
+        } => Some((from.id, *round, *not_leading)),
         _ => None,
     });
     assert_eq!(told, Some((77, 9, true)), "its old self is gone with its memory");
