--- a/crates/consensus/src/leader_state.rs
+++ b/crates/consensus/src/leader_state.rs
@@ -5,6 +5,17 @@
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
+/// How far a follower is behind, for status.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FollowerStatus {
+    /// The voter or learner.
+    pub member: Member,
+    /// Milliseconds since its last response.
+    pub silent_ms: u64,
+    /// Entries of the leader's log that it has not confirmed.
+    pub lag_entries: u64,
+}
+
 /// A leader's followers and the times of its term.
 #[derive(Clone, Debug)]
 pub(crate) struct LeaderState {
@@ -82,14 +93,14 @@
         self.leader_state.learners.values().copied().collect()
     }
 
-    /// For status: each follower of this leader, the milliseconds since its last response, and the
-    /// number of entries that it is behind.
-    pub fn followers(&self, now_ms: u64) -> Vec<(Member, u64, u64)> {
+    /// All voters and learners that follow this leader; none unless this member leads.
+    pub fn followers(&self, now_ms: u64) -> Vec<FollowerStatus> {
         let last_index = self.log.last_index();
-        let row = |progress: &Progress| {
-            let silent_ms = now_ms.saturating_sub(progress.last_response_ms);
-            (progress.member, silent_ms, last_index.saturating_sub(progress.matched))
+        let status = |progress: &Progress| FollowerStatus {
+            member: progress.member,
+            silent_ms: progress.silent_ms(now_ms),
+            lag_entries: last_index.saturating_sub(progress.matched),
         };
-        self.leader_state.progress.values().map(row).collect()
+        self.leader_state.progress.values().map(status).collect()
     }
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -38,6 +38,7 @@
 pub use entry::{Entry, Payload};
 pub use fingerprint::FingerprintTime;
 pub use interface::{Effect, Input};
+pub use leader_state::FollowerStatus;
 pub use member::{Member, MemberId};
 pub use messages::{
     AppendRequest, AppendResponse, DepartureGranted, DepartureRequest, Message, SnapshotChunk,
--- a/crates/consensus/tests/cluster/machine_parts.rs
+++ b/crates/consensus/tests/cluster/machine_parts.rs
@@ -1,4 +1,4 @@
-//! What a member's owner and its disk keep, and how many bytes frames and writes have.
+//! A member's application and disk, and the sizes of frames and writes.
 
 use postbarrow_consensus::*;
 
@@ -17,7 +17,7 @@
 /// A link a tenth as fast (3.7 Mbit/s), a disk a thirtieth.
 pub const SLOW: Speed = Speed { link: 462_500, sync_us: 30_000, disk: 3_300_000 };
 
-/// What a member's owner has: a digest of all batches up to an index.
+/// The application's state: a digest of all batches up to an index.
 #[derive(Clone, Copy, Default, PartialEq, Debug)]
 pub struct Applied {
     pub index: u64,
--- a/crates/consensus/tests/cluster/mod.rs
+++ b/crates/consensus/tests/cluster/mod.rs
@@ -30,7 +30,7 @@
 pub struct Machine {
     pub node: Option<Consensus>,
     pub applied: Applied,
-    /// Over all its lives.
+    /// Over all its incarnations.
     max_applied: u64,
     pub durable: RecoveredState,
     pub restores: u64,
@@ -48,7 +48,7 @@
     pub now_us: u64,
     pub machines: BTreeMap<u64, Machine>,
     pub speeds: BTreeMap<u64, Speed>,
-    /// Frames of which this says yes are lost.
+    /// Frames for which this returns true are lost.
     pub drops_frame: DropsFrame,
     pub compact_bytes: u64,
     pub state_bytes: usize,
@@ -101,7 +101,7 @@
     }
 
     pub fn follower(&self) -> u64 {
-        let leader = self.leader().expect("somebody leads");
+        let leader = self.leader().expect("there is a leader");
         (1..=MEMBERS).rev().find(|id| *id != leader).expect("there are three")
     }
 
@@ -122,7 +122,7 @@
         self.after(0, Event::Tick { at: id, incarnation });
     }
 
-    /// Its process and all that was not synced goes.
+    /// Ends its process; what was not synced is lost.
     pub fn stop(&mut self, id: u64) {
         let machine = self.machines.get_mut(&id).expect("a member");
         machine.node = None;
@@ -230,7 +230,7 @@
         self.compact(to);
     }
 
-    /// Whoever begins to serve has applied all that anybody ever saw committed.
+    /// A member that begins to serve has applied all that any member ever committed.
     fn check_serving(&mut self, at: u64) {
         let newest = self.machines.values().map(|machine| machine.max_applied).max();
         let machine = self.machines.get_mut(&at).expect("a member");
--- a/crates/consensus/tests/disk_health.rs
+++ b/crates/consensus/tests/disk_health.rs
@@ -1,4 +1,4 @@
-//! A member whose disk is stalled: no vote, no candidacy, and no lead for long.
+//! A member whose disk is stalled: no vote, no candidacy, and no leadership for long.
 
 use postbarrow_consensus::*;
 use postbarrow_constants::consensus::*;
@@ -8,13 +8,13 @@
     Member { id, address: format!("10.0.0.{id}:1").parse().unwrap() }
 }
 
-/// Three voters whose frames arrive at once; a stalled one's writes wait.
+/// Three voters whose frames arrive at once; the writes of a stalled disk are pending.
 struct ThreeMembers {
     nodes: Vec<Consensus>,
     now_ms: u64,
     stalled: Option<u64>,
     unsynced: Vec<u64>,
-    /// The stalled one's own words to other members since its disk stalled.
+    /// Votes requested or granted by the stalled member since its disk stalled.
     vote_messages: usize,
     /// Messages that the newest input led to by itself.
     messages: usize,
@@ -141,7 +141,7 @@
     assert_eq!(cluster.vote_messages, 0, "the stalled one took part in an election");
     cluster.heal();
     cluster.tick(2 * ELECTION_MIN_MS);
-    assert_eq!(cluster.leader(), leader, "a disk that came back deposes nobody");
+    assert_eq!(cluster.leader(), leader, "a disk that recovers deposes no leader");
     assert_eq!(cluster.node(1).role(), Role::Follower);
     assert_eq!(cluster.node(1).commit_index(), cluster.node(leader.unwrap()).commit_index());
 }
@@ -165,8 +165,11 @@
     let _lost = cluster.nodes[0].handle(cluster.now_ms, Input::TransferLeadership(Vec::new()));
     cluster.heal();
     cluster.tick(DISK_YIELD_MS + ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS);
-    let leader = cluster.leader().expect("somebody leads");
-    assert!(cluster.node(leader).lease_until() > cluster.now_ms, "its hold was given up for good");
+    let leader = cluster.leader().expect("there is a leader");
+    assert!(
+        cluster.node(leader).lease_until() > cluster.now_ms,
+        "the former leader's lease was relinquished for the term"
+    );
 }
 
 #[test]
@@ -175,7 +178,7 @@
     cluster.stall(3);
     cluster.tick(DISK_STALL_MS + 2 * TICK_MS);
     assert!(cluster.node(3).is_disk_stalled());
-    assert_eq!(cluster.leader(), Some(1), "it costs nobody else anything");
+    assert_eq!(cluster.leader(), Some(1), "the other members are not affected");
     let (term, last) = (cluster.node(3).term() + 5, cluster.node(3).last_index() + 5);
     for leadership_transfer in [false, true] {
         let request = VoteRequest {
@@ -204,7 +207,7 @@
     for _ in 0..2 * ELECTION_MIN_MS / TICK_MS {
         cluster.now_ms += TICK_MS;
         let effects = cluster.nodes[2].handle(cluster.now_ms, Input::Tick);
-        assert!(effects.is_empty(), "it stands for election: {effects:?}");
+        assert!(effects.is_empty(), "it campaigns: {effects:?}");
     }
 }
 
@@ -217,7 +220,7 @@
     let request = TimeoutNow { term, sent_ms: cluster.now_ms, handover_state: Vec::new() };
     cluster.give(3, Input::Receive { from: member(1), message: Message::TimeoutNow(request) });
     assert_eq!((cluster.node(3).role(), cluster.node(3).term()), (Role::Follower, term));
-    assert_eq!(cluster.vote_messages, 0, "it stood for election");
+    assert_eq!(cluster.vote_messages, 0, "it campaigned");
 }
 
 #[test]
@@ -242,10 +245,10 @@
     }
     let unsynced_bytes = cluster.node(3).log().bytes_after(1);
     assert!(unsynced_bytes <= FOLLOWER_IN_FLIGHT_BYTES, "{unsynced_bytes} bytes of entries");
-    assert!(cluster.node(1).commit_index() > 2_000, "the others go on");
+    assert!(cluster.node(1).commit_index() > 2_000, "the others continue to commit");
     cluster.heal();
     let max_entries = FOLLOWER_IN_FLIGHT_BYTES as usize / ENTRY_BYTES;
-    assert!(cluster.messages <= 2 * max_entries, "{} responses were kept", cluster.messages);
+    assert!(cluster.messages <= 2 * max_entries, "{} responses were retained", cluster.messages);
     cluster.tick(2 * ELECTION_MIN_MS);
     assert_eq!(cluster.node(3).commit_index(), cluster.node(1).commit_index(), "it caught up");
 }
--- a/crates/consensus/tests/durable.rs
+++ b/crates/consensus/tests/durable.rs
@@ -1,4 +1,4 @@
-//! A member is counted for what its disk holds, and for nothing before.
+//! A member acknowledges what is on its disk, and nothing before.
 
 use postbarrow_consensus::*;
 
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -1,4 +1,4 @@
-//! Searches every order of events, within bounds, for one that breaks a promise of the log.
+//! Searches every order of events, within bounds, for one that breaks a safety property of the log.
 
 #[path = "exhaustive/actions.rs"]
 mod actions;
@@ -19,7 +19,7 @@
 use world::{Bounds, Isolation};
 
 const STATES: usize = 120_000;
-/// For models whose bounds are too wide to be searched whole.
+/// For models whose bounds are too wide for a complete search.
 const WIDE_STATES: usize = 40_000;
 const CHOICES: usize = 30;
 
@@ -31,7 +31,7 @@
     Model { states: WIDE_STATES, ..model(name, rules) }
 }
 
-/// After the start of all: rounds of who leads, and elections by them.
+/// After the start of all members: leader probe rounds, and elections that follow.
 #[test]
 fn leader_probe_rounds() {
     let remaining = Bounds { ticks: 3, delays: 2, ..Bounds::default() };
@@ -40,38 +40,38 @@
 
 #[test]
 fn leader_probe_rounds_with_restarts() {
-    let remaining = Bounds { ticks: 3, delays: 1, crashes: 1, freezes: 1, ..Bounds::default() };
+    let remaining = Bounds { ticks: 3, delays: 1, crashes: 1, pauses: 1, ..Bounds::default() };
     capped_model("rounds, restart, freeze", rules())
         .search(Prepared::started().with_bounds(remaining));
 }
 
-/// Machine 2 is a candidate whose votes are under way; a voter restarts and asks who leads.
+/// Machine 2 is a candidate whose votes are in flight; a voter restarts and probes for a leader.
 #[test]
 fn leader_probe_rounds_during_an_election() {
     let mut prepared = Prepared::started();
     prepared.perform(Action::Tick(2));
     prepared.deliver_except(|message| matches!(message, Message::VoteResponse { .. }));
-    let remaining = Bounds { ticks: 1, delays: 1, crashes: 1, freezes: 1, ..Bounds::default() };
+    let remaining = Bounds { ticks: 1, delays: 1, crashes: 1, pauses: 1, ..Bounds::default() };
     capped_model("rounds during an election", rules()).search(prepared.with_bounds(remaining));
 }
 
-/// Machine 2 restarts while the answers that its earlier life asked for are under way; the others
-/// gave them before machine 0 came to lead.
+/// Machine 2 restarts while the probe responses to its earlier incarnation are in flight; the
+/// others sent them before machine 0 came to lead.
 #[test]
 fn leader_probe_responses_to_an_earlier_incarnation() {
     let mut prepared = Prepared::started();
     prepared.perform(Action::Tick(2));
     prepared.deliver_except(|message| matches!(message, Message::LeaderProbeResponse { .. }));
     prepared.perform(Action::Tick(0)).deliver_all().perform(Action::Crash(2));
-    let remaining = Bounds { ticks: 2, delays: 1, crashes: 1, freezes: 1, ..Bounds::default() };
-    model("earlier life", rules()).search(prepared.with_bounds(remaining));
+    let remaining = Bounds { ticks: 2, delays: 1, crashes: 1, pauses: 1, ..Bounds::default() };
+    model("earlier incarnation", rules()).search(prepared.with_bounds(remaining));
 }
 
-/// A leader with a fresh lease; others restart or lose a disk.
+/// A leader with a renewed lease; others restart or lose a disk.
 #[test]
 fn leader_probe_rounds_under_a_lease() {
     let remaining =
-        Bounds { ticks: 3, delays: 2, crashes: 2, lost_disks: 1, freezes: 1, ..Bounds::default() };
+        Bounds { ticks: 3, delays: 2, crashes: 2, lost_disks: 1, pauses: 1, ..Bounds::default() };
     capped_model("rounds under a lease", rules())
         .search(Prepared::with_leader().with_bounds(remaining));
 }
@@ -110,15 +110,15 @@
     capped_model("votes and syncs", rules()).search(prepared.with_bounds(remaining));
 }
 
-/// Machine 1 stands still, and the answers that let it stand in term 1 are under way; machine 2 may
-/// stand in the same term.
+/// Machine 1 is paused, and the pre-votes that let it campaign in term 1 are in flight; machine 2 may
+/// campaign in the same term.
 fn two_candidates() -> Prepared {
     let mut prepared = Prepared::started();
     prepared
         .perform(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS))
         .perform(Action::Tick(1));
     prepared.deliver_except(|message| matches!(message, Message::PreVoteResponse { .. }));
-    prepared.perform(Action::Isolate(Isolation { at: 1, frozen: true }));
+    prepared.perform(Action::Isolate(Isolation { at: 1, paused: true }));
     prepared.perform(Action::Advance(ELECTION_SPREAD_MS));
     prepared
 }
@@ -136,29 +136,29 @@
     model("two candidates, slow disk", rules()).search(two_candidates().with_bounds(remaining));
 }
 
-/// A leader stood still while answers to it were under way, until the others may elect.
+/// A leader was paused while responses to it were in flight, until the others may elect.
 #[test]
 fn late_responses_to_a_leader_that_was_paused() {
     let mut prepared = Prepared::with_leader();
     prepared.perform(Action::Advance(HEARTBEAT_MS)).perform(Action::Tick(0));
     prepared.deliver_except(|message| matches!(message, Message::AppendResponse(_)));
-    prepared.perform(Action::Isolate(Isolation { at: 0, frozen: true }));
+    prepared.perform(Action::Isolate(Isolation { at: 0, paused: true }));
     prepared.perform(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
     let remaining = Bounds { ticks: 2, advances: 1, crashes: 1, proposals: 1, ..Bounds::default() };
     let rules = Rules { steps_ms: vec![HEARTBEAT_MS], ..rules() };
     model("late answers", rules).search(prepared.with_bounds(remaining));
 }
 
-/// Machine 2 was cut off until its election is due; the other follower has just heard the leader.
+/// Machine 2 was partitioned until its election is due; the other follower just had leader contact.
 #[test]
 fn a_voter_in_contact_with_its_leader_is_bound() {
     let mut prepared = Prepared::with_leader();
-    prepared.perform(Action::Isolate(Isolation { at: 2, frozen: false }));
+    prepared.perform(Action::Isolate(Isolation { at: 2, paused: false }));
     prepared
         .perform(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS))
         .perform(Action::Tick(0));
     prepared.deliver_all().perform(Action::Rejoin);
-    let remaining = Bounds { ticks: 2, crashes: 2, freezes: 1, delays: 1, ..Bounds::default() };
+    let remaining = Bounds { ticks: 2, crashes: 2, pauses: 1, delays: 1, ..Bounds::default() };
     model("promise", rules()).search(prepared.with_bounds(remaining));
 }
 
@@ -167,7 +167,7 @@
 fn an_entry_of_an_old_term_is_overwritten() {
     let mut prepared = Prepared::with_leader();
     prepared
-        .perform(Action::Isolate(Isolation { at: 0, frozen: false }))
+        .perform(Action::Isolate(Isolation { at: 0, paused: false }))
         .perform(Action::Propose(0))
         .deliver_all();
     prepared
@@ -187,12 +187,12 @@
 }
 
 /// Machine 0 leads in term 3 with an entry of term 1 on a majority and its own first entry not yet
-/// synced; machine 2, cut off, has an entry of term 2 at the same place.
+/// synced; machine 2, partitioned, has an entry of term 2 at the same index.
 #[test]
 fn an_entry_of_an_old_term_is_not_committed_by_count() {
     let mut prepared = Prepared::with_leader();
     prepared
-        .perform(Action::Isolate(Isolation { at: 0, frozen: false }))
+        .perform(Action::Isolate(Isolation { at: 0, paused: false }))
         .perform(Action::Propose(0))
         .deliver_all();
     prepared
@@ -200,7 +200,7 @@
         .perform(Action::Tick(2));
     prepared.deliver_except(|message| matches!(message, Message::Append(_)));
     prepared.world.out_of_turn.clear();
-    prepared.perform(Action::Rejoin).perform(Action::Isolate(Isolation { at: 2, frozen: false }));
+    prepared.perform(Action::Rejoin).perform(Action::Isolate(Isolation { at: 2, paused: false }));
     prepared.perform(Action::Crash(0)).perform(Action::Crash(2));
     for _ in 0..2 {
         prepared.perform(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
@@ -231,12 +231,12 @@
     model("handover", rules()).search(Prepared::with_leader().with_bounds(remaining));
 }
 
-/// Machine 2 was cut off while the others went on and compacted.
+/// Machine 2 was partitioned while the others committed and compacted.
 #[test]
 fn a_snapshot_for_a_lagging_follower() {
     let mut prepared = Prepared::with_leader();
     prepared
-        .perform(Action::Isolate(Isolation { at: 2, frozen: false }))
+        .perform(Action::Isolate(Isolation { at: 2, paused: false }))
         .perform(Action::Propose(0))
         .deliver_all();
     prepared
@@ -259,7 +259,7 @@
     model("snapshot", rules).search(prepared.with_bounds(remaining));
 }
 
-/// Machine 2 lost its disk long ago, and stands by as a learner.
+/// Machine 2 lost its disk long ago, and is a caught-up learner.
 #[test]
 fn a_learner_replaces_a_member_with_a_lost_disk() {
     let mut prepared = Prepared::with_leader();
--- a/crates/consensus/tests/exhaustive/actions.rs
+++ b/crates/consensus/tests/exhaustive/actions.rs
@@ -9,9 +9,9 @@
 pub enum Action {
     /// The message that was sent first arrives.
     Deliver,
-    /// It arrives, and will arrive again out of turn.
+    /// It arrives, and will arrive again out of order.
     Duplicate,
-    /// It comes out of turn.
+    /// It arrives out of order.
     Delay,
     DeliverLate(usize),
     Isolate(Isolation),
@@ -24,24 +24,24 @@
     Propose(usize),
     TransferLeadership(usize),
     Compact(usize),
-    /// The leader at the first place is asked to take in the machine at the second.
+    /// The leader, the first machine, receives the second machine's request to follow the log.
     Learner(usize, usize),
     Advance(u64),
 }
 
 impl Action {
-    /// What happens without a choice of the search: messages arrive in turn.
+    /// Whether it is no choice of the search: messages arrive in order.
     pub fn is_expected(&self) -> bool {
         matches!(self, Action::Deliver)
     }
 }
 
-/// What a model lets happen beside the bounds of its world.
+/// What a model permits beside the bounds of its world.
 #[derive(Clone)]
 pub struct Rules {
-    /// The clock goes on by one of these.
+    /// The clock advances by one of these.
     pub steps_ms: Vec<u64>,
-    /// Machines restart, freeze and are cut off only while no message is under way in its turn.
+    /// Machines restart, pause and are partitioned only while no message is in flight in order.
     pub faults_when_quiet: bool,
     pub horizon_ms: u64,
 }
@@ -67,11 +67,11 @@
             let can_isolate = self.isolation.is_none() && (quiet || !rules.faults_when_quiet);
             offer(
                 can_isolate && remaining.partitions > 0,
-                Action::Isolate(Isolation { at, frozen: false }),
+                Action::Isolate(Isolation { at, paused: false }),
             );
             offer(
-                can_isolate && remaining.freezes > 0,
-                Action::Isolate(Isolation { at, frozen: true }),
+                can_isolate && remaining.pauses > 0,
+                Action::Isolate(Isolation { at, paused: true }),
             );
             self.machine_actions(at, quiet || !rules.faults_when_quiet, &mut offer);
         }
@@ -84,18 +84,18 @@
     fn is_isolated(&self, flight: &Flight) -> bool {
         self.isolation.is_some_and(|isolation| {
             let id = self.machines[isolation.at].node.id();
-            flight.to.id == id || (flight.from.id == id && !isolation.frozen)
+            flight.to.id == id || (flight.from.id == id && !isolation.paused)
         })
     }
 
-    fn is_frozen(&self, at: usize) -> bool {
-        self.isolation == Some(Isolation { at, frozen: true })
+    fn is_paused(&self, at: usize) -> bool {
+        self.isolation == Some(Isolation { at, paused: true })
     }
 
-    /// The clock, timers and operators act once nothing is under way but what comes out of turn.
+    /// The clock, timers and operators act once nothing is in flight but what arrives out of order.
     fn machine_actions(&self, at: usize, faults: bool, offer: &mut impl FnMut(bool, Action)) {
         let (machine, remaining) = (&self.machines[at], &self.remaining);
-        if self.is_frozen(at) {
+        if self.is_paused(at) {
             return;
         }
         offer(!machine.unsynced.is_empty(), Action::Sync(at));
@@ -127,43 +127,64 @@
     }
 
     pub fn perform(&mut self, action: &Action) -> Result<(), String> {
-        let remaining = &mut self.remaining;
         match *action {
-            Action::Deliver => {
-                let flight = self.in_flight.remove(0);
-                self.arrive(flight)?;
+            Action::Deliver | Action::Duplicate | Action::Delay | Action::DeliverLate(_) => {
+                self.perform_delivery(action)?
+            }
+            Action::Isolate(_)
+            | Action::Rejoin
+            | Action::SlowDisk(_)
+            | Action::Crash(_)
+            | Action::LoseDisk(_) => self.perform_fault(action),
+            Action::Sync(at) => self.sync(at)?,
+            Action::Advance(step_ms) => {
+                self.remaining.advances -= 1;
+                self.now_ms += step_ms;
             }
+            Action::Tick(_)
+            | Action::Propose(_)
+            | Action::TransferLeadership(_)
+            | Action::Compact(_)
+            | Action::Learner(..) => self.perform_input(action)?,
+        }
+        self.check()
+    }
+
+    fn perform_delivery(&mut self, action: &Action) -> Result<(), String> {
+        let flight = match *action {
+            Action::DeliverLate(at) => self.out_of_turn.remove(at),
+            _ => self.in_flight.remove(0),
+        };
+        match *action {
             Action::Duplicate => {
-                remaining.duplicates -= 1;
-                let flight = self.in_flight.remove(0);
+                self.remaining.duplicates -= 1;
                 self.out_of_turn.push(flight.clone());
-                self.arrive(flight)?;
             }
             Action::Delay => {
-                remaining.delays -= 1;
-                self.out_of_turn.push(self.in_flight.remove(0));
-            }
-            Action::DeliverLate(at) => {
-                let flight = self.out_of_turn.remove(at);
-                self.arrive(flight)?;
+                self.remaining.delays -= 1;
+                self.out_of_turn.push(flight);
+                return Ok(());
             }
+            _ => {}
+        }
+        self.arrive(flight)
+    }
+
+    fn perform_fault(&mut self, action: &Action) {
+        let remaining = &mut self.remaining;
+        match *action {
             Action::Isolate(isolation) => {
-                match isolation.frozen {
-                    true => remaining.freezes -= 1,
+                match isolation.paused {
+                    true => remaining.pauses -= 1,
                     false => remaining.partitions -= 1,
                 }
                 self.isolation = Some(isolation);
             }
             Action::Rejoin => self.isolation = None,
-            Action::Tick(at) => {
-                remaining.ticks -= 1;
-                self.give(at, Input::Tick)?;
-            }
             Action::SlowDisk(at) => {
                 remaining.slow_disks -= 1;
                 Arc::make_mut(&mut self.machines[at]).slow = true;
             }
-            Action::Sync(at) => self.sync(at)?,
             Action::Crash(at) => {
                 remaining.crashes -= 1;
                 self.restart(at, false);
@@ -172,36 +193,43 @@
                 remaining.lost_disks -= 1;
                 self.restart(at, true);
             }
+            _ => unreachable!("{action:?} is no fault"),
+        }
+    }
+
+    fn perform_input(&mut self, action: &Action) -> Result<(), String> {
+        let remaining = &mut self.remaining;
+        match *action {
+            Action::Tick(at) => {
+                remaining.ticks -= 1;
+                self.give(at, Input::Tick)
+            }
             Action::Propose(at) => {
                 remaining.proposals -= 1;
                 let batch = vec![remaining.proposals, self.machines[at].node.id() as u8];
-                self.give(at, Input::Propose(vec![batch]))?;
+                self.give(at, Input::Propose(vec![batch]))
             }
             Action::TransferLeadership(at) => {
                 remaining.leadership_transfers -= 1;
-                self.give(at, Input::TransferLeadership(Vec::new()))?;
+                self.give(at, Input::TransferLeadership(Vec::new()))
             }
             Action::Compact(at) => {
                 remaining.compactions -= 1;
                 let index = self.machines[at].node.commit_index();
-                self.give(at, Input::Compact { index, state: vec![index as u8] })?;
+                self.give(at, Input::Compact { index, state: vec![index as u8] })
             }
             Action::Learner(at, other) => {
                 remaining.learners -= 1;
-                let can_join = member(self.machines[other].node.id());
-                self.give(at, Input::AddLearner(can_join))?;
-            }
-            Action::Advance(step_ms) => {
-                remaining.advances -= 1;
-                self.now_ms += step_ms;
+                let learner = member(self.machines[other].node.id());
+                self.give(at, Input::AddLearner(learner))
             }
+            _ => unreachable!("{action:?} is no input"),
         }
-        self.check()
     }
 
     fn arrive(&mut self, flight: Arc<Flight>) -> Result<(), String> {
         if self.is_isolated(&flight) {
-            if self.isolation.is_some_and(|isolation| isolation.frozen) {
+            if self.isolation.is_some_and(|isolation| isolation.paused) {
                 self.out_of_turn.push(flight);
             }
             return Ok(());
@@ -262,7 +290,7 @@
         self.in_flight.push(Arc::new(flight));
     }
 
-    /// The oldest write is on disk now, and the member hears of it.
+    /// The oldest write is on disk now, and the member is notified.
     fn sync(&mut self, at: usize) -> Result<(), String> {
         let machine = Arc::make_mut(&mut self.machines[at]);
         let Some((sequence, write)) = machine.unsynced.pop_front() else { return Ok(()) };
@@ -272,7 +300,7 @@
         effects.into_iter().try_for_each(|effect| self.carry_out(at, effect))
     }
 
-    /// The process starts again from what is synced, or from an empty disk under a new number.
+    /// The process starts again from what is synced, or from an empty disk under a new identity.
     fn restart(&mut self, at: usize, disk_lost: bool) {
         let now_ms = self.now_ms;
         let machine = Arc::make_mut(&mut self.machines[at]);
--- a/crates/consensus/tests/exhaustive/ledger.rs
+++ b/crates/consensus/tests/exhaustive/ledger.rs
@@ -8,7 +8,7 @@
 pub struct Ledger {
     leaders: BTreeMap<u64, MemberId>,
     votes: BTreeMap<(u64, MemberId), MemberId>,
-    /// Each entry known to be committed, and the term of the member that first knew it.
+    /// Each entry known to be committed, and the term of the member that first committed it.
     committed: BTreeMap<u64, (Entry, u64)>,
 }
 
@@ -78,7 +78,7 @@
         self.check_durable()
     }
 
-    /// Who holds serves reads and grants targets: two at once may contradict each other.
+    /// A member with a lease serves reads: two at once may contradict each other.
     fn check_leases(&self) -> Result<(), String> {
         let has_lease = |node: &Consensus| node.is_ready() && self.now_ms < node.lease_until();
         let nodes = self.machines.iter().map(|machine| &machine.node);
@@ -108,7 +108,7 @@
     }
 
     /// A power loss of everything at this state must leave each committed entry on a majority. One
-    /// disk that was lost for good may be among those that held it.
+    /// disk that was lost permanently may be among those that had it.
     fn check_durable(&self) -> Result<(), String> {
         let majority = self.machines.len() / 2 + 1;
         for (entry, _) in self.ledger.committed.values() {
--- a/crates/consensus/tests/exhaustive/prepare.rs
+++ b/crates/consensus/tests/exhaustive/prepare.rs
@@ -20,7 +20,7 @@
     duplicates: 0,
     delays: 200,
     partitions: 9,
-    freezes: 9,
+    pauses: 9,
     proposals: 9,
     leadership_transfers: 9,
     compactions: 9,
@@ -39,7 +39,7 @@
         Prepared { world: World::started(AMPLE) }
     }
 
-    /// Machine 0 leads, all follow it, and its lease is fresh.
+    /// Machine 0 leads, all follow it, and its lease was just renewed.
     pub fn with_leader() -> Prepared {
         let mut prepared = Prepared::started();
         prepared.perform(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
@@ -56,7 +56,7 @@
         self
     }
 
-    /// Delivers everything that is under way, in the order it was sent.
+    /// Delivers everything in flight, in the order it was sent.
     pub fn deliver_all(&mut self) -> &mut Self {
         while !self.world.in_flight.is_empty() {
             self.perform(Action::Deliver);
@@ -64,7 +64,7 @@
         self
     }
 
-    /// Delivers everything but what the test names; that comes later, or never.
+    /// Delivers everything but what the test names; that arrives later, or never.
     pub fn deliver_except(&mut self, is_deferred: impl Fn(&Message) -> bool) -> &mut Self {
         while let Some(flight) = self.world.in_flight.first() {
             match is_deferred(&flight.message) {
@@ -75,7 +75,7 @@
         self
     }
 
-    /// One heartbeat of machine 0, which those machines that are cut off don't get.
+    /// One heartbeat of machine 0, which the unreachable machines don't receive.
     pub fn heartbeat(&mut self, unreachable: &[usize]) -> &mut Self {
         self.perform(Action::Advance(HEARTBEAT_MS)).perform(Action::Tick(0));
         while !self.world.in_flight.is_empty() {
--- a/crates/consensus/tests/exhaustive/search.rs
+++ b/crates/consensus/tests/exhaustive/search.rs
@@ -1,5 +1,6 @@
-//! Search by the number of choices: a message that arrives in its turn is none, all else is one. All states of so many choices come before any of one more, so the first
-//! path that breaks a property is one of the fewest choices.
+//! Search by the number of choices: a message that arrives in order is none, all else is one.
+//! All states of so many choices come before any of one more, so the first path that breaks a
+//! property is one of the fewest choices.
 
 use crate::actions::{Action, Rules};
 use crate::world::{Flight, Isolation, World};
@@ -10,7 +11,7 @@
     pub rules: Rules,
     /// Choices on one path.
     pub choices: usize,
-    /// The search stops at so many states, and says so.
+    /// The search stops at so many states, and reports that it did.
     pub states: usize,
 }
 
@@ -64,7 +65,7 @@
         );
     }
 
-    /// Follows all that needs no choice from these, and returns what one more choice leads to.
+    /// Explores what needs no choice from these states, and returns the states one more choice away.
     fn one_more_choice(&self, mut pending: Vec<Reached>, search: &mut Search) -> Vec<Reached> {
         let mut next = Vec::new();
         while let Some(reached) = pending.pop() {
@@ -125,8 +126,8 @@
         Action::DeliverLate(at) => {
             format!("{now_ms} deliver late {}", flight(&world.out_of_turn[at]))
         }
-        Action::Isolate(Isolation { at, frozen: true }) => format!("{now_ms} freeze {}", id(at)),
-        Action::Isolate(Isolation { at, frozen: false }) => format!("{now_ms} cut off {}", id(at)),
+        Action::Isolate(Isolation { at, paused: true }) => format!("{now_ms} pause {}", id(at)),
+        Action::Isolate(Isolation { at, paused: false }) => format!("{now_ms} cut off {}", id(at)),
         Action::Rejoin => format!("{now_ms} all reach each other again"),
         Action::Advance(step_ms) => format!("{now_ms} advance by {step_ms}"),
         Action::Tick(at)
--- a/crates/consensus/tests/exhaustive/world.rs
+++ b/crates/consensus/tests/exhaustive/world.rs
@@ -1,5 +1,5 @@
-//! One state of the searched system: members with their disks, messages in flight, the clock, what
-//! is left of each bound, and the history that the checks compare with.
+//! One state of the searched system: members with their disks, messages in flight, the clock, the
+//! remainder of each bound, and the history that the checks compare with.
 
 use crate::ledger::Ledger;
 use postbarrow_consensus::*;
@@ -11,7 +11,7 @@
     Member { id, address: format!("10.0.0.{}:1", id % LOST_DISK_STEP).parse().expect("an address") }
 }
 
-/// A disk that replaces a lost one has the old number plus this.
+/// A disk that replaces a lost one has the old identity plus this.
 pub const LOST_DISK_STEP: MemberId = 10;
 pub const START_MS: u64 = 100_000;
 
@@ -21,12 +21,12 @@
     pub crashes: u8,
     pub lost_disks: u8,
     pub duplicates: u8,
-    /// Messages that arrive out of turn: at any later moment, or never.
+    /// Messages that arrive out of order: at any later time, or never.
     pub delays: u8,
-    /// Times that a machine is cut off, so that what it sends and is sent meanwhile is lost.
+    /// Times that a machine is partitioned, so that messages from and to it are lost meanwhile.
     pub partitions: u8,
-    /// Times that a machine stands still; what it is sent meanwhile may reach it afterwards.
-    pub freezes: u8,
+    /// Times that a machine is paused; messages to it meanwhile may arrive afterwards.
+    pub pauses: u8,
     pub proposals: u8,
     pub leadership_transfers: u8,
     pub compactions: u8,
@@ -34,11 +34,11 @@
     pub advances: u8,
     /// Times that a disk becomes slow: from then on each of its syncs comes late, or never.
     pub slow_disks: u8,
-    /// Ticks given to members, so that rounds and elections don't go on for ever.
+    /// Ticks of members, so that probe rounds and elections don't continue for ever.
     pub ticks: u8,
 }
 
-/// What a disk has kept through its last sync.
+/// What a disk has stored up to its last sync.
 #[derive(Clone, Default, Hash)]
 pub struct Disk {
     pub hard: HardState,
@@ -81,7 +81,7 @@
     pub unsynced: VecDeque<(u64, Write)>,
     pub slow: bool,
     pub applied: u64,
-    /// The number of the member that lost its disk here.
+    /// Identity of the member that lost its disk on this machine.
     pub replaced_id: Option<MemberId>,
     pub incarnation: u64,
 }
@@ -93,11 +93,11 @@
     pub message: Message,
 }
 
-/// A machine that nothing reaches.
+/// A machine that no message reaches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Isolation {
     pub at: usize,
-    pub frozen: bool,
+    pub paused: bool,
 }
 
 #[derive(Clone)]
@@ -106,7 +106,7 @@
     pub machines: Vec<Arc<Machine>>,
     /// In the order they were sent.
     pub in_flight: Vec<Arc<Flight>>,
-    /// Those out of turn.
+    /// Messages that arrive out of order.
     pub out_of_turn: Vec<Arc<Flight>>,
     pub isolation: Option<Isolation>,
     pub remaining: Bounds,
@@ -114,7 +114,7 @@
 }
 
 impl World {
-    /// Three members that formed a log and start now.
+    /// Three members that have bootstrapped a log and start now.
     pub fn started(remaining: Bounds) -> World {
         let members = (1..=3).map(member).collect();
         let snapshot = Arc::new(Snapshot { index: 0, term: 0, members, state: Vec::new() });
@@ -174,7 +174,7 @@
     }
 }
 
-/// Each life of each member has a seed of its own, as the processes draw theirs at random.
+/// Each incarnation of each member has a seed of its own, as processes draw theirs at random.
 pub fn seed(id: MemberId, incarnation: u64) -> u64 {
     0x9e37_79b9_7f4a_7c15u64.wrapping_mul(2 * (id + 100 * incarnation) + 1)
 }
--- a/crates/consensus/tests/flow.rs
+++ b/crates/consensus/tests/flow.rs
@@ -1,4 +1,4 @@
-//! Entries on their way to one follower: how many at once, and how many again.
+//! Entries in flight to one follower: how many at once, and how many are resent.
 
 mod cluster;
 use cluster::*;
@@ -24,7 +24,7 @@
         to == unresponsive
     });
     cluster.run_with_changes(2_000, 2_000, BATCH_BYTES);
-    assert!(cluster.node(leader).commit_index() > 3_000, "the majority goes on");
+    assert!(cluster.node(leader).commit_index() > 3_000, "the majority continues to commit");
     assert!(sent_bytes.get() > 0 && sent_bytes.get() <= FOLLOWER_IN_FLIGHT_BYTES, "{sent_bytes:?}");
     cluster.drops_frame = Box::new(|_, _, _| false);
     cluster.assert_all_converge();
@@ -52,6 +52,6 @@
     cluster.assert_all_converge();
     let due_bytes = 1_200 * (BATCH_BYTES as u64 + 32);
     let again_bytes = sent_bytes.get() - due_bytes;
-    println!("{again_bytes} bytes again for one lost frame");
+    println!("{again_bytes} bytes resent for one lost frame");
     assert!(again_bytes > 0 && again_bytes <= 2 * FOLLOWER_IN_FLIGHT_BYTES, "{again_bytes}");
 }
--- a/crates/consensus/tests/leadership_transfer.rs
+++ b/crates/consensus/tests/leadership_transfer.rs
@@ -45,8 +45,8 @@
                     Effect::Write { sequence, .. } => {
                         queue.insert(0, (to, Input::Synced(sequence)))
                     }
-                    Effect::LeadershipReceived { handover_state: note, .. } => {
-                        self.received_handover.push((to, note))
+                    Effect::LeadershipReceived { handover_state, .. } => {
+                        self.received_handover.push((to, handover_state))
                     }
                     _ => {}
                 }
@@ -62,13 +62,9 @@
     cluster.give(1, Input::Tick);
     assert!(cluster.node(1).lease_until() > cluster.now_ms);
     let effects = cluster.nodes[0].handle(cluster.now_ms, Input::TransferLeadership(vec![9]));
-    assert_eq!(
-        cluster.node(1).lease_until(),
-        0,
-        "nothing is granted while another is asked to lead"
-    );
+    assert_eq!(cluster.node(1).lease_until(), 0, "no lease while leadership is being transferred");
     let Some(Effect::Send { to, message }) = effects.into_iter().next() else {
-        panic!("nobody asked")
+        panic!("no transferee")
     };
     cluster.give(to.id, Input::Receive { from: member(1), message });
     assert_eq!(cluster.node(to.id).role(), Role::Leader, "without waiting for any promise to end");
--- a/crates/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -6,7 +6,7 @@
     Member { id, address: format!("10.0.0.{id}:1").parse().unwrap() }
 }
 
-/// A leader of three whose second member has long been silent, and whose third answers.
+/// A leader of three whose second member has long been unresponsive, and whose third responds.
 struct Bench {
     node: Consensus,
     now_ms: u64,
@@ -30,7 +30,7 @@
         bench
     }
 
-    /// One tick, in which these answer everything they are sent and all is synced.
+    /// One tick, in which these members answer every message and all writes are synced.
     fn tick(&mut self, answering: &[u64]) {
         self.now_ms += 20;
         let mut effects: Vec<Effect> = self.node.handle(self.now_ms, Input::Tick);
@@ -87,14 +87,14 @@
     for _ in 0..400 {
         bench.tick(&[9]);
     }
-    assert_eq!(bench.ids(), [1, 2, 3], "the second may only be cut off; the third is what is lost");
+    assert_eq!(bench.ids(), [1, 2, 3], "the second may only be partitioned; the third may be lost");
     bench.tick(&[2, 9]);
     for _ in 0..400 {
         bench.tick(&[2, 9]);
     }
     let mut ids = bench.ids();
     ids.sort_unstable();
-    assert_eq!(ids, [1, 2, 9], "once the second is heard again the third makes place");
+    assert_eq!(ids, [1, 2, 9], "once the second responds again the third is replaced");
 }
 
 #[test]
--- a/crates/consensus/tests/replacement/cluster.rs
+++ b/crates/consensus/tests/replacement/cluster.rs
@@ -10,9 +10,9 @@
 const FRAME_MS: u64 = 1;
 const SYNC_MS: u64 = 5;
 const SLOW_SYNC_MS: u64 = 60;
-/// Pace of the changes, unless a test wants another.
+/// Interval of the changes, unless a test sets another.
 const CHANGE_MS: u64 = 10;
-/// Changes that the log holds before anything is lost.
+/// Changes in the log before the first fault.
 const CHANGES: u64 = 300;
 
 pub struct Machine {
@@ -23,9 +23,9 @@
     /// Numbers of the changes committed here.
     pub applied: BTreeSet<u64>,
     pub stop_deadline_ms: Option<u64>,
-    /// End of what it ever acknowledged.
+    /// The newest entry that it ever acknowledged.
     pub acknowledged: u64,
-    /// When it last knew who leads.
+    /// When it last knew a leader.
     pub last_known_leader_ms: u64,
 }
 
@@ -35,7 +35,7 @@
     frames: BTreeMap<(u64, u64), (MemberId, Input)>,
     order: u64,
     next_change: u64,
-    /// A change is proposed at this pace.
+    /// A change is proposed at this interval.
     pub change_ms: u64,
     pub acknowledged: BTreeSet<u64>,
     /// Its syncs take longer than the others'.
@@ -50,7 +50,7 @@
 }
 
 impl Cluster {
-    /// Voters one to `voters`, with a state, changes behind them and more going on.
+    /// Voters one to `voters`, with a state, committed changes and a steady load.
     pub fn running(voters: u64, voter_dead_ms: u64) -> Cluster {
         let mut cluster = Cluster {
             now_ms: 1_000,
@@ -82,7 +82,7 @@
         cluster
     }
 
-    /// A process begins, on the disk it had if it had one.
+    /// Starts a process, on its former disk if it had one.
     pub fn start(&mut self, id: MemberId) {
         let disk = self.machines.remove(&id).map_or_else(RecoveredState::default, |old| old.disk);
         let mut node = Consensus::new(id, disk.clone(), id * 7_919, self.now_ms);
@@ -110,14 +110,14 @@
         machine.synced_at_ms = None;
     }
 
-    /// Asks for a planned stop, as the control process does it.
+    /// Begins a planned stop as the control process does.
     pub fn stop(&mut self, id: MemberId) {
         self.machines.get_mut(&id).unwrap().stop_deadline_ms =
             Some(self.now_ms + LEADERSHIP_TRANSFER_MS);
         self.give(id, Input::Depart);
     }
 
-    /// No frame leaves or reaches this one.
+    /// Loses every frame from and to this member.
     pub fn partition(&mut self, id: MemberId) {
         self.partition.insert(id);
     }
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Milliseconds until it holds.
+    /// Milliseconds until the condition is met.
     pub fn run_until(&mut self, max_ms: u64, condition: impl Fn(&Cluster) -> bool) -> Option<u64> {
         let from_ms = self.now_ms;
         while !condition(self) {
@@ -188,7 +188,7 @@
         }
     }
 
-    /// As the controller does: who is left out, or knows of no leader for long, greets.
+    /// As the controller does: a process that is no member, or knows no leader for long, announces itself.
     fn send_discovery(&mut self, id: MemberId) {
         let now_ms = self.now_ms;
         let Some(machine) = self.machines.get_mut(&id) else { return };
--- a/crates/consensus/tests/replacement/disk.rs
+++ b/crates/consensus/tests/replacement/disk.rs
@@ -1,4 +1,4 @@
-//! What a member's disk holds: the changes as numbers, in the log and in the state beside it.
+//! What a member's disk stores: the changes as numbers, in the log and in the state beside it.
 
 use postbarrow_consensus::*;
 use std::collections::BTreeSet;
--- a/crates/consensus/tests/replacement/observation.rs
+++ b/crates/consensus/tests/replacement/observation.rs
@@ -1,4 +1,4 @@
-//! What can be seen of the members from outside, and what must hold of it.
+//! What is observable of the members from outside, and what must be true of it.
 
 use crate::cluster::Cluster;
 use crate::disk::{decode, number};
@@ -10,7 +10,7 @@
         self.machines.get(&id)?.node.as_ref()
     }
 
-    /// The one that leads and may say so.
+    /// The leader with a valid lease.
     pub fn leader(&self) -> Option<MemberId> {
         let condition = |id: &MemberId| {
             self.node(*id).is_some_and(|node| node.is_ready() && node.lease_until() > self.now_ms)
@@ -18,7 +18,7 @@
         self.machines.keys().copied().find(condition)
     }
 
-    /// Members that the leader knows committed, in order.
+    /// Members of the leader's committed configuration, in order.
     pub fn voters(&self) -> Vec<MemberId> {
         let Some(node) = self.leader().and_then(|id| self.node(id)) else { return Vec::new() };
         if node.log().config_index() > node.commit_index() {
@@ -29,14 +29,14 @@
         ids
     }
 
-    /// End of what this one ever acknowledged, and of what its disk holds.
+    /// The newest entry that this member ever acknowledged, and the newest on its disk.
     pub fn acknowledged_and_durable_index(&self, id: MemberId) -> (u64, u64) {
         let machine = &self.machines[&id];
         let slot = machine.disk.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         (machine.acknowledged, machine.disk.entries.last().map_or(slot, |entry| entry.index))
     }
 
-    /// Whether the log would still have a majority if one more of its living voters were lost.
+    /// Whether the log would still have a majority if one more of its running voters were lost.
     pub fn has_margin(&self) -> bool {
         let Some(node) = self.leader().and_then(|id| self.node(id)) else { return false };
         let members = node.members();
@@ -44,7 +44,7 @@
         living > members.len() / 2 + 1
     }
 
-    /// What was acknowledged and is not held, durably, by any of these.
+    /// How many of these changes are not on this member's disk.
     pub fn missing_at(&self, id: MemberId, since: &BTreeSet<u64>) -> usize {
         let machine = &self.machines[&id];
         let snapshot = machine.disk.snapshot.as_ref();
@@ -53,7 +53,7 @@
         since.difference(&durable).count()
     }
 
-    /// Service is back, and whoever leads has committed all that was ever acknowledged.
+    /// Service is back, and the leader has committed all that was ever acknowledged.
     pub fn assert_serves(&mut self, max_ms: u64, when: &str) -> u64 {
         let back_ms = self.run_until(max_ms, |cluster| cluster.leader().is_some());
         let back_ms = back_ms.unwrap_or_else(|| panic!("{when}: no leader after {max_ms} ms"));
--- a/crates/consensus/tests/replacement/planned.rs
+++ b/crates/consensus/tests/replacement/planned.rs
@@ -1,4 +1,4 @@
-//! A voter is asked to stop, with a newcomer there or without.
+//! A voter departs, with or without a learner to take its seat.
 
 use crate::cluster::Cluster;
 use crate::*;
@@ -11,9 +11,8 @@
             let mut cluster = Cluster::running(voters, dead_ms);
             for turn in 0..2 {
                 let when = format!("{voters} voters, leader {with_leader}, turn {turn}");
-                let (newcomer, departing) =
-                    (30 + turn, voters_to_lose(&cluster, 1, with_leader)[0]);
-                cluster.start(newcomer);
+                let (learner, departing) = (30 + turn, voters_to_lose(&cluster, 1, with_leader)[0]);
+                cluster.start(learner);
                 cluster.run_ms(1_000);
                 cluster.stop(departing);
                 let without_margin_ms = Cell::new(0);
@@ -26,9 +25,9 @@
                 let end_ms = end_ms.unwrap_or_else(|| panic!("{when}: it doesn't end"));
                 assert_eq!(without_margin_ms.get(), 0, "{when}: no margin for so long");
                 let voters = cluster.voters();
-                assert!(voters.contains(&newcomer) && !voters.contains(&departing), "{when}");
+                assert!(voters.contains(&learner) && !voters.contains(&departing), "{when}");
                 assert!(cluster.has_margin(), "{when}: no margin at its end");
-                println!("planned: {when}: seat given and ended {end_ms} ms after the wish");
+                println!("planned: {when}: seat taken and stopped {end_ms} ms after the request");
                 cluster.run_ms(catch_up_ms - 1_000 - end_ms);
                 let next = cluster.leader().unwrap();
                 cluster.kill(next);
@@ -40,7 +39,8 @@
     }
 }
 
-/// The leaver knows of no newcomer yet, ends, and is known to be gone without more silence.
+/// The departing member is granted its departure before the learner is known, and counts as dead
+/// without the dead-voter timeout.
 #[test]
 fn a_learner_started_with_the_departure_is_seated_before_the_dead_voter_timeout() {
     for with_leader in [false, true] {
@@ -68,8 +68,8 @@
             let one = voters_to_lose(&cluster, 1, with_leader)[0];
             cluster.stop(one);
             let end_ms = cluster.run_until(1_500, |cluster| !cluster.is_running(one));
-            println!("restart: leader {with_leader}: ended {:?} ms after the wish", end_ms);
-            assert!(end_ms.is_some(), "a restart waits for nobody");
+            println!("restart: leader {with_leader}: stopped {:?} ms after the request", end_ms);
+            assert!(end_ms.is_some(), "a restart waits for no learner");
             cluster.run_ms(300);
             cluster.start(one);
             cluster.run_ms(2_000);
@@ -78,7 +78,7 @@
     }
 }
 
-/// B is cut off while A and C acknowledge; then A is asked to stop, and a newcomer comes.
+/// B is partitioned while A and C acknowledge; then A departs.
 #[test]
 fn a_departing_member_stays_until_a_majority_of_the_others_has_its_entries() {
     let mut cluster = Cluster::running(3, 60_000);
@@ -88,14 +88,14 @@
     cluster.partition(behind);
     cluster.run_ms(1_000);
     let acknowledged_changes = cluster.acknowledged.clone();
-    assert!(cluster.missing_at(behind, &acknowledged_changes) > 50, "what only two hold");
+    assert!(cluster.missing_at(behind, &acknowledged_changes) > 50, "entries that only two have");
     cluster.stop(leader);
     cluster.run_ms(1_500);
-    assert!(cluster.is_running(leader), "only one other holds what it acknowledged");
+    assert!(cluster.is_running(leader), "only one other has what it acknowledged");
     let acknowledged_changes = cluster.acknowledged.clone();
     cluster.heal();
     let end_ms = cluster.run_until(1_400, |cluster| !cluster.is_running(leader));
-    assert!(end_ms.is_some(), "both others hold it");
+    assert!(end_ms.is_some(), "both others have it");
     assert_eq!(cluster.missing_at(behind, &acknowledged_changes), 0);
     assert_eq!(cluster.missing_at(other, &acknowledged_changes), 0);
     cluster.assert_serves(SERVICE_MS, "after it ended");
@@ -122,7 +122,7 @@
     }
 }
 
-/// A loss beside the one that is planned: the leaver's seat must not be waited for by the log.
+/// A loss beside the planned departure: the log must not depend on the departing member's seat.
 #[test]
 fn a_leader_lost_at_any_time_of_a_departure_costs_no_service() {
     for after_ms in (0..=120).step_by(10) {
@@ -137,9 +137,9 @@
         cluster.kill(leader);
         cluster.assert_serves(SERVICE_MS, &when);
         let end_ms = cluster.run_until(1_000, |cluster| !cluster.is_running(departing));
-        assert!(end_ms.is_some(), "{when}: the leaver waits for the dead one's silence");
+        assert!(end_ms.is_some(), "{when}: the departure waits for the dead voter's timeout");
         cluster.run_ms(SMALL.0);
-        cluster.assert_serves(1, &format!("{when}, after the leaver's end"));
+        cluster.assert_serves(1, &format!("{when}, after the departure"));
         cluster.start(31);
         cluster.run_ms(SMALL.0);
         let voters = cluster.voters();
@@ -166,10 +166,10 @@
                 assert!(end_ms.is_some(), "{when}: it doesn't end");
                 let (acknowledged, _) = cluster.acknowledged_and_durable_index(one);
                 for other in cluster.voters().into_iter().filter(|other| *other != one) {
-                    let (_, acknowledged_changes) = cluster.acknowledged_and_durable_index(other);
+                    let (_, durable) = cluster.acknowledged_and_durable_index(other);
                     assert!(
-                        acknowledged_changes >= acknowledged,
-                        "{when}: {other} holds {acknowledged_changes} of {acknowledged}"
+                        durable >= acknowledged,
+                        "{when}: {other} has {durable} of {acknowledged}"
                     );
                 }
                 cluster.slow = None;
@@ -184,7 +184,7 @@
     for voters in [3, 5] {
         for after_ms in [20, 250, 500, 620, 650, 700, 2_100, 2_200] {
             let mut cluster = Cluster::running(voters, SMALL.1);
-            let when = format!("{voters} voters, newcomer dies after {after_ms} ms");
+            let when = format!("{voters} voters, learner lost after {after_ms} ms");
             let departing = voters_to_lose(&cluster, 1, false)[0];
             cluster.start(30);
             cluster.run_ms(300);
--- a/crates/consensus/tests/replacement/unplanned.rs
+++ b/crates/consensus/tests/replacement/unplanned.rs
@@ -1,4 +1,4 @@
-//! A voter is lost without warning, and an empty machine comes in its place.
+//! A voter is lost without warning, and an uninitialized process replaces it.
 
 use crate::cluster::Cluster;
 use crate::*;
@@ -14,7 +14,7 @@
                     format!("{voters} voters, {count} lost, leader {with_leader}, turn {turn}");
                 let lost_ids = voters_to_lose(&cluster, count, with_leader);
                 let vote_ms = replace_voters(&mut cluster, &lost_ids, catch_up_ms, &when);
-                println!("unplanned: {when}: vote {vote_ms} ms after the newcomer's start");
+                println!("unplanned: {when}: vote {vote_ms} ms after the learner's start");
                 cluster.assert_serves(1, &when);
             }
         }
@@ -35,14 +35,15 @@
     }
 }
 
-/// Four of whom the replaced one is dead would miss the newcomer (seed 511).
+/// Four voters, of which the replaced one is dead, would have no majority without the learner (seed
+/// 511).
 #[test]
 fn a_learner_lost_at_any_time_of_a_replacement_costs_no_majority() {
     let has_seat = |cluster: &Cluster| cluster.voters().contains(&30);
     let run_until_lost = |max_ms: u64| {
         let mut cluster = Cluster::running(3, SMALL.1);
-        let lost_ids = voters_to_lose(&cluster, 1, false)[0];
-        cluster.kill(lost_ids);
+        let lost_id = voters_to_lose(&cluster, 1, false)[0];
+        cluster.kill(lost_id);
         cluster.start(30);
         let seated_ms = cluster.run_until(max_ms, has_seat);
         (cluster, seated_ms)
@@ -51,7 +52,7 @@
     for before_ms in 0..40 {
         let (mut cluster, _) = run_until_lost(seated_ms - before_ms);
         cluster.kill(30);
-        let when = format!("newcomer lost {before_ms} ms before it would have its seat");
+        let when = format!("learner lost {before_ms} ms before it would have its seat");
         cluster.assert_serves(SERVICE_MS, &when);
         cluster.start(31);
         cluster.run_ms(SMALL.0);
@@ -81,7 +82,7 @@
         cluster.run_ms(SMALL.0);
         cluster.assert_serves(SERVICE_MS, "after the next loss");
         if learner_is_waiting {
-            assert!(cluster.voters().contains(&one), "the expelled one stands ready again");
+            assert!(cluster.voters().contains(&one), "the removed voter has its seat again");
         }
     }
 }
--- a/crates/consensus/tests/snapshots.rs
+++ b/crates/consensus/tests/snapshots.rs
@@ -1,4 +1,4 @@
-//! A member that is behind catches up while changes go on, whatever breaks off meanwhile.
+//! A lagging member catches up under load, through faults of links, leaders and processes.
 
 mod cluster;
 use cluster::*;
@@ -7,13 +7,13 @@
 use std::sync::Arc;
 
 const STATE_BYTES: usize = 1_000_000;
-/// The leader takes a snapshot after so much log: at `RATE`, oftener than one is sent.
+/// The leader takes a snapshot after so much log: at `RATE`, more often than one is transferred.
 const COMPACT_BYTES: u64 = 400_000;
 /// Batches a second, half of what the slow link carries.
 const RATE: u64 = 220;
 const BATCH_BYTES: usize = 1_000;
 
-/// One follower was away for so long that it needs a snapshot, and starts again on slow parts.
+/// One follower was down for so long that it needs a snapshot, and restarts with a slow link and disk.
 fn cluster_with_lagging_member() -> (Cluster, u64) {
     let mut cluster = Cluster::new(COMPACT_BYTES, STATE_BYTES);
     let lagging = cluster.follower();
@@ -26,11 +26,11 @@
 }
 
 fn lag(cluster: &Cluster, id: u64) -> u64 {
-    let leader = cluster.leader().expect("somebody leads");
+    let leader = cluster.leader().expect("there is a leader");
     cluster.node(leader).commit_index() - cluster.node(id).commit_index()
 }
 
-/// Milliseconds of changes until the member was within a heartbeat of the others.
+/// Milliseconds under load until the member is less than a second of entries behind.
 fn assert_catches_up(cluster: &mut Cluster, lagging: u64, within_ms: u64) -> u64 {
     for elapsed_ms in (0..within_ms).step_by(500) {
         cluster.run_with_changes(500, RATE, BATCH_BYTES);
@@ -44,16 +44,16 @@
 #[test]
 fn a_member_on_a_slow_link_and_disk_catches_up_during_compactions() {
     let (mut cluster, lagging) = cluster_with_lagging_member();
-    let leader = cluster.leader().expect("somebody leads");
+    let leader = cluster.leader().expect("there is a leader");
     let term = cluster.node(leader).term();
     let duration_ms = assert_catches_up(&mut cluster, lagging, 30_000);
     println!("caught up after {duration_ms} ms, {} bytes", cluster.snapshot_bytes_sent);
     assert_eq!(cluster.machines[&lagging].restores, 1, "one snapshot was enough");
     let max_bytes = STATE_BYTES as u64 + FOLLOWER_IN_FLIGHT_BYTES;
     assert!(cluster.snapshot_bytes_sent <= max_bytes, "and went once");
-    assert_eq!(cluster.node(leader).term(), term, "nobody began an election");
+    assert_eq!(cluster.node(leader).term(), term, "there was no election");
     let contact_gap_ms = cluster.machines[&lagging].max_contact_gap_us / 1_000;
-    assert!(contact_gap_ms < ELECTION_MIN_MS, "silent for {contact_gap_ms} ms");
+    assert!(contact_gap_ms < ELECTION_MIN_MS, "no leader contact for {contact_gap_ms} ms");
     cluster.assert_all_converge();
 }
 
@@ -92,7 +92,7 @@
 #[test]
 fn bytes_in_flight_on_a_slow_link_are_bounded() {
     let (mut cluster, lagging) = cluster_with_lagging_member();
-    let leader = cluster.leader().expect("somebody leads");
+    let leader = cluster.leader().expect("there is a leader");
     assert_catches_up(&mut cluster, lagging, 30_000);
     cluster.run_with_changes(3_000, 4 * RATE, BATCH_BYTES);
     let queued_bytes = cluster.max_queued_bytes[&(leader, lagging)];
@@ -115,7 +115,7 @@
     let sent_bytes = cluster.snapshot_bytes_sent;
     println!("with one lost chunk in twenty, {sent_bytes} bytes in {duration_ms} ms");
     assert!(sent_bytes < 2 * STATE_BYTES as u64, "{sent_bytes} bytes for one lost chunk in twenty");
-    assert!(duration_ms <= 12_000, "{duration_ms} ms: each gap is told at once");
+    assert!(duration_ms <= 12_000, "{duration_ms} ms: each gap is reported at once");
     cluster.assert_all_converge();
 }
 
--- a/crates/consensus/tests/votes.rs
+++ b/crates/consensus/tests/votes.rs
@@ -62,7 +62,7 @@
     let last_contact_ms = START_MS + 5_000;
     receive(&mut node, last_contact_ms, 2, append(1));
     let bound_ms = last_contact_ms + ELECTION_MIN_MS - 1;
-    assert!(bound_ms > last_contact_ms + LEADER_LEASE_MS, "the hold ends for its holder first");
+    assert!(bound_ms > last_contact_ms + LEADER_LEASE_MS, "the lease ends for the leader first");
     let early = receive(&mut node, bound_ms, 3, Message::PreVote(vote_request(2)));
     assert_eq!(granted(&early), Some(false));
     let early = receive(&mut node, bound_ms, 3, Message::Vote(vote_request(2)));
@@ -77,7 +77,7 @@
     let bound_ms = START_MS + ELECTION_MIN_MS - 1;
     assert!(receive(&mut node, bound_ms, 3, Message::Vote(vote_request(2))).is_empty());
     let due = receive(&mut node, bound_ms + 1, 3, Message::Vote(vote_request(2)));
-    assert_eq!(granted(&due), None, "no word before the vote is on disk");
+    assert_eq!(granted(&due), None, "no response before the vote is on disk");
     assert_eq!(granted(&sync(&mut node, bound_ms + 2, &due)), Some(true));
 }
 
@@ -139,12 +139,12 @@
 #[test]
 fn a_complete_probe_round_without_a_leader_starts_an_election_at_once() {
     let mut node = voter(START_MS, HardState::default());
-    let round = probe_round(&node.handle(START_MS + 20, Input::Tick)).expect("it asks at once");
+    let round = probe_round(&node.handle(START_MS + 20, Input::Tick)).expect("it probes at once");
     let not_leading = |round| Message::LeaderProbeResponse { term: 0, round, not_leading: true };
     assert!(receive(&mut node, START_MS + 21, 2, not_leading(round)).is_empty(), "one is not all");
     let campaign = receive(&mut node, START_MS + 22, 3, not_leading(round));
     let is_leaderless_pre_vote = |effect: &Effect| matches!(effect, Effect::Send { message: Message::PreVote(request), .. } if request.leaderless);
-    assert!(campaign.iter().any(is_leaderless_pre_vote), "both others said so in one round");
+    assert!(campaign.iter().any(is_leaderless_pre_vote), "both others denied in one round");
     let mut node = voter(START_MS, HardState::default());
     let first = probe_round(&node.handle(START_MS + 20, Input::Tick)).unwrap();
     let second = probe_round(&node.handle(START_MS + 120, Input::Tick)).unwrap();
@@ -181,32 +181,32 @@
     receive(&mut node, bound_ms + 4, 2, append(1));
     assert!(
         receive(&mut node, bound_ms + 5, 3, Message::Vote(leaderless_request(2))).is_empty(),
-        "heard again"
+        "contact since the denial"
     );
 }
 
 #[test]
 fn a_probe_response_to_an_earlier_incarnation_is_ignored() {
     let mut before = voter(START_MS, HardState::default());
-    let earlier = probe_round(&before.handle(START_MS, Input::Tick)).expect("it asks at once");
+    let earlier = probe_round(&before.handle(START_MS, Input::Tick)).expect("it probes at once");
     let members = (1..=3).map(member).collect();
     let snapshot = Snapshot { index: 0, term: 0, members, state: Vec::new() };
     let recovered =
         RecoveredState { snapshot: Some(Arc::new(snapshot)), ..RecoveredState::default() };
     let mut node = Consensus::new(1, recovered, 8, START_MS + 1);
-    let round = probe_round(&node.handle(START_MS + 1, Input::Tick)).expect("it asks again");
+    let round = probe_round(&node.handle(START_MS + 1, Input::Tick)).expect("it probes again");
     let not_leading = |round| Message::LeaderProbeResponse { term: 0, round, not_leading: true };
     assert!(receive(&mut node, START_MS + 2, 2, not_leading(round)).is_empty());
     let late = receive(&mut node, START_MS + 3, 3, not_leading(earlier));
-    assert!(late.is_empty(), "3 may have begun to lead since");
+    assert!(late.is_empty(), "3 may have become leader since");
     let campaign = receive(&mut node, START_MS + 4, 3, not_leading(round));
-    assert!(!campaign.is_empty(), "both others said so in one round of this life");
+    assert!(!campaign.is_empty(), "both others denied in one round of this incarnation");
 }
 
 #[test]
 fn a_probe_response_from_before_a_leader_contact_is_ignored() {
     let mut node = voter(START_MS, HardState::default());
-    let round = probe_round(&node.handle(START_MS, Input::Tick)).expect("it asks at once");
+    let round = probe_round(&node.handle(START_MS, Input::Tick)).expect("it probes at once");
     let not_leading = |term| Message::LeaderProbeResponse { term, round, not_leading: true };
     assert!(receive(&mut node, START_MS + 1, 3, not_leading(0)).is_empty());
     receive(&mut node, START_MS + 2, 3, append(1));
--- a/crates/controller/src/status.rs
+++ b/crates/controller/src/status.rs
@@ -71,14 +71,15 @@
             silent_ms: 0,
             lag_entries: 0,
         }];
-        for (member, silent_ms, lag) in self.consensus.followers(now_ms) {
+        for follower in self.consensus.followers(now_ms) {
+            let member = follower.member;
             let voter = voters.iter().any(|known| known.id == member.id);
             members.push(MemberRow {
                 id: format!("{:016x}", member.id),
                 address: member.address.to_string(),
                 role: if voter { "voter".into() } else { "learner".into() },
-                silent_ms,
-                lag_entries: lag,
+                silent_ms: follower.silent_ms,
+                lag_entries: follower.lag_entries,
             });
         }
         self.respond(origin, json(200, &MembersTold { members }));
