--- a/crates/controller/src/discovery.rs
+++ b/crates/controller/src/discovery.rs
@@ -175,7 +175,7 @@
     /// process is gone. That is all that can be said for it.
     pub(crate) fn on_probe_of_predecessor(&mut self, prober: Member, before: MemberId, round: u64) {
         let before = Member { id: before, address: self.own.address };
-        let message = consensus::Message::LeaderProbeResponse { term: 0, round, free: true };
+        let message = consensus::Message::LeaderProbeResponse { term: 0, round, not_leading: true };
         self.send(prober.address, Message::Consensus { from: before, to: prober.id, message });
     }
 
