--- a/crates/controller/src/endpoint_list.rs
+++ b/crates/controller/src/endpoint_list.rs
@@ -2,7 +2,7 @@
 use crate::list_page::read_page;
 use crate::{ControlNode, Effect, Fetched, PageResult};
 use postbarrow_constants::nodes::*;
-use postbarrow_constants::plans::LEAVING_WAIT_MS;
+use postbarrow_constants::plans::DRAIN_TRANSACTION_WAIT_MS;
 use postbarrow_state::{Name, Record, State, Target};
 use std::collections::VecDeque;
 
@@ -33,8 +33,9 @@
 
     /// Changes wait for an open transaction, but one that shows a target leave not for long.
     fn apply_deferred(&mut self, now_ms: u64) {
-        let is_overdue =
-            |change: &DeferredChange| change.leaving && now_ms >= change.since_ms + LEAVING_WAIT_MS;
+        let is_overdue = |change: &DeferredChange| {
+            change.leaving && now_ms >= change.since_ms + DRAIN_TRANSACTION_WAIT_MS
+        };
         let must_abort = self
             .leader
             .as_ref()
@@ -141,7 +142,7 @@
     fn report_leave_bound(&mut self) {
         let Some(leader) = &mut self.leader else { return };
         let bound_ms = leader.scan.leave_bound_ms();
-        let slow = bound_ms > LEAVE_BOUND_MS;
+        let slow = bound_ms > DRAIN_BOUND_MS;
         if slow != leader.is_list_slow {
             leader.is_list_slow = slow;
             self.log_line(match slow {
--- a/crates/controller/src/nodes.rs
+++ b/crates/controller/src/nodes.rs
@@ -59,7 +59,7 @@
     fn knows_targets(&self, now_ms: u64) -> bool {
         let Some(leader) = &self.leader else { return false };
         let Some(since_ms) = leader.lease_since_ms else { return false };
-        leader.scan.completed_ms.is_some() || now_ms >= since_ms + LIST_FIRST_MS
+        leader.scan.completed_ms.is_some() || now_ms >= since_ms + LIST_FIRST_SCAN_WAIT_MS
     }
 
     /// A hold that is gained, or gained again, begins with nothing known: neither what the list
@@ -121,7 +121,7 @@
             leader.nodes.entry(*node).or_insert_with(|| NodeReport::at(now_ms));
         }
         let silent =
-            leader.nodes.iter().filter(|(_, report)| now_ms > report.last_ms + NODE_GONE_MS);
+            leader.nodes.iter().filter(|(_, report)| now_ms > report.last_ms + NODE_EXPIRY_MS);
         let mut gone: BTreeSet<Incarnation> = silent.map(|(node, _)| *node).collect();
         gone.extend(suspected(now_ms, &leader.nodes));
         let mut records: Vec<Record> = gone.iter().map(|node| Record::NodeGone(*node)).collect();
--- a/crates/controller/src/poll_rate.rs
+++ b/crates/controller/src/poll_rate.rs
@@ -50,7 +50,7 @@
     /// Who knows nothing yet is in a hurry, as long as the list never refused.
     pub fn permits(&self, now_ms: u64, urgent: bool) -> bool {
         let may_hurry = urgent && self.refusals == 0 && self.min_gap_ms == LIST_GAP_MS;
-        let min_wait_ms = if may_hurry { LIST_HURRY_MS } else { self.gap_ms };
+        let min_wait_ms = if may_hurry { LIST_FIRST_SCAN_GAP_MS } else { self.gap_ms };
         now_ms >= self.requested_ms + min_wait_ms
             && self.requests_in_window(now_ms) < LIST_WINDOW_MS.div_ceil(self.gap_ms)
     }
@@ -83,7 +83,7 @@
 
     /// A pace too slow for what it is needed for is tried a little quicker, but seldom.
     pub fn relax(&mut self, now_ms: u64) {
-        if now_ms >= self.changed_ms + LIST_RELAX_MS {
+        if now_ms >= self.changed_ms + LIST_GAP_DECREASE_MS {
             self.changed_ms = now_ms;
             self.gap_ms = (self.gap_ms * 9 / 10).max(self.min_gap_ms);
         }
--- a/crates/controller/src/retention.rs
+++ b/crates/controller/src/retention.rs
@@ -46,7 +46,8 @@
             }
             leader.settled_keys.pop_front();
         }
-        let is_expired = |(era, _): &&(u64, Name)| state.era > era + REPEAT_RETENTION_MS / ERA_MS;
+        let is_expired =
+            |(era, _): &&(u64, Name)| state.era > era + STORED_RESULT_RETENTION_MS / ERA_MS;
         let repeats: Vec<Name> = state
             .repeat_queue
             .iter()
--- a/crates/controller/tests/endpoint_list.rs
+++ b/crates/controller/tests/endpoint_list.rs
@@ -223,7 +223,7 @@
         let tail = text.split("\"leaveBoundMs\":").nth(1).unwrap();
         tail.split([',', '}']).next().unwrap().parse::<u64>().unwrap()
     };
-    assert!(bound(&harness, 1) <= LEAVE_BOUND_MS);
+    assert!(bound(&harness, 1) <= DRAIN_BOUND_MS);
     for _ in 0..8 {
         while harness.fetches.is_empty() {
             harness.tick(20);
@@ -235,7 +235,7 @@
         harness.fetches.clear();
     }
     harness.request(2, Request::Targets);
-    assert!(bound(&harness, 2) > LEAVE_BOUND_MS);
+    assert!(bound(&harness, 2) > DRAIN_BOUND_MS);
 }
 
 #[test]
@@ -255,10 +255,10 @@
         .collect();
     let text = format!("{{\"targets\":[{}],\"next\":\"1\"}}", rows.join(","));
     harness.input(Input::Page(PageResult { number, fetched: Fetched::Page(text.into_bytes()) }));
-    for _ in 0..LEAVING_WAIT_MS / 20 + 2 {
+    for _ in 0..DRAIN_TRANSACTION_WAIT_MS / 20 + 2 {
         harness.tick(20);
     }
-    const { assert!(LEAVING_WAIT_MS + 60 < TRANSACTION_OPEN_MS) };
+    const { assert!(DRAIN_TRANSACTION_WAIT_MS + 60 < TRANSACTION_OPEN_MS) };
     while harness.response(1).is_none() {
         harness.sync();
     }
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -25,6 +25,8 @@
     pub pages: Vec<String>,
     pub encoded: usize,
     pub snapshot: Option<Snapshot>,
+    /// All that its disk was asked to write, in order.
+    pub writes: Vec<Write>,
     unsynced: Option<u64>,
 }
 
@@ -56,6 +58,7 @@
             pages: Vec::new(),
             encoded: 0,
             snapshot: None,
+            writes: Vec::new(),
             unsynced: None,
         }
     }
@@ -92,6 +95,7 @@
             match effect {
                 Effect::Write { sequence, write } => {
                     self.unsynced = Some(sequence);
+                    self.writes.push(write.clone());
                     if let Write::Append(entries) = write {
                         for entry in entries {
                             if let Payload::Batch(bytes) = &entry.payload {
--- a/crates/controller/tests/leader_work.rs
+++ b/crates/controller/tests/leader_work.rs
@@ -92,7 +92,7 @@
     let mut harness = Harness::serving();
     harness.request(1, Request::Ticket(ticket("k", 1)));
     harness.run_until_idle();
-    for _ in 0..NODE_GONE_MS / 20 + 20 {
+    for _ in 0..NODE_EXPIRY_MS / 20 + 20 {
         harness.tick(20);
         harness.sync();
     }
@@ -157,7 +157,7 @@
     harness.answer_list(&[("ledger-1", "ledger")]);
     assert!(harness.lease_is_granted());
     let mut without_list = new_leader();
-    for _ in 0..LIST_FIRST_MS / 20 + 3 {
+    for _ in 0..LIST_FIRST_SCAN_WAIT_MS / 20 + 3 {
         without_list.tick(20);
     }
     assert!(without_list.lease_is_granted(), "an unreachable list does not stop the service");
--- a/crates/controller/tests/space_bounds.rs
+++ b/crates/controller/tests/space_bounds.rs
@@ -111,7 +111,7 @@
 #[test]
 fn writing_calls_are_shed_at_the_bound_of_remembered_calls() {
     let mut state = State::default();
-    for at in 0..REPEATS {
+    for at in 0..STORED_RESULTS {
         state.repeats.insert(Name::from(format!("r{at}")), Arc::new(Outcome::Freed));
     }
     let mut harness = from_state(state);
@@ -137,7 +137,7 @@
     harness.run_until_idle();
     let mut elapsed_ms = 0;
     while harness.state().repeats.contains_key("once") {
-        assert!(elapsed_ms < REPEAT_RETENTION_MS + 12 * ERA_MS, "remembered for ever");
+        assert!(elapsed_ms < STORED_RESULT_RETENTION_MS + 12 * ERA_MS, "remembered for ever");
         for _ in 0..22 {
             harness.tick(2_000);
             harness.sync();
@@ -150,6 +150,6 @@
         harness.become_leader();
         elapsed_ms += 2_000;
     }
-    assert!(elapsed_ms >= REPEAT_RETENTION_MS, "removed after {elapsed_ms} ms");
+    assert!(elapsed_ms >= STORED_RESULT_RETENTION_MS, "removed after {elapsed_ms} ms");
     assert!(harness.state().repeat_queue.is_empty());
 }
