--- /dev/null
+++ b/crates/controller/src/control_node.rs
@@ -0,0 +1,272 @@
+//! The control node: what each input does.
+
+mod calls;
+mod compaction;
+mod contact;
+mod discovery;
+mod endpoint_list;
+mod leader_probe;
+mod leadership_transfer;
+mod lease;
+mod lock_expiry;
+mod log_commit;
+mod members;
+mod node_expiry;
+mod node_lease;
+mod plan;
+mod plan_abort;
+mod plan_commit;
+mod proposal;
+mod replies;
+mod requests;
+mod retention;
+mod settings;
+mod status;
+mod submissions;
+mod targets;
+mod term;
+mod tickets;
+mod watches;
+
+use crate::endpoint_list::ReceivedHandover;
+use crate::leader_contact::LeaderContact;
+use crate::leader_state::LeaderState;
+use crate::origin::Origin;
+use crate::peer_directory::PeerDirectory;
+use crate::routing_updates::RoutingUpdates;
+use crate::snapshot_schedule::SnapshotSchedule;
+use crate::{Effect, Input};
+use postbarrow_consensus::{
+    self as consensus, Consensus, Effect as LogEffect, Entry, Member, RecoveredState,
+};
+use postbarrow_constants::consensus::LOG_BYTES;
+use postbarrow_messages::{Envelope, Message};
+use postbarrow_state::State;
+use postbarrow_transactions::Tail;
+use settings::{LeaderSettings, log_bound_bytes};
+use std::net::SocketAddr;
+
+/// A member of the control plane's log, or a node that is to become one.
+pub struct ControlNode {
+    own: Member,
+    consensus: Consensus,
+    /// The committed state.
+    tail: Tail<State>,
+    updates: RoutingUpdates,
+    snapshots: SnapshotSchedule,
+    directory: PeerDirectory,
+    contact: LeaderContact,
+    settings: LeaderSettings,
+    leader: Option<LeaderState>,
+    received_handover: Option<ReceivedHandover>,
+    is_stopping: bool,
+    effects: Vec<Effect>,
+}
+
+impl ControlNode {
+    /// A node with what its disk gave back. `seeds` are addresses that may introduce it to others;
+    /// `seed` starts its random draws; `now_ms` is a time of the clock that `handle` is given.
+    pub fn new(
+        own: Member,
+        recovered: RecoveredState,
+        seeds: &[SocketAddr],
+        seed: u64,
+        now_ms: u64,
+    ) -> Self {
+        let snapshot = recovered.snapshot.clone();
+        let log_bytes = size_bytes(&recovered.entries);
+        let mut node = ControlNode {
+            own,
+            consensus: Consensus::new(own.id, recovered, seed, now_ms),
+            tail: Tail::new(0, State::default()),
+            updates: RoutingUpdates::default(),
+            snapshots: SnapshotSchedule::new(log_bytes, log_bound_bytes(own.id, LOG_BYTES)),
+            directory: PeerDirectory::new(seeds, own.address),
+            contact: LeaderContact::new(now_ms),
+            settings: LeaderSettings::default(),
+            leader: None,
+            received_handover: None,
+            is_stopping: false,
+            effects: Vec::new(),
+        };
+        if let Some(snapshot) = snapshot {
+            node.restore(&snapshot);
+        }
+        node
+    }
+
+    /// Takes one input at this time, in milliseconds of a clock that never goes back, and returns
+    /// what is to be done, in its order.
+    ///
+    /// # Panics
+    /// On a committed entry or snapshot that this release can't read.
+    pub fn handle(&mut self, now_ms: u64, input: Input) -> Vec<Effect> {
+        match input {
+            Input::Tick => self.tick(now_ms),
+            Input::Stop => self.stop(now_ms),
+            Input::Seeds(seeds) => self.directory.set_seeds(&seeds),
+            Input::Receive(envelope) => self.receive(now_ms, envelope),
+            Input::Synced(sequence) => self.log(now_ms, consensus::Input::Synced(sequence)),
+            Input::Page(result) => self.on_fetched(now_ms, result),
+            Input::Encoded { index, state } => self.on_encoded(now_ms, index, state),
+        }
+        self.send_updates(now_ms);
+        std::mem::take(&mut self.effects)
+    }
+
+    fn receive(&mut self, now_ms: u64, envelope: Envelope) {
+        let Envelope { from, message } = envelope;
+        match message {
+            Message::Consensus { from, to, message } if to == self.own.id => {
+                self.log(now_ms, consensus::Input::Receive { from, message })
+            }
+            Message::Consensus {
+                from,
+                to,
+                message: consensus::Message::LeaderProbe { round, .. },
+            } => self.on_probe_of_former_member(from, to, round),
+            Message::DiscoveryAnnouncement(announcement) => {
+                self.on_announcement(now_ms, from, announcement)
+            }
+            Message::Bootstrap(members) => self.log(now_ms, consensus::Input::Bootstrap(members)),
+            Message::Introduce => self.introduce(from),
+            Message::Introduction { control, formed } => self.on_introduction(control, formed),
+            Message::LeaseRequest(request) => self.on_lease_request(now_ms, from, request),
+            Message::Tail { after } => {
+                if self.is_leading() {
+                    self.updates.on_tail(now_ms, from, after);
+                }
+            }
+            Message::Request { key, request } => {
+                self.on_request(now_ms, Origin { to: from, key }, request)
+            }
+            Message::Consensus { .. }
+            | Message::LeaseResponse { .. }
+            | Message::Updates { .. }
+            | Message::Image(_)
+            | Message::Heartbeat { .. }
+            | Message::Response { .. } => {}
+        }
+    }
+
+    fn tick(&mut self, now_ms: u64) {
+        let gap_ms = self.contact.on_tick(now_ms);
+        self.log(now_ms, consensus::Input::Tick);
+        self.contact_tick(now_ms, gap_ms);
+        self.discovery_tick(now_ms);
+        if self.is_leading() && !self.is_departing() {
+            self.leader_tick(now_ms, gap_ms);
+        }
+        self.leadership_transfer_tick(now_ms);
+        self.compact(now_ms);
+    }
+
+    fn leader_tick(&mut self, now_ms: u64, gap_ms: u64) {
+        self.lease_tick(now_ms);
+        self.lock_expiry_tick(now_ms, gap_ms);
+        self.plan_abort_tick(now_ms);
+        self.endpoint_list_tick(now_ms);
+        self.node_expiry_tick(now_ms);
+        self.retention_tick(now_ms);
+        self.watch_tick(now_ms);
+    }
+
+    /// Runs the log and carries out its effects. Writes and sends go out in the log's own order
+    /// before anything else, for what a commit brings about may write again.
+    fn log(&mut self, now_ms: u64, input: consensus::Input) {
+        let mut later = Vec::new();
+        for effect in self.consensus.handle(now_ms, input) {
+            match effect {
+                LogEffect::Send { to, message } => {
+                    let message = Message::Consensus { from: self.own, to: to.id, message };
+                    self.send(to.address, message);
+                }
+                LogEffect::Write { sequence, write } => {
+                    if let consensus::Write::Append(entries) = &write {
+                        self.snapshots.on_append(size_bytes(entries));
+                    }
+                    self.effects.push(Effect::Write { sequence, write });
+                }
+                other => later.push(other),
+            }
+        }
+        for effect in later {
+            match effect {
+                LogEffect::Commit(entries) => self.on_commit(now_ms, entries),
+                LogEffect::Restore(snapshot) => self.restore(&snapshot),
+                LogEffect::Role(role) => self.on_role(now_ms, role),
+                LogEffect::LeadershipReceived { note, late_ms } => {
+                    self.on_leadership_received(now_ms, &note, late_ms)
+                }
+                LogEffect::Send { .. } | LogEffect::Write { .. } => {}
+            }
+        }
+        self.finish_take_over(now_ms);
+    }
+
+    fn send_updates(&mut self, now_ms: u64) {
+        if self.is_leading() {
+            for (to, message) in self.updates.messages(now_ms, self.tail.image()) {
+                self.send(to, message);
+            }
+        }
+    }
+
+    fn send(&mut self, to: SocketAddr, message: Message) {
+        self.effects.push(Effect::Send { to, message });
+    }
+
+    fn log_line(&mut self, text: String) {
+        self.effects.push(Effect::Log(text));
+    }
+
+    /// The member's log.
+    pub fn consensus(&self) -> &Consensus {
+        &self.consensus
+    }
+
+    /// The committed state.
+    pub fn committed(&self) -> &State {
+        self.tail.image()
+    }
+
+    /// The reader of the committed log.
+    pub fn tail(&self) -> &Tail<State> {
+        &self.tail
+    }
+
+    /// Whether this node leads, and has applied what earlier leaders committed.
+    pub fn is_leading(&self) -> bool {
+        self.leader.as_ref().is_some_and(LeaderState::is_serving)
+    }
+
+    /// Whether this node leads and nobody else can at this time.
+    pub fn has_lease(&self, now_ms: u64) -> bool {
+        self.is_leading() && now_ms < self.consensus.lease_until()
+    }
+
+    /// Images encoded for data nodes so far.
+    pub fn images_encoded(&self) -> u64 {
+        self.updates.images_encoded()
+    }
+
+    /// The longest time that a request waited for an open transaction since this node leads, in
+    /// milliseconds.
+    pub fn stall_ms(&self) -> u64 {
+        self.leader.as_ref().map_or(0, |leader| leader.transaction.longest_stall_ms())
+    }
+
+    fn member_addresses(&self) -> Vec<SocketAddr> {
+        self.consensus.members().iter().map(|member| member.address).collect()
+    }
+
+    /// The leader's address as the log knows it, unless it is this node's.
+    fn other_leader(&self) -> Option<SocketAddr> {
+        let leader = self.consensus.leader().map(|leader| leader.address);
+        leader.filter(|address| *address != self.own.address)
+    }
+}
+
+fn size_bytes(entries: &[Entry]) -> u64 {
+    entries.iter().map(|entry| entry.size() as u64).sum()
+}
--- /dev/null
+++ b/crates/controller/src/control_node/calls.rs
@@ -0,0 +1,56 @@
+//! Applications' calls: locks, numbers, keys and watches.
+
+use crate::ControlNode;
+use crate::call_check::check_call;
+use crate::call_decision::{decide, read};
+use crate::origin::Origin;
+use postbarrow_constants::coordination::{HISTORY_EVENTS, STORED_RESULTS};
+use postbarrow_messages::Response;
+use postbarrow_state::{Call, Name, Outcome, Record};
+
+impl ControlNode {
+    /// `id` names a call that writes, so that a repeat gets the first outcome.
+    pub(super) fn on_call(&mut self, now_ms: u64, origin: Origin, id: Option<Name>, call: Call) {
+        if let Err(error) = check_call(&call) {
+            return self.respond(origin, Response::Refused(error.to_string()));
+        }
+        match call {
+            Call::ReadLock { .. } | Call::ReadNumber { .. } | Call::ReadKey { .. } => {
+                let outcome = read(self.committed(), &call);
+                self.respond(origin, Response::Outcome(outcome));
+            }
+            Call::Watch { sort, prefix, after } => {
+                self.on_watch(now_ms, origin, sort, prefix, after);
+            }
+            _ => self.on_write(now_ms, origin, id, call),
+        }
+    }
+
+    fn on_write(&mut self, now_ms: u64, origin: Origin, id: Option<Name>, call: Call) {
+        let Some(state) = self.current() else { return };
+        if let Some(known) = id.as_ref().and_then(|id| state.repeats.get(id)) {
+            let outcome = known.as_ref().clone();
+            return self.reply_when_committed(now_ms, origin, Response::Outcome(outcome));
+        }
+        let is_full =
+            state.repeats.len() >= STORED_RESULTS || state.history.len() >= HISTORY_EVENTS;
+        let (outcome, mut records) = decide(state, &call);
+        if let (Outcome::Locked { ttl_ms, .. }, Call::Lock { name, .. } | Call::Renew { name, .. }) =
+            (&outcome, &call)
+            && let Some(leader) = &mut self.leader
+        {
+            leader.locks.extend(name, now_ms + ttl_ms);
+        }
+        if records.is_empty() {
+            return self.reply_when_committed(now_ms, origin, Response::Outcome(outcome));
+        }
+        if is_full {
+            return self.shed(now_ms, origin);
+        }
+        if let Some(id) = id {
+            records.push(Record::Repeat { id, outcome: outcome.clone() });
+        }
+        let offset = self.propose(now_ms, records);
+        self.reply_at(now_ms, offset, origin, Response::Outcome(outcome));
+    }
+}
--- /dev/null
+++ b/crates/controller/src/control_node/discovery.rs
@@ -0,0 +1,122 @@
+//! How control nodes find each other, bootstrap a log, and join one.
+
+use crate::ControlNode;
+use crate::peer_directory::DiscoveredPeer;
+use postbarrow_consensus::{self as consensus, MemberId};
+use postbarrow_constants::nodes::INTRODUCTIONS;
+use postbarrow_messages::{DiscoveryAnnouncement, Message};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+impl ControlNode {
+    /// A node that is no member, or a member without a leader for long, announces itself, unless its
+    /// process is about to end.
+    pub(super) fn discovery_tick(&mut self, now_ms: u64) {
+        if self.consensus.leader().is_some() || self.leader.is_some() {
+            self.directory.on_leader_known(now_ms);
+        }
+        let is_member = self.consensus.members().contains(&self.own);
+        if is_member {
+            self.introduce_to_seeds(now_ms);
+        }
+        let needs_others = !is_member || self.directory.is_leaderless(now_ms);
+        if !self.directory.is_announcement_due(now_ms) || !needs_others || self.is_stopping {
+            return;
+        }
+        self.directory.schedule_announcement(now_ms);
+        self.directory.expire(now_ms);
+        self.announce();
+        if self.consensus.is_pristine() && !self.directory.is_observer() {
+            self.try_bootstrap(now_ms);
+        }
+    }
+
+    fn announce(&mut self) {
+        let own = self.own;
+        let announcement = DiscoveryAnnouncement {
+            member: own,
+            uninitialized: self.consensus.is_pristine(),
+            known_peers: self.directory.known_peers(own.id).into_iter().collect(),
+        };
+        let members = self.member_addresses();
+        let to: BTreeSet<SocketAddr> =
+            members.into_iter().chain(self.directory.addresses()).collect();
+        for address in to.into_iter().filter(|address| *address != own.address) {
+            if !self.directory.is_observer() {
+                self.send(address, Message::DiscoveryAnnouncement(announcement.clone()));
+            }
+            self.send(address, Message::Introduce);
+        }
+    }
+
+    fn try_bootstrap(&mut self, now_ms: u64) {
+        let own = self.own;
+        let Some(members) = self.directory.bootstrap_members(own) else { return };
+        let ids: BTreeSet<MemberId> = members.iter().map(|member| member.id).collect();
+        self.log_line(format!("begins a new log of {} members", ids.len()));
+        self.log(now_ms, consensus::Input::Bootstrap(members.clone()));
+        for member in members.iter().filter(|member| **member != own) {
+            self.send(member.address, Message::Bootstrap(members.clone()));
+        }
+    }
+
+    pub(super) fn on_announcement(
+        &mut self,
+        now_ms: u64,
+        from: SocketAddr,
+        announcement: DiscoveryAnnouncement,
+    ) {
+        self.directory.add(from);
+        let DiscoveryAnnouncement { member, uninitialized, known_peers } = announcement;
+        if self.consensus.is_uninitialized() {
+            if uninitialized {
+                let known_peers = known_peers.into_iter().collect();
+                let peer = DiscoveredPeer { member, known_peers, at_ms: now_ms };
+                self.directory.on_discovered(peer);
+            } else {
+                self.directory.on_log_known();
+            }
+            return;
+        }
+        let first_members = self.consensus.log().members_at(0);
+        if uninitialized && first_members.contains(&member) && self.consensus.log().base() == 0 {
+            return self.send(from, Message::Bootstrap(first_members));
+        }
+        self.log(now_ms, consensus::Input::AddLearner(member));
+    }
+
+    /// Names the members, or who may lead to them. A node that is no member itself, an observer for
+    /// one, reports that a log exists: whoever knows only observers finds the members by them.
+    pub(super) fn introduce(&mut self, from: SocketAddr) {
+        let is_uninitialized = self.consensus.is_uninitialized();
+        let formed = !is_uninitialized || self.directory.is_log_known();
+        let mut control = self.member_addresses();
+        if is_uninitialized {
+            control.extend(self.directory.addresses());
+        }
+        self.send(from, Message::Introduction { control, formed });
+    }
+
+    /// Members name themselves to the seeds that are none. Such a seed may have started again and
+    /// know only others like itself, while data nodes learn of nobody else.
+    fn introduce_to_seeds(&mut self, now_ms: u64) {
+        if !self.directory.take_due_introduction(now_ms) {
+            return;
+        }
+        let members = self.member_addresses();
+        let seeds = self.directory.seeds().to_vec();
+        for seed in seeds.into_iter().filter(|seed| !members.contains(seed)) {
+            let control = members.clone();
+            self.send(seed, Message::Introduction { control, formed: true });
+        }
+    }
+
+    pub(super) fn on_introduction(&mut self, control: Vec<SocketAddr>, formed: bool) {
+        if formed {
+            self.directory.on_log_known();
+        }
+        for address in control.into_iter().take(INTRODUCTIONS) {
+            self.directory.add(address);
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/control_node/endpoint_list.rs
@@ -0,0 +1,78 @@
+//! Polls the endpoint list and proposes what it changes: the leader's work alone.
+
+use crate::endpoint_list::PollProgress;
+use crate::error::Error;
+use crate::{ControlNode, Effect, PageResult};
+
+impl ControlNode {
+    pub(super) fn endpoint_list_tick(&mut self, now_ms: u64) {
+        self.apply_list_changes(now_ms);
+        let has_lease = self.has_lease(now_ms);
+        let Some(leader) = &mut self.leader else { return };
+        if let Err(error) = leader.endpoint_list.check_overdue_page(now_ms) {
+            return self.on_list_error(&error);
+        }
+        if has_lease && let Some((number, cursor)) = leader.endpoint_list.next_fetch(now_ms) {
+            self.effects.push(Effect::Fetch { number, cursor });
+        }
+    }
+
+    /// Changes wait for an open transaction, but one by which a target departs not for long.
+    fn apply_list_changes(&mut self, now_ms: u64) {
+        let leader = self.leader.as_ref();
+        let is_overdue =
+            leader.is_some_and(|leader| leader.endpoint_list.has_overdue_change(now_ms));
+        if is_overdue && self.has_open_transaction() {
+            self.abort_overdue_plan(now_ms, "a target that leaves waited for it too long");
+        }
+        while !self.has_open_transaction() {
+            let Some(leader) = &mut self.leader else { return };
+            let Some(change) = leader.endpoint_list.next_change() else { return };
+            let Some(state) = leader.writer.current() else { continue };
+            let records = change.records(state);
+            if !records.is_empty() {
+                self.propose(now_ms, records);
+            }
+        }
+    }
+
+    pub(super) fn on_fetched(&mut self, now_ms: u64, result: PageResult) {
+        if self.is_departing() {
+            return;
+        }
+        let Some(leader) = &mut self.leader else { return };
+        let Some(state) = leader.writer.current() else { return };
+        match leader.endpoint_list.on_fetched(now_ms, result, state) {
+            Ok(PollProgress::Ignored) => {}
+            Ok(PollProgress::Advanced) => self.endpoint_list_tick(now_ms),
+            Ok(PollProgress::Completed) => {
+                self.report_leave_bound();
+                self.endpoint_list_tick(now_ms);
+            }
+            Err(error) => self.on_list_error(&error),
+        }
+    }
+
+    /// Logs a failure of the list, unless it is the same as the last one.
+    fn on_list_error(&mut self, error: &Error) {
+        let Some(leader) = &mut self.leader else { return };
+        if let Some(finding) = leader.endpoint_list.record_finding(error) {
+            self.log_line(format!("the platform's list: {finding}"));
+        }
+    }
+
+    /// Logs once that the list is too slow for the users' bound, and once that it no longer is.
+    fn report_leave_bound(&mut self) {
+        let Some(leader) = &mut self.leader else { return };
+        let bound_ms = leader.endpoint_list.leave_bound_ms();
+        match leader.endpoint_list.update_slowness() {
+            Some(true) => self.log_line(format!(
+                "the platform's list is slow: a leaving target may get asks for {bound_ms} ms"
+            )),
+            Some(false) => {
+                self.log_line(format!("the platform's list is quick again: {bound_ms} ms"));
+            }
+            None => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/control_node/members.rs
@@ -0,0 +1,48 @@
+//! The operators' view of the log's members.
+
+use crate::ControlNode;
+use crate::operator_body::json;
+use crate::origin::Origin;
+use facet::Facet;
+use postbarrow_consensus::Member;
+
+#[derive(Facet)]
+#[facet(rename_all = "camelCase")]
+struct MemberRow {
+    id: String,
+    address: String,
+    /// controller, voter or learner
+    role: String,
+    silent_ms: u64,
+    lag_entries: u64,
+}
+
+impl MemberRow {
+    fn of(member: &Member, role: &str, silent_ms: u64, lag_entries: u64) -> Self {
+        MemberRow {
+            id: format!("{:016x}", member.id),
+            address: member.address.to_string(),
+            role: role.into(),
+            silent_ms,
+            lag_entries,
+        }
+    }
+}
+
+#[derive(Facet)]
+struct MembersReport {
+    members: Vec<MemberRow>,
+}
+
+impl ControlNode {
+    pub(super) fn on_members(&mut self, now_ms: u64, origin: Origin) {
+        let voters = self.consensus.members();
+        let mut members = vec![MemberRow::of(&self.own, "controller", 0, 0)];
+        for (member, silent_ms, lag) in self.consensus.followers(now_ms) {
+            let is_voter = voters.iter().any(|voter| voter.id == member.id);
+            let role = if is_voter { "voter" } else { "learner" };
+            members.push(MemberRow::of(&member, role, silent_ms, lag));
+        }
+        self.respond(origin, json(200, &MembersReport { members }));
+    }
+}
--- /dev/null
+++ b/crates/controller/src/control_node/plan_abort.rs
@@ -0,0 +1,43 @@
+//! Where the open plan is aborted.
+
+use crate::ControlNode;
+use crate::operator_body::{Refused, json};
+use crate::origin::Origin;
+use postbarrow_messages::Response;
+use postbarrow_state::State;
+
+impl ControlNode {
+    /// Aborts the open plan for a reason that the same plan would meet again: it is refused with
+    /// this HTTP status.
+    pub(super) fn refuse_plan(&mut self, now_ms: u64, status: u16, reason: &str) {
+        let Some((offset, origin)) = self.abort_plan(now_ms, reason) else { return };
+        let in_force = self.current().and_then(State::plan_version);
+        let refused = json(status, &Refused::new(reason, in_force));
+        self.reply_at(now_ms, offset, origin, refused);
+        self.serve_waiting_requests(now_ms);
+    }
+
+    /// Aborts the open plan for want of time. Another copy of it may be waiting or under way and be
+    /// accepted, so this is no refusal but no clear answer.
+    pub(super) fn abort_overdue_plan(&mut self, now_ms: u64, reason: &str) {
+        let Some((offset, origin)) = self.abort_plan(now_ms, reason) else { return };
+        self.reply_at(now_ms, offset, origin, Response::TimedOut);
+        self.serve_waiting_requests(now_ms);
+    }
+
+    /// Writes the Abort; returns its offset and who submitted the plan.
+    fn abort_plan(&mut self, now_ms: u64, reason: &str) -> Option<(u64, Origin)> {
+        let leader = self.leader.as_mut()?;
+        let plan = leader.transaction.take_plan()?;
+        let abort = leader.writer.abort(reason)?;
+        self.log_line(format!("plan {} is aborted: {reason}", plan.version));
+        Some((self.propose_batch(now_ms, vec![abort]), plan.origin))
+    }
+
+    pub(super) fn plan_abort_tick(&mut self, now_ms: u64) {
+        let leader = self.leader.as_ref();
+        if leader.is_some_and(|leader| leader.writer.is_transaction_overdue(now_ms)) {
+            self.abort_overdue_plan(now_ms, "the transaction was open too long");
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/control_node/plan_commit.rs
@@ -0,0 +1,102 @@
+//! Where a plan is committed: as one transaction of Begin, its batches and End (KIP-868).
+
+use crate::ControlNode;
+use crate::leader_state::OpenPlan;
+use crate::operator_body::{Submitted, json};
+use crate::origin::Origin;
+use crate::plan_delta::plan_records;
+use postbarrow_messages::Submission;
+use postbarrow_plan::Rehearsal;
+use postbarrow_state::{Digest, Record};
+use postbarrow_transactions::{BatchRecord, encode};
+
+impl ControlNode {
+    pub(super) fn begin_plan(
+        &mut self,
+        now_ms: u64,
+        origin: Origin,
+        mut submission: Submission,
+        digest: Digest,
+    ) {
+        let name = format!("plan {}", submission.version);
+        let Some(state) = self.current() else { return };
+        let records = plan_records(state, std::mem::take(&mut submission.records));
+        let Some(leader) = &mut self.leader else { return };
+        let Some(begin) = leader.writer.begin(now_ms, &name) else { return };
+        let offset = self.propose_batch(now_ms, vec![begin]);
+        if let Some(leader) = &mut self.leader {
+            leader.transaction.open(OpenPlan::new(origin, submission, digest, records, offset));
+        }
+        self.continue_plan(now_ms);
+    }
+
+    /// Proposes the batches that may be in flight; after the last one, closes the plan.
+    pub(super) fn continue_plan(&mut self, now_ms: u64) {
+        let commit_index = self.consensus.commit_index();
+        loop {
+            let Some(leader) = &mut self.leader else { return };
+            let Some(plan) = leader.transaction.plan_mut() else { return };
+            plan.on_committed(commit_index);
+            if plan.is_at_flight_limit() {
+                return;
+            }
+            let Some(batch) = plan.next_batch() else { break };
+            let batch: Vec<BatchRecord<Record>> =
+                batch.into_iter().map(BatchRecord::Data).collect();
+            if !leader.writer.grow(encode(&batch).len()) {
+                return self.refuse_plan(now_ms, 413, "the plan is over the bound of one delta");
+            }
+            let offset = self.propose_batch(now_ms, batch);
+            let leader = self.leader.as_mut();
+            if let Some(plan) = leader.and_then(|leader| leader.transaction.plan_mut()) {
+                plan.on_proposed(offset);
+            }
+        }
+        self.close_plan(now_ms);
+    }
+
+    /// Rehearses the plan that is in the log completely, and ends, refuses or drops it.
+    fn close_plan(&mut self, now_ms: u64) {
+        let Some(leader) = &self.leader else { return };
+        let (before, after) = (leader.writer.before_transaction(), leader.writer.current());
+        let (Some(plan), Some(before), Some(after)) = (leader.transaction.plan(), before, after)
+        else {
+            return;
+        };
+        let rehearsal = Rehearsal::of(before, after);
+        if plan.dry_run {
+            return self.finish_dry_run(now_ms, rehearsal);
+        }
+        if !rehearsal.without_target.is_empty() && !plan.allow_empty {
+            let empty = rehearsal.without_target.join(", ");
+            let reason = format!("no live target for {empty}; allow-empty was not given");
+            return self.refuse_plan(now_ms, 422, &reason);
+        }
+        self.end_plan(now_ms, rehearsal);
+    }
+
+    fn finish_dry_run(&mut self, now_ms: u64, rehearsal: Rehearsal) {
+        let Some(leader) = &mut self.leader else { return };
+        let Some(abort) = leader.writer.abort("dry run") else { return };
+        let Some(plan) = leader.transaction.take_plan() else { return };
+        let offset = self.propose_batch(now_ms, vec![abort]);
+        let body = Submitted::dry(&plan.version, rehearsal);
+        self.reply_at(now_ms, offset, plan.origin, json(200, &body));
+        self.serve_waiting_requests(now_ms);
+    }
+
+    fn end_plan(&mut self, now_ms: u64, rehearsal: Rehearsal) {
+        let Some(leader) = &mut self.leader else { return };
+        let Some(end) = leader.writer.end() else { return };
+        let Some(plan) = leader.transaction.take_plan() else { return };
+        let OpenPlan { origin, version, base, digest, .. } = plan;
+        let in_force = leader.writer.current().and_then(|state| state.plan.as_ref());
+        let began_at = in_force.map_or(0, |plan| plan.offset);
+        let accepted = Record::PlanAccepted { version: version.clone(), base, digest, began_at };
+        let offset = self.propose_batch(now_ms, vec![BatchRecord::Data(accepted), end]);
+        let body = Submitted::new(&version, began_at, offset, rehearsal);
+        self.log_line(format!("plan {version} ends at {offset}"));
+        self.reply_at(now_ms, offset, origin, json(200, &body));
+        self.serve_waiting_requests(now_ms);
+    }
+}
--- /dev/null
+++ b/crates/controller/src/control_node/requests.rs
@@ -0,0 +1,86 @@
+//! Where every request comes in: it is served, redirected to the leader, or waits for an open
+//! transaction.
+
+use crate::ControlNode;
+use crate::origin::Origin;
+use postbarrow_messages::{Request, Response};
+use postbarrow_state::Call;
+
+impl ControlNode {
+    /// Without the lease nothing is answered from the committed state, which another leader may have
+    /// changed, and nothing is written: so "not the controller" always means that the request did
+    /// nothing here.
+    pub(super) fn on_request(&mut self, now_ms: u64, origin: Origin, request: Request) {
+        if !self.has_lease(now_ms) || self.is_departing() {
+            let controller = self.other_leader();
+            return self.respond(origin, Response::NotController { controller });
+        }
+        if self.has_open_transaction() && !is_read(&request) {
+            return self.wait_for_transaction(now_ms, origin, request);
+        }
+        match request {
+            Request::Ticket(ticket) => self.on_ticket(now_ms, origin, ticket),
+            Request::Settle { ticket, settlement, response } => {
+                self.on_settle(now_ms, origin, ticket, settlement, response)
+            }
+            Request::Call { id, call } => self.on_call(now_ms, origin, id, call),
+            Request::Submit(submission) => self.on_submit(now_ms, origin, submission),
+            Request::Show => self.on_show(origin),
+            Request::Targets => self.on_targets(now_ms, origin),
+            Request::Members => self.on_members(now_ms, origin),
+            Request::Status => self.on_status(now_ms, origin),
+            Request::RequestSamples => self.on_request_samples(now_ms, origin),
+        }
+    }
+
+    /// A repeat of a waiting request is dropped, and its sender notified.
+    fn wait_for_transaction(&mut self, now_ms: u64, origin: Origin, request: Request) {
+        let Some(leader) = &mut self.leader else { return };
+        if leader.transaction.is_known(origin) {
+            return self.respond(origin, Response::Duplicate);
+        }
+        leader.transaction.enqueue(now_ms, origin, request);
+    }
+
+    /// Serves the waiting requests, until one of them opens the next transaction.
+    pub(super) fn serve_waiting_requests(&mut self, now_ms: u64) {
+        loop {
+            let Some(leader) = &mut self.leader else { return };
+            let Some(next) = leader.transaction.next_waiting(now_ms) else { return };
+            self.on_request(now_ms, next.origin, next.request);
+        }
+    }
+
+    fn on_request_samples(&mut self, now_ms: u64, origin: Origin) {
+        let Some(leader) = &self.leader else { return };
+        let response = leader.samples.response(now_ms);
+        self.respond(origin, response);
+    }
+
+    /// A bound of space is reached: the request is shed, and nothing that is stored is dropped.
+    pub(super) fn shed(&mut self, now_ms: u64, origin: Origin) {
+        if let Some(leader) = &mut self.leader {
+            leader.shedding.requests += 1;
+        }
+        self.reply_when_committed(now_ms, origin, Response::Full);
+    }
+}
+
+/// Reads are served while a transaction is open.
+fn is_read(request: &Request) -> bool {
+    match request {
+        Request::Show
+        | Request::Targets
+        | Request::Members
+        | Request::Status
+        | Request::RequestSamples => true,
+        Request::Call { call, .. } => matches!(
+            call,
+            Call::ReadLock { .. }
+                | Call::ReadNumber { .. }
+                | Call::ReadKey { .. }
+                | Call::Watch { .. }
+        ),
+        Request::Ticket(_) | Request::Settle { .. } | Request::Submit(_) => false,
+    }
+}
--- /dev/null
+++ b/crates/controller/src/control_node/targets.rs
@@ -0,0 +1,69 @@
+//! The operators' view of the targets and the endpoint list.
+
+use crate::ControlNode;
+use crate::operator_body::json;
+use crate::origin::Origin;
+use facet::Facet;
+use postbarrow_state::{State, Target};
+use std::collections::BTreeMap;
+
+#[derive(Facet)]
+struct TargetRow {
+    instance: String,
+    service: String,
+    address: String,
+    zone: String,
+    labels: BTreeMap<String, String>,
+    /// live, draining or down
+    condition: String,
+    services: Vec<String>,
+}
+
+#[derive(Facet)]
+#[facet(rename_all = "camelCase")]
+struct TargetsReport {
+    targets: Vec<TargetRow>,
+    #[facet(rename = "listWalkedMsAgo")]
+    list_scan_age_ms: Option<u64>,
+    list_finding: Option<String>,
+    /// The longest time from a draining row to the last request, with the list as it is.
+    leave_bound_ms: Option<u64>,
+    list_refusals: u64,
+}
+
+impl TargetRow {
+    fn of(target: &Target, state: &State) -> Self {
+        let labels = target.labels.iter();
+        let services = state.services.values().filter(|service| target.matches(service));
+        TargetRow {
+            instance: target.instance.to_string(),
+            service: target.service.to_string(),
+            address: target.address.to_string(),
+            zone: target.zone.to_string(),
+            labels: labels.map(|(label, value)| (label.to_string(), value.to_string())).collect(),
+            condition: match (target.draining, target.down) {
+                (true, _) => "draining".into(),
+                (false, true) => "down".into(),
+                (false, false) => "live".into(),
+            },
+            services: services.map(|service| service.name.to_string()).collect(),
+        }
+    }
+}
+
+impl ControlNode {
+    pub(super) fn on_targets(&mut self, now_ms: u64, origin: Origin) {
+        let state = self.committed();
+        let list = self.leader.as_ref().map(|leader| &leader.endpoint_list);
+        let body = TargetsReport {
+            targets: state.targets.values().map(|target| TargetRow::of(target, state)).collect(),
+            list_scan_age_ms: list
+                .and_then(|list| list.completed_ms())
+                .map(|at_ms| now_ms.saturating_sub(at_ms)),
+            list_finding: list.and_then(|list| list.finding()).map(str::to_string),
+            leave_bound_ms: list.map(|list| list.leave_bound_ms()),
+            list_refusals: list.map_or(0, |list| list.refusals()),
+        };
+        self.respond(origin, json(200, &body));
+    }
+}
--- a/crates/controller/src/list_page.rs
+++ b/crates/controller/src/endpoint_list/page.rs
@@ -1,17 +1,24 @@
+//! A page of the endpoint list, and how it is read.
+
 use compact_str::CompactString;
 use postbarrow_constants::nodes::LIST_PAGE_BYTES;
 use postbarrow_reading::{Fields, Findings, Reading, Value, text};
 use postbarrow_state::{Labels, Target};
 use std::net::SocketAddr;
 
-/// One page of the platform's list.
+/// One page of the endpoint list.
 #[derive(Debug)]
 pub struct ListPage {
+    /// Its rows.
     pub targets: Vec<Target>,
+    /// The cursor of the next page; none on the last one.
     pub next: Option<String>,
 }
 
-/// Reads a page whole or not at all.
+/// Reads a page completely or not at all.
+///
+/// # Errors
+/// All findings of a page that is too large, no UTF-8, no JSON, or has invalid fields.
 pub fn read_page(bytes: &[u8]) -> Result<ListPage, Findings> {
     if bytes.len() > LIST_PAGE_BYTES {
         return Err(Findings::without_position(
--- a/crates/controller/src/poll_rate.rs
+++ b/crates/controller/src/endpoint_list/poll_rate.rs
@@ -1,16 +1,18 @@
+//! How often the endpoint list is requested.
+
 use postbarrow_constants::nodes::*;
 use std::collections::VecDeque;
 
-/// How often pages may be asked for: learnt from a refusal, then kept below it.
+/// The gap between requests for pages: learnt from a refusal, and larger than that from then on.
 pub(crate) struct PollRate {
     gap_ms: u64,
-    /// The list's owner allows no smaller gap.
+    /// The gap of the settings; never a smaller one.
     min_gap_ms: u64,
     start_ms: u64,
     requested_ms: u64,
     changed_ms: u64,
     requests_ms: VecDeque<u64>,
-    pub refusals: u64,
+    refusals: u64,
 }
 
 impl PollRate {
@@ -43,14 +45,19 @@
         self.min_gap_ms
     }
 
+    /// How often the list refused.
+    pub fn refusals(&self) -> u64 {
+        self.refusals
+    }
+
     pub fn gap_ms(&self) -> u64 {
         self.gap_ms
     }
 
-    /// Who knows nothing yet is in a hurry, as long as the list never refused.
+    /// `urgent` allows a smaller gap, until the first refusal: nothing is known of the list yet.
     pub fn permits(&self, now_ms: u64, urgent: bool) -> bool {
-        let may_hurry = urgent && self.refusals == 0 && self.min_gap_ms == LIST_GAP_MS;
-        let min_wait_ms = if may_hurry { LIST_FIRST_SCAN_GAP_MS } else { self.gap_ms };
+        let allows_small_gap = urgent && self.refusals == 0 && self.min_gap_ms == LIST_GAP_MS;
+        let min_wait_ms = if allows_small_gap { LIST_FIRST_SCAN_GAP_MS } else { self.gap_ms };
         now_ms >= self.requested_ms + min_wait_ms
             && self.requests_in_window(now_ms) < LIST_WINDOW_MS.div_ceil(self.gap_ms)
     }
@@ -67,8 +74,8 @@
         }
     }
 
-    /// The list took one fewer than were asked for within its window. At first another controller
-    /// may have asked as well, so that says nothing yet.
+    /// The list accepted one fewer than the requests within its window. At first another leader may
+    /// have sent requests as well, so the gap stays as it is.
     pub fn refused(&mut self, now_ms: u64) {
         self.refusals += 1;
         let accepted = self.requests_in_window(now_ms).saturating_sub(1).max(1);
@@ -81,7 +88,7 @@
         }
     }
 
-    /// A pace too slow for what it is needed for is tried a little quicker, but seldom.
+    /// A rate too slow for the users' bound is raised a little, rarely.
     pub fn relax(&mut self, now_ms: u64) {
         if now_ms >= self.changed_ms + LIST_GAP_DECREASE_MS {
             self.changed_ms = now_ms;
--- a/crates/controller/src/poll_rate/tests.rs
+++ b/crates/controller/src/endpoint_list/poll_rate/tests.rs
@@ -22,7 +22,7 @@
             now_ms += 1_000;
         }
     }
-    (rate.refusals, pages)
+    (rate.refusals(), pages)
 }
 
 #[test]
--- /dev/null
+++ b/crates/controller/src/leader_state/log_writer.rs
@@ -0,0 +1,85 @@
+//! The single writer of the log, and the replies that wait for what it wrote.
+
+use super::Reply;
+use postbarrow_state::{Record, State};
+use postbarrow_transactions::{BatchRecord, Writer};
+
+/// The optimistic state of a leader that serves, and its pending replies.
+#[derive(Default)]
+pub(crate) struct LogWriter {
+    writer: Option<Writer<State>>,
+    replies: Vec<Reply>,
+}
+
+impl LogWriter {
+    pub fn start(&mut self, term: u64, state: State) {
+        self.writer = Some(Writer::new(term, state));
+    }
+
+    pub fn is_started(&self) -> bool {
+        self.writer.is_some()
+    }
+
+    /// The committed state and all that was proposed since.
+    pub fn current(&self) -> Option<&State> {
+        self.writer.as_ref().map(Writer::current)
+    }
+
+    /// The state before the open transaction.
+    pub fn before_transaction(&self) -> Option<&State> {
+        self.writer.as_ref().and_then(Writer::rollback)
+    }
+
+    pub fn apply(&mut self, offset: u64, records: &[BatchRecord<Record>]) {
+        let Some(writer) = &mut self.writer else { return };
+        for record in records {
+            if let BatchRecord::Data(record) = record {
+                writer.apply(offset, record);
+            }
+        }
+    }
+
+    /// Begins a transaction; none while another is open.
+    pub fn begin(&mut self, now_ms: u64, name: &str) -> Option<BatchRecord<Record>> {
+        self.writer.as_mut().and_then(|writer| writer.begin(now_ms, name).ok())
+    }
+
+    /// Counts a batch against the bound of a transaction; false once it is over.
+    pub fn grow(&mut self, size_bytes: usize) -> bool {
+        let writer = self.writer.as_mut().expect("an open transaction has a writer");
+        writer.grow(size_bytes).is_ok()
+    }
+
+    pub fn end(&mut self) -> Option<BatchRecord<Record>> {
+        self.writer.as_mut().and_then(|writer| writer.end().ok())
+    }
+
+    pub fn abort(&mut self, reason: &str) -> Option<BatchRecord<Record>> {
+        self.writer.as_mut().and_then(|writer| writer.abort(reason).ok())
+    }
+
+    pub fn is_transaction_overdue(&self, now_ms: u64) -> bool {
+        self.writer.as_ref().is_some_and(|writer| writer.is_overdue(now_ms))
+    }
+
+    pub fn open_duration_ms(&self, now_ms: u64) -> Option<u64> {
+        self.writer.as_ref().and_then(|writer| writer.open_duration_ms(now_ms))
+    }
+
+    pub fn add_reply(&mut self, reply: Reply) {
+        self.replies.push(reply);
+    }
+
+    /// Removes and returns the replies whose offset is committed, in the order they were added.
+    pub fn take_committed_replies(&mut self, commit_index: u64) -> Vec<Reply> {
+        let (committed, pending) = std::mem::take(&mut self.replies)
+            .into_iter()
+            .partition(|reply| reply.offset <= commit_index);
+        self.replies = pending;
+        committed
+    }
+
+    pub fn into_replies(self) -> Vec<Reply> {
+        self.replies
+    }
+}
--- a/crates/controller/src/operator.rs
+++ b/crates/controller/src/operator_body.rs
@@ -1,22 +1,25 @@
-use crate::{ControlNode, Origin};
+//! JSON bodies that operators read. Field names are their interface.
+
 use facet::Facet;
 use postbarrow_messages::Response;
 use postbarrow_plan::Rehearsal;
 use postbarrow_state::State;
 
+/// The body for a plan that was accepted, or that was a dry run.
 #[derive(Facet)]
 #[facet(rename_all = "camelCase")]
 pub(crate) struct Submitted {
     version: String,
     in_force: bool,
     dry_run: bool,
-    /// Log offset at which this plan began, and at which it was closed where that is remembered.
+    /// Log offsets of the Begin, and of the End where that is remembered.
     began_at: Option<u64>,
     ended_at: Option<u64>,
     rehearsal: Option<Rehearsal>,
 }
 
 impl Submitted {
+    /// Of a plan that was accepted now.
     pub fn new(version: &str, began: u64, ended: u64, rehearsal: Rehearsal) -> Self {
         Submitted {
             version: version.into(),
@@ -28,7 +31,7 @@
         }
     }
 
-    /// Of a plan that was taken before, and may have been replaced since.
+    /// Of a plan that was accepted before, and may have been replaced since.
     pub fn again(state: &State, version: &str, began_at: u64, ended_at: Option<u64>) -> Self {
         Submitted {
             version: version.into(),
@@ -52,6 +55,7 @@
     }
 }
 
+/// The body for a plan that was refused.
 #[derive(Facet)]
 #[facet(rename_all = "camelCase")]
 pub(crate) struct Refused {
@@ -65,25 +69,10 @@
     }
 }
 
+/// A response with this HTTP status and JSON body.
 pub(crate) fn json<'f, T: Facet<'f>>(status: u16, value: &T) -> Response {
     let body = facet_json::to_vec(value).unwrap_or_else(|error| {
         format!("{{\"error\":\"a response could not be written: {error}\"}}").into_bytes()
     });
     Response::Operator { status, body }
 }
-
-impl ControlNode {
-    /// Exactly what is in force, byte for byte.
-    pub(crate) fn on_show(&mut self, origin: Origin) {
-        let state = self.tail.image();
-        let response = match &state.plan {
-            Some(plan) => Response::Plan {
-                version: plan.version.clone(),
-                offset: plan.offset,
-                text: state.plan_text(),
-            },
-            None => json(404, &Refused::new("no plan is in force", None)),
-        };
-        self.respond(origin, response);
-    }
-}
--- /dev/null
+++ b/crates/controller/src/routing_updates.rs
@@ -0,0 +1,95 @@
+//! What data nodes get of the log: routing updates, or an image where they are too far behind.
+
+use postbarrow_membership::{Delivery, Relay, UpdateEntry};
+use postbarrow_messages::{EncodedImage, Message};
+use postbarrow_state::{Record, State};
+use postbarrow_transactions::{BatchRecord, encode};
+use std::net::SocketAddr;
+
+/// The newest routing updates, those who subscribe to them, and the newest image.
+#[derive(Default)]
+pub(crate) struct RoutingUpdates {
+    /// Log offset of the last update.
+    update_offset: u64,
+    /// Log offset of the last update outside an open transaction: that of the image.
+    image_offset: u64,
+    relay: Relay,
+    encoded: EncodedImage,
+}
+
+impl RoutingUpdates {
+    pub fn update_offset(&self) -> u64 {
+        self.update_offset
+    }
+
+    pub fn image_offset(&self) -> u64 {
+        self.image_offset
+    }
+
+    pub fn images_encoded(&self) -> u64 {
+        self.encoded.encodings()
+    }
+
+    /// Starts again from a snapshot whose last update has this offset.
+    pub fn restore(&mut self, update_offset: u64) {
+        self.update_offset = update_offset;
+        self.image_offset = update_offset;
+        self.clear();
+    }
+
+    /// Drops updates and subscriptions: another leads.
+    pub fn clear(&mut self) {
+        self.relay.clear();
+    }
+
+    /// Takes from a committed batch what data nodes need.
+    pub fn on_batch(
+        &mut self,
+        offset: u64,
+        records: Vec<BatchRecord<Record>>,
+        is_in_transaction: bool,
+    ) {
+        let updates: Vec<BatchRecord<Record>> = records.into_iter().filter(is_update).collect();
+        if updates.is_empty() {
+            return;
+        }
+        let entry = UpdateEntry { prev: self.update_offset, offset, bytes: encode(&updates) };
+        self.relay.push(entry);
+        self.update_offset = offset;
+        if !is_in_transaction {
+            self.image_offset = offset;
+        }
+    }
+
+    pub fn on_tail(&mut self, now_ms: u64, from: SocketAddr, after: u64) {
+        self.relay.on_tail(now_ms, from, after);
+    }
+
+    /// What the subscribers lack, given the committed state.
+    pub fn messages(&mut self, now_ms: u64, committed: &State) -> Vec<(SocketAddr, Message)> {
+        let offset = self.image_offset;
+        self.encoded.forget_before(offset);
+        let deliveries = self.relay.deliver(now_ms, self.update_offset, offset);
+        let mut messages = Vec::with_capacity(deliveries.len());
+        for delivery in deliveries {
+            match delivery {
+                Delivery::Updates { to, entries } => {
+                    messages.push((to, Message::Updates { entries }));
+                }
+                Delivery::Image { to } => {
+                    let frame = self.encoded.frame(offset, || committed.routing_view());
+                    messages.push((to, Message::Image(frame)));
+                    self.relay.on_image_sent(now_ms, to, offset);
+                }
+            }
+        }
+        messages
+    }
+}
+
+fn is_update(record: &BatchRecord<Record>) -> bool {
+    match record {
+        BatchRecord::Data(record) => record.is_routing_update(),
+        BatchRecord::Begin { .. } | BatchRecord::End | BatchRecord::Abort { .. } => true,
+    }
+}
--- /dev/null
+++ b/crates/controller/src/snapshot_schedule.rs
@@ -0,0 +1,46 @@
+//! When the next snapshot is due.
+
+use postbarrow_constants::consensus::SNAPSHOT_ENCODE_MAX_MS;
+
+/// Counts the log since the last snapshot, and whether one is being encoded.
+pub(crate) struct SnapshotSchedule {
+    /// Bytes of log after the last snapshot.
+    log_bytes: u64,
+    /// So many bytes make the next snapshot due. It differs among members, so that they don't all
+    /// write a slot at once.
+    bound_bytes: u64,
+    encoding_since_ms: Option<u64>,
+}
+
+impl SnapshotSchedule {
+    pub fn new(log_bytes: u64, bound_bytes: u64) -> Self {
+        SnapshotSchedule { log_bytes, bound_bytes, encoding_since_ms: None }
+    }
+
+    pub fn set_bound(&mut self, bound_bytes: u64) {
+        self.bound_bytes = bound_bytes;
+    }
+
+    pub fn set_log_bytes(&mut self, log_bytes: u64) {
+        self.log_bytes = log_bytes;
+    }
+
+    pub fn on_append(&mut self, size_bytes: u64) {
+        self.log_bytes += size_bytes;
+    }
+
+    /// Enough log, and no encoding that may still end.
+    pub fn is_due(&self, now_ms: u64) -> bool {
+        let is_encoding =
+            self.encoding_since_ms.is_some_and(|ms| now_ms < ms + SNAPSHOT_ENCODE_MAX_MS);
+        !is_encoding && self.log_bytes >= self.bound_bytes
+    }
+
+    pub fn on_encoding_started(&mut self, now_ms: u64) {
+        self.encoding_since_ms = Some(now_ms);
+    }
+
+    pub fn on_encoded(&mut self) {
+        self.encoding_since_ms = None;
+    }
+}
--- a/crates/controller/src/submission.rs
+++ b/crates/controller/src/submission_check.rs
@@ -1,33 +1,38 @@
-//! Whether a submitted plan is begun, was taken before, is refused, or can't be told.
+//! Whether a submitted plan proceeds, was accepted before, is refused, or is unknown.
 
 use postbarrow_messages::Submission;
 use postbarrow_state::{Digest, State};
 use sha2::{Digest as _, Sha256};
 use std::fmt;
 
-/// What the plans taken so far say of a submission.
+/// The decision on a submission, by the plans accepted so far.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubmissionDecision {
     /// Its base is in force and its version is new.
     Proceed,
-    /// This very plan was taken, whether or not others were built on it since.
-    AlreadyAccepted { began_at: u64, ended_at: Option<u64> },
-    /// It was not taken and never will be.
+    /// This very plan was accepted, whether or not others were built on it since.
+    AlreadyAccepted {
+        /// Log offset of its Begin.
+        began_at: u64,
+        /// Log offset of its End, where that is remembered.
+        ended_at: Option<u64>,
+    },
+    /// It was not accepted and never will be.
     Refused(RefusalReason),
-    /// It may be older than what is remembered, so it may have been taken.
+    /// It may be older than what is remembered, so it may have been accepted.
     Unknown,
 }
 
-/// Why a plan is not taken.
+/// Why a plan is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// Its version was taken with another text or on another base.
+    /// Its version was accepted with another text or on another base.
     OtherText,
-    /// Another plan was taken on its base.
+    /// Another plan was accepted on its base.
     BaseBuiltUpon,
-    /// Its base was never taken. It may be one day, so this refusal is recorded.
+    /// Its base was never accepted. It may be later, so this refusal is recorded.
     BaseNeverAccepted,
-    /// The same plan was refused before its base was taken.
+    /// The same plan was refused before its base was accepted.
     RefusedBefore,
 }
 
@@ -49,7 +54,7 @@
     Sha256::digest(text).into()
 }
 
-/// Judges a submission whose text has this digest by the plans taken so far.
+/// Decides on a submission whose text has this digest, by the plans accepted so far.
 pub fn decide_submission(
     state: &State,
     submission: &Submission,
@@ -72,7 +77,7 @@
     if submission.dry_run { decide_dry_run(state, submission, decision) } else { decision }
 }
 
-/// A version that was taken can't be taken again.
+/// A version that was accepted can't be accepted again.
 fn decide_known_version(
     state: &State,
     submission: &Submission,
@@ -94,7 +99,7 @@
     })
 }
 
-/// A dry run is never taken: it runs on the plan in force, or beside itself when that is in force.
+/// A dry run is never accepted: it runs on the plan in force, or on itself when that is in force.
 fn decide_dry_run(
     state: &State,
     submission: &Submission,
