--- a/crates/plan/src/delta.rs
+++ b/crates/plan/src/delta.rs
@@ -30,8 +30,8 @@
 fn difference(old: &State, new: &State, head: &PlanHead) -> Vec<Record> {
     let (version, base) = (head.version.clone(), head.base.clone());
     let mut records = vec![Record::PlanDelta { version, base }];
-    if old.callers != new.callers {
-        records.push(Record::ClientLimits(new.callers.clone()));
+    if old.client_limits != new.client_limits {
+        records.push(Record::ClientLimits(new.client_limits.clone()));
     }
     let gone = old.services.keys().filter(|name| !new.services.contains_key(*name));
     records.extend(gone.cloned().map(Record::ServiceGone));
--- a/crates/state/src/accepted_plans.rs
+++ b/crates/state/src/accepted_plans.rs
@@ -1,4 +1,5 @@
-//! The plans that were taken and those refused for good, so that one sent again gets the same answer.
+//! The plans that were accepted and those refused, so that one that is submitted again gets the
+//! same answer.
 
 use crate::{Digest, Name, State};
 use postbarrow_constants::plans::{ACCEPTED_PLANS, REFUSED_PLANS};
@@ -8,7 +9,9 @@
 /// A plan that was in force at some time, and may still be.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedPlan {
+    /// The plan's version.
     pub version: Name,
+    /// The version that it was made from; none for the first plan.
     pub base: Option<Name>,
     /// SHA-256 of the plan's text as it was submitted.
     pub digest: Digest,
@@ -21,52 +24,53 @@
 /// A plan that was refused while its base was unknown.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RefusedPlan {
+    /// The plan's version.
     pub version: Name,
     /// SHA-256 of the plan's text as it was submitted.
     pub digest: Digest,
 }
 
 impl State {
-    /// Keeps the ledger one unbroken chain of bases: entries before a gap say nothing of what was
-    /// taken within it, so they go.
-    pub(crate) fn remember_accepted(&mut self, taken: AcceptedPlan) {
+    /// Retains an unbroken chain of bases only: entries before a gap say nothing of the plans that
+    /// were accepted within it, so they are removed.
+    pub(crate) fn retain_accepted_plan(&mut self, accepted: AcceptedPlan) {
         let newest = self.accepted_plans.back().map(|newest| &newest.version);
-        if newest != taken.base.as_ref() {
+        if newest != accepted.base.as_ref() {
             self.accepted_plans.clear();
         }
-        self.accepted_plans.push_back(Arc::new(taken));
+        self.accepted_plans.push_back(Arc::new(accepted));
         while self.accepted_plans.len() > ACCEPTED_PLANS {
             self.accepted_plans.pop_front();
         }
     }
 
-    pub(crate) fn remember_refused(&mut self, refused: RefusedPlan) {
+    pub(crate) fn retain_refused_plan(&mut self, refused: RefusedPlan) {
         self.refused_plans.push_back(refused);
         while self.refused_plans.len() > REFUSED_PLANS {
             self.refused_plans.pop_front();
         }
     }
 
-    /// The remembered plan of this version.
+    /// The retained accepted plan of this version.
     pub fn accepted_plan(&self, version: &str) -> Option<&AcceptedPlan> {
-        self.accepted_plans.iter().map(Arc::as_ref).find(|taken| taken.version == version)
+        self.accepted_plans.iter().map(Arc::as_ref).find(|accepted| accepted.version == version)
     }
 
-    /// Whether a plan is known to have been built on this base.
+    /// Whether a plan is known to have been made from this base.
     pub fn is_built_upon(&self, base: Option<&str>) -> bool {
         let in_force = self.plan.as_ref().map(|plan| &plan.base);
-        let taken = self.accepted_plans.iter().map(|taken| &taken.base);
-        taken.chain(in_force).any(|known| known.as_deref() == base)
+        let accepted = self.accepted_plans.iter().map(|accepted| &accepted.base);
+        accepted.chain(in_force).any(|known| known.as_deref() == base)
     }
 
-    /// Whether the ledger goes back to the first plan and up to the one in force.
+    /// Whether the retained plans reach from the first plan to the one in force.
     pub fn remembers_every_plan(&self) -> bool {
-        let newest = self.accepted_plans.back().map(|taken| taken.version.as_str());
+        let newest = self.accepted_plans.back().map(|accepted| accepted.version.as_str());
         let first = self.accepted_plans.front();
         newest == self.plan_version() && first.is_none_or(|first| first.base.is_none())
     }
 
-    /// Whether this very plan was refused for good.
+    /// Whether exactly this plan was refused.
     pub fn is_refused(&self, version: &str, digest: &Digest) -> bool {
         let same = |refused: &RefusedPlan| refused.version == version && refused.digest == *digest;
         self.refused_plans.iter().any(same)
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,109 +1,54 @@
-//! What the log says: plans, targets, nodes, tickets, locks, numbers and keys, in persistent maps.
+//! The replicated state: plans, targets, nodes, tickets, locks, numbers and keys.
+//!
+//! The log holds `Record`s; `State` is what they add up to, in persistent maps whose clones share
+//! their content, so that a clone is a cheap image (see `postbarrow_transactions::Image`). Both are
+//! stored: fields of structs by position, variants of enums by name.
+//!
+//! | file | what it does |
+//! | --- | --- |
+//! | `record.rs` | the records |
+//! | `apply_record.rs` | applies a record; `apply_record/` has a method a record, by concern |
+//! | `state.rs` | the state, and what is read from it |
+//! | `splice.rs` | how a plan's delta edits routes and text |
+//! | `accepted_plans.rs` | which plans were accepted and refused |
+//! | `plan.rs`, `target.rs`, `node.rs`, `ticket.rs`, `coordination.rs` | the values within the state |
+//! | `call.rs` | an application's call, and its outcome |
+//! | `request_sample.rs` | a client request as it is reported for rehearsals |
+#![deny(missing_docs)]
 
 mod accepted_plans;
-mod apply;
+mod apply_record;
+mod call;
 mod coordination;
-mod patch;
-mod records;
-mod sample;
+mod node;
+mod plan;
+mod record;
+mod request_sample;
+mod splice;
+mod state;
+mod target;
+mod ticket;
 
 pub use accepted_plans::{AcceptedPlan, RefusedPlan};
-pub use coordination::*;
-pub use patch::{RouteSplice, Splice, TextSplice};
-pub use records::*;
-pub use sample::Sample;
+pub use call::{Call, Outcome};
+pub use coordination::{Change, Event, Events, Key, Lock, ResourceKind};
+pub use node::Node;
+pub use plan::{ClientLimits, PlanHead, Route, RouteKind, Service, WeightedService};
+pub use record::Record;
+pub use request_sample::Sample;
+pub use splice::{RouteSplice, Splice, TextSplice};
+pub use state::State;
+pub use target::Target;
+pub use ticket::{Settlement, StoredResponse, Ticket};
 
 use compact_str::CompactString;
-use imbl::{OrdMap, Vector};
-use serde::{Deserialize, Serialize};
-use std::sync::Arc;
+use std::collections::BTreeMap;
 
+/// A short text: a name, version, instance or key.
 pub type Name = CompactString;
+/// One run of one process, from start to end; a number that no other run has.
 pub type Incarnation = u64;
-
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct State {
-    pub plan: Option<Arc<PlanHead>>,
-    pub plan_text: Vector<Arc<Vec<u8>>>,
-    pub services: OrdMap<Name, Arc<Service>>,
-    pub routes: Vector<Arc<Route>>,
-    pub targets: OrdMap<Name, Arc<Target>>,
-    pub nodes: OrdMap<Incarnation, Arc<Node>>,
-    pub tickets: OrdMap<Name, Arc<Ticket>>,
-    pub locks: OrdMap<Name, Lock>,
-    pub numbers: OrdMap<Name, u64>,
-    pub keys: OrdMap<Name, Arc<Key>>,
-    pub repeats: OrdMap<Name, Arc<Outcome>>,
-    pub history: Vector<Arc<Event>>,
-    /// Events at and below this revision are no longer told.
-    pub history_floor: u64,
-    pub revision: u64,
-    pub fence: u64,
-    #[serde(default)]
-    pub era: u64,
-    /// Bytes of kept responses in all.
-    #[serde(default)]
-    pub stored_response_bytes: u64,
-    /// Remembered calls, oldest first, by the era of their result.
-    #[serde(default)]
-    pub repeat_queue: Vector<(u64, Name)>,
-    #[serde(default)]
-    pub callers: ClientLimits,
-    /// The plans taken last, oldest first, each built on the one before it.
-    #[serde(default)]
-    pub accepted_plans: Vector<Arc<AcceptedPlan>>,
-    /// The plans refused last because their base was never taken, oldest first.
-    #[serde(default)]
-    pub refused_plans: Vector<RefusedPlan>,
-}
-
-impl State {
-    pub fn plan_version(&self) -> Option<&str> {
-        self.plan.as_ref().map(|plan| plan.version.as_str())
-    }
-
-    /// Whether both hold the same plan, its text and the batch that began it included.
-    pub fn has_plan_of(&self, other: &State) -> bool {
-        self.plan == other.plan
-            && self.callers == other.callers
-            && self.services == other.services
-            && self.routes == other.routes
-            && self.plan_text == other.plan_text
-    }
-
-    /// What data nodes keep: all that `Record::is_news` can change.
-    pub fn routing_view(&self) -> State {
-        State {
-            plan: self.plan.clone(),
-            services: self.services.clone(),
-            routes: self.routes.clone(),
-            targets: self.targets.clone(),
-            nodes: self.nodes.clone(),
-            callers: self.callers.clone(),
-            ..State::default()
-        }
-    }
-
-    pub fn plan_text(&self) -> Vec<u8> {
-        self.plan_text.iter().flat_map(|part| part.iter().copied()).collect()
-    }
-
-    /// Targets of a service by its labels; draining, down and gone ones are not live.
-    pub fn live_targets(&self, service: &Service) -> Vec<Arc<Target>> {
-        self.targets.values().filter(|target| target.is_live_for(service)).cloned().collect()
-    }
-}
-
-impl Target {
-    pub fn matches(&self, service: &Service) -> bool {
-        service.labels.iter().all(|(label, value)| match label.as_str() {
-            "service" => self.service == *value,
-            "zone" => self.zone == *value,
-            _ => self.labels.get(label) == Some(value),
-        })
-    }
-
-    pub fn is_live_for(&self, service: &Service) -> bool {
-        !self.draining && !self.down && self.matches(service)
-    }
-}
+/// Labels of a target, or those that a service requires of its targets.
+pub type Labels = BTreeMap<Name, Name>;
+/// A SHA-256 digest.
+pub type Digest = [u8; 32];
--- a/crates/state/tests/taken.rs
+++ b/crates/state/tests/accepted_plans.rs
@@ -1,11 +1,11 @@
-//! The ledger of taken plans: filled with its transaction only, bounded, unbroken, and readable
-//! where an older state has none.
+//! The retained accepted plans: added by their transaction's End only, bounded, an unbroken chain,
+//! and empty where an older state has none.
 
 use postbarrow_constants::plans::{ACCEPTED_PLANS, REFUSED_PLANS};
 use postbarrow_state::*;
 use postbarrow_transactions::{BatchRecord, Image, Tail};
 
-fn taken(version: &str, base: Option<&str>) -> Record {
+fn accepted(version: &str, base: Option<&str>) -> Record {
     let base = base.map(Name::from);
     Record::PlanAccepted { version: version.into(), base, digest: [7; 32], began_at: 1 }
 }
@@ -16,31 +16,31 @@
 
 fn chain(count: usize) -> State {
     let mut state = State::default();
-    for at in 0..count {
-        let base = at.checked_sub(1).map(|before| format!("v{before}"));
-        state.apply(at as u64 + 1, &start(&format!("v{at}"), base.as_deref()));
-        state.apply(at as u64 + 1, &taken(&format!("v{at}"), base.as_deref()));
+    for number in 0..count {
+        let base = number.checked_sub(1).map(|before| format!("v{before}"));
+        state.apply(number as u64 + 1, &start(&format!("v{number}"), base.as_deref()));
+        state.apply(number as u64 + 1, &accepted(&format!("v{number}"), base.as_deref()));
     }
     state
 }
 
 #[test]
-fn an_aborted_plan_leaves_no_trace_in_the_ledger_nor_in_force() {
+fn aborted_plan_is_neither_accepted_nor_in_force() {
     let mut tail = Tail::new(0, chain(1));
     let before = tail.image().as_ref().clone();
-    let open = [
+    let batch = [
         BatchRecord::begin("plan"),
         BatchRecord::Data(start("v1", Some("v0"))),
-        BatchRecord::Data(taken("v1", Some("v0"))),
+        BatchRecord::Data(accepted("v1", Some("v0"))),
     ];
-    tail.apply(2, 10, &open).unwrap();
+    tail.apply(2, 10, &batch).unwrap();
     assert!(tail.staged().unwrap().accepted_plan("v1").is_some());
     tail.apply(3, 10, &[BatchRecord::abort("no")]).unwrap();
     assert_eq!(*tail.image().as_ref(), before);
 }
 
 #[test]
-fn the_ledger_keeps_its_bound_and_the_oldest_goes_first() {
+fn retained_plans_are_bounded_and_the_oldest_is_removed_first() {
     let state = chain(ACCEPTED_PLANS);
     assert!(state.remembers_every_plan() && state.accepted_plan("v0").is_some());
     let state = chain(ACCEPTED_PLANS + 1);
@@ -48,8 +48,8 @@
     assert!(state.accepted_plan("v0").is_none() && state.accepted_plan("v1").is_some());
     assert!(!state.remembers_every_plan());
     let mut state = State::default();
-    for at in 0..=REFUSED_PLANS {
-        let refused = RefusedPlan { version: format!("v{at}").into(), digest: [1; 32] };
+    for number in 0..=REFUSED_PLANS {
+        let refused = RefusedPlan { version: format!("v{number}").into(), digest: [1; 32] };
         state.apply(1, &Record::PlanRefused(refused));
     }
     assert_eq!(state.refused_plans.len(), REFUSED_PLANS);
@@ -58,16 +58,16 @@
 }
 
 #[test]
-fn a_gap_in_the_chain_of_bases_drops_what_was_before_it() {
+fn gap_in_the_chain_of_bases_removes_the_plans_before_it() {
     let mut state = chain(3);
     state.apply(9, &start("v9", Some("v8")));
-    state.apply(9, &taken("v9", Some("v8")));
+    state.apply(9, &accepted("v9", Some("v8")));
     assert_eq!(state.accepted_plans.len(), 1);
     assert!(!state.remembers_every_plan());
 }
 
 #[test]
-fn a_plan_in_force_that_the_ledger_lacks_shows_that_it_is_not_whole() {
+fn plan_in_force_that_is_not_retained_makes_the_history_incomplete() {
     let mut state = State::default();
     assert!(state.remembers_every_plan());
     state.apply(1, &start("v1", None));
@@ -75,15 +75,15 @@
 }
 
 #[test]
-fn data_nodes_keep_no_ledger() {
-    assert!(!taken("v1", None).is_routing_update());
+fn routing_view_has_no_accepted_plans() {
+    assert!(!accepted("v1", None).is_routing_update());
     let refused = RefusedPlan { version: "v1".into(), digest: [1; 32] };
     assert!(!Record::PlanRefused(refused).is_routing_update());
     assert!(chain(2).routing_view().accepted_plans.is_empty());
 }
 
 #[test]
-fn a_state_written_before_the_ledger_is_read_with_an_empty_one() {
+fn state_stored_without_accepted_plans_is_read_with_none() {
     let mut state = chain(1);
     state.accepted_plans.clear();
     let mut old = rmp_serde::to_vec(&state).unwrap();
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_state_with_its_ledger_is_read_as_written() {
+fn state_with_accepted_plans_is_read_as_stored() {
     let mut state = chain(3);
     state.apply(9, &Record::PlanRefused(RefusedPlan { version: "x".into(), digest: [200; 32] }));
     let read: State = rmp_serde::from_slice(&rmp_serde::to_vec(&state).unwrap()).unwrap();
--- a/crates/state/tests/golden_bytes.rs
+++ b/crates/state/tests/golden_bytes.rs
@@ -49,11 +49,12 @@
     ];
     golden::assert_covers::<BatchRecord<Record>>(&cases);
     let begin = std::iter::once(BatchRecord::begin("plan v2"));
-    let whole: Vec<BatchRecord<Record>> = begin.chain(data()).chain([BatchRecord::End]).collect();
+    let complete: Vec<BatchRecord<Record>> =
+        begin.chain(data()).chain([BatchRecord::End]).collect();
     let more = [
         batch("Begin without a name", &[BatchRecord::Begin { name: None }]),
         batch("Abort without a reason", &[BatchRecord::Abort { reason: None }]),
-        batch("every record", &whole),
+        batch("every record", &complete),
         batch("empty", &[]),
     ];
     check(CRATE, "batches.hex", &cases.into_iter().chain(more).collect::<Vec<Case>>());
--- a/programs/data-plane/src/downstream/serve.rs
+++ b/programs/data-plane/src/downstream/serve.rs
@@ -47,7 +47,7 @@
 /// What the plan in force asks of callers, or else the node.
 fn patience(shared: &Shared) -> ReadLimits {
     let table = shared.table.load();
-    let (callers, own) = (&table.state.callers, ReadLimits::default());
+    let (callers, own) = (&table.state.client_limits, ReadLimits::default());
     ReadLimits {
         head_bytes: callers.head_bytes.map_or(own.head_bytes, |bytes| bytes as usize),
         head_wait_ms: callers.head_wait_ms.unwrap_or(own.head_wait_ms),
--- a/programs/data-plane/src/tests/crowds.rs
+++ b/programs/data-plane/src/tests/crowds.rs
@@ -89,7 +89,7 @@
         head_wait_ms: Some(50),
         idle_ms: Some(1),
     };
-    let state = postbarrow_state::State { callers, ..state };
+    let state = postbarrow_state::State { client_limits: callers, ..state };
     let table = postbarrow_routing::Table::new(state.into(), 2, &rig.shared.table.load());
     rig.shared.table.store(table.into());
     let long = format!("GET /look/1 HTTP/1.1\r\nHost: h\r\nX: {}\r\n\r\n", "a".repeat(400));
