--- a/crates/controller/src/nodes.rs
+++ b/crates/controller/src/nodes.rs
@@ -41,17 +41,17 @@
         if !self.has_lease(now_ms) || !self.knows_targets(now_ms) {
             let controller = self.consensus.leader().map(|leader| leader.address);
             let controller = controller.filter(|address| *address != self.own.address);
-            let fresh = LeaseResponse::NotController { controller, members };
-            return self.send(from, Message::LeaseResponse { number: request.number, fresh });
+            let response = LeaseResponse::NotController { controller, members };
+            return self.send(from, Message::LeaseResponse { number: request.number, response });
         }
         let number = request.number;
         self.register(now_ms, request);
-        let fresh = LeaseResponse::Granted {
+        let response = LeaseResponse::Granted {
             term: self.consensus.term(),
             watermark: self.image_offset,
             members,
         };
-        self.send(from, Message::LeaseResponse { number, fresh });
+        self.send(from, Message::LeaseResponse { number, response });
     }
 
     /// What the list showed while nobody held must be known before any node may serve by it.
--- a/crates/controller/tests/bench/mod.rs
+++ b/crates/controller/tests/bench/mod.rs
@@ -194,7 +194,10 @@
         self.sent.clear();
         self.fresh(5);
         self.sent.iter().any(|message| {
-            matches!(message, Message::LeaseResponse { fresh: LeaseResponse::Granted { .. }, .. })
+            matches!(
+                message,
+                Message::LeaseResponse { response: LeaseResponse::Granted { .. }, .. }
+            )
         })
     }
 
--- a/crates/messages/tests/golden_bytes.rs
+++ b/crates/messages/tests/golden_bytes.rs
@@ -153,7 +153,7 @@
     ]);
     let says = |message| Message::Consensus { from: member(1), to: 2, message };
     messages.extend(within("Consensus", consensus_values::messages(), says));
-    let granted = |fresh| Message::LeaseResponse { number: 17, fresh };
+    let granted = |response| Message::LeaseResponse { number: 17, response };
     messages.extend(within("FreshResponse", lease_responses(), granted));
     let request = |request| Message::Request { key: 21, request };
     messages.extend(within("Ask", requests(), request));
--- a/crates/messages/tests/garbled.rs
+++ b/crates/messages/tests/mutated_input.rs
@@ -1,5 +1,5 @@
-//! Mutated frames, plans, list pages, slots and logs: an error that names the place, or a sound
-//! value, never a panic and never more memory than the input justifies.
+//! Mutated frames, plans, endpoint-list pages, slots and logs: an error that names the position, or
+//! a valid value, never a panic and never more memory than the input justifies.
 
 use postbarrow_consensus::{Entry, HardState, Payload, Write};
 use postbarrow_constants::traffic::FRAME_BYTES;
@@ -7,7 +7,7 @@
 use postbarrow_simulation::{Random, SimDisk};
 use postbarrow_storage::{Disk, LOGS, Opened, SLOTS, Storage, open};
 
-fn garble(random: &mut Random, bytes: &[u8]) -> Vec<u8> {
+fn mutate(random: &mut Random, bytes: &[u8]) -> Vec<u8> {
     let mut bytes = bytes.to_vec();
     for _ in 0..=random.below(4) {
         let length = bytes.len() as u64;
@@ -17,8 +17,8 @@
             2 => bytes.insert(random.below(length + 1) as usize, random.draw() as u8),
             3 if length > 0 => {
                 let (from, to) = (random.below(length) as usize, random.below(length) as usize);
-                let part = bytes[from.min(to)..from.max(to)].to_vec();
-                bytes.extend(part);
+                let run = bytes[from.min(to)..from.max(to)].to_vec();
+                bytes.extend(run);
             }
             _ if length > 0 => bytes[random.below(length) as usize] ^= 1 << random.below(8),
             _ => {}
@@ -44,13 +44,13 @@
 }
 
 #[test]
-fn frames() {
-    let whole = frame();
-    assert!(read_frame(&mut &whole[..]).is_ok());
+fn mutated_frames_are_read_or_rejected() {
+    let intact = frame();
+    assert!(read_frame(&mut &intact[..]).is_ok());
     let (mut read, mut refused) = (0, 0);
     for seed in 0..20_000 {
-        let garbled = garble(&mut Random::new(seed), &whole);
-        match read_frame(&mut &garbled[..]) {
+        let mutated = mutate(&mut Random::new(seed), &intact);
+        match read_frame(&mut &mutated[..]) {
             Ok(_) => read += 1,
             Err(error) => {
                 assert!(!error.to_string().is_empty());
@@ -72,11 +72,11 @@
    "when": "headers['x'] == 'y' || path.startsWith('/a')", "limits": {"bodyBytes": 10, "deadlineMs": 100}}]}"#;
 
 #[test]
-fn plans() {
+fn mutated_plans_are_read_or_rejected_with_a_field_path() {
     let mut refused = 0;
     for seed in 0..3_000 {
-        let garbled = garble(&mut Random::new(seed), PLAN.as_bytes());
-        if let Err(findings) = postbarrow_plan::Plan::read(&garbled) {
+        let mutated = mutate(&mut Random::new(seed), PLAN.as_bytes());
+        if let Err(findings) = postbarrow_plan::Plan::read(&mutated) {
             assert!(findings.findings.iter().all(|finding| finding.field_path.starts_with('$')));
             refused += 1;
         }
@@ -87,20 +87,20 @@
 }
 
 #[test]
-fn list_pages() {
+fn mutated_endpoint_list_pages_are_read_or_rejected() {
     let page = br#"{"targets":[{"instance":"a","service":"s","address":"10.0.0.1:1","zone":"z","labels":{"l":"v"},"draining":true}],"next":"1"}"#;
     assert!(postbarrow_controller::read_page(page).is_ok());
     let mut refused = 0;
     for seed in 0..5_000 {
-        let garbled = garble(&mut Random::new(seed), page);
-        refused += u32::from(postbarrow_controller::read_page(&garbled).is_err());
+        let mutated = mutate(&mut Random::new(seed), page);
+        refused += u32::from(postbarrow_controller::read_page(&mutated).is_err());
     }
     assert!(refused > 1_000, "{refused} refused");
 }
 
 #[test]
-fn slots_and_logs() {
-    let mut told = [0; 3];
+fn mutated_slots_and_logs_are_recovered_in_order_or_reported_as_damage() {
+    let mut opened = [0; 3];
     for seed in 0..1_500 {
         let mut random = Random::new(seed);
         let mut disk = SimDisk::default();
@@ -111,21 +111,21 @@
             storage.apply(vec![Write::HardState(hard), Write::Append(vec![entry])]).unwrap();
         }
         let file = [SLOTS[0], SLOTS[1], LOGS[0], LOGS[1]][random.below(4) as usize];
-        let garbled = garble(&mut random, &disk.read(file).unwrap());
+        let mutated = mutate(&mut random, &disk.read(file).unwrap());
         disk.truncate(file, 0).unwrap();
-        disk.write(file, 0, &garbled).unwrap();
+        disk.write(file, 0, &mutated).unwrap();
         match open(disk).unwrap() {
             Opened::Recovered { recovered, .. } => {
                 let indexes: Vec<u64> = recovered.entries.iter().map(|entry| entry.index).collect();
                 assert_eq!(indexes, (1..=indexes.len() as u64).collect::<Vec<_>>(), "seed {seed}");
-                told[0] += 1;
+                opened[0] += 1;
             }
-            Opened::Empty(_) => told[1] += 1,
+            Opened::Empty(_) => opened[1] += 1,
             Opened::Damaged { damage, .. } => {
                 assert!(!damage.to_string().is_empty());
-                told[2] += 1;
+                opened[2] += 1;
             }
         }
     }
-    assert!(told[0] > 100 && told[2] > 100, "{told:?}");
+    assert!(opened[0] > 100 && opened[2] > 100, "{opened:?}");
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -182,8 +182,8 @@
     fn receive(&mut self, now_ms: u64, envelope: Envelope) {
         let Envelope { from, message } = envelope;
         match message {
-            Message::LeaseResponse { number, fresh } => {
-                self.on_lease_response(now_ms, from, number, fresh)
+            Message::LeaseResponse { number, response } => {
+                self.on_lease_response(now_ms, from, number, response)
             }
             Message::Introduction { control, formed } => {
                 if formed {
--- a/crates/node/tests/hold.rs
+++ b/crates/node/tests/hold.rs
@@ -62,8 +62,8 @@
     }
 
     fn granted(&mut self, number: u64, term: u64, watermark: u64) {
-        let fresh = LeaseResponse::Granted { term, watermark, members: vec![address(1)] };
-        self.hears(Message::LeaseResponse { number, fresh });
+        let response = LeaseResponse::Granted { term, watermark, members: vec![address(1)] };
+        self.hears(Message::LeaseResponse { number, response });
     }
 
     fn news(&mut self, prev: u64, offset: u64, lines: &[BatchRecord<Record>]) {
