--- a/crates/controller/tests/golden_bytes.rs
+++ b/crates/controller/tests/golden_bytes.rs
@@ -3,17 +3,17 @@
 //! MessagePack, as `rmp_serde::to_vec` writes it: the note is an array, so its fields are sent by
 //! position and their names are free to change, while their order is not. It has no variants.
 
-mod bench;
+mod cluster;
 #[path = "../../state/tests/golden/mod.rs"]
 mod golden;
-mod trio;
+mod harness;
 
-use bench::*;
+use cluster::Cluster;
+use harness::*;
 use postbarrow_consensus::{AppendRequest, Message as LogMessage, TimeoutNow};
 use postbarrow_controller::{Fetched, Input, PageResult};
 use postbarrow_messages::*;
 use postbarrow_state::Name;
-use trio::Trio;
 
 const CRATE: &str = env!("CARGO_MANIFEST_DIR");
 
@@ -22,36 +22,36 @@
 type ScanHandover = (Option<u64>, Vec<Name>, Vec<Option<String>>, u64, Vec<u64>);
 
 /// One tick of a controller whose list has two pages; what it sent to a follower as it stops.
-fn step(trio: &mut Trio) -> Option<Vec<u8>> {
-    trio.bench.tick(20);
-    trio.bench.sync();
-    while let Some((number, cursor)) = trio.bench.fetches.pop_front() {
+fn step(cluster: &mut Cluster) -> Option<Vec<u8>> {
+    cluster.harness.tick(20);
+    cluster.harness.sync();
+    while let Some((number, cursor)) = cluster.harness.fetches.pop_front() {
         let (row, next) = match cursor {
-            None => (Bench::row("catalogue-1", "catalogue", false), "\"second\""),
-            Some(_) => (Bench::row("ledger-1", "ledger", false), "null"),
+            None => (Harness::row("catalogue-1", "catalogue", false), "\"second\""),
+            Some(_) => (Harness::row("ledger-1", "ledger", false), "null"),
         };
         let text = format!("{{\"targets\":[{row}],\"next\":{next}}}");
         let fetched = Fetched::Page(text.into_bytes());
-        trio.bench.input(Input::Page(PageResult { number, fetched }));
+        cluster.harness.input(Input::Page(PageResult { number, fetched }));
     }
-    let note = trio.bench.sent.iter().find_map(|message| match message {
+    let note = cluster.harness.sent.iter().find_map(|message| match message {
         Message::Consensus { message: LogMessage::TimeoutNow(request), .. } => {
             Some(request.handover_state.clone())
         }
         _ => None,
     });
-    let responses = trio.follower_responses();
-    trio.deliver(responses);
+    let responses = cluster.follower_responses();
+    cluster.deliver(responses);
     note
 }
 
 fn note_of_a_stop() -> Vec<u8> {
-    let mut trio = Trio::serving();
+    let mut cluster = Cluster::serving();
     for _ in 0..400 {
-        step(&mut trio);
+        step(&mut cluster);
     }
-    trio.bench.input(Input::Stop);
-    (0..100).find_map(|_| step(&mut trio)).expect("it hands over")
+    cluster.harness.input(Input::Stop);
+    (0..100).find_map(|_| step(&mut cluster)).expect("it hands over")
 }
 
 #[test]
@@ -69,24 +69,26 @@
 
 /// The next controller knows of the list's walk before it walked.
 fn assert_next_controller_reads(note: Vec<u8>) {
-    let mut trio = Trio { bench: Bench::new(recovered(&[1, 2, 3], Vec::new(), 1)) };
-    let sent_ms = trio.bench.now_ms;
+    let mut cluster = Cluster { harness: Harness::new(recovered(&[1, 2, 3], Vec::new(), 1)) };
+    let sent_ms = cluster.harness.now_ms;
     let entries = Vec::new();
     let append =
         AppendRequest { term: 1, prev_index: 0, prev_term: 0, entries, commit: 0, sent_ms };
     let request = TimeoutNow { term: 1, sent_ms, handover_state: note };
     for message in [LogMessage::Append(append), LogMessage::TimeoutNow(request)] {
-        trio.bench.message(Message::Consensus { from: member(2), to: 1, message });
+        cluster.harness.message(Message::Consensus { from: member(2), to: 1, message });
     }
     for _ in 0..5 {
-        trio.bench.sync();
-        let responses = trio.follower_responses();
-        trio.deliver(responses);
-        trio.bench.tick(20);
+        cluster.harness.sync();
+        let responses = cluster.follower_responses();
+        cluster.deliver(responses);
+        cluster.harness.tick(20);
     }
-    assert!(trio.bench.node.has_lease(trio.bench.now_ms), "it leads at once");
-    trio.bench.ask(1, Request::Targets);
-    let Some(Response::Operator { body, .. }) = trio.bench.answer(1) else { panic!("no answer") };
+    assert!(cluster.harness.node.has_lease(cluster.harness.now_ms), "it leads at once");
+    cluster.harness.request(1, Request::Targets);
+    let Some(Response::Operator { body, .. }) = cluster.harness.response(1) else {
+        panic!("no answer")
+    };
     let body = String::from_utf8_lossy(body);
     assert!(!body.contains("\"listWalkedMsAgo\":null"), "{body}");
 }
--- a/crates/controller/tests/golden_folder.rs
+++ b/crates/controller/tests/golden_folder.rs
@@ -3,8 +3,8 @@
 //! With POSTBARROW_WRITE_FIXTURES set, the folder is written anew by the present code. Then it no
 //! longer shows that an older release's folder is read, so that is for a further folder only.
 
-mod bench;
-use bench::*;
+mod harness;
+use harness::*;
 
 use postbarrow_consensus::{RecoveredState, Write};
 use postbarrow_controller::Input;
@@ -68,40 +68,40 @@
     plan("v2", Some("v1"), 3, "ledger")
 }
 
-fn answered(bench: &mut Bench, key: u64, request: Request) -> Response {
-    bench.ask(key, request);
-    bench.settle();
-    bench.answer(key).cloned().expect("it is answered")
+fn answered(harness: &mut Harness, key: u64, request: Request) -> Response {
+    harness.request(key, request);
+    harness.run_until_idle();
+    harness.response(key).cloned().expect("it is answered")
 }
 
 /// One of each kind of promise, with a name that ends in `part`.
-fn promise(bench: &mut Bench, part: &str, keys: u64, status: u16) {
-    bench.fresh(5);
+fn promise(harness: &mut Harness, part: &str, keys: u64, status: u16) {
+    harness.renew_lease(5);
     let ticket = ticket(&format!("order-{part}"), keys);
-    answered(bench, keys, Request::Ticket(ticket.clone()));
-    answered(bench, keys + 1, settle(ticket, stored_response(status)));
-    answered(bench, keys + 2, next_number(&format!("number-{part}"), 7));
-    answered(bench, keys + 3, put(&format!("key-{part}")));
-    answered(bench, keys + 4, lock(&format!("lock-{part}")));
+    answered(harness, keys, Request::Ticket(ticket.clone()));
+    answered(harness, keys + 1, settle(ticket, stored_response(status)));
+    answered(harness, keys + 2, next_number(&format!("number-{part}"), 7));
+    answered(harness, keys + 3, put(&format!("key-{part}")));
+    answered(harness, keys + 4, lock(&format!("lock-{part}")));
 }
 
 /// The first promises go into a snapshot, and the second ones stay in the log behind it.
 fn write_folder(folder: &Path) {
-    let mut bench = Bench::serving();
-    promise(&mut bench, "old", 100, 201);
-    bench.submit(1, &first_plan());
-    bench.settle();
-    bench.bound(SNAPSHOT_DUE_BYTES);
-    answered(&mut bench, 2, put("last-of-the-snapshot"));
-    let snapshot = bench.snapshot.clone().expect("a snapshot is due");
-    bench.bound(u64::MAX);
-    bench.input(Input::Encoded { index: snapshot.index, state: snapshot.state });
-    bench.settle();
-    bench.submit(3, &second_plan());
-    bench.settle();
-    promise(&mut bench, "new", 200, 202);
-    bench.fresh(5);
-    bench.settle();
+    let mut harness = Harness::serving();
+    promise(&mut harness, "old", 100, 201);
+    harness.submit(1, &first_plan());
+    harness.run_until_idle();
+    harness.set_log_bound(SNAPSHOT_DUE_BYTES);
+    answered(&mut harness, 2, put("last-of-the-snapshot"));
+    let snapshot = harness.snapshot.clone().expect("a snapshot is due");
+    harness.set_log_bound(u64::MAX);
+    harness.input(Input::Encoded { index: snapshot.index, state: snapshot.state });
+    harness.run_until_idle();
+    harness.submit(3, &second_plan());
+    harness.run_until_idle();
+    promise(&mut harness, "new", 200, 202);
+    harness.renew_lease(5);
+    harness.run_until_idle();
 
     let RecoveredState { snapshot, .. } = recovered(&[1], Vec::new(), 0);
     let first = Write::Slot {
@@ -112,7 +112,7 @@
     let disk = FolderDisk::new(folder.to_path_buf()).expect("a folder");
     let mut storage = Storage::create(disk, 1).expect("it is new");
     storage.apply(vec![first]).expect("it is written");
-    storage.apply(bench.writes).expect("it is written");
+    storage.apply(harness.writes).expect("it is written");
 }
 
 /// What a start finds in a copy of the committed folder.
@@ -149,14 +149,14 @@
     let snapshot = recovered.snapshot.clone().expect("a snapshot");
     assert!(snapshot.index > 0 && !recovered.entries.is_empty(), "a snapshot, and a log behind it");
 
-    let mut bench = Bench::new(recovered);
-    let restored = bench.state();
+    let mut harness = Harness::new(recovered);
+    let restored = harness.state();
     assert_eq!(restored.plan_version(), Some("v1"), "the snapshot's plan");
     check_promise(restored, "old", 201, 1);
     assert!(!restored.numbers.contains_key("number-new"), "the log's are not committed yet");
 
-    bench.lead();
-    let state = bench.state();
+    harness.become_leader();
+    let state = harness.state();
     assert_eq!(state.plan_version(), Some("v2"), "the log's plan");
     assert_eq!(state.plan_text(), second_plan().into_bytes());
     assert_eq!((state.routes.len(), state.services.len()), (3, 1));
@@ -167,21 +167,21 @@
 
     for (key, part, status) in [(1, "old", 201), (2, "new", 202)] {
         let again = Request::Ticket(ticket(&format!("order-{part}"), 999));
-        let Response::Known(known) = answered(&mut bench, key, again) else { panic!("{part}") };
+        let Response::Known(known) = answered(&mut harness, key, again) else { panic!("{part}") };
         assert_eq!(
             known.response.as_deref(),
             Some(&stored_response(status)),
             "{part}: the kept answer"
         );
     }
-    let shown = answered(&mut bench, 3, Request::Show);
+    let shown = answered(&mut harness, 3, Request::Show);
     assert!(matches!(shown, Response::Plan { text, .. } if text == second_plan().into_bytes()));
-    let number = answered(&mut bench, 4, next_number("number-old", 1));
+    let number = answered(&mut harness, 4, next_number("number-old", 1));
     assert_eq!(number, Response::Outcome(Outcome::Number(8)), "the number goes on");
-    let fence = answered(&mut bench, 5, lock("lock-third"));
+    let fence = answered(&mut harness, 5, lock("lock-third"));
     let next = Outcome::Locked { fence: 3, ttl_ms: LONG_MS };
     assert_eq!(fence, Response::Outcome(next), "no fence is given twice");
-    let read = answered(&mut bench, 6, call(Call::ReadKey { name: name("key-old") }));
+    let read = answered(&mut harness, 6, call(Call::ReadKey { name: name("key-old") }));
     assert!(
         matches!(&read, Response::Outcome(Outcome::Key(Key { value, .. })) if value == b"on\x00")
     );
--- a/crates/storage/tests/full.rs
+++ b/crates/storage/tests/full.rs
@@ -1,7 +1,7 @@
 //! A full disk: reserved space, writes that are repeated, and failed syncs, which are not.
 
 use postbarrow_consensus::{Entry, HardState, Member, Payload, RecoveredState, Snapshot, Write};
-use postbarrow_simulation::{DiskTrouble, Random, SimDisk};
+use postbarrow_simulation::{DiskFault, Random, SimDisk};
 use postbarrow_storage::*;
 use std::cell::Cell;
 use std::io;
@@ -49,7 +49,7 @@
     for operations in 0.. {
         let disk = SimDisk::default();
         let mut storage = Storage::create(disk.clone(), MEMBER).unwrap();
-        disk.set_trouble_after(operations, DiskTrouble::Full);
+        disk.set_fault_after(operations, DiskFault::Full);
         match storage.apply(group()) {
             Ok(()) => break,
             Err(WriteError::Failed(error)) => panic!("operation {operations}: {error}"),
@@ -57,7 +57,7 @@
         }
         let again = storage.resume();
         assert!(matches!(again, Err(WriteError::Full(_))), "operation {operations}: {again:?}");
-        disk.set_trouble(None);
+        disk.set_fault(None);
         storage.resume().unwrap();
         storage.apply(vec![append(5)]).unwrap();
         disk.lose_power(&mut Random::new(operations));
@@ -73,10 +73,10 @@
     let disk = SimDisk::default();
     let mut storage = Storage::create(disk.clone(), MEMBER).unwrap();
     storage.apply(vec![append(1)]).unwrap();
-    disk.set_trouble(Some(DiskTrouble::Full));
+    disk.set_fault(Some(DiskFault::Full));
     let Err(error) = open(disk.clone()) else { panic!("a full disk was not reported") };
     assert!(is_full(&error), "{error}");
-    disk.set_trouble(None);
+    disk.set_fault(None);
     assert_eq!(last(&reopen(&disk).1), 1);
 }
 
@@ -85,7 +85,7 @@
     let disk = SimDisk::default();
     let mut storage = Storage::create(disk.clone(), MEMBER).unwrap();
     storage.reserve(Reservation { log_bytes: 4_096, slot_bytes: 4_096 }).unwrap();
-    disk.set_trouble(Some(DiskTrouble::Full));
+    disk.set_fault(Some(DiskFault::Full));
     for _ in 0..5 {
         storage.apply(group()).unwrap();
     }
@@ -99,10 +99,10 @@
 fn reservation_refused_by_a_full_disk_succeeds_when_repeated() {
     let disk = SimDisk::default();
     let mut storage = Storage::create(disk.clone(), MEMBER).unwrap();
-    disk.set_trouble(Some(DiskTrouble::Full));
+    disk.set_fault(Some(DiskFault::Full));
     let reservation = Reservation { log_bytes: 4_096, slot_bytes: 4_096 };
     assert!(matches!(storage.reserve(reservation), Err(WriteError::Full(_))));
-    disk.set_trouble(None);
+    disk.set_fault(None);
     storage.reserve(reservation).unwrap();
     storage.apply(group()).unwrap();
 }
