--- /dev/null
+++ b/crates/controller-client/src/refusal.rs
@@ -0,0 +1,36 @@
+//! Which responses are refusals.
+
+use postbarrow_messages::{Request, Response};
+use postbarrow_state::{Call, Outcome};
+
+/// Statuses from here on report to an operator that a plan was not accepted.
+const MIN_REFUSING_STATUS: u16 = 400;
+
+/// Whether a response says that nothing was done, for a reason that may no longer apply when
+/// another copy of the same request arrives.
+pub(crate) fn is_refusal(request: &Request, response: &Response) -> bool {
+    match (request, response) {
+        (Request::Submit(submission), Response::Operator { status, .. }) => {
+            !submission.dry_run && *status >= MIN_REFUSING_STATUS
+        }
+        (Request::Call { .. }, Response::Full) => true,
+        (Request::Call { call, .. }, Response::Outcome(outcome)) => is_refused_call(call, outcome),
+        _ => false,
+    }
+}
+
+fn is_refused_call(call: &Call, outcome: &Outcome) -> bool {
+    match call {
+        Call::Lock { .. } | Call::Renew { .. } => {
+            matches!(outcome, Outcome::LockedByOther { .. } | Outcome::NotOwner)
+        }
+        Call::Next { .. } | Call::Put { .. } | Call::Remove { .. } => {
+            matches!(outcome, Outcome::Conflict { .. } | Outcome::NoKey)
+        }
+        Call::Free { .. }
+        | Call::ReadLock { .. }
+        | Call::ReadNumber { .. }
+        | Call::ReadKey { .. }
+        | Call::Watch { .. } => false,
+    }
+}
--- a/crates/controller-client/tests/refusals.rs
+++ b/crates/controller-client/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! A refusal is told only once no copy of its question can still take effect.
+//! A refusal is reported only once no copy of its request can still take effect.
 
 use postbarrow_constants::coordination::REQUEST_RETRY_MS;
 use postbarrow_controller_client::{ControllerClient, Effect};
@@ -6,107 +6,113 @@
 use postbarrow_state::{Call, Key, Outcome};
 use std::net::SocketAddr;
 
-const QUESTION: u64 = 9;
+const KEY: u64 = 9;
 const WAIT_MS: u64 = 2_500;
 
-fn leader(last: u8) -> SocketAddr {
-    SocketAddr::from(([10, 0, 0, last], 1))
+fn leader(number: u8) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, number], 1))
 }
 
-fn start() -> Request {
+fn lock_request() -> Request {
     let call = Call::Lock { name: "lock".into(), holder: "one".into(), ttl_ms: 1_000 };
     Request::Call { id: None, call }
 }
 
-fn held() -> Response {
+fn locked_by_other() -> Response {
     Response::Outcome(Outcome::LockedByOther { fence: 4 })
 }
 
 fn answers(effects: Vec<Effect>) -> Vec<Response> {
-    let told = effects.into_iter().filter_map(|effect| match effect {
+    let answered = effects.into_iter().filter_map(|effect| match effect {
         Effect::Answer { response, .. } => Some(response),
         Effect::Send { .. } => None,
     });
-    told.collect()
+    answered.collect()
 }
 
-/// A client with one question that was sent so many times.
-fn sent(request: Request, times: u64) -> ControllerClient {
+/// A client with one request of which so many copies were sent.
+fn client_after_sends(request: Request, copies: u64) -> ControllerClient {
     let mut client = ControllerClient::default();
     client.on_members(0, Some(leader(1)), &[leader(1), leader(2)]);
-    let mut sends = client.send_request(0, QUESTION, request, WAIT_MS).len();
-    for again in 1..times {
-        sends += client.tick(again * REQUEST_RETRY_MS).len();
+    let mut sends = client.send_request(0, KEY, request, WAIT_MS).len();
+    for retry in 1..copies {
+        sends += client.tick(retry * REQUEST_RETRY_MS).len();
     }
-    assert_eq!(sends as u64, times);
+    assert_eq!(sends as u64, copies);
     client
 }
 
 #[test]
-fn a_refusal_of_the_only_copy_is_told_at_once() {
+fn refusal_of_the_only_copy_is_reported_at_once() {
     let refusals = [
-        (start(), held()),
-        (start(), Response::Full),
-        (start(), Response::Outcome(Outcome::NotOwner)),
+        (lock_request(), locked_by_other()),
+        (lock_request(), Response::Full),
+        (lock_request(), Response::Outcome(Outcome::NotOwner)),
     ];
     for (request, refusal) in refusals {
-        let mut client = sent(request, 1);
-        assert_eq!(answers(client.on_response(5, QUESTION, refusal.clone())), [refusal]);
+        let mut client = client_after_sends(request, 1);
+        assert_eq!(answers(client.on_response(5, KEY, refusal.clone())), [refusal]);
     }
 }
 
 #[test]
-fn a_refusal_with_another_copy_on_its_way_waits_for_that_copys_answer() {
-    for refusal in [held(), Response::Full] {
-        let mut client = sent(start(), 2);
-        assert!(answers(client.on_response(310, QUESTION, refusal.clone())).is_empty());
+fn refusal_with_another_copy_in_flight_waits_for_that_copys_response() {
+    for refusal in [locked_by_other(), Response::Full] {
+        let mut client = client_after_sends(lock_request(), 2);
+        assert!(answers(client.on_response(310, KEY, refusal.clone())).is_empty());
         assert!(
             client.tick(2 * REQUEST_RETRY_MS + 50).is_empty(),
-            "a refused question goes no more"
+            "a refused request is sent no more"
         );
-        let elsewhere = Response::NotController { controller: Some(leader(2)) };
-        assert_eq!(answers(client.on_response(700, QUESTION, elsewhere)), [refusal]);
+        let declined = Response::NotController { controller: Some(leader(2)) };
+        assert_eq!(answers(client.on_response(700, KEY, declined)), [refusal]);
     }
-    let mut client = sent(start(), 2);
-    assert!(answers(client.on_response(310, QUESTION, held())).is_empty());
-    let taken = Response::Outcome(Outcome::Locked { fence: 5, ttl_ms: 1_000 });
-    assert_eq!(answers(client.on_response(320, QUESTION, taken.clone())), [taken]);
+    let mut client = client_after_sends(lock_request(), 2);
+    assert!(answers(client.on_response(310, KEY, locked_by_other())).is_empty());
+    let accepted = Response::Outcome(Outcome::Locked { fence: 5, ttl_ms: 1_000 });
+    assert_eq!(answers(client.on_response(320, KEY, accepted.clone())), [accepted]);
 }
 
 #[test]
-fn a_refusal_whose_other_copy_is_never_heard_of_ends_as_unknown() {
-    let mut client = sent(start(), 2);
-    assert!(answers(client.on_response(310, QUESTION, Response::Full)).is_empty());
+fn refusal_with_another_copy_unanswered_times_out() {
+    let mut client = client_after_sends(lock_request(), 2);
+    assert!(answers(client.on_response(310, KEY, Response::Full)).is_empty());
     assert_eq!(answers(client.tick(WAIT_MS)), [Response::TimedOut]);
-    let mut lost = sent(start(), 1);
-    assert!(answers(lost.on_response(5, QUESTION, Response::Lost)).is_empty());
+    let mut lost = client_after_sends(lock_request(), 1);
+    assert!(answers(lost.on_response(5, KEY, Response::Lost)).is_empty());
     lost.tick(REQUEST_RETRY_MS);
-    assert!(answers(lost.on_response(310, QUESTION, held())).is_empty(), "it may be committed");
+    assert!(
+        answers(lost.on_response(310, KEY, locked_by_other())).is_empty(),
+        "it may be committed"
+    );
     assert_eq!(answers(lost.tick(WAIT_MS)), [Response::TimedOut]);
 }
 
 #[test]
-fn a_copy_that_its_controller_dropped_holds_no_refusal_back() {
-    let mut client = sent(start(), 2);
-    assert!(answers(client.on_response(310, QUESTION, Response::Duplicate)).is_empty());
-    assert_eq!(answers(client.on_response(320, QUESTION, held())), [held()]);
+fn refusal_is_reported_when_the_other_copy_was_dropped_as_a_duplicate() {
+    let mut client = client_after_sends(lock_request(), 2);
+    assert!(answers(client.on_response(310, KEY, Response::Duplicate)).is_empty());
+    assert_eq!(answers(client.on_response(320, KEY, locked_by_other())), [locked_by_other()]);
 }
 
 #[test]
-fn what_was_done_is_told_whatever_other_copies_do() {
+fn success_is_reported_while_other_copies_are_in_flight() {
     let put = Call::Put { name: "k".into(), value: vec![1], revision: Some(3) };
-    let mut client = sent(Request::Call { id: Some("id".into()), call: put }, 3);
+    let mut client = client_after_sends(Request::Call { id: Some("id".into()), call: put }, 3);
     let done = Response::Outcome(Outcome::Key(Key { value: vec![1], revision: 4 }));
-    assert_eq!(answers(client.on_response(700, QUESTION, done.clone())), [done]);
-    assert!(client.on_response(710, QUESTION, Response::Full).is_empty(), "nobody waits any more");
+    assert_eq!(answers(client.on_response(700, KEY, done.clone())), [done]);
+    assert!(
+        client.on_response(710, KEY, Response::Full).is_empty(),
+        "the request is no longer pending"
+    );
 }
 
-/// Who asked has left: no further copy goes out, and a late answer is nobody's.
+/// The client has departed: no further copy is sent, and a late response is ignored.
 #[test]
-fn a_question_that_is_withdrawn_is_sent_no_more_and_gets_no_answer() {
-    let mut client = sent(start(), 1);
-    client.withdraw(QUESTION);
-    assert_eq!(client.open(), 0);
-    assert!(client.tick(REQUEST_RETRY_MS).is_empty(), "it is asked no more");
-    assert!(client.on_response(REQUEST_RETRY_MS, QUESTION, held()).is_empty());
+fn withdrawn_request_is_sent_no_more_and_gets_no_answer() {
+    let mut client = client_after_sends(lock_request(), 1);
+    client.withdraw(KEY);
+    assert_eq!(client.pending_count(), 0);
+    assert!(client.tick(REQUEST_RETRY_MS).is_empty(), "it is sent no more");
+    assert!(client.on_response(REQUEST_RETRY_MS, KEY, locked_by_other()).is_empty());
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -285,6 +285,6 @@
     }
     /// Questions to the controller without an end.
     pub fn pending_requests(&self) -> usize {
-        self.controller_client.open()
+        self.controller_client.pending_count()
     }
 }
--- a/crates/simulation/src/search/forwarded.rs
+++ b/crates/simulation/src/search/forwarded.rs
@@ -206,7 +206,7 @@
         let leader = &state.members[state.leader];
         let may = [
             (state.ticks > 0, Ticks),
-            (state.clients.iter().any(|client| client.open() > 0), TimesOut),
+            (state.clients.iter().any(|client| client.pending_count() > 0), TimesOut),
             (leader.committed < leader.log.len(), Commits),
             (self.elects && state.leader == 0, Elects { with_all: false }),
             (self.elects && state.leader == 0, Elects { with_all: true }),
