--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -1,37 +1,46 @@
+//! Heartbeats to this node's watchers, and missing heartbeats of the nodes that it watches.
+
 use crate::ring::{watched, watchers};
 use postbarrow_constants::nodes::{RING_HEARTBEAT_MS, RING_TIMEOUT_MS};
 use std::collections::BTreeMap;
 
-/// Heartbeats out to this node's watchers, and silence of those it watches.
+/// Sends heartbeats to this node's watchers, and suspects the nodes that it watches and that send
+/// none.
 #[derive(Default)]
 pub struct FailureDetector {
-    heard_ms: BTreeMap<u64, u64>,
-    beat_due_ms: u64,
+    /// By watched node.
+    last_contact_ms: BTreeMap<u64, u64>,
+    next_heartbeat_ms: u64,
 }
 
 impl FailureDetector {
-    /// Whom to send a heartbeat now, if one is due.
+    /// The nodes to send a heartbeat to now; none before it is due. A node that is watched from
+    /// now on counts as in contact now.
     pub fn tick(&mut self, now_ms: u64, own: u64, nodes: &[u64]) -> Vec<u64> {
         let watched = watched(own, nodes);
-        self.heard_ms.retain(|node, _| watched.contains(node));
+        self.last_contact_ms.retain(|node, _| watched.contains(node));
         for node in watched {
-            self.heard_ms.entry(node).or_insert(now_ms);
+            self.last_contact_ms.entry(node).or_insert(now_ms);
         }
-        if now_ms < self.beat_due_ms {
+        if now_ms < self.next_heartbeat_ms {
             return Vec::new();
         }
-        self.beat_due_ms = now_ms + RING_HEARTBEAT_MS;
+        self.next_heartbeat_ms = now_ms + RING_HEARTBEAT_MS;
         watchers(own, nodes)
     }
 
+    /// A heartbeat arrived; one of a node that isn't watched is ignored.
     pub fn on_heartbeat(&mut self, now_ms: u64, node: u64) {
-        if let Some(heard_ms) = self.heard_ms.get_mut(&node) {
-            *heard_ms = now_ms;
+        if let Some(last_contact_ms) = self.last_contact_ms.get_mut(&node) {
+            *last_contact_ms = now_ms;
         }
     }
 
+    /// The watched nodes whose last heartbeat is more than `RING_TIMEOUT_MS` ago.
     pub fn suspects(&self, now_ms: u64) -> Vec<u64> {
-        let silent = |heard_ms: u64| now_ms.saturating_sub(heard_ms) > RING_TIMEOUT_MS;
-        self.heard_ms.iter().filter(|(_, heard)| silent(**heard)).map(|(node, _)| *node).collect()
+        let is_missing =
+            |last_contact_ms: u64| now_ms.saturating_sub(last_contact_ms) > RING_TIMEOUT_MS;
+        let missing = self.last_contact_ms.iter().filter(|(_, contact)| is_missing(**contact));
+        missing.map(|(node, _)| *node).collect()
     }
 }
--- a/crates/membership/src/ring/tests.rs
+++ b/crates/membership/src/ring/tests.rs
@@ -3,26 +3,26 @@
 use super::*;
 
 #[test]
-fn every_node_reaches_the_controller_and_no_relay_is_overfull() {
+fn every_node_reaches_the_controller_and_no_relay_exceeds_its_children() {
     for count in [1u64, 3, 4, 12, 40] {
-        let nodes: Vec<u64> = (0..count).map(|at| at * 7919 + 3).collect();
+        let nodes: Vec<u64> = (0..count).map(|index| index * 7919 + 3).collect();
         let mut children = std::collections::BTreeMap::<Option<u64>, usize>::new();
         for node in &nodes {
             let mut hops = 0;
-            let mut at = *node;
-            *children.entry(parent(at, &nodes)).or_default() += 1;
-            while let Some(up) = parent(at, &nodes) {
-                at = up;
+            let mut current = *node;
+            *children.entry(parent(current, &nodes)).or_default() += 1;
+            while let Some(up) = parent(current, &nodes) {
+                current = up;
                 hops += 1;
                 assert!(hops < 10, "a loop above {node}");
             }
         }
-        assert!(children.values().all(|held| *held <= RELAY_CHILDREN));
+        assert!(children.values().all(|count| *count <= RELAY_CHILDREN));
     }
 }
 
 #[test]
-fn watchers_and_watched_are_each_others_mirror() {
+fn watchers_and_watched_are_inverse() {
     let nodes: Vec<u64> = (1..=12).collect();
     for node in &nodes {
         for watcher in watchers(*node, &nodes) {
