--- /dev/null
+++ b/crates/node/src/data_node.rs
@@ -0,0 +1,266 @@
+//! The data node: its inputs, and the effects that its parts lead to.
+
+use crate::image_tail::{ImageEvent, ImageTail};
+use crate::lease::{GrantedLease, NodeLease};
+use crate::probe_failures::ProbeFailures;
+use crate::request_samples::RequestSamples;
+use crate::{Effect, Input};
+use postbarrow_controller_client::{ControllerClient, Effect as ClientEffect};
+use postbarrow_membership::FailureDetector;
+use postbarrow_messages::{Envelope, LeaseRequest, LeaseResponse, Message};
+use postbarrow_state::{Incarnation, Node, State};
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// A node of the data plane: its lease, its image, and its requests to the controller.
+pub struct DataNode {
+    own: Node,
+    seeds: Vec<SocketAddr>,
+    image_tail: ImageTail,
+    lease: NodeLease,
+    failure_detector: FailureDetector,
+    controller_client: ControllerClient,
+    probe_failures: ProbeFailures,
+    samples: RequestSamples,
+    is_stopping: bool,
+    /// Whether the log says last that this node serves.
+    logged_serving: bool,
+    effects: Vec<Effect>,
+}
+
+impl DataNode {
+    /// A node that knows nothing but who may introduce it.
+    pub fn new(own: Node, seeds: Vec<SocketAddr>, now_ms: u64) -> Self {
+        DataNode {
+            seeds,
+            image_tail: ImageTail::new(own.incarnation),
+            lease: NodeLease::new(now_ms, own.incarnation),
+            failure_detector: FailureDetector::default(),
+            controller_client: ControllerClient::default(),
+            probe_failures: ProbeFailures::default(),
+            samples: RequestSamples::default(),
+            is_stopping: false,
+            logged_serving: false,
+            effects: Vec::new(),
+            own,
+        }
+    }
+
+    /// Sets how long a granted lease is valid, instead of `NODE_LEASE_MS`.
+    pub fn with_lease(mut self, lease_ms: u64) -> Self {
+        self.lease.set_duration_ms(lease_ms);
+        self
+    }
+
+    /// Takes an input in; returns the effects that it leads to, in their order.
+    pub fn handle(&mut self, now_ms: u64, input: Input) -> Vec<Effect> {
+        match input {
+            Input::Tick => self.tick(now_ms),
+            Input::Receive(envelope) => self.receive(now_ms, envelope),
+            Input::Request { key, request, wait_ms } => {
+                let effects = self.controller_client.send_request(now_ms, key, request, wait_ms);
+                self.push_client_effects(effects);
+            }
+            Input::Withdraw { key } => self.controller_client.withdraw(key),
+            Input::Probed { instance, sound } => self.probe_failures.on_probed(instance, sound),
+            Input::Sampled { samples, observed } => self.samples.add(samples, observed),
+            Input::Seeds(seeds) => self.seeds = seeds,
+            Input::Stop => self.is_stopping = true,
+        }
+        let relayed = self.image_tail.relay_to_children(now_ms);
+        self.effects.extend(relayed);
+        std::mem::take(&mut self.effects)
+    }
+
+    fn receive(&mut self, now_ms: u64, envelope: Envelope) {
+        let Envelope { from, message } = envelope;
+        match message {
+            Message::LeaseResponse { number, fresh: response } => {
+                self.on_lease_response(now_ms, from, number, response)
+            }
+            Message::Introduction { control, formed } => {
+                if formed {
+                    self.lease.on_introduction(&control);
+                }
+            }
+            Message::Introduce | Message::DiscoveryAnnouncement(_) => {
+                let control = self.lease.members().to_vec();
+                let formed = !control.is_empty();
+                self.send(from, Message::Introduction { control, formed });
+            }
+            Message::Tail { after } => self.image_tail.on_child(now_ms, from, after),
+            Message::Updates { entries } => {
+                let events = self.image_tail.on_updates(now_ms, entries);
+                events.into_iter().for_each(|event| self.on_image_event(event));
+            }
+            Message::Image(frame) => {
+                let event = self.image_tail.on_image(now_ms, frame);
+                event.into_iter().for_each(|event| self.on_image_event(event));
+            }
+            Message::Heartbeat { node } => self.failure_detector.on_heartbeat(now_ms, node),
+            Message::Response { key, response } => {
+                let effects = self.controller_client.on_response(now_ms, key, response);
+                self.push_client_effects(effects);
+            }
+            Message::Consensus { .. }
+            | Message::Bootstrap(_)
+            | Message::LeaseRequest(_)
+            | Message::Request { .. } => {}
+        }
+    }
+
+    fn tick(&mut self, now_ms: u64) {
+        self.renew_lease(now_ms);
+        self.log_serving(now_ms);
+        let (controller, watermark) = (self.lease.controller(), self.lease.watermark());
+        let effects = self.image_tail.tick(now_ms, controller, watermark);
+        self.effects.extend(effects);
+        self.send_heartbeats(now_ms);
+        let effects = self.controller_client.tick(now_ms);
+        self.push_client_effects(effects);
+    }
+
+    fn renew_lease(&mut self, now_ms: u64) {
+        if !self.lease.is_due(now_ms) {
+            return;
+        }
+        if self.lease.drop_unresponsive_controller(now_ms) {
+            self.controller_client.suspect_controller();
+        }
+        let renewal = self.lease.renew(now_ms, &self.seeds);
+        if renewal.is_search {
+            for to in &renewal.to {
+                self.send(*to, Message::Introduce);
+            }
+        }
+        let request = LeaseRequest {
+            number: renewal.number,
+            node: self.own.clone(),
+            published: self.published(),
+            version: self.image().plan.as_ref().map(|plan| plan.version.clone()),
+            ready: self.is_ready(now_ms),
+            failing: self.probe_failures.failing(self.image_tail.image()),
+            suspects: self.failure_detector.suspects(now_ms),
+            samples: std::mem::take(&mut self.samples.samples),
+            request_count: std::mem::take(&mut self.samples.observed),
+        };
+        for to in renewal.to {
+            self.send(to, Message::LeaseRequest(request.clone()));
+        }
+    }
+
+    fn on_lease_response(
+        &mut self,
+        now_ms: u64,
+        from: SocketAddr,
+        number: u64,
+        response: LeaseResponse,
+    ) {
+        match response {
+            LeaseResponse::Granted { term, watermark, members } => {
+                let granted = GrantedLease { term, watermark, members };
+                let Some(is_new_controller) = self.lease.on_granted(now_ms, from, number, granted)
+                else {
+                    return;
+                };
+                if is_new_controller {
+                    self.image_tail.request_at_next_tick(now_ms);
+                }
+                self.controller_client.on_members(now_ms, Some(from), self.lease.members());
+                self.announce_lease(self.published());
+            }
+            LeaseResponse::NotController { controller, members } => {
+                self.lease.on_not_controller(from, controller, members);
+                self.controller_client.on_members(now_ms, None, self.lease.members());
+            }
+        }
+    }
+
+    fn on_image_event(&mut self, event: ImageEvent) {
+        match event {
+            ImageEvent::Published { state, offset } => {
+                self.effects.push(Effect::Publish { state, offset });
+                self.announce_lease(offset);
+            }
+            ImageEvent::Log(text) => self.effects.push(Effect::Log(text)),
+        }
+    }
+
+    fn announce_lease(&mut self, published: u64) {
+        if let Some(until_ms) = self.lease.announce(published) {
+            self.effects.push(Effect::Lease { until_ms });
+        }
+    }
+
+    /// A line whenever this node starts or stops to serve.
+    fn log_serving(&mut self, now_ms: u64) {
+        let serves = self.serves(now_ms);
+        if serves == self.logged_serving {
+            return;
+        }
+        self.logged_serving = serves;
+        let version = self.image().plan_version().unwrap_or_default().to_string();
+        self.effects.push(Effect::Log(match serves {
+            true => format!("serves, plan {version}"),
+            false => "sheds, no controller's word covers it".into(),
+        }));
+    }
+
+    fn send_heartbeats(&mut self, now_ms: u64) {
+        let state = self.image().clone();
+        let nodes: Vec<Incarnation> = state.nodes.keys().copied().collect();
+        for watcher in self.failure_detector.tick(now_ms, self.own.incarnation, &nodes) {
+            if let Some(node) = state.nodes.get(&watcher) {
+                self.send(node.address, Message::Heartbeat { node: self.own.incarnation });
+            }
+        }
+    }
+
+    fn push_client_effects(&mut self, effects: Vec<ClientEffect>) {
+        for effect in effects {
+            self.effects.push(match effect {
+                ClientEffect::Send { to, message } => Effect::Send { to, message },
+                ClientEffect::Answer { key, response } => Effect::Answer { key, response },
+            });
+        }
+    }
+
+    fn send(&mut self, to: SocketAddr, message: Message) {
+        self.effects.push(Effect::Send { to, message });
+    }
+
+    /// When its lease ends, on its own boot-time clock; 0 without one.
+    pub fn lease_until(&self) -> u64 {
+        self.lease.until_ms(self.published())
+    }
+
+    /// Whether it may serve requests: it has a lease and a plan.
+    fn serves(&self, now_ms: u64) -> bool {
+        now_ms < self.lease_until() && self.image().plan.is_some()
+    }
+
+    /// Whether clients may be sent here.
+    pub fn is_ready(&self, now_ms: u64) -> bool {
+        !self.is_stopping && self.serves(now_ms)
+    }
+
+    /// Up to where in the log its published image reaches.
+    pub fn published(&self) -> u64 {
+        self.image_tail.published()
+    }
+
+    /// The newest image.
+    pub fn image(&self) -> &Arc<State> {
+        self.image_tail.image()
+    }
+
+    /// This node, as it registers.
+    pub fn own(&self) -> &Node {
+        &self.own
+    }
+
+    /// Requests to the controller that await their response.
+    pub fn pending_requests(&self) -> usize {
+        self.controller_client.open()
+    }
+}
--- a/crates/node/src/flow_step.rs
+++ b/crates/node/src/flow_step.rs
@@ -1,7 +1,6 @@
-//! What the flow of a request and its driver tell each other.
+//! What the flow of a request and its driver exchange: events in, steps out.
 
-use crate::completion::Completion;
-use postbarrow_constants::coordination::STORED_RESPONSE_BYTES;
+use crate::{Completion, TargetResponse};
 use postbarrow_messages::{Request, Response};
 use postbarrow_routing::{Load, Table};
 use postbarrow_state::{Digest, Incarnation, Name, Settlement, StoredResponse, Target, Ticket};
@@ -10,83 +9,60 @@
 /// What one request is, beyond its bytes.
 #[derive(Clone)]
 pub struct RequestContext {
-    /// The ticket's key: the client's, or made up here.
+    /// The ticket's key: the client's, or one generated here.
     pub key: Name,
-    /// The client brought its key.
+    /// The key is the client's.
     pub keyed: bool,
-    /// What makes two requests under one key the same.
+    /// Two requests under one key are the same if their digests are.
     pub digest: Digest,
-    /// This life of this node.
+    /// This incarnation of this node.
     pub node: Incarnation,
-    /// Targets of this zone are nearer.
+    /// Targets of this zone are preferred.
     pub zone: Name,
-    /// One-time requests get a ticket from the log; else this life's own, under its lease.
+    /// One-time requests get a ticket from the log; otherwise none, and the lease alone covers them.
     pub uses_ticket_log: bool,
-    /// When its client has no more use for a response.
+    /// When its client has no more use for a response, on the boot-time clock.
     pub deadline_ms: u64,
     /// Draws its targets.
     pub seed: u64,
 }
 
-/// A whole response, of a target or of this node.
-#[derive(Clone, Debug, PartialEq)]
-pub struct TargetResponse {
-    /// HTTP's.
-    pub status: u16,
-    /// Names and values in their order.
-    pub headers: Vec<(String, String)>,
-    /// Without the framing of chunks.
-    pub body: Vec<u8>,
-}
-
-impl TargetResponse {
-    /// What is kept with a ticket, if it is small enough.
-    pub(crate) fn kept(&self) -> Option<StoredResponse> {
-        let kept = StoredResponse {
-            status: self.status,
-            headers: self.headers.clone(),
-            body: self.body.clone(),
-        };
-        (kept.size() <= STORED_RESPONSE_BYTES).then_some(kept)
-    }
-}
-
-/// What became of a request on its connection.
+/// How one attempt at a target ended.
 #[derive(Debug)]
 pub enum AttemptOutcome {
-    /// The target's own, whole response.
+    /// The target's own, complete response.
     Complete(TargetResponse),
-    /// Provably not a byte reached the target.
+    /// Provably not a byte reached the target; the reason.
     Unsent(String),
-    /// The target itself says that it did not run the request, nor will.
+    /// The target itself says that it did not run the request, nor will; its reason.
     NotRun(String),
-    /// It may have run.
+    /// The target may have run it.
     Unknown {
-        /// Its time was over.
+        /// The time for its response was over.
         late: bool,
-        /// What was seen.
+        /// What was observed.
         reason: String,
     },
 }
 
-/// What the driver tells the flow.
+/// What the driver reports to the flow.
 pub enum Event {
-    /// The request is there.
+    /// The request has found its route and was admitted.
     Start,
-    /// The connection stands, with a target that is the one it should be.
+    /// The connection is there, and its target is the one that was selected.
     Connected,
-    /// There is none, and why.
+    /// There is no connection, for this reason.
     ConnectFailed(String),
-    /// The controller's answer to the last question.
+    /// The controller's response to the last request.
     ControllerResponded(Response),
-    /// The end of the last pass.
+    /// The end of the last attempt.
     AttemptEnded(AttemptOutcome),
 }
 
 /// The end of a ticket, for the log.
 #[derive(Clone, Debug)]
 pub struct TicketSettlement {
-    /// Whose end it is.
+    /// The ticket that ends.
     pub ticket: Ticket,
     /// How its request ended.
     pub settlement: Settlement,
@@ -95,38 +71,39 @@
 }
 
 impl From<TicketSettlement> for Request {
-    fn from(settling: TicketSettlement) -> Request {
-        let TicketSettlement { ticket, settlement, response } = settling;
+    fn from(settled: TicketSettlement) -> Request {
+        let TicketSettlement { ticket, settlement, response } = settled;
         Request::Settle { ticket, settlement, response }
     }
 }
 
-/// What the driver does next; each but Done is answered by one event.
+/// What the driver does next; it reports each step but `Done` by one event.
 pub enum Step {
-    /// Opens a connection to this target, or takes one that rests.
+    /// Opens a connection to this target, or takes an idle one; then `Connected` or `ConnectFailed`.
     Connect {
-        /// Which one.
+        /// The selected target.
         target: Arc<Target>,
-        /// What is known of its load.
+        /// Its load.
         load: Arc<Load>,
-        /// The request's time.
+        /// The time until the request's deadline.
         wait_ms: u64,
     },
-    /// Asks the controller for a ticket.
+    /// Requests a ticket of the controller; then `ControllerResponded`.
     RequestTicket {
         /// As it is to stand in the log.
         ticket: Ticket,
         /// For so long.
         wait_ms: u64,
     },
-    /// Its first byte goes out before `until_ms`, within the lease, or none does.
+    /// Forwards the request and reads its response; then `AttemptEnded`. The first byte is sent
+    /// before `until_ms` and within the lease, or none is.
     Forward {
-        /// For its whole response.
+        /// For the complete response.
         wait_ms: u64,
         /// On the boot-time clock.
         until_ms: u64,
     },
-    /// Has a ticket settled before anything else.
+    /// Has a ticket settled before anything else; then `ControllerResponded`.
     SettleTicket {
         /// Its end.
         settlement: TicketSettlement,
@@ -137,7 +114,7 @@
     Done {
         /// For the client.
         completion: Completion,
-        /// For the log; told until it is taken, waited for by nobody.
+        /// For the log: requested until it is acknowledged, though nobody awaits that.
         settling: Option<TicketSettlement>,
     },
 }
@@ -146,12 +123,12 @@
 pub struct FlowContext<'a> {
     /// On the boot-time clock.
     pub now_ms: u64,
-    /// The image in force.
+    /// The table of the image in force.
     pub table: &'a Table,
-    /// The node holds its lease.
+    /// The node has its lease.
     pub serves: bool,
-    /// A number this node never gave before.
+    /// A ticket's number that this node never gave before.
     pub number: u64,
-    /// The client of the request has left: nothing more is begun for it.
+    /// The client of the request has departed: nothing more is started for it.
     pub client_departed: bool,
 }
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -1,37 +1,67 @@
-use crate::{DataNode, Effect};
-use postbarrow_constants::nodes::*;
-use postbarrow_messages::{LeaseRequest, LeaseResponse, Message};
+//! The node's lease: until when it may serve requests by its image.
+//!
+//! A node serves only while it is sure that no newer plan is in force elsewhere. It renews its lease
+//! at the controller every [`LEASE_RENEW_MS`] (150 ms); the controller grants with a watermark, the
+//! offset that the image must reach.
+//!
+//! - The lease ends `NODE_LEASE_MS` (1 s) after the node *sent* the granted request, not after the
+//!   response arrived: the controller may have decided any time between.
+//! - A grant counts only once the published image reaches its watermark.
+//! - Grants of a controller with an older term are ignored.
+//! - Numbers of requests start at the incarnation, which is random, so that a grant to an earlier
+//!   incarnation at this address counts for nobody.
+//!
+//! Without a response for [`CONTROLLER_WAIT_MS`] (300 ms) the node requests leases of all control
+//! nodes it knows, every [`CONTROLLER_SEARCH_MS`] (50 ms), until one of them grants.
+
+use postbarrow_constants::nodes::{
+    CONTROLLER_SEARCH_MS, CONTROLLER_WAIT_MS, INTRODUCTIONS, LEASE_RENEW_MS, NODE_LEASE_MS,
+};
 use postbarrow_state::Incarnation;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// One answer of the controller, counted from when its request was sent.
+/// One grant of the controller, valid from when its request was sent.
 struct Grant {
     sent_ms: u64,
     watermark: u64,
 }
 
-/// Questions about freshness, and the leases their answers gave.
+/// What the controller grants with a lease.
+pub(crate) struct GrantedLease {
+    pub term: u64,
+    pub watermark: u64,
+    pub members: Vec<SocketAddr>,
+}
+
+/// Lease requests that are due, with one number for all.
+pub(crate) struct Renewal {
+    pub number: u64,
+    /// The controller, or all that may know one.
+    pub to: Vec<SocketAddr>,
+    /// No controller is known: each is asked for an introduction too.
+    pub is_search: bool,
+}
+
+/// Lease requests on their way, and the leases that were granted.
 pub(crate) struct NodeLease {
-    /// Of the newest request. Each life begins at its incarnation, which is random, so that an
-    /// answer to an earlier life at this address is nobody's.
+    /// Of the newest request.
     number: u64,
     sent_ms: BTreeMap<u64, u64>,
     grants: VecDeque<Grant>,
     term: u64,
     controller: Option<SocketAddr>,
     members: Vec<SocketAddr>,
-    /// Named by others since the last grant; tried, not believed.
+    /// Named by others since the last grant; requests go there, and nothing else relies on them.
     introduced: Vec<SocketAddr>,
     due_ms: u64,
     granted_ms: u64,
-    announced_lease_ms: u64,
-    pub lease_ms: u64,
-    /// Whether the log was told last that this node serves.
-    pub logged_serving: bool,
+    announced_until_ms: u64,
+    duration_ms: u64,
 }
 
 impl NodeLease {
+    /// No lease yet; the first renewal is due at once.
     pub fn new(now_ms: u64, incarnation: Incarnation) -> Self {
         NodeLease {
             number: incarnation,
@@ -43,146 +73,130 @@
             introduced: Vec::new(),
             due_ms: now_ms,
             granted_ms: 0,
-            announced_lease_ms: 0,
-            lease_ms: NODE_LEASE_MS,
-            logged_serving: false,
+            announced_until_ms: 0,
+            duration_ms: NODE_LEASE_MS,
         }
     }
 
+    /// Sets how long a grant is valid, instead of `NODE_LEASE_MS`.
+    pub fn set_duration_ms(&mut self, duration_ms: u64) {
+        self.duration_ms = duration_ms;
+    }
+
     pub fn members(&self) -> &[SocketAddr] {
         &self.members
     }
 
-    pub fn on_introduction(&mut self, control: &[SocketAddr]) {
-        for address in control {
-            let known = self.members.contains(address) || self.introduced.contains(address);
-            if !known && self.introduced.len() < INTRODUCTIONS {
-                self.introduced.push(*address);
-            }
-        }
+    pub fn controller(&self) -> Option<SocketAddr> {
+        self.controller
     }
 
-    /// Counted from when the question was sent, and only for an image up to its watermark.
-    pub fn lease_until(&self, published: u64) -> u64 {
+    /// Up to where in the log the newest grant needs the image.
+    pub fn watermark(&self) -> u64 {
+        self.grants.back().map_or(0, |grant| grant.watermark)
+    }
+
+    /// When the lease ends for an image published up to this offset; 0 without a lease.
+    pub fn until_ms(&self, published: u64) -> u64 {
         let covered = self.grants.iter().rev().find(|grant| grant.watermark <= published);
-        covered.map_or(0, |grant| grant.sent_ms + self.lease_ms)
+        covered.map_or(0, |grant| grant.sent_ms + self.duration_ms)
     }
 
-    pub fn watermark(&self) -> u64 {
-        self.grants.back().map_or(0, |grant| grant.watermark)
+    /// The lease's end, if it is later than the last one that was announced.
+    pub fn announce(&mut self, published: u64) -> Option<u64> {
+        let until_ms = self.until_ms(published);
+        (until_ms > self.announced_until_ms).then(|| {
+            self.announced_until_ms = until_ms;
+            until_ms
+        })
     }
 
-    pub fn controller(&self) -> Option<SocketAddr> {
-        self.controller
+    /// Whether lease requests are due.
+    pub fn is_due(&self, now_ms: u64) -> bool {
+        now_ms >= self.due_ms
     }
-}
 
-impl DataNode {
-    pub(crate) fn lease_tick(&mut self, now_ms: u64) {
-        if now_ms < self.lease.due_ms {
-            return;
-        }
-        if now_ms > self.lease.granted_ms + CONTROLLER_WAIT_MS {
-            self.lease.controller = None;
-            self.controller_client.suspect_controller();
+    /// Forgets a controller that has granted nothing for too long; whether it did.
+    pub fn drop_unresponsive_controller(&mut self, now_ms: u64) -> bool {
+        let is_unresponsive = now_ms > self.granted_ms + CONTROLLER_WAIT_MS;
+        if is_unresponsive {
+            self.controller = None;
         }
-        let seeks = self.lease.controller.is_none();
-        self.lease.due_ms = now_ms + if seeks { CONTROLLER_SEARCH_MS } else { LEASE_RENEW_MS };
-        let hold_ms = self.lease.lease_ms;
-        self.lease.sent_ms.retain(|_, sent_ms| now_ms < *sent_ms + hold_ms);
-        self.lease.grants.retain(|grant| now_ms < grant.sent_ms + hold_ms);
-        let to = match self.lease.controller {
+        is_unresponsive
+    }
+
+    /// The requests that are due now; forgets requests and grants that are too old to count.
+    pub fn renew(&mut self, now_ms: u64, seeds: &[SocketAddr]) -> Renewal {
+        let is_search = self.controller.is_none();
+        self.due_ms = now_ms + if is_search { CONTROLLER_SEARCH_MS } else { LEASE_RENEW_MS };
+        let duration_ms = self.duration_ms;
+        self.sent_ms.retain(|_, sent_ms| now_ms < *sent_ms + duration_ms);
+        self.grants.retain(|grant| now_ms < grant.sent_ms + duration_ms);
+        let to = match self.controller {
             Some(controller) => vec![controller],
-            None => {
-                let mut all = self.lease.members.clone();
-                all.extend(&self.lease.introduced);
-                all.extend(&self.seeds);
-                all.sort_unstable();
-                all.dedup();
-                for address in all.clone() {
-                    self.send(address, Message::Introduce);
-                }
-                all
-            }
-        };
-        self.lease.number = self.lease.number.wrapping_add(1);
-        let number = self.lease.number;
-        self.lease.sent_ms.insert(number, now_ms);
-        let request = LeaseRequest {
-            number,
-            node: self.own.clone(),
-            published: self.published,
-            version: self.tail.image().plan.as_ref().map(|plan| plan.version.clone()),
-            ready: self.is_ready(now_ms),
-            failing: self.failing(),
-            suspects: self.watch.suspects(now_ms),
-            samples: std::mem::take(&mut self.recent),
-            request_count: std::mem::take(&mut self.seen),
+            None => self.all_known(seeds),
         };
-        for address in to {
-            self.send(address, Message::LeaseRequest(request.clone()));
-        }
+        self.number = self.number.wrapping_add(1);
+        self.sent_ms.insert(self.number, now_ms);
+        Renewal { number: self.number, to, is_search }
+    }
+
+    fn all_known(&self, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
+        let mut known = self.members.clone();
+        known.extend(&self.introduced);
+        known.extend(seeds);
+        known.sort_unstable();
+        known.dedup();
+        known
     }
 
-    /// A sentence whenever this node begins or ceases to serve.
-    pub(crate) fn say_serves(&mut self, now_ms: u64) {
-        let serves = now_ms < self.lease_until() && self.tail.image().plan.is_some();
-        if serves == self.lease.logged_serving {
-            return;
+    /// Another process named control nodes.
+    pub fn on_introduction(&mut self, control: &[SocketAddr]) {
+        for address in control {
+            let is_known = self.members.contains(address) || self.introduced.contains(address);
+            if !is_known && self.introduced.len() < INTRODUCTIONS {
+                self.introduced.push(*address);
+            }
         }
-        self.lease.logged_serving = serves;
-        let version = self.tail.image().plan_version().unwrap_or_default().to_string();
-        self.effects.push(Effect::Log(match serves {
-            true => format!("serves, plan {version}"),
-            false => "sheds, no controller's word covers it".into(),
-        }));
     }
 
-    pub(crate) fn on_lease_response(
+    /// A grant arrived; whether it is of a new controller or term, or none if it doesn't count.
+    pub fn on_granted(
         &mut self,
         now_ms: u64,
         from: SocketAddr,
         number: u64,
-        fresh: LeaseResponse,
-    ) {
-        match fresh {
-            LeaseResponse::Granted { term, watermark, members } => {
-                if term < self.lease.term {
-                    return;
-                }
-                let Some(sent_ms) = self.lease.sent_ms.get(&number).copied() else { return };
-                if term > self.lease.term || self.lease.controller != Some(from) {
-                    self.tail_due_ms = now_ms;
-                }
-                self.lease.term = term;
-                self.lease.controller = Some(from);
-                self.lease.members = members;
-                self.lease.introduced.clear();
-                self.lease.granted_ms = now_ms;
-                let newer = self.lease.grants.back().is_none_or(|last| last.sent_ms <= sent_ms);
-                if newer {
-                    self.lease.grants.push_back(Grant { sent_ms, watermark });
-                }
-                self.controller_client.on_members(now_ms, Some(from), &self.lease.members);
-                self.announce_lease();
-            }
-            LeaseResponse::NotController { controller, members } => {
-                if !members.is_empty() {
-                    self.lease.members = members;
-                }
-                if self.lease.controller == Some(from) {
-                    self.lease.controller = controller;
-                }
-                self.controller_client.on_members(now_ms, None, &self.lease.members);
-            }
+        granted: GrantedLease,
+    ) -> Option<bool> {
+        let GrantedLease { term, watermark, members } = granted;
+        if term < self.term {
+            return None;
         }
+        let sent_ms = self.sent_ms.get(&number).copied()?;
+        let is_new_controller = term > self.term || self.controller != Some(from);
+        self.term = term;
+        self.controller = Some(from);
+        self.members = members;
+        self.introduced.clear();
+        self.granted_ms = now_ms;
+        if self.grants.back().is_none_or(|last| last.sent_ms <= sent_ms) {
+            self.grants.push_back(Grant { sent_ms, watermark });
+        }
+        Some(is_new_controller)
     }
 
-    pub(crate) fn announce_lease(&mut self) {
-        let until_ms = self.lease_until();
-        if until_ms > self.lease.announced_lease_ms {
-            self.lease.announced_lease_ms = until_ms;
-            self.effects.push(Effect::Lease { until_ms });
+    /// A control node answered that it is not the controller.
+    pub fn on_not_controller(
+        &mut self,
+        from: SocketAddr,
+        controller: Option<SocketAddr>,
+        members: Vec<SocketAddr>,
+    ) {
+        if !members.is_empty() {
+            self.members = members;
+        }
+        if self.controller == Some(from) {
+            self.controller = controller;
         }
     }
 }
--- a/programs/data-plane/src/core.rs
+++ b/programs/data-plane/src/core.rs
@@ -64,7 +64,7 @@
                 tick_ms = now_ms + TICK_MS;
                 let (samples, seen) = self.shared.seen();
                 if seen > 0 {
-                    self.handle(now_ms, Input::Sampled { samples, seen });
+                    self.handle(now_ms, Input::Sampled { samples, observed: seen });
                 }
                 self.handle(now_ms, Input::Tick);
             }
