--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,41 +1,35 @@
-//! Route plans: reading, checks, records, and the rehearsal against the plan they replace.
+//! Route plans: reading and checks, records, deltas, and the rehearsal against the plan in force.
+//!
+//! | question | module |
+//! | --- | --- |
+//! | what a plan's text must be | `plan_reader`, `route_reader`, `route_options`, `weighted_services`, `limits_reader` |
+//! | which paths a pattern matches | `pattern` |
+//! | which records a plan is in the log | `plan` |
+//! | which records make it from the plan in force | `delta`, by `patience_diff` and `splices` |
+//! | what changes for routes and targets | `rehearsal` |
+//!
+//! Names of fields and texts of findings are the operators' and stay as they are.
+
+#![deny(missing_docs)]
 
 mod delta;
-mod difference;
-mod document;
-mod limits;
-mod path;
+mod limits_reader;
+mod patience_diff;
+mod pattern;
+mod plan;
+mod plan_reader;
 mod rehearsal;
 mod route_options;
+mod route_reader;
+mod splices;
+mod weighted_services;
 
 pub use delta::delta;
-pub use difference::{Change, changes};
-pub use document::Plan;
-pub use path::{Pattern, Segment};
+pub use patience_diff::{Change, changes};
+pub use pattern::{Pattern, PatternError, Segment};
+pub use plan::Plan;
 pub use rehearsal::{Rehearsal, ServiceRehearsal};
-pub use route_options::weights;
-
-use compact_str::CompactString;
-use postbarrow_constants::plans::TEXT_CHUNK_BYTES;
-use postbarrow_state::{ClientLimits, Record};
+pub use weighted_services::{NoWeight, weights};
 
 /// A route with this method takes every method.
 pub const ANY_METHOD: &str = "*";
-
-impl Plan {
-    /// The plan as records; its text goes along so that it reads back byte for byte.
-    pub fn records(&self) -> Vec<Record> {
-        let mut records = vec![Record::PlanStart {
-            version: CompactString::from(&self.version),
-            base: self.base.as_deref().map(CompactString::from),
-        }];
-        if self.callers != ClientLimits::default() {
-            records.push(Record::ClientLimits(self.callers.clone()));
-        }
-        records.extend(self.services.iter().cloned().map(Record::Service));
-        records.extend(self.routes.iter().cloned().map(Record::Route));
-        let parts = self.text.as_bytes().chunks(TEXT_CHUNK_BYTES);
-        records.extend(parts.map(|part| Record::PlanText(part.to_vec())));
-        records
-    }
-}
--- a/crates/plan/src/limits.rs
+++ b/crates/plan/src/limits_reader.rs
@@ -1,7 +1,13 @@
+//! Reads the limits of a route, and those of every client.
+
 use postbarrow_constants::plans::*;
 use postbarrow_reading::{Fields, Reading};
 use postbarrow_state::ClientLimits;
 
+/// Largest rate and concurrency of a route.
+const ROUTE_LIMIT_MAX: u64 = 1_000_000;
+
+/// The limits of a route, for the whole fleet.
 pub(crate) struct Limits {
     pub body_bytes: u64,
     pub rate_per_s: Option<u64>,
@@ -9,7 +15,8 @@
     pub deadline_ms: u64,
 }
 
-pub(crate) fn read(route: &mut Fields<'_>, reading: &mut Reading) -> Limits {
+/// Reads `limits` of a route; absent ones have their defaults.
+pub(crate) fn read_route_limits(route: &mut Fields<'_>, reading: &mut Reading) -> Limits {
     let mut limits = Limits {
         body_bytes: ROUTE_BODY_BYTES,
         rate_per_s: None,
@@ -19,30 +26,30 @@
     let json_path = route.path_of("limits");
     let Some(value) = route.get("limits") else { return limits };
     let Some(mut fields) = Fields::of(value, &json_path, reading) else { return limits };
-    if let Some(most) = fields.number("bodyBytes", 0..=ROUTE_BODY_MAX_BYTES, reading) {
-        limits.body_bytes = most;
+    if let Some(body_bytes) = fields.number("bodyBytes", 0..=ROUTE_BODY_MAX_BYTES, reading) {
+        limits.body_bytes = body_bytes;
     }
-    limits.rate_per_s = fields.number("ratePerS", 1..=1_000_000, reading);
-    limits.concurrency = fields.number("concurrency", 1..=1_000_000, reading);
-    if let Some(wait_ms) = fields.number("deadlineMs", 1..=ROUTE_DEADLINE_MAX_MS, reading) {
-        limits.deadline_ms = wait_ms;
+    limits.rate_per_s = fields.number("ratePerS", 1..=ROUTE_LIMIT_MAX, reading);
+    limits.concurrency = fields.number("concurrency", 1..=ROUTE_LIMIT_MAX, reading);
+    if let Some(deadline_ms) = fields.number("deadlineMs", 1..=ROUTE_DEADLINE_MAX_MS, reading) {
+        limits.deadline_ms = deadline_ms;
     }
     fields.finish(reading);
     limits
 }
 
-/// What every caller is held to, in `callers` of the plan.
-pub(crate) fn callers(plan: &mut Fields<'_>, reading: &mut Reading) -> ClientLimits {
+/// Reads `callers` of a plan: what every client is limited to.
+pub(crate) fn read_client_limits(plan: &mut Fields<'_>, reading: &mut Reading) -> ClientLimits {
     let json_path = plan.path_of("callers");
     let Some(value) = plan.get("callers") else { return ClientLimits::default() };
     let Some(mut fields) = Fields::of(value, &json_path, reading) else {
         return ClientLimits::default();
     };
-    let callers = ClientLimits {
+    let limits = ClientLimits {
         head_bytes: fields.number("headBytes", 256..=HEAD_MAX_BYTES, reading),
         head_wait_ms: fields.number("headWaitMs", 1..=ROUTE_DEADLINE_MAX_MS, reading),
         idle_ms: fields.number("idleMs", 1..=IDLE_MAX_MS, reading),
     };
     fields.finish(reading);
-    callers
+    limits
 }
--- a/crates/plan/tests/delta.rs
+++ b/crates/plan/tests/delta.rs
@@ -1,4 +1,4 @@
-//! A plan's delta makes the very state that the whole plan makes, from what differs alone.
+//! A plan's delta makes the very state that the submitted plan makes, from what differs alone.
 
 use postbarrow_constants::plans::{BATCH_BYTES, TEXT_CHUNK_BYTES};
 use postbarrow_plan::{Change, Plan, changes, delta};
@@ -42,37 +42,37 @@
             format!("\"{name}\":{{\"labels\":{{\"service\":\"{label}\"}}}}")
         };
         let services: Vec<String> = self.services.iter().map(named).collect();
-        let row = |(path, wait_ms): &(usize, usize)| {
+        let row = |(path, deadline_ms): &(usize, usize)| {
             format!(
-                "{between}{{\"path\":\"/käse{path}\",{between}\"methods\":[\"GET\"],\"kind\":\"lookup\",\"service\":\"s\",{between}\"limits\":{{\"deadlineMs\":{wait_ms}}}}}"
+                "{between}{{\"path\":\"/käse{path}\",{between}\"methods\":[\"GET\"],\"kind\":\"lookup\",\"service\":\"s\",{between}\"limits\":{{\"deadlineMs\":{deadline_ms}}}}}"
             )
         };
         let routes: Vec<String> =
             self.routes.iter().map(row).map(|row| row.replace("käse", "cheese")).collect();
-        let callers = self.head_bytes.map_or(String::new(), |bytes| {
+        let client_limits = self.head_bytes.map_or(String::new(), |bytes| {
             format!(",\"callers\":{{\"headBytes\":{}}}", bytes + 256)
         });
         format!(
-            "{{\"version\":\"v{version}\",\"base\":\"v{}\",\"services\":{{{}}}{callers},{between}\"routes\":[{}]}}",
+            "{{\"version\":\"v{version}\",\"base\":\"v{}\",\"services\":{{{}}}{client_limits},{between}\"routes\":[{}]}}",
             version - 1,
             services.join(","),
             routes.join(",")
         )
     }
 
-    /// One edit; moved, repeated, lost and new routes, services and bounds of callers.
-    fn edit(&mut self, numbers: &mut Numbers, fresh: usize) {
+    /// One edit; routes moved, repeated, removed and added, services and limits of clients.
+    fn edit(&mut self, numbers: &mut Numbers, unused: usize) {
         let at = numbers.below(self.routes.len());
         match numbers.below(9) {
             0 if self.routes.len() > 3 => drop(self.routes.remove(at)),
-            1 => self.routes.insert(at, (fresh, numbers.below(5_000) + 1)),
+            1 => self.routes.insert(at, (unused, numbers.below(5_000) + 1)),
             2 => {
                 let moved = self.routes.remove(at);
                 self.routes.insert(numbers.below(self.routes.len() + 1), moved);
             }
             3 => {
                 let more = numbers.below(40);
-                let rows = (0..more).map(|step| (fresh + 1_000 * (step + 1), 1 + step));
+                let rows = (0..more).map(|step| (unused + 1_000 * (step + 1), 1 + step));
                 self.routes.splice(at..at, rows);
             }
             4 => {
@@ -81,7 +81,7 @@
                     self.routes.drain(at..end);
                 }
             }
-            5 => self.services.push((format!("t{fresh}"), "ledger".into())),
+            5 => self.services.push((format!("t{unused}"), "ledger".into())),
             6 if self.services.len() > 1 => drop(self.services.pop()),
             7 => self.head_bytes = numbers.below(2).checked_sub(1).map(|_| numbers.below(9_000)),
             _ => self.routes[at].1 = numbers.below(5_000) + 1,
@@ -104,8 +104,8 @@
 }
 
 #[test]
-fn random_changes_make_the_state_that_whole_plans_make() {
-    let (mut steps, mut whole_forms) = (0, 0);
+fn deltas_of_random_changes_make_the_state_of_the_submitted_plans() {
+    let (mut steps, mut submitted_forms) = (0, 0);
     for seed in 0..12 {
         let mut numbers = Numbers(seed);
         let between = ["", "\n  "][seed as usize % 2];
@@ -118,48 +118,51 @@
             let text = draft.text(version);
             let submitted = records(&text);
             let wanted = applied(&state, version as u64, &submitted);
-            let script = delta(&state, &submitted);
+            let delta_records = delta(&state, &submitted);
             steps += 1;
-            whole_forms += usize::from(script.is_none());
-            let script = script.unwrap_or(submitted);
-            state = applied(&state, version as u64, &script);
+            submitted_forms += usize::from(delta_records.is_none());
+            let delta_records = delta_records.unwrap_or(submitted);
+            state = applied(&state, version as u64, &delta_records);
             assert_eq!(state, wanted, "seed {seed}, version {version}");
             assert_eq!(state.plan_text(), text.into_bytes(), "seed {seed}, version {version}");
         }
     }
-    assert!(whole_forms * 50 < steps, "{whole_forms} of {steps} changes went whole");
+    assert!(
+        submitted_forms * 50 < steps,
+        "{submitted_forms} of {steps} changes were submitted forms"
+    );
 }
 
 #[test]
-fn a_change_costs_what_it_changes_whatever_the_number_of_routes() {
+fn a_delta_grows_with_its_change_and_not_with_the_number_of_routes() {
     let cost = |routes: usize| {
         let mut draft = Draft::new(routes, "");
         let state = applied(&State::default(), 1, &records(&draft.text(1)));
         draft.routes[routes / 2].1 = 2_000;
-        let script = delta(&state, &records(&draft.text(2))).expect("a delta");
-        let after = applied(&state, 2, &script);
+        let delta_records = delta(&state, &records(&draft.text(2))).expect("a delta");
+        let after = applied(&state, 2, &delta_records);
         let shared = |at: usize| Arc::ptr_eq(&state.routes[at], &after.routes[at]);
-        assert_eq!((0..routes).filter(|at| !shared(*at)).count(), 1, "routes made anew");
-        size(&script)
+        assert_eq!((0..routes).filter(|at| !shared(*at)).count(), 1, "routes built anew");
+        size(&delta_records)
     };
     let (few, many) = (cost(600), cost(6_000));
     assert!(few < 512 && many < few + 16, "{few} bytes of 600 routes, {many} of 6000");
 }
 
-/// A plan whose text is the routes' paths, made without reading.
-fn plain(version: usize, routes: &[Route]) -> Vec<Record> {
+/// A plan whose text is the routes' paths, built without reading.
+fn unread_plan(version: usize, routes: &[Route]) -> Vec<Record> {
     let mut records =
         vec![Record::PlanStart { version: format!("v{version}").into(), base: Some("v".into()) }];
     let row = |route: &Route| format!("{{{} {}}}", route.path, route.deadline_ms).repeat(10);
     let text: String = routes.iter().map(row).collect();
     records.extend(routes.iter().cloned().map(Record::Route));
-    let parts = text.as_bytes().chunks(TEXT_CHUNK_BYTES);
-    records.extend(parts.map(|part| Record::PlanText(part.to_vec())));
+    let chunks = text.as_bytes().chunks(TEXT_CHUNK_BYTES);
+    records.extend(chunks.map(|chunk| Record::PlanText(chunk.to_vec())));
     records
 }
 
 #[test]
-fn a_thousand_changes_leave_no_more_parts_of_text_than_a_whole_plan_has() {
+fn a_thousand_deltas_leave_as_many_text_chunks_as_a_submitted_plan() {
     let first = records(&Draft::new(300, "").text(1));
     let mut routes: Vec<Route> = applied(&State::default(), 1, &first)
         .routes
@@ -167,26 +170,26 @@
         .map(|route| route.as_ref().clone())
         .collect();
     let mut numbers = Numbers(7);
-    let mut state = applied(&State::default(), 1, &plain(1, &routes));
+    let mut state = applied(&State::default(), 1, &unread_plan(1, &routes));
     for version in 2..1_002 {
         routes.rotate_left(1);
         routes[numbers.below(300)].deadline_ms += 10;
-        let submitted = plain(version, &routes);
-        let script = delta(&state, &submitted).expect("a delta");
+        let submitted = unread_plan(version, &routes);
+        let delta_records = delta(&state, &submitted).expect("a delta");
         let before = state.clone();
-        state = applied(&state, version as u64, &script);
+        state = applied(&state, version as u64, &delta_records);
         assert_eq!(state.plan_text.len(), state.plan_text().len().div_ceil(TEXT_CHUNK_BYTES));
         let known: HashSet<_> = before.routes.iter().map(Arc::as_ptr).collect();
-        let kept = state.routes.iter().filter(|route| known.contains(&Arc::as_ptr(route)));
-        assert!(kept.count() >= 298, "version {version}");
+        let retained = state.routes.iter().filter(|route| known.contains(&Arc::as_ptr(route)));
+        assert!(retained.count() >= 298, "version {version}");
     }
-    assert!(state.plan_text.len() > 3, "too little text to part");
-    assert_eq!(state.plan, applied(&state, 1_001, &plain(1_001, &routes)).plan);
-    assert_eq!(state.plan_text(), applied(&state, 1_001, &plain(1_001, &routes)).plan_text());
+    assert!(state.plan_text.len() > 3, "too little text for several chunks");
+    assert_eq!(state.plan, applied(&state, 1_001, &unread_plan(1_001, &routes)).plan);
+    assert_eq!(state.plan_text(), applied(&state, 1_001, &unread_plan(1_001, &routes)).plan_text());
 }
 
 #[test]
-fn a_large_delta_stays_within_its_batches() {
+fn records_of_a_large_delta_fit_into_batches() {
     let mut draft = Draft::new(2_000, "");
     let state = applied(&State::default(), 1, &records(&draft.text(1)));
     for at in (0..2_000).step_by(3) {
@@ -194,41 +197,42 @@
     }
     draft.routes.splice(500..500, (0..900).map(|step| (10_000 + step, 7)));
     let submitted = records(&draft.text(2));
-    let script = delta(&state, &submitted).expect("a delta");
-    for record in &script {
+    let delta_records = delta(&state, &submitted).expect("a delta");
+    for record in &delta_records {
         assert!(size(std::slice::from_ref(record)) < BATCH_BYTES / 2, "one record fills a batch");
     }
-    assert!(split(script.clone()).len() > 1);
-    assert_eq!(applied(&state, 2, &script), applied(&state, 2, &submitted));
+    assert!(split(delta_records.clone()).len() > 1);
+    assert_eq!(applied(&state, 2, &delta_records), applied(&state, 2, &submitted));
 }
 
 #[test]
-fn a_first_plan_and_one_whose_parts_are_uneven_go_whole() {
+fn a_first_plan_and_one_with_uneven_text_chunks_have_no_delta() {
     let first = records(&Draft::new(30, "").text(1));
     assert_eq!(delta(&State::default(), &first), None);
     let state = applied(&State::default(), 1, &first);
     let mut second = records(&Draft::new(30, "").text(2));
     assert!(delta(&state, &second).is_some());
     let Some(Record::PlanText(text)) = second.pop() else { panic!("a plan ends with its text") };
-    second.extend(text.chunks(100).map(|part| Record::PlanText(part.to_vec())));
-    assert_eq!(delta(&state, &second), None, "another state than the whole plan's");
+    second.extend(text.chunks(100).map(|chunk| Record::PlanText(chunk.to_vec())));
+    assert_eq!(delta(&state, &second), None, "another state than the submitted plan's");
 }
 
 #[test]
-fn texts_are_no_news() {
+fn changes_of_text_are_no_routing_updates() {
     let mut draft = Draft::new(30, "");
     let state = applied(&State::default(), 1, &records(&draft.text(1)));
     draft.routes[4].1 = 3;
-    let script = delta(&state, &records(&draft.text(2))).expect("a delta");
-    let news: Vec<Record> = script.into_iter().filter(Record::is_routing_update).collect();
-    assert_eq!(news.len(), 2, "{news:?}");
-    let node = applied(&state.routing_view(), 2, &news);
+    let delta_records = delta(&state, &records(&draft.text(2))).expect("a delta");
+    let updates: Vec<Record> =
+        delta_records.into_iter().filter(Record::is_routing_update).collect();
+    assert_eq!(updates.len(), 2, "{updates:?}");
+    let node = applied(&state.routing_view(), 2, &updates);
     assert_eq!(node.routes, applied(&state, 2, &records(&draft.text(2))).routes);
     assert!(node.plan_text.is_empty());
 }
 
 #[test]
-fn differences_hold_only_what_differs() {
+fn changes_contain_only_what_differs() {
     let found = changes(&[1, 2, 3, 3, 4, 5], &[1, 9, 3, 3, 5, 6]);
     let change = |old, new| Change { old, new };
     assert_eq!(found, [change(1..5, 1..4), change(6..6, 5..6)]);
--- a/crates/plan/tests/findings.rs
+++ b/crates/plan/tests/findings.rs
@@ -1,3 +1,5 @@
+//! What reading a plan finds wrong, and what patterns match.
+
 use postbarrow_plan::{Pattern, Plan};
 
 const BAD: &str = r#"{
@@ -20,13 +22,13 @@
 }"#;
 
 #[test]
-fn every_finding_is_told_with_its_place_and_line() {
+fn every_finding_is_reported_with_its_json_path_and_line() {
     let findings = Plan::read(BAD.as_bytes()).unwrap_err();
     insta::assert_snapshot!(findings.to_string());
 }
 
 #[test]
-fn text_that_is_no_json_is_one_finding_with_its_line() {
+fn malformed_json_is_one_finding_with_its_line() {
     let findings = Plan::read(b"{\n \"version\": \"v1\",\n oops\n}").unwrap_err();
     assert_eq!(findings.findings.len(), 1);
     assert_eq!(findings.findings[0].line, Some(3));
@@ -46,3 +48,20 @@
     assert!(!matches("/a/*", "/a"));
     assert!(!matches("/a", "/a/"));
 }
+
+#[test]
+fn the_text_of_a_refused_pattern_says_what_is_not_allowed() {
+    let refusal = |pattern: &str| Pattern::read(pattern).unwrap_err().to_string();
+    assert_eq!(refusal("a"), "must begin with /");
+    assert_eq!(refusal("/a?b"), "must be a raw path without query, fragment or spaces");
+    assert_eq!(refusal("/a/../b"), "must not hold . or .. as a segment");
+    assert_eq!(refusal("/a/*/b"), "\"*\" is neither a name, {name} nor a last *");
+}
+
+#[test]
+fn weights_that_are_all_zero_are_one_finding() {
+    let plan = r#"{"version":"v1","services":{"s":{"labels":{"service":"s"}}},"routes":[
+        {"path":"/a","methods":["GET"],"kind":"lookup","shares":[{"service":"s","share":0}]}]}"#;
+    let findings = Plan::read(plan.as_bytes()).unwrap_err();
+    assert_eq!(findings.to_string(), "$.routes[0].shares (line 2): has no weight above 0");
+}
--- a/crates/plan/tests/rehearsal.rs
+++ b/crates/plan/tests/rehearsal.rs
@@ -1,10 +1,10 @@
-//! A rehearsal looks only at what is not shared, and tells the same as one that looks at all.
+//! A rehearsal compares only what is not shared, with the same result as one that compares all.
 
 use postbarrow_plan::Rehearsal;
 use postbarrow_state::*;
 use postbarrow_transactions::Image as _;
 
-fn route(path: usize, wait_ms: u64, when: Option<usize>) -> Route {
+fn route(path: usize, deadline_ms: u64, when: Option<usize>) -> Route {
     Route {
         path: format!("/r{path}").into(),
         methods: vec!["GET".into(), "PUT".into()],
@@ -14,7 +14,7 @@
         body_bytes: 1,
         rate_per_s: None,
         concurrency: None,
-        deadline_ms: wait_ms,
+        deadline_ms,
         host: None,
         weighted_services: Vec::new(),
         max_attempts: None,
@@ -48,7 +48,7 @@
     state
 }
 
-fn first() -> State {
+fn plan_in_force() -> State {
     let mut records = vec![Record::PlanStart { version: "v1".into(), base: None }];
     records.extend((0..3).map(service));
     records.extend((0..4).map(target));
@@ -56,17 +56,18 @@
     applied(&State::default(), &records)
 }
 
-/// The same plan with nothing shared: what a whole plan makes.
+/// The same plan with nothing shared, as a submitted plan makes it.
 fn unshared(state: &State) -> State {
-    let mut fresh = state.clone();
-    fresh.routes = state.routes.iter().map(|route| route.as_ref().clone().into()).collect();
-    fresh.targets = state.targets.iter().map(|(name, made)| (name.clone(), made.clone())).collect();
-    fresh
+    let mut unshared = state.clone();
+    unshared.routes = state.routes.iter().map(|route| route.as_ref().clone().into()).collect();
+    unshared.targets =
+        state.targets.iter().map(|(name, target)| (name.clone(), target.clone())).collect();
+    unshared
 }
 
 #[test]
-fn shared_routes_change_nothing_of_what_is_told() {
-    let before = first();
+fn shared_routes_do_not_change_the_rehearsal() {
+    let before = plan_in_force();
     let splice = |at, removed, inserted: Vec<Route>| RouteSplice { at, removed, inserted };
     let changes: Vec<Vec<RouteSplice>> = vec![
         vec![],
@@ -84,23 +85,23 @@
             records.extend([Record::ServiceGone("s1".into()), service(5)]);
         }
         let staged = applied(&before, &records);
-        let told = Rehearsal::of(&before, &staged);
-        assert_eq!(told, Rehearsal::of(&unshared(&before), &staged), "change {number}");
-        let quiet = told.routes_added.is_empty()
-            && told.routes_removed.is_empty()
-            && told.routes_changed.is_empty();
-        assert_eq!(quiet, number == 0, "change {number}: {told:?}");
-        assert_eq!(told.without_target, ["s2"], "change {number}");
+        let rehearsal = Rehearsal::of(&before, &staged);
+        assert_eq!(rehearsal, Rehearsal::of(&unshared(&before), &staged), "change {number}");
+        let is_unchanged = rehearsal.routes_added.is_empty()
+            && rehearsal.routes_removed.is_empty()
+            && rehearsal.routes_changed.is_empty();
+        assert_eq!(is_unchanged, number == 0, "change {number}: {rehearsal:?}");
+        assert_eq!(rehearsal.without_target, ["s2"], "change {number}");
     }
 }
 
 #[test]
-fn shared_routes_in_another_order_are_told() {
-    let before = first();
+fn shared_routes_in_another_order_are_reported() {
+    let before = plan_in_force();
     let mut staged = before.clone();
     let first = staged.routes.remove(0);
     staged.routes.insert(1, first);
-    let told = Rehearsal::of(&before, &staged);
-    assert_eq!(told.routes_changed, ["GET /r0", "PUT /r0"], "a rule first, or none");
-    assert_eq!(told, Rehearsal::of(&unshared(&before), &staged));
+    let rehearsal = Rehearsal::of(&before, &staged);
+    assert_eq!(rehearsal.routes_changed, ["GET /r0", "PUT /r0"], "a rule first, or none");
+    assert_eq!(rehearsal, Rehearsal::of(&unshared(&before), &staged));
 }
--- a/crates/reading/src/fields.rs
+++ b/crates/reading/src/fields.rs
@@ -1,7 +1,12 @@
+//! The fields of one JSON object, read one by one.
+//!
+//! A field that is absent, of another type or out of bounds becomes a finding, and so does one that is
+//! never requested.
+
 use crate::{Reading, Value};
 use std::collections::BTreeSet;
 
-/// One object of the document; a field that is never requested is a finding.
+/// One object of the document.
 pub struct Fields<'v> {
     value: &'v Value,
     path: String,
@@ -9,6 +14,7 @@
 }
 
 impl<'v> Fields<'v> {
+    /// The fields of a value; none, and a finding, if it is no object.
     pub fn of(value: &'v Value, json_path: &str, reading: &mut Reading) -> Option<Self> {
         if !value.is_object() {
             reading.find(json_path, "must be an object".into());
@@ -17,15 +23,18 @@
         Some(Fields { value, path: json_path.into(), requested: BTreeSet::new() })
     }
 
+    /// The JSON path of a field.
     pub fn path_of(&self, field: &str) -> String {
         format!("{}.{field}", self.path)
     }
 
+    /// A field's value; none if it is absent or null.
     pub fn get(&mut self, field: &'static str) -> Option<&'v Value> {
         self.requested.insert(field);
         self.value.as_object()?.get(field).filter(|value| !value.is_null())
     }
 
+    /// A field's value, which must be there.
     pub fn required(&mut self, field: &'static str, reading: &mut Reading) -> Option<&'v Value> {
         let found = self.get(field);
         if found.is_none() {
@@ -34,17 +43,19 @@
         found
     }
 
+    /// A string, which must be there.
     pub fn text(&mut self, field: &'static str, reading: &mut Reading) -> Option<&'v str> {
         let value = self.required(field, reading)?;
         text(value, &self.path_of(field), reading)
     }
 
+    /// A string; none if it is absent.
     pub fn text_or_none(&mut self, field: &'static str, reading: &mut Reading) -> Option<&'v str> {
         let value = self.get(field)?;
         text(value, &self.path_of(field), reading)
     }
 
-    /// A whole number within bounds; None if absent.
+    /// A whole number within bounds; none if it is absent.
     pub fn number(
         &mut self,
         field: &'static str,
@@ -62,6 +73,7 @@
         within
     }
 
+    /// The items of an array, which must be there, with their JSON paths.
     pub fn array(
         &mut self,
         field: &'static str,
@@ -77,7 +89,7 @@
         rows.map(|(at, value)| (format!("{json_path}[{at}]"), value)).collect()
     }
 
-    /// The members of an object whose names the operator chooses.
+    /// The members of an object whose names the operator chooses: name, JSON path and value.
     pub fn named(
         &mut self,
         field: &'static str,
@@ -95,6 +107,7 @@
         rows.collect()
     }
 
+    /// A string that parses, which must be there; the finding says what is expected.
     pub fn parsed<T: std::str::FromStr>(
         &mut self,
         field: &'static str,
@@ -109,6 +122,7 @@
         parsed
     }
 
+    /// Reports the fields that were never requested.
     pub fn finish(self, reading: &mut Reading) {
         let Some(object) = self.value.as_object() else { return };
         for (name, _) in object.iter() {
@@ -120,6 +134,7 @@
     }
 }
 
+/// A value that must be a string.
 pub fn text<'v>(value: &'v Value, json_path: &str, reading: &mut Reading) -> Option<&'v str> {
     let found = value.as_string().map(|text| text.as_str());
     if found.is_none() {
--- a/crates/reading/src/findings.rs
+++ b/crates/reading/src/findings.rs
@@ -1,12 +1,18 @@
+//! What was found wrong in a document, each with its position.
+
 use miette::{LabeledSpan, MietteDiagnostic, NamedSource, Report};
 use std::fmt;
 
+/// One thing that is wrong.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
     /// A JSON path such as `$.routes[2].kind`.
     pub field_path: String,
+    /// Counted from 1; none if it has no position.
     pub line: Option<usize>,
+    /// In bytes from the text's start.
     pub offset: Option<usize>,
+    /// What is wrong, as the end of a sentence about the field.
     pub message: String,
 }
 
@@ -19,12 +25,15 @@
     }
 }
 
+/// All that is wrong, in the order in which it was found; its text has a line for each.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Findings {
+    /// Never empty where it is an error.
     pub findings: Vec<Finding>,
 }
 
 impl Findings {
+    /// A single finding at an offset of the text.
     pub fn at_offset(text: &str, offset: usize, json_path: &str, message: String) -> Self {
         let offset = offset.min(text.len());
         let line = text.as_bytes()[..offset].iter().filter(|byte| **byte == b'\n').count() + 1;
@@ -37,6 +46,7 @@
         Findings { findings: vec![finding] }
     }
 
+    /// A single finding that has no position in a text.
     pub fn without_position(json_path: &str, message: String) -> Self {
         Findings {
             findings: vec![Finding {
@@ -74,8 +84,8 @@
 
 impl fmt::Display for Findings {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (at, finding) in self.findings.iter().enumerate() {
-            if at > 0 {
+        for (number, finding) in self.findings.iter().enumerate() {
+            if number > 0 {
                 writeln!(out)?;
             }
             write!(out, "{finding}")?;
--- a/crates/reading/src/positions.rs
+++ b/crates/reading/src/positions.rs
@@ -1,27 +1,92 @@
+//! Where each value of a JSON text stands.
+//!
+//! `facet-json` reads the values; this scan only notes positions, so it takes malformed text too.
+
 use postbarrow_constants::plans::DEPTH;
 use std::collections::HashMap;
 
-/// Where each JSON path stands in the text. Only places: facet-json does the reading.
-pub struct Positions {
+/// The text is nested too deep to be read.
+#[derive(Debug, thiserror::Error)]
+#[error("nested deeper than {DEPTH}")]
+pub(crate) struct NestedTooDeep {
+    /// Of the first bracket that is too deep.
+    pub offset: usize,
+}
+
+/// Where each JSON path stands in the text, in bytes.
+pub(crate) struct Positions {
     offsets: HashMap<String, usize>,
-    lines: Vec<usize>,
+    newlines: Vec<usize>,
+    /// Paths that stand more than once.
     pub duplicates: Vec<String>,
 }
 
+impl Positions {
+    /// Notes the positions of all values and keys.
+    ///
+    /// # Errors
+    /// Brackets are nested deeper than `DEPTH`.
+    pub fn scan(text: &str) -> Result<Self, NestedTooDeep> {
+        let bytes = text.as_bytes().iter().enumerate();
+        let newlines = bytes.filter(|(_, byte)| **byte == b'\n').map(|(offset, _)| offset);
+        let positions = Positions {
+            offsets: HashMap::new(),
+            newlines: newlines.collect(),
+            duplicates: Vec::new(),
+        };
+        let mut scan = Scan {
+            text,
+            positions,
+            levels: Vec::new(),
+            path: String::from("$"),
+            path_lengths: Vec::new(),
+        };
+        scan.run()?;
+        Ok(scan.positions)
+    }
+
+    /// The position of the path itself, or of the nearest that contains it.
+    pub fn offset(&self, json_path: &str) -> Option<usize> {
+        let mut json_path = json_path;
+        loop {
+            if let Some(offset) = self.offsets.get(json_path) {
+                return Some(*offset);
+            }
+            json_path = &json_path[..json_path.rfind(['.', '['])?];
+        }
+    }
+
+    /// The line of an offset, counted from 1.
+    pub fn line(&self, offset: usize) -> usize {
+        self.newlines.partition_point(|newline| *newline < offset) + 1
+    }
+}
+
+/// An object or array that is not closed yet.
 enum Level {
-    Object { key: Option<String> },
-    Array { index: usize },
+    /// The key whose value follows; none before the first key and after each comma.
+    Object {
+        key: Option<String>,
+    },
+    Array {
+        index: usize,
+    },
 }
 
-impl Positions {
-    pub fn scan(text: &str) -> Result<Self, (usize, String)> {
-        let bytes = text.as_bytes();
-        let lines = bytes.iter().enumerate().filter(|(_, b)| **b == b'\n').map(|(at, _)| at);
-        let mut places =
-            Positions { offsets: HashMap::new(), lines: lines.collect(), duplicates: Vec::new() };
-        let mut levels: Vec<Level> = Vec::new();
-        let mut path = String::from("$");
-        let mut ends: Vec<usize> = Vec::new();
+/// A scan on its way through the text.
+struct Scan<'t> {
+    text: &'t str,
+    positions: Positions,
+    levels: Vec<Level>,
+    /// Of the value at which the scan is.
+    path: String,
+    /// Of the path of each level, in bytes.
+    path_lengths: Vec<usize>,
+}
+
+impl Scan<'_> {
+    fn run(&mut self) -> Result<(), NestedTooDeep> {
+        let bytes = self.text.as_bytes();
         let mut at = 0;
         while at < bytes.len() {
             let start = at;
@@ -29,75 +94,73 @@
             match bytes[start] {
                 b'"' => {
                     at = string_end(bytes, start);
-                    if let Some(Level::Object { key: key @ None }) = levels.last_mut() {
-                        let raw = text.get(start + 1..at.saturating_sub(1)).unwrap_or("");
-                        path.truncate(*ends.last().unwrap_or(&1));
-                        path.push('.');
-                        path.push_str(raw);
-                        *key = Some(raw.to_string());
-                        if places.offsets.insert(path.clone(), start).is_some() {
-                            places.duplicates.push(path.clone());
-                        }
-                        continue;
-                    }
-                    places.mark(&levels, &mut path, &ends, start);
-                }
-                open @ (b'{' | b'[') => {
-                    places.mark(&levels, &mut path, &ends, start);
-                    if levels.len() >= DEPTH {
-                        return Err((start, format!("nested deeper than {DEPTH}")));
-                    }
-                    ends.push(path.len());
-                    levels.push(match open {
-                        b'{' => Level::Object { key: None },
-                        _ => Level::Array { index: 0 },
-                    });
+                    self.on_string(start, at);
                 }
+                bracket @ (b'{' | b'[') => self.on_opening(bracket, start)?,
                 b'}' | b']' => {
-                    levels.pop();
-                    path.truncate(ends.pop().unwrap_or(1));
+                    self.levels.pop();
+                    self.path.truncate(self.path_lengths.pop().unwrap_or(1));
                 }
-                b',' => match levels.last_mut() {
-                    Some(Level::Object { key }) => *key = None,
-                    Some(Level::Array { index }) => *index += 1,
-                    None => {}
-                },
+                b',' => self.on_comma(),
                 byte if byte == b':' || byte.is_ascii_whitespace() => {}
                 _ => {
-                    places.mark(&levels, &mut path, &ends, start);
+                    self.on_value(start);
                     while at < bytes.len() && !b",]}:\"".contains(&bytes[at]) {
                         at += 1;
                     }
                 }
             }
         }
-        Ok(places)
+        Ok(())
     }
 
-    fn mark(&mut self, levels: &[Level], path: &mut String, ends: &[usize], start: usize) {
-        if let Some(Level::Array { index }) = levels.last() {
-            path.truncate(*ends.last().unwrap_or(&1));
-            path.push_str(&format!("[{index}]"));
+    /// A key, or a value that is a string.
+    fn on_string(&mut self, start: usize, end: usize) {
+        let Some(Level::Object { key: key @ None }) = self.levels.last_mut() else {
+            return self.on_value(start);
+        };
+        let raw = self.text.get(start + 1..end.saturating_sub(1)).unwrap_or("");
+        self.path.truncate(*self.path_lengths.last().unwrap_or(&1));
+        self.path.push('.');
+        self.path.push_str(raw);
+        *key = Some(raw.to_string());
+        if self.positions.offsets.insert(self.path.clone(), start).is_some() {
+            self.positions.duplicates.push(self.path.clone());
         }
-        self.offsets.entry(path.clone()).or_insert(start);
     }
 
-    /// The place itself, or the nearest that holds it.
-    pub fn offset(&self, place: &str) -> Option<usize> {
-        let mut place = place;
-        loop {
-            if let Some(offset) = self.offsets.get(place) {
-                return Some(*offset);
-            }
-            place = &place[..place.rfind(['.', '['])?];
+    fn on_opening(&mut self, bracket: u8, start: usize) -> Result<(), NestedTooDeep> {
+        self.on_value(start);
+        if self.levels.len() >= DEPTH {
+            return Err(NestedTooDeep { offset: start });
         }
+        self.path_lengths.push(self.path.len());
+        self.levels.push(match bracket {
+            b'{' => Level::Object { key: None },
+            _ => Level::Array { index: 0 },
+        });
+        Ok(())
     }
 
-    pub fn line(&self, offset: usize) -> usize {
-        self.lines.partition_point(|newline| *newline < offset) + 1
+    fn on_comma(&mut self) {
+        match self.levels.last_mut() {
+            Some(Level::Object { key }) => *key = None,
+            Some(Level::Array { index }) => *index += 1,
+            None => {}
+        }
+    }
+
+    /// A value starts; in an array its path is that of its index, and elsewhere that of its key.
+    fn on_value(&mut self, start: usize) {
+        if let Some(Level::Array { index }) = self.levels.last() {
+            self.path.truncate(*self.path_lengths.last().unwrap_or(&1));
+            self.path.push_str(&format!("[{index}]"));
+        }
+        self.positions.offsets.entry(self.path.clone()).or_insert(start);
     }
 }
 
+/// The offset after the closing quote, or the text's end.
 fn string_end(bytes: &[u8], start: usize) -> usize {
     let mut at = start + 1;
     while at < bytes.len() {
--- /dev/null
+++ b/crates/rules/src/bounds.rs
@@ -0,0 +1,64 @@
+//! Bounds of what a rule may cost, checked before it routes any request.
+
+use crate::{FUNCTIONS, RuleError};
+use cel::common::ast::Expr;
+use postbarrow_constants::plans::{RULE_BRACKETS, RULE_DEPTH};
+
+/// Bounds the parser's recursion before it starts.
+///
+/// # Errors
+/// Brackets nested too deep, or too many prefix and ternary signs.
+pub(crate) fn check_text(text: &str) -> Result<(), RuleError> {
+    let mut bracket_depth = 0;
+    let mut signs = 0;
+    for byte in text.bytes() {
+        match byte {
+            b'(' | b'[' | b'{' => bracket_depth += 1,
+            b')' | b']' | b'}' if bracket_depth > 0 => bracket_depth -= 1,
+            b'?' | b'!' | b'-' => signs += 1,
+            _ => {}
+        }
+        if bracket_depth > RULE_BRACKETS {
+            return Err(RuleError::BracketsTooDeep);
+        }
+        if signs > 2 * RULE_BRACKETS {
+            return Err(RuleError::TooManySigns);
+        }
+    }
+    Ok(())
+}
+
+/// Allows no loops, bounded depth, and only the few functions whose cost is linear in what they
+/// read.
+///
+/// # Errors
+/// The first part of the expression that is not allowed.
+pub(crate) fn check_expression(expr: &Expr) -> Result<(), RuleError> {
+    check_at_depth(expr, 0)
+}
+
+fn check_at_depth(expr: &Expr, depth: usize) -> Result<(), RuleError> {
+    if depth > RULE_DEPTH {
+        return Err(RuleError::TooDeep);
+    }
+    let check_inner = |inner: &Expr| check_at_depth(inner, depth + 1);
+    match expr {
+        Expr::Unspecified => Err(RuleError::Empty),
+        Expr::Ident(_) | Expr::Literal(_) => Ok(()),
+        Expr::Select(select) => check_inner(&select.operand.expr),
+        Expr::List(array) => array.elements.iter().try_for_each(|item| check_inner(&item.expr)),
+        Expr::Call(call) => {
+            let name = call.func_name.as_str();
+            let is_operator = !name.starts_with(|first: char| first.is_ascii_alphabetic());
+            if !is_operator && !FUNCTIONS.contains(&name) {
+                return Err(RuleError::UnknownFunction(name.to_string()));
+            }
+            if let Some(target) = &call.target {
+                check_inner(&target.expr)?;
+            }
+            call.args.iter().try_for_each(|item| check_inner(&item.expr))
+        }
+        Expr::Comprehension(_) => Err(RuleError::Loop),
+        Expr::Map(_) | Expr::Struct(_) => Err(RuleError::Map),
+    }
+}
--- /dev/null
+++ b/crates/rules/src/error.rs
@@ -0,0 +1,48 @@
+//! Why a rule is refused.
+
+use crate::{FUNCTIONS, VARIABLES};
+use postbarrow_constants::plans::{RULE_BRACKETS, RULE_BYTES, RULE_DEPTH};
+
+/// Why a rule is refused; the texts are read by operators, after the rule's place in the plan.
+#[derive(Debug, thiserror::Error)]
+pub enum RuleError {
+    /// The text is too long.
+    #[error("is longer than {RULE_BYTES} bytes")]
+    TooLong,
+    /// Brackets in the text are nested too deep for the parser's stack.
+    #[error("has brackets nested deeper than {RULE_BRACKETS}")]
+    BracketsTooDeep,
+    /// The text has too many signs that the parser recurses on.
+    #[error("has more than {} of ? ! -", 2 * RULE_BRACKETS)]
+    TooManySigns,
+    /// The text does not parse.
+    #[error("{0}")]
+    Syntax(String),
+    /// The parser failed on the text.
+    #[error("can't be read")]
+    ParserFailed,
+    /// No thread for the parser was to be had.
+    #[error("can't be read now: {0}")]
+    NoThread(#[source] std::io::Error),
+    /// The expression is nested too deep.
+    #[error("is nested deeper than {RULE_DEPTH}")]
+    TooDeep,
+    /// The expression is empty.
+    #[error("is empty")]
+    Empty,
+    /// The expression calls a function that is not among [`FUNCTIONS`].
+    #[error("calls {0}; allowed are {functions}", functions = FUNCTIONS.join(", "))]
+    UnknownFunction(String),
+    /// The expression loops.
+    #[error("loops over a list, which is not allowed")]
+    Loop,
+    /// The expression builds a map or a struct.
+    #[error("builds a map, which is not allowed")]
+    Map,
+    /// The expression names a variable that is not among [`VARIABLES`].
+    #[error("names {0}, which is none of {variables}", variables = VARIABLES.join(", "))]
+    UnknownVariable(String),
+    /// The expression gives a value that is neither true nor false.
+    #[error("does not give true or false")]
+    NotBoolean,
+}
