--- /dev/null
+++ b/crates/consensus/src/leader_state.rs
@@ -0,0 +1,106 @@
+//! What only a leader has, and loses when it follows again.
+
+use crate::progress::Progress;
+use crate::{Consensus, FingerprintTime, Member, MemberId};
+use std::collections::BTreeMap;
+use std::hash::{Hash, Hasher};
+
+/// How far a follower is behind, for status.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FollowerStatus {
+    /// The voter or learner.
+    pub member: Member,
+    /// Milliseconds since its last response.
+    pub silent_ms: u64,
+    /// Entries of the leader's log that it has not confirmed.
+    pub lag_entries: u64,
+}
+
+/// A leader's followers and the times of its term.
+#[derive(Clone, Debug)]
+pub(crate) struct LeaderState {
+    /// Of each voter and learner but this member.
+    pub progress: BTreeMap<MemberId, Progress>,
+    /// Members that follow the log without a vote (thesis, 4.2.1).
+    pub learners: BTreeMap<MemberId, Member>,
+    pub heartbeat_due_ms: u64,
+    /// First entry of the leader's own term.
+    pub term_start_index: u64,
+    pub elected_ms: u64,
+    /// The lease is relinquished for the rest of the term.
+    pub is_transferring: bool,
+}
+
+impl LeaderState {
+    /// Of a member that has not led yet.
+    pub fn new(now_ms: u64) -> Self {
+        LeaderState {
+            progress: BTreeMap::new(),
+            learners: BTreeMap::new(),
+            heartbeat_due_ms: 0,
+            term_start_index: 0,
+            elected_ms: now_ms,
+            is_transferring: false,
+        }
+    }
+
+    /// A term begins, with its first entry at that index.
+    pub fn start_term(
+        &mut self,
+        now_ms: u64,
+        term_start_index: u64,
+        progress: BTreeMap<MemberId, Progress>,
+    ) {
+        self.elected_ms = now_ms;
+        self.is_transferring = false;
+        self.progress = progress;
+        self.term_start_index = term_start_index;
+    }
+
+    /// The term is over.
+    pub fn clear_followers(&mut self) {
+        self.progress.clear();
+        self.learners.clear();
+    }
+
+    /// Send time of the newest message that this follower answered, or zero.
+    pub fn acknowledged_send_ms(&self, id: MemberId) -> u64 {
+        self.progress.get(&id).map_or(0, |progress| progress.acknowledged_send_ms)
+    }
+
+    /// What later behaviour depends on, but for what only departures use.
+    pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
+        (&self.learners, self.term_start_index, self.is_transferring).hash(into);
+        time.until(self.heartbeat_due_ms).hash(into);
+        for progress in self.progress.values() {
+            progress.fingerprint(time, into);
+        }
+    }
+}
+
+impl Consensus {
+    /// The newest entry that this voter or learner is known to have on disk, or zero.
+    pub(crate) fn matched(&self, id: MemberId) -> u64 {
+        match self.leader_state.progress.get(&id) {
+            _ if id == self.id => self.durability.matched(),
+            Some(progress) => progress.matched,
+            None => 0,
+        }
+    }
+
+    /// All members that follow this leader without a vote.
+    pub fn learners(&self) -> Vec<Member> {
+        self.leader_state.learners.values().copied().collect()
+    }
+
+    /// All voters and learners that follow this leader; none unless this member leads.
+    pub fn followers(&self, now_ms: u64) -> Vec<FollowerStatus> {
+        let last_index = self.log.last_index();
+        let status = |progress: &Progress| FollowerStatus {
+            member: progress.member,
+            silent_ms: progress.silent_ms(now_ms),
+            lag_entries: last_index.saturating_sub(progress.matched),
+        };
+        self.leader_state.progress.values().map(status).collect()
+    }
+}
