--- /dev/null
+++ b/tools/load-generator/src/cli.rs
@@ -0,0 +1,88 @@
+//! The command line.
+
+use gumdrop::Options;
+
+/// Drives the gateway and checks its books; exits non-zero on any violation.
+#[derive(Debug, Options)]
+pub struct Cli {
+    #[options(help = "print help")]
+    help: bool,
+    /// A line each: zone and address.
+    #[options(help = "file of nodes: a line each, ZONE IP:PORT", required, no_short)]
+    pub nodes: String,
+    /// The folder of the targets' execution records.
+    #[options(help = "folder where the stand-in targets record their runs", required, no_short)]
+    pub records: String,
+    /// How long load is sent.
+    #[options(help = "how long", default = "30", no_short)]
+    pub seconds: u64,
+    /// Lookups a second.
+    #[options(help = "lookups a second", default = "80", no_short)]
+    pub lookups: f64,
+    /// Postings a second.
+    #[options(help = "postings a second", default = "30", no_short)]
+    pub postings: f64,
+    /// Uploads a second.
+    #[options(help = "uploads a second", default = "10", no_short)]
+    pub uploads: f64,
+    /// Coordination calls a second.
+    #[options(help = "coordination calls a second", default = "15", no_short)]
+    pub calls: f64,
+    /// The body size of an upload.
+    #[options(help = "bytes of one upload", default = "262144", no_short)]
+    pub upload_bytes: usize,
+    /// The attempts of a request in a retry storm; 0 for no storm.
+    #[options(
+        help = "of retries at once per failed ask, up to this many: a storm",
+        default = "0",
+        no_short
+    )]
+    pub storm: u32,
+    /// The number of noisy neighbours.
+    #[options(
+        long = "greedy",
+        meta = "GREEDY",
+        help = "clients that ask again at once and without end",
+        default = "0",
+        no_short
+    )]
+    pub noisy_clients: u64,
+    /// The noisy neighbours' lookups a second, in all.
+    #[options(
+        long = "greedy-rate",
+        meta = "GREEDY-RATE",
+        help = "their lookups a second, all together",
+        default = "800",
+        no_short
+    )]
+    pub noisy_per_s: f64,
+    /// Lookups a second of departing clients.
+    #[options(
+        long = "leavers",
+        meta = "LEAVERS",
+        help = "lookups a second whose clients leave before their answer",
+        default = "0",
+        no_short
+    )]
+    pub departing_per_s: f64,
+    /// Threads that send the scheduled load.
+    #[options(help = "worker threads", default = "96", no_short)]
+    pub workers: usize,
+    /// Decides all that varies.
+    #[options(help = "seed", default = "1", no_short)]
+    pub seed: u64,
+    /// Executions beyond the retry budget's share that are allowed.
+    #[options(
+        help = "allowance of extra tries beyond a fifth, per service and second",
+        default = "3.0",
+        no_short
+    )]
+    pub allowance: f64,
+    /// The target of direct lookups.
+    #[options(
+        help = "a stand-in target, asked directly ten times a second to compare",
+        meta = "IP:PORT",
+        no_short
+    )]
+    pub direct: Option<String>,
+}
--- a/tools/load-generator/src/watch.rs
+++ b/tools/load-generator/src/key_watch.rs
@@ -1,5 +1,7 @@
-use crate::calls::{Done, What};
+//! A watch on all keys, and the check that it misses and repeats nothing.
+
 use crate::client::agent;
+use crate::coordination_calls::{CallResult, CompletedCall};
 use crate::nodes::Nodes;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -7,22 +9,26 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// What a watch on all keys was told, in order.
+/// What the watch received.
 #[derive(Default)]
-pub struct Told {
+pub struct WatchedRevisions {
+    /// The revisions in the order of their arrival.
     pub revisions: Vec<u64>,
+    /// The revision after which the watch follows.
     pub from: u64,
+    /// Whether the gateway refused to continue it, since its position is no longer retained.
     pub too_old: bool,
 }
 
-pub fn start(nodes: &Arc<Nodes>, ended: &Arc<AtomicBool>) -> JoinHandle<Told> {
-    let (nodes, ended) = (nodes.clone(), ended.clone());
+/// Watches all keys until the run has ended, at one node after another.
+pub fn start(nodes: &Arc<Nodes>, run_ended: &Arc<AtomicBool>) -> JoinHandle<WatchedRevisions> {
+    let (nodes, run_ended) = (nodes.clone(), run_ended.clone());
     thread::spawn(move || {
-        let mut told = Told::default();
+        let mut watched = WatchedRevisions::default();
         let mut after: Option<u64> = None;
         let agent = agent();
         let mut turn = 0;
-        while !ended.load(Relaxed) {
+        while !run_ended.load(Relaxed) {
             turn += 1;
             let Some(node) = nodes.pick(turn) else {
                 thread::sleep(Duration::from_millis(100));
@@ -33,8 +39,8 @@
             let request = agent.get(url).config().timeout_global(Some(Duration::from_secs(2)));
             let Ok(mut response) = request.build().call() else { continue };
             if response.status() == 410 {
-                told.too_old = true;
-                return told;
+                watched.too_old = true;
+                return watched;
             }
             let Ok(text) = response.body_mut().with_config().limit(16 << 20).read_to_string()
             else {
@@ -44,43 +50,43 @@
                 thread::sleep(Duration::from_millis(50));
                 continue;
             }
-            let numbers = |field: &str| -> Vec<u64> {
-                let mark = format!("\"{field}\":");
-                text.split(mark.as_str())
-                    .skip(1)
-                    .filter_map(|part| {
-                        part.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
-                    })
-                    .collect()
-            };
-            told.revisions.extend(numbers("revision"));
-            if let Some(next) = numbers("next").first() {
+            watched.revisions.extend(numbers(&text, "revision"));
+            if let Some(next) = numbers(&text, "next").first() {
                 if after.is_none() {
-                    told.from = *next;
+                    watched.from = *next;
                 }
                 after = Some(*next);
             }
         }
-        told
+        watched
     })
 }
 
+/// Every number that stands in a field of this name.
+fn numbers(json: &str, field: &str) -> Vec<u64> {
+    let start = format!("\"{field}\":");
+    json.split(start.as_str())
+        .skip(1)
+        .filter_map(|rest| rest.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok())
+        .collect()
+}
+
 /// Revisions rise without repeats, and no acknowledged put is missing.
-pub fn check(told: &Told, calls: &[Done]) -> Vec<String> {
+pub fn check(watched: &WatchedRevisions, calls: &[CompletedCall]) -> Vec<String> {
     let mut violations = Vec::new();
-    if told.too_old {
+    if watched.too_old {
         violations.push("the watch was told too old while it followed".to_string());
     }
-    if told.revisions.windows(2).any(|pair| pair[0] >= pair[1]) {
+    if watched.revisions.windows(2).any(|pair| pair[0] >= pair[1]) {
         violations.push("the watch was told a revision twice or out of order".to_string());
     }
-    let seen: BTreeSet<u64> = told.revisions.iter().copied().collect();
-    for done in calls {
-        if let What::Put { left, .. } = done.what
-            && left > told.from
-            && !seen.contains(&left)
+    let received: BTreeSet<u64> = watched.revisions.iter().copied().collect();
+    for call in calls {
+        if let CallResult::Put { revision, .. } = call.result
+            && revision > watched.from
+            && !received.contains(&revision)
         {
-            violations.push(format!("the watch was never told of revision {left}"));
+            violations.push(format!("the watch was never told of revision {revision}"));
         }
     }
     violations
--- a/tools/load-generator/src/main.rs
+++ b/tools/load-generator/src/main.rs
@@ -1,138 +1,116 @@
-//! Traffic of all kinds at given rates, and the books that tell whether any promise was broken.
+//! Traffic of all kinds at given rates, and the checks that show whether any promise was broken.
 
-mod book;
-mod calls;
+#![deny(missing_docs)]
+
+mod cli;
 mod client;
-mod greedy;
-mod leavers;
+mod coordination_calls;
+mod coordination_check;
+mod departing_clients;
+mod key_watch;
 mod nodes;
+mod noisy_neighbour;
 mod report;
-mod schedule;
-mod watch;
+mod request_ledger;
+mod workload;
 
+use cli::Cli;
 use gumdrop::Options;
+use nodes::Nodes;
+use noisy_neighbour::NoisyCounters;
+use std::io;
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::thread;
+use std::time::Duration;
 
-/// Drives the gateway and checks its books; exits non-zero on any violation.
-#[derive(Debug, Options)]
-pub struct Cli {
-    #[options(help = "print help")]
-    help: bool,
-    #[options(help = "file of nodes: a line each, ZONE IP:PORT", required, no_short)]
-    nodes: String,
-    #[options(help = "folder where the stand-in targets record their runs", required, no_short)]
-    records: String,
-    #[options(help = "how long", default = "30", no_short)]
-    seconds: u64,
-    #[options(help = "lookups a second", default = "80", no_short)]
-    lookups: f64,
-    #[options(help = "postings a second", default = "30", no_short)]
-    postings: f64,
-    #[options(help = "uploads a second", default = "10", no_short)]
-    uploads: f64,
-    #[options(help = "coordination calls a second", default = "15", no_short)]
-    calls: f64,
-    #[options(help = "bytes of one upload", default = "262144", no_short)]
-    upload_bytes: usize,
-    #[options(
-        help = "of retries at once per failed ask, up to this many: a storm",
-        default = "0",
-        no_short
-    )]
-    storm: u32,
-    #[options(help = "clients that ask again at once and without end", default = "0", no_short)]
-    greedy: u64,
-    #[options(help = "their lookups a second, all together", default = "800", no_short)]
-    greedy_rate: f64,
-    #[options(
-        help = "lookups a second whose clients leave before their answer",
-        default = "0",
-        no_short
-    )]
-    leavers: f64,
-    #[options(help = "worker threads", default = "96", no_short)]
-    workers: usize,
-    #[options(help = "seed", default = "1", no_short)]
-    seed: u64,
-    #[options(
-        help = "allowance of extra tries beyond a fifth, per service and second",
-        default = "3.0",
-        no_short
-    )]
-    allowance: f64,
-    #[options(
-        help = "a stand-in target, asked directly ten times a second to compare",
-        meta = "IP:PORT",
-        no_short
-    )]
-    direct: Option<String>,
-}
+/// After the load's end, this long remains for executions that outlast their clients to be
+/// recorded.
+const SETTLING_TIME: Duration = Duration::from_secs(3);
 
-/// What goes on after the load's end, as work for clients that left, shows within this.
-const AFTER_LOAD: std::time::Duration = std::time::Duration::from_secs(3);
+/// What all clients of one run got.
+struct Observed {
+    load: workload::LoadResults,
+    departures: Vec<departing_clients::Departure>,
+    watched: key_watch::WatchedRevisions,
+    noisy: Arc<NoisyCounters>,
+}
 
 fn main() -> ExitCode {
     let cli = Arc::new(Cli::parse_args_default_or_exit());
-    let nodes = match nodes::Nodes::read(&cli.nodes) {
+    let unreadable = |file: &str, error: io::Error| {
+        eprintln!("{file}: {error}");
+        ExitCode::from(2)
+    };
+    let nodes = match Nodes::read(&cli.nodes) {
         Ok(nodes) => Arc::new(nodes),
-        Err(error) => {
-            eprintln!("{}: {error}", cli.nodes);
-            return ExitCode::from(2);
-        }
+        Err(error) => return unreadable(&cli.nodes, error),
     };
-    let ended = Arc::new(AtomicBool::new(false));
-    let watching = {
-        let (nodes, ended) = (nodes.clone(), ended.clone());
-        thread::spawn(move || nodes.watch(&ended))
+    let observed = drive(&cli, &nodes);
+    let runs = match request_ledger::read_runs(&cli.records) {
+        Ok(runs) => runs,
+        Err(error) => return unreadable(&cli.records, error),
+    };
+    let violations = check(&cli, &observed, &runs);
+    report::print(&observed.load, &runs, &violations);
+    if violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+}
+
+/// Starts all clients, sends the load, and waits until all have ended.
+fn drive(cli: &Arc<Cli>, nodes: &Arc<Nodes>) -> Observed {
+    let run_ended = Arc::new(AtomicBool::new(false));
+    let readiness = {
+        let (nodes, run_ended) = (nodes.clone(), run_ended.clone());
+        thread::spawn(move || nodes.watch(&run_ended))
     };
     nodes.wait_ready();
-    let watches = watch::start(&nodes, &ended);
-    let storm = Arc::new(greedy::Greedy::default());
-    let crowd = greedy::start(cli.greedy, cli.greedy_rate, &nodes, &ended, &storm);
-    let leaving = Arc::new(AtomicBool::new(false));
-    let leavers = leavers::start(cli.leavers, &nodes, &leaving);
-    let asked = schedule::run(&cli, &nodes);
-    leaving.store(true, Relaxed);
-    let left = leavers.join().unwrap_or_default();
-    thread::sleep(AFTER_LOAD);
-    ended.store(true, Relaxed);
-    crowd.into_iter().for_each(|one| drop(one.join()));
-    let watched = watches.join().unwrap_or_default();
-    let _ = watching.join();
-    let runs = match book::read_runs(&cli.records) {
-        Ok(runs) => runs,
-        Err(error) => {
-            eprintln!("{}: {error}", cli.records);
-            return ExitCode::from(2);
-        }
+    let watch = key_watch::start(nodes, &run_ended);
+    let noisy = Arc::new(NoisyCounters::default());
+    let noisy_clients =
+        noisy_neighbour::start(cli.noisy_clients, cli.noisy_per_s, nodes, &run_ended, &noisy);
+    let load_ended = Arc::new(AtomicBool::new(false));
+    let departing = departing_clients::start(cli.departing_per_s, nodes, &load_ended);
+    let load = workload::run(cli, nodes);
+    load_ended.store(true, Relaxed);
+    let departures = departing.join().unwrap_or_default();
+    thread::sleep(SETTLING_TIME);
+    run_ended.store(true, Relaxed);
+    noisy_clients.into_iter().for_each(|client| drop(client.join()));
+    let watched = watch.join().unwrap_or_default();
+    let _ = readiness.join();
+    Observed { load, departures, watched, noisy }
+}
+
+/// Every violation of the run; what the departing clients and the noisy neighbours got is printed.
+fn check(cli: &Cli, observed: &Observed, runs: &[request_ledger::Run]) -> Vec<String> {
+    let load = &observed.load;
+    let noisy_attempts = observed.noisy.attempts.load(Relaxed) as usize;
+    let budget = request_ledger::Budget {
+        seconds: cli.seconds as f64,
+        allowance: cli.allowance,
+        noisy_attempts,
     };
-    let greedy = storm.goes.load(Relaxed) as usize;
-    let budget = book::Budget { seconds: cli.seconds as f64, allowance: cli.allowance, greedy };
-    let told: Vec<_> = asked.asks.iter().chain(&asked.direct).cloned().collect();
-    let mut violations = book::check(&told, &runs, &budget);
-    violations.extend(calls::check(&asked.calls));
-    violations.extend(watch::check(&watched, &asked.calls));
-    if !left.is_empty() {
-        let works = leavers::read_works(&cli.records).unwrap_or_default();
-        let summary = leavers::summarize(&left, &works);
+    let requests: Vec<_> = load.requests.iter().chain(&load.direct).cloned().collect();
+    let mut violations = request_ledger::check(&requests, runs, &budget);
+    violations.extend(coordination_check::check(&load.calls));
+    violations.extend(key_watch::check(&observed.watched, &load.calls));
+    if !observed.departures.is_empty() {
+        let works = departing_clients::read_works(&cli.records).unwrap_or_default();
+        let summary = departing_clients::summarize(&observed.departures, &works);
         println!(
             "Leavers: {} clients left, {} while a target worked; {} worked on, {} begun late",
-            summary.left, summary.at_work, summary.worked_on, summary.began_late
+            summary.departed, summary.in_flight, summary.overran, summary.started_late
         );
-        violations.extend(leavers::check(&summary));
+        violations.extend(departing_clients::check(&summary));
     }
-    if greedy > 0 {
-        let count = |of: &std::sync::atomic::AtomicU64| of.load(Relaxed);
+    if noisy_attempts > 0 {
         println!(
-            "Greedy: {greedy} goes, {} served, {} shed, {} failed",
-            count(&storm.served),
-            count(&storm.shed),
-            count(&storm.failed)
+            "Greedy: {noisy_attempts} goes, {} served, {} shed, {} failed",
+            observed.noisy.served.load(Relaxed),
+            observed.noisy.shed.load(Relaxed),
+            observed.noisy.failed.load(Relaxed)
         );
     }
-    report::print(&asked, &runs, &violations);
-    if violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    violations
 }
--- a/tools/load-generator/src/nodes.rs
+++ b/tools/load-generator/src/nodes.rs
@@ -1,3 +1,5 @@
+//! The data nodes and their readiness.
+
 use std::sync::RwLock;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::Relaxed};
 use std::time::Duration;
@@ -9,7 +11,7 @@
     ready: AtomicBool,
 }
 
-/// Stands in for the platform: clients' connections go to ready nodes of their zone.
+/// Stands in for the platform: clients' connections are spread over the ready nodes of their zone.
 pub struct Nodes {
     nodes: Vec<Node>,
     zones: RwLock<Vec<String>>,
@@ -17,6 +19,10 @@
 }
 
 impl Nodes {
+    /// Reads a file of lines with a zone and an address each; no node counts as ready yet.
+    ///
+    /// # Errors
+    /// When the file can't be read.
     pub fn read(file: &str) -> std::io::Result<Nodes> {
         let text = std::fs::read_to_string(file)?;
         let nodes: Vec<Node> = text
@@ -34,19 +40,20 @@
         Ok(Nodes { nodes, zones: RwLock::new(zones), turn: AtomicUsize::new(0) })
     }
 
-    pub fn watch(&self, ended: &AtomicBool) {
+    /// Polls the nodes' readiness until the run has ended.
+    pub fn watch(&self, run_ended: &AtomicBool) {
         let config = Agent::config_builder()
             .http_status_as_error(false)
             .proxy(None)
             .timeout_global(Some(Duration::from_millis(300)))
             .build();
-        while !ended.load(Relaxed) {
+        while !run_ended.load(Relaxed) {
             std::thread::scope(|scope| {
                 for node in &self.nodes {
                     let agent = Agent::new_with_config(config.clone());
                     scope.spawn(move || {
-                        let told = agent.get(format!("http://{}/ready", node.address)).call();
-                        let ready = told.is_ok_and(|response| response.status() == 200);
+                        let polled = agent.get(format!("http://{}/ready", node.address)).call();
+                        let ready = polled.is_ok_and(|response| response.status() == 200);
                         node.ready.store(ready, Relaxed);
                     });
                 }
@@ -55,6 +62,7 @@
         }
     }
 
+    /// Returns shortly after the first node became ready.
     pub fn wait_ready(&self) {
         while !self.nodes.iter().any(|node| node.ready.load(Relaxed)) {
             std::thread::sleep(Duration::from_millis(50));
--- a/tools/load-generator/src/greedy.rs
+++ b/tools/load-generator/src/noisy_neighbour.rs
@@ -1,5 +1,6 @@
+//! Noisy neighbours: clients that retry at once and without end, each from its own address.
+
 use crate::nodes::Nodes;
-use crate::schedule::mix;
 use std::io::{self, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpStream};
 use std::os::fd::FromRawFd;
@@ -7,40 +8,50 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
+use tools_shared::mix;
+
+/// Starts the id of each of these clients' requests.
+pub const ID_PREFIX: &str = "greedy-";
 
-/// What clients that ask again at once and without end were told, all together.
+/// The attempts of all noisy neighbours, by their outcome.
 #[derive(Default)]
-pub struct Greedy {
-    pub goes: AtomicU64,
+pub struct NoisyCounters {
+    /// All attempts.
+    pub attempts: AtomicU64,
+    /// Those with status 200.
     pub served: AtomicU64,
+    /// Those with status 429 or 503.
     pub shed: AtomicU64,
+    /// All others.
     pub failed: AtomicU64,
 }
 
-/// Each from its own address of the loopback net, at its share of the rate; what is not served is
-/// asked again at once.
+/// Starts the clients, each from its own address of the loopback net and at an equal part of the
+/// rate; what is not served is sent again at once.
 pub fn start(
     clients: u64,
     per_s: f64,
     nodes: &Arc<Nodes>,
-    ended: &Arc<AtomicBool>,
-    told: &Arc<Greedy>,
+    run_ended: &Arc<AtomicBool>,
+    counters: &Arc<NoisyCounters>,
 ) -> Vec<JoinHandle<()>> {
     let pause = Duration::from_secs_f64(clients as f64 / per_s.max(1.0));
     (0..clients)
         .map(|client| {
-            let (nodes, ended, told) = (nodes.clone(), ended.clone(), told.clone());
+            let (nodes, run_ended) = (nodes.clone(), run_ended.clone());
+            let counters = counters.clone();
             thread::spawn(move || {
                 let from = Ipv4Addr::new(127, 9, (client / 200) as u8, (client % 200) as u8 + 1);
                 let mut due = Instant::now() + pause.mul_f64(client as f64 / clients as f64);
                 let mut number = 0;
-                while !ended.load(Relaxed) {
+                while !run_ended.load(Relaxed) {
                     thread::sleep(due.saturating_duration_since(Instant::now()));
                     due += pause;
                     number += 1;
-                    let id = format!("greedy-{client}-{number}");
+                    let id = format!("{ID_PREFIX}{client}-{number}");
                     let mut turn = mix(client << 32 | number);
-                    while !ended.load(Relaxed) && !once(from, &nodes, turn, &id, &told) {
+                    while !run_ended.load(Relaxed) && !is_served(from, &nodes, turn, &id, &counters)
+                    {
                         turn = turn.wrapping_add(1);
                     }
                 }
@@ -49,22 +60,24 @@
         .collect()
 }
 
-fn once(from: Ipv4Addr, nodes: &Nodes, turn: u64, id: &str, told: &Greedy) -> bool {
+/// One attempt, which is counted.
+fn is_served(from: Ipv4Addr, nodes: &Nodes, turn: u64, id: &str, counters: &NoisyCounters) -> bool {
     let Some(SocketAddr::V4(to)) = nodes.pick(turn).and_then(|node| node.parse().ok()) else {
         thread::sleep(Duration::from_millis(5));
         return false;
     };
-    told.goes.fetch_add(1, Relaxed);
-    let status = connect(from, to).and_then(|stream| ask(stream, id));
+    counters.attempts.fetch_add(1, Relaxed);
+    let status = connect(from, to).and_then(|stream| look_up(stream, id));
     match status {
-        Ok(200) => told.served.fetch_add(1, Relaxed),
-        Ok(429 | 503) => told.shed.fetch_add(1, Relaxed),
-        _ => told.failed.fetch_add(1, Relaxed),
+        Ok(200) => counters.served.fetch_add(1, Relaxed),
+        Ok(429 | 503) => counters.shed.fetch_add(1, Relaxed),
+        _ => counters.failed.fetch_add(1, Relaxed),
     };
     matches!(status, Ok(200))
 }
 
-fn ask(mut stream: TcpStream, id: &str) -> io::Result<u16> {
+/// The status of a lookup that is sent on this connection.
+fn look_up(mut stream: TcpStream, id: &str) -> io::Result<u16> {
     stream.set_read_timeout(Some(Duration::from_secs(8)))?;
     let head =
         format!("GET /stock/{id} HTTP/1.1\r\nHost: h\r\nX-Id: {id}\r\nConnection: close\r\n\r\n");
@@ -75,7 +88,7 @@
     status.ok_or_else(|| io::ErrorKind::InvalidData.into())
 }
 
-/// The library's connect can't choose where from.
+/// Connects from a chosen address, which the standard library's connect can't.
 fn connect(from: Ipv4Addr, to: SocketAddrV4) -> io::Result<TcpStream> {
     let raw = |address: &Ipv4Addr, port: u16| libc::sockaddr_in {
         sin_family: libc::AF_INET as u16,
@@ -86,6 +99,8 @@
     let (near, far) = (raw(&from, 0), raw(to.ip(), to.port()));
     let length = size_of::<libc::sockaddr_in>() as u32;
     let done = |code: i32| if code == 0 { Ok(()) } else { Err(io::Error::last_os_error()) };
+    // SAFETY: both addresses are whole `sockaddr_in` of the given length and outlive the calls;
+    // the new socket belongs to `stream` alone, which closes it.
     unsafe {
         let socket = libc::socket(libc::AF_INET, libc::SOCK_STREAM | libc::SOCK_CLOEXEC, 0);
         if socket < 0 {
--- a/tools/load-generator/src/report.rs
+++ b/tools/load-generator/src/report.rs
@@ -1,44 +1,58 @@
-use crate::book::Run;
-use crate::client::{Kind, Told};
-use crate::schedule::Asked;
+//! The printed summary of a run.
 
-const SHOWN: usize = 30;
+use crate::client::{ClientRequest, Kind, Outcome};
+use crate::request_ledger::Run;
+use crate::workload::LoadResults;
 
-pub fn print(asked: &Asked, runs: &[Run], violations: &[String]) {
-    println!("{:.1} s, {} asks, {} runs", asked.seconds, asked.asks.len(), runs.len());
-    for kind in [Kind::Lookup, Kind::Posting, Kind::Upload] {
-        let asks: Vec<_> = asked.asks.iter().filter(|ask| ask.kind == kind).collect();
-        let count = |told: Told| asks.iter().filter(|ask| ask.told.last() == Some(&told)).count();
-        let took = asks.iter().filter(|ask| ask.told == [Told::Ran]).map(|ask| ask.took_ms);
-        let goes: usize = asks.iter().map(|ask| ask.told.len()).sum();
-        println!(
-            "{kind:?}: {} asks in {goes} goes, {} ran, {} not run, {} unknown, {} pending, {} unreached; {}",
-            asks.len(),
-            count(Told::Ran),
-            count(Told::NotRun),
-            count(Told::Unknown),
-            count(Told::Pending),
-            count(Told::Unreached),
-            percentiles(took.collect()),
-        );
+/// How many violations are printed one by one.
+const VIOLATIONS_SHOWN: usize = 30;
+
+/// Prints counts and percentiles by kind of traffic, and the violations.
+pub fn print(load: &LoadResults, runs: &[Run], violations: &[String]) {
+    println!("{:.1} s, {} asks, {} runs", load.seconds, load.requests.len(), runs.len());
+    for kind in Kind::ALL {
+        print_kind(kind, &load.requests);
     }
-    let sound = asked.calls.iter().filter(|done| done.sound).count();
-    let took: Vec<f64> = asked.calls.iter().map(|done| done.took_ms()).collect();
-    println!("Coordination: {} calls, {sound} answered; {}", asked.calls.len(), percentiles(took));
-    let direct: Vec<f64> = asked.direct.iter().map(|ask| ask.took_ms).collect();
+    let answered = load.calls.iter().filter(|call| call.answered).count();
+    let took: Vec<f64> = load.calls.iter().map(|call| call.took_ms()).collect();
+    println!(
+        "Coordination: {} calls, {answered} answered; {}",
+        load.calls.len(),
+        percentiles(took)
+    );
+    let direct: Vec<f64> = load.direct.iter().map(|request| request.took_ms).collect();
     if !direct.is_empty() {
         println!("Direct: {} lookups; {}", direct.len(), percentiles(direct));
     }
     println!("{} violations", violations.len());
-    for violation in violations.iter().take(SHOWN) {
+    for violation in violations.iter().take(VIOLATIONS_SHOWN) {
         println!("  {violation}");
     }
 }
 
+fn print_kind(kind: Kind, requests: &[ClientRequest]) {
+    let requests: Vec<_> = requests.iter().filter(|request| request.kind == kind).collect();
+    let count = |outcome: Outcome| {
+        requests.iter().filter(|request| request.outcomes.last() == Some(&outcome)).count()
+    };
+    let ran_at_once = requests.iter().filter(|request| request.outcomes == [Outcome::Ran]);
+    let attempts: usize = requests.iter().map(|request| request.outcomes.len()).sum();
+    println!(
+        "{kind:?}: {} asks in {attempts} goes, {} ran, {} not run, {} unknown, {} pending, {} unreached; {}",
+        requests.len(),
+        count(Outcome::Ran),
+        count(Outcome::NotRun),
+        count(Outcome::Unknown),
+        count(Outcome::Pending),
+        count(Outcome::Unreached),
+        percentiles(ran_at_once.map(|request| request.took_ms).collect()),
+    );
+}
+
 fn percentiles(mut took: Vec<f64>) -> String {
     took.sort_by(f64::total_cmp);
-    let at = |share: f64| {
-        let index = ((took.len() as f64 * share) as usize).min(took.len().saturating_sub(1));
+    let at = |quantile: f64| {
+        let index = ((took.len() as f64 * quantile) as usize).min(took.len().saturating_sub(1));
         took.get(index).copied().unwrap_or(0.0)
     };
     format!("ms p50 {:.1} p90 {:.1} p99 {:.1} max {:.1}", at(0.5), at(0.9), at(0.99), at(1.0))
--- /dev/null
+++ b/tools/load-generator/src/request_ledger.rs
@@ -0,0 +1,165 @@
+//! Compares what clients sent and were told of it with what the targets recorded.
+
+use crate::client::{ClientRequest, Kind, Outcome};
+use crate::{departing_clients, noisy_neighbour};
+use std::collections::{BTreeMap, HashMap};
+use std::io;
+use tools_shared::ExecutionRecord;
+
+/// One execution of a request, as its target recorded it.
+#[derive(Clone, Debug)]
+pub struct Run {
+    /// The request's `X-Id`.
+    pub id: String,
+    /// The target's instance name, which starts with its service.
+    pub instance: String,
+    /// The HTTP method.
+    pub method: String,
+    /// The SHA-256 of the body, in hexadecimal digits.
+    pub digest: String,
+    /// Path and query.
+    pub target: String,
+}
+
+/// How many executions beyond the clients' attempts are allowed.
+pub struct Budget {
+    /// The length of the run.
+    pub seconds: f64,
+    /// Allowed beyond the share of retries, per kind and second.
+    pub allowance: f64,
+    /// Attempts of the noisy neighbours, whose requests are not compared one by one.
+    pub noisy_attempts: usize,
+}
+
+/// One execution beyond the attempts is allowed for so many attempts of a kind.
+const ATTEMPTS_PER_EXTRA_RUN: f64 = 5.0;
+
+/// The attempts of one kind, and the executions beyond them.
+#[derive(Clone, Copy, Default)]
+struct AttemptCount {
+    attempts: usize,
+    extra_runs: usize,
+}
+
+type RunsById<'a> = HashMap<&'a str, Vec<&'a Run>>;
+
+/// Reads the executions from every file of the targets' records.
+///
+/// # Errors
+/// When the folder or a file in it can't be read.
+pub fn read_runs(folder: &str) -> io::Result<Vec<Run>> {
+    let mut runs = Vec::new();
+    for file in std::fs::read_dir(folder)? {
+        let text = std::fs::read_to_string(file?.path())?;
+        for record in text.lines().filter_map(ExecutionRecord::parse) {
+            if let ExecutionRecord::Run { id, instance, method, digest, target, at_ms: _ } = record
+            {
+                runs.push(Run { id, instance, method, digest, target });
+            }
+        }
+    }
+    Ok(runs)
+}
+
+/// Every violation: altered, invented, doubled or falsely reported executions, wrong responses,
+/// and more retries than the budget allows.
+pub fn check(requests: &[ClientRequest], runs: &[Run], budget: &Budget) -> Vec<String> {
+    let mut violations = Vec::new();
+    let by_id = check_runs(requests, runs, &mut violations);
+    for request in requests {
+        let runs = by_id.get(request.id.as_str()).map_or(&[][..], |runs| runs.as_slice());
+        check_request(request, runs, &mut violations);
+    }
+    let noisy_runs = runs.iter().filter(|run| run.id.starts_with(noisy_neighbour::ID_PREFIX));
+    violations.extend(check_budget(requests, &by_id, noisy_runs.count(), budget));
+    violations
+}
+
+/// Whether each execution is of a request that a client sent, unaltered and at its own service.
+fn check_runs<'a>(
+    requests: &[ClientRequest],
+    runs: &'a [Run],
+    violations: &mut Vec<String>,
+) -> RunsById<'a> {
+    let sent: HashMap<&str, &ClientRequest> =
+        requests.iter().map(|request| (request.id.as_str(), request)).collect();
+    let mut by_id = RunsById::new();
+    let is_counted_elsewhere = |run: &Run| {
+        run.id.starts_with(noisy_neighbour::ID_PREFIX)
+            || run.id.starts_with(departing_clients::ID_PREFIX)
+    };
+    for run in runs.iter().filter(|run| !is_counted_elsewhere(run)) {
+        by_id.entry(run.id.as_str()).or_default().push(run);
+        let Some(request) = sent.get(run.id.as_str()) else {
+            violations.push(format!("{} ran {}, which no client sent", run.instance, run.id));
+            continue;
+        };
+        if run.digest != request.digest
+            || run.method != request.method
+            || run.target != request.target
+        {
+            violations.push(format!("{} ran {} altered", run.instance, run.id));
+        }
+        let service = run.instance.split('-').next().unwrap_or_default();
+        if service != request.kind.service() {
+            violations.push(format!("{} ran {}, of another service", run.instance, run.id));
+        }
+    }
+    by_id
+}
+
+/// Whether the outcomes that a client got agree with the executions of its request.
+fn check_request(request: &ClientRequest, runs: &[&Run], violations: &mut Vec<String>) {
+    let (id, outcomes) = (&request.id, &request.outcomes);
+    if request.kind != Kind::Lookup && runs.len() > 1 {
+        let instances: Vec<&str> = runs.iter().map(|run| run.instance.as_str()).collect();
+        violations.push(format!("{id} ran {} times: {}", runs.len(), instances.join(", ")));
+    }
+    let not_run = match request.kind {
+        Kind::Lookup => outcomes.iter().all(|outcome| *outcome == Outcome::NotRun),
+        _ => matches!(outcomes.last(), Some(Outcome::NotRun)),
+    };
+    if not_run && !outcomes.is_empty() && !runs.is_empty() {
+        violations.push(format!("{id} was told not run, but {} ran it", runs[0].instance));
+    }
+    if outcomes.contains(&Outcome::Ran) && runs.is_empty() {
+        violations.push(format!("{id} was told a success no target gave"));
+    }
+    if let Some(wrong) = &request.wrong {
+        violations.push(format!("{id}: {wrong}"));
+    }
+}
+
+/// Whether each kind's executions beyond the clients' attempts keep within the retry budget.
+fn check_budget(
+    requests: &[ClientRequest],
+    by_id: &RunsById<'_>,
+    noisy_runs: usize,
+    budget: &Budget,
+) -> Vec<String> {
+    let mut counts: BTreeMap<Kind, AttemptCount> = BTreeMap::new();
+    for request in requests {
+        let runs = by_id.get(request.id.as_str()).map_or(0, Vec::len);
+        let count = counts.entry(request.kind).or_default();
+        count.attempts += request.outcomes.len();
+        count.extra_runs += runs.saturating_sub(request.outcomes.len());
+    }
+    let lookups = counts.entry(Kind::Lookup).or_default();
+    lookups.attempts += budget.noisy_attempts;
+    lookups.extra_runs += noisy_runs.saturating_sub(budget.noisy_attempts);
+    let shown: Vec<String> = counts
+        .iter()
+        .map(|(kind, count)| format!("{kind:?}: ({}, {})", count.attempts, count.extra_runs))
+        .collect();
+    println!("Extra tries beyond asks at targets: {{{}}}", shown.join(", "));
+    let over = counts.into_iter().filter_map(|(kind, AttemptCount { attempts, extra_runs })| {
+        let allowed = attempts as f64 / ATTEMPTS_PER_EXTRA_RUN + budget.allowance * budget.seconds;
+        (extra_runs as f64 > allowed).then(|| {
+            format!("{kind:?}: {extra_runs} extra tries for {attempts} asks, over {allowed:.0}")
+        })
+    });
+    over.collect()
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/tools/load-generator/src/workload.rs
@@ -0,0 +1,200 @@
+//! The scheduled load: an open loop in which each item is sent at its due time, whether or not
+//! earlier ones have ended.
+
+use crate::cli::Cli;
+use crate::client::{ClientRequest, Kind, Outcome, agent};
+use crate::coordination_calls::{Caller, CompletedCall, LockOwners};
+use crate::nodes::Nodes;
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+use tools_shared::mix;
+use ureq::Agent;
+
+/// Lookups a second past the gateway.
+const DIRECT_PER_S: f64 = 10.0;
+/// The attempts of a request where no retry storm is wanted.
+const MAX_ATTEMPTS: u32 = 4;
+/// The wait between two attempts where no retry storm is wanted.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
+
+/// All that the scheduled load's clients sent and got.
+#[derive(Default)]
+pub struct LoadResults {
+    /// Requests through the gateway.
+    pub requests: Vec<ClientRequest>,
+    /// Coordination calls.
+    pub calls: Vec<CompletedCall>,
+    /// Lookups past the gateway.
+    pub direct: Vec<ClientRequest>,
+    /// How long it took.
+    pub seconds: f64,
+}
+
+#[derive(Clone, Copy)]
+enum Work {
+    Request(Kind),
+    /// A lookup past the gateway, to compare.
+    Direct,
+    Call,
+}
+
+struct ScheduledWork {
+    due_s: f64,
+    work: Work,
+}
+
+/// The load in the order of its due times; workers take one item after another.
+struct Schedule {
+    items: Vec<ScheduledWork>,
+    next: AtomicU64,
+}
+
+impl Schedule {
+    fn new(cli: &Cli) -> Schedule {
+        let rates = [
+            (cli.lookups, Work::Request(Kind::Lookup)),
+            (cli.postings, Work::Request(Kind::Posting)),
+            (cli.uploads, Work::Request(Kind::Upload)),
+            (cli.calls, Work::Call),
+            (if cli.direct.is_some() { DIRECT_PER_S } else { 0.0 }, Work::Direct),
+        ];
+        let mut items = Vec::new();
+        for (stream, (rate, work)) in rates.into_iter().enumerate() {
+            let count = (rate * cli.seconds as f64) as u64;
+            for index in 0..count {
+                let jitter =
+                    (mix(cli.seed ^ (index << 3) ^ stream as u64) % 1_000) as f64 / 1_000.0;
+                items.push(ScheduledWork { due_s: (index as f64 + jitter) / rate, work });
+            }
+        }
+        items.sort_by(|a, b| a.due_s.total_cmp(&b.due_s));
+        Schedule { items, next: AtomicU64::new(0) }
+    }
+
+    /// The next item and its number.
+    fn take(&self) -> Option<(u64, &ScheduledWork)> {
+        let number = self.next.fetch_add(1, Relaxed);
+        self.items.get(number as usize).map(|item| (number, item))
+    }
+}
+
+/// Sends the load with the command line's number of workers, and returns after its end.
+pub fn run(cli: &Arc<Cli>, nodes: &Arc<Nodes>) -> LoadResults {
+    let schedule = Arc::new(Schedule::new(cli));
+    let results = Arc::new(Mutex::new(LoadResults::default()));
+    let lock_owners = Arc::new(LockOwners::default());
+    let start = Instant::now();
+    let workers: Vec<_> = (0..cli.workers)
+        .map(|_| {
+            let (cli, nodes, schedule) = (cli.clone(), nodes.clone(), schedule.clone());
+            let (results, lock_owners) = (results.clone(), lock_owners.clone());
+            thread::spawn(move || {
+                let agent = agent();
+                let worker =
+                    Worker { cli: &cli, nodes: &nodes, agent: &agent, lock_owners: &lock_owners };
+                let mut own = worker.run(&schedule, start);
+                if let Ok(mut all) = results.lock() {
+                    all.requests.append(&mut own.requests);
+                    all.calls.append(&mut own.calls);
+                    all.direct.append(&mut own.direct);
+                }
+            })
+        })
+        .collect();
+    for worker in workers {
+        let _ = worker.join();
+    }
+    let mut all = results.lock().map(|mut all| std::mem::take(&mut *all)).unwrap_or_default();
+    all.seconds = start.elapsed().as_secs_f64();
+    all
+}
+
+/// One thread of the load.
+struct Worker<'a> {
+    cli: &'a Cli,
+    nodes: &'a Nodes,
+    agent: &'a Agent,
+    lock_owners: &'a LockOwners,
+}
+
+impl Worker<'_> {
+    fn run(&self, schedule: &Schedule, start: Instant) -> LoadResults {
+        let mut results = LoadResults::default();
+        let caller = Caller { nodes: self.nodes, agent: self.agent, lock_owners: self.lock_owners };
+        while let Some((number, item)) = schedule.take() {
+            let due = Duration::from_secs_f64(item.due_s);
+            thread::sleep(due.saturating_sub(start.elapsed()));
+            let seed = mix(self.cli.seed ^ (number << 8));
+            match item.work {
+                Work::Request(kind) => results.requests.push(self.request(kind, number, seed)),
+                Work::Direct => results.direct.extend(self.direct(number)),
+                Work::Call => results.calls.extend(caller.call(seed)),
+            }
+        }
+        results
+    }
+
+    /// A lookup that is sent straight to a target by the same client.
+    fn direct(&self, number: u64) -> Option<ClientRequest> {
+        let address = self.cli.direct.as_deref()?;
+        let id = format!("{:x}-direct-{number}", self.cli.seed);
+        let mut request = ClientRequest::lookup(id, number);
+        let start = Instant::now();
+        request.attempt(self.agent, address, &[]);
+        request.took_ms = start.elapsed().as_secs_f64() * 1_000.0;
+        Some(request)
+    }
+
+    /// A request through the gateway with all its attempts.
+    fn request(&self, kind: Kind, number: u64, seed: u64) -> ClientRequest {
+        let id = format!("{:x}-{number}", self.cli.seed);
+        let (mut request, body) = self.new_request(kind, id, seed);
+        let is_keyed = kind != Kind::Lookup && seed & 1 == 0;
+        request.key = is_keyed.then(|| request.id.clone());
+        let start = Instant::now();
+        let storm = self.cli.storm > 0;
+        let max_attempts = if storm { self.cli.storm } else { MAX_ATTEMPTS };
+        for turn in 0..max_attempts {
+            match self.nodes.pick(seed.wrapping_add(u64::from(turn))) {
+                Some(node) => request.attempt(self.agent, node, &body),
+                None => request.outcomes.push(Outcome::Unreached),
+            }
+            if turn == 0 {
+                request.took_ms = start.elapsed().as_secs_f64() * 1_000.0;
+            }
+            let is_retried = match request.outcomes.last() {
+                Some(Outcome::Ran) => false,
+                Some(Outcome::NotRun) => storm && kind == Kind::Lookup,
+                Some(Outcome::Unreached) => true,
+                _ => is_keyed || kind == Kind::Lookup && storm,
+            };
+            if !is_retried {
+                break;
+            }
+            if !storm {
+                thread::sleep(RETRY_PAUSE);
+            }
+        }
+        request
+    }
+
+    /// A request of this kind that was not sent yet, and its body.
+    fn new_request(&self, kind: Kind, id: String, seed: u64) -> (ClientRequest, Vec<u8>) {
+        let (method, target, body) = match kind {
+            Kind::Lookup => return (ClientRequest::lookup(id, seed), Vec::new()),
+            Kind::Posting => {
+                let body = format!("{{\"id\":\"{id}\",\"amount\":{}}}", seed % 1_000);
+                ("POST", "/transfers".to_string(), body.into_bytes())
+            }
+            Kind::Upload => {
+                let body = (0..self.cli.upload_bytes)
+                    .map(|byte| (mix(byte as u64 / 64) ^ seed) as u8)
+                    .collect();
+                ("PUT", format!("/photos/{id}"), body)
+            }
+        };
+        (ClientRequest::new(id, kind, method, target, &body), body)
+    }
+}
