--- a/tools/stand-ins/src/main.rs
+++ b/tools/stand-ins/src/main.rs
@@ -1,10 +1,14 @@
-//! Stand-ins for what surrounds the gateway: a target, and the platform's list of targets.
+//! Stand-ins for what surrounds the gateway: a target, and the platform's endpoint list.
 
-mod fault;
-mod list;
+#![deny(missing_docs)]
+
+mod endpoint_list;
+mod error;
+mod fault_plan;
+mod http;
 mod target;
-mod wire;
 
+use error::StandInError;
 use gumdrop::Options;
 use std::process::ExitCode;
 
@@ -20,16 +24,16 @@
 #[derive(Debug, Options)]
 enum Command {
     #[options(help = "a target that records what it runs")]
-    Target(target::Place),
+    Target(target::TargetOptions),
     #[options(help = "the platform's list: paged, slow, rate-limited")]
-    List(list::Place),
+    List(endpoint_list::ListOptions),
 }
 
 fn main() -> ExitCode {
     let ended = match Cli::parse_args_default_or_exit().command {
-        Some(Command::Target(place)) => target::run(place),
-        Some(Command::List(place)) => list::run(place),
-        None => Err("a command is needed; --help lists them".into()),
+        Some(Command::Target(options)) => target::run(options),
+        Some(Command::List(options)) => endpoint_list::run(options),
+        None => Err(StandInError::NoCommand),
     };
     match ended {
         Ok(()) => ExitCode::SUCCESS,
--- a/tools/stand-ins/src/target.rs
+++ b/tools/stand-ins/src/target.rs
@@ -1,19 +1,26 @@
-use crate::fault::{Fault, Faults};
-use crate::wire::{Ask, read, write};
+//! A target that records each execution, and answers wrongly where its faults say so.
+
+use crate::error::StandInError;
+use crate::fault_plan::FaultPlan;
+use crate::http::{HttpRequest, read, write};
 use facet::Facet;
 use gumdrop::Options;
 use postbarrow_constants::traffic::PROOF_PATH;
-use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
-use std::time::Duration;
+use std::time::{Duration, Instant};
+use tools_shared::{ExecutionRecord, TargetFault, WorkEnd, sha256_hex, wall_ms};
+
+/// How often a long work checks whether its connection ended.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
+// The options of the command `target`; a doc comment would be printed in its help.
 #[derive(Debug, Options)]
-pub struct Place {
+pub struct TargetOptions {
     #[options(help = "print help")]
     help: bool,
     #[options(help = "address to listen on", meta = "IP:PORT", required, no_short)]
@@ -36,16 +43,19 @@
     seed: u64,
 }
 
+/// What a target proves of itself.
 #[derive(Facet)]
-struct Proof {
+struct TargetIdentity {
     instance: String,
     service: String,
     labels: BTreeMap<String, String>,
-    occupancy: u64,
+    #[facet(rename = "occupancy")]
+    in_flight: u64,
 }
 
+/// The body of a success.
 #[derive(Facet)]
-struct Ran {
+struct SuccessBody {
     id: String,
     instance: String,
     digest: String,
@@ -53,174 +63,161 @@
 }
 
 struct Target {
-    place: Place,
+    options: TargetOptions,
     labels: BTreeMap<String, String>,
     records: File,
-    faults: Faults,
-    occupancy: AtomicU64,
+    faults: FaultPlan,
+    in_flight: AtomicU64,
 }
 
-pub fn run(place: Place) -> Result<(), String> {
-    let listener = TcpListener::bind(&place.http).map_err(|error| error.to_string())?;
-    let records = OpenOptions::new().create(true).append(true).open(&place.records);
-    let labels = place.label.iter().filter_map(|label| label.split_once('='));
+/// Serves requests until the process is ended.
+///
+/// # Errors
+/// When the address can't be listened on, the records can't be opened or a fault isn't known.
+pub fn run(options: TargetOptions) -> Result<(), StandInError> {
+    let listener = TcpListener::bind(&options.http).map_err(StandInError::Listen)?;
+    let records = OpenOptions::new().create(true).append(true).open(&options.records);
+    let labels = options.label.iter().filter_map(|label| label.split_once('='));
     let target = Arc::new(Target {
         labels: labels.map(|(name, value)| (name.to_string(), value.to_string())).collect(),
-        records: records.map_err(|error| format!("{}: {error}", place.records))?,
-        faults: Faults::read(&place.faults, place.per_mille, place.seed)?,
-        occupancy: AtomicU64::new(0),
-        place,
+        records: records
+            .map_err(|source| StandInError::Records { file: options.records.clone(), source })?,
+        faults: FaultPlan::parse(&options.faults, options.per_mille, options.seed)?,
+        in_flight: AtomicU64::new(0),
+        options,
     });
     for stream in listener.incoming().flatten() {
         let target = target.clone();
-        std::thread::spawn(move || serve(&target, stream));
+        std::thread::spawn(move || target.serve(stream));
     }
     Ok(())
 }
 
-fn serve(target: &Target, mut stream: TcpStream) {
-    let _ = stream.set_nodelay(true);
-    let mut buffer = Vec::new();
-    while let Ok(Some(ask)) = read(&mut stream, &mut buffer) {
-        if one(target, &mut stream, &ask).is_err() {
-            return;
+impl Target {
+    fn serve(&self, mut stream: TcpStream) {
+        let _ = stream.set_nodelay(true);
+        let mut buffer = Vec::new();
+        while let Ok(Some(request)) = read(&mut stream, &mut buffer) {
+            if self.answer(&mut stream, &request).is_err() {
+                return;
+            }
         }
     }
-}
 
-fn one(target: &Target, stream: &mut TcpStream, ask: &Ask) -> io::Result<()> {
-    if ask.target == PROOF_PATH {
-        let proof = Proof {
-            instance: target.place.instance.clone(),
-            service: target.place.service.clone(),
-            labels: target.labels.clone(),
-            occupancy: target.occupancy.load(Relaxed),
-        };
-        return write(stream, 200, "-", &facet_json::to_vec(&proof).unwrap_or_default());
+    /// An error closes the connection.
+    fn answer(&self, stream: &mut TcpStream, request: &HttpRequest) -> io::Result<()> {
+        if request.target == PROOF_PATH {
+            let identity = TargetIdentity {
+                instance: self.options.instance.clone(),
+                service: self.options.service.clone(),
+                labels: self.labels.clone(),
+                in_flight: self.in_flight.load(Relaxed),
+            };
+            return write(stream, 200, "-", &facet_json::to_vec(&identity).unwrap_or_default());
+        }
+        self.in_flight.fetch_add(1, Relaxed);
+        let ended = self.execute(stream, request);
+        self.in_flight.fetch_sub(1, Relaxed);
+        ended
     }
-    target.occupancy.fetch_add(1, Relaxed);
-    let ended = work(target, stream, ask);
-    target.occupancy.fetch_sub(1, Relaxed);
-    ended
-}
 
-/// How often a long work looks whether its connection ended.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
-
-/// How a long work ended.
-enum LongWork {
-    Whole,
-    /// Its connection ended first.
-    Dropped,
-    /// This target broke, as it was told to.
-    Broke,
-}
-
-/// Works for as long as the request asks for, unless its connection ends, or it is to break before.
-fn work_long(stream: &TcpStream, ask: &Ask, work_ms: u64) -> LongWork {
-    let given = |name: &str| ask.header(name).and_then(|text| text.parse::<u64>().ok());
-    let breaks_ms = given("x-break-ms").unwrap_or(u64::MAX);
-    let began = std::time::Instant::now();
-    loop {
-        let worked_ms = began.elapsed().as_millis() as u64;
-        if has_ended(stream) {
-            return LongWork::Dropped;
-        }
-        if worked_ms >= breaks_ms {
-            return LongWork::Broke;
+    /// Runs the request as often as its fault wants, works, and responds.
+    fn execute(&self, stream: &mut TcpStream, request: &HttpRequest) -> io::Result<()> {
+        let id = request.header("x-id").unwrap_or("-").to_string();
+        let digest = sha256_hex(&request.body);
+        let fault = self.faults.draw();
+        let runs = match fault {
+            Some(TargetFault::FalseSuccess) => 0,
+            Some(TargetFault::DoubleRun) => 2,
+            _ => 1,
+        };
+        for _ in 0..runs {
+            self.record(&ExecutionRecord::Run {
+                id: id.clone(),
+                instance: self.options.instance.clone(),
+                method: request.method.clone(),
+                digest: digest.clone(),
+                target: request.target.clone(),
+                at_ms: Some(wall_ms()),
+            })?;
         }
-        if worked_ms >= work_ms {
-            return LongWork::Whole;
+        if self.work(stream, request, &id)? != WorkEnd::Complete {
+            return Err(io::ErrorKind::ConnectionAborted.into());
         }
-        std::thread::sleep(LOOK_EVERY);
+        let pad = "p".repeat(id.bytes().map(usize::from).sum::<usize>() % 4_096);
+        let success = SuccessBody { id, instance: self.options.instance.clone(), digest, pad };
+        respond(stream, fault, &facet_json::to_vec(&success).unwrap_or_default())
     }
-}
 
-fn has_ended(stream: &TcpStream) -> bool {
-    if stream.set_nonblocking(true).is_err() {
-        return true;
-    }
-    let seen = stream.peek(&mut [0]);
-    let _ = stream.set_nonblocking(false);
-    match seen {
-        Ok(length) => length == 0,
-        Err(error) => error.kind() != io::ErrorKind::WouldBlock,
+    /// Works for as long as the request wants, which is recorded, or for as long as usual.
+    fn work(&self, stream: &TcpStream, request: &HttpRequest, id: &str) -> io::Result<WorkEnd> {
+        let Some(work_ms) = request.number("x-work-ms") else {
+            std::thread::sleep(Duration::from_millis(self.options.work_ms));
+            return Ok(WorkEnd::Complete);
+        };
+        let end = work_long(stream, request, work_ms);
+        self.record(&ExecutionRecord::Ended { id: id.into(), end, at_ms: Some(wall_ms()) })?;
+        Ok(end)
     }
-}
 
-/// Whether the request's long work came to its end; how it ended is recorded.
-fn long_work_is_whole(
-    target: &Target,
-    stream: &TcpStream,
-    ask: &Ask,
-    id: &str,
-) -> io::Result<bool> {
-    let Some(work_ms) = ask.header("x-work-ms").and_then(|text| text.parse().ok()) else {
-        std::thread::sleep(Duration::from_millis(target.place.work_ms));
-        return Ok(true);
-    };
-    let ended = work_long(stream, ask, work_ms);
-    let how = match ended {
-        LongWork::Whole => "whole",
-        LongWork::Dropped => "dropped",
-        LongWork::Broke => "broke",
-    };
-    (&target.records).write_all(format!("ended {id} {how} {}\n", wall_ms()).as_bytes())?;
-    Ok(matches!(ended, LongWork::Whole))
+    fn record(&self, record: &ExecutionRecord) -> io::Result<()> {
+        (&self.records).write_all(format!("{record}\n").as_bytes())
+    }
 }
 
-fn work(target: &Target, stream: &mut TcpStream, ask: &Ask) -> io::Result<()> {
-    let id = ask.header("x-id").unwrap_or("-").to_string();
-    let digest = hex(&Sha256::digest(&ask.body));
-    let fault = target.faults.draw();
-    let runs = match fault {
-        Fault::Lie => 0,
-        Fault::Double => 2,
-        _ => 1,
-    };
-    for _ in 0..runs {
-        let (instance, at_ms) = (&target.place.instance, wall_ms());
-        let line = format!("{id} {instance} {} {digest} {} {at_ms}\n", ask.method, ask.target);
-        (&target.records).write_all(line.as_bytes())?;
-    }
-    if !long_work_is_whole(target, stream, ask, &id)? {
-        return Err(io::ErrorKind::ConnectionAborted.into());
-    }
-    let pad = "p".repeat(id.bytes().map(usize::from).sum::<usize>() % 4_096);
-    let ran = Ran { id, instance: target.place.instance.clone(), digest, pad };
-    let body = facet_json::to_vec(&ran).unwrap_or_default();
-    let whole = hex(&Sha256::digest(&body));
-    let ended: io::Result<()> = Err(io::ErrorKind::ConnectionAborted.into());
+/// Responds with this body, or as the fault wants.
+fn respond(stream: &mut TcpStream, fault: Option<TargetFault>, body: &[u8]) -> io::Result<()> {
+    let digest = sha256_hex(body);
     match fault {
-        Fault::Lost => ended,
-        Fault::Garbage => {
-            stream.write_all(b"\x16\x03\x01 not http\r\n\r\n")?;
-            ended
-        }
-        Fault::Cut => {
+        Some(TargetFault::Lost) => {}
+        Some(TargetFault::Garbage) => stream.write_all(b"\x16\x03\x01 not http\r\n\r\n")?,
+        Some(TargetFault::Truncated) => {
             let length = body.len();
             write!(
                 stream,
-                "HTTP/1.1 200 OK\r\nX-Digest: {whole}\r\nContent-Length: {length}\r\n\r\n"
+                "HTTP/1.1 200 OK\r\nX-Digest: {digest}\r\nContent-Length: {length}\r\n\r\n"
             )?;
             stream.write_all(&body[..length / 2])?;
-            ended
         }
-        Fault::Endless => {
-            write!(stream, "HTTP/1.1 200 OK\r\nX-Digest: {whole}\r\nConnection: close\r\n\r\n")?;
+        Some(TargetFault::Unterminated) => {
+            write!(stream, "HTTP/1.1 200 OK\r\nX-Digest: {digest}\r\nConnection: close\r\n\r\n")?;
             stream.write_all(&body[..body.len() / 2])?;
-            ended
         }
-        _ => write(stream, 200, &whole, &body),
+        Some(TargetFault::FalseSuccess | TargetFault::DoubleRun) | None => {
+            return write(stream, 200, &digest, body);
+        }
     }
+    Err(io::ErrorKind::ConnectionAborted.into())
 }
 
-fn wall_ms() -> u128 {
-    std::time::SystemTime::now()
-        .duration_since(std::time::UNIX_EPOCH)
-        .map_or(0, |since| since.as_millis())
+/// Works for `work_ms`, unless the connection ends or the request wants a break before.
+fn work_long(stream: &TcpStream, request: &HttpRequest, work_ms: u64) -> WorkEnd {
+    let break_ms = request.number("x-break-ms").unwrap_or(u64::MAX);
+    let start = Instant::now();
+    loop {
+        let worked_ms = start.elapsed().as_millis() as u64;
+        if has_ended(stream) {
+            return WorkEnd::Dropped;
+        }
+        if worked_ms >= break_ms {
+            return WorkEnd::Broke;
+        }
+        if worked_ms >= work_ms {
+            return WorkEnd::Complete;
+        }
+        std::thread::sleep(CHECK_INTERVAL);
+    }
 }
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+/// Whether the peer has closed the connection or it failed.
+fn has_ended(stream: &TcpStream) -> bool {
+    if stream.set_nonblocking(true).is_err() {
+        return true;
+    }
+    let peeked = stream.peek(&mut [0]);
+    let _ = stream.set_nonblocking(false);
+    match peeked {
+        Ok(length) => length == 0,
+        Err(error) => error.kind() != io::ErrorKind::WouldBlock,
+    }
 }
