--- a/tools/fleet-runner/src/relay.rs
+++ b/tools/fleet-runner/src/relay.rs
@@ -1,3 +1,6 @@
+//! TCP relays between the processes: each process is reached through its own, which delays
+//! messages from zone to zone and drops those that a partition separates.
+
 use postbarrow_messages::read_frame;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read, Write};
@@ -7,50 +10,75 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Which links carry, and how far apart the zones are.
+const CHUNK_BYTES: usize = 64 * 1024;
+
+/// A direction from one process to another, by their advertised addresses.
+pub type Link = (SocketAddr, SocketAddr);
+
+/// Which links work, and how far apart the zones are.
 #[derive(Default)]
-pub struct Rules {
+pub struct RelayRules {
+    /// The zone of each process.
     pub zones: BTreeMap<SocketAddr, String>,
-    pub cut: BTreeSet<(SocketAddr, SocketAddr)>,
-    /// Addresses nobody reaches: targets of a zone that is cut off.
-    pub dark: BTreeSet<SocketAddr>,
+    /// Links that carry nothing.
+    pub cut: BTreeSet<Link>,
+    /// Targets that nobody reaches, as those of an isolated zone.
+    pub unreachable: BTreeSet<SocketAddr>,
+    /// How long a message takes from zone to zone.
     pub zone_delay: Duration,
 }
 
-/// Small TCP relays between the processes: each process is reached through its own.
+/// A frame on its way.
+struct DelayedFrame {
+    due: Instant,
+    bytes: Vec<u8>,
+}
+
+/// All relays of a fleet, under the same rules.
 #[derive(Clone, Default)]
 pub struct Relays {
-    rules: Arc<RwLock<Rules>>,
+    rules: Arc<RwLock<RelayRules>>,
 }
 
-const CHUNK: usize = 64 * 1024;
-
 impl Relays {
-    pub fn rule(&self, change: impl FnOnce(&mut Rules)) {
+    /// Changes the rules for what is carried from now on.
+    pub fn change_rules(&self, change: impl FnOnce(&mut RelayRules)) {
         if let Ok(mut rules) = self.rules.write() {
             change(&mut rules);
         }
     }
 
-    /// Frames for this process: the first of a connection tells who sends.
-    pub fn frames(&self, told: SocketAddr, bound: SocketAddr, zone: &str) -> io::Result<()> {
-        self.rule(|rules| {
-            rules.zones.insert(told, zone.to_string());
+    /// Relays messages from the address that a process advertises to the one it listens on; the
+    /// first message of a connection names its sender.
+    ///
+    /// # Errors
+    /// When the advertised address can't be listened on.
+    pub fn relay_frames(
+        &self,
+        advertised: SocketAddr,
+        bound: SocketAddr,
+        zone: &str,
+    ) -> io::Result<()> {
+        self.change_rules(|rules| {
+            rules.zones.insert(advertised, zone.to_string());
         });
-        let listener = TcpListener::bind(told)?;
+        let listener = TcpListener::bind(advertised)?;
         let relays = self.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let relays = relays.clone();
-                thread::spawn(move || relays.carry(stream, told, bound));
+                thread::spawn(move || relays.carry_frames(stream, advertised, bound));
             }
         });
         Ok(())
     }
 
-    /// Bytes for a target, both ways, unless it is dark.
-    pub fn bytes(&self, told: SocketAddr, bound: SocketAddr) -> io::Result<()> {
-        let listener = TcpListener::bind(told)?;
+    /// Relays bytes to and from a target, unless it is unreachable.
+    ///
+    /// # Errors
+    /// When the advertised address can't be listened on.
+    pub fn relay_bytes(&self, advertised: SocketAddr, bound: SocketAddr) -> io::Result<()> {
+        let listener = TcpListener::bind(advertised)?;
         let relays = self.clone();
         thread::spawn(move || {
             for near in listener.incoming().flatten() {
@@ -59,51 +87,53 @@
                 for (from, to) in [(&near, &far), (&far, &near)] {
                     let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else { continue };
                     let relays = relays.clone();
-                    thread::spawn(move || relays.pump(from, to, told));
+                    thread::spawn(move || relays.carry_bytes(from, to, advertised));
                 }
             }
         });
         Ok(())
     }
 
-    fn pump(&self, mut from: TcpStream, mut to: TcpStream, told: SocketAddr) {
-        let mut part = vec![0; CHUNK];
-        while let Ok(length @ 1..) = from.read(&mut part) {
-            let dark = self.rules.read().is_ok_and(|rules| rules.dark.contains(&told));
-            if !dark && to.write_all(&part[..length]).is_err() {
+    fn carry_bytes(&self, mut from: TcpStream, mut to: TcpStream, target: SocketAddr) {
+        let mut chunk = vec![0; CHUNK_BYTES];
+        while let Ok(length @ 1..) = from.read(&mut chunk) {
+            let is_unreachable =
+                self.rules.read().is_ok_and(|rules| rules.unreachable.contains(&target));
+            if !is_unreachable && to.write_all(&chunk[..length]).is_err() {
                 break;
             }
         }
         let _ = to.shutdown(std::net::Shutdown::Write);
     }
 
-    fn carry(&self, mut stream: TcpStream, told: SocketAddr, bound: SocketAddr) {
+    fn carry_frames(&self, mut stream: TcpStream, to: SocketAddr, bound: SocketAddr) {
         let (frames, queue) = channel();
         thread::spawn(move || deliver(bound, &queue));
-        let mut from = None;
-        while let Ok(frame) = raw(&mut stream) {
-            if from.is_none() {
-                from = read_frame(&mut &frame[..]).ok().map(|envelope| envelope.from);
+        let mut sender = None;
+        while let Ok(bytes) = read_raw_frame(&mut stream) {
+            if sender.is_none() {
+                sender = read_frame(&mut &bytes[..]).ok().map(|envelope| envelope.from);
             }
-            let Some(wait) = from.and_then(|from| self.wait(from, told)) else { continue };
-            if frames.send((Instant::now() + wait, frame)).is_err() {
+            let Some(delay) = sender.and_then(|sender| self.delay(sender, to)) else { continue };
+            if frames.send(DelayedFrame { due: Instant::now() + delay, bytes }).is_err() {
                 return;
             }
         }
     }
 
-    /// How long a frame is under way; None if the link is cut.
-    fn wait(&self, from: SocketAddr, to: SocketAddr) -> Option<Duration> {
+    /// How long a frame is on its way; `None` if the link is cut.
+    fn delay(&self, from: SocketAddr, to: SocketAddr) -> Option<Duration> {
         let rules = self.rules.read().ok()?;
         if rules.cut.contains(&(from, to)) {
             return None;
         }
-        let near = rules.zones.get(&from) == rules.zones.get(&to);
-        Some(if near { Duration::ZERO } else { rules.zone_delay })
+        let is_same_zone = rules.zones.get(&from) == rules.zones.get(&to);
+        Some(if is_same_zone { Duration::ZERO } else { rules.zone_delay })
     }
 }
 
-fn raw(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
+/// A frame with its length prefix, undecoded.
+fn read_raw_frame(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
     let mut head = [0; 4];
     stream.read_exact(&mut head)?;
     let mut frame = head.to_vec();
@@ -112,12 +142,12 @@
     if read as u64 == length { Ok(frame) } else { Err(io::ErrorKind::UnexpectedEof.into()) }
 }
 
-fn deliver(bound: SocketAddr, queue: &Receiver<(Instant, Vec<u8>)>) {
+fn deliver(bound: SocketAddr, queue: &Receiver<DelayedFrame>) {
     let Ok(mut stream) = TcpStream::connect(bound) else { return };
     let _ = stream.set_nodelay(true);
-    while let Ok((due, frame)) = queue.recv() {
-        thread::sleep(due.saturating_duration_since(Instant::now()));
-        if stream.write_all(&frame).is_err() {
+    while let Ok(frame) = queue.recv() {
+        thread::sleep(frame.due.saturating_duration_since(Instant::now()));
+        if stream.write_all(&frame.bytes).is_err() {
             return;
         }
     }
--- /dev/null
+++ b/tools/fleet-runner/src/target_faults.rs
@@ -0,0 +1,105 @@
+//! Faults of targets and of the platform's endpoint list.
+
+use crate::deployment::zone;
+use crate::error::FleetError;
+use crate::fault_results::Drain;
+use crate::fleet::Fleet;
+use std::thread::sleep;
+use std::time::Duration;
+use tools_shared::wall_ms;
+
+impl Fleet {
+    /// A target that is listed and not draining, of this service if one is named.
+    fn draw_target(&self, seed: u64, service: Option<&str>) -> Result<String, FleetError> {
+        let rows: Vec<_> = self
+            .list
+            .rows
+            .values()
+            .filter(|row| !row.draining && service.is_none_or(|service| row.service == service))
+            .collect();
+        let row = rows.get(seed as usize % rows.len().max(1));
+        row.map(|row| row.instance.clone()).ok_or(FleetError::NoTarget)
+    }
+
+    fn end_target(&mut self, instance: &str) {
+        if let Some(target) = self.targets.get_mut(instance) {
+            target.kill();
+        }
+    }
+
+    /// Ends a target, takes it off the list, and adds another of its service.
+    fn replace_target(&mut self, instance: &str) -> Result<(), FleetError> {
+        self.end_target(instance);
+        let Some(row) = self.list.rows.remove(instance) else { return Ok(()) };
+        self.list.write()?;
+        self.add_target(&row.service, &row.zone, None).map(|_| ())
+    }
+
+    /// A target is listed as draining, and replaced after a while.
+    ///
+    /// # Errors
+    /// When there is no target, or it can't be replaced.
+    pub fn drain_target(&mut self, seed: u64, drains: &mut Vec<Drain>) -> Result<(), FleetError> {
+        let instance = self.draw_target(seed, None)?;
+        if let Some(row) = self.list.rows.get_mut(&instance) {
+            row.draining = true;
+        }
+        self.list.write()?;
+        drains.push(Drain { instance: instance.clone(), listed_ms: wall_ms() });
+        sleep(Duration::from_millis(3_000));
+        self.replace_target(&instance)
+    }
+
+    /// A target ends at once, and is replaced after a while.
+    ///
+    /// # Errors
+    /// When there is no target, or it can't be replaced.
+    pub fn kill_target(&mut self, seed: u64) -> Result<(), FleetError> {
+        let instance = self.draw_target(seed, None)?;
+        self.end_target(&instance);
+        sleep(Duration::from_millis(1_500));
+        self.replace_target(&instance)
+    }
+
+    /// A target stops working for a while, with its connections open.
+    ///
+    /// # Errors
+    /// When there is no target.
+    pub fn freeze_target(&mut self, seed: u64) -> Result<(), FleetError> {
+        let instance = self.draw_target(seed, None)?;
+        let target = self.targets.get(&instance).ok_or(FleetError::NoSuch("target"))?;
+        target.signal(libc::SIGSTOP);
+        sleep(Duration::from_millis(3_000));
+        target.signal(libc::SIGCONT);
+        Ok(())
+    }
+
+    /// A ledger ends, and a photo store takes its address before the list shows it.
+    ///
+    /// # Errors
+    /// When there is no ledger, or a target can't be started.
+    pub fn reuse_address(&mut self, seed: u64) -> Result<(), FleetError> {
+        let ledger = self.draw_target(seed, Some("ledger"))?;
+        let Some(row) = self.list.rows.get(&ledger).cloned() else { return Ok(()) };
+        self.end_target(&ledger);
+        let successor = self.add_target("photos", &row.zone, Some(row.address.clone()))?;
+        let unlisted = self.list.rows.remove(&successor);
+        self.list.write()?;
+        sleep(Duration::from_millis(1_500));
+        self.list.rows.remove(&ledger);
+        self.list.rows.extend(unlisted.map(|row| (successor, row)));
+        self.list.write()?;
+        self.add_target("ledger", zone(seed as usize), None).map(|_| ())
+    }
+
+    /// The endpoint list has a fault for a while, named as the stand-in list reads it.
+    ///
+    /// # Errors
+    /// When the file that names it can't be written.
+    pub fn disturb_list(&self, fault: &str, for_ms: u64) -> Result<(), FleetError> {
+        let file = format!("{}/trouble", self.launcher.folder);
+        std::fs::write(&file, fault)?;
+        sleep(Duration::from_millis(for_ms));
+        Ok(std::fs::write(&file, "")?)
+    }
+}
