--- a/examples/replicated-sum/src/lib.rs
+++ b/examples/replicated-sum/src/lib.rs
@@ -1,5 +1,8 @@
-//! A small replicated state of one's own, outside the daemons: a sum that three members keep, on
-//! postbarrow's log, disk and links. One thread owns each member and works through its queue.
+//! A small replicated state machine outside the daemons: a sum that three members replicate, on
+//! postbarrow's consensus, storage and transport. Each member is owned by one thread, which works
+//! through its queue of commands.
+
+#![deny(missing_docs)]
 
 use postbarrow_consensus::{
     Consensus, Effect, Entry, Input, Member, Payload, RecoveredState, Snapshot, Write,
@@ -16,88 +19,109 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
+/// The log is compacted into a snapshot after so many entries.
+const ENTRIES_PER_SNAPSHOT: u64 = 50;
+/// How long a caller waits for its member's reply.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// What the owner of a member works through.
 enum Command {
     Envelope(Envelope),
-    Begin(Vec<Member>),
-    Welcome(Member),
+    Bootstrap(Vec<Member>),
+    AddLearner(Member),
     Add {
-        by: u64,
+        amount: u64,
         reply: Sender<Option<u64>>,
     },
-    /// The sum, if this member leads and holds.
+    /// Replies with the sum if this member leads and its lease has not expired.
     Read {
         reply: Sender<Option<u64>>,
     },
-    End,
+    Stop,
 }
 
+/// One member of the cluster that replicates the sum; it stops when dropped.
 pub struct Sum {
-    commands: Sender<Command>,
+    /// The member's identity, as its peers know it.
     pub member: Member,
-    worker: Option<JoinHandle<()>>,
+    commands: Sender<Command>,
+    owner: Option<JoinHandle<()>>,
+}
+
+/// A caller that waits until the entry at an index is committed.
+struct PendingAddition {
+    index: u64,
+    reply: Sender<Option<u64>>,
 }
 
+/// What a member consists of; all of it belongs to one thread.
 struct Owner {
-    log: Consensus,
+    consensus: Consensus,
     storage: Storage<FolderDisk>,
     links: Links,
-    own: Member,
+    member: Member,
     sum: u64,
-    waits: VecDeque<(u64, Sender<Option<u64>>)>,
+    pending: VecDeque<PendingAddition>,
 }
 
-const ENTRIES_A_SLOT: u64 = 50;
-
 impl Sum {
-    pub fn start(folder: PathBuf, at: SocketAddr) -> io::Result<Sum> {
+    /// Starts a member on the disk in this folder, with what the disk retains, at this address.
+    ///
+    /// # Errors
+    /// When the disk can't be opened, the address not listened on, or no thread started.
+    pub fn start(folder: PathBuf, address: SocketAddr) -> io::Result<Sum> {
         let (storage, recovered) = match open(FolderDisk::new(folder)?)? {
             Opened::Recovered { storage, recovered } => (storage, recovered),
             Opened::Empty(disk) | Opened::Damaged { disk, .. } => {
                 (Storage::create(disk, random())?, RecoveredState::default())
             }
         };
-        let listener = TcpListener::bind(at)?;
+        let listener = TcpListener::bind(address)?;
         let member = Member { id: storage.id(), address: listener.local_addr()? };
         let (commands, queue) = channel();
-        let hand = commands.clone();
-        listen(listener, move |envelope| hand.send(Command::Envelope(envelope)).is_ok())?;
-        let sum = recovered.snapshot.as_ref().map_or(0, |kept| read(kept));
-        let log = Consensus::new(member.id, recovered, random(), clock_ms());
+        let received = commands.clone();
+        listen(listener, move |envelope| received.send(Command::Envelope(envelope)).is_ok())?;
+        let sum = recovered.snapshot.as_ref().map_or(0, |snapshot| sum_of(snapshot));
+        let consensus = Consensus::new(member.id, recovered, random(), clock_ms());
         let links = Links::new(member.address);
-        let owner = Owner { log, storage, links, own: member, sum, waits: VecDeque::new() };
-        let worker = thread::Builder::new().name("sum".into()).spawn(move || owner.run(&queue))?;
-        Ok(Sum { commands, member, worker: Some(worker) })
+        let owner = Owner { consensus, storage, links, member, sum, pending: VecDeque::new() };
+        let owner = thread::Builder::new().name("sum".into()).spawn(move || owner.run(&queue))?;
+        Ok(Sum { commands, member, owner: Some(owner) })
     }
 
-    /// The first members of a new log, told to each of them.
-    pub fn begin(&self, members: Vec<Member>) {
-        let _ = self.commands.send(Command::Begin(members));
+    /// Bootstraps a new log with its first members; called on each of them.
+    pub fn bootstrap(&self, members: Vec<Member>) {
+        let _ = self.commands.send(Command::Bootstrap(members));
     }
 
-    /// A member that came back elsewhere, or a new one that is to learn.
-    pub fn welcome(&self, member: Member) {
-        let _ = self.commands.send(Command::Welcome(member));
+    /// Adds a new member as a learner, or one that came back at another address.
+    pub fn add_learner(&self, member: Member) {
+        let _ = self.commands.send(Command::AddLearner(member));
     }
 
-    /// The sum after this addition was committed; None if this member could not say so.
-    pub fn add(&self, by: u64) -> Option<u64> {
-        let (reply, told) = channel();
-        self.commands.send(Command::Add { by, reply }).ok()?;
-        told.recv_timeout(Duration::from_secs(5)).ok()?
+    /// The sum after this addition was committed; `None` if this member can't confirm that, be it
+    /// committed or not.
+    pub fn add(&self, amount: u64) -> Option<u64> {
+        self.request(|reply| Command::Add { amount, reply })
     }
 
+    /// The sum; `None` if this member does not lead or its lease has expired.
     pub fn read(&self) -> Option<u64> {
-        let (reply, told) = channel();
-        self.commands.send(Command::Read { reply }).ok()?;
-        told.recv_timeout(Duration::from_secs(5)).ok()?
+        self.request(|reply| Command::Read { reply })
+    }
+
+    fn request(&self, command: impl FnOnce(Sender<Option<u64>>) -> Command) -> Option<u64> {
+        let (reply, replies) = channel();
+        self.commands.send(command(reply)).ok()?;
+        replies.recv_timeout(REPLY_TIMEOUT).ok()?
     }
 }
 
 impl Drop for Sum {
     fn drop(&mut self) {
-        let _ = self.commands.send(Command::End);
-        if let Some(worker) = self.worker.take() {
-            let _ = worker.join();
+        let _ = self.commands.send(Command::Stop);
+        if let Some(owner) = self.owner.take() {
+            let _ = owner.join();
         }
     }
 }
@@ -113,18 +137,20 @@
             let wait_ms = tick_ms.saturating_sub(clock_ms()).max(1);
             match queue.recv_timeout(Duration::from_millis(wait_ms)) {
                 Ok(Command::Envelope(Envelope { message, .. })) => self.receive(message),
-                Ok(Command::Begin(members)) => self.handle(Input::Bootstrap(members)),
-                Ok(Command::Welcome(member)) => self.handle(Input::AddLearner(member)),
-                Ok(Command::Add { by, reply }) if self.log.is_ready() => {
-                    self.waits.push_back((self.log.last_index() + 1, reply));
-                    self.handle(Input::Propose(vec![by.to_le_bytes().to_vec()]));
+                Ok(Command::Bootstrap(members)) => self.handle(Input::Bootstrap(members)),
+                Ok(Command::AddLearner(member)) => self.handle(Input::AddLearner(member)),
+                Ok(Command::Add { amount, reply }) if self.consensus.is_ready() => {
+                    let index = self.consensus.last_index() + 1;
+                    self.pending.push_back(PendingAddition { index, reply });
+                    self.handle(Input::Propose(vec![amount.to_le_bytes().to_vec()]));
                 }
                 Ok(Command::Read { reply }) => {
-                    let holds = self.log.is_ready() && clock_ms() < self.log.lease_until();
-                    let _ = reply.send(holds.then_some(self.sum));
+                    let has_lease =
+                        self.consensus.is_ready() && clock_ms() < self.consensus.lease_until();
+                    let _ = reply.send(has_lease.then_some(self.sum));
                 }
                 Ok(Command::Add { reply, .. }) => drop(reply.send(None)),
-                Ok(Command::End) => return,
+                Ok(Command::Stop) => return,
                 Err(_) => {}
             }
         }
@@ -132,19 +158,20 @@
 
     fn receive(&mut self, message: Message) {
         if let Message::Consensus { from, to, message } = message
-            && to == self.own.id
+            && to == self.member.id
         {
             self.handle(Input::Receive { from, message });
         }
     }
 
+    /// Gives the input to the consensus and carries out all that follows from it.
     fn handle(&mut self, input: Input) {
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
-            for effect in self.log.handle(clock_ms(), input) {
+            for effect in self.consensus.handle(clock_ms(), input) {
                 match effect {
                     Effect::Send { to, message } => {
-                        let message = Message::Consensus { from: self.own, to: to.id, message };
+                        let message = Message::Consensus { from: self.member, to: to.id, message };
                         self.links.send(to.address, message);
                     }
                     Effect::Write { sequence, write } => {
@@ -152,31 +179,31 @@
                         inputs.push_back(Input::Synced(sequence));
                     }
                     Effect::Commit(entries) => inputs.extend(self.commit(&entries)),
-                    Effect::Restore(kept) => self.sum = read(&kept),
-                    Effect::Role(_) => self.waits.clear(),
+                    Effect::Restore(snapshot) => self.sum = sum_of(&snapshot),
+                    Effect::Role(_) => self.pending.clear(),
                     Effect::LeadershipReceived { .. } => {}
                 }
             }
         }
     }
 
-    /// Who can't write can't promise anything.
+    /// A member that can't write can't promise anything, so a failure ends its thread.
     fn write(&mut self, write: Write) {
         self.storage.apply(vec![write]).expect("the disk takes every write");
     }
 
+    /// Applies committed entries and replies to their callers; returns a compaction that is due.
     fn commit(&mut self, entries: &[Entry]) -> Option<Input> {
         let mut compact = None;
         for entry in entries {
             if let Payload::Batch(bytes) = &entry.payload {
-                self.sum += number(bytes);
+                self.sum += decode(bytes);
             }
-            while self.waits.front().is_some_and(|(index, _)| *index <= entry.index) {
-                if let Some((_, reply)) = self.waits.pop_front() {
-                    let _ = reply.send(Some(self.sum));
-                }
+            let is_committed = |pending: &mut PendingAddition| pending.index <= entry.index;
+            while let Some(addition) = self.pending.pop_front_if(is_committed) {
+                let _ = addition.reply.send(Some(self.sum));
             }
-            if entry.index % ENTRIES_A_SLOT == 0 {
+            if entry.index % ENTRIES_PER_SNAPSHOT == 0 {
                 let state = self.sum.to_le_bytes().to_vec();
                 compact = Some(Input::Compact { index: entry.index, state });
             }
@@ -185,10 +212,11 @@
     }
 }
 
-fn number(bytes: &[u8]) -> u64 {
+/// The number in an entry or a snapshot; 0 if there is none.
+fn decode(bytes: &[u8]) -> u64 {
     bytes.try_into().map_or(0, u64::from_le_bytes)
 }
 
-fn read(kept: &Snapshot) -> u64 {
-    number(&kept.state)
+fn sum_of(snapshot: &Snapshot) -> u64 {
+    decode(&snapshot.state)
 }
--- a/examples/replicated-sum/tests/sum.rs
+++ b/examples/replicated-sum/tests/sum.rs
@@ -1,19 +1,21 @@
+//! A cluster of three members that are replaced one after another.
+
 use replicated_sum::Sum;
 use std::path::PathBuf;
 
-const TRIES: usize = 200_000;
+const ATTEMPTS_MAX: usize = 200_000;
 
 fn folder(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("replicated-sum-{}-{name}", std::process::id()))
 }
 
-/// Whoever leads is found by asking all, as a caller would.
-fn add(members: &[Option<Sum>], by: u64) -> u64 {
+/// Finds the leader by trying all members, as a client would.
+fn add(members: &[Option<Sum>], amount: u64) -> u64 {
     let all: Vec<_> = members.iter().flatten().map(|member| member.member).collect();
-    for _ in 0..TRIES {
-        let welcomes = members.iter().flatten();
-        welcomes.for_each(|member| all.iter().for_each(|other| member.welcome(*other)));
-        if let Some(sum) = members.iter().flatten().find_map(|member| member.add(by)) {
+    for _ in 0..ATTEMPTS_MAX {
+        let running = members.iter().flatten();
+        running.for_each(|member| all.iter().for_each(|other| member.add_learner(*other)));
+        if let Some(sum) = members.iter().flatten().find_map(|member| member.add(amount)) {
             return sum;
         }
         std::thread::yield_now();
@@ -22,22 +24,22 @@
 }
 
 #[test]
-fn a_sum_outlives_each_of_its_members_in_turn() {
+fn the_sum_survives_the_restart_of_each_member_in_turn() {
     let folders: Vec<PathBuf> = ["a", "b", "c"].map(folder).to_vec();
     let local = "127.0.0.1:0".parse().unwrap();
     let mut members: Vec<Option<Sum>> =
         folders.iter().map(|folder| Some(Sum::start(folder.clone(), local).unwrap())).collect();
     let all: Vec<_> = members.iter().flatten().map(|member| member.member).collect();
-    members.iter().flatten().for_each(|member| member.begin(all.clone()));
+    members.iter().flatten().for_each(|member| member.bootstrap(all.clone()));
     while members.iter().flatten().all(|member| member.read().is_none()) {
         std::thread::yield_now();
     }
     let mut sum = 0;
     for at in 0..3 {
         for _ in 0..30 {
-            let told = add(&members, 2);
-            assert!(told >= sum + 2, "{told} after {sum}");
-            sum = told;
+            let acknowledged = add(&members, 2);
+            assert!(acknowledged >= sum + 2, "{acknowledged} after {sum}");
+            sum = acknowledged;
         }
         members[at] = None;
         while members.iter().flatten().all(|member| member.read().is_none()) {
