--- a/crates/controller/tests/surface.rs
+++ b/crates/controller/tests/surface.rs
@@ -1,18 +1,18 @@
 //! The keys of the JSON that a controller answers to operators, with a row of each kind.
 
-mod bench;
+mod cluster;
+mod harness;
 #[path = "../../../programs/control-plane/tests/outer/mod.rs"]
 mod outer;
-mod trio;
 
-use bench::*;
+use cluster::Cluster;
+use harness::*;
 use postbarrow_messages::{Request, Response, Submission};
-use trio::Trio;
 
-fn answer(trio: &mut Trio, what: &str, key: u64, request: Request) -> String {
-    trio.bench.ask(key, request);
-    trio.settle();
-    match trio.bench.answer(key) {
+fn answer(cluster: &mut Cluster, what: &str, key: u64, request: Request) -> String {
+    cluster.harness.request(key, request);
+    cluster.run_until_idle();
+    match cluster.harness.response(key) {
         Some(Response::Operator { status, body }) => {
             let body = String::from_utf8_lossy(body);
             format!("$ {what}\n{status}\n{}\n", outer::shape(&body))
@@ -23,7 +23,7 @@
 
 #[test]
 fn keys_of_operators_json() {
-    let mut trio = Trio::serving();
+    let mut cluster = Cluster::serving();
     let dry_run = Submission { dry_run: true, ..submission(&plan("v1", None, 2, "ledger")) };
     let asked = [
         ("show without a plan", Request::Show),
@@ -36,7 +36,7 @@
     ];
     let answers: Vec<String> = (1..)
         .zip(asked)
-        .map(|(key, (what, request))| answer(&mut trio, what, key, request))
+        .map(|(key, (what, request))| answer(&mut cluster, what, key, request))
         .collect();
     insta::assert_snapshot!(answers.concat());
 }
