--- a/tools/fleet-runner/src/fleet.rs
+++ b/tools/fleet-runner/src/fleet.rs
@@ -12,8 +12,12 @@
 use std::fmt::{self, Display, Formatter};
 use std::process::{Child, Command};
 use std::time::{Duration, Instant};
+use tools_shared::client_config;
 use ureq::Agent;
 
+/// How long a node may take to respond.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(8);
+
 /// The response of a control node to a submitted plan.
 pub struct Submission {
     /// The HTTP status.
@@ -104,7 +108,7 @@
             ports,
             next_control_position: CONTROL_NODES as u16,
             relays: Relays::default(),
-            agent: agent(),
+            agent: Agent::new_with_config(client_config(REQUEST_TIMEOUT).build()),
             data_endpoints: Vec::new(),
             last_target_port: ports.before_targets(),
             target_arguments: target_arguments(cli),
@@ -343,12 +347,3 @@
     }
     arguments(&format!("--faults {} --per-mille {}", cli.target_faults, cli.per_mille))
 }
-
-fn agent() -> Agent {
-    let config = Agent::config_builder()
-        .http_status_as_error(false)
-        .proxy(None)
-        .timeout_global(Some(Duration::from_secs(8)))
-        .build();
-    Agent::new_with_config(config)
-}
--- a/tools/load-generator/src/client.rs
+++ b/tools/load-generator/src/client.rs
@@ -1,9 +1,12 @@
 //! One client's request: its attempts, and what the gateway reported of each.
 
 use std::time::Duration;
-use tools_shared::sha256_hex;
+use tools_shared::{client_config, sha256_hex};
 use ureq::Agent;
 
+/// How long an attempt may take.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(12);
+
 /// The kinds of traffic, each for a service of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
@@ -164,11 +167,8 @@
 
 /// A client of its own, with connections that it reuses for a while.
 pub fn agent() -> Agent {
-    let config = Agent::config_builder()
-        .http_status_as_error(false)
-        .proxy(None)
+    let config = client_config(ATTEMPT_TIMEOUT)
         .max_redirects(0)
-        .timeout_global(Some(Duration::from_secs(12)))
         .max_idle_age(Duration::from_secs(5))
         .build();
     Agent::new_with_config(config)
--- a/tools/load-generator/src/coordination_calls.rs
+++ b/tools/load-generator/src/coordination_calls.rs
@@ -74,6 +74,19 @@
     }
 }
 
+/// How one call went.
+struct CallOutcome {
+    answered: bool,
+    result: CallResult,
+}
+
+impl CallOutcome {
+    /// An answered call with this result; without one, a call that got no usable answer.
+    fn of(result: Option<CallResult>) -> CallOutcome {
+        CallOutcome { answered: result.is_some(), result: result.unwrap_or(CallResult::Nothing) }
+    }
+}
+
 /// The owner of each lock as the clients of this process know it, by the seed of its call.
 #[derive(Default)]
 pub struct LockOwners {
@@ -115,30 +128,28 @@
         let index = (mix(seed) % NAMES) as usize;
         let key = format!("{seed:x}");
         let start_ms = now_ms();
-        let (name, (answered, result)) = match seed % 4 {
+        let (name, CallOutcome { answered, result }) = match seed % 4 {
             0 => {
                 let name = format!("numbers/n{index}");
                 let response = self.send(node, "POST", &name, "", &key);
                 let number = response.and_then(|response| response.number("number"));
-                (name, (number.is_some(), number.map_or(CallResult::Nothing, CallResult::Number)))
+                (name, CallOutcome::of(number.map(CallResult::Number)))
             }
             1 => {
                 let name = format!("locks/l{index}");
-                let result = self.lock(&name, index, seed);
-                (name, result)
+                let outcome = self.lock(&name, index, seed);
+                (name, outcome)
             }
             2 => {
                 let name = format!("keys/k{index}");
                 let response = self.send(node, "GET", &name, "", &key);
                 let revision = response.and_then(|response| response.revision());
-                let result =
-                    revision.map_or(CallResult::Nothing, |revision| CallResult::Read { revision });
-                (name, (revision.is_some(), result))
+                (name, CallOutcome::of(revision.map(|revision| CallResult::Read { revision })))
             }
             _ => {
                 let name = format!("keys/k{index}");
-                let result = self.put(node, &name, seed);
-                (name, result)
+                let outcome = self.put(node, &name, seed);
+                (name, outcome)
             }
         };
         Some(CompletedCall { name, start_ms, end_ms: now_ms(), answered, result })
@@ -172,27 +183,27 @@
     }
 
     /// Reads a key and replaces the revision that it found.
-    fn put(&self, node: &str, name: &str, seed: u64) -> (bool, CallResult) {
+    fn put(&self, node: &str, name: &str, seed: u64) -> CallOutcome {
         let found = self.send(node, "GET", name, "", "");
         let Some(base) = found.and_then(|response| response.revision()) else {
-            return (false, CallResult::Nothing);
+            return CallOutcome::of(None);
         };
         let body = format!("{{\"value\":\"{seed:x}\",\"revision\":{base}}}");
         let put = self.send(node, "PUT", name, &body, &format!("{seed:x}"));
         let revision = put.as_ref().and_then(|response| response.number("revision"));
         let result =
             revision.map_or(CallResult::Nothing, |revision| CallResult::Put { base, revision });
-        (put.is_some(), result)
+        CallOutcome { answered: put.is_some(), result }
     }
 
     /// Takes a lock, owns it for a while, and releases it.
-    fn lock(&self, name: &str, index: usize, seed: u64) -> (bool, CallResult) {
-        let Some(node) = self.nodes.pick(seed) else { return (false, CallResult::Nothing) };
+    fn lock(&self, name: &str, index: usize, seed: u64) -> CallOutcome {
+        let Some(node) = self.nodes.pick(seed) else { return CallOutcome::of(None) };
         let sent_at = Instant::now();
         let body = format!("{{\"holder\":\"{seed:x}\",\"ttlMs\":{TTL_MS}}}");
         let response = self.send(node, "POST", name, &body, &format!("{seed:x}"));
         let Some(fence) = response.as_ref().and_then(|response| response.number("fence")) else {
-            return (response.is_some(), CallResult::Nothing);
+            return CallOutcome { answered: response.is_some(), result: CallResult::Nothing };
         };
         let safe = Duration::from_millis(TTL_MS - TTL_MARGIN_MS);
         let owner = &self.lock_owners.owners[index];
@@ -210,6 +221,6 @@
         }
         let body = format!("{{\"holder\":\"{seed:x}\",\"fence\":{fence}}}");
         let _ = self.send(node, "DELETE", name, &body, &format!("{seed:x}f"));
-        (true, result)
+        CallOutcome { answered: true, result }
     }
 }
--- a/tools/load-generator/src/nodes.rs
+++ b/tools/load-generator/src/nodes.rs
@@ -3,8 +3,12 @@
 use std::sync::RwLock;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::Relaxed};
 use std::time::Duration;
+use tools_shared::client_config;
 use ureq::Agent;
 
+/// How long a node may take to report its readiness.
+const READINESS_TIMEOUT: Duration = Duration::from_millis(300);
+
 struct Node {
     zone: String,
     address: String,
@@ -42,11 +46,7 @@
 
     /// Polls the nodes' readiness until the run has ended.
     pub fn watch(&self, run_ended: &AtomicBool) {
-        let config = Agent::config_builder()
-            .http_status_as_error(false)
-            .proxy(None)
-            .timeout_global(Some(Duration::from_millis(300)))
-            .build();
+        let config = client_config(READINESS_TIMEOUT).build();
         while !run_ended.load(Relaxed) {
             std::thread::scope(|scope| {
                 for node in &self.nodes {
--- a/tools/shared/src/lib.rs
+++ b/tools/shared/src/lib.rs
@@ -1,13 +1,17 @@
 //! What the load generator, the fleet runner and the stand-ins have in common: the records that
-//! stand-in targets write and the others read, the faults of stand-in targets, seeded mixing,
-//! digests and the wall clock.
+//! stand-in targets write and the others read, the faults of stand-in targets, HTTP clients,
+//! seeded mixing, digests and the wall clock.
 
 #![deny(missing_docs)]
 
 mod execution_record;
+#[cfg(feature = "http-client")]
+mod http_client;
 mod target_fault;
 
 pub use execution_record::{ExecutionRecord, WorkEnd};
+#[cfg(feature = "http-client")]
+pub use http_client::client_config;
 pub use target_fault::{TargetFault, UnknownTargetFault};
 
 use sha2::{Digest, Sha256};
