--- a/crates/simulation/src/calls.rs
+++ b/crates/simulation/src/calls.rs
@@ -1,4 +1,4 @@
-//! Applications' calls for locks, numbers, keys and watches, and the checks of what they were told.
+//! Applications' calls for locks, numbers, keys and watches, and the checks of their outcomes.
 
 use crate::data::Waits;
 use crate::event::Event;
@@ -10,7 +10,7 @@
 const WAIT_MS: u64 = 2_500;
 const TTL_MS: u64 = 1_500;
 
-/// One finished call: when it was asked and answered, and what it found or made.
+/// One completed call: when it was sent and answered, and its outcome.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompletedCall {
     pub caller: usize,
@@ -46,7 +46,7 @@
 const STALE_US: u64 = 4_000_000;
 
 impl Callers {
-    /// The highest number or revision of the same name that was told before.
+    /// The highest number or revision of the same name that was acknowledged before this time.
     pub fn max_acknowledged(&self, call: &Call, before_us: u64) -> u64 {
         let finished = self.done.iter().filter(|done| done.end_us < before_us);
         let values = finished.filter_map(|done| match (call, &done.call, &done.outcome) {
@@ -67,7 +67,7 @@
 }
 
 impl World {
-    /// Asks the next thing, or requests the same again where the node that was asked is gone.
+    /// Sends the next call, or the pending one again where its node ended or did not answer.
     pub fn next_call(&mut self, caller: usize) {
         self.after(40_000, Event::NextCall { caller });
         if let Some(pending) = self.callers.pending.get(&caller).cloned() {
@@ -141,6 +141,8 @@
         );
     }
 
+    /// Handles the controller's response to pending call `number` of `caller`; anything but an
+    /// outcome makes the caller send the call again.
     pub fn caller_receives(&mut self, caller: usize, number: u64, response: Response) {
         let Some(pending) = self.callers.pending.get(&caller).cloned() else { return };
         if pending.number != number {
@@ -190,7 +192,7 @@
         });
     }
 
-    /// A holder counts its time from when it asked.
+    /// An owner counts its time to live from when it sent the request.
     fn acquire_lock(&mut self, caller: usize, name: Name, fence: u64, requested_us: u64) {
         let until_us = requested_us + TTL_MS * 1_000;
         if self.now_us >= until_us {
--- a/crates/simulation/src/check.rs
+++ b/crates/simulation/src/check.rs
@@ -1,4 +1,5 @@
-//! Checks that run after every event: one history, at most one lease, no older plan, no leaving target.
+//! Invariants checked after events: one history, at most one lease, no older plan, no departed
+//! target.
 
 use crate::event::ProcessId;
 use crate::world::World;
@@ -7,7 +8,7 @@
 const LEASE_US: u64 = 1_005_000;
 
 impl World {
-    /// At most one controller's lease at any moment, and one history for all.
+    /// At most one leader's lease at any time, and one history for all.
     pub fn check_control(&mut self, at: usize) {
         let lease_holders: Vec<usize> = (0..self.control.len())
             .filter(|at| {
@@ -39,7 +40,7 @@
         self.check_targets(at);
     }
 
-    /// No trouble of the list takes a target that it never showed leave.
+    /// No fault of the endpoint list removes a target that it never showed as departed.
     fn check_targets(&mut self, at: usize) {
         let Some(node) = &self.control[at].node else { return };
         let now = &node.committed().targets;
@@ -65,6 +66,7 @@
         self.control[at].targets = now;
     }
 
+    /// Checks that the image that data node `at` published holds no refused plan.
     pub fn check_published(&mut self, at: usize) {
         let state = &self.data[at].table.state;
         let Some(version) = state.plan_version().map(str::to_string) else { return };
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Whenever a node forwards a request: no older plan, no leaving target.
+    /// Whenever a node forwards a request: no older plan, no departed target or client.
     pub fn check_forward(&mut self, request: u64, at: usize) {
         self.ledger.forwards += 1;
         if self.requests.get(&request).is_some_and(|run| run.client_left) {
--- a/crates/simulation/src/check_pinned.rs
+++ b/crates/simulation/src/check_pinned.rs
@@ -1,4 +1,4 @@
-//! What those who cling to one control machine were told, against what others were told before.
+//! Checks the responses to pinned clients against what others had received before.
 
 use crate::operator::SubmittedOrder;
 use crate::pinned::PinnedRequest;
@@ -7,7 +7,7 @@
 use postbarrow_state::{Call, Outcome};
 
 impl World {
-    /// Whatever the machine told must hold at some moment between question and answer.
+    /// A response must be true at some time between request and response.
     pub fn check_answer(&mut self, start_us: u64, request: PinnedRequest, response: Response) {
         match (request, response) {
             (PinnedRequest::Show, Response::Plan { offset, .. }) => {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// No proper order is refused, and none is acknowledged that no majority has.
+    /// No valid order is refused, and none is acknowledged that no majority has.
     fn check_order(&mut self, submitted: &SubmittedOrder, status: u16, body: &str) {
         let order = &submitted.order;
         let proper = self.operator.version == order.base
--- a/crates/simulation/src/contact_loss.rs
+++ b/crates/simulation/src/contact_loss.rs
@@ -1,4 +1,4 @@
-//! One control machine loses contact for twenty seconds while some cling to it.
+//! One control machine loses contact for twenty seconds while clients are pinned to it.
 
 use crate::event::{Event, ProcessId};
 use crate::fault::Fault;
@@ -11,41 +11,50 @@
 /// How the machine loses contact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ContactLoss {
-    /// From everybody.
+    /// To and from all other machines.
     Full,
-    /// It hears all, and nobody hears it.
+    /// It receives from all, and nobody receives from it.
     Outbound,
-    /// All hear it, and it hears nobody.
+    /// All receive from it, and it receives from nobody.
     Inbound,
-    /// From the other members only; data nodes and those who cling reach it.
+    /// To and from the other members only; data nodes and pinned clients reach it.
     Members,
-    /// From data nodes only.
+    /// To and from data nodes only.
     Data,
-    /// It stands still and goes on.
+    /// Its process is frozen and wakes.
     Frozen,
-    /// From everybody, and its process is killed and started in the middle of it.
+    /// To and from all, and its process is killed and started meanwhile.
     Restarted,
 }
 
-/// A cut of the leader, or of a follower, from one seed.
+/// A run in which the leader, or a follower, loses contact.
 #[derive(Clone, Copy, Debug)]
 pub struct ContactLossRun {
+    /// The run's seed.
     pub seed: u64,
+    /// How contact is lost.
     pub kind: ContactLoss,
+    /// Whether the machine leads; otherwise it is a follower.
     pub leader: bool,
 }
 
-/// What became of it.
+/// What such a run ended with.
 #[derive(Debug, Default)]
 pub struct ContactLossResult {
+    /// What did not hold.
     pub violations: Vec<String>,
-    /// Questions to the machine that got an answer, "not taken", or no clear answer.
+    /// Requests that the machine answered.
     pub answered: usize,
+    /// Requests that the machine answered with `Unavailable`.
     pub unavailable: usize,
+    /// Requests that timed out.
     pub unclear: usize,
-    /// The longest wait for "not taken" of those asked when the cut had lasted for `NOTICED_US`.
+    /// The longest wait for `Unavailable`, in milliseconds, of requests sent `NOTICED_US` or later
+    /// after the loss.
     pub longest_wait_ms: u64,
+    /// Orders that the pinned clients submitted.
     pub orders: usize,
+    /// Plans acknowledged in the whole run.
     pub plans: u64,
     /// The leader and its term stayed the same.
     pub undisturbed: bool,
@@ -53,13 +62,13 @@
 
 const START_US: u64 = 4_500_000;
 const CUT_US: u64 = 20_000_000;
-/// Silence that the machine notices, an election, and a margin.
+/// Time to notice the loss, an election, and a margin.
 const NOTICED_US: u64 = 2_500_000;
 const AFTER_US: u64 = 3_000_000;
 const RESTART_AFTER_US: u64 = 8_000_000;
 
 impl ContactLossRun {
-    /// Runs it; the same seed gives the same end.
+    /// Runs it; the same seed gives the same result.
     pub fn run(&self) -> ContactLossResult {
         let mut world = World::new(self.seed, 3, 6);
         world.request_pause_us = 250_000;
@@ -148,7 +157,7 @@
     }
 }
 
-/// What was told as not taken was not counted, and what was told is counted once.
+/// A call answered as unavailable was not counted, and each acknowledged one was counted once.
 fn check_numbers(world: &mut World, pinned: &PinnedClients) {
     let mut acknowledged = pinned.numbers.clone();
     acknowledged.sort_unstable();
@@ -166,8 +175,9 @@
 }
 
 impl World {
-    /// Connections keep no order among each other: at worst, whoever stood still reads questions
-    /// first, then what other machines sent, and looks at its clock last.
+    /// Connections keep no order among each other: at worst, a process that wakes reads clients'
+    /// requests
+    /// first, then what other machines sent, and its clock last.
     fn deliver_requests_before_ticks(&mut self, process: ProcessId) {
         if let Some(pending) = self.frozen.get_mut(&process) {
             pending.sort_by_key(|event| match event {
--- a/crates/simulation/src/control.rs
+++ b/crates/simulation/src/control.rs
@@ -1,4 +1,4 @@
-//! Control machines: a real control node each, over a simulated disk and network.
+//! Control machines: each runs a real control node over a simulated disk and network.
 
 use crate::disk::SimDisk;
 use crate::event::{Event, ProcessId};
@@ -13,38 +13,45 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A process that ended is begun again after this time.
+/// A process that ended starts again after this time.
 const AGAIN_US: u64 = 500_000;
 
-/// The operators' list of control machines is this old.
+/// How old the operators' list of control machines is.
 const OPERATORS_LIST_LAG_US: u64 = 3_000_000;
 
-/// Small, so that every run writes slots and a late member needs a snapshot.
+/// Small, so that every run writes snapshots and a late member needs one.
 const LOG_BOUND_BYTES: u64 = 48 * 1024;
 
-/// One control machine: its disk stays, its process comes and goes.
+/// One control machine: its disk outlives its processes.
 pub struct ControlMachine {
+    /// Its address.
     pub address: SocketAddr,
+    /// Its disk, which outlives its processes.
     pub disk: SimDisk,
+    /// Counts starts and ends, so that events of an earlier process are ignored.
     pub incarnation: u64,
+    /// Offset of its clock in milliseconds.
     pub offset_ms: u64,
     /// By how many thousandths its clock is fast.
     pub rate: u64,
+    /// The running control node; `None` while its process is down.
     pub node: Option<ControlNode>,
     storage: Option<Storage<SimDisk>>,
     writes: VecDeque<(u64, Write)>,
     syncing: bool,
-    /// Since when it is gone for good: its process does not begin again once it has ended.
+    /// When it was retired: its process does not start again once it has ended.
     pub retired_us: Option<u64>,
-    /// It has no disk that lasts, so it is never a member.
+    /// It has no lasting disk, so it is never a member.
     pub observer: bool,
-    /// How many of the writes the storage has and could not carry out yet.
+    /// How many of the writes the storage has accepted and not yet carried out, since its disk is
+    /// full.
     in_storage: usize,
-    /// Targets as last seen committed here, to find what was dropped.
+    /// Targets as last committed here, to find those that were dropped.
     pub targets: OrdMap<Name, Arc<Target>>,
 }
 
 impl ControlMachine {
+    /// A machine with an empty disk whose process has not started.
     pub fn new(address: SocketAddr, offset_ms: u64, rate: u64) -> Self {
         ControlMachine {
             address,
@@ -65,17 +72,19 @@
 }
 
 impl ControlMachine {
-    /// Whether operators find it on their list, which tells of a machine's end a while later.
+    /// Whether operators find it on their list, which shows a retirement only after a lag.
     pub fn is_listed(&self, now_us: u64) -> bool {
         self.retired_us.is_none_or(|retired_us| now_us < retired_us + OPERATORS_LIST_LAG_US)
     }
 
+    /// Writes that wait for the disk, oldest first.
     pub fn writes(&self) -> impl Iterator<Item = &Write> {
         self.writes.iter().map(|(_, write)| write)
     }
 }
 
 impl World {
+    /// Starts the process of control machine `at` from what its disk holds.
     pub fn start_control(&mut self, at: usize) {
         let seed = self.random.draw();
         let id = self.random.draw().max(1);
@@ -118,13 +127,13 @@
         self.after(0, Event::Tick { process: ProcessId::Control(at), incarnation });
     }
 
-    /// Ends the process; with `power`, what was not synced goes too, perhaps amid a write.
+    /// Ends the process; with `power`, unsynced writes are lost too, perhaps amid one of them.
     pub fn end_control(&mut self, at: usize, power: bool) {
         let fuse = self.random.below(4);
         self.end(at, power.then_some(fuse));
     }
 
-    /// Power goes after so many of the operations that wait for the disk.
+    /// Ends the process by a loss of power after this many of the pending disk operations.
     pub fn end_with_fuse(&mut self, at: usize, fuse: u64) {
         self.end(at, Some(fuse));
     }
@@ -148,6 +157,7 @@
         }
     }
 
+    /// Feeds one input to control node `at`, carries out its effects and runs the checks.
     pub fn control_input(&mut self, at: usize, input: Input) {
         let now_ms = self.local_ms(ProcessId::Control(at));
         let machine = &mut self.control[at];
@@ -185,12 +195,12 @@
         self.check_control(at);
     }
 
-    /// As the program does: its start waits while its disk takes nothing.
+    /// As the program does: the start waits while the disk accepts nothing.
     fn start_later(&mut self, at: usize) {
         self.after(AGAIN_US, Event::Start(ProcessId::Control(at)));
     }
 
-    /// As the program does: it ends, for it can't promise anything, and is begun again.
+    /// As the program does: it ends, since nothing more can be acknowledged, and starts again.
     fn disk_failed(&mut self, at: usize, error: &std::io::Error) {
         self.log_line(ProcessId::Control(at), &format!("ends: {error}"));
         self.disk_failures += 1;
@@ -198,7 +208,7 @@
         self.start_later(at);
     }
 
-    /// All that waited shares this sync. While the disk takes nothing, the same is tried again.
+    /// All pending writes share this sync. While the disk accepts nothing, it is tried again.
     pub fn disk_done(&mut self, at: usize) {
         let machine = &mut self.control[at];
         if machine.disk.is_stalled() {
--- a/crates/simulation/src/data.rs
+++ b/crates/simulation/src/data.rs
@@ -1,4 +1,4 @@
-//! Data machines: a real data node each, with the requests that it serves.
+//! Data machines: each runs a real data node.
 
 use crate::event::{Event, ProcessId};
 use crate::world::{World, address};
@@ -27,7 +27,7 @@
     pub node: Option<DataNode>,
     pub table: Arc<Table>,
     pub lease_until_ms: u64,
-    /// When the platform last saw it ready.
+    /// When the platform last observed it ready.
     pub ready_us: u64,
     pub announced_incarnation: u64,
     pub number: u64,
@@ -56,6 +56,7 @@
 }
 
 impl World {
+    /// Starts the process of data machine `at`.
     pub fn start_data(&mut self, at: usize) {
         let announced_incarnation = self.random.draw();
         let now_ms = self.local_ms(ProcessId::Data(at));
@@ -82,6 +83,7 @@
         self.after(200_000, Event::Probe { data: at, incarnation });
     }
 
+    /// Ends the process of data machine `at` and all that it had in memory.
     pub fn end_data(&mut self, at: usize) {
         let machine = &mut self.data[at];
         machine.node = None;
@@ -89,16 +91,19 @@
         machine.waits.clear();
     }
 
+    /// Whether data node `at` runs and its lease has not expired by its own clock.
     pub fn serves(&self, at: usize) -> bool {
         let machine = &self.data[at];
         machine.node.is_some() && self.local_ms(ProcessId::Data(at)) < machine.lease_until_ms
     }
 
+    /// Whether data node `at` reports itself ready.
     pub fn is_ready(&self, at: usize) -> bool {
         let now_ms = self.local_ms(ProcessId::Data(at));
         self.data[at].node.as_ref().is_some_and(|node| node.is_ready(now_ms))
     }
 
+    /// Feeds one input to data node `at` and carries out its effects.
     pub fn data_input(&mut self, at: usize, input: Input) {
         let (now_us, now_ms) = (self.now_us, self.local_ms(ProcessId::Data(at)));
         let machine = &mut self.data[at];
@@ -139,6 +144,7 @@
         }
     }
 
+    /// Sends a request to the controller through data node `at`, with a new key.
     pub fn send_to_controller(
         &mut self,
         at: usize,
@@ -150,12 +156,14 @@
         self.send_keyed_request(at, key, request, wait_ms, waits);
     }
 
+    /// A key not yet used by the present process of data node `at`.
     pub fn next_request_key(&mut self, at: usize) -> u64 {
         let machine = &mut self.data[at];
         machine.number += 1;
         machine.number
     }
 
+    /// Sends a request to the controller through data node `at` under `key`.
     pub fn send_keyed_request(
         &mut self,
         at: usize,
@@ -168,6 +176,7 @@
         self.data_input(at, Input::Request { key, request, wait_ms });
     }
 
+    /// Probes every target that data node `at` knows, and schedules the next probe.
     pub fn probe(&mut self, at: usize, incarnation: u64) {
         if self.data[at].incarnation != incarnation || self.data[at].node.is_none() {
             return;
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory: its unsynced writes and names, its losses of power, its troubles.
+//! A disk in memory: its unsynced writes and names, its losses of power, its faults.
 
 mod unsynced;
 
@@ -13,25 +13,25 @@
 #[derive(Clone, Default)]
 struct Files {
     files: BTreeMap<String, SimFile>,
-    /// Operations left before the power goes; None for plenty.
+    /// Operations until the power is lost; `None` without a limit.
     fuse: Option<u64>,
     fault: Option<DiskFault>,
-    /// A trouble that begins after so many operations.
+    /// A fault that starts after this many operations.
     scheduled_fault: Option<(u64, DiskFault)>,
     syncs: u64,
     written_bytes: u64,
 }
 
-/// What a disk does to the process that uses it.
+/// A fault of a disk, as the process that uses it meets it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskFault {
-    /// One sync fails. What it should have kept is forgotten as due, though it still reads back.
+    /// One sync fails. Its writes are no longer due for a sync, though they still read back.
     SyncFails,
     /// One write fails halfway.
     WriteFails,
-    /// No write beyond what was reserved has space until this is healed.
+    /// No write beyond the reserved bytes has space until the fault is healed.
     Full,
-    /// No write or sync ends until this is healed. It is the process that waits: see `is_stalled`.
+    /// No write or sync ends until the fault is healed. The process has to wait: see `is_stalled`.
     Stalls,
 }
 
@@ -40,15 +40,17 @@
 pub struct SimDisk(Rc<RefCell<Files>>);
 
 impl SimDisk {
-    /// The power goes: each unsynced name, and each of two parts of each unsynced write, is kept or
-    /// lost by itself.
+    /// Loses power: each unsynced name, and each of two fragments of each unsynced write, survives
+    /// or
+    /// is lost independently.
     pub fn lose_power(&self, random: &mut Random) {
         let random = RefCell::new(random);
         let split = |length: usize| random.borrow_mut().below(length as u64 + 1) as usize;
         self.lose(split, |_| random.borrow_mut().chance(500));
     }
 
-    /// The same, with a say in each of the `unsynced` things; a write's parts are its halves.
+    /// Loses power, with `keeps` deciding what survives of the `unsynced` units; a write's
+    /// fragments are its halves.
     pub fn lose_power_keeping(&self, keeps: impl FnMut(usize) -> bool) {
         self.lose(|length| length / 2, keeps);
     }
@@ -76,7 +78,7 @@
         });
     }
 
-    /// How many things a loss of power would now keep or lose, each by itself.
+    /// How many units a loss of power would now keep or lose independently.
     pub fn unsynced(&self) -> usize {
         let files = self.0.borrow();
         let count = |file: &SimFile| {
@@ -86,33 +88,37 @@
         files.files.values().map(count).sum()
     }
 
-    /// A disk of its own with the same content.
+    /// A separate disk with the same content.
     pub fn copy(&self) -> SimDisk {
         SimDisk(Rc::new(RefCell::new(self.0.borrow().clone())))
     }
 
+    /// Whether writes and syncs do not end for now.
     pub fn is_stalled(&self) -> bool {
         self.0.borrow().fault == Some(DiskFault::Stalls)
     }
 
-    /// The disk itself is lost.
+    /// Loses all content: the disk is replaced by an empty one.
     pub fn wipe(&self) {
         *self.0.borrow_mut() = Files::default();
     }
 
+    /// Cuts the power after this many further operations.
     pub fn set_fuse(&self, operations: u64) {
         self.0.borrow_mut().fuse = Some(operations);
     }
 
+    /// Sets the present fault, or none.
     pub fn set_fault(&self, fault: Option<DiskFault>) {
         self.0.borrow_mut().fault = fault;
     }
 
+    /// Sets a fault that starts after this many further operations.
     pub fn set_fault_after(&self, operations: u64, fault: DiskFault) {
         self.0.borrow_mut().scheduled_fault = Some((operations, fault));
     }
 
-    /// Whether this operation meets its trouble; all but a full disk pass.
+    /// Whether this operation meets its fault; every fault but a full disk is consumed by that.
     fn consume_fault(&self, fault: DiskFault) -> bool {
         let mut files = self.0.borrow_mut();
         let matches = files.fault == Some(fault);
@@ -122,6 +128,7 @@
         matches
     }
 
+    /// Syncs so far.
     pub fn syncs(&self) -> u64 {
         self.0.borrow().syncs
     }
@@ -131,12 +138,12 @@
         self.0.borrow().written_bytes
     }
 
-    /// Bytes of all its files: what a start reads.
+    /// Bytes of all files, which a start reads.
     pub fn total_bytes(&self) -> u64 {
         self.0.borrow().files.values().map(|file| file.visible.len() as u64).sum()
     }
 
-    /// Changes synced bytes behind the storage's back.
+    /// Flips bits of one durable byte, as a damaged medium does.
     pub fn damage(&self, name: &str, at: usize) {
         let mut files = self.0.borrow_mut();
         if let Some(file) = files.files.get_mut(name)
@@ -147,6 +154,7 @@
         }
     }
 
+    /// Durable bytes of the named file; 0 if there is none.
     pub fn length(&self, name: &str) -> usize {
         self.0.borrow().files.get(name).map_or(0, |file| file.durable.len())
     }
--- a/crates/simulation/src/disk/unsynced.rs
+++ b/crates/simulation/src/disk/unsynced.rs
@@ -1,4 +1,4 @@
-//! Changes of a file that a loss of power keeps or loses.
+//! Changes of a file that a loss of power may drop.
 
 /// One change of a file.
 #[derive(Clone)]
@@ -7,18 +7,18 @@
     Truncate { length: u64 },
 }
 
-/// One file, as a loss of power would leave it and as it reads now.
+/// One file: its durable content, and its content as it reads now.
 #[derive(Clone, Default)]
 pub(super) struct SimFile {
     pub durable: Vec<u8>,
     pub visible: Vec<u8>,
     pub unsynced: Vec<Op>,
-    /// Whether its name lasts.
+    /// Whether its directory entry is durable.
     pub named: bool,
     pub reserved: u64,
 }
 
-/// Makes the change in these bytes.
+/// Applies the change to these bytes.
 pub(super) fn apply_op(into: &mut Vec<u8>, op: &Op) {
     match op {
         Op::Write { offset, bytes } => {
@@ -33,7 +33,8 @@
 }
 
 impl Op {
-    /// What lasts or goes by itself: two parts of a write, as with two blocks of a disk.
+    /// Fragments that survive or are lost independently: two of a write, as with two blocks of a
+    /// disk.
     pub fn fragments(&self, split: &mut impl FnMut(usize) -> usize) -> Vec<Op> {
         match self {
             Op::Write { offset, bytes } => {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// How many parts it has.
+    /// How many fragments it has.
     pub fn count(&self) -> usize {
         match self {
             Op::Write { .. } => 2,
--- a/crates/simulation/src/event.rs
+++ b/crates/simulation/src/event.rs
@@ -1,4 +1,4 @@
-//! What can happen next in a world, in the order of its time.
+//! The events of a world and the process that each is for.
 
 use crate::fault::Fault;
 use crate::pinned::PinnedRequest;
@@ -49,21 +49,21 @@
         data: usize,
         incarnation: u64,
     },
-    /// A client closes its connection before its answer.
+    /// A client closes its connection before its response.
     ClientDeparts {
         request: u64,
     },
-    /// Its node sees that.
+    /// Its node observes that.
     DepartureObserved {
         request: u64,
         data: usize,
         incarnation: u64,
     },
-    /// A client that left sends the same request again, under its key.
+    /// A client that departed sends the same request again, under its key.
     ClientReturns {
         request: u64,
     },
-    /// A request goes on with what it waited for.
+    /// A request's flow receives what it waited for.
     Resume {
         request: u64,
         data: usize,
@@ -91,9 +91,9 @@
         caller: usize,
     },
     Operate,
-    /// Those who cling to one control machine ask the next thing.
+    /// The pinned clients send their next request.
     SendPinned,
-    /// Their question arrives at its door.
+    /// A pinned client's request arrives at its control machine.
     PinnedArrives {
         at: usize,
         key: u64,
@@ -103,7 +103,7 @@
     Fault(Fault),
     Wake(ProcessId),
     Start(ProcessId),
-    /// Looks whether a process that was asked to stop has nothing left to do.
+    /// Checks whether a process that shuts down has finished its work.
     Leave {
         process: ProcessId,
         incarnation: u64,
@@ -112,7 +112,7 @@
 }
 
 impl World {
-    /// The process that an event needs awake.
+    /// The process that handles an event; while it is frozen, the event waits.
     pub fn process_of(&self, event: &Event) -> Option<ProcessId> {
         match event {
             Event::Tick { process, .. } => Some(*process),
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -1,62 +1,96 @@
-//! The kinds of fault, and at which moments each may strike.
+//! The kinds of fault that a run may inject.
 
 use crate::disk::DiskFault;
 use crate::list::ListFault;
 
-/// Between these, a node can stand still.
+/// The stages of a request right before which a data node can freeze.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
+    /// Before the node reads the request.
     Arrived,
+    /// Before the node learns that it is connected to a target, so before it requests a ticket.
     Connected,
-    /// The ticket's response is there, the last look at the lease is not done.
+    /// Before the node reads the granted ticket, so before its last check of the lease.
     Granted,
-    /// The flow said 'pass'; the gate before the first byte is not asked.
+    /// After the decision to forward and before the last check that precedes the first byte.
     Sending,
-    /// The target has run it, the response is not read.
+    /// After the target has run the request and before the node reads the response.
     Responded,
 }
 
+/// A disturbance of the cluster or its surroundings. Where a fault names no machine, the run's seed
+/// draws it;\
+/// a control machine is drawn with a preference for the leader. `Heal` ends all faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
+    /// A control process ends at once; its disk retains all that was written.
     KillControl,
+    /// A control machine loses power: its process ends and unsynced writes may be lost.
     PowerLoss,
+    /// The first three control machines lose power at once.
     PowerLossOfAll,
+    /// The processes of the first three control machines end at once.
     KillAllControl,
+    /// A control machine returns with an empty disk, where the other members can spare it.
     EmptyDisk,
+    /// A control machine returns with an empty disk at a new address, where the others can spare
+    /// it.
     EmptyDiskAtNewAddress,
+    /// A control process stands still for 0.2 to 6 s and then receives all that arrived meanwhile.
     FreezeControl,
+    /// A control machine is partitioned from all other machines, in both directions.
     CutControl,
+    /// A control machine is partitioned from the other two, in both directions; data nodes reach
+    /// all three.
     SplitControl,
+    /// Frames from one control machine to another are lost, in this direction only.
     OneWayCut,
+    /// A data process ends at once.
     KillData,
+    /// The processes of the first half of the data machines end at once.
     KillManyData,
+    /// A data process stands still for 0.2 to 6 s and then receives all that arrived meanwhile.
     FreezeData,
+    /// A data machine is partitioned from all other machines, in both directions.
     CutData,
+    /// Every frame takes 30 ms longer.
     SlowLinks,
+    /// A tenth of all frames is lost.
     LossyLinks,
+    /// A target's process ends; the endpoint list still shows it.
     KillTarget,
+    /// A target accepts requests and does not answer in time.
     FreezeTarget,
+    /// The endpoint list shows a target as draining, and a new target of its service.
     DrainTarget,
+    /// A target's process ends and one of another service takes its address before the endpoint
+    /// list shows it.
     ReuseAddress,
-    /// A control machine's disk is in trouble; a full or stalled one leaves the process alive.
+    /// A control machine's disk is faulty; a full or stalled one leaves the process running.
     Disk(DiskFault),
     /// Every sync takes 10 to 50 ms.
     SlowDisks,
-    /// A data node freezes at this step of a one-time request, and wakes after every bound has passed.
+    /// The next data node that reaches this stage of a one-time request freezes, and wakes after 3
+    /// to 8 s, when every bound has passed.
     FreezeAt(Stage),
-    /// The platform's list itself is in trouble.
+    /// The platform's endpoint list itself is faulty.
     List(ListFault),
-    /// The controller itself, for measuring how long the others need.
+    /// The leader's process ends at once; for measuring how long the others need.
     KillController,
-    /// This core machine's disk is lost and it comes back empty at a new address.
+    /// This control machine loses its disk and returns empty at a new address, where the others can
+    /// spare it.
     ReplaceControl(usize),
+    /// This data process ends at once and starts again at once.
     RestartData(usize),
-    /// A planned stop and start of this process.
+    /// This control process shuts down gracefully and starts again.
     RollingRestartControl(usize),
+    /// This data process shuts down gracefully and starts again.
     RollingRestartData(usize),
+    /// Ends all faults: stopped processes start, links carry frames, the endpoint list is correct.
     Heal,
 }
 
+/// All faults that `Scenario::everything` draws from, in the order of the draw.
 pub const ALL: [Fault; 39] = [
     Fault::KillControl,
     Fault::PowerLoss,
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -1,4 +1,4 @@
-//! How each fault is brought about in a world.
+//! How each fault is injected into a world.
 
 use crate::event::{Event, ProcessId};
 use crate::fault::{Fault, Stage};
@@ -8,6 +8,7 @@
 use postbarrow_node::{AttemptOutcome, Event as GoEvent};
 
 impl World {
+    /// Brings about one fault now. Every call draws the same numbers, whatever the fault.
     pub fn inject(&mut self, fault: Fault) {
         let log_line = format!("{:.3} fault {fault:?}", self.now_us as f64 / 1e6);
         if let Some(log) = &mut self.log {
@@ -87,6 +88,7 @@
         self.after(for_us, Event::Wake(process));
     }
 
+    /// Freezes the data node of this event if `FreezeAt` waits for its stage.
     pub fn freeze_before(&mut self, event: &Event) {
         let Some(stage) = self.freeze_before else { return };
         let (data, request, here) = match event {
@@ -112,6 +114,7 @@
         }
     }
 
+    /// Partitions control machine `at` from all other machines, in both directions.
     pub fn isolate(&mut self, at: usize) {
         let isolated = self.control[at].address.ip();
         for other in self.addresses() {
@@ -120,7 +123,8 @@
         }
     }
 
-    /// A disk is lost only while the log can spare it: the others are whole members.
+    /// A disk is lost only while the cluster can spare it: the two others are members and agree on
+    /// all three.
     fn empty_disk(&mut self, at: usize, elsewhere: bool) {
         if !self.can_spare(at) {
             return;
@@ -184,7 +188,7 @@
         self.add_target(&service, None);
     }
 
-    /// A ledger is retired and a photo store takes its address before the list knows.
+    /// A ledger is retired and a photo store takes its address before the list shows it.
     fn reuse_address(&mut self) {
         let found =
             self.targets.iter().position(|target| target.alive && target.service == "ledger");
@@ -197,7 +201,7 @@
         let _still_listed = instance;
     }
 
-    /// All that was brought about ends: processes run, links carry, lists are true.
+    /// Ends all faults: processes run, links carry frames, the endpoint list is correct.
     pub fn heal(&mut self) {
         self.net.heal();
         self.slow_disks = false;
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -1,4 +1,4 @@
-//! Numbers and watches over a whole run: what rose, what was left out.
+//! Checks numbers, keys and watches over the history of a run.
 
 use crate::linear;
 use crate::world::World;
--- a/crates/simulation/src/ledger.rs
+++ b/crates/simulation/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What clients were told and what targets ran: the record that every check compares.
+//! What clients received and what targets ran: the record that every check compares.
 
 use crate::orders::OrderLedger;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,19 +12,22 @@
     Unreached,
 }
 
-/// Requests by the end that their client saw last.
+/// Requests by the last outcome that their client received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
+    /// Reported as run.
     pub ran: usize,
+    /// Reported as not run.
     pub not_run: usize,
+    /// Reported as unknown.
     pub unknown: usize,
-    /// Another request with the same key was at work.
+    /// Another request with the same key was in flight.
     pub pending: usize,
-    /// No node took the request.
+    /// No node accepted the request.
     pub unreached: usize,
-    /// The node that took it ended first.
+    /// The node that accepted it ended first.
     pub unanswered: usize,
-    /// The client left before any answer.
+    /// The client departed before any response.
     pub departed: usize,
 }
 
@@ -35,7 +38,7 @@
         answered + self.unreached + self.unanswered + self.departed
     }
 
-    /// Both together.
+    /// The sum of both.
     #[must_use]
     pub fn plus(self, other: OutcomeCounts) -> OutcomeCounts {
         OutcomeCounts {
@@ -53,10 +56,10 @@
 #[derive(Default)]
 struct RequestRecord {
     one_time: bool,
-    /// Sent twice at once under one key: what one go is told says nothing of the other.
+    /// Sent twice at once under one key: the outcome of one attempt says nothing of the other.
     doubled: bool,
     outcomes: Vec<ClientOutcome>,
-    /// A client of it left without an answer.
+    /// A client of it departed without a response.
     client_departed: bool,
     runs: Vec<Run>,
 }
@@ -64,20 +67,21 @@
 /// One run at a target.
 struct Run {
     instance: String,
-    /// Which of the sends under this id it was.
+    /// Which attempt under this id it was.
     attempt: u64,
 }
 
-/// What clients were told and what targets ran, compared at every entry.
+/// What clients received and what targets ran, compared at every entry.
 #[derive(Default)]
 pub struct Ledger {
     records: BTreeMap<u64, RequestRecord>,
     pub violations: Vec<String>,
     pub forwards: u64,
     pub ran_us: Vec<u64>,
-    /// Plans acknowledged: when, and the offset at which they began.
+    /// Acknowledged plans: when, and the log offset of their Begin.
     pub in_force: Vec<(u64, u64)>,
-    /// Plans refused or rehearsed only: version and number of routes, which data nodes know of one.
+    /// Refused plans and dry runs: version and number of routes, by which a data node's image shows
+    /// one.
     pub refused: BTreeSet<(String, usize)>,
     pub orders: OrderLedger,
     pub committed: BTreeMap<u64, u64>,
@@ -99,7 +103,7 @@
         self.records.entry(id).or_default().doubled = true;
     }
 
-    /// A target ran a request, in the go of this number.
+    /// Records that a target ran a request, in this attempt.
     pub fn ran(&mut self, id: u64, attempt: u64, instance: &str, kind: &str, service: &str) {
         let mut found = Vec::new();
         if kind != service {
@@ -129,7 +133,8 @@
         self.records.entry(id).or_default().client_departed = true;
     }
 
-    /// The client of this go was told its end. What a lookup is told is about this go alone.
+    /// Records the outcome that the client of this attempt received. A lookup's outcome is about
+    /// this attempt alone.
     pub fn record_outcome(&mut self, id: u64, attempt: u64, outcome: ClientOutcome) {
         let Some(record) = self.records.get_mut(&id) else { return };
         record.outcomes.push(outcome);
@@ -144,7 +149,7 @@
         }
     }
 
-    /// How many requests ended in each way, by the last end that their client saw.
+    /// How many requests had each outcome, by the last one that their client received.
     pub fn outcome_counts(&self) -> OutcomeCounts {
         let with_outcome = |end: Option<ClientOutcome>| {
             self.records.values().filter(move |record| record.outcomes.last().copied() == end)
@@ -166,7 +171,7 @@
         self.records.len()
     }
 
-    /// Lookups that targets ran, and how many of those runs were extra.
+    /// Attempts of lookups, and the runs at targets beyond one for each.
     pub fn extra(&self) -> (usize, usize) {
         let lookups = self.records.values().filter(|record| !record.one_time);
         lookups.fold((0, 0), |(requested, extra), record| {
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,4 +1,5 @@
 #![doc = include_str!("../README.md")]
+#![deny(missing_docs)]
 
 mod calls;
 mod check;
--- a/crates/simulation/src/linear.rs
+++ b/crates/simulation/src/linear.rs
@@ -1,17 +1,18 @@
-//! Whether a history of calls on one name has an order that a single copy could have given.
+//! Linearizability of the calls on one name (Herlihy and Wing, 1990; the search is Wing and
+//! Gong's).
 
 use crate::calls::CompletedCall;
 use postbarrow_state::{Call, Outcome};
 use std::collections::{BTreeMap, HashSet};
 
-/// One name's single copy: a number, a key's revision, or a lock's fence while held.
+/// The sequential object behind one name: a number and a key's revision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Register {
     number: u64,
     revision: u64,
 }
 
-/// What a call means to the single copy: None if it can't come now.
+/// The object after this call with this outcome; `None` if the outcome is not possible now.
 fn step(register: Register, call: &Call, outcome: &Outcome) -> Option<Register> {
     let same = |matches: bool| matches.then_some(register);
     match (call, outcome) {
@@ -31,7 +32,7 @@
     }
 }
 
-/// Searches for such an order, calls that never ended left out only if nothing saw them.
+/// Whether the history has a linearization: an order of all calls that respects real time.
 fn has_order(history: &[&CompletedCall]) -> bool {
     let mut visited: HashSet<(Vec<bool>, Register)> = HashSet::new();
     let mut pending = vec![(vec![false; history.len()], Register::default())];
@@ -62,7 +63,7 @@
     }
 }
 
-/// Names whose history no single copy could have given.
+/// Names whose history is not linearizable.
 pub fn check(calls: &[CompletedCall]) -> Vec<String> {
     let mut by_name: BTreeMap<String, Vec<&CompletedCall>> = BTreeMap::new();
     for done in calls {
--- a/crates/simulation/src/list.rs
+++ b/crates/simulation/src/list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of targets: paged, lagging, limited, and at times in trouble.
+//! The platform's endpoint list: paged, lagging, rate-limited, and at times faulty.
 
 use crate::event::Event;
 use crate::world::World;
@@ -18,37 +18,42 @@
     pub draining: bool,
 }
 
-/// What goes wrong with the list itself, until it is healed.
+/// A fault of the endpoint list itself, until it is healed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListFault {
+    /// No fault.
     #[default]
     None,
+    /// A page takes 50 to 150 ms until it is read, and as long again until it arrives.
     Slow,
+    /// The rate limit is 5 pages a second instead of 8.
     Limited,
+    /// Every fetch fails.
     Down,
-    /// One answer without rows, though targets are there.
+    /// One response without rows, though targets are there.
     Empty,
-    /// One answer that ends after the first page.
+    /// One response that ends after the first page.
     Truncated,
+    /// A fifth of the pages ends halfway.
     Garbled,
     /// Cursors lead back to the start.
     CursorLoop,
-    /// A row comes and goes at the front, so that all others shift between pages.
+    /// A row appears and disappears at the front, so that all others shift between pages.
     ShiftingRows,
-    /// Some answers never come.
+    /// Three of ten responses are lost.
     LostPages,
 }
 
-/// The platform's list; `left` tells when it first showed an instance leaving or gone.
+/// The endpoint list; `departures` has when it first showed an instance as draining or gone.
 #[derive(Default)]
 pub struct PlatformList {
     pub rows: BTreeMap<String, Row>,
     pub departures: BTreeMap<String, u64>,
     pub fault: ListFault,
     served: VecDeque<u64>,
-    /// Whether its next first page is still to be told wrong.
+    /// Whether its next first page is to be wrong.
     faulty_page_due: bool,
-    /// Times in which it refused or was out of reach, and so showed nothing.
+    /// Spans in which it refused or failed, and so showed nothing.
     pub unavailable: Vec<(u64, u64)>,
     down_us: Option<u64>,
     pub refusals: u64,
@@ -63,7 +68,7 @@
         self.rows.remove("a-passing-row");
     }
 
-    /// How much of this time it showed nothing.
+    /// For how much of this span it showed nothing, in microseconds.
     pub fn unavailable_us(&self, from_us: u64, to_us: u64) -> u64 {
         let open = self.down_us.map(|since_us| (since_us, to_us));
         let spans = self.unavailable.iter().copied().chain(open);
@@ -108,6 +113,7 @@
 }
 
 impl World {
+    /// Heals the endpoint list and then starts this fault.
     pub fn inject_list_fault(&mut self, fault: ListFault) {
         self.list.heal(self.now_us);
         self.list.fault = fault;
@@ -117,7 +123,7 @@
         }
     }
 
-    /// The list is paged, slow and rate-limited; a page is read at some moment on its way.
+    /// Starts a fetch of one page; the page is read at some time before it arrives.
     pub fn fetch(&mut self, at: usize, number: u64, cursor: Option<String>) {
         let incarnation = self.control[at].incarnation;
         let slow = self.list.fault == ListFault::Slow;
@@ -136,6 +142,7 @@
         }
     }
 
+    /// Reads one page for fetch `number` of control machine `at` and sends it on its way.
     pub fn list_read(&mut self, at: usize, incarnation: u64, number: u64, cursor: Option<String>) {
         let faulty_page_due = cursor.is_none() && std::mem::take(&mut self.list.faulty_page_due);
         let page = self.list.page(cursor.as_deref(), faulty_page_due).into_bytes();
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -38,7 +38,7 @@
     zone_us: u64,
 }
 
-/// What can't be run is told, all of it, and nothing is.
+/// All arguments that can't be run; with any of them nothing is run.
 fn findings(cli: &Cli) -> Vec<String> {
     let minimums = [
         ("--seeds", cli.seeds, 1),
@@ -50,7 +50,7 @@
     low.map(|(flag, given, min)| format!("{flag} {given}: at least {min}")).collect()
 }
 
-/// Every step of every kind, until the controller takes no more.
+/// Injects each fault at every step of each operation, until the controller takes no more steps.
 fn steps(cli: &Cli) -> ExitCode {
     let kinds: Vec<(Operation, InjectedFault)> = OPERATIONS
         .into_iter()
--- a/crates/simulation/src/net.rs
+++ b/crates/simulation/src/net.rs
@@ -1,21 +1,21 @@
-//! The network between machines: delays, loss, one-way cuts, and order within each link.
+//! The network between machines: delays, loss, partitions, and order within each link.
 
 use crate::random::Random;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
 
-/// Delays, order within a link, and cuts that may be one-way.
+/// Delays, order within a link, and partitions that may be one-way.
 #[derive(Default)]
 pub struct Net {
     partitions: BTreeSet<(IpAddr, IpAddr)>,
     last: BTreeMap<(SocketAddr, SocketAddr), u64>,
     pub slow_us: u64,
     pub loss_per_mille: u64,
-    /// Machines of other zones are so much farther; a machine's zone is its number's third.
+    /// Added delay between zones, in microseconds; a machine's zone is its number modulo three.
     pub zone_us: u64,
 }
 
-/// Machines are numbered from one in the last part of their address.
+/// Machines are numbered from one in the last octet of their address.
 fn zone(of: IpAddr) -> u8 {
     match of {
         IpAddr::V4(address) => address.octets()[3].wrapping_sub(1) % 3,
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -129,6 +129,8 @@
         self.after(50_000, Event::Operate);
     }
 
+    /// Prepares a plan with `routes` further routes and submits it; `dry`: as a dry run; `empty`:
+    /// with a service that has no target.
     pub fn submit_plan(&mut self, routes: u64, dry: bool, empty: bool) {
         self.operator.number += 1;
         let submitted = self.prepare_order(routes, dry, empty);
@@ -186,6 +188,7 @@
         self.submit(submitted);
     }
 
+    /// Submits an order, which stays pending until it has a clear response.
     pub fn submit(&mut self, submitted: SubmittedOrder) {
         let order = &submitted.order;
         let plan = Plan::read(order.text.as_bytes()).expect("the simulator's plans are sound");
@@ -205,6 +208,7 @@
         self.send_operator_request(key, Request::Submit(submission));
     }
 
+    /// Requests the plan in force; `Operator::shown` receives it.
     pub fn show(&mut self) {
         self.operator.key += 1;
         let key = self.operator.key;
@@ -221,6 +225,7 @@
         self.apply_operator_effects(effects);
     }
 
+    /// Feeds a frame to the operators' client.
     pub fn operator_receives(&mut self, envelope: Envelope) {
         if let Message::Response { key, response } = envelope.message {
             let effects =
@@ -295,6 +300,7 @@
         }
     }
 
+    /// Records an acknowledged plan; `text` is the response's body.
     pub fn plan_acknowledged(&mut self, order: Order, text: &str) {
         let began = began_at(text);
         self.operator.acknowledged += 1;
--- a/crates/simulation/src/operator/plans.rs
+++ b/crates/simulation/src/operator/plans.rs
@@ -1,6 +1,6 @@
-//! Texts of plans, and of their acknowledgements.
+//! Texts of plans and of their acknowledgements.
 
-/// A plan for the three services, with as many further routes; `empty`: one service finds no target.
+/// A plan for the three services with `routes` further routes; `empty`: one service has no target.
 pub fn plan_text(version: &str, base: Option<&str>, routes: u64, empty: bool) -> String {
     let base = base.map_or("null".into(), |base| format!("\"{base}\""));
     let more: String = (0..routes)
@@ -12,7 +12,7 @@
     )
 }
 
-/// Where the plan began in the log, as an acknowledgement tells it.
+/// The log offset of the plan's Begin, as its acknowledgement states it.
 pub fn began_at(text: &str) -> Option<u64> {
     let rest = text.split("\"beganAt\":").nth(1)?;
     rest.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
--- a/crates/simulation/src/orders.rs
+++ b/crates/simulation/src/orders.rs
@@ -1,16 +1,19 @@
-//! What operators were told of their orders, compared at every answer.
+//! Responses to operators' orders, compared at every response.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One order as it was sent: its text carries everything else.
+/// One order as it was sent; its text carries everything else.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Order {
+    /// The plan's version.
     pub version: String,
+    /// The version that it changes; `None` for the first plan.
     pub base: Option<String>,
+    /// The plan's text.
     pub text: String,
 }
 
-/// Orders acknowledged and refused so far. Each check gives what it finds wrong.
+/// Orders acknowledged and refused so far. Each check returns the violations that it finds.
 #[derive(Debug, Default)]
 pub struct OrderLedger {
     by_version: BTreeMap<String, String>,
@@ -20,6 +23,7 @@
 }
 
 impl OrderLedger {
+    /// Records an acknowledgement; returns the violations that it shows.
     pub fn acknowledged(&mut self, order: &Order) -> Vec<String> {
         let mut found = Vec::new();
         let known = self.by_version.entry(order.version.clone()).or_insert(order.text.clone());
@@ -37,6 +41,7 @@
         found
     }
 
+    /// Records a refusal; returns the violations that it shows.
     pub fn refused(&mut self, order: &Order) -> Vec<String> {
         let mut found = Vec::new();
         if self.accepted.contains(order) {
@@ -46,11 +51,12 @@
         found
     }
 
-    /// In an order that is the same in every run of a seed.
+    /// Acknowledged orders, in an order that is the same in every run of a seed.
     pub fn accepted_orders(&self) -> Vec<&Order> {
         self.accepted.iter().collect()
     }
 
+    /// Refused orders, in an order that is the same in every run of a seed.
     pub fn refused_orders(&self) -> Vec<&Order> {
         self.refused.iter().collect()
     }
--- a/crates/simulation/src/passing.rs
+++ b/crates/simulation/src/passing.rs
@@ -1,13 +1,13 @@
-//! A request on its connection to a target, and what the target does with it.
+//! Forwarding: a request on its connection to a target, and what the target does with it.
 
 use crate::event::{Event, ProcessId};
 use crate::world::World;
 use postbarrow_node::{AttemptOutcome, TargetResponse};
 use postbarrow_state::{Name, Target};
 
-/// The way from a node to a target and back.
+/// From a node to a target and back.
 impl World {
-    /// The connection's other end says who it is before anything is sent.
+    /// Connects; the other end proves its identity before anything is sent.
     pub fn connect(&mut self, request: u64, data: usize, target: &Target) {
         let incarnation = self.data[data].incarnation;
         let found = self.target_at(target.address).map(|found| found.instance.clone());
@@ -27,7 +27,7 @@
         self.after(took_us, Event::Resume { request, data, incarnation, event });
     }
 
-    /// The look right before the first byte, then the bytes.
+    /// The last check right before the first byte, then the bytes.
     pub fn send(&mut self, request: u64, data: usize, until_ms: u64) {
         let incarnation = self.data[data].incarnation;
         let now_ms = self.local_ms(ProcessId::Data(data));
@@ -52,7 +52,7 @@
         self.after(delay_us, Event::Run { request, data, incarnation, instance });
     }
 
-    /// The bytes reach the target, or the connection has broken under way: then nobody can say.
+    /// The bytes reach the target, or the connection breaks and the outcome is unknown.
     pub fn run(&mut self, request: u64, data: usize, incarnation: u64, instance: &str) {
         let Some(run) = self.requests.get(&request) else { return };
         let (id, service) = (run.id, run.service);
--- a/crates/simulation/src/pinned.rs
+++ b/crates/simulation/src/pinned.rs
@@ -1,4 +1,5 @@
-//! Operators and callers that send all they have to one control machine, whatever becomes of it.
+//! Pinned clients: operators and callers that send everything to one control machine, whatever its
+//! state.
 
 use crate::event::{Event, ProcessId};
 use crate::operator::{Purpose, ROUTES, SubmittedOrder, plan_text};
@@ -11,15 +12,15 @@
 use postbarrow_state::{Call, Name};
 use std::collections::BTreeMap;
 
-/// A question every so often, of each kind in turn.
+/// The pause between two requests; the kinds take turns.
 const QUESTION_US: u64 = 20_000;
-/// So long a question waits at the door of its machine.
+/// How long a request waits at its machine.
 const WAIT_MS: u64 = 2_500;
-/// An order without a clear end is handed to the other operators after this.
+/// After this time the other operators submit an order that has no clear response.
 const ORDER_US: u64 = 1_500_000;
-/// A key's revision that never is, so that a put on it is always a conflict and tells the real one.
+/// A revision that no key has, so that a put on it always conflicts and returns the real one.
 const NO_REVISION: u64 = u64::MAX;
-/// The number that only these callers count.
+/// The number that only these callers increment. Its text is part of what a seed determines.
 const OWN_NUMBER: &str = "clung";
 /// The number and the key that all callers use.
 const SHARED: &str = "n0";
@@ -37,15 +38,15 @@
     request: PinnedRequest,
 }
 
-/// The door of one control machine, and those who never try another.
+/// The clients of one control machine that never try another.
 pub struct PinnedClients {
     pub at: usize,
     pub answered: usize,
     pub unavailable: usize,
     pub unclear: usize,
-    /// The longest that any question waited for "unavailable", by when it was asked.
+    /// For each request answered as unavailable, when it was sent and how long it waited.
     pub waits_us: Vec<(u64, u64)>,
-    /// Numbers that were told, and how many were asked for without a clear end.
+    /// Acknowledged numbers, and how many requests for one had no clear outcome.
     pub numbers: Vec<u64>,
     pub numbers_unclear: usize,
     pub orders: usize,
@@ -79,7 +80,7 @@
         self.order.is_some()
     }
 
-    /// Questions that should have had an end by then.
+    /// Requests that should have had a response by then.
     pub fn overdue(&self, now_us: u64) -> usize {
         let due_us = (WAIT_MS + 500) * 1_000;
         self.pending.values().filter(|pending| now_us > pending.start_us + due_us).count()
@@ -87,13 +88,13 @@
 }
 
 impl World {
-    /// From now on some cling to this control machine.
+    /// From now on clients are pinned to this control machine.
     pub fn pin_clients_to(&mut self, at: usize) {
         self.pinned = Some(PinnedClients::new(at, self.control[at].incarnation));
         self.after(0, Event::SendPinned);
     }
 
-    /// Asks the next thing at the door.
+    /// Sends the next request and schedules the one after it.
     pub fn send_pinned_request(&mut self) {
         let Some(pinned) = &mut self.pinned else { return };
         pinned.key += 1;
@@ -117,7 +118,7 @@
         self.after(QUESTION_US, Event::SendPinned);
     }
 
-    /// One order at a time in the whole cluster, so that each is a proper one.
+    /// One order at a time in the whole cluster, so that each is valid.
     fn order_tick(&mut self) {
         let now_us = self.now_us;
         let idle = self.operator.is_idle() && !self.quiet && self.random.chance(30);
@@ -141,7 +142,7 @@
         }
     }
 
-    /// A question arrives at the machine; a process that is down takes none.
+    /// A request arrives at the machine; a process that is down accepts none.
     pub fn pinned_request_arrives(&mut self, key: u64, requested_us: u64, request: PinnedRequest) {
         let Some(at) = self.pinned.as_ref().map(|pinned| pinned.at) else { return };
         if self.control[at].node.is_none() {
@@ -162,7 +163,7 @@
         self.apply_pinned_effects(at, effects);
     }
 
-    /// With the process go its questions: nobody can say what became of them.
+    /// A process's pending requests end with it; their outcome is unknown.
     fn drop_requests_of_earlier_incarnation(&mut self, at: usize) {
         let incarnation = self.control[at].incarnation;
         let Some(pinned) = &mut self.pinned else { return };
@@ -176,7 +177,7 @@
         }
     }
 
-    /// As the program does at each tick.
+    /// Updates the client's contact with the leader, as the program does at each tick.
     pub fn pinned_clients_tick(&mut self, at: usize) {
         if self.pinned.as_ref().is_none_or(|pinned| pinned.at != at) {
             return;
@@ -197,7 +198,7 @@
         self.apply_pinned_effects(at, effects);
     }
 
-    /// A response to a question from this machine's door.
+    /// A response to a pinned client's request at this machine.
     pub fn pinned_clients_receive(&mut self, at: usize, key: u64, response: Response) {
         let now_ms = self.local_ms(ProcessId::Control(at));
         let Some(pinned) = self.pinned.as_mut().filter(|pinned| pinned.at == at) else { return };
@@ -241,7 +242,7 @@
 }
 
 impl PinnedClients {
-    /// Whether this is the order that has no end yet.
+    /// Whether this is the order that is still pending.
     pub fn is_order(&self, submitted: &SubmittedOrder) -> bool {
         self.order.as_ref().is_some_and(|(_, pending)| pending.order == submitted.order)
     }
--- a/crates/simulation/src/replacement.rs
+++ b/crates/simulation/src/replacement.rs
@@ -1,55 +1,60 @@
-//! Core machines are lost or replaced one after another, each as soon as the bounds allow.
+//! Control machines are lost or replaced one after another, each as soon as the bounds allow.
 
 use crate::control::ControlMachine;
 use crate::scenario::{RunResult, finish, recover};
 use crate::steps::read_back;
 use crate::world::{World, address};
 
-/// Replacements back to back, and a last loss right after the time to catch up.
+/// Replacements back to back, then a last loss right after the time to catch up.
 #[derive(Clone, Copy, Debug)]
 pub struct Replacement {
+    /// The run's seed.
     pub seed: u64,
-    /// Losses to bear at once; the core has twice as many machines and one.
+    /// Losses to tolerate at once; the group has twice as many machines and one more.
     pub losses: usize,
-    /// The newcomer starts first, and the old process is asked to stop.
+    /// The new machine starts first, and the old process shuts down gracefully.
     pub planned: bool,
-    /// The controller itself is among those that go.
+    /// The leader is among the replaced machines.
     pub leader: bool,
-    /// The first newcomer of each round dies half-way, and another comes.
+    /// The first new machine of each replacement is lost while it joins, and another starts.
     pub newcomer_dies: bool,
-    /// The newcomers' seeds are all those that go.
+    /// The new machines' seeds are the replaced machines only.
     pub seeds_depart: bool,
+    /// How many replacements follow each other.
     pub rounds: usize,
 }
 
+/// What a run with replacements ended with.
 #[derive(Debug, Default)]
 pub struct ReplacementResult {
+    /// What every run ends with.
     pub result: RunResult,
-    /// From the newcomers' start until all of them vote, in each round.
+    /// Milliseconds from the new machines' start until all of them vote, for each replacement.
     pub vote_ms: Vec<u64>,
-    /// From the last loss, of the controller among others, until another leads.
+    /// Milliseconds from the last loss, the leader's among others, until another leads.
     pub leader_ms: u64,
 }
 
-/// An empty machine comes so long after a loss that was not planned.
+/// An empty machine starts this long after an unplanned loss.
 const NEWCOMER_US: u64 = 1_000_000;
-/// A planned replacement's old process is asked to stop so long after the new one began.
+/// In a planned replacement the old process is asked to stop this long after the new one started.
 const OVERLAP_US: u64 = 1_000_000;
-/// A newcomer that dies half-way has lived so long.
+/// A new machine that is lost while it joins has run this long.
 const HALF_WAY_US: u64 = 700_000;
-/// A request comes every so often: enough to see each node served.
+/// Mean pause between requests: enough to observe that each node serves.
 const REQUEST_PAUSE_US: u64 = 100_000;
 const LOOK_US: u64 = 20_000;
-/// Nobody leads any more if nobody does by then.
+/// After this time without a leader the run gives up.
 const MAX_LEADERLESS_US: u64 = 10_000_000;
 const GROWTH_US: u64 = 2_000_000;
 
 impl Replacement {
-    /// Time to catch up: that of a small deployment and of a grown one.
+    /// Milliseconds to catch up: those of a group of three, or of five.
     pub fn catch_up_ms(&self) -> u64 {
         if self.losses > 1 { 6_000 } else { 4_000 }
     }
 
+    /// Runs it; the same seed gives the same result.
     pub fn run(&self) -> ReplacementResult {
         let mut world = World::new(self.seed, 2, 9);
         world.set_quorum_bounds(self.losses, self.catch_up_ms() / 2);
@@ -73,7 +78,7 @@
         replacement_result
     }
 
-    /// One replacement and the time to catch up.
+    /// One replacement and the time to catch up; milliseconds until the new machines vote.
     fn replace_once(&self, world: &mut World) -> u64 {
         let count = if self.planned { 1 } else { self.losses };
         let departed: Vec<usize> =
@@ -110,7 +115,7 @@
 }
 
 impl World {
-    /// What the deployment says of its core.
+    /// Sets the losses to tolerate, and the time after which an unresponsive voter counts as lost.
     pub fn set_quorum_bounds(&mut self, losses: usize, voter_dead_ms: u64) {
         self.losses = losses;
         self.voter_dead_ms = voter_dead_ms;
@@ -120,12 +125,13 @@
         }
     }
 
-    /// An empty core machine at a new address; its place among all.
+    /// Starts an empty control machine at a new address; returns its index.
     pub fn add_control(&mut self) -> usize {
         self.add_control_machine(false)
     }
 
-    /// A control machine without a disk, which passes requests on and is never a member.
+    /// Starts a control machine without a lasting disk, which forwards requests and is never a
+    /// member.
     pub fn add_observer(&mut self) -> usize {
         self.add_control_machine(true)
     }
@@ -152,19 +158,19 @@
         self.run_until(self.now_us + for_us);
     }
 
-    /// This machine is gone for good, at once.
+    /// Loses this machine for good, at once.
     fn retire(&mut self, at: usize) {
         self.control[at].retired_us = Some(self.now_us);
         self.end_control(at, true);
     }
 
-    /// This process is asked to stop, and won't begin again.
+    /// Shuts this process down gracefully and for good.
     fn stop_for_good(&mut self, at: usize) {
         self.control[at].retired_us = Some(self.now_us);
         self.rolling_restart_control(at);
     }
 
-    /// Places of the living voters, the controller first or not at all.
+    /// Indexes of the running voters, the leader first or left out.
     fn control_voters(&self, with_leader: bool) -> Vec<usize> {
         let Some(leader) = self.leader() else { return Vec::new() };
         let node = self.control[leader].node.as_ref().expect("a leader lives");
@@ -177,7 +183,7 @@
         with_leader.then_some(leader).into_iter().chain(others).collect()
     }
 
-    /// The leader knows it committed that these vote, and those no longer do.
+    /// Whether the leader knows as committed that `newcomers` vote and `gone` do not.
     fn are_committed(&self, newcomers: &[usize], departed: &[usize]) -> bool {
         let Some(node) = self.leader().and_then(|at| self.control[at].node.as_ref()) else {
             return false;
--- a/crates/simulation/src/requests.rs
+++ b/crates/simulation/src/requests.rs
@@ -1,4 +1,4 @@
-//! Clients' requests on their way through data nodes.
+//! Clients' requests to data nodes and their flow through them.
 
 mod departure;
 
@@ -13,21 +13,21 @@
 use postbarrow_state::{Name, Target};
 use std::sync::Arc;
 
-/// One request on its way through a node.
+/// One attempt of a client's request at one data node.
 pub struct RequestRun {
     pub id: u64,
     pub keyed: bool,
     pub attempts: u32,
     pub service: &'static str,
     data: usize,
-    /// The life of the node that took it, and when it must have answered at the latest.
+    /// The incarnation of the node that accepted it, and the latest time of its response.
     incarnation: u64,
     answer_due_us: u64,
     flow: Option<RequestFlow>,
     pub target: Option<(Arc<Target>, Arc<Load>)>,
-    /// Who was at the other end when the connection was made, whoever that is.
+    /// The instance at the other end when the connection was made, whichever that is.
     pub connected: Option<String>,
-    /// Its client closed the connection, and whether the node has seen that.
+    /// Whether its client closed the connection, and whether the node has observed that.
     pub client_left: bool,
     departure_observed: bool,
     awaits: Awaits,
@@ -38,9 +38,9 @@
 enum Awaits {
     /// A connection to a target, with its proof.
     Connection,
-    /// The controller's answer to the question of this key.
+    /// The controller's response to the request of this key.
     Controller { key: u64 },
-    /// The last look before its bytes go out.
+    /// The last check before its bytes are sent.
     Sending,
     /// Its target's response.
     Target,
@@ -71,6 +71,7 @@
 ];
 
 impl World {
+    /// Sends one new request and schedules the next.
     pub fn next_request(&mut self) {
         if self.quiet && self.request_pause_us == 0 {
             return;
@@ -88,7 +89,7 @@
         self.after(pause_us, Event::NextRequest);
     }
 
-    /// The platform gives clients to ready nodes; now and then it is a little behind.
+    /// The platform routes clients to ready nodes; now and then its view is a little old.
     fn client_sends(&mut self, id: u64, service: &'static str, keyed: bool, attempts: u32) {
         let any = self.random.chance(50);
         let behind = |at: usize| any && self.now_us < self.data[at].ready_us + BEHIND_US;
@@ -121,7 +122,7 @@
         self.schedule_departure(request);
     }
 
-    /// Requests that a node took, in its present life, and did not answer in time.
+    /// Requests that a node's present incarnation accepted and did not answer in time.
     pub fn overdue(&self) -> Vec<u64> {
         let overdue = |run: &&RequestRun| {
             let same_incarnation = self.data[run.data].incarnation == run.incarnation;
@@ -130,6 +131,7 @@
         self.requests.values().filter(overdue).map(|run| run.id).collect()
     }
 
+    /// A request reaches data node `data`, which starts its flow or answers at once.
     pub fn request_arrives(&mut self, request: u64, data: usize, incarnation: u64) {
         let Some(run) = self.requests.get(&request) else { return };
         let (id, service, keyed) = (run.id, run.service, run.keyed);
@@ -186,6 +188,7 @@
         self.resume_request(request, data, postbarrow_node::Event::Start);
     }
 
+    /// Feeds an event to a request's flow and carries out the step that it returns.
     pub fn resume_request(&mut self, request: u64, data: usize, event: postbarrow_node::Event) {
         let now_ms = self.local_ms(ProcessId::Data(data));
         let serves = self.serves(data);
@@ -223,7 +226,8 @@
         }
     }
 
-    /// Asks the controller on behalf of a request, which waits for the answer.
+    /// Sends a request to the controller on behalf of a client's request, which waits for the
+    /// response.
     fn request_controller(&mut self, request: u64, data: usize, question: Request, wait_ms: u64) {
         let key = self.next_request_key(data);
         if let Some(run) = self.requests.get_mut(&request) {
--- a/crates/simulation/src/requests/departure.rs
+++ b/crates/simulation/src/requests/departure.rs
@@ -1,4 +1,4 @@
-//! Clients that leave before their answer.
+//! Clients that depart before their response.
 
 use super::Awaits;
 use crate::event::Event;
@@ -7,17 +7,17 @@
 use postbarrow_messages::Response;
 use postbarrow_node::{AttemptOutcome, Input};
 
-/// Of a thousand requests, so many lose their client before their answer.
+/// Of a thousand requests, how many have a client that departs before the response.
 const DEPARTURES_PER_MILLE: u64 = 40;
-/// Most of these leave within the time of an ordinary request, a few wait longer.
+/// Most of these depart within the time of an ordinary request, a few later.
 const EARLY_DEPARTURE_US: u64 = 8_000;
 const LATE_DEPARTURE_US: u64 = 2_000_000;
 const LATE_PER_MILLE: u64 = 200;
-/// A client that left comes back with its key after this at most.
+/// A departed client returns with its key after this time at most.
 const MAX_RETURN_US: u64 = 1_000_000;
 
 impl World {
-    /// Some clients leave, most of them soon.
+    /// Schedules the departure of some clients, of most soon.
     pub(super) fn schedule_departure(&mut self, request: u64) {
         if self.random.chance(DEPARTURES_PER_MILLE) {
             let is_late = self.random.chance(LATE_PER_MILLE);
@@ -27,7 +27,7 @@
         }
     }
 
-    /// A client closes its connection before its answer; one with a key may come back with it.
+    /// A client closes its connection before its response; one with a key may return with it.
     pub fn client_departs(&mut self, request: u64) {
         let Some(run) = self.requests.get_mut(&request) else { return };
         if run.flow.is_none() || self.data[run.data].incarnation != run.incarnation {
@@ -45,13 +45,14 @@
         }
     }
 
+    /// A client that departed sends the same request again.
     pub fn client_returns(&mut self, request: u64) {
         let Some(run) = self.requests.get(&request) else { return };
         let (id, keyed, attempts, service) = (run.id, run.keyed, run.attempts, run.service);
         self.client_sends(id, service, keyed, attempts + 1);
     }
 
-    /// The node's wait ends, unless it is for a target that may be running a one-time request.
+    /// The node stops waiting, unless it waits for a target that may be running a one-time request.
     pub fn observe_departure(&mut self, request: u64, data: usize, incarnation: u64) {
         let Some(run) = self.requests.get_mut(&request) else { return };
         if run.flow.is_none() || self.data[data].incarnation != incarnation {
@@ -76,7 +77,8 @@
         self.resume_request(request, data, event);
     }
 
-    /// The last look before the first byte: the client is still there, for all that can be seen.
+    /// The last check before the first byte: whether the client is still connected as far as is
+    /// known.
     pub fn check_client_before_send(&mut self, request: u64) -> bool {
         let Some(run) = self.requests.get_mut(&request) else { return false };
         run.departure_observed |= run.client_left;
--- a/crates/simulation/src/rolling_restart.rs
+++ b/crates/simulation/src/rolling_restart.rs
@@ -1,4 +1,4 @@
-//! Planned stops and starts of machines.
+//! Rolling restarts: graceful shutdown and start of one process after another.
 
 use crate::event::{Event, ProcessId};
 use crate::world::World;
@@ -10,8 +10,10 @@
 const LOOK_US: u64 = 20_000;
 const AWAY_US: u64 = 300_000;
 
-/// Planned stops, as the programs do them: hand over or finish, then end, then begin again.
+/// As the programs do: leadership is transferred or requests finish, then the process ends and
+/// starts again.
 impl World {
+    /// Asks control process `at` to shut down gracefully; it starts again unless it is retired.
     pub fn rolling_restart_control(&mut self, at: usize) {
         let (incarnation, since_us) = (self.control[at].incarnation, self.now_us);
         self.control_input(at, ControlInput::Stop);
@@ -21,6 +23,7 @@
         );
     }
 
+    /// Asks data process `at` to shut down gracefully; it starts again.
     pub fn rolling_restart_data(&mut self, at: usize) {
         let (incarnation, since_us) = (self.data[at].incarnation, self.now_us);
         self.data_input(at, DataInput::Stop);
@@ -30,6 +33,8 @@
         );
     }
 
+    /// Ends a process that shuts down once its work is done or its time is over; otherwise looks
+    /// again later.
     pub fn leave(&mut self, process: ProcessId, incarnation: u64, since_us: u64) {
         let past_ms = (self.now_us - since_us) / 1_000;
         let (here, done) = match process {
@@ -69,6 +74,7 @@
         }
     }
 
+    /// Starts a process that is down.
     pub fn start(&mut self, process: ProcessId) {
         match process {
             ProcessId::Control(at) if self.control[at].node.is_none() => self.start_control(at),
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -8,51 +8,78 @@
 use crate::world::World;
 use std::collections::BTreeSet;
 
-/// What to bring about, from one seed.
+/// The faults of one run, its size and its seed.
 #[derive(Clone, Debug)]
 pub struct Scenario {
+    /// The run's seed.
     pub seed: u64,
+    /// The faults that are drawn from.
     pub faults: Vec<Fault>,
     /// How many are drawn from `faults`, each healed or overlapped by the next.
     pub count: usize,
+    /// How many data nodes there are.
     pub data_nodes: usize,
+    /// How many targets there are at the start.
     pub targets: usize,
+    /// Whether the run's log is returned.
     pub log: bool,
-    /// Brought about after all else is well, and recovered from without help.
+    /// A last fault, injected after all others are healed, from which the cluster recovers without
+    /// help.
     pub last: Option<Fault>,
-    /// Before any drawn fault: each so many milliseconds after the one before.
+    /// Faults before any drawn one, each this many milliseconds after the previous one.
     pub script: Vec<(u64, Fault)>,
-    /// Of a thousand runs at a target, so many lose their response.
+    /// Of a thousand runs at a target, how many lose their response.
     pub lost_per_mille: u64,
-    /// Zones are so far apart.
+    /// Added delay between zones, in microseconds.
     pub zone_us: u64,
 }
 
+/// What a run ended with.
 #[derive(Debug, Default)]
 pub struct RunResult {
+    /// What did not hold; empty if the run passed.
     pub violations: Vec<String>,
+    /// Milliseconds from the last heal or fault until full service; `u64::MAX` if there was none in
+    /// time.
     pub recovery_ms: u64,
+    /// Requests that clients sent.
     pub requests: usize,
+    /// How they ended.
     pub outcomes: OutcomeCounts,
+    /// How often a request was forwarded to a target.
     pub forwards: u64,
+    /// Plans acknowledged.
     pub plans: u64,
+    /// Plans refused.
     pub refusals: u64,
+    /// Completed calls for locks, numbers, keys and watches.
     pub calls: usize,
+    /// Events that the watch received.
     pub events: usize,
+    /// Lookups sent, and the runs at targets beyond one for each.
     pub extra: (usize, usize),
+    /// The longest time for which a target still got requests after the list showed it depart.
     pub longest_leave_ms: u64,
+    /// A digest of the time and order of all events: equal for equal runs.
     pub digest: u64,
+    /// Addresses of the members at the end, as the leader knows them.
     pub members: Vec<String>,
+    /// Snapshots that were encoded.
     pub snapshots: usize,
+    /// Syncs, and the writes that shared them.
     pub synced: (usize, usize),
+    /// Control processes that ended because a write or sync failed.
     pub disk_failures: usize,
+    /// Fetches of the endpoint list that its rate limit refused.
     pub list_refusals: usize,
+    /// The run's log, if it was requested.
     pub log: Vec<String>,
 }
 
 const RECOVERY_MS: u64 = 15_000;
 
 impl Scenario {
+    /// A scenario of the usual size that draws `count` of these faults.
     pub fn new(seed: u64, faults: &[Fault], count: usize) -> Self {
         let faults = faults.to_vec();
         Scenario {
@@ -69,10 +96,12 @@
         }
     }
 
+    /// A scenario that draws six of all faults.
     pub fn everything(seed: u64) -> Self {
         Scenario::new(seed, &ALL, 6)
     }
 
+    /// Runs it; the same scenario gives the same result.
     pub fn run(&self) -> RunResult {
         let mut world = World::new(self.seed, self.data_nodes, self.targets);
         if self.log {
@@ -121,7 +150,8 @@
     }
 }
 
-/// Full service: all nodes ready on one version, and requests of each kind run.
+/// Runs until full service, with requests that run, has lasted a second; milliseconds until it
+/// began.
 pub(crate) fn recover(world: &mut World) -> u64 {
     let start_us = world.now_us;
     let mut well_us = None;
@@ -140,12 +170,14 @@
 }
 
 impl World {
+    /// Whether all data nodes are ready and serve one version of the plan.
     pub fn has_full_service(&self) -> bool {
         let versions: BTreeSet<_> =
             self.data.iter().map(|machine| machine.table.state.plan_version()).collect();
         (0..self.data.len()).all(|at| self.is_ready(at)) && versions.len() == 1
     }
 
+    /// The instance that a request was sent to, if any.
     pub fn target_of(&self, request: u64) -> Option<String> {
         self.requests.get(&request)?.target_name()
     }
@@ -187,7 +219,7 @@
     outcome.log = world.log.take().unwrap_or_default();
 }
 
-/// A node that lives on answers every request that it took.
+/// A node that keeps running answers every request that it accepted.
 fn check_answers(world: &mut World) {
     for id in world.overdue() {
         world.ledger.violate(format!("request {id} got no answer from a node that lives"));
--- a/crates/simulation/src/search/forwarded.rs
+++ b/crates/simulation/src/search/forwarded.rs
@@ -12,56 +12,67 @@
 /// One caller's call, at the client of one member.
 #[derive(Clone, Debug)]
 pub struct ForwardedCall {
+    /// The member whose client sends it.
     pub client: usize,
-    /// Which life of that member's process.
+    /// The key seed of that member's incarnation.
     pub incarnation: u64,
+    /// The call's idempotency id.
     pub id: Option<Name>,
+    /// The call itself.
     pub call: Call,
 }
 
-/// Calls, and how much may go wrong.
+/// The model: the calls, and the faults that may occur.
 #[derive(Clone, Debug, Default)]
 pub struct ForwardedCalls {
+    /// The calls, each sent once.
     pub calls: Vec<ForwardedCall>,
     /// Committed before any call.
     pub before: Vec<Record>,
-    /// What another caller does meanwhile, or time: once, at any moment.
+    /// What another caller, or time, appends once, at any time.
     pub meanwhile: Vec<Record>,
-    /// The log has no space at first, and then it has.
+    /// The log has no space at first, and later it has.
     pub full: bool,
-    /// Messages that may be lost.
+    /// Frames that may be lost.
     pub losses: u8,
-    /// Times that clients look whether to send again.
+    /// How often clients check whether to send again.
     pub ticks: u8,
-    /// The second member may take the lead.
+    /// The second member may become leader.
     pub elects: bool,
 }
 
 /// One event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForwardedAction {
+    /// This call is sent by its client.
     Sends(usize),
+    /// This frame in flight arrives.
     Arrives(usize),
+    /// This frame in flight is lost.
     IsLost(usize),
-    /// Time for clients to send again.
+    /// Clients' retry interval passes.
     Ticks,
-    /// The time of every open call is over.
+    /// Every pending call times out.
     TimesOut,
+    /// The leader commits all of its log.
     Commits,
-    /// The second member leads, with or without what the first has not committed.
+    /// The second member becomes leader, with or without what the first has not committed.
     Elects {
+        /// Whether the second member has the first's uncommitted entries.
         with_all: bool,
     },
-    /// The first member hears of it.
+    /// The first member learns of the new leader.
     Deposes,
+    /// The other caller's records are appended to the leader's log.
     Meanwhile,
+    /// The log has space again.
     SpaceReturns,
-    /// The first member's process ends, and another begins at its address.
+    /// The first member's process ends, and another starts at its address.
     Restarts,
 }
 
 impl ForwardedCalls {
-    /// As the programs draw keys: from the `QuestionKeys` of this life.
+    /// The key that the programs would draw, from the `RequestKeys` of this incarnation.
     fn key(&self, source: usize) -> u64 {
         RequestKeys::new(self.calls[source].incarnation).next()
     }
@@ -137,7 +148,7 @@
         }
     }
 
-    /// Whose question really arrives, whoever shares its key.
+    /// The call that really arrives, whichever shares its key.
     fn call_index(&self, origin: Origin, call: &Call) -> usize {
         let call_index = self
             .calls
@@ -157,7 +168,7 @@
         }
     }
 
-    /// Lives of the first member's process, counted from 0 by when their questions come.
+    /// The incarnation of its client's process that sends this call, from 0.
     fn incarnation_of(&self, at: usize) -> u64 {
         let before = &self.calls[..at];
         before.iter().filter(|source| source.client == self.calls[at].client).count() as u64
--- a/crates/simulation/src/search/forwarded_log.rs
+++ b/crates/simulation/src/search/forwarded_log.rs
@@ -1,10 +1,11 @@
-//! Two control nodes as a forwarded call sees them: what each has in its log, and whom it answers.
+//! Two control nodes as a forwarded call meets them: their logs, and their pending replies.
 //!
 //! The log's records, how they change the state and what a call decides are the real ones; the
-//! way of a write through a node mirrors `crates/controller/src/calls.rs` (`on_write`) and
-//! `lead.rs` (`reply_at`, `reply_settled`, and what is told on losing the lead). A cut-off node
-//! answers from what it knows: the hold that the real one requests for is left out, so that the search
-//! sees more than the real nodes do.
+//! path of a write through a node mirrors the controller's handling of calls and of the replies
+//! that
+//! wait for a commit or for the end of leadership. A partitioned node
+//! answers from what it knows: the real node's check of its lease is omitted, so that the search
+//! covers more than the real nodes do.
 
 use postbarrow_controller::decide;
 use postbarrow_messages::Response;
@@ -12,15 +13,15 @@
 use postbarrow_transactions::Image;
 use std::net::SocketAddr;
 
-/// One batch of the log, and the question it came from.
+/// One batch of the log, and the call that it came from.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// None: another caller's, or the log's own.
+    /// `None`: another caller's, or the log's own.
     pub source: Option<usize>,
     pub records: Vec<Record>,
 }
 
-/// Where a response goes.
+/// The client and key that a response is for.
 #[derive(Clone, Copy, Debug)]
 pub struct Origin {
     pub client: usize,
@@ -35,12 +36,12 @@
 pub struct Member {
     pub log: Vec<Entry>,
     pub committed: usize,
-    /// It takes itself for the leader.
+    /// It believes that it leads.
     pub is_leading: bool,
     pub replies: Vec<(usize, Origin, Response)>,
 }
 
-/// A write, as its question brings it.
+/// A write as its request carries it.
 pub struct Write<'a> {
     pub source: usize,
     pub id: Option<Name>,
@@ -58,7 +59,7 @@
 }
 
 impl Member {
-    /// As `on_write`.
+    /// Decides a write as the controller does.
     pub fn accept_write(&mut self, origin: Origin, write: Write<'_>) -> Vec<Reply> {
         let state = state_of(&self.log);
         if let Some(known) = write.id.as_ref().and_then(|id| state.repeats.get(id)) {
@@ -78,7 +79,7 @@
         self.reply(origin, Response::Outcome(outcome))
     }
 
-    /// As `reply_at` of the log's last entry.
+    /// Replies once the log's last entry is committed.
     fn reply(&mut self, origin: Origin, response: Response) -> Vec<Reply> {
         if self.committed >= self.log.len() {
             return vec![(origin, response)];
@@ -87,13 +88,13 @@
         Vec::new()
     }
 
-    /// All that it has is committed.
+    /// Commits the whole log; returns the replies that waited for it.
     pub fn commit_all(&mut self) -> Vec<Reply> {
         self.committed = self.log.len();
         self.replies.drain(..).map(|(_, origin, response)| (origin, response)).collect()
     }
 
-    /// It hears that another leads, and takes over its log.
+    /// Learns that another leads and adopts its log; pending replies become `Lost`.
     pub fn step_down(&mut self, by: &Member) -> Vec<Reply> {
         self.is_leading = false;
         self.log.clone_from(&by.log);
@@ -102,12 +103,12 @@
     }
 }
 
-/// As a node that does not lead answers.
+/// The response of a node that does not lead.
 pub fn not_controller(controller: SocketAddr) -> Response {
     Response::NotController { controller: Some(controller) }
 }
 
-/// Whether a response says that the call was not done.
+/// Whether a response says that the call took no effect.
 pub fn is_refusal(response: &Response) -> bool {
     use Outcome::{Conflict, LockedByOther, NoKey, NotOwner};
     match response {
--- a/crates/simulation/src/search/forwarded_rules.rs
+++ b/crates/simulation/src/search/forwarded_rules.rs
@@ -1,4 +1,4 @@
-//! What must hold of every forwarded call.
+//! Invariants of every forwarded call.
 
 use super::forwarded::ForwardedCalls;
 use super::forwarded_log::is_refusal;
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 impl ForwardedCalls {
-    /// Whatever a caller was told is true of its own call.
+    /// A caller's response is true of its own call.
     pub(super) fn check_answered(
         &self,
         state: &ForwardedState,
@@ -42,7 +42,7 @@
         if done { Ok(()) } else { Err(format!("call {at} was told {response:?}, not its own")) }
     }
 
-    /// A put has one revision and a lock one fence, however often its question arrives.
+    /// A put has one revision and a lock one fence, however often its request arrives.
     pub(super) fn check_once(&self, state: &ForwardedState, at: usize) -> Result<(), String> {
         let own = state.committed().iter().filter(|entry| entry.source == Some(at));
         let marks: BTreeSet<u64> = own
--- a/crates/simulation/src/search/forwarded_state.rs
+++ b/crates/simulation/src/search/forwarded_state.rs
@@ -1,4 +1,4 @@
-//! Where the members, their clients and the callers of the forwarded calls' model stand.
+//! The state of the forwarded calls' model: members, their clients and the calls.
 
 use super::forwarded_log::{Entry, Member, Origin, Reply, state_of};
 use postbarrow_controller_client::ControllerClient;
@@ -6,18 +6,18 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-/// A message on its way.
+/// A frame in flight. The names keep the order in which equal states list their frames.
 #[derive(Clone, Debug)]
 pub enum Frame {
     ToMember { to: usize, origin: Origin, request: Request },
     ToClient { origin: Origin, response: Response },
 }
 
-/// How far a call has come.
+/// The progress of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Progress {
     Unsent,
-    /// Asked when the number stood so high.
+    /// Sent when the number had this committed value.
     Pending {
         number: u64,
     },
@@ -28,7 +28,7 @@
     Gone,
 }
 
-/// Where all stand; equal where their printed forms are.
+/// The state of the model; states are equal where their printed forms are.
 #[derive(Clone, Debug)]
 pub struct ForwardedState {
     pub(super) now_ms: u64,
@@ -59,15 +59,15 @@
     }
 }
 
-/// The name of the number that calls draw.
+/// The name of the number that calls increment.
 pub const NUMBER: &str = "n";
 
-/// Where a member is reached.
+/// A member's address.
 pub fn address(member: usize) -> SocketAddr {
     SocketAddr::from(([10, 1, 0, 1 + member as u8], 1))
 }
 
-/// A process's client at its start.
+/// The client of a process that just started.
 pub fn new_client() -> ControllerClient {
     let mut client = ControllerClient::default();
     client.on_members(0, Some(address(0)), &[address(0), address(1)]);
@@ -75,7 +75,8 @@
 }
 
 impl ForwardedState {
-    /// Messages without an order between them, and nothing that no event reads.
+    /// Sorts the frames, which have no order among each other, and prints what decides later
+    /// events.
     pub fn canonicalize(&mut self) {
         let mut printed: Vec<(String, Frame)> =
             self.in_flight.drain(..).map(|frame| (format!("{frame:?}"), frame)).collect();
@@ -88,21 +89,21 @@
         self.in_flight = printed.into_iter().map(|(_, frame)| frame).collect();
     }
 
-    /// Responses are sent.
+    /// Sends these replies.
     pub fn send_replies(&mut self, replies: Vec<Reply>) {
         let in_flight =
             replies.into_iter().map(|(origin, response)| Frame::ToClient { origin, response });
         self.in_flight.extend(in_flight);
     }
 
-    /// How high the number stands for all.
+    /// The committed value of the number.
     pub fn number(&self) -> u64 {
         let leader = &self.members[self.leader];
         let state = state_of(&leader.log[..leader.committed]);
         state.numbers.get(NUMBER).copied().unwrap_or(0)
     }
 
-    /// What no change of leader takes back.
+    /// The entries that no change of leader removes.
     pub fn committed(&self) -> &[Entry] {
         let leader = &self.members[self.leader];
         &leader.log[..leader.committed]
--- a/crates/simulation/src/search/mod.rs
+++ b/crates/simulation/src/search/mod.rs
@@ -1,4 +1,5 @@
-//! Exhaustive search, breadth first, over every order of events that a model allows.
+//! Exhaustive search, breadth first, over every order of events that a model allows (bounded model
+//! checking).
 
 mod forwarded;
 mod forwarded_log;
@@ -24,52 +25,52 @@
 use std::hash::Hash;
 use std::rc::Rc;
 
-/// A system whose every order of events is to be looked at.
+/// A system of which every order of events is explored.
 pub trait Model {
-    /// All that decides what may happen next; equal states are looked at once.
+    /// All that decides what may happen next; equal states are explored once.
     type State: Clone + Eq + Hash;
     /// One event.
     type Action: Clone + Debug;
 
-    /// Where every search begins.
+    /// The initial state.
     fn initial(&self) -> Self::State;
-    /// All events that may be next.
+    /// All events that are possible next.
     fn actions(&self, state: &Self::State) -> Vec<Self::Action>;
     /// The state after an event.
     fn step(&self, state: &Self::State, action: &Self::Action) -> Self::State;
-    /// What must hold in every state.
+    /// Checks the invariants, which must hold in every state.
     ///
     /// # Errors
-    /// What does not hold.
+    /// The invariant that does not hold.
     fn check(&self, state: &Self::State) -> Result<(), String>;
 }
 
-/// How far a search goes.
+/// The bounds of a search.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Events in a row.
+    /// Maximum events from the initial state.
     pub depth: usize,
-    /// Different states in all.
+    /// Maximum distinct states.
     pub states: usize,
 }
 
-/// What a search looked at.
+/// What a search covered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Covered {
-    /// Different states.
+    /// Distinct states.
     pub states: usize,
-    /// Events from the first state to the furthest.
+    /// Events from the initial state to the furthest.
     pub depth: usize,
-    /// Every state in reach was looked at; no bound cut the search short.
+    /// Every reachable state was explored; no bound ended the search early.
     pub complete: bool,
 }
 
-/// A state in which something does not hold, and the shortest way to it.
+/// A state that violates an invariant, and a shortest path to it.
 #[derive(Debug)]
 pub struct Counterexample<A> {
-    /// What does not hold.
+    /// The invariant that does not hold.
     pub violation: String,
-    /// The events from the first state on.
+    /// The events from the initial state on.
     pub path: Vec<A>,
 }
 
@@ -79,10 +80,10 @@
     depth: usize,
 }
 
-/// Looks at every state in reach of the first, nearest first.
+/// Explores every state reachable from the initial one, nearest first.
 ///
 /// # Errors
-/// The nearest state in which something does not hold.
+/// The nearest state that violates an invariant.
 pub fn search<M: Model>(model: &M, bounds: Bounds) -> Result<Covered, Counterexample<M::Action>> {
     let first = Rc::new(model.initial());
     let mut visited = HashSet::from([first.clone()]);
--- a/crates/simulation/src/search/request.rs
+++ b/crates/simulation/src/search/request.rs
@@ -10,7 +10,7 @@
 use super::request_wire::{Connection, ConnectionUse, Content, Kind};
 use std::cell::RefCell;
 
-/// How much may go wrong.
+/// The faults that may occur.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Faults {
     /// Second responses and garbage that targets may send.
@@ -19,9 +19,9 @@
     pub closes: u8,
     /// Targets that may be replaced under the same address.
     pub replaces: u8,
-    /// The node may stand still beyond its deadlines, and its lease may end.
+    /// The node may freeze beyond its deadlines, and its lease may expire.
     pub freezes: bool,
-    /// Clients may leave at any moment.
+    /// Clients may depart at any time.
     pub departures: bool,
 }
 
@@ -36,19 +36,20 @@
 }
 
 impl Requests {
-    /// `logged`: tickets come from the log, and connections prove who is there; else requests name
+    /// `logged`: tickets come from the log, and connections prove the target's identity; else
+    /// requests name
     /// their targets.
     pub fn new(kinds: [Kind; 2], logged: bool, faults: Faults) -> Requests {
         let flow_states = RefCell::new(FlowStates::new(kinds, logged));
         Requests { kinds, logged, requires_name: true, checks_client: true, faults, flow_states }
     }
 
-    /// Nobody looks for the client right before the first byte.
+    /// Omits the check for the client right before the first byte.
     pub fn without_client_check(self) -> Requests {
         Requests { checks_client: false, ..self }
     }
 
-    /// A nameless word 'not run' counts on every response of a connection, not on its first alone.
+    /// Accepts an unnamed 'not run' on every response of a connection, not on its first alone.
     pub fn accepting_unnamed_refusals(self) -> Requests {
         Requests { requires_name: false, ..self }
     }
@@ -65,7 +66,7 @@
         state.tickets = flow_states.tickets(state.flow_state);
     }
 
-    /// As a wait that ends with `Waited::ClientLeft` or `Unreceived::ClientLeft`.
+    /// Ends a wait since the client departed.
     fn abandons(&self, state: &mut RequestState, client: usize) {
         state.departure_observed[client] = true;
         match state.phases[client] {
@@ -91,7 +92,7 @@
         self.feed(state, client, FlowEvent::Connected);
     }
 
-    /// As `TargetConnection::exchange` up to the end of its write.
+    /// The data plane's exchange up to the end of its write.
     fn writes(&self, state: &mut RequestState, client: usize) {
         let Some(at) = state.connection_of(client) else { return };
         let connection = &mut state.connections[at];
--- a/crates/simulation/src/search/request_actions.rs
+++ b/crates/simulation/src/search/request_actions.rs
@@ -1,4 +1,4 @@
-//! What may happen next to two requests through one node.
+//! The actions that are possible next for two requests through one node.
 
 use super::request::Requests;
 use super::request_flow::Phase;
@@ -8,46 +8,66 @@
 /// One event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestAction {
+    /// This client's request arrives at the node.
     Arrives(usize),
+    /// The node connects, or takes an idle connection.
     Connects(usize),
+    /// The node's attempt to connect fails.
     ConnectFails(usize),
+    /// The controller grants the ticket.
     TicketGranted(usize),
+    /// The controller records the ticket's settlement.
     TicketSettled(usize),
+    /// No response comes from the controller.
     TicketTimesOut(usize),
-    /// The request's bytes go out, if its last look allows it.
+    /// The request's bytes are sent, if the last check allows it.
     Writes(usize),
-    /// The first byte is refused, for the target's reset is known already.
+    /// Sending the first byte fails, for the target's reset is known already.
     WriteRefused(usize),
-    /// A response is read; with the bytes that follow it, or without.
+    /// The node reads a response.
     Reads {
+        /// Whose response.
         client: usize,
+        /// Whether the bytes after it are read too.
         rest: bool,
     },
-    /// The deadline comes while the node reads.
+    /// The deadline passes while the node reads.
     Expires(usize),
     /// The target at the other end runs the request and answers.
     Runs(usize),
+    /// The target runs the request and sends no response.
     RunsWithoutResponse(usize),
+    /// The target runs the request, sends part of its response and closes the connection.
     RunsAndTruncatesResponse(usize),
+    /// The target answers that it does not run the request.
     Rejects {
+        /// On which connection.
         connection: usize,
+        /// Whether the response names its request.
         is_named: bool,
     },
+    /// The target sends a response that nobody waits for.
     Strays {
+        /// On which connection.
         connection: usize,
+        /// What it says.
         content: Content,
+        /// Whether it names the request answered last.
         is_named: bool,
     },
+    /// The target closes this connection.
     Closes(usize),
+    /// Another process takes this target's address.
     Replaces(usize),
     /// The client closes its connection.
     ClientDeparts(usize),
-    /// The node sees that it did, while it waits for something else.
+    /// The node observes the departure while it waits for something else.
     ObservesDeparture(usize),
-    /// The node, which waits for a socket, gives up what it waits for: its client left.
+    /// The node, which waits for a socket, stops waiting since the client departed.
     Abandons(usize),
-    /// Deadlines pass, as for a node that was frozen.
+    /// All deadlines pass, as for a node that was frozen.
     TimePasses,
+    /// The node's lease expires.
     LeaseEnds,
 }
 
@@ -87,8 +107,8 @@
         }
     }
 
-    /// What a client that may leave, and a node that may see it, do. A one-time request at its
-    /// target is not watched.
+    /// Departures of clients, and a node's reactions. A one-time request at its
+    /// target is not watched for them.
     pub(super) fn departure_actions(
         &self,
         state: &RequestState,
--- a/crates/simulation/src/search/request_flow.rs
+++ b/crates/simulation/src/search/request_flow.rs
@@ -1,4 +1,4 @@
-//! The real flows of two requests, driven anew from their events.
+//! The real flows of two requests, replayed from their events.
 
 use super::request_plan::{context, entry, table, target_name};
 use super::request_wire::Kind;
@@ -7,12 +7,12 @@
 use postbarrow_state::{Name, Settlement};
 use std::collections::{BTreeMap, HashMap};
 
-/// When both requests come.
+/// When both requests arrive, in milliseconds.
 pub const START_MS: u64 = 10_000;
-/// Each must end in this time.
+/// Each must end within this time, in milliseconds.
 pub const DEADLINE_MS: u64 = 4_000;
 
-/// One event of one request, as its flow is told it.
+/// One event of one request, as its flow receives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FlowEvent {
     Start,
@@ -20,12 +20,12 @@
     ConnectFailed,
     Granted,
     Settled,
-    /// No word from the controller.
+    /// No response from the controller.
     NoResponse,
     AttemptEnded(AttemptEnd),
 }
 
-/// A way in which a request was passed on, with whose response it is.
+/// How an attempt ended, with the client whose response it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptEnd {
     Complete(usize),
@@ -34,13 +34,13 @@
     Unknown { late: bool },
 }
 
-/// An event, to whom it went and what the node then knew.
+/// An event, the request that it is for and what the node knew then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct FlowInput {
     pub client: usize,
     pub now_ms: u64,
     pub serves: bool,
-    /// The node has seen that the client left.
+    /// The node has observed that the client departed.
     pub client_left: bool,
     pub event: FlowEvent,
 }
@@ -48,27 +48,27 @@
 /// What a request waits for now, or how it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// Not yet come.
+    /// Not yet arrived.
     NotArrived,
     Connect(usize),
     RequestTicket,
     Settle,
     Forward,
-    /// The client got the response that was made for this request.
+    /// The client received the response to the request of this client.
     Answered(usize),
-    /// The client was told that its request did not run.
+    /// The client received the report that its request did not run.
     ReportedNotRun,
     ReportedUnknown,
-    /// Nobody was there to be told.
+    /// The client had departed.
     ClientLeft,
 }
 
 /// What became of a request's ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TicketEnd {
-    /// None was asked for.
+    /// None was requested.
     None,
-    /// Asked for, and its end not told.
+    /// Requested and not settled.
     Pending,
     Settled(Settled),
 }
@@ -81,7 +81,7 @@
     Unknown,
 }
 
-/// Where both flows stand: their phases, and all that decides their next steps.
+/// The state of both flows: their phases, and all that decides their next steps.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct FlowState {
     pub phases: [Phase; 2],
@@ -89,18 +89,18 @@
     fingerprint: String,
 }
 
-/// Every view met so far, so that each event of a flow is worked out once.
+/// Every state reached so far, so that each transition is computed once.
 pub struct FlowStates {
     kinds: [Kind; 2],
     logged: bool,
-    /// Each with events that lead to it.
+    /// Each with inputs that lead to it.
     known: Vec<(FlowState, Vec<FlowInput>)>,
     numbers: HashMap<FlowState, usize>,
     after: HashMap<(usize, FlowInput), usize>,
 }
 
 impl FlowStates {
-    /// Begins with the view in which no request has come.
+    /// Starts with the state in which no request has arrived.
     pub fn new(kinds: [Kind; 2], logged: bool) -> FlowStates {
         let first = replay(kinds, logged, &[]);
         let numbers = HashMap::from([(first.clone(), 0)]);
@@ -113,17 +113,17 @@
         }
     }
 
-    /// What the requests wait for in this view.
+    /// What the requests wait for in this state.
     pub fn phases(&self, flow_state: usize) -> [Phase; 2] {
         self.known[flow_state].0.phases
     }
 
-    /// What became of the requests' tickets in this view.
+    /// What became of the requests' tickets in this state.
     pub fn tickets(&self, flow_state: usize) -> [TicketEnd; 2] {
         self.known[flow_state].0.tickets
     }
 
-    /// The view after an event.
+    /// The state after an input.
     pub fn after(&mut self, flow_state: usize, input: FlowInput) -> usize {
         if let Some(known) = self.after.get(&(flow_state, input)) {
             return *known;
@@ -140,7 +140,7 @@
     }
 }
 
-/// Feeds the events, in their order, to two new flows over one table.
+/// Feeds the inputs, in their order, to two new flows over one table.
 fn replay(kinds: [Kind; 2], logged: bool, inputs: &[FlowInput]) -> FlowState {
     let table = table();
     let mut flows = [0, 1].map(|client| {
@@ -168,8 +168,9 @@
     FlowState { phases, tickets, fingerprint: format!("{flows:?} {loads:?} {budget:?}") }
 }
 
-/// A ticket is open from its question on; what was settled with the controller's word or told at the
-/// end is its end.
+/// A ticket is pending from its request on, until it is settled by the controller's response or at
+/// the
+/// end of the flow.
 fn ticket_after(ticket: TicketEnd, event: FlowEvent, step: &Step) -> TicketEnd {
     match step {
         Step::RequestTicket { .. } => TicketEnd::Pending,
@@ -206,7 +207,7 @@
     }
 }
 
-/// What a response is worth to the model.
+/// The attempt's end as the model records it.
 pub fn as_flow_event(outcome: &AttemptOutcome) -> FlowEvent {
     FlowEvent::AttemptEnded(match outcome {
         AttemptOutcome::Complete(response) => {
--- a/crates/simulation/src/search/request_plan.rs
+++ b/crates/simulation/src/search/request_plan.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Extra goes do not bound the search: per cent, a second, saved.
+/// A retry budget that never bounds the search: per cent, a second, saved.
 const RETRIES: (u64, u64, u64) = (100, 100, 100);
 
 /// The name of one of the two targets.
@@ -16,7 +16,7 @@
     Name::from(["target-1", "target-2"][at])
 }
 
-/// What a request is, beyond its bytes.
+/// A request's context beyond its bytes.
 pub(super) fn context(client: usize, logged: bool) -> RequestContext {
     RequestContext {
         key: Name::from(format!("key-{client}")),
--- a/crates/simulation/src/search/request_rules.rs
+++ b/crates/simulation/src/search/request_rules.rs
@@ -1,4 +1,4 @@
-//! What must hold of every request.
+//! Invariants of every request.
 
 use super::request::Requests;
 use super::request_flow::{Phase, Settled, TicketEnd};
@@ -6,7 +6,8 @@
 use super::request_wire::Kind;
 
 impl Requests {
-    /// It runs as often as it may, what it is told is true, and nothing goes out for nobody.
+    /// It runs at most as often as it may, its client's report is true, and nothing is sent after a
+    /// departure.
     pub(super) fn check_request(&self, state: &RequestState, client: usize) -> Result<(), String> {
         let (phase, ran) = (state.phases[client], state.ran[client]);
         if self.kinds[client] == Kind::OneTime && ran > 1 {
@@ -27,7 +28,7 @@
         self.check_ticket(state, client, ran > 0 || will_run)
     }
 
-    /// A ticket is settled with the truth, and none is left open by a request that ended.
+    /// A ticket is settled truthfully, and no finished request has a pending ticket.
     fn check_ticket(&self, state: &RequestState, client: usize, runs: bool) -> Result<(), String> {
         let is_over = !matches!(
             state.phases[client],
--- a/crates/simulation/src/search/request_state.rs
+++ b/crates/simulation/src/search/request_state.rs
@@ -1,20 +1,20 @@
-//! Where two requests, their connections and targets stand.
+//! The state of two requests, their connections and targets.
 
 use super::request::Faults;
 use super::request_flow::{Phase, TicketEnd};
 use super::request_wire::{Connection, ConnectionUse, Content, TargetMessage};
 
-/// Where all stand.
+/// The state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RequestState {
-    /// Where the flows stand, by the number of their view.
+    /// The flows' state, by its number.
     pub(super) flow_state: usize,
     pub(super) phases: [Phase; 2],
     pub(super) tickets: [TicketEnd; 2],
-    /// Clients that closed their connection, and those of whom the node has seen it.
+    /// Clients that closed their connection, and those of which the node has observed it.
     pub(super) departed: [bool; 2],
     pub(super) departure_observed: [bool; 2],
-    /// Requests of which a byte went out after their client had left.
+    /// Requests of which a byte was sent after their client had departed.
     pub(super) sent_after_departure: [bool; 2],
     pub(super) connections: Vec<Connection>,
     pub(super) incarnations: [u8; 2],
@@ -32,13 +32,13 @@
         self.connections.iter().position(|connection| is_own(connection.usage))
     }
 
-    /// The connection that `Pools::take` gives, if one rests.
+    /// The connection that the pool returns, if one is idle.
     pub(super) fn idle_connection(&self, target: usize) -> Option<usize> {
         let unused = |found: &Connection| found.is_idle_at(target) && found.is_unused();
         self.connections.iter().rposition(unused)
     }
 
-    /// `Pools::take` drops what is not fresh on its way.
+    /// Drops the idle connections that the pool would not return.
     pub(super) fn drop_unusable(&mut self, target: usize) {
         for connection in &mut self.connections {
             if connection.is_idle_at(target) && !connection.is_unused() {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Forgets connections that neither end will use.
+    /// Removes connections that neither end will use.
     pub(super) fn remove_unused_connections(&mut self) {
         self.connections.retain(|connection| {
             connection.usage != ConnectionUse::Dropped || connection.pending.is_some()
--- a/crates/simulation/src/search/request_wire.rs
+++ b/crates/simulation/src/search/request_wire.rs
@@ -1,15 +1,18 @@
-//! Connections to two targets, as bytes and resets leave them.
+//! Connections to two targets: bytes in flight, resets, reuse.
 //!
-//! The node's end mirrors `programs/data-plane/src/target_connection.rs` (`is_fresh`, `exchange` from
-//! the last look on, `read_own`) and `pools.rs` (`Pools::take`); the reading of a name mirrors
-//! `platform/src/front.rs` (`Named::heard`).
+//! The node's end mirrors the data plane's `target_connection.rs` (whether a connection is unused,
+//! the
+//! exchange from its last check on, reading the own response) and its connection pools; the reading
+//! of a response's name mirrors the platform's `front.rs`.
 
 use postbarrow_node::AttemptOutcome;
 
-/// What may be done again: a lookup may, a one-time request may not.
+/// Whether a request may run again: a lookup may, a one-time request may not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
+    /// Runs once at most.
     OneTime,
+    /// May run more than once.
     Lookup,
 }
 
@@ -17,10 +20,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Content {
     Complete,
-    /// The target's word that it did not run the request, nor will.
+    /// The target's statement that it did not run the request, nor will.
     NotRun,
     Garbage,
-    /// The first bytes of a response, and then the end of its connection.
+    /// The first bytes of a response, then the end of its connection.
     Truncated,
 }
 
@@ -28,13 +31,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TargetMessage {
     pub content: Content,
-    /// Whose request it really answers.
+    /// The client whose request it really answers.
     pub for_client: usize,
-    /// It tells whose it is.
+    /// Whether it names its request.
     pub is_named: bool,
 }
 
-/// What the node's end of a connection is doing.
+/// How the node uses its end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConnectionUse {
     Idle,
@@ -43,31 +46,31 @@
     Dropped,
 }
 
-/// One connection; a target's end may outlive the node's, and the other way round.
+/// One connection; a target's end may outlive the node's, and vice versa.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Connection {
     pub target: usize,
-    /// Which process is at the other end.
+    /// Which incarnation of the target is at the other end.
     pub incarnation: u8,
     pub usage: ConnectionUse,
     /// No response was read on it yet.
     pub first: bool,
     /// The target's end is closed.
     pub closed: bool,
-    /// A request that was delivered and not yet run: whose, and which life it names.
+    /// A request that was delivered and has not run: its client, and the incarnation that it names.
     pub pending: Option<(usize, u8)>,
-    /// Whose request was answered last.
+    /// The client whose request was answered last.
     pub answered: Option<usize>,
     pub inbox: Vec<TargetMessage>,
 }
 
-/// What reading came to, and whether the connection rests again.
+/// The outcome of reading, and whether the connection is idle again.
 pub struct Read {
     pub outcome: AttemptOutcome,
     pub is_idle: bool,
 }
 
-/// How a target's response is to be taken.
+/// What a target's response means to the request that reads it.
 enum Classification {
     OtherRequest,
     Malformed,
@@ -89,12 +92,12 @@
         }
     }
 
-    /// As `TargetConnection::is_fresh`: nothing came since it was given back, and it is not closed.
+    /// Nothing arrived since it was returned to the pool, and it is not closed.
     pub fn is_unused(&self) -> bool {
         self.inbox.is_empty() && !self.closed
     }
 
-    /// As `Named::heard`.
+    /// As the platform's front classifies a response.
     fn classify(
         &self,
         client: usize,
@@ -116,8 +119,8 @@
         }
     }
 
-    /// As `TargetConnection::read_own`: reads up to a response that is not another's. `rest`:
-    /// bytes that follow it are already read in.
+    /// Reads up to a response that is not another request's, as the data plane does. `rest`:
+    /// bytes that follow it are read already.
     pub fn read(&mut self, client: usize, rest: bool, requires_name: bool) -> Option<Read> {
         let unknown = |why: &str| AttemptOutcome::Unknown { late: false, why: why.into() };
         while !self.inbox.is_empty() {
@@ -139,7 +142,7 @@
     }
 }
 
-/// A response that carries whose it really is.
+/// A response that carries the client whose request it answers.
 pub fn response(for_client: usize) -> postbarrow_node::TargetResponse {
     let body = for_client.to_string().into_bytes();
     postbarrow_node::TargetResponse { status: 200, headers: Vec::new(), body }
--- a/crates/simulation/src/slow.rs
+++ b/crates/simulation/src/slow.rs
@@ -6,19 +6,22 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Bytes a second of what is slow.
+/// A control machine on a slow link and disk.
 pub struct SlowMachine {
+    /// The control machine's index.
     pub at: usize,
+    /// Bytes a second on its links.
     pub link_bytes: u64,
+    /// Bytes a second of its disk.
     pub disk_bytes: u64,
-    /// How many times a sync takes longer.
+    /// Factor by which a sync takes longer.
     pub sync_factor: u64,
-    /// When each direction of each of its links is free.
+    /// When each direction of each of its links is free, in microseconds.
     free_us: BTreeMap<(SocketAddr, SocketAddr), u64>,
 }
 
 impl SlowMachine {
-    /// Control machine `at`, with a disk so many times as slow.
+    /// Control machine `at` with these rates in bytes a second, and this factor for its syncs.
     pub fn new(at: usize, link_bytes: u64, disk_bytes: u64, sync_factor: u64) -> Self {
         SlowMachine { at, link_bytes, disk_bytes, sync_factor, free_us: BTreeMap::new() }
     }
@@ -29,7 +32,7 @@
 }
 
 impl World {
-    /// How long a frame waits for and takes on a slow link.
+    /// Microseconds for which a frame waits for a slow link and occupies it.
     pub(crate) fn link_wait_us(&mut self, to: SocketAddr, envelope: &Envelope) -> u64 {
         let Some(slow) = &mut self.slow else { return 0 };
         let own = self.control[slow.at].address;
@@ -42,7 +45,7 @@
         *free_us - self.now_us
     }
 
-    /// How long a sync takes that takes so long elsewhere.
+    /// Microseconds that a sync takes here, given the usual ones.
     pub(crate) fn sync_us(&self, at: usize, usual_us: u64) -> u64 {
         let Some(slow) = self.slow.as_ref().filter(|slow| slow.at == at) else { return usual_us };
         let bytes: u64 = self.control[at]
--- a/crates/simulation/src/steps.rs
+++ b/crates/simulation/src/steps.rs
@@ -1,4 +1,4 @@
-//! Runs in which the controller is struck at one chosen step of a plan, member change or slot.
+//! Fault injection at one chosen step of a plan, a membership change or a snapshot.
 
 use crate::event::{Event, ProcessId};
 use crate::fault::Fault;
@@ -6,38 +6,49 @@
 use crate::world::World;
 use postbarrow_consensus::Write;
 
-/// What the controller is about when it is struck.
+/// What the controller is doing when the fault comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
     /// A plan of many batches, from Begin to the commit of its End.
     Plan,
-    /// A lost disk's machine learns and takes the lost one's place.
+    /// A machine with an empty disk becomes a learner and replaces the lost voter.
     Members,
-    /// Of that, only the change of seats itself.
+    /// Of that, only the change of voters itself.
     Seats,
-    /// A slot is written.
+    /// A snapshot is written to a slot.
     Snapshot,
 }
 
+/// What happens to the controller at the chosen step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
+    /// Its process ends; it starts again after three seconds.
     Kill,
+    /// Its machine loses power; it starts again after three seconds.
     Power,
+    /// Its process stands still for three seconds.
     Freeze,
+    /// Its machine is partitioned from all others for three seconds.
     Cut,
 }
 
+/// All operations, in the order of `simulate --steps`.
 pub const OPERATIONS: [Operation; 4] =
     [Operation::Plan, Operation::Members, Operation::Snapshot, Operation::Seats];
+/// All faults that can be injected, in the order of `simulate --steps`.
 pub const INJECTED_FAULTS: [InjectedFault; 4] =
     [InjectedFault::Kill, InjectedFault::Power, InjectedFault::Freeze, InjectedFault::Cut];
 
-/// The controller is struck at this one of its writes and syncs, counted from the beginning.
+/// A run with a fault at one of the controller's writes and syncs during an operation.
 #[derive(Clone, Copy, Debug)]
 pub struct InjectionPoint {
+    /// The run's seed.
     pub seed: u64,
+    /// The operation during which the fault comes.
     pub operation: Operation,
+    /// The fault.
     pub fault: InjectedFault,
+    /// The number of the write or sync, from 0.
     pub at: u64,
 }
 
@@ -53,7 +64,7 @@
 const AWAY_US: u64 = 3_000_000;
 
 impl InjectionPoint {
-    /// The run's end, or None if the controller had fewer steps to take.
+    /// Runs it; `None` if the controller had fewer steps to take.
     pub fn run(&self) -> Option<RunResult> {
         let mut world = World::new(self.seed, 5, 12);
         world.request_pause_us = 50_000;
@@ -100,13 +111,14 @@
 }
 
 impl World {
+    /// The index of the control machine that leads, if any does.
     pub fn leader(&self) -> Option<usize> {
         self.control
             .iter()
             .position(|machine| machine.node.as_ref().is_some_and(|node| node.is_leading()))
     }
 
-    /// Called at every write and sync of a control machine: strikes it if its turn has come.
+    /// Called at every write and sync of a control machine: injects the fault if its step has come.
     pub fn inject_at_step(&mut self, at: usize) {
         let Some(injection) = &self.injection else { return };
         let machine = &self.control[at];
--- a/crates/simulation/src/targets.rs
+++ b/crates/simulation/src/targets.rs
@@ -1,4 +1,4 @@
-//! Targets that run requests, crash, freeze and pass their address on.
+//! Targets that run requests, crash, freeze and give their address to another.
 
 use crate::list::Row;
 use crate::world::{World, address};
@@ -10,11 +10,12 @@
     pub address: SocketAddr,
     pub alive: bool,
     pub frozen: bool,
-    /// Of a thousand runs, so many lose their response.
+    /// Of a thousand runs, how many lose their response.
     pub lost_per_mille: u64,
 }
 
 impl World {
+    /// Starts a target at this address, or at a new one, and lists it; returns its instance.
     pub fn add_target(&mut self, service: &str, at: Option<SocketAddr>) -> String {
         let number = self.targets.len();
         let address = at.unwrap_or_else(|| address(4, number, 80));
@@ -33,14 +34,17 @@
         instance
     }
 
+    /// The running target at this address.
     pub fn target_at(&self, address: SocketAddr) -> Option<&Target> {
         self.targets.iter().find(|target| target.alive && target.address == address)
     }
 
+    /// The target of this instance.
     pub fn target_mut(&mut self, instance: &str) -> Option<&mut Target> {
         self.targets.iter_mut().find(|target| target.instance == instance)
     }
 
+    /// Records when the endpoint list first showed this instance as draining or gone.
     pub fn record_departure(&mut self, instance: &str) {
         self.list.departures.entry(instance.to_string()).or_insert(self.now_us);
     }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -26,40 +26,63 @@
 const RATE_SCALE: u64 = 1_000;
 const MAX_RATE: u64 = 11;
 
-/// A whole cluster with its surroundings, on one queue of events.
+/// A cluster with its surroundings, on one queue of events.
 pub struct World {
+    /// True time in microseconds; processes see only their own clocks.
     pub now_us: u64,
+    /// The source of every draw of the run but those of the scenario's faults.
     pub random: Random,
+    /// The network.
     pub net: Net,
+    /// Control machines, by index.
     pub control: Vec<ControlMachine>,
+    /// Data machines, by index.
     pub data: Vec<DataMachine>,
+    /// Targets, ended ones too.
     pub targets: Vec<Target>,
+    /// The platform's endpoint list.
     pub list: PlatformList,
+    /// The operators.
     pub operator: Operator,
+    /// Applications that call for locks, numbers, keys and watches.
     pub callers: Callers,
     pub(crate) pinned: Option<PinnedClients>,
+    /// Every attempt of a client, by number.
     pub requests: BTreeMap<u64, RequestRun>,
+    /// What the checks compare, and the violations.
     pub ledger: Ledger,
+    /// Addresses by which a starting process finds the cluster.
     pub seeds: Vec<SocketAddr>,
+    /// Frozen processes, each with the events that wait for it.
     pub frozen: BTreeMap<ProcessId, Vec<Event>>,
-    /// The next node about to take this step of a request freezes right before it.
+    /// The next data node that reaches this stage of a one-time request freezes right before it.
     pub freeze_before: Option<Stage>,
+    /// How many requests clients have sent.
     pub next_request: u64,
+    /// Mean pause between two requests in microseconds.
     pub request_pause_us: u64,
+    /// No more changes of plans: the run only waits for full service.
     pub quiet: bool,
+    /// The run's log, if it is recorded.
     pub log: Option<Vec<String>>,
+    /// A digest of the time and order of all events.
     pub digest: u64,
+    /// Snapshots that were encoded.
     pub snapshots: usize,
+    /// Every sync takes 10 to 50 ms.
     pub slow_disks: bool,
-    /// What the deployment says of its core: losses to bear, and the silence of a dead voter.
+    /// Simultaneous losses that the control nodes must tolerate.
     pub losses: usize,
-    /// A machine that begins is told of no data node beside its seeds.
+    /// A starting process has only control machines among its seeds.
     pub control_seeds_only: bool,
+    /// Milliseconds after which an unresponsive voter counts as lost.
     pub voter_dead_ms: u64,
+    /// A control machine on a slow link and disk.
     pub slow: Option<SlowMachine>,
     pub(crate) injection: Option<Injection>,
-    /// Syncs that were done, and the writes that shared them.
+    /// Syncs, and the writes that shared them.
     pub synced: (usize, usize),
+    /// Control processes that ended because a write or sync failed.
     pub disk_failures: usize,
     queue: BTreeMap<(u64, u64), Event>,
     order: u64,
@@ -70,6 +93,7 @@
 }
 
 impl World {
+    /// A cluster of three control machines, these data nodes and these targets, all starting now.
     pub fn new(seed: u64, data_nodes: usize, targets: usize) -> World {
         let mut world = World {
             now_us: 1_000_000,
@@ -131,6 +155,7 @@
         world
     }
 
+    /// Schedules an event; events of one time keep the order in which they were scheduled.
     pub fn after(&mut self, delay_us: u64, event: Event) {
         self.order += 1;
         self.queue.insert((self.now_us + delay_us, self.order), event);
@@ -141,7 +166,7 @@
         self.queue.insert((at_us, self.order), event);
     }
 
-    /// A process's own clock: it shares neither zero nor rate with any other.
+    /// A process's own clock in milliseconds, whose zero and rate no other shares.
     pub fn local_ms(&self, process: ProcessId) -> u64 {
         let (offset_ms, rate) = match process {
             ProcessId::Control(at) => (self.control[at].offset_ms, self.control[at].rate),
@@ -150,6 +175,7 @@
         (self.now_us + self.now_us * rate / RATE_SCALE) / 1_000 + offset_ms
     }
 
+    /// Sends a message over the network, which may delay or lose it.
     pub fn transmit(&mut self, from: SocketAddr, to: SocketAddr, message: Message) {
         let envelope = Envelope { from, message };
         if from == to {
@@ -162,12 +188,14 @@
         }
     }
 
+    /// Adds a line to the run's log.
     pub fn log_line(&mut self, process: ProcessId, text: &str) {
         if let Some(log) = &mut self.log {
             log.push(format!("{:.3} {process:?}: {text}", self.now_us as f64 / 1e6));
         }
     }
 
+    /// Handles all events up to this time.
     pub fn run_until(&mut self, until_us: u64) {
         while let Some(((at_us, _), _)) = self.queue.first_key_value() {
             if *at_us > until_us {
@@ -273,7 +301,7 @@
         self.after(TICK_MS * 1_000, Event::Tick { process, incarnation });
     }
 
-    /// Responses are for the door of this machine, all else for the node.
+    /// Responses belong to the clients pinned to this machine, all else to its node.
     fn control_receives(&mut self, at: usize, envelope: Envelope) {
         match envelope.message {
             Message::Response { key, response } => self.pinned_clients_receive(at, key, response),
@@ -281,6 +309,7 @@
         }
     }
 
+    /// Ends a freeze: the process receives all that arrived meanwhile.
     pub fn wake(&mut self, process: ProcessId) {
         for event in self.frozen.remove(&process).unwrap_or_default() {
             self.after(0, event);
