--- a/crates/simulation/src/calls.rs
+++ b/crates/simulation/src/calls.rs
@@ -156,7 +156,8 @@
             (_, Outcome::Events { events, next }) => {
                 for event in events {
                     if !matches!(event.change, Change::Key(_) | Change::KeyGone) {
-                        self.ledger.violate("a watch on keys was told of something else".into());
+                        self.ledger
+                            .violate("a watch on keys received an event of another kind".into());
                     }
                     self.callers.watched_revisions.push(event.revision);
                 }
@@ -202,7 +203,7 @@
             && other != caller
             && self.now_us < other_us
         {
-            self.ledger.violate(format!("callers {other} and {caller} hold the lock at once"));
+            self.ledger.violate(format!("callers {other} and {caller} own the lock at once"));
         }
         self.callers.lock_owner = Some((caller, until_us));
         self.callers.locks.insert(caller, (name, fence, until_us));
--- a/crates/simulation/src/check.rs
+++ b/crates/simulation/src/check.rs
@@ -17,7 +17,7 @@
             })
             .collect();
         if lease_holders.len() > 1 {
-            self.ledger.violate(format!("control {lease_holders:?} hold at once"));
+            self.ledger.violate(format!("control {lease_holders:?} have the lease at once"));
         }
         let Some(node) = &self.control[at].node else { return };
         let log = node.consensus().log();
@@ -60,8 +60,9 @@
             .filter(|instance| self.targets.iter().any(|target| target.instance == *instance))
             .collect();
         for instance in dropped {
-            self.ledger
-                .violate(format!("{instance} was dropped, though the list never showed it leave"));
+            self.ledger.violate(format!(
+                "{instance} was dropped, though the list never showed its departure"
+            ));
         }
         self.control[at].targets = now;
     }
@@ -80,7 +81,7 @@
     pub fn check_forward(&mut self, request: u64, at: usize) {
         self.ledger.forwards += 1;
         if self.requests.get(&request).is_some_and(|run| run.client_left) {
-            let text = format!("data-{at} passed request {request} on for a client that left");
+            let text = format!("data-{at} forwarded request {request} for a client that departed");
             self.ledger.violate(text);
         }
         let began = self.data[at].table.state.plan.as_ref().map_or(0, |plan| plan.offset);
@@ -89,7 +90,7 @@
         if let Some(newest) = due.map(|(_, offset)| *offset).max()
             && began < newest
         {
-            self.ledger.violate(format!("data-{at} passed request {request} by an older plan"));
+            self.ledger.violate(format!("data-{at} forwarded request {request} by an older plan"));
         }
         let Some(target) = self.target_of(request) else { return };
         if let Some(departed_us) = self.list.departures.get(&target) {
@@ -97,8 +98,9 @@
             let late_us = late_us.saturating_sub(self.list.unavailable_us(*departed_us, now_us));
             self.ledger.longest_leave_us = self.ledger.longest_leave_us.max(late_us);
             if late_us > 2_500_000 {
-                let text =
-                    format!("{target} got an request {late_us} us after the list showed it leave");
+                let text = format!(
+                    "{target} got a request {late_us} us after the list showed its departure"
+                );
                 self.ledger.violate(text);
             }
         }
--- a/crates/simulation/src/check_pinned.rs
+++ b/crates/simulation/src/check_pinned.rs
@@ -38,7 +38,7 @@
     /// No valid order is refused, and none is acknowledged that no majority has.
     fn check_order(&mut self, submitted: &SubmittedOrder, status: u16, body: &str) {
         let order = &submitted.order;
-        let proper = self.operator.version == order.base
+        let valid = self.operator.version == order.base
             || self.operator.version.as_ref() == Some(&order.version);
         match status {
             200 => {
@@ -52,7 +52,7 @@
                 }
             }
             503 => {}
-            _ if proper => self.ledger.violate(format!("a proper order got {status}: {body}")),
+            _ if valid => self.ledger.violate(format!("a valid order got {status}: {body}")),
             _ => {}
         }
     }
@@ -87,7 +87,7 @@
         };
         let max = self.callers.max_acknowledged(call, start_us);
         if value < max {
-            self.ledger.violate(format!("{call:?} was told {value}, after {max} was told"));
+            self.ledger.violate(format!("{call:?} got {value} after {max} was acknowledged"));
         }
     }
 }
--- a/crates/simulation/src/contact_loss.rs
+++ b/crates/simulation/src/contact_loss.rs
@@ -3,7 +3,7 @@
 use crate::event::{Event, ProcessId};
 use crate::fault::Fault;
 use crate::history::check_calls;
-use crate::pinned::PinnedClients;
+use crate::pinned::{OWN_NUMBER, PinnedClients};
 use crate::scenario::recover;
 use crate::world::World;
 use std::net::IpAddr;
@@ -133,13 +133,13 @@
     ) -> ContactLossResult {
         check_calls(&mut world);
         if recovery_ms == u64::MAX {
-            world.ledger.violate("no full service after the cut".into());
+            world.ledger.violate("no full service after the loss of contact".into());
         }
         let Some(pinned) = world.pinned.take() else { return ContactLossResult::default() };
         check_numbers(&mut world, &pinned);
         let overdue = pinned.overdue(world.now_us);
         if overdue > 0 {
-            world.ledger.violate(format!("{overdue} questions never had an end"));
+            world.ledger.violate(format!("{overdue} requests never had a response"));
         }
         let noticed = (cut_us + NOTICED_US)..(cut_us + CUT_US);
         let waits =
@@ -163,7 +163,7 @@
     acknowledged.sort_unstable();
     acknowledged.dedup();
     let Some(node) = world.leader().and_then(|at| world.control[at].node.as_ref()) else { return };
-    let counted = node.committed().numbers.get("clung").copied().unwrap_or(0) as usize;
+    let counted = node.committed().numbers.get(OWN_NUMBER).copied().unwrap_or(0) as usize;
     let max = acknowledged.len() + pinned.numbers_unclear;
     if acknowledged.len() != pinned.numbers.len() || !(acknowledged.len()..=max).contains(&counted)
     {
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -36,7 +36,7 @@
     /// A control machine returns with an empty disk at a new address, where the others can spare
     /// it.
     EmptyDiskAtNewAddress,
-    /// A control process stands still for 0.2 to 6 s and then receives all that arrived meanwhile.
+    /// A control process is frozen for 0.2 to 6 s and then receives all that arrived meanwhile.
     FreezeControl,
     /// A control machine is partitioned from all other machines, in both directions.
     CutControl,
@@ -49,7 +49,7 @@
     KillData,
     /// The processes of the first half of the data machines end at once.
     KillManyData,
-    /// A data process stands still for 0.2 to 6 s and then receives all that arrived meanwhile.
+    /// A data process is frozen for 0.2 to 6 s and then receives all that arrived meanwhile.
     FreezeData,
     /// A data machine is partitioned from all other machines, in both directions.
     CutData,
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -38,7 +38,7 @@
             let before = rows.iter().filter(|(_, end_us, _, _)| end_us < start_us);
             let max = before.map(|(_, _, value, _)| *value).max().unwrap_or(0);
             if *value < max || (*write && *value == max && max > 0) {
-                found.push(format!("{name}: {value} after {max} was told"));
+                found.push(format!("{name}: {value} after {max} was acknowledged"));
             }
         }
         let writes: Vec<u64> = rows.iter().filter(|row| row.3).map(|row| row.2).collect();
@@ -48,14 +48,14 @@
     }
     let watched_revisions = &world.callers.watched_revisions;
     if watched_revisions.windows(2).any(|pair| pair[0] >= pair[1]) {
-        found.push("a watch was told twice or out of order".into());
+        found.push("a watch received an event twice or out of order".into());
     }
     let from = world.callers.watch_from.unwrap_or(u64::MAX);
     let last = watched_revisions.last().copied().unwrap_or(0);
     let observed: BTreeSet<u64> = watched_revisions.iter().copied().collect();
     for put in puts.into_iter().filter(|put| *put > from && *put <= last) {
         if !observed.contains(&put) && world.callers.too_old == 0 {
-            found.push(format!("a watch was never told of revision {put}"));
+            found.push(format!("a watch never received revision {put}"));
         }
     }
     found.into_iter().for_each(|text| world.ledger.violate(text));
--- a/crates/simulation/src/ledger.rs
+++ b/crates/simulation/src/ledger.rs
@@ -122,7 +122,7 @@
                     && !record.doubled
                     && record.outcomes.last() == Some(&ClientOutcome::NotRun)
                 {
-                    found.push(format!("request {id} ran after it was told not run"));
+                    found.push(format!("request {id} ran after it was reported as not run"));
                 }
             }
         }
@@ -141,11 +141,11 @@
         let ran = !record.runs.is_empty();
         let ran_now = record.runs.iter().any(|run| run.attempt == attempt);
         if outcome == ClientOutcome::NotRun && !record.one_time && ran_now {
-            self.violate(format!("lookup {id} was told not run, but it ran"));
+            self.violate(format!("lookup {id} was reported as not run, but it ran"));
         } else if outcome == ClientOutcome::NotRun && record.one_time && !record.doubled && ran {
-            self.violate(format!("request {id} was told not run, but it ran"));
+            self.violate(format!("request {id} was reported as not run, but it ran"));
         } else if outcome == ClientOutcome::Ran && !ran {
-            self.violate(format!("request {id} was told a success no target gave"));
+            self.violate(format!("request {id} was reported as run, but no target ran it"));
         }
     }
 
--- a/crates/simulation/src/linear/tests.rs
+++ b/crates/simulation/src/linear/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `linear`.
+//! Tests of the linearizability check.
 
 use super::*;
 use postbarrow_state::Key;
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -1,4 +1,4 @@
-//! Operators that submit plans, race each other, lose answers and send orders again.
+//! Operators that submit plans, race each other, lose responses and submit orders again.
 
 mod plans;
 
@@ -18,11 +18,11 @@
 pub enum Purpose {
     Change,
     DryRun,
-    /// Acknowledged or refused before; the same answer is due.
+    /// Acknowledged or refused before; the same response is due.
     Repeat,
 }
 
-/// An order on its way.
+/// An order that was submitted, with what is expected of it.
 #[derive(Clone, Debug)]
 pub struct SubmittedOrder {
     pub order: Order,
@@ -30,14 +30,14 @@
     pub purpose: Purpose,
 }
 
-/// Operators who hand over plans, sometimes two at once on one base.
+/// Operators who submit plans, sometimes two at once on one base.
 pub struct Operator {
     pub address: SocketAddr,
     pub version: Option<String>,
     pub acknowledged: u64,
     pub refusals: u64,
     pub shown: Option<String>,
-    /// Texts of plans of which nobody knows yet whether they are in force.
+    /// Texts of plans that may or may not be in force.
     pub unsure: BTreeSet<String>,
     pub texts: BTreeMap<String, String>,
     controller_client: ControllerClient,
@@ -47,13 +47,13 @@
 }
 
 const WAIT_MS: u64 = 3_000;
-/// Orders under way at once, at most.
+/// Maximum of orders pending at once.
 const RACERS: u64 = 8;
-/// Of a thousand acknowledgements, so many are lost.
+/// Of a thousand acknowledgements, how many are lost.
 const ACKNOWLEDGEMENTS_LOST_PER_MILLE: u64 = 150;
-/// Routes of every plan besides those it is given.
+/// Routes of every plan besides its further ones.
 pub const ROUTES: usize = 3;
-/// Routes of a large plan, whose entries every check reads; few where only contact is looked at.
+/// Routes of a large plan, whose entries every check reads; few where only contact is checked.
 const MANY_ROUTES: u64 = 1_500;
 const FEW_ROUTES: u64 = 30;
 
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Answers may overtake each other, so an older version is no news. Numbers only rise.
+    /// Learns the version in force. Responses may overtake each other, so an older version is ignored.
     fn learn(&mut self, version: String) {
         let number = |version: &str| version.strip_prefix('v')?.parse::<u64>().ok();
         if number(&version) > self.version.as_deref().and_then(number) {
@@ -84,14 +84,14 @@
 }
 
 impl Operator {
-    /// Every plan of its own has its end.
+    /// Whether no order of its own is pending and a plan is in force.
     pub fn is_idle(&self) -> bool {
         self.submitted.is_empty() && self.version.is_some()
     }
 }
 
 impl World {
-    /// Twenty times a second: looks after open questions; now and then hands over a plan.
+    /// Twenty times a second: drives pending requests, and now and then submits a plan.
     pub fn operate(&mut self) {
         let now_ms = self.now_us / 1_000;
         let listed = self.control.iter().filter(|machine| machine.is_listed(self.now_us));
@@ -137,7 +137,7 @@
         self.submit(submitted);
     }
 
-    /// Up to eight operators pick one number for different changes.
+    /// Up to eight operators submit different changes under one version.
     fn race(&mut self) {
         self.operator.number += 1;
         for routes in 0..self.random.between(2, RACERS) {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// One order by two paths at once.
+    /// Submits one order by two members at once.
     fn submit_plan_twice(&mut self) {
         self.operator.number += 1;
         let submitted = self.prepare_order(2, false, false);
@@ -154,7 +154,7 @@
         self.submit_elsewhere(submitted);
     }
 
-    /// An order that was acknowledged and one that was refused are sent again as they were.
+    /// Submits an acknowledged and a refused order again, unchanged.
     fn send_old_orders(&mut self) {
         let (accepted, refused) =
             (self.ledger.orders.accepted_orders(), self.ledger.orders.refused_orders());
@@ -182,7 +182,7 @@
         SubmittedOrder { order: Order { version, base, text }, routes, purpose }
     }
 
-    /// By another member than the one that answers now.
+    /// Submits by another member than the one that answers now.
     fn submit_elsewhere(&mut self, submitted: SubmittedOrder) {
         self.operator.controller_client.suspect_controller();
         self.submit(submitted);
@@ -191,7 +191,7 @@
     /// Submits an order, which stays pending until it has a clear response.
     pub fn submit(&mut self, submitted: SubmittedOrder) {
         let order = &submitted.order;
-        let plan = Plan::read(order.text.as_bytes()).expect("the simulator's plans are sound");
+        let plan = Plan::read(order.text.as_bytes()).expect("the simulator's plans are valid");
         let submission = Submission {
             version: order.version.as_str().into(),
             base: order.base.as_deref().map(Into::into),
@@ -251,7 +251,7 @@
         }
     }
 
-    /// An order without a clear answer is sent again as it was, and so is one whose
+    /// Handles a response. An order without a clear one is submitted again unchanged, as is one whose
     /// acknowledgement was lost.
     fn plan_ended(&mut self, submitted: SubmittedOrder, response: Response) {
         let Response::Operator { status, body } = response else {
--- a/crates/simulation/src/pinned.rs
+++ b/crates/simulation/src/pinned.rs
@@ -21,7 +21,7 @@
 /// A revision that no key has, so that a put on it always conflicts and returns the real one.
 const NO_REVISION: u64 = u64::MAX;
 /// The number that only these callers increment. Its text is part of what a seed determines.
-const OWN_NUMBER: &str = "clung";
+pub const OWN_NUMBER: &str = "clung";
 /// The number and the key that all callers use.
 const SHARED: &str = "n0";
 
@@ -254,7 +254,7 @@
 
 fn submission(submitted: &SubmittedOrder) -> Submission {
     let order = &submitted.order;
-    let plan = Plan::read(order.text.as_bytes()).expect("the simulator's plans are sound");
+    let plan = Plan::read(order.text.as_bytes()).expect("the simulator's plans are valid");
     Submission {
         version: order.version.as_str().into(),
         base: order.base.as_deref().map(Into::into),
--- a/crates/simulation/src/replacement.rs
+++ b/crates/simulation/src/replacement.rs
@@ -173,7 +173,7 @@
     /// Indexes of the running voters, the leader first or left out.
     fn control_voters(&self, with_leader: bool) -> Vec<usize> {
         let Some(leader) = self.leader() else { return Vec::new() };
-        let node = self.control[leader].node.as_ref().expect("a leader lives");
+        let node = self.control[leader].node.as_ref().expect("the leader runs");
         let members = node.consensus().members();
         let votes = |at: &usize| {
             let node = self.control[*at].node.as_ref();
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -192,7 +192,7 @@
     check_answers(world);
     let (lookups, extra) = world.ledger.extra();
     if extra as f64 > lookups as f64 / 5.0 + 3.0 * world.now_us as f64 / 1e6 {
-        world.ledger.violate(format!("{extra} extra goes for {lookups} lookups"));
+        world.ledger.violate(format!("{extra} extra runs for {lookups} lookups"));
     }
     outcome.violations.append(&mut world.ledger.violations);
     outcome.requests = world.ledger.requests();
@@ -222,7 +222,7 @@
 /// A node that keeps running answers every request that it accepted.
 fn check_answers(world: &mut World) {
     for id in world.overdue() {
-        world.ledger.violate(format!("request {id} got no answer from a node that lives"));
+        world.ledger.violate(format!("request {id} got no response from a node that still runs"));
     }
 }
 
--- a/crates/simulation/src/search/forwarded.rs
+++ b/crates/simulation/src/search/forwarded.rs
@@ -154,7 +154,7 @@
             .calls
             .iter()
             .position(|source| source.client == origin.client && source.call == *call);
-        call_index.expect("every question is one of the model's")
+        call_index.expect("every request is one of the model's calls")
     }
 
     fn restarts(&self, state: &mut ForwardedState) {
--- a/crates/simulation/src/search/forwarded_rules.rs
+++ b/crates/simulation/src/search/forwarded_rules.rs
@@ -23,7 +23,7 @@
             .flat_map(|entry| &entry.records)
             .collect();
         if is_refusal(response) && !own.is_empty() {
-            return Err(format!("call {at} was told {response:?} and took effect"));
+            return Err(format!("call {at} got {response:?} and took effect"));
         }
         let done =
             match response {
@@ -39,7 +39,7 @@
                 ),
                 _ => true,
             };
-        if done { Ok(()) } else { Err(format!("call {at} was told {response:?}, not its own")) }
+        if done { Ok(()) } else { Err(format!("call {at} got {response:?}, not its own")) }
     }
 
     /// A put has one revision and a lock one fence, however often its request arrives.
--- a/crates/simulation/src/search/request_rules.rs
+++ b/crates/simulation/src/search/request_rules.rs
@@ -20,10 +20,10 @@
         let will_run = connections
             .any(|connection| connection.pending == Some((client, connection.incarnation)));
         if phase == Phase::ReportedNotRun && (ran > 0 || will_run) {
-            return Err(format!("request {client} was told 'not run' and ran, or will"));
+            return Err(format!("request {client} was reported as 'not run' and ran, or will run"));
         }
         if state.sent_after_departure[client] {
-            return Err(format!("request {client} went out after its client had left"));
+            return Err(format!("request {client} was sent after its client had departed"));
         }
         self.check_ticket(state, client, ran > 0 || will_run)
     }
@@ -43,7 +43,7 @@
                 Err(format!("the ticket of request {client} stays open"))
             }
             TicketEnd::Settled(Settled::Unsent) if runs && is_over => {
-                Err(format!("request {client} was settled as unsent and ran, or will"))
+                Err(format!("request {client} was settled as unsent and ran, or will run"))
             }
             TicketEnd::Settled(Settled::Ran) if !runs => {
                 Err(format!("request {client} was settled as run and never ran"))
--- a/crates/simulation/src/steps.rs
+++ b/crates/simulation/src/steps.rs
@@ -26,7 +26,7 @@
     Kill,
     /// Its machine loses power; it starts again after three seconds.
     Power,
-    /// Its process stands still for three seconds.
+    /// Its process is frozen for three seconds.
     Freeze,
     /// Its machine is partitioned from all others for three seconds.
     Cut,
@@ -143,7 +143,7 @@
         }
         injection.injected = true;
         let (fault, fuse) = (injection.fault, injection.fuse);
-        self.log_line(ProcessId::Control(at), &format!("is struck: {fault:?}"));
+        self.log_line(ProcessId::Control(at), &format!("fault injected: {fault:?}"));
         match fault {
             InjectedFault::Kill => self.end_control(at, false),
             InjectedFault::Power => self.end_with_fuse(at, fuse),
--- a/crates/simulation/tests/contact_loss.rs
+++ b/crates/simulation/tests/contact_loss.rs
@@ -1,6 +1,6 @@
-//! A control machine loses contact for twenty seconds, in whole clusters, while operators and
-//! callers go on asking at its door: nothing old is shown, nothing is confirmed without a majority,
-//! no proper order is refused.
+//! A control machine loses contact for twenty seconds, in simulated clusters, while operators and
+//! callers keep sending it requests: nothing stale is shown, nothing is acknowledged without a majority,
+//! no valid order is refused.
 
 use postbarrow_constants::consensus::CONTACT_LOST_MS;
 use postbarrow_simulation::{ContactLoss, ContactLossResult, ContactLossRun};
@@ -10,19 +10,19 @@
 
 fn run(kind: ContactLoss, leader: bool) -> Vec<ContactLossResult> {
     let results = [1, 2].map(|seed| {
-        let results = ContactLossRun { seed, kind, leader }.run();
+        let result = ContactLossRun { seed, kind, leader }.run();
         let name = format!("{kind:?}, leader {leader}, seed {seed}");
-        assert!(results.violations.is_empty(), "{name}: {:#?}", results.violations);
+        assert!(result.violations.is_empty(), "{name}: {:#?}", result.violations);
         assert!(
-            results.answered > 200 && results.orders > 3 && results.plans > 3,
-            "{name}: {results:?}"
+            result.answered > 200 && result.orders > 3 && result.plans > 3,
+            "{name}: {result:?}"
         );
-        results
+        result
     });
     results.into()
 }
 
-/// Most of twenty seconds of questions were told as not taken, and at once.
+/// Most of twenty seconds of requests were answered as unavailable, and at once.
 fn assert_unavailable_at_once(results: &[ContactLossResult]) {
     for one in results {
         assert!(one.unavailable > 600, "{one:?}");
@@ -93,6 +93,6 @@
     for one in run(ContactLoss::Restarted, true) {
         assert!(one.unavailable > 600, "{one:?}");
         let wait_ms = CONTACT_LOST_MS + AT_ONCE_MS;
-        assert!(one.longest_wait_ms <= wait_ms, "silence is counted from its start: {one:?}");
+        assert!(one.longest_wait_ms <= wait_ms, "lost contact is counted from the start: {one:?}");
     }
 }
--- a/crates/simulation/tests/disks.rs
+++ b/crates/simulation/tests/disks.rs
@@ -1,4 +1,4 @@
-//! A leader's disk stalls in a whole cluster: what that costs, and what it must not cost.
+//! A leader's disk stalls in a simulated cluster: another member leads, and no process ends.
 
 use postbarrow_consensus::Write;
 use postbarrow_constants::consensus::*;
@@ -11,11 +11,11 @@
 fn formed(seed: u64) -> (World, usize) {
     let mut world = World::new(seed, 5, 12);
     world.run_until(FORMED_US);
-    let leader = world.leader().expect("somebody leads");
+    let leader = world.leader().expect("the formed cluster has a leader");
     (world, leader)
 }
 
-/// The bound of a stall is a longer one while the leader writes a slot, as in seed 2.
+/// The bound of a stall is longer while the leader writes a snapshot's slot, as in seed 2.
 #[test]
 fn stalled_leader_disk_leads_to_a_new_leader_within_an_election() {
     for seed in 1..=5 {
--- a/crates/simulation/tests/failures.rs
+++ b/crates/simulation/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Each line of what fails, brought about in whole clusters over fixed seeds; `simulate` runs any number.
+//! Each fault, injected into simulated clusters over fixed seeds; `simulate` runs any number.
 
 use postbarrow_simulation::{ALL, DiskFault, Fault, ListFault, RunResult, Scenario, Stage};
 
@@ -6,8 +6,11 @@
     let result = scenario.run();
     let seed = scenario.seed;
     assert!(result.violations.is_empty(), "{name}, seed {seed}: {:#?}", result.violations);
-    assert!(result.outcomes.ran > 100, "{name}, seed {seed}: hardly anything ran");
-    assert!(result.forwards > 100 && result.calls > 50, "{name}, seed {seed}: hardly tried");
+    assert!(result.outcomes.ran > 100, "{name}, seed {seed}: too few requests ran");
+    assert!(
+        result.forwards > 100 && result.calls > 50,
+        "{name}, seed {seed}: too few forwards or calls"
+    );
     result
 }
 
@@ -17,13 +20,13 @@
     }
 }
 
-/// Each run has clients that leave at any point of their request: what they leave behind breaks no
-/// promise, and nothing is passed on for them (`World::check_pass`).
+/// Each run has clients that depart at any point of their request: that breaks no guarantee, and
+/// nothing is forwarded for them afterwards (`World::check_forward`).
 #[test]
 fn departing_clients_break_no_guarantee_amid_all_faults() {
-    let runs = (1..=8).map(|seed| check("clients leave", &Scenario::everything(seed)));
+    let runs = (1..=8).map(|seed| check("departing clients", &Scenario::everything(seed)));
     let departed: usize = runs.map(|result| result.outcomes.departed).sum();
-    assert!(departed > 100, "only {departed} clients left");
+    assert!(departed > 100, "only {departed} clients departed");
 }
 
 macro_rules! faults {
@@ -107,7 +110,7 @@
     }
 }
 
-/// A learner that dies right when it would join must not count in a majority of four.
+/// A learner that is lost right when it would join must not count in a majority of four.
 #[test]
 fn a_disk_lost_twice_in_a_row_leaves_a_majority() {
     for seed in 1..=3 {
@@ -164,8 +167,11 @@
         totals[2] += result.plans as usize;
         totals[3] += result.refusals as usize;
     }
-    assert!(snapshots > 60, "{snapshots} slots were written");
-    assert!(totals.iter().all(|count| *count > 0), "the faults left no mark: {totals:?}");
+    assert!(snapshots > 60, "{snapshots} snapshots were written");
+    assert!(
+        totals.iter().all(|count| *count > 0),
+        "no run shows an effect of its faults: {totals:?}"
+    );
 }
 
 #[test]
--- a/crates/simulation/tests/forwarded.rs
+++ b/crates/simulation/tests/forwarded.rs
@@ -5,7 +5,7 @@
 
 const BOUNDS: Bounds = Bounds { depth: 60, states: 600_000 };
 const TTL_MS: u64 = 1_000;
-/// Two lives of a process, as the system draws them.
+/// Key seeds of two incarnations of a process, as the system draws them.
 const FIRST_INCARNATION: u64 = 0x9e37_79b9_7f4a_7c15;
 const SECOND_INCARNATION: u64 = 0x2545_f491_4f6c_dd1d;
 
@@ -55,7 +55,7 @@
         meanwhile: vec![Record::LockFreed { name: "lock".into() }],
         ..faulty(vec![source(0, Some("start-1"), lock("one"))])
     };
-    covers("a held lock", &model);
+    covers("a lock of another owner", &model);
 }
 
 #[test]
@@ -64,14 +64,14 @@
         meanwhile: vec![Record::LockFreed { name: "lock".into() }],
         ..faulty(vec![source(0, Some("start-1"), lock("one"))])
     };
-    covers("a lock that ends", &model);
+    covers("a freed lock", &model);
 }
 
 #[test]
 fn two_callers_of_one_lock_never_own_it_at_once() {
     let calls =
         vec![source(0, Some("start-1"), lock("one")), source(1, Some("start-2"), lock("two"))];
-    covers("two holders", &ForwardedCalls { losses: 0, ticks: 1, ..faulty(calls) });
+    covers("two owners", &ForwardedCalls { losses: 0, ticks: 1, ..faulty(calls) });
 }
 
 #[test]
@@ -115,7 +115,7 @@
 
 #[test]
 fn a_response_to_an_earlier_incarnation_reaches_no_caller() {
-    covers("two lives", &calls_across_a_restart(SECOND_INCARNATION));
+    covers("two incarnations", &calls_across_a_restart(SECOND_INCARNATION));
 }
 
 #[test]
--- a/crates/simulation/tests/many_changes.rs
+++ b/crates/simulation/tests/many_changes.rs
@@ -1,5 +1,5 @@
-//! A thousand changes leave no more behind than the first few hundred, and a member that comes late
-//! catches up while they go on.
+//! A thousand changes occupy no more than the first few hundred, and a member that joins late
+//! catches up while changes continue.
 
 use postbarrow_constants::plans::ACCEPTED_PLANS;
 use postbarrow_simulation::{Fault, SlowMachine, World};
@@ -47,7 +47,7 @@
     }
 
     fn follower(&self) -> usize {
-        let leader = self.leader().expect("somebody leads");
+        let leader = self.leader().expect("the cluster has a leader");
         (0..3).find(|at| *at != leader).expect("there are three")
     }
 
@@ -59,7 +59,7 @@
         self.world.run_until(self.world.now_us + for_ms * 1_000);
     }
 
-    /// One step, with the next change handed over if none is under way.
+    /// One step; submits the next change if none is pending.
     fn step(&mut self) {
         if self.world.operator.unsure.is_empty() && self.world.now_us >= self.due_us {
             self.due_us = self.world.now_us + self.pause_us;
@@ -69,7 +69,7 @@
         self.world.run_until(self.world.now_us + STEP_US);
     }
 
-    /// Starts a member; milliseconds until it is as near to the leader as followers usually are.
+    /// Starts a member; milliseconds until it is as close to the leader's log as followers usually are.
     fn start_ms(&mut self, at: usize) -> u64 {
         let since_us = self.world.now_us;
         self.world.start_control(at);
@@ -80,12 +80,12 @@
         (self.world.now_us - since_us) / 1_000
     }
 
-    /// Until as many taken plans are remembered as ever are: a figure can only level off after it.
+    /// Runs until the maximum of accepted plans is retained: a figure can only level off after that.
     fn fill_ledger(&mut self) {
         while self.world.operator.acknowledged <= ACCEPTED_PLANS as u64 {
             self.step();
         }
-        let leader = &self.world.control[self.leader().expect("somebody leads")];
+        let leader = &self.world.control[self.leader().expect("the cluster has a leader")];
         let remembered = leader.node.as_ref().map(|node| node.committed().accepted_plans.len());
         assert_eq!(remembered, Some(ACCEPTED_PLANS));
     }
@@ -135,8 +135,8 @@
 }
 
 impl Figures {
-    /// Bytes a change that a window writes more if one snapshot more falls into it: the snapshot and
-    /// the log behind it. Since changes are small, a window holds one or two.
+    /// Bytes a change that a window writes more if it contains one more snapshot: the snapshot and
+    /// the log behind it. Since changes are small, a window has one or two.
     fn one_snapshot_more(&self) -> u64 {
         (self.snapshot_bytes + self.log_bytes) / WINDOW
     }
@@ -208,7 +208,7 @@
     }
 }
 
-/// Its new disk's number is among the voters, as it knows itself.
+/// Whether the id of its new disk is among the voters, as it knows itself.
 fn joined(run: &Run, at: usize) -> bool {
     let Some(node) = &run.world.control[at].node else { return false };
     let log = node.consensus();
--- a/crates/simulation/tests/observers.rs
+++ b/crates/simulation/tests/observers.rs
@@ -1,28 +1,28 @@
-//! Control machines without a disk, which are no members, as the only seeds of all others.
+//! Observers, control machines without a lasting disk, as the only seeds of all others.
 
 use postbarrow_simulation::World;
 
 const SEEDS: u64 = 4;
 const FORMED_US: u64 = 6_000_000;
-/// Every bound of the core and of the data nodes together, and a margin.
+/// Every bound of the control nodes and of the data nodes together, and a margin.
 const RECOVERED_US: u64 = 8_000_000;
-/// Longer than any frame is under way.
+/// Longer than any frame is in flight.
 const DOWN_US: u64 = 1_000_000;
 const DATA_NODES: usize = 4;
 
-/// A fleet in full service with three guests, which are the seeds of whoever starts from now on.
+/// A cluster in full service with three observers, which are the seeds of all later starts.
 fn cluster_with_observers_as_seeds(seed: u64) -> (World, Vec<usize>) {
     let mut world = World::new(seed, DATA_NODES, 6);
     world.run_until(FORMED_US);
     let observers: Vec<usize> = (0..3).map(|_| world.add_observer()).collect();
     world.run_until(2 * FORMED_US);
-    assert!(world.has_full_service(), "seed {seed}: no service before the seeds turn over");
+    assert!(world.has_full_service(), "seed {seed}: no service before the seeds change");
     world.control_seeds_only = true;
     world.seeds = observers.iter().map(|at| world.control[*at].address).collect();
     (world, observers)
 }
 
-/// These control machines and all data nodes end, and begin anew when nothing is under way to them.
+/// Ends these control machines and all data nodes, and starts them when no frame to them is in flight.
 fn restart(world: &mut World, control: &[usize]) {
     control.iter().for_each(|at| world.end_control(*at, true));
     (0..DATA_NODES).for_each(|at| world.end_data(at));
--- a/crates/simulation/tests/orders.rs
+++ b/crates/simulation/tests/orders.rs
@@ -1,4 +1,4 @@
-//! The order ledger finds each breach of what operators may rely on.
+//! The order ledger finds each violation of what operators may rely on.
 
 use postbarrow_simulation::{Order, OrderLedger};
 
--- a/crates/simulation/tests/replacements.rs
+++ b/crates/simulation/tests/replacements.rs
@@ -1,4 +1,4 @@
-//! Whole clusters whose core machines are replaced, and the next loss as soon as it must be borne.
+//! Clusters whose control machines are replaced, and the next loss as soon as it must be tolerated.
 
 use postbarrow_simulation::Replacement;
 
@@ -11,7 +11,7 @@
     seeds_depart: false,
     rounds: 2,
 };
-/// Another leads within this after the controller is lost: two elections.
+/// Another machine leads within this time after the loss of the leader: two elections.
 const LEADER_MS: u64 = 2_000;
 
 fn check(name: &str, replacement: Replacement) {
--- a/crates/simulation/tests/search.rs
+++ b/crates/simulation/tests/search.rs
@@ -3,7 +3,7 @@
 use postbarrow_simulation::search::{Bounds, Covered, Faults, Kind, Model, Requests, search};
 
 const BOUNDS: Bounds = Bounds { depth: 60, states: 600_000 };
-/// For the searches that are run by hand.
+/// For the searches that are run manually.
 const WIDE: Bounds = Bounds { depth: 60, states: 2_000_000 };
 
 fn covers<M: Model>(name: &str, model: &M) -> Covered {
@@ -22,7 +22,7 @@
     }
 }
 
-/// Events from nothing to a one-time request that ran and was told as not run.
+/// Events from the initial state to a one-time request that ran and was reported as not run.
 const SHORTEST_PATH_TO_A_FALSE_REFUSAL: usize = 11;
 const NONE: Faults =
     Faults { strays: 0, closes: 0, replaces: 0, freezes: false, departures: false };
@@ -84,7 +84,11 @@
     let blind = Requests::new(MIXED, false, Faults { departures: true, ..NONE });
     let found = search(&blind.without_client_check(), BOUNDS);
     let found = found.expect_err("the fault is within the bounds");
-    assert!(found.violation.contains("went out after its client had left"), "{}", found.violation);
+    assert!(
+        found.violation.contains("was sent after its client had departed"),
+        "{}",
+        found.violation
+    );
 }
 
 /// `cargo test -p postbarrow-simulation --test search -- --ignored`
@@ -110,6 +114,6 @@
     let believing = Requests::new(BOTH_ONE_TIME, false, Faults { strays: 1, ..NONE });
     let found = search(&believing.accepting_unnamed_refusals(), BOUNDS);
     let found = found.expect_err("the fault is within the bounds");
-    assert!(found.violation.contains("told 'not run' and ran"), "{}", found.violation);
+    assert!(found.violation.contains("reported as 'not run' and ran"), "{}", found.violation);
     assert_eq!(found.path.len(), SHORTEST_PATH_TO_A_FALSE_REFUSAL, "{:?}", found.path);
 }
--- a/crates/simulation/tests/steps.rs
+++ b/crates/simulation/tests/steps.rs
@@ -1,4 +1,4 @@
-//! The controller is struck at one of its writes and syncs; `simulate --steps` takes each in turn.
+//! A fault at one of the controller's writes and syncs; `simulate --steps` takes each in turn.
 
 use postbarrow_simulation::{INJECTED_FAULTS, InjectedFault, InjectionPoint, OPERATIONS};
 
