--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/checker/calls.rs
@@ -1,16 +1,16 @@
 //! Checks numbers, keys and watches over the history of a run.
 
-use crate::linear;
-use crate::world::World;
+use crate::checker::linearizability;
+use crate::client::calls::Callers;
 use postbarrow_state::{Call, Outcome};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Numbers and revisions only rise, reads are not older than acknowledged writes, watches have no
 /// gap and no repeat.
-pub fn check_calls(world: &mut World) {
+pub fn check_calls(callers: &Callers) -> Vec<String> {
     let mut highest: BTreeMap<String, Vec<(u64, u64, u64, bool)>> = BTreeMap::new();
     let mut puts = Vec::new();
-    for done in &world.callers.done {
+    for done in &callers.done {
         let row = match (&done.call, &done.outcome) {
             (Call::Next { name, .. }, Outcome::Number(value)) => {
                 Some((format!("number {name}"), *value, true))
@@ -32,7 +32,7 @@
             highest.entry(name).or_default().push((done.start_us, done.end_us, value, write));
         }
     }
-    let mut found = linear::check(&world.callers.done);
+    let mut found = linearizability::check(&callers.done);
     for (name, rows) in &highest {
         for (start_us, _, value, write) in rows {
             let before = rows.iter().filter(|(_, end_us, _, _)| end_us < start_us);
@@ -46,17 +46,17 @@
             found.push(format!("{name}: two writes made the same"));
         }
     }
-    let watched_revisions = &world.callers.watched_revisions;
+    let watched_revisions = &callers.watched_revisions;
     if watched_revisions.windows(2).any(|pair| pair[0] >= pair[1]) {
         found.push("a watch received an event twice or out of order".into());
     }
-    let from = world.callers.watch_from.unwrap_or(u64::MAX);
+    let from = callers.watch_from.unwrap_or(u64::MAX);
     let last = watched_revisions.last().copied().unwrap_or(0);
     let observed: BTreeSet<u64> = watched_revisions.iter().copied().collect();
     for put in puts.into_iter().filter(|put| *put > from && *put <= last) {
-        if !observed.contains(&put) && world.callers.too_old == 0 {
+        if !observed.contains(&put) && callers.too_old == 0 {
             found.push(format!("a watch never received revision {put}"));
         }
     }
-    found.into_iter().for_each(|text| world.ledger.violate(text));
+    found
 }
--- a/crates/simulation/src/ledger.rs
+++ b/crates/simulation/src/checker/ledger.rs
@@ -1,6 +1,6 @@
 //! What clients received and what targets ran: the record that every check compares.
 
-use crate::orders::OrderLedger;
+use crate::checker::orders::OrderLedger;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/simulation/src/linear.rs
+++ b/crates/simulation/src/checker/linearizability.rs
@@ -1,7 +1,7 @@
 //! Linearizability of the calls on one name (Herlihy and Wing, 1990; the search is Wing and
 //! Gong's).
 
-use crate::calls::CompletedCall;
+use crate::client::calls::CompletedCall;
 use postbarrow_state::{Call, Outcome};
 use std::collections::{BTreeMap, HashSet};
 
--- /dev/null
+++ b/crates/simulation/src/checker/mod.rs
@@ -0,0 +1,7 @@
+//! Checks of recorded history: what clients received, what targets ran, what operators were
+//! answered. Checkers read a history and know no world.
+
+pub mod calls;
+pub mod ledger;
+pub mod linearizability;
+pub mod orders;
--- a/crates/simulation/src/orders.rs
+++ b/crates/simulation/src/checker/orders.rs
@@ -1,18 +1,8 @@
 //! Responses to operators' orders, compared at every response.
 
+use crate::client::operator::Order;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One order as it was sent; its text carries everything else.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Order {
-    /// The plan's version.
-    pub version: String,
-    /// The version that it changes; `None` for the first plan.
-    pub base: Option<String>,
-    /// The plan's text.
-    pub text: String,
-}
-
 /// Orders acknowledged and refused so far. Each check returns the violations that it finds.
 #[derive(Debug, Default)]
 pub struct OrderLedger {
--- a/crates/simulation/src/operator/plans.rs
+++ b/crates/simulation/src/client/plans.rs
@@ -1,5 +1,8 @@
 //! Texts of plans and of their acknowledgements.
 
+/// Routes of every plan besides its further ones.
+pub const ROUTES: usize = 3;
+
 /// A plan for the three services with `routes` further routes; `empty`: one service has no target.
 pub fn plan_text(version: &str, base: Option<&str>, routes: u64, empty: bool) -> String {
     let base = base.map_or("null".into(), |base| format!("\"{base}\""));
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -41,8 +41,7 @@
 
 impl SimDisk {
     /// Loses power: each unsynced name, and each of two fragments of each unsynced write, survives
-    /// or
-    /// is lost independently.
+    /// or is lost independently.
     pub fn lose_power(&self, random: &mut Random) {
         let random = RefCell::new(random);
         let split = |length: usize| random.borrow_mut().below(length as u64 + 1) as usize;
--- a/crates/simulation/src/event.rs
+++ b/crates/simulation/src/event.rs
@@ -1,8 +1,7 @@
-//! The events of a world and the process that each is for.
+//! The events of a world, and the processes that handle them.
 
+use crate::client::pinned::PinnedRequest;
 use crate::fault::Fault;
-use crate::pinned::PinnedRequest;
-use crate::world::World;
 use postbarrow_controller::PageResult;
 use postbarrow_messages::Envelope;
 use postbarrow_node::Event as GoEvent;
@@ -110,27 +109,3 @@
         since_us: u64,
     },
 }
-
-impl World {
-    /// The process that handles an event; while it is frozen, the event waits.
-    pub fn process_of(&self, event: &Event) -> Option<ProcessId> {
-        match event {
-            Event::Tick { process, .. } => Some(*process),
-            Event::Deliver { to, .. } => {
-                let control = self.control.iter().position(|machine| machine.address == *to);
-                let data = || self.data.iter().position(|machine| machine.address == *to);
-                control.map(ProcessId::Control).or_else(|| data().map(ProcessId::Data))
-            }
-            Event::Synced { at, .. }
-            | Event::Page { at, .. }
-            | Event::Encoded { at, .. }
-            | Event::PinnedArrives { at, .. } => Some(ProcessId::Control(*at)),
-            Event::Arrive { data, .. }
-            | Event::DepartureObserved { data, .. }
-            | Event::Resume { data, .. }
-            | Event::Send { data, .. }
-            | Event::Probe { data, .. } => Some(ProcessId::Data(*data)),
-            _ => None,
-        }
-    }
-}
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault/mod.rs
@@ -1,7 +1,9 @@
 //! The kinds of fault that a run may inject.
 
+pub mod injection;
+
 use crate::disk::DiskFault;
-use crate::list::ListFault;
+use crate::node::endpoint_list::ListFault;
 
 /// The stages of a request right before which a data node can freeze.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,8 +21,7 @@
 }
 
 /// A disturbance of the cluster or its surroundings. Where a fault names no machine, the run's seed
-/// draws it;\
-/// a control machine is drawn with a preference for the leader. `Heal` ends all faults.
+/// draws it;\ a control machine is drawn with a preference for the leader. `Heal` ends all faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// A control process ends at once; its disk retains all that was written.
--- a/crates/simulation/src/net.rs
+++ b/crates/simulation/src/network.rs
@@ -6,7 +6,7 @@
 
 /// Delays, order within a link, and partitions that may be one-way.
 #[derive(Default)]
-pub struct Net {
+pub struct Network {
     partitions: BTreeSet<(IpAddr, IpAddr)>,
     last: BTreeMap<(SocketAddr, SocketAddr), u64>,
     pub slow_us: u64,
@@ -23,7 +23,7 @@
     }
 }
 
-impl Net {
+impl Network {
     /// When a frame arrives, if it does; frames of one link keep their order.
     pub fn arrival(
         &mut self,
@@ -57,3 +57,8 @@
         self.loss_per_mille = 0;
     }
 }
+
+/// The address of machine `at` in a subnet: 1 control, 2 data, 3 operators, 4 targets.
+pub fn address(subnet: u8, at: usize, port: u16) -> SocketAddr {
+    SocketAddr::from(([10, subnet, (at / 250) as u8, (at % 250) as u8 + 1], port))
+}
--- a/crates/simulation/src/contact_loss.rs
+++ b/crates/simulation/src/scenario/contact_loss.rs
@@ -1,10 +1,9 @@
 //! One control machine loses contact for twenty seconds while clients are pinned to it.
 
+use crate::client::pinned::{OWN_NUMBER, PinnedClients};
 use crate::event::{Event, ProcessId};
 use crate::fault::Fault;
-use crate::history::check_calls;
-use crate::pinned::{OWN_NUMBER, PinnedClients};
-use crate::scenario::recover;
+use crate::scenario::{check_history, recover};
 use crate::world::World;
 use std::net::IpAddr;
 
@@ -61,10 +60,14 @@
 }
 
 const START_US: u64 = 4_500_000;
+
 const CUT_US: u64 = 20_000_000;
+
 /// Time to notice the loss, an election, and a margin.
 const NOTICED_US: u64 = 2_500_000;
+
 const AFTER_US: u64 = 3_000_000;
+
 const RESTART_AFTER_US: u64 = 8_000_000;
 
 impl ContactLossRun {
@@ -108,8 +111,8 @@
             ContactLoss::Frozen => (Vec::new(), Vec::new()),
         };
         let own = world.control[at].address.ip();
-        out.into_iter().for_each(|other| world.net.partition(own, other));
-        into.into_iter().for_each(|other| world.net.partition(other, own));
+        out.into_iter().for_each(|other| world.network.partition(own, other));
+        into.into_iter().for_each(|other| world.network.partition(other, own));
         match self.kind {
             ContactLoss::Frozen => {
                 world.frozen.entry(ProcessId::Control(at)).or_default();
@@ -131,7 +134,7 @@
         recovery_ms: u64,
         undisturbed: bool,
     ) -> ContactLossResult {
-        check_calls(&mut world);
+        check_history(&mut world);
         if recovery_ms == u64::MAX {
             world.ledger.violate("no full service after the loss of contact".into());
         }
@@ -173,22 +176,3 @@
         ));
     }
 }
-
-impl World {
-    /// Connections keep no order among each other: at worst, a process that wakes reads clients'
-    /// requests
-    /// first, then what other machines sent, and its clock last.
-    fn deliver_requests_before_ticks(&mut self, process: ProcessId) {
-        if let Some(pending) = self.frozen.get_mut(&process) {
-            pending.sort_by_key(|event| match event {
-                Event::PinnedArrives { .. } => 0,
-                Event::Tick { .. } => 2,
-                _ => 1,
-            });
-        }
-    }
-
-    fn term(&self, at: usize) -> Option<u64> {
-        self.control[at].node.as_ref().map(|node| node.consensus().term())
-    }
-}
--- /dev/null
+++ b/crates/simulation/src/scenario/injection.rs
@@ -0,0 +1,57 @@
+//! Runs with a fault at one chosen step of a plan, a membership change or a snapshot.
+
+use crate::fault::Fault;
+use crate::fault::injection::{InjectedFault, Injection, Operation};
+use crate::scenario::{RunResult, finish, read_back, recover};
+use crate::world::World;
+
+/// A run with a fault at one of the controller's writes and syncs during an operation.
+#[derive(Clone, Copy, Debug)]
+pub struct InjectionPoint {
+    /// The run's seed.
+    pub seed: u64,
+    /// The operation during which the fault comes.
+    pub operation: Operation,
+    /// The fault.
+    pub fault: InjectedFault,
+    /// The number of the write or sync, from 0.
+    pub at: u64,
+}
+
+const ROUTES: u64 = 6_000;
+
+impl InjectionPoint {
+    /// Runs it; `None` if the controller had fewer steps to take.
+    pub fn run(&self) -> Option<RunResult> {
+        let mut world = World::new(self.seed, 5, 12);
+        world.request_pause_us = 50_000;
+        world.run_until(6_000_000);
+        world.quiet = true;
+        let InjectionPoint { operation, fault, at, .. } = *self;
+        world.injection =
+            Some(Injection { operation, fault, remaining: at, fuse: at, injected: false });
+        match operation {
+            Operation::Plan => world.submit_plan(ROUTES, false, false),
+            Operation::Members | Operation::Seats => {
+                let leader = world.leader().unwrap_or(0);
+                world.inject(Fault::ReplaceControl((leader + 1) % 3));
+            }
+            Operation::Snapshot => {}
+        }
+        world.run_until(13_000_000);
+        let injected = world.injection.take().is_some_and(|injection| injection.injected);
+        world.inject(Fault::Heal);
+        let mut result = RunResult { recovery_ms: recover(&mut world), ..RunResult::default() };
+        read_back(&mut world, &mut result, "");
+        if operation == Operation::Plan && world.operator.acknowledged < 2 {
+            result.violations.push("the plan was never acknowledged".into());
+        }
+        let lost = at as usize % 3;
+        world.operator.shown = None;
+        world.inject(Fault::ReplaceControl(lost));
+        recover(&mut world);
+        read_back(&mut world, &mut result, " after a disk was lost");
+        finish(&mut world, &mut result);
+        injected.then_some(result)
+    }
+}
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -1,12 +1,15 @@
 //! One run: a world, the faults drawn for it, the wait for full service, the final checks.
 
+pub mod contact_loss;
+pub mod injection;
+pub mod replacement;
+
+use crate::checker::calls::check_calls;
+use crate::checker::ledger::OutcomeCounts;
 use crate::event::Event;
 use crate::fault::{ALL, Fault};
-use crate::history::check_calls;
-use crate::ledger::OutcomeCounts;
 use crate::random::Random;
 use crate::world::World;
-use std::collections::BTreeSet;
 
 /// The faults of one run, its size and its seed.
 #[derive(Clone, Debug)]
@@ -108,7 +111,7 @@
             world.log = Some(Vec::new());
         }
         world.targets.iter_mut().for_each(|target| target.lost_per_mille = self.lost_per_mille);
-        world.net.zone_us = self.zone_us;
+        world.network.zone_us = self.zone_us;
         let mut random = Random::new(self.seed ^ 0xfa_017);
         world.run_until(6_000_000);
         let formed = world.has_full_service();
@@ -169,25 +172,11 @@
     well_us.map_or(u64::MAX, |well_us| (well_us - start_us) / 1_000)
 }
 
-impl World {
-    /// Whether all data nodes are ready and serve one version of the plan.
-    pub fn has_full_service(&self) -> bool {
-        let versions: BTreeSet<_> =
-            self.data.iter().map(|machine| machine.table.state.plan_version()).collect();
-        (0..self.data.len()).all(|at| self.is_ready(at)) && versions.len() == 1
-    }
-
-    /// The instance that a request was sent to, if any.
-    pub fn target_of(&self, request: u64) -> Option<String> {
-        self.requests.get(&request)?.target_name()
-    }
-}
-
 pub(crate) fn finish(world: &mut World, outcome: &mut RunResult) {
     if outcome.recovery_ms > RECOVERY_MS {
         outcome.violations.push(format!("no full service {RECOVERY_MS} ms after the last fault"));
     }
-    check_calls(world);
+    check_history(world);
     check_plan(world);
     check_answers(world);
     let (lookups, extra) = world.ledger.extra();
@@ -237,3 +226,20 @@
         world.ledger.violate("the plan in force is not the one last acknowledged".into());
     }
 }
+
+pub(crate) fn read_back(world: &mut World, result: &mut RunResult, when: &str) {
+    let until_us = world.now_us + 6_000_000;
+    world.run_until(until_us);
+    world.show();
+    world.run_until(until_us + 2_000_000);
+    let last = world.operator.version.as_ref().and_then(|name| world.operator.texts.get(name));
+    if last.is_none() || world.operator.shown.as_ref() != last {
+        result.violations.push(format!("the plan acknowledged last does not read back{when}"));
+    }
+}
+
+/// Checks the whole history of the callers.
+pub(crate) fn check_history(world: &mut World) {
+    let found = check_calls(&world.callers);
+    found.into_iter().for_each(|text| world.ledger.violate(text));
+}
--- a/crates/simulation/src/search/forwarded_log.rs
+++ b/crates/simulation/src/search/forwarded/log.rs
@@ -1,11 +1,10 @@
 //! Two control nodes as a forwarded call meets them: their logs, and their pending replies.
 //!
-//! The log's records, how they change the state and what a call decides are the real ones; the
-//! path of a write through a node mirrors the controller's handling of calls and of the replies
-//! that
-//! wait for a commit or for the end of leadership. A partitioned node
-//! answers from what it knows: the real node's check of its lease is omitted, so that the search
-//! covers more than the real nodes do.
+//! The log's records, how they change the state and what a call decides are the real ones; the path
+//! of a write through a node mirrors the controller's handling of calls and of the replies that
+//! wait for a commit or for the end of leadership. A partitioned node answers from what it knows:
+//! the real node's check of its lease is omitted, so that the search covers more than the real
+//! nodes do.
 
 use postbarrow_controller::decide;
 use postbarrow_messages::Response;
--- a/crates/simulation/src/search/forwarded.rs
+++ b/crates/simulation/src/search/forwarded/mod.rs
@@ -1,8 +1,14 @@
 //! Model of calls forwarded to the controller: real clients at two members, over a modelled log.
 
-use super::Model;
-use super::forwarded_log::{Entry, Member, Origin, Write, not_controller};
-use super::forwarded_state::{ForwardedState, Frame, Progress, address, new_client};
+mod log;
+mod rules;
+mod state;
+
+pub use state::{ForwardedState, NUMBER};
+
+use crate::search::Model;
+use crate::search::forwarded::log::{Entry, Member, Origin, Write, not_controller};
+use crate::search::forwarded::state::{Frame, Progress, address, new_client};
 use postbarrow_constants::coordination::{CONTROLLER_REQUEST_MS, REQUEST_RETRY_MS};
 use postbarrow_controller_client::Effect;
 use postbarrow_messages::{Message, Request};
--- a/crates/simulation/src/search/forwarded_rules.rs
+++ b/crates/simulation/src/search/forwarded/rules.rs
@@ -1,15 +1,15 @@
 //! Invariants of every forwarded call.
 
-use super::forwarded::ForwardedCalls;
-use super::forwarded_log::is_refusal;
-use super::forwarded_state::{ForwardedState, Progress};
+use crate::search::forwarded::ForwardedCalls;
+use crate::search::forwarded::log::is_refusal;
+use crate::search::forwarded::state::{ForwardedState, Progress};
 use postbarrow_messages::Response;
 use postbarrow_state::{Outcome, Record};
 use std::collections::BTreeSet;
 
 impl ForwardedCalls {
     /// A caller's response is true of its own call.
-    pub(super) fn check_answered(
+    pub(in crate::search) fn check_answered(
         &self,
         state: &ForwardedState,
         at: usize,
@@ -43,7 +43,11 @@
     }
 
     /// A put has one revision and a lock one fence, however often its request arrives.
-    pub(super) fn check_once(&self, state: &ForwardedState, at: usize) -> Result<(), String> {
+    pub(in crate::search) fn check_once(
+        &self,
+        state: &ForwardedState,
+        at: usize,
+    ) -> Result<(), String> {
         let own = state.committed().iter().filter(|entry| entry.source == Some(at));
         let marks: BTreeSet<u64> = own
             .flat_map(|entry| &entry.records)
--- a/crates/simulation/src/search/forwarded_state.rs
+++ b/crates/simulation/src/search/forwarded/state.rs
@@ -1,6 +1,6 @@
 //! The state of the forwarded calls' model: members, their clients and the calls.
 
-use super::forwarded_log::{Entry, Member, Origin, Reply, state_of};
+use crate::search::forwarded::log::{Entry, Member, Origin, Reply, state_of};
 use postbarrow_controller_client::ControllerClient;
 use postbarrow_messages::{Request, Response};
 use std::hash::{Hash, Hasher};
@@ -31,18 +31,18 @@
 /// The state of the model; states are equal where their printed forms are.
 #[derive(Clone, Debug)]
 pub struct ForwardedState {
-    pub(super) now_ms: u64,
-    pub(super) clients: [ControllerClient; 2],
-    pub(super) incarnations: [u64; 2],
-    pub(super) members: [Member; 2],
-    pub(super) in_flight: Vec<Frame>,
-    pub(super) progress: Vec<Progress>,
-    pub(super) leader: usize,
-    pub(super) full: bool,
-    pub(super) meanwhile: bool,
-    pub(super) losses: u8,
-    pub(super) ticks: u8,
-    pub(super) printed: String,
+    pub(in crate::search) now_ms: u64,
+    pub(in crate::search) clients: [ControllerClient; 2],
+    pub(in crate::search) incarnations: [u64; 2],
+    pub(in crate::search) members: [Member; 2],
+    pub(in crate::search) in_flight: Vec<Frame>,
+    pub(in crate::search) progress: Vec<Progress>,
+    pub(in crate::search) leader: usize,
+    pub(in crate::search) full: bool,
+    pub(in crate::search) meanwhile: bool,
+    pub(in crate::search) losses: u8,
+    pub(in crate::search) ticks: u8,
+    pub(in crate::search) printed: String,
 }
 
 impl PartialEq for ForwardedState {
--- a/crates/simulation/src/search/mod.rs
+++ b/crates/simulation/src/search/mod.rs
@@ -2,23 +2,10 @@
 //! checking).
 
 mod forwarded;
-mod forwarded_log;
-mod forwarded_rules;
-mod forwarded_state;
 mod request;
-mod request_actions;
-mod request_flow;
-mod request_plan;
-mod request_rules;
-mod request_state;
-mod request_wire;
 
-pub use forwarded::{ForwardedAction, ForwardedCall, ForwardedCalls};
-pub use forwarded_state::{ForwardedState, NUMBER};
-pub use request::{Faults, Requests};
-pub use request_actions::RequestAction;
-pub use request_state::RequestState;
-pub use request_wire::Kind;
+pub use forwarded::{ForwardedAction, ForwardedCall, ForwardedCalls, ForwardedState, NUMBER};
+pub use request::{Faults, Kind, RequestAction, RequestState, Requests};
 
 use std::collections::HashSet;
 use std::fmt::Debug;
--- a/crates/simulation/src/search/request_flow.rs
+++ b/crates/simulation/src/search/request/flow.rs
@@ -1,17 +1,12 @@
 //! The real flows of two requests, replayed from their events.
 
-use super::request_plan::{context, entry, table, target_name};
-use super::request_wire::Kind;
+use crate::search::request::plan::{context, entry, table, target_name};
+use crate::search::request::wire::Kind;
 use postbarrow_messages::Response;
 use postbarrow_node::{AttemptOutcome, Event, FlowContext, RequestFlow, RequestOutcome, Step};
 use postbarrow_state::{Name, Settlement};
 use std::collections::{BTreeMap, HashMap};
 
-/// When both requests arrive, in milliseconds.
-pub const START_MS: u64 = 10_000;
-/// Each must end within this time, in milliseconds.
-pub const DEADLINE_MS: u64 = 4_000;
-
 /// One event of one request, as its flow receives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FlowEvent {
@@ -169,8 +164,7 @@
 }
 
 /// A ticket is pending from its request on, until it is settled by the controller's response or at
-/// the
-/// end of the flow.
+/// the end of the flow.
 fn ticket_after(ticket: TicketEnd, event: FlowEvent, step: &Step) -> TicketEnd {
     match step {
         Step::RequestTicket { .. } => TicketEnd::Pending,
@@ -196,7 +190,7 @@
         FlowEvent::NoResponse => Event::ControllerResponded(Response::TimedOut),
         FlowEvent::AttemptEnded(outcome) => Event::AttemptEnded(match outcome {
             AttemptEnd::Complete(for_client) => {
-                AttemptOutcome::Complete(super::request_wire::response(*for_client))
+                AttemptOutcome::Complete(crate::search::request::wire::response(*for_client))
             }
             AttemptEnd::Unsent => AttemptOutcome::Unsent("unsent".into()),
             AttemptEnd::NotRun => AttemptOutcome::NotRun("it says so".into()),
--- a/crates/simulation/src/search/request.rs
+++ b/crates/simulation/src/search/request/mod.rs
@@ -1,33 +1,28 @@
 //! Model of two requests through one node: the real `RequestFlow` over modelled connections.
 
-use super::Model;
-use super::request_actions::RequestAction;
-use super::request_flow::{
-    AttemptEnd, DEADLINE_MS, FlowEvent, FlowInput, FlowStates, Phase, START_MS, TicketEnd,
-    as_flow_event,
+mod actions;
+mod enabled;
+mod flow;
+mod plan;
+mod rules;
+mod state;
+mod wire;
+
+pub use actions::RequestAction;
+pub use state::{Faults, RequestState};
+pub use wire::Kind;
+
+use crate::search::Model;
+use crate::search::request::flow::{
+    AttemptEnd, FlowEvent, FlowInput, FlowStates, Phase, TicketEnd, as_flow_event,
 };
-use super::request_state::RequestState;
-use super::request_wire::{Connection, ConnectionUse, Content, Kind};
+use crate::search::request::plan::{DEADLINE_MS, START_MS};
+use crate::search::request::wire::{Connection, ConnectionUse, Content};
 use std::cell::RefCell;
 
-/// The faults that may occur.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Faults {
-    /// Second responses and garbage that targets may send.
-    pub strays: u8,
-    /// Connections that targets may close.
-    pub closes: u8,
-    /// Targets that may be replaced under the same address.
-    pub replaces: u8,
-    /// The node may freeze beyond its deadlines, and its lease may expire.
-    pub freezes: bool,
-    /// Clients may depart at any time.
-    pub departures: bool,
-}
-
 /// Two requests through one node to two targets.
 pub struct Requests {
-    pub(super) kinds: [Kind; 2],
+    pub(in crate::search) kinds: [Kind; 2],
     logged: bool,
     requires_name: bool,
     checks_client: bool,
@@ -37,8 +32,7 @@
 
 impl Requests {
     /// `logged`: tickets come from the log, and connections prove the target's identity; else
-    /// requests name
-    /// their targets.
+    /// requests name their targets.
     pub fn new(kinds: [Kind; 2], logged: bool, faults: Faults) -> Requests {
         let flow_states = RefCell::new(FlowStates::new(kinds, logged));
         Requests { kinds, logged, requires_name: true, checks_client: true, faults, flow_states }
--- a/crates/simulation/src/search/request_plan.rs
+++ b/crates/simulation/src/search/request/plan.rs
@@ -1,23 +1,27 @@
 //! The plan and the targets of the model of two requests.
 
-use super::request_flow::{DEADLINE_MS, START_MS};
-use super::request_wire::Kind;
+use crate::search::request::wire::Kind;
 use postbarrow_node::RequestContext;
 use postbarrow_routing::{Entry, RouteMatch, Table};
 use postbarrow_state::{Labels, Name, PlanHead, Route, RouteKind, Service, State, Target};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+/// When both requests arrive, in milliseconds.
+pub const START_MS: u64 = 10_000;
+/// Each must end within this time, in milliseconds.
+pub const DEADLINE_MS: u64 = 4_000;
+
 /// A retry budget that never bounds the search: per cent, a second, saved.
 const RETRIES: (u64, u64, u64) = (100, 100, 100);
 
 /// The name of one of the two targets.
-pub(super) fn target_name(at: usize) -> Name {
+pub(in crate::search) fn target_name(at: usize) -> Name {
     Name::from(["target-1", "target-2"][at])
 }
 
 /// A request's context beyond its bytes.
-pub(super) fn context(client: usize, logged: bool) -> RequestContext {
+pub(in crate::search) fn context(client: usize, logged: bool) -> RequestContext {
     RequestContext {
         key: Name::from(format!("key-{client}")),
         keyed: false,
@@ -31,7 +35,7 @@
 }
 
 /// The route that a request of this kind takes.
-pub(super) fn entry(table: &Table, kind: Kind) -> Arc<Entry> {
+pub(in crate::search) fn entry(table: &Table, kind: Kind) -> Arc<Entry> {
     let (method, path) = match kind {
         Kind::OneTime => ("POST", "/transfers"),
         Kind::Lookup => ("GET", "/stock"),
@@ -45,7 +49,7 @@
 }
 
 /// One service of two targets, with a route of each kind.
-pub(super) fn table() -> Table {
+pub(in crate::search) fn table() -> Table {
     let head = PlanHead { version: "v1".into(), base: None, offset: 1 };
     let mut state = State { plan: Some(Arc::new(head)), ..State::default() };
     let service = Service { name: "s".into(), labels: Labels::new() };
--- a/crates/simulation/src/search/request_rules.rs
+++ b/crates/simulation/src/search/request/rules.rs
@@ -1,14 +1,18 @@
 //! Invariants of every request.
 
-use super::request::Requests;
-use super::request_flow::{Phase, Settled, TicketEnd};
-use super::request_state::RequestState;
-use super::request_wire::Kind;
+use crate::search::request::Requests;
+use crate::search::request::flow::{Phase, Settled, TicketEnd};
+use crate::search::request::state::RequestState;
+use crate::search::request::wire::Kind;
 
 impl Requests {
     /// It runs at most as often as it may, its client's report is true, and nothing is sent after a
     /// departure.
-    pub(super) fn check_request(&self, state: &RequestState, client: usize) -> Result<(), String> {
+    pub(in crate::search) fn check_request(
+        &self,
+        state: &RequestState,
+        client: usize,
+    ) -> Result<(), String> {
         let (phase, ran) = (state.phases[client], state.ran[client]);
         if self.kinds[client] == Kind::OneTime && ran > 1 {
             return Err(format!("request {client} ran {ran} times"));
--- a/crates/simulation/src/search/request_wire.rs
+++ b/crates/simulation/src/search/request/wire.rs
@@ -1,9 +1,8 @@
 //! Connections to two targets: bytes in flight, resets, reuse.
 //!
 //! The node's end mirrors the data plane's `target_connection.rs` (whether a connection is unused,
-//! the
-//! exchange from its last check on, reading the own response) and its connection pools; the reading
-//! of a response's name mirrors the platform's `front.rs`.
+//! the exchange from its last check on, reading the own response) and its connection pools; the
+//! reading of a response's name mirrors the platform's `front.rs`.
 
 use postbarrow_node::AttemptOutcome;
 
@@ -119,8 +118,8 @@
         }
     }
 
-    /// Reads up to a response that is not another request's, as the data plane does. `rest`:
-    /// bytes that follow it are read already.
+    /// Reads up to a response that is not another request's, as the data plane does. `rest`: bytes
+    /// that follow it are read already.
     pub fn read(&mut self, client: usize, rest: bool, requires_name: bool) -> Option<Read> {
         let unknown = |why: &str| AttemptOutcome::Unknown { late: false, why: why.into() };
         while !self.inbox.is_empty() {
--- a/crates/simulation/src/calls.rs
+++ b/crates/simulation/src/world/calls.rs
@@ -1,70 +1,19 @@
-//! Applications' calls for locks, numbers, keys and watches, and the checks of their outcomes.
+//! Applications' calls: sending, retrying, and the outcomes.
 
-use crate::data::Waits;
+use crate::client::calls::{CompletedCall, PendingCall};
 use crate::event::Event;
+use crate::node::data::Waits;
 use crate::world::World;
 use postbarrow_messages::{Request, Response};
 use postbarrow_state::{Call, Change, Name, Outcome, ResourceKind};
-use std::collections::BTreeMap;
 
 const WAIT_MS: u64 = 2_500;
-const TTL_MS: u64 = 1_500;
-
-/// One completed call: when it was sent and answered, and its outcome.
-#[derive(Clone, Debug, PartialEq)]
-pub struct CompletedCall {
-    pub caller: usize,
-    pub start_us: u64,
-    pub end_us: u64,
-    pub call: Call,
-    pub outcome: Outcome,
-}
 
-#[derive(Clone)]
-struct PendingCall {
-    number: u64,
-    start_us: u64,
-    call: Call,
-    node: usize,
-    sent_us: u64,
-}
-
-#[derive(Default)]
-pub struct Callers {
-    pub done: Vec<CompletedCall>,
-    pub watched_revisions: Vec<u64>,
-    pub watch_from: Option<u64>,
-    pub too_old: u64,
-    pending: BTreeMap<usize, PendingCall>,
-    locks: BTreeMap<usize, (Name, u64, u64)>,
-    lock_owner: Option<(usize, u64)>,
-    number: u64,
-    revisions: BTreeMap<Name, u64>,
-}
+const TTL_MS: u64 = 1_500;
 
 const WATCHER: usize = 3;
-const STALE_US: u64 = 4_000_000;
 
-impl Callers {
-    /// The highest number or revision of the same name that was acknowledged before this time.
-    pub fn max_acknowledged(&self, call: &Call, before_us: u64) -> u64 {
-        let finished = self.done.iter().filter(|done| done.end_us < before_us);
-        let values = finished.filter_map(|done| match (call, &done.call, &done.outcome) {
-            (
-                Call::ReadNumber { name },
-                Call::Next { name: other, .. } | Call::ReadNumber { name: other },
-                Outcome::Number(value),
-            ) if name == other => Some(*value),
-            (
-                Call::ReadKey { name } | Call::Put { name, .. },
-                Call::Put { name: other, .. } | Call::ReadKey { name: other },
-                Outcome::Key(key),
-            ) if name == other => Some(key.revision),
-            _ => None,
-        });
-        values.max().unwrap_or(0)
-    }
-}
+const STALE_US: u64 = 4_000_000;
 
 impl World {
     /// Sends the next call, or the pending one again where its node ended or did not answer.
--- a/crates/simulation/src/check.rs
+++ b/crates/simulation/src/world/checks.rs
@@ -1,5 +1,4 @@
-//! Invariants checked after events: one history, at most one lease, no older plan, no departed
-//! target.
+//! Invariants checked after events: one history, at most one lease, no older plan, no departed target.
 
 use crate::event::ProcessId;
 use crate::world::World;
--- a/crates/simulation/src/control.rs
+++ b/crates/simulation/src/world/control.rs
@@ -1,4 +1,4 @@
-//! Control machines: each runs a real control node over a simulated disk and network.
+//! Start, end, inputs and disk of control machines.
 
 use crate::disk::SimDisk;
 use crate::event::{Event, ProcessId};
@@ -7,82 +7,14 @@
 use postbarrow_consensus::{Member, RecoveredState, Write};
 use postbarrow_constants::consensus::DISK_FULL_PAUSE_MS;
 use postbarrow_controller::{ControlNode, Effect, Input};
-use postbarrow_state::{Name, Target};
 use postbarrow_storage::{Opened, Storage, WriteError, is_full, open};
-use std::collections::VecDeque;
-use std::net::SocketAddr;
-use std::sync::Arc;
 
 /// A process that ended starts again after this time.
 const AGAIN_US: u64 = 500_000;
 
-/// How old the operators' list of control machines is.
-const OPERATORS_LIST_LAG_US: u64 = 3_000_000;
-
 /// Small, so that every run writes snapshots and a late member needs one.
 const LOG_BOUND_BYTES: u64 = 48 * 1024;
 
-/// One control machine: its disk outlives its processes.
-pub struct ControlMachine {
-    /// Its address.
-    pub address: SocketAddr,
-    /// Its disk, which outlives its processes.
-    pub disk: SimDisk,
-    /// Counts starts and ends, so that events of an earlier process are ignored.
-    pub incarnation: u64,
-    /// Offset of its clock in milliseconds.
-    pub offset_ms: u64,
-    /// By how many thousandths its clock is fast.
-    pub rate: u64,
-    /// The running control node; `None` while its process is down.
-    pub node: Option<ControlNode>,
-    storage: Option<Storage<SimDisk>>,
-    writes: VecDeque<(u64, Write)>,
-    syncing: bool,
-    /// When it was retired: its process does not start again once it has ended.
-    pub retired_us: Option<u64>,
-    /// It has no lasting disk, so it is never a member.
-    pub observer: bool,
-    /// How many of the writes the storage has accepted and not yet carried out, since its disk is
-    /// full.
-    in_storage: usize,
-    /// Targets as last committed here, to find those that were dropped.
-    pub targets: OrdMap<Name, Arc<Target>>,
-}
-
-impl ControlMachine {
-    /// A machine with an empty disk whose process has not started.
-    pub fn new(address: SocketAddr, offset_ms: u64, rate: u64) -> Self {
-        ControlMachine {
-            address,
-            disk: SimDisk::default(),
-            incarnation: 0,
-            offset_ms,
-            rate,
-            node: None,
-            storage: None,
-            writes: VecDeque::new(),
-            syncing: false,
-            retired_us: None,
-            observer: false,
-            in_storage: 0,
-            targets: OrdMap::new(),
-        }
-    }
-}
-
-impl ControlMachine {
-    /// Whether operators find it on their list, which shows a retirement only after a lag.
-    pub fn is_listed(&self, now_us: u64) -> bool {
-        self.retired_us.is_none_or(|retired_us| now_us < retired_us + OPERATORS_LIST_LAG_US)
-    }
-
-    /// Writes that wait for the disk, oldest first.
-    pub fn writes(&self) -> impl Iterator<Item = &Write> {
-        self.writes.iter().map(|(_, write)| write)
-    }
-}
-
 impl World {
     /// Starts the process of control machine `at` from what its disk holds.
     pub fn start_control(&mut self, at: usize) {
@@ -240,4 +172,11 @@
         let incarnation = self.control[at].incarnation;
         self.after(DISK_FULL_PAUSE_MS * 1_000, Event::Synced { at, incarnation });
     }
+
+    /// The index of the control machine that leads, if any does.
+    pub fn leader(&self) -> Option<usize> {
+        self.control
+            .iter()
+            .position(|machine| machine.node.as_ref().is_some_and(|node| node.is_leading()))
+    }
 }
--- a/crates/simulation/src/data.rs
+++ b/crates/simulation/src/world/data.rs
@@ -1,60 +1,13 @@
-//! Data machines: each runs a real data node.
+//! Start, end, inputs and probes of data machines.
 
 use crate::event::{Event, ProcessId};
-use crate::world::{World, address};
+use crate::node::data::Waits;
+use crate::world::World;
 use postbarrow_node::{DataNode, Effect, Input};
 use postbarrow_routing::Table;
 use postbarrow_state::{Name, Node};
-use std::collections::BTreeMap;
-use std::net::SocketAddr;
 use std::sync::Arc;
 
-#[derive(Clone, Copy, Debug)]
-pub enum Waits {
-    Request(u64),
-    Caller { caller: usize, number: u64 },
-    Nobody,
-}
-
-/// One data machine: nothing outlives its process.
-pub struct DataMachine {
-    pub address: SocketAddr,
-    pub zone: Name,
-    pub incarnation: u64,
-    pub offset_ms: u64,
-    /// By how many thousandths its clock is fast.
-    pub rate: u64,
-    pub node: Option<DataNode>,
-    pub table: Arc<Table>,
-    pub lease_until_ms: u64,
-    /// When the platform last observed it ready.
-    pub ready_us: u64,
-    pub announced_incarnation: u64,
-    pub number: u64,
-    pub waits: BTreeMap<u64, Waits>,
-    at: usize,
-}
-
-impl DataMachine {
-    pub fn new(at: usize, offset_ms: u64, rate: u64) -> Self {
-        DataMachine {
-            address: address(2, at, 1),
-            zone: Name::from(["a", "b", "c"][at % 3]),
-            incarnation: 0,
-            offset_ms,
-            rate,
-            node: None,
-            table: Arc::new(Table::empty()),
-            lease_until_ms: 0,
-            ready_us: 0,
-            announced_incarnation: 0,
-            number: 0,
-            waits: BTreeMap::new(),
-            at,
-        }
-    }
-}
-
 impl World {
     /// Starts the process of data machine `at`.
     pub fn start_data(&mut self, at: usize) {
--- a/crates/simulation/src/requests/departure.rs
+++ b/crates/simulation/src/world/departure.rs
@@ -1,6 +1,6 @@
 //! Clients that depart before their response.
 
-use super::Awaits;
+use crate::client::requests::Awaits;
 use crate::event::Event;
 use crate::world::World;
 use postbarrow_constants::traffic::CLIENT_CLOSED_CHECK_MS;
@@ -9,10 +9,14 @@
 
 /// Of a thousand requests, how many have a client that departs before the response.
 const DEPARTURES_PER_MILLE: u64 = 40;
+
 /// Most of these depart within the time of an ordinary request, a few later.
 const EARLY_DEPARTURE_US: u64 = 8_000;
+
 const LATE_DEPARTURE_US: u64 = 2_000_000;
+
 const LATE_PER_MILLE: u64 = 200;
+
 /// A departed client returns with its key after this time at most.
 const MAX_RETURN_US: u64 = 1_000_000;
 
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -2,6 +2,7 @@
 
 use crate::event::{Event, ProcessId};
 use crate::fault::{Fault, Stage};
+use crate::node::target::Target;
 use crate::world::World;
 use postbarrow_constants::consensus::VOTERS;
 use postbarrow_messages::Response;
@@ -14,10 +15,7 @@
         if let Some(log) = &mut self.log {
             log.push(log_line);
         }
-        let leader = self
-            .control
-            .iter()
-            .position(|machine| machine.node.as_ref().is_some_and(|node| node.is_leading()));
+        let leader = self.leader();
         let some = self.random.below(3) as usize;
         let control = if self.random.chance(600) { leader.unwrap_or(some) } else { some };
         let data = self.random.below(self.data.len() as u64) as usize;
@@ -36,14 +34,14 @@
                 for other in
                     others.map(|other| self.control[other].address.ip()).collect::<Vec<_>>()
                 {
-                    self.net.partition(one, other);
-                    self.net.partition(other, one);
+                    self.network.partition(one, other);
+                    self.network.partition(other, one);
                 }
             }
             Fault::OneWayCut => {
                 let (one, other) =
                     (self.control[some].address, self.control[(some + 1) % 3].address);
-                self.net.partition(one.ip(), other.ip());
+                self.network.partition(one.ip(), other.ip());
             }
             Fault::KillData => self.end_data(data),
             Fault::KillManyData => (0..self.data.len() / 2).for_each(|at| self.end_data(at)),
@@ -51,12 +49,12 @@
             Fault::CutData => {
                 let isolated = self.data[data].address.ip();
                 for other in self.addresses() {
-                    self.net.partition(isolated, other);
-                    self.net.partition(other, isolated);
+                    self.network.partition(isolated, other);
+                    self.network.partition(other, isolated);
                 }
             }
-            Fault::SlowLinks => self.net.slow_us = 30_000,
-            Fault::LossyLinks => self.net.loss_per_mille = 100,
+            Fault::SlowLinks => self.network.slow_us = 30_000,
+            Fault::LossyLinks => self.network.loss_per_mille = 100,
             Fault::KillTarget => self.change_some_target(|target| target.alive = false),
             Fault::FreezeTarget => self.change_some_target(|target| target.frozen = true),
             Fault::DrainTarget => self.drain(),
@@ -118,8 +116,8 @@
     pub fn isolate(&mut self, at: usize) {
         let isolated = self.control[at].address.ip();
         for other in self.addresses() {
-            self.net.partition(isolated, other);
-            self.net.partition(other, isolated);
+            self.network.partition(isolated, other);
+            self.network.partition(other, isolated);
         }
     }
 
@@ -159,7 +157,7 @@
         others.iter().all(is_full_member) && ids(&others[0]) == ids(&others[1])
     }
 
-    fn change_some_target(&mut self, change: impl Fn(&mut crate::targets::Target)) {
+    fn change_some_target(&mut self, change: impl Fn(&mut Target)) {
         let Some(instance) = self.some_target() else { return };
         if let Some(target) = self.target_mut(&instance) {
             change(target);
@@ -203,7 +201,7 @@
 
     /// Ends all faults: processes run, links carry frames, the endpoint list is correct.
     pub fn heal(&mut self) {
-        self.net.heal();
+        self.network.heal();
         self.slow_disks = false;
         self.control.iter().for_each(|machine| machine.disk.set_fault(None));
         self.freeze_before = None;
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -1,20 +1,43 @@
 //! All machines, clients and faults of one simulated run, and the queue of its events.
+//!
+//! Each module has what one concern adds to `World`; the state that it works on is in the layers
+//! below (`node`, `client`, `fault`, `checker`), which do not know the world.
 
-use crate::calls::Callers;
-use crate::control::ControlMachine;
-use crate::data::DataMachine;
+mod calls;
+mod checks;
+mod control;
+mod data;
+mod departure;
+mod endpoint_list;
+mod faults;
+mod forwarding;
+mod injection;
+mod membership;
+mod operator;
+mod pinned;
+mod pinned_checks;
+mod requests;
+mod rolling_restart;
+mod service;
+mod slow;
+mod targets;
+
+use crate::checker::ledger::Ledger;
+use crate::client::calls::Callers;
+use crate::client::operator::Operator;
+use crate::client::pinned::PinnedClients;
+use crate::client::requests::RequestRun;
+use crate::clock::Clock;
 use crate::event::{Event, ProcessId};
 use crate::fault::Stage;
-use crate::ledger::Ledger;
-use crate::list::PlatformList;
-use crate::net::Net;
-use crate::operator::Operator;
-use crate::pinned::PinnedClients;
+use crate::fault::injection::Injection;
+use crate::network::{Network, address};
+use crate::node::control::ControlMachine;
+use crate::node::data::DataMachine;
+use crate::node::endpoint_list::PlatformList;
+use crate::node::slow::SlowMachine;
+use crate::node::target::Target;
 use crate::random::Random;
-use crate::requests::RequestRun;
-use crate::slow::SlowMachine;
-use crate::steps::Injection;
-use crate::targets::Target;
 use postbarrow_constants::consensus::{TICK_MS, VOTER_DEAD_MS};
 use postbarrow_controller::Input as ControlInput;
 use postbarrow_messages::{Envelope, Message};
@@ -22,10 +45,6 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Clocks run up to a hundredth faster than true time: far more than any machine's does.
-const RATE_SCALE: u64 = 1_000;
-const MAX_RATE: u64 = 11;
-
 /// A cluster with its surroundings, on one queue of events.
 pub struct World {
     /// True time in microseconds; processes see only their own clocks.
@@ -33,7 +52,7 @@
     /// The source of every draw of the run but those of the scenario's faults.
     pub random: Random,
     /// The network.
-    pub net: Net,
+    pub network: Network,
     /// Control machines, by index.
     pub control: Vec<ControlMachine>,
     /// Data machines, by index.
@@ -88,17 +107,13 @@
     order: u64,
 }
 
-pub fn address(net: u8, at: usize, port: u16) -> SocketAddr {
-    SocketAddr::from(([10, net, (at / 250) as u8, (at % 250) as u8 + 1], port))
-}
-
 impl World {
     /// A cluster of three control machines, these data nodes and these targets, all starting now.
     pub fn new(seed: u64, data_nodes: usize, targets: usize) -> World {
         let mut world = World {
             now_us: 1_000_000,
             random: Random::new(seed),
-            net: Net::default(),
+            network: Network::default(),
             control: Vec::new(),
             data: Vec::new(),
             targets: Vec::new(),
@@ -129,14 +144,12 @@
             order: 0,
         };
         for at in 0..3 {
-            let offset_ms = world.random.below(1_000_000);
-            let rate = world.random.below(MAX_RATE);
-            world.control.push(ControlMachine::new(address(1, at, 1), offset_ms, rate));
+            let clock = Clock::draw(&mut world.random);
+            world.control.push(ControlMachine::new(address(1, at, 1), clock));
         }
         for at in 0..data_nodes {
-            let offset_ms = world.random.below(1_000_000);
-            let rate = world.random.below(MAX_RATE);
-            world.data.push(DataMachine::new(at, offset_ms, rate));
+            let clock = Clock::draw(&mut world.random);
+            world.data.push(DataMachine::new(at, clock));
         }
         for at in 0..targets {
             world.add_target(["catalogue", "ledger", "photos"][at % 3], None);
@@ -168,11 +181,11 @@
 
     /// A process's own clock in milliseconds, whose zero and rate no other shares.
     pub fn local_ms(&self, process: ProcessId) -> u64 {
-        let (offset_ms, rate) = match process {
-            ProcessId::Control(at) => (self.control[at].offset_ms, self.control[at].rate),
-            ProcessId::Data(at) => (self.data[at].offset_ms, self.data[at].rate),
+        let clock = match process {
+            ProcessId::Control(at) => self.control[at].clock,
+            ProcessId::Data(at) => self.data[at].clock,
         };
-        (self.now_us + self.now_us * rate / RATE_SCALE) / 1_000 + offset_ms
+        clock.local_ms(self.now_us)
     }
 
     /// Sends a message over the network, which may delay or lose it.
@@ -182,7 +195,7 @@
             return self.after(0, Event::Deliver { to, envelope });
         }
         let sent_us = self.now_us + self.link_wait_us(to, &envelope);
-        let arrival = self.net.arrival(sent_us, from, to, &mut self.random);
+        let arrival = self.network.arrival(sent_us, from, to, &mut self.random);
         if let Some(at_us) = arrival {
             self.at(at_us, Event::Deliver { to, envelope });
         }
@@ -316,3 +329,27 @@
         }
     }
 }
+
+impl World {
+    /// The process that handles an event; while it is frozen, the event waits.
+    pub fn process_of(&self, event: &Event) -> Option<ProcessId> {
+        match event {
+            Event::Tick { process, .. } => Some(*process),
+            Event::Deliver { to, .. } => {
+                let control = self.control.iter().position(|machine| machine.address == *to);
+                let data = || self.data.iter().position(|machine| machine.address == *to);
+                control.map(ProcessId::Control).or_else(|| data().map(ProcessId::Data))
+            }
+            Event::Synced { at, .. }
+            | Event::Page { at, .. }
+            | Event::Encoded { at, .. }
+            | Event::PinnedArrives { at, .. } => Some(ProcessId::Control(*at)),
+            Event::Arrive { data, .. }
+            | Event::DepartureObserved { data, .. }
+            | Event::Resume { data, .. }
+            | Event::Send { data, .. }
+            | Event::Probe { data, .. } => Some(ProcessId::Data(*data)),
+            _ => None,
+        }
+    }
+}
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/world/operator.rs
@@ -1,94 +1,26 @@
 //! Operators that submit plans, race each other, lose responses and submit orders again.
 
-mod plans;
-
-pub use plans::{began_at, plan_text};
-
+use crate::client::operator::{Order, Purpose, SubmittedOrder};
+use crate::client::plans::{ROUTES, began_at, plan_text};
 use crate::event::Event;
-use crate::orders::Order;
 use crate::world::World;
-use postbarrow_controller_client::{ControllerClient, Effect};
+use postbarrow_controller_client::Effect;
 use postbarrow_messages::{Envelope, Message, Request, Response, Submission};
 use postbarrow_plan::Plan;
-use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// What an operator expects of an order that is sent.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Purpose {
-    Change,
-    DryRun,
-    /// Acknowledged or refused before; the same response is due.
-    Repeat,
-}
-
-/// An order that was submitted, with what is expected of it.
-#[derive(Clone, Debug)]
-pub struct SubmittedOrder {
-    pub order: Order,
-    pub routes: usize,
-    pub purpose: Purpose,
-}
-
-/// Operators who submit plans, sometimes two at once on one base.
-pub struct Operator {
-    pub address: SocketAddr,
-    pub version: Option<String>,
-    pub acknowledged: u64,
-    pub refusals: u64,
-    pub shown: Option<String>,
-    /// Texts of plans that may or may not be in force.
-    pub unsure: BTreeSet<String>,
-    pub texts: BTreeMap<String, String>,
-    controller_client: ControllerClient,
-    submitted: BTreeMap<u64, SubmittedOrder>,
-    key: u64,
-    pub number: u64,
-}
-
 const WAIT_MS: u64 = 3_000;
+
 /// Maximum of orders pending at once.
 const RACERS: u64 = 8;
+
 /// Of a thousand acknowledgements, how many are lost.
 const ACKNOWLEDGEMENTS_LOST_PER_MILLE: u64 = 150;
-/// Routes of every plan besides its further ones.
-pub const ROUTES: usize = 3;
+
 /// Routes of a large plan, whose entries every check reads; few where only contact is checked.
 const MANY_ROUTES: u64 = 1_500;
-const FEW_ROUTES: u64 = 30;
-
-impl Operator {
-    pub fn new(address: SocketAddr) -> Self {
-        Operator {
-            address,
-            version: None,
-            acknowledged: 0,
-            refusals: 0,
-            shown: None,
-            unsure: BTreeSet::new(),
-            texts: BTreeMap::new(),
-            controller_client: ControllerClient::default(),
-            submitted: BTreeMap::new(),
-            key: 0,
-            number: 0,
-        }
-    }
 
-    /// Learns the version in force. Responses may overtake each other, so an older version is ignored.
-    fn learn(&mut self, version: String) {
-        let number = |version: &str| version.strip_prefix('v')?.parse::<u64>().ok();
-        if number(&version) > self.version.as_deref().and_then(number) {
-            self.version = Some(version);
-        }
-    }
-}
-
-impl Operator {
-    /// Whether no order of its own is pending and a plan is in force.
-    pub fn is_idle(&self) -> bool {
-        self.submitted.is_empty() && self.version.is_some()
-    }
-}
+const FEW_ROUTES: u64 = 30;
 
 impl World {
     /// Twenty times a second: drives pending requests, and now and then submits a plan.
@@ -251,8 +183,8 @@
         }
     }
 
-    /// Handles a response. An order without a clear one is submitted again unchanged, as is one whose
-    /// acknowledgement was lost.
+    /// Handles a response. An order without a clear one is submitted again unchanged, as is one
+    /// whose acknowledgement was lost.
     fn plan_ended(&mut self, submitted: SubmittedOrder, response: Response) {
         let Response::Operator { status, body } = response else {
             return self.submit_elsewhere(submitted);
--- a/crates/simulation/src/pinned.rs
+++ b/crates/simulation/src/world/pinned.rs
@@ -1,92 +1,28 @@
-//! Pinned clients: operators and callers that send everything to one control machine, whatever its
-//! state.
+//! Requests of pinned clients, and their responses.
 
+use crate::client::operator::{Order, Purpose, SubmittedOrder};
+use crate::client::pinned::{OWN_NUMBER, PendingRequest, PinnedClients, PinnedRequest, WAIT_MS};
+use crate::client::plans::{ROUTES, plan_text};
 use crate::event::{Event, ProcessId};
-use crate::operator::{Purpose, ROUTES, SubmittedOrder, plan_text};
-use crate::orders::Order;
 use crate::world::World;
 use postbarrow_controller::{Contact, Input};
 use postbarrow_controller_client::{ControllerClient, Effect};
 use postbarrow_messages::{Envelope, Request, Response, Submission};
 use postbarrow_plan::Plan;
 use postbarrow_state::{Call, Name};
-use std::collections::BTreeMap;
 
 /// The pause between two requests; the kinds take turns.
 const QUESTION_US: u64 = 20_000;
-/// How long a request waits at its machine.
-const WAIT_MS: u64 = 2_500;
+
 /// After this time the other operators submit an order that has no clear response.
 const ORDER_US: u64 = 1_500_000;
+
 /// A revision that no key has, so that a put on it always conflicts and returns the real one.
 const NO_REVISION: u64 = u64::MAX;
-/// The number that only these callers increment. Its text is part of what a seed determines.
-pub const OWN_NUMBER: &str = "clung";
+
 /// The number and the key that all callers use.
 const SHARED: &str = "n0";
 
-#[derive(Clone, Debug)]
-pub enum PinnedRequest {
-    Show,
-    Order(SubmittedOrder),
-    Call(Call),
-}
-
-#[derive(Clone, Debug)]
-struct PendingRequest {
-    start_us: u64,
-    request: PinnedRequest,
-}
-
-/// The clients of one control machine that never try another.
-pub struct PinnedClients {
-    pub at: usize,
-    pub answered: usize,
-    pub unavailable: usize,
-    pub unclear: usize,
-    /// For each request answered as unavailable, when it was sent and how long it waited.
-    pub waits_us: Vec<(u64, u64)>,
-    /// Acknowledged numbers, and how many requests for one had no clear outcome.
-    pub numbers: Vec<u64>,
-    pub numbers_unclear: usize,
-    pub orders: usize,
-    incarnation: u64,
-    controller_client: ControllerClient,
-    pending: BTreeMap<u64, PendingRequest>,
-    key: u64,
-    pub order: Option<(u64, SubmittedOrder)>,
-}
-
-impl PinnedClients {
-    fn new(at: usize, incarnation: u64) -> Self {
-        PinnedClients {
-            at,
-            answered: 0,
-            unavailable: 0,
-            unclear: 0,
-            waits_us: Vec::new(),
-            numbers: Vec::new(),
-            numbers_unclear: 0,
-            orders: 0,
-            incarnation,
-            controller_client: ControllerClient::default(),
-            pending: BTreeMap::new(),
-            key: 0,
-            order: None,
-        }
-    }
-
-    pub fn has_order(&self) -> bool {
-        self.order.is_some()
-    }
-
-    /// Requests that should have had a response by then.
-    pub fn overdue(&self, now_us: u64) -> usize {
-        let due_us = (WAIT_MS + 500) * 1_000;
-        self.pending.values().filter(|pending| now_us > pending.start_us + due_us).count()
-    }
-}
-
 impl World {
     /// From now on clients are pinned to this control machine.
     pub fn pin_clients_to(&mut self, at: usize) {
@@ -239,12 +175,17 @@
             }
         }
     }
-}
 
-impl PinnedClients {
-    /// Whether this is the order that is still pending.
-    pub fn is_order(&self, submitted: &SubmittedOrder) -> bool {
-        self.order.as_ref().is_some_and(|(_, pending)| pending.order == submitted.order)
+    /// Connections keep no order among each other: at worst, a process that wakes reads clients'
+    /// requests first, then what other machines sent, and its clock last.
+    pub(crate) fn deliver_requests_before_ticks(&mut self, process: ProcessId) {
+        if let Some(pending) = self.frozen.get_mut(&process) {
+            pending.sort_by_key(|event| match event {
+                Event::PinnedArrives { .. } => 0,
+                Event::Tick { .. } => 2,
+                _ => 1,
+            });
+        }
     }
 }
 
--- a/crates/simulation/src/check_pinned.rs
+++ b/crates/simulation/src/world/pinned_checks.rs
@@ -1,7 +1,9 @@
 //! Checks the responses to pinned clients against what others had received before.
 
-use crate::operator::SubmittedOrder;
-use crate::pinned::PinnedRequest;
+use crate::client::operator::SubmittedOrder;
+use crate::client::pinned::PinnedRequest;
+use crate::client::plans::began_at;
+use crate::node::control::ControlMachine;
 use crate::world::World;
 use postbarrow_messages::Response;
 use postbarrow_state::{Call, Outcome};
@@ -58,12 +60,12 @@
     }
 
     fn check_majority(&mut self, submitted: &SubmittedOrder, body: &str) {
-        let Some(began) = crate::operator::began_at(body) else {
+        let Some(began) = began_at(body) else {
             return self
                 .ledger
                 .violate(format!("{} is in force from nowhere", submitted.order.version));
         };
-        let has = |machine: &&crate::control::ControlMachine| {
+        let has = |machine: &&ControlMachine| {
             machine.node.as_ref().is_some_and(|node| node.consensus().last_index() >= began)
         };
         if self.control.iter().filter(has).count() < 2 {
--- a/crates/simulation/src/requests.rs
+++ b/crates/simulation/src/world/requests.rs
@@ -1,62 +1,18 @@
 //! Clients' requests to data nodes and their flow through them.
 
-mod departure;
-
-use crate::data::Waits;
+use crate::checker::ledger::ClientOutcome;
+use crate::client::requests::{Awaits, RequestRun};
 use crate::event::{Event, ProcessId};
-use crate::ledger::ClientOutcome;
+use crate::node::data::Waits;
 use crate::world::World;
 use postbarrow_constants::coordination::SETTLEMENT_WAIT_MS;
 use postbarrow_messages::Request;
 use postbarrow_node::*;
-use postbarrow_routing::{Load, RouteMatch};
-use postbarrow_state::{Name, Target};
-use std::sync::Arc;
-
-/// One attempt of a client's request at one data node.
-pub struct RequestRun {
-    pub id: u64,
-    pub keyed: bool,
-    pub attempts: u32,
-    pub service: &'static str,
-    data: usize,
-    /// The incarnation of the node that accepted it, and the latest time of its response.
-    incarnation: u64,
-    answer_due_us: u64,
-    flow: Option<RequestFlow>,
-    pub target: Option<(Arc<Target>, Arc<Load>)>,
-    /// The instance at the other end when the connection was made, whichever that is.
-    pub connected: Option<String>,
-    /// Whether its client closed the connection, and whether the node has observed that.
-    pub client_left: bool,
-    departure_observed: bool,
-    awaits: Awaits,
-}
-
-/// What a request waits for at its node.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Awaits {
-    /// A connection to a target, with its proof.
-    Connection,
-    /// The controller's response to the request of this key.
-    Controller { key: u64 },
-    /// The last check before its bytes are sent.
-    Sending,
-    /// Its target's response.
-    Target,
-}
-
-impl RequestRun {
-    pub fn is_in_flight(&self, data: usize) -> bool {
-        self.data == data && self.flow.is_some()
-    }
-
-    pub fn target_name(&self) -> Option<String> {
-        self.target.as_ref().map(|(target, _)| target.instance.to_string())
-    }
-}
+use postbarrow_routing::RouteMatch;
+use postbarrow_state::Name;
 
 const BEHIND_US: u64 = 300_000;
+
 /// After its deadline a request may still wait for the settlement of its ticket.
 const SETTLED_US: u64 = 2_000_000;
 
@@ -90,7 +46,13 @@
     }
 
     /// The platform routes clients to ready nodes; now and then its view is a little old.
-    fn client_sends(&mut self, id: u64, service: &'static str, keyed: bool, attempts: u32) {
+    pub(super) fn client_sends(
+        &mut self,
+        id: u64,
+        service: &'static str,
+        keyed: bool,
+        attempts: u32,
+    ) {
         let any = self.random.chance(50);
         let behind = |at: usize| any && self.now_us < self.data[at].ready_us + BEHIND_US;
         let nodes: Vec<usize> =
@@ -263,4 +225,9 @@
             self.client_sends(id, service, true, attempts + 1);
         }
     }
+
+    /// The instance that a request was sent to, if any.
+    pub fn target_of(&self, request: u64) -> Option<String> {
+        self.requests.get(&request)?.target_name()
+    }
 }
--- a/crates/simulation/src/rolling_restart.rs
+++ b/crates/simulation/src/world/rolling_restart.rs
@@ -8,6 +8,7 @@
 use postbarrow_node::Input as DataInput;
 
 const LOOK_US: u64 = 20_000;
+
 const AWAY_US: u64 = 300_000;
 
 /// As the programs do: leadership is transferred or requests finish, then the process ends and
--- a/crates/simulation/src/targets.rs
+++ b/crates/simulation/src/world/targets.rs
@@ -1,19 +1,11 @@
-//! Targets that run requests, crash, freeze and give their address to another.
+//! Targets: start, lookup, and their rows in the endpoint list.
 
-use crate::list::Row;
-use crate::world::{World, address};
+use crate::network::address;
+use crate::node::endpoint_list::Row;
+use crate::node::target::Target;
+use crate::world::World;
 use std::net::SocketAddr;
 
-pub struct Target {
-    pub instance: String,
-    pub service: String,
-    pub address: SocketAddr,
-    pub alive: bool,
-    pub frozen: bool,
-    /// Of a thousand runs, how many lose their response.
-    pub lost_per_mille: u64,
-}
-
 impl World {
     /// Starts a target at this address, or at a new one, and lists it; returns its instance.
     pub fn add_target(&mut self, service: &str, at: Option<SocketAddr>) -> String {
--- a/crates/simulation/tests/contact_loss.rs
+++ b/crates/simulation/tests/contact_loss.rs
@@ -1,6 +1,6 @@
 //! A control machine loses contact for twenty seconds, in simulated clusters, while operators and
-//! callers keep sending it requests: nothing stale is shown, nothing is acknowledged without a majority,
-//! no valid order is refused.
+//! callers keep sending it requests: nothing stale is shown, nothing is acknowledged without a
+//! majority, no valid order is refused.
 
 use postbarrow_constants::consensus::CONTACT_LOST_MS;
 use postbarrow_simulation::{ContactLoss, ContactLossResult, ContactLossRun};
