--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -3,7 +3,7 @@
 use gumdrop::Options;
 use postbarrow_simulation::{
     Fault, INJECTED_FAULTS, InjectedFault, InjectionPoint, OPERATIONS, Operation, OutcomeCounts,
-    Scenario,
+    RunResult, Scenario,
 };
 use std::process::ExitCode;
 use std::sync::Mutex;
@@ -98,6 +98,14 @@
     if cli.steps {
         return steps(&cli);
     }
+    let outcomes = run_seeds(&cli);
+    print_summary(&outcomes);
+    let failed = outcomes.iter().any(|outcome| !outcome.violations.is_empty());
+    if failed { ExitCode::FAILURE } else { ExitCode::SUCCESS }
+}
+
+/// Runs all seeds and prints their logs and violations.
+fn run_seeds(cli: &Cli) -> Vec<RunResult> {
     let next = AtomicU64::new(cli.seed);
     let outcomes = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
@@ -129,13 +137,16 @@
             });
         }
     });
-    let outcomes = outcomes.into_inner().unwrap_or_default();
+    outcomes.into_inner().unwrap_or_default()
+}
+
+/// Prints the sums over all runs.
+fn print_summary(outcomes: &[RunResult]) {
     let failed = outcomes.iter().filter(|outcome| !outcome.violations.is_empty()).count();
     let mut recovery: Vec<u64> = outcomes.iter().map(|outcome| outcome.recovery_ms).collect();
     recovery.sort_unstable();
     let at = |percent: usize| recovery.get(recovery.len() * percent / 100).copied().unwrap_or(0);
-    let sum =
-        |of: fn(&postbarrow_simulation::RunResult) -> usize| outcomes.iter().map(of).sum::<usize>();
+    let sum = |of: fn(&RunResult) -> usize| outcomes.iter().map(of).sum::<usize>();
     let counts =
         outcomes.iter().fold(OutcomeCounts::default(), |sum, outcome| sum.plus(outcome.outcomes));
     println!(
@@ -175,5 +186,4 @@
         recovery.last().copied().unwrap_or(0),
         outcomes.iter().map(|outcome| outcome.longest_leave_ms).max().unwrap_or(0),
     );
-    if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/crates/simulation/src/search/forwarded/mod.rs
+++ b/crates/simulation/src/search/forwarded/mod.rs
@@ -6,9 +6,9 @@
 
 pub use state::{ForwardedState, NUMBER};
 
-use crate::search::Model;
 use crate::search::forwarded::log::{Entry, Member, Origin, Write, not_controller};
 use crate::search::forwarded::state::{Frame, Progress, address, new_client};
+use crate::search::{Model, Violation};
 use postbarrow_constants::coordination::{CONTROLLER_REQUEST_MS, REQUEST_RETRY_MS};
 use postbarrow_controller_client::Effect;
 use postbarrow_messages::{Message, Request};
@@ -284,7 +284,7 @@
         next
     }
 
-    fn check(&self, state: &ForwardedState) -> Result<(), String> {
+    fn check(&self, state: &ForwardedState) -> Result<(), Violation> {
         for (at, progress) in state.progress.iter().enumerate() {
             if let Progress::Answered { number, .. } = progress {
                 self.check_answered(state, at, *number)?;
--- a/crates/simulation/src/search/forwarded/rules.rs
+++ b/crates/simulation/src/search/forwarded/rules.rs
@@ -1,5 +1,6 @@
 //! Invariants of every forwarded call.
 
+use crate::search::Violation;
 use crate::search::forwarded::ForwardedCalls;
 use crate::search::forwarded::log::is_refusal;
 use crate::search::forwarded::state::{ForwardedState, Progress};
@@ -14,7 +15,7 @@
         state: &ForwardedState,
         at: usize,
         floor: u64,
-    ) -> Result<(), String> {
+    ) -> Result<(), Violation> {
         let Progress::Answered { response, .. } = &state.progress[at] else { return Ok(()) };
         let own: Vec<&Record> = state
             .committed()
@@ -23,7 +24,7 @@
             .flat_map(|entry| &entry.records)
             .collect();
         if is_refusal(response) && !own.is_empty() {
-            return Err(format!("call {at} got {response:?} and took effect"));
+            return Err(Violation(format!("call {at} got {response:?} and took effect")));
         }
         let done =
             match response {
@@ -39,7 +40,11 @@
                 ),
                 _ => true,
             };
-        if done { Ok(()) } else { Err(format!("call {at} got {response:?}, not its own")) }
+        if done {
+            Ok(())
+        } else {
+            Err(Violation(format!("call {at} got {response:?}, not its own")))
+        }
     }
 
     /// A put has one revision and a lock one fence, however often its request arrives.
@@ -47,7 +52,7 @@
         &self,
         state: &ForwardedState,
         at: usize,
-    ) -> Result<(), String> {
+    ) -> Result<(), Violation> {
         let own = state.committed().iter().filter(|entry| entry.source == Some(at));
         let marks: BTreeSet<u64> = own
             .flat_map(|entry| &entry.records)
@@ -58,7 +63,7 @@
             })
             .collect();
         if marks.len() > 1 {
-            return Err(format!("call {at} was done as {marks:?}"));
+            return Err(Violation(format!("call {at} was done as {marks:?}")));
         }
         Ok(())
     }
--- a/crates/simulation/src/search/mod.rs
+++ b/crates/simulation/src/search/mod.rs
@@ -8,7 +8,7 @@
 pub use request::{Faults, Kind, RequestAction, RequestState, Requests};
 
 use std::collections::HashSet;
-use std::fmt::Debug;
+use std::fmt::{Debug, Display, Formatter};
 use std::hash::Hash;
 use std::rc::Rc;
 
@@ -29,7 +29,17 @@
     ///
     /// # Errors
     /// The invariant that does not hold.
-    fn check(&self, state: &Self::State) -> Result<(), String>;
+    fn check(&self, state: &Self::State) -> Result<(), Violation>;
+}
+
+/// An invariant that does not hold in some state, in words.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Violation(pub String);
+
+impl Display for Violation {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
+        formatter.write_str(&self.0)
+    }
 }
 
 /// The bounds of a search.
@@ -56,7 +66,7 @@
 #[derive(Debug)]
 pub struct Counterexample<A> {
     /// The invariant that does not hold.
-    pub violation: String,
+    pub violation: Violation,
     /// The events from the initial state on.
     pub path: Vec<A>,
 }
--- a/crates/simulation/src/search/request/mod.rs
+++ b/crates/simulation/src/search/request/mod.rs
@@ -12,12 +12,12 @@
 pub use state::{Faults, RequestState};
 pub use wire::Kind;
 
-use crate::search::Model;
 use crate::search::request::flow::{
     AttemptEnd, FlowEvent, FlowInput, FlowStates, Phase, TicketEnd, as_flow_event,
 };
 use crate::search::request::plan::{DEADLINE_MS, START_MS};
 use crate::search::request::wire::{Connection, ConnectionUse, Content};
+use crate::search::{Model, Violation};
 use std::cell::RefCell;
 
 /// Two requests through one node to two targets.
@@ -212,7 +212,7 @@
         next
     }
 
-    fn check(&self, state: &RequestState) -> Result<(), String> {
+    fn check(&self, state: &RequestState) -> Result<(), Violation> {
         (0..2).try_for_each(|client| self.check_request(state, client))
     }
 }
--- a/crates/simulation/src/search/request/rules.rs
+++ b/crates/simulation/src/search/request/rules.rs
@@ -1,5 +1,6 @@
 //! Invariants of every request.
 
+use crate::search::Violation;
 use crate::search::request::Requests;
 use crate::search::request::flow::{Phase, Settled, TicketEnd};
 use crate::search::request::state::RequestState;
@@ -12,28 +13,37 @@
         &self,
         state: &RequestState,
         client: usize,
-    ) -> Result<(), String> {
+    ) -> Result<(), Violation> {
         let (phase, ran) = (state.phases[client], state.ran[client]);
         if self.kinds[client] == Kind::OneTime && ran > 1 {
-            return Err(format!("request {client} ran {ran} times"));
+            return Err(Violation(format!("request {client} ran {ran} times")));
         }
         if matches!(phase, Phase::Answered(for_client) if for_client != client) {
-            return Err(format!("client {client} got another request's answer"));
+            return Err(Violation(format!("client {client} got another request's answer")));
         }
         let mut connections = state.connections.iter();
         let will_run = connections
             .any(|connection| connection.pending == Some((client, connection.incarnation)));
         if phase == Phase::ReportedNotRun && (ran > 0 || will_run) {
-            return Err(format!("request {client} was reported as 'not run' and ran, or will run"));
+            return Err(Violation(format!(
+                "request {client} was reported as 'not run' and ran, or will run"
+            )));
         }
         if state.sent_after_departure[client] {
-            return Err(format!("request {client} was sent after its client had departed"));
+            return Err(Violation(format!(
+                "request {client} was sent after its client had departed"
+            )));
         }
         self.check_ticket(state, client, ran > 0 || will_run)
     }
 
     /// A ticket is settled truthfully, and no finished request has a pending ticket.
-    fn check_ticket(&self, state: &RequestState, client: usize, runs: bool) -> Result<(), String> {
+    fn check_ticket(
+        &self,
+        state: &RequestState,
+        client: usize,
+        runs: bool,
+    ) -> Result<(), Violation> {
         let is_over = !matches!(
             state.phases[client],
             Phase::NotArrived
@@ -44,13 +54,13 @@
         );
         match state.tickets[client] {
             TicketEnd::Pending if is_over => {
-                Err(format!("the ticket of request {client} stays open"))
-            }
-            TicketEnd::Settled(Settled::Unsent) if runs && is_over => {
-                Err(format!("request {client} was settled as unsent and ran, or will run"))
+                Err(Violation(format!("the ticket of request {client} stays open")))
             }
+            TicketEnd::Settled(Settled::Unsent) if runs && is_over => Err(Violation(format!(
+                "request {client} was settled as unsent and ran, or will run"
+            ))),
             TicketEnd::Settled(Settled::Ran) if !runs => {
-                Err(format!("request {client} was settled as run and never ran"))
+                Err(Violation(format!("request {client} was settled as run and never ran")))
             }
             _ => Ok(()),
         }
--- a/crates/simulation/src/world/calls.rs
+++ b/crates/simulation/src/world/calls.rs
@@ -101,7 +101,20 @@
             return self.send_call(caller, pending);
         };
         self.callers.pending.remove(&caller);
-        match (&pending.call, &outcome) {
+        self.apply_outcome(caller, &pending, &outcome);
+        let (start_us, end_us) = (pending.start_us, self.now_us);
+        self.callers.done.push(CompletedCall {
+            caller,
+            start_us,
+            end_us,
+            call: pending.call,
+            outcome,
+        });
+    }
+
+    /// What a caller learns from an outcome: events, locks, revisions.
+    fn apply_outcome(&mut self, caller: usize, pending: &PendingCall, outcome: &Outcome) {
+        match (&pending.call, outcome) {
             (_, Outcome::Events { events, next }) => {
                 for event in events {
                     if !matches!(event.change, Change::Key(_) | Change::KeyGone) {
@@ -132,14 +145,6 @@
             }
             _ => {}
         }
-        let (start_us, end_us) = (pending.start_us, self.now_us);
-        self.callers.done.push(CompletedCall {
-            caller,
-            start_us,
-            end_us,
-            call: pending.call,
-            outcome,
-        });
     }
 
     /// An owner counts its time to live from when it sent the request.
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -6,7 +6,8 @@
 use crate::world::World;
 use postbarrow_constants::consensus::VOTERS;
 use postbarrow_messages::Response;
-use postbarrow_node::{AttemptOutcome, Event as GoEvent};
+use postbarrow_node::{AttemptOutcome, Event as FlowEvent};
+use std::net::IpAddr;
 
 impl World {
     /// Brings about one fault now. Every call draws the same numbers, whatever the fault.
@@ -28,31 +29,12 @@
             Fault::EmptyDiskAtNewAddress => self.empty_disk(control, true),
             Fault::FreezeControl => self.freeze(ProcessId::Control(control)),
             Fault::CutControl => self.isolate(control),
-            Fault::SplitControl => {
-                let one = self.control[control].address.ip();
-                let others = (0..3).filter(|other| *other != control);
-                for other in
-                    others.map(|other| self.control[other].address.ip()).collect::<Vec<_>>()
-                {
-                    self.network.partition(one, other);
-                    self.network.partition(other, one);
-                }
-            }
-            Fault::OneWayCut => {
-                let (one, other) =
-                    (self.control[some].address, self.control[(some + 1) % 3].address);
-                self.network.partition(one.ip(), other.ip());
-            }
+            Fault::SplitControl => self.split_control(control),
+            Fault::OneWayCut => self.cut_one_way(some),
             Fault::KillData => self.end_data(data),
             Fault::KillManyData => (0..self.data.len() / 2).for_each(|at| self.end_data(at)),
             Fault::FreezeData => self.freeze(ProcessId::Data(data)),
-            Fault::CutData => {
-                let isolated = self.data[data].address.ip();
-                for other in self.addresses() {
-                    self.network.partition(isolated, other);
-                    self.network.partition(other, isolated);
-                }
-            }
+            Fault::CutData => self.partition_from_all(self.data[data].address.ip()),
             Fault::SlowLinks => self.network.slow_us = 30_000,
             Fault::LossyLinks => self.network.loss_per_mille = 100,
             Fault::KillTarget => self.change_some_target(|target| target.alive = false),
@@ -75,7 +57,7 @@
         }
     }
 
-    fn addresses(&self) -> Vec<std::net::IpAddr> {
+    fn addresses(&self) -> Vec<IpAddr> {
         let control = self.control.iter().map(|machine| machine.address.ip());
         control.chain(self.data.iter().map(|machine| machine.address.ip())).collect()
     }
@@ -94,9 +76,11 @@
             Event::Send { data, request, .. } => (*data, *request, stage == Stage::Sending),
             Event::Resume { data, request, event, .. } => {
                 let here = match event {
-                    GoEvent::Connected => stage == Stage::Connected,
-                    GoEvent::ControllerResponded(Response::Granted) => stage == Stage::Granted,
-                    GoEvent::AttemptEnded(AttemptOutcome::Complete(_)) => stage == Stage::Responded,
+                    FlowEvent::Connected => stage == Stage::Connected,
+                    FlowEvent::ControllerResponded(Response::Granted) => stage == Stage::Granted,
+                    FlowEvent::AttemptEnded(AttemptOutcome::Complete(_)) => {
+                        stage == Stage::Responded
+                    }
                     _ => false,
                 };
                 (*data, *request, here)
@@ -114,13 +98,32 @@
 
     /// Partitions control machine `at` from all other machines, in both directions.
     pub fn isolate(&mut self, at: usize) {
-        let isolated = self.control[at].address.ip();
+        self.partition_from_all(self.control[at].address.ip());
+    }
+
+    fn partition_from_all(&mut self, isolated: IpAddr) {
         for other in self.addresses() {
             self.network.partition(isolated, other);
             self.network.partition(other, isolated);
         }
     }
 
+    /// Partitions control machine `at` from the other two, in both directions.
+    fn split_control(&mut self, at: usize) {
+        let one = self.control[at].address.ip();
+        let others = (0..3).filter(|other| *other != at);
+        for other in others.map(|other| self.control[other].address.ip()).collect::<Vec<_>>() {
+            self.network.partition(one, other);
+            self.network.partition(other, one);
+        }
+    }
+
+    /// Loses all frames from control machine `at` to the next one.
+    fn cut_one_way(&mut self, at: usize) {
+        let (one, other) = (self.control[at].address, self.control[(at + 1) % 3].address);
+        self.network.partition(one.ip(), other.ip());
+    }
+
     /// A disk is lost only while the cluster can spare it: the two others are members and agree on
     /// all three.
     fn empty_disk(&mut self, at: usize, elsewhere: bool) {
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -143,29 +143,34 @@
             queue: BTreeMap::new(),
             order: 0,
         };
+        world.start_all(data_nodes, targets);
+        world
+    }
+
+    /// Adds and starts all machines and targets, and schedules the first events of the clients.
+    fn start_all(&mut self, data_nodes: usize, targets: usize) {
         for at in 0..3 {
-            let clock = Clock::draw(&mut world.random);
-            world.control.push(ControlMachine::new(address(1, at, 1), clock));
+            let clock = Clock::draw(&mut self.random);
+            self.control.push(ControlMachine::new(address(1, at, 1), clock));
         }
         for at in 0..data_nodes {
-            let clock = Clock::draw(&mut world.random);
-            world.data.push(DataMachine::new(at, clock));
+            let clock = Clock::draw(&mut self.random);
+            self.data.push(DataMachine::new(at, clock));
         }
         for at in 0..targets {
-            world.add_target(["catalogue", "ledger", "photos"][at % 3], None);
+            self.add_target(["catalogue", "ledger", "photos"][at % 3], None);
         }
         for at in 0..3 {
-            world.start_control(at);
+            self.start_control(at);
         }
         for at in 0..data_nodes {
-            world.start_data(at);
+            self.start_data(at);
         }
-        world.after(2_500_000, Event::Operate);
-        world.after(3_000_000, Event::NextRequest);
+        self.after(2_500_000, Event::Operate);
+        self.after(3_000_000, Event::NextRequest);
         for caller in 0..4 {
-            world.after(3_000_000, Event::NextCall { caller });
+            self.after(3_000_000, Event::NextCall { caller });
         }
-        world
     }
 
     /// Schedules an event; events of one time keep the order in which they were scheduled.
@@ -254,6 +259,20 @@
                 self.control_input(at, ControlInput::Encoded { index, state })
             }
             Event::Synced { .. } | Event::Page { .. } | Event::Encoded { .. } => {}
+            Event::Probe { data, incarnation } => self.probe(data, incarnation),
+            Event::Fault(fault) => self.inject(fault),
+            Event::Wake(process) => self.wake(process),
+            Event::Start(process) => self.start(process),
+            Event::Leave { process, incarnation, since_us } => {
+                self.leave(process, incarnation, since_us)
+            }
+            event => self.handle_client_event(event),
+        }
+    }
+
+    /// Handles the events of clients, callers and operators.
+    fn handle_client_event(&mut self, event: Event) {
+        match event {
             Event::Arrive { request, data, incarnation } => {
                 self.request_arrives(request, data, incarnation)
             }
@@ -275,7 +294,6 @@
             Event::Run { request, data, incarnation, instance } => {
                 self.run(request, data, incarnation, &instance)
             }
-            Event::Probe { data, incarnation } => self.probe(data, incarnation),
             Event::NextRequest => self.next_request(),
             Event::NextCall { caller } => self.next_call(caller),
             Event::Operate => self.operate(),
@@ -283,12 +301,7 @@
             Event::PinnedArrives { key, requested_us, request, .. } => {
                 self.pinned_request_arrives(key, requested_us, request)
             }
-            Event::Fault(fault) => self.inject(fault),
-            Event::Wake(process) => self.wake(process),
-            Event::Start(process) => self.start(process),
-            Event::Leave { process, incarnation, since_us } => {
-                self.leave(process, incarnation, since_us)
-            }
+            _ => unreachable!("`step` handles all other events"),
         }
     }
 
--- a/crates/simulation/src/world/requests.rs
+++ b/crates/simulation/src/world/requests.rs
@@ -8,9 +8,11 @@
 use postbarrow_constants::coordination::SETTLEMENT_WAIT_MS;
 use postbarrow_messages::Request;
 use postbarrow_node::*;
-use postbarrow_routing::RouteMatch;
+use postbarrow_routing::{Entry, RouteMatch};
 use postbarrow_state::Name;
 
+use std::sync::Arc;
+
 const BEHIND_US: u64 = 300_000;
 
 /// After its deadline a request may still wait for the settlement of its ticket.
@@ -96,35 +98,34 @@
     /// A request reaches data node `data`, which starts its flow or answers at once.
     pub fn request_arrives(&mut self, request: u64, data: usize, incarnation: u64) {
         let Some(run) = self.requests.get(&request) else { return };
-        let (id, service, keyed) = (run.id, run.service, run.keyed);
+        let (id, service) = (run.id, run.service);
         if self.data[data].incarnation != incarnation {
             return self.ledger.record_outcome(id, request, ClientOutcome::Unreached);
         }
-        let one_time = service != "catalogue";
-        let about = ExecutionEvidence { one_time, keyed, ..ExecutionEvidence::default() };
         if !self.serves(data) {
-            return self.end_request(
-                request,
-                Completion {
-                    outcome: postbarrow_node::RequestOutcome::Unready,
-                    evidence: about,
-                    key: None,
-                },
-            );
+            return self.reject_request(request, RequestOutcome::Unready);
         }
         let table = self.data[data].table.clone();
         let (method, path, _) =
             *SERVICES.iter().find(|row| row.2 == service).unwrap_or(&SERVICES[0]);
-        let RouteMatch::Route(entry) = table.find(method, path, &[]) else {
-            return self.end_request(
-                request,
-                Completion {
-                    outcome: postbarrow_node::RequestOutcome::NoRoute,
-                    evidence: about,
-                    key: None,
-                },
-            );
-        };
+        match table.find(method, path, &[]) {
+            RouteMatch::Route(entry) => self.start_flow(request, data, entry),
+            _ => self.reject_request(request, RequestOutcome::NoRoute),
+        }
+    }
+
+    /// Ends a request that was not forwarded.
+    fn reject_request(&mut self, request: u64, outcome: RequestOutcome) {
+        let Some(run) = self.requests.get(&request) else { return };
+        let (one_time, keyed) = (run.service != "catalogue", run.keyed);
+        let evidence = ExecutionEvidence { one_time, keyed, ..ExecutionEvidence::default() };
+        self.end_request(request, Completion { outcome, evidence, key: None });
+    }
+
+    /// Starts the flow of a request that has a route.
+    fn start_flow(&mut self, request: u64, data: usize, entry: Arc<Entry>) {
+        let Some(run) = self.requests.get(&request) else { return };
+        let (id, keyed) = (run.id, run.keyed);
         let until_ms = self.local_ms(ProcessId::Data(data)) + entry.route().deadline_ms;
         let seed = self.random.draw();
         let machine = &mut self.data[data];
--- a/crates/simulation/tests/forwarded.rs
+++ b/crates/simulation/tests/forwarded.rs
@@ -123,7 +123,7 @@
     let found = search(&calls_across_a_restart(FIRST_INCARNATION), BOUNDS)
         .expect_err("it is within the bounds");
     println!("{}: {:?}", found.violation, found.path);
-    assert!(found.violation.contains("not its own"), "{}", found.violation);
+    assert!(found.violation.0.contains("not its own"), "{}", found.violation);
 }
 
 #[test]
@@ -134,5 +134,5 @@
     };
     let found = search(&model, BOUNDS).expect_err("it is within the bounds");
     println!("{}: {:?}", found.violation, found.path);
-    assert!(found.violation.contains("done as"), "{}", found.violation);
+    assert!(found.violation.0.contains("done as"), "{}", found.violation);
 }
--- a/crates/simulation/tests/search.rs
+++ b/crates/simulation/tests/search.rs
@@ -85,7 +85,7 @@
     let found = search(&blind.without_client_check(), BOUNDS);
     let found = found.expect_err("the fault is within the bounds");
     assert!(
-        found.violation.contains("was sent after its client had departed"),
+        found.violation.0.contains("was sent after its client had departed"),
         "{}",
         found.violation
     );
@@ -114,6 +114,6 @@
     let believing = Requests::new(BOTH_ONE_TIME, false, Faults { strays: 1, ..NONE });
     let found = search(&believing.accepting_unnamed_refusals(), BOUNDS);
     let found = found.expect_err("the fault is within the bounds");
-    assert!(found.violation.contains("reported as 'not run' and ran"), "{}", found.violation);
+    assert!(found.violation.0.contains("reported as 'not run' and ran"), "{}", found.violation);
     assert_eq!(found.path.len(), SHORTEST_PATH_TO_A_FALSE_REFUSAL, "{:?}", found.path);
 }
