--- a/crates/simulation/src/checker/ledger.rs
+++ b/crates/simulation/src/checker/ledger.rs
@@ -85,7 +85,7 @@
     pub refused: BTreeSet<(String, usize)>,
     pub orders: OrderLedger,
     pub committed: BTreeMap<u64, u64>,
-    pub longest_leave_us: u64,
+    pub max_departure_lag_us: u64,
 }
 
 impl Ledger {
--- a/crates/simulation/src/checker/mod.rs
+++ b/crates/simulation/src/checker/mod.rs
@@ -2,6 +2,7 @@
 //! answered. Checkers read a history and know no world.
 
 pub mod calls;
+mod invariants;
 pub mod ledger;
 pub mod linearizability;
 pub mod orders;
--- a/crates/simulation/src/event.rs
+++ b/crates/simulation/src/event.rs
@@ -63,5 +63,5 @@
     /// A process that is down starts.
     Start(ProcessId),
     /// Checks whether a process that shuts down has finished its work.
-    Leave { process: ProcessId, incarnation: u64, since_us: u64 },
+    CheckShutdown { process: ProcessId, incarnation: u64, since_us: u64 },
 }
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -157,6 +157,20 @@
         sum(|outcome| outcome.calls),
         sum(|outcome| outcome.events),
     );
+    print_requests(&counts);
+    print_disks(outcomes);
+    println!(
+        "recovery ms: p50 {} p90 {} p99 {} most {}; longest leave ms {}",
+        at(50),
+        at(90),
+        at(99),
+        recovery.last().copied().unwrap_or(0),
+        outcomes.iter().map(|outcome| outcome.max_departure_lag_ms).max().unwrap_or(0),
+    );
+}
+
+/// Prints how many requests had each outcome.
+fn print_requests(counts: &OutcomeCounts) {
     println!(
         "{} requests: {} ran, {} not run, {} unknown, {} pending, {} unreached, {} unanswered, {} left",
         counts.total(),
@@ -168,6 +182,11 @@
         counts.unanswered,
         counts.departed,
     );
+}
+
+/// Prints the work and the failures of disks and of the endpoint list.
+fn print_disks(outcomes: &[RunResult]) {
+    let sum = |of: fn(&RunResult) -> usize| outcomes.iter().map(of).sum::<usize>();
     let synced = |part: fn(&(usize, usize)) -> usize| {
         outcomes.iter().map(|outcome| part(&outcome.synced)).sum::<usize>()
     };
@@ -178,12 +197,4 @@
         sum(|outcome| outcome.disk_failures),
         sum(|outcome| outcome.list_refusals),
     );
-    println!(
-        "recovery ms: p50 {} p90 {} p99 {} most {}; longest leave ms {}",
-        at(50),
-        at(90),
-        at(99),
-        recovery.last().copied().unwrap_or(0),
-        outcomes.iter().map(|outcome| outcome.longest_leave_ms).max().unwrap_or(0),
-    );
 }
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -62,7 +62,7 @@
     /// Lookups sent, and the runs at targets beyond one for each.
     pub extra: (usize, usize),
     /// The longest time for which a target still got requests after the list showed it depart.
-    pub longest_leave_ms: u64,
+    pub max_departure_lag_ms: u64,
     /// A digest of the time and order of all events: equal for equal runs.
     pub digest: u64,
     /// Addresses of the members at the end, as the leader knows them.
@@ -79,6 +79,8 @@
     pub log: Vec<String>,
 }
 
+/// The first fault comes when the cluster has had this time to form.
+const START_US: u64 = 6_000_000;
 const RECOVERY_MS: u64 = 15_000;
 
 impl Scenario {
@@ -112,26 +114,9 @@
         }
         world.targets.iter_mut().for_each(|target| target.lost_per_mille = self.lost_per_mille);
         world.network.zone_us = self.zone_us;
-        let mut random = Random::new(self.seed ^ 0xfa_017);
-        world.run_until(6_000_000);
+        world.run_until(START_US);
         let formed = world.has_full_service();
-        let mut at_us = 6_000_000;
-        for (pause_ms, fault) in &self.script {
-            at_us += pause_ms * 1_000;
-            world.run_until(at_us);
-            world.after(0, Event::Fault(*fault));
-        }
-        for _ in 0..self.count {
-            let fault = self.faults[random.below(self.faults.len() as u64) as usize];
-            world.after(0, Event::Fault(fault));
-            at_us += random.between(300_000, 4_000_000);
-            world.run_until(at_us);
-            if random.chance(500) {
-                world.after(0, Event::Fault(Fault::Heal));
-                at_us += random.between(200_000, 2_000_000);
-                world.run_until(at_us);
-            }
-        }
+        self.inject_faults(&mut world);
         world.quiet = true;
         world.inject(Fault::Heal);
         if let Some(last) = self.last {
@@ -151,6 +136,28 @@
         finish(&mut world, &mut outcome);
         outcome
     }
+
+    /// Injects the script's faults and then the drawn ones, some of them healed before the next.
+    fn inject_faults(&self, world: &mut World) {
+        let mut random = Random::new(self.seed ^ 0xfa_017);
+        let mut at_us = START_US;
+        for (pause_ms, fault) in &self.script {
+            at_us += pause_ms * 1_000;
+            world.run_until(at_us);
+            world.after(0, Event::Fault(*fault));
+        }
+        for _ in 0..self.count {
+            let fault = self.faults[random.below(self.faults.len() as u64) as usize];
+            world.after(0, Event::Fault(fault));
+            at_us += random.between(300_000, 4_000_000);
+            world.run_until(at_us);
+            if random.chance(500) {
+                world.after(0, Event::Fault(Fault::Heal));
+                at_us += random.between(200_000, 2_000_000);
+                world.run_until(at_us);
+            }
+        }
+    }
 }
 
 /// Runs until full service, with requests that run, has lasted a second; milliseconds until it
@@ -192,11 +199,8 @@
     outcome.calls = world.callers.done.len();
     outcome.events = world.callers.watched_revisions.len();
     outcome.extra = (lookups, extra);
-    outcome.longest_leave_ms = world.ledger.longest_leave_us / 1_000;
-    let leader = world
-        .control
-        .iter()
-        .find_map(|machine| machine.node.as_ref().filter(|node| node.is_leading()));
+    outcome.max_departure_lag_ms = world.ledger.max_departure_lag_us / 1_000;
+    let leader = world.leader().and_then(|at| world.control[at].node.as_ref());
     outcome.members = leader.map_or_else(Vec::new, |node| {
         node.consensus().members().iter().map(|member| member.address.to_string()).collect()
     });
--- a/crates/simulation/src/world/checks.rs
+++ b/crates/simulation/src/world/checks.rs
@@ -2,9 +2,6 @@
 
 use crate::event::ProcessId;
 use crate::world::World;
-use postbarrow_consensus::Payload;
-
-const LEASE_US: u64 = 1_005_000;
 
 impl World {
     /// At most one leader's lease at any time, and one history for all.
@@ -15,27 +12,15 @@
                 self.control[*at].node.as_ref().is_some_and(|node| node.has_lease(now_ms))
             })
             .collect();
-        if lease_holders.len() > 1 {
-            self.ledger.violate(format!("control {lease_holders:?} have the lease at once"));
-        }
+        self.ledger.check_lease(&lease_holders);
         let Some(node) = &self.control[at].node else { return };
         let log = node.consensus().log();
         let commit = node.consensus().commit_index();
-        let from = commit.saturating_sub(16).max(log.base() + 1);
-        let mut found = Vec::new();
-        for index in from..=commit {
-            let Some(entry) = log.get(index) else { continue };
-            let mut sum = entry.term.wrapping_mul(0x9e37_79b9);
-            if let Payload::Batch(bytes) = &entry.payload {
-                for byte in bytes {
-                    sum = sum.rotate_left(7) ^ u64::from(*byte);
-                }
-            }
-            if *self.ledger.committed.entry(index).or_insert(sum) != sum {
-                found.push(format!("control {at} has another entry {index} committed"));
+        for index in commit.saturating_sub(16).max(log.base() + 1)..=commit {
+            if let Some(entry) = log.get(index) {
+                self.ledger.check_committed(at, index, entry);
             }
         }
-        found.into_iter().for_each(|text| self.ledger.violate(text));
         self.check_targets(at);
     }
 
@@ -70,10 +55,8 @@
     pub fn check_published(&mut self, at: usize) {
         let state = &self.data[at].table.state;
         let Some(version) = state.plan_version().map(str::to_string) else { return };
-        let published = (version, state.routes.len());
-        if self.ledger.refused.contains(&published) {
-            self.ledger.violate(format!("data-{at} serves {}, which was refused", published.0));
-        }
+        let routes = state.routes.len();
+        self.ledger.check_published(at, version, routes);
     }
 
     /// Whenever a node forwards a request: no older plan, no departed target or client.
@@ -85,23 +68,12 @@
         }
         let began = self.data[at].table.state.plan.as_ref().map_or(0, |plan| plan.offset);
         let now_us = self.now_us;
-        let due = self.ledger.in_force.iter().filter(|(at_us, _)| at_us + LEASE_US <= now_us);
-        if let Some(newest) = due.map(|(_, offset)| *offset).max()
-            && began < newest
-        {
-            self.ledger.violate(format!("data-{at} forwarded request {request} by an older plan"));
-        }
+        self.ledger.check_plan(now_us, at, request, began);
         let Some(target) = self.target_of(request) else { return };
         if let Some(departed_us) = self.list.departures.get(&target) {
             let late_us = now_us.saturating_sub(*departed_us);
             let late_us = late_us.saturating_sub(self.list.unavailable_us(*departed_us, now_us));
-            self.ledger.longest_leave_us = self.ledger.longest_leave_us.max(late_us);
-            if late_us > 2_500_000 {
-                let text = format!(
-                    "{target} got a request {late_us} us after the list showed its departure"
-                );
-                self.ledger.violate(text);
-            }
+            self.ledger.check_departed(&target, late_us);
         }
     }
 }
--- a/crates/simulation/src/world/control.rs
+++ b/crates/simulation/src/world/control.rs
@@ -8,6 +8,7 @@
 use postbarrow_constants::consensus::DISK_FULL_PAUSE_MS;
 use postbarrow_controller::{ControlNode, Effect, Input};
 use postbarrow_storage::{Opened, Storage, WriteError, is_full, open};
+use std::io;
 
 /// A process that ended starts again after this time.
 const AGAIN_US: u64 = 500_000;
@@ -15,6 +16,17 @@
 /// Small, so that every run writes snapshots and a late member needs one.
 const LOG_BOUND_BYTES: u64 = 48 * 1024;
 
+/// The storage on this disk and what it recovers; a new one with this id if the disk has no intact
+/// one.
+fn open_or_create(disk: SimDisk, id: u64) -> io::Result<(Storage<SimDisk>, RecoveredState)> {
+    open(disk).and_then(|opened| match opened {
+        Opened::Whole { storage, recovered } => Ok((storage, recovered)),
+        Opened::Empty(disk) | Opened::Damaged { disk, .. } => {
+            Storage::create(disk, id).map(|storage| (storage, RecoveredState::default()))
+        }
+    })
+}
+
 impl World {
     /// Starts the process of control machine `at` from what its disk holds.
     pub fn start_control(&mut self, at: usize) {
@@ -32,13 +44,7 @@
         if machine.disk.is_stalled() {
             return self.start_later(at);
         }
-        let opened = open(machine.disk.clone()).and_then(|opened| match opened {
-            Opened::Whole { storage, recovered } => Ok((storage, recovered)),
-            Opened::Empty(disk) | Opened::Damaged { disk, .. } => {
-                Storage::create(disk, id).map(|made| (made, RecoveredState::default()))
-            }
-        });
-        let (storage, recovered) = match opened {
+        let (storage, recovered) = match open_or_create(machine.disk.clone(), id) {
             Ok(opened) => opened,
             Err(error) if is_full(&error) => return self.start_later(at),
             Err(error) => return self.disk_failed(at, &error),
@@ -133,7 +139,7 @@
     }
 
     /// As the program does: it ends, since nothing more can be acknowledged, and starts again.
-    fn disk_failed(&mut self, at: usize, error: &std::io::Error) {
+    fn disk_failed(&mut self, at: usize, error: &io::Error) {
         self.log_line(ProcessId::Control(at), &format!("ends: {error}"));
         self.disk_failures += 1;
         self.end_control(at, false);
--- a/crates/simulation/src/world/forwarding.rs
+++ b/crates/simulation/src/world/forwarding.rs
@@ -80,18 +80,16 @@
             if lost < lossy {
                 (took_us, failed(false, "the response is lost"))
             } else {
-                let headers = vec![("x-id".to_string(), id.to_string())];
-                (
-                    took_us,
-                    AttemptOutcome::Complete(TargetResponse {
-                        status: 200,
-                        headers,
-                        body: vec![1],
-                    }),
-                )
+                (took_us, AttemptOutcome::Complete(response(id)))
             }
         };
         let event = postbarrow_node::Event::AttemptEnded(outcome);
         self.after(took_us, Event::Resume { request, data, incarnation, event });
     }
 }
+
+/// A target's response, which names its request.
+fn response(id: u64) -> TargetResponse {
+    let headers = vec![("x-id".to_string(), id.to_string())];
+    TargetResponse { status: 200, headers, body: vec![1] }
+}
--- a/crates/simulation/src/world/injection.rs
+++ b/crates/simulation/src/world/injection.rs
@@ -34,6 +34,10 @@
         }
         injection.injected = true;
         let (fault, fuse) = (injection.fault, injection.fuse);
+        self.inject_at(at, fault, fuse);
+    }
+
+    fn inject_at(&mut self, at: usize, fault: InjectedFault, fuse: u64) {
         self.log_line(ProcessId::Control(at), &format!("fault injected: {fault:?}"));
         match fault {
             InjectedFault::Kill => self.end_control(at, false),
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -263,8 +263,8 @@
             Event::Fault(fault) => self.inject(fault),
             Event::Wake(process) => self.wake(process),
             Event::Start(process) => self.start(process),
-            Event::Leave { process, incarnation, since_us } => {
-                self.leave(process, incarnation, since_us)
+            Event::CheckShutdown { process, incarnation, since_us } => {
+                self.check_shutdown(process, incarnation, since_us)
             }
             event => self.handle_client_event(event),
         }
--- a/crates/simulation/src/world/rolling_restart.rs
+++ b/crates/simulation/src/world/rolling_restart.rs
@@ -20,7 +20,7 @@
         self.control_input(at, ControlInput::Stop);
         self.after(
             LOOK_US,
-            Event::Leave { process: ProcessId::Control(at), incarnation, since_us },
+            Event::CheckShutdown { process: ProcessId::Control(at), incarnation, since_us },
         );
     }
 
@@ -30,13 +30,13 @@
         self.data_input(at, DataInput::Stop);
         self.after(
             STOP_UNREADY_MS * 1_000,
-            Event::Leave { process: ProcessId::Data(at), incarnation, since_us },
+            Event::CheckShutdown { process: ProcessId::Data(at), incarnation, since_us },
         );
     }
 
     /// Ends a process that shuts down once its work is done or its time is over; otherwise looks
     /// again later.
-    pub fn leave(&mut self, process: ProcessId, incarnation: u64, since_us: u64) {
+    pub fn check_shutdown(&mut self, process: ProcessId, incarnation: u64, since_us: u64) {
         let past_ms = (self.now_us - since_us) / 1_000;
         let (here, done) = match process {
             ProcessId::Control(at) => {
@@ -60,7 +60,7 @@
         match (here, done, process) {
             (false, ..) => {}
             (true, false, _) => {
-                self.after(LOOK_US, Event::Leave { process, incarnation, since_us })
+                self.after(LOOK_US, Event::CheckShutdown { process, incarnation, since_us })
             }
             (true, true, ProcessId::Control(at)) => {
                 self.end_control(at, false);
