--- a/crates/simulation/src/checker/ledger.rs
+++ b/crates/simulation/src/checker/ledger.rs
@@ -3,12 +3,18 @@
 use crate::checker::orders::OrderLedger;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// What a client received for one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientOutcome {
+    /// The response to its request.
     Ran,
+    /// The report that its request did not run.
     NotRun,
+    /// The report that it is unknown whether its request ran.
     Unknown,
+    /// The report that another request with its key is in flight.
     Pending,
+    /// No node accepted it.
     Unreached,
 }
 
@@ -75,30 +81,39 @@
 #[derive(Default)]
 pub struct Ledger {
     records: BTreeMap<u64, RequestRecord>,
+    /// What did not hold, the first fifty.
     pub violations: Vec<String>,
+    /// How often a request was forwarded to a target.
     pub forwards: u64,
+    /// When targets ran requests, in microseconds.
     pub ran_us: Vec<u64>,
     /// Acknowledged plans: when, and the log offset of their Begin.
     pub in_force: Vec<(u64, u64)>,
     /// Refused plans and dry runs: version and number of routes, by which a data node's image shows
     /// one.
     pub refused: BTreeSet<(String, usize)>,
+    /// Responses to operators' orders.
     pub orders: OrderLedger,
+    /// Checksums of committed entries, by index.
     pub committed: BTreeMap<u64, u64>,
+    /// The longest time for which a target got requests after its departure was shown.
     pub max_departure_lag_us: u64,
 }
 
 impl Ledger {
+    /// Records a violation.
     pub fn violate(&mut self, text: String) {
         if self.violations.len() < 50 {
             self.violations.push(text);
         }
     }
 
+    /// Records that a client sends a request.
     pub fn record_request(&mut self, id: u64, one_time: bool) {
         self.records.entry(id).or_default().one_time = one_time;
     }
 
+    /// Records that a request is sent twice at once under one key.
     pub fn doubled(&mut self, id: u64) {
         self.records.entry(id).or_default().doubled = true;
     }
@@ -129,6 +144,7 @@
         found.into_iter().for_each(|text| self.violate(text));
     }
 
+    /// Records that a client departed before a response.
     pub fn record_departure(&mut self, id: u64) {
         self.records.entry(id).or_default().client_departed = true;
     }
@@ -167,6 +183,7 @@
         }
     }
 
+    /// How many requests there were.
     pub fn requests(&self) -> usize {
         self.records.len()
     }
--- a/crates/simulation/src/client/calls.rs
+++ b/crates/simulation/src/client/calls.rs
@@ -6,13 +6,19 @@
 /// One completed call: when it was sent and answered, and its outcome.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompletedCall {
+    /// Which caller.
     pub caller: usize,
+    /// When it was first sent.
     pub start_us: u64,
+    /// When its outcome arrived.
     pub end_us: u64,
+    /// The call.
     pub call: Call,
+    /// Its outcome.
     pub outcome: Outcome,
 }
 
+/// A call without an outcome so far, and the node that it was sent to last.
 #[derive(Clone)]
 pub struct PendingCall {
     pub(crate) number: u64,
@@ -22,11 +28,16 @@
     pub(crate) sent_us: u64,
 }
 
+/// The callers' state and the history of their calls.
 #[derive(Default)]
 pub struct Callers {
+    /// Completed calls, in the order of their outcomes.
     pub done: Vec<CompletedCall>,
+    /// Revisions of the events that the watch received, in the order of their arrival.
     pub watched_revisions: Vec<u64>,
+    /// The revision after which the watch started.
     pub watch_from: Option<u64>,
+    /// How often the watch had to start again, since its events were no longer retained.
     pub too_old: u64,
     pub(crate) pending: BTreeMap<usize, PendingCall>,
     pub(crate) locks: BTreeMap<usize, (Name, u64, u64)>,
--- a/crates/simulation/src/client/operator.rs
+++ b/crates/simulation/src/client/operator.rs
@@ -18,7 +18,9 @@
 /// What an operator expects of an order that is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
+    /// To come into force.
     Change,
+    /// To be checked only.
     DryRun,
     /// Acknowledged or refused before; the same response is due.
     Repeat,
@@ -27,28 +29,39 @@
 /// An order that was submitted, with what is expected of it.
 #[derive(Clone, Debug)]
 pub struct SubmittedOrder {
+    /// The order.
     pub order: Order,
+    /// The number of its plan's routes.
     pub routes: usize,
+    /// What is expected of it.
     pub purpose: Purpose,
 }
 
 /// Operators who submit plans, sometimes two at once on one base.
 pub struct Operator {
+    /// Their address.
     pub address: SocketAddr,
+    /// The newest version that they know to be in force.
     pub version: Option<String>,
+    /// Plans acknowledged.
     pub acknowledged: u64,
+    /// Plans refused.
     pub refusals: u64,
+    /// The plan's text as last shown.
     pub shown: Option<String>,
     /// Texts of plans that may or may not be in force.
     pub unsure: BTreeSet<String>,
+    /// Texts of plans by version.
     pub texts: BTreeMap<String, String>,
     pub(crate) controller_client: ControllerClient,
     pub(crate) submitted: BTreeMap<u64, SubmittedOrder>,
     pub(crate) key: u64,
+    /// The number of the last version that was prepared.
     pub number: u64,
 }
 
 impl Operator {
+    /// Operators at this address who know no version.
     pub fn new(address: SocketAddr) -> Self {
         Operator {
             address,
--- a/crates/simulation/src/client/pinned.rs
+++ b/crates/simulation/src/client/pinned.rs
@@ -11,13 +11,18 @@
 /// The number that only these callers increment. Its text is part of what a seed determines.
 pub const OWN_NUMBER: &str = "clung";
 
+/// A request of a pinned client.
 #[derive(Clone, Debug)]
 pub enum PinnedRequest {
+    /// Shows the plan in force.
     Show,
+    /// Submits an order.
     Order(SubmittedOrder),
+    /// Calls for a number or a key.
     Call(Call),
 }
 
+/// A request without a response so far.
 #[derive(Clone, Debug)]
 pub struct PendingRequest {
     pub(crate) start_us: u64,
@@ -26,20 +31,27 @@
 
 /// The clients of one control machine that never try another.
 pub struct PinnedClients {
+    /// The control machine's index.
     pub at: usize,
+    /// Requests that were answered.
     pub answered: usize,
+    /// Requests answered as unavailable.
     pub unavailable: usize,
+    /// Requests that timed out.
     pub unclear: usize,
     /// For each request answered as unavailable, when it was sent and how long it waited.
     pub waits_us: Vec<(u64, u64)>,
     /// Acknowledged numbers, and how many requests for one had no clear outcome.
     pub numbers: Vec<u64>,
+    /// Requests for a number without a clear outcome.
     pub numbers_unclear: usize,
+    /// Orders submitted.
     pub orders: usize,
     pub(crate) incarnation: u64,
     pub(crate) controller_client: ControllerClient,
     pub(crate) pending: BTreeMap<u64, PendingRequest>,
     pub(crate) key: u64,
+    /// The pending order, and since when it is pending.
     pub order: Option<(u64, SubmittedOrder)>,
 }
 
@@ -62,6 +74,7 @@
         }
     }
 
+    /// Whether an order is pending.
     pub fn has_order(&self) -> bool {
         self.order.is_some()
     }
--- a/crates/simulation/src/client/requests.rs
+++ b/crates/simulation/src/client/requests.rs
@@ -7,15 +7,20 @@
 
 /// One attempt of a client's request at one data node.
 pub struct RequestRun {
+    /// The request's id, which all its attempts share.
     pub id: u64,
+    /// Whether it has an idempotency key.
     pub keyed: bool,
+    /// How many attempts of its client precede this one.
     pub attempts: u32,
+    /// The service that it is for.
     pub service: &'static str,
     pub(crate) data: usize,
     /// The incarnation of the node that accepted it, and the latest time of its response.
     pub(crate) incarnation: u64,
     pub(crate) answer_due_us: u64,
     pub(crate) flow: Option<RequestFlow>,
+    /// The target that its flow selected last.
     pub target: Option<(Arc<Target>, Arc<Load>)>,
     /// The instance at the other end when the connection was made, whichever that is.
     pub connected: Option<String>,
@@ -39,10 +44,12 @@
 }
 
 impl RequestRun {
+    /// Whether data node `data` has not answered it.
     pub fn is_in_flight(&self, data: usize) -> bool {
         self.data == data && self.flow.is_some()
     }
 
+    /// The instance of the target that its flow selected last.
     pub fn target_name(&self) -> Option<String> {
         self.target.as_ref().map(|(target, _)| target.instance.to_string())
     }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -9,7 +9,9 @@
 pub struct Network {
     partitions: BTreeSet<(IpAddr, IpAddr)>,
     last: BTreeMap<(SocketAddr, SocketAddr), u64>,
+    /// Added delay of every frame, in microseconds.
     pub slow_us: u64,
+    /// Of a thousand frames, how many are lost.
     pub loss_per_mille: u64,
     /// Added delay between zones, in microseconds; a machine's zone is its number modulo three.
     pub zone_us: u64,
@@ -43,14 +45,17 @@
         Some(at_us)
     }
 
+    /// Whether frames in this direction are lost.
     pub fn is_partitioned(&self, from: IpAddr, to: IpAddr) -> bool {
         self.partitions.contains(&(from, to))
     }
 
+    /// Loses all frames in this direction from now on.
     pub fn partition(&mut self, from: IpAddr, to: IpAddr) {
         self.partitions.insert((from, to));
     }
 
+    /// Ends partitions, loss and added delay.
     pub fn heal(&mut self) {
         self.partitions.clear();
         self.slow_us = 0;
--- a/crates/simulation/src/node/endpoint_list.rs
+++ b/crates/simulation/src/node/endpoint_list.rs
@@ -9,12 +9,18 @@
 
 const WINDOW_US: u64 = 1_000_000;
 
+/// How long a refused fetch has to wait, in milliseconds.
 pub const RETRY_MS: u64 = 1_000;
 
+/// A target as the endpoint list shows it.
 pub struct Row {
+    /// Its service.
     pub service: String,
+    /// Its address.
     pub address: SocketAddr,
+    /// Its zone.
     pub zone: &'static str,
+    /// Whether it is draining.
     pub draining: bool,
 }
 
@@ -47,8 +53,11 @@
 /// The endpoint list; `departures` has when it first showed an instance as draining or gone.
 #[derive(Default)]
 pub struct PlatformList {
+    /// Rows by instance.
     pub rows: BTreeMap<String, Row>,
+    /// When an instance was first shown as draining or gone, in microseconds.
     pub departures: BTreeMap<String, u64>,
+    /// The present fault.
     pub fault: ListFault,
     pub(crate) served: VecDeque<u64>,
     /// Whether its next first page is to be wrong.
@@ -56,10 +65,12 @@
     /// Spans in which it refused or failed, and so showed nothing.
     pub unavailable: Vec<(u64, u64)>,
     pub(crate) down_us: Option<u64>,
+    /// Fetches that the rate limit refused.
     pub refusals: u64,
 }
 
 impl PlatformList {
+    /// Ends the present fault.
     pub fn heal(&mut self, now_us: u64) {
         self.fault = ListFault::None;
         if let Some(since_us) = self.down_us.take() {
--- a/crates/simulation/src/search/forwarded/log.rs
+++ b/crates/simulation/src/search/forwarded/log.rs
@@ -17,13 +17,16 @@
 pub struct Entry {
     /// `None`: another caller's, or the log's own.
     pub source: Option<usize>,
+    /// Its records.
     pub records: Vec<Record>,
 }
 
 /// The client and key that a response is for.
 #[derive(Clone, Copy, Debug)]
 pub struct Origin {
+    /// The member whose client sent it.
     pub client: usize,
+    /// The request's key.
     pub key: u64,
 }
 
@@ -33,18 +36,25 @@
 /// One control node.
 #[derive(Clone, Debug, Default)]
 pub struct Member {
+    /// Its log.
     pub log: Vec<Entry>,
+    /// How many entries are committed as it knows.
     pub committed: usize,
     /// It believes that it leads.
     pub is_leading: bool,
+    /// Replies that wait for the commit of a log of this length.
     pub replies: Vec<(usize, Origin, Response)>,
 }
 
 /// A write as its request carries it.
 pub struct Write<'a> {
+    /// The call that it comes from.
     pub source: usize,
+    /// The call's idempotency id.
     pub id: Option<Name>,
+    /// The call.
     pub call: &'a Call,
+    /// Whether the log has no space.
     pub full: bool,
 }
 
--- a/crates/simulation/src/search/forwarded/state.rs
+++ b/crates/simulation/src/search/forwarded/state.rs
@@ -9,22 +9,22 @@
 /// A frame in flight. The names keep the order in which equal states list their frames.
 #[derive(Clone, Debug)]
 pub enum Frame {
+    /// A request on its way to a member.
     ToMember { to: usize, origin: Origin, request: Request },
+    /// A response on its way to a client.
     ToClient { origin: Origin, response: Response },
 }
 
 /// The progress of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Progress {
+    /// Not sent yet.
     Unsent,
     /// Sent when the number had this committed value.
-    Pending {
-        number: u64,
-    },
-    Answered {
-        number: u64,
-        response: Response,
-    },
+    Pending { number: u64 },
+    /// Answered; with the number's value when it was sent.
+    Answered { number: u64, response: Response },
+    /// Its client's process ended first.
     Gone,
 }
 
--- a/crates/simulation/src/search/request/flow.rs
+++ b/crates/simulation/src/search/request/flow.rs
@@ -10,33 +10,47 @@
 /// One event of one request, as its flow receives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FlowEvent {
+    /// It starts.
     Start,
+    /// A connection is made.
     Connected,
+    /// A connection is not made.
     ConnectFailed,
+    /// Its ticket is granted.
     Granted,
+    /// Its ticket's settlement is recorded.
     Settled,
     /// No response from the controller.
     NoResponse,
+    /// An attempt ended.
     AttemptEnded(AttemptEnd),
 }
 
 /// How an attempt ended, with the client whose response it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptEnd {
+    /// With the complete response to this client's request.
     Complete(usize),
+    /// Before the first byte was sent.
     Unsent,
+    /// With the target's statement that it did not run.
     NotRun,
+    /// Without a response; `late`: since the deadline passed.
     Unknown { late: bool },
 }
 
 /// An event, the request that it is for and what the node knew then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct FlowInput {
+    /// The client whose request it is for.
     pub client: usize,
+    /// The node's clock.
     pub now_ms: u64,
+    /// Whether the node has its lease.
     pub serves: bool,
     /// The node has observed that the client departed.
     pub client_left: bool,
+    /// The event.
     pub event: FlowEvent,
 }
 
@@ -45,14 +59,19 @@
 pub enum Phase {
     /// Not yet arrived.
     NotArrived,
+    /// For a connection to this target.
     Connect(usize),
+    /// For a ticket.
     RequestTicket,
+    /// For the settlement of its ticket.
     Settle,
+    /// For the end of an attempt.
     Forward,
     /// The client received the response to the request of this client.
     Answered(usize),
     /// The client received the report that its request did not run.
     ReportedNotRun,
+    /// The client received the report that it is unknown whether its request ran.
     ReportedUnknown,
     /// The client had departed.
     ClientLeft,
@@ -65,21 +84,27 @@
     None,
     /// Requested and not settled.
     Pending,
+    /// Settled.
     Settled(Settled),
 }
 
 /// How a ticket was settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Settled {
+    /// As run.
     Ran,
+    /// As unsent.
     Unsent,
+    /// As unknown.
     Unknown,
 }
 
 /// The state of both flows: their phases, and all that decides their next steps.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct FlowState {
+    /// The requests' phases.
     pub phases: [Phase; 2],
+    /// The requests' tickets.
     pub tickets: [TicketEnd; 2],
     fingerprint: String,
 }
--- a/crates/simulation/src/search/request/wire.rs
+++ b/crates/simulation/src/search/request/wire.rs
@@ -18,9 +18,11 @@
 /// What a response says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Content {
+    /// A complete response.
     Complete,
     /// The target's statement that it did not run the request, nor will.
     NotRun,
+    /// Bytes that are no response.
     Garbage,
     /// The first bytes of a response, then the end of its connection.
     Truncated,
@@ -29,6 +31,7 @@
 /// A response on its way to the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TargetMessage {
+    /// What it says.
     pub content: Content,
     /// The client whose request it really answers.
     pub for_client: usize,
@@ -39,18 +42,24 @@
 /// How the node uses its end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConnectionUse {
+    /// In the pool.
     Idle,
+    /// Connected for this client's request, of which nothing is sent.
     InUse(usize),
+    /// Reading the response to this client's request.
     Reading(usize),
+    /// Closed by the node.
     Dropped,
 }
 
 /// One connection; a target's end may outlive the node's, and vice versa.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Connection {
+    /// The target at the other end.
     pub target: usize,
     /// Which incarnation of the target is at the other end.
     pub incarnation: u8,
+    /// How the node uses its end.
     pub usage: ConnectionUse,
     /// No response was read on it yet.
     pub first: bool,
@@ -60,12 +69,15 @@
     pub pending: Option<(usize, u8)>,
     /// The client whose request was answered last.
     pub answered: Option<usize>,
+    /// Responses that have arrived and are not read.
     pub inbox: Vec<TargetMessage>,
 }
 
 /// The outcome of reading, and whether the connection is idle again.
 pub struct Read {
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
+    /// Whether the connection returns to the pool.
     pub is_idle: bool,
 }
 
@@ -78,6 +90,7 @@
 }
 
 impl Connection {
+    /// A new connection for this client's request.
     pub fn open(target: usize, incarnation: u8, client: usize) -> Connection {
         Connection {
             target,
