--- a/crates/simulation/src/search/request_actions.rs
+++ b/crates/simulation/src/search/request/enabled.rs
@@ -1,58 +1,17 @@
-//! What may happen next to two requests through one node.
+//! The actions that are possible next for two requests through one node.
 
-use super::request::Requests;
-use super::request_flow::Phase;
-use super::request_state::RequestState;
-use super::request_wire::{Content, Kind};
-
-/// One event.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestAction {
-    Arrives(usize),
-    Connects(usize),
-    ConnectFails(usize),
-    TicketGranted(usize),
-    TicketSettled(usize),
-    TicketTimesOut(usize),
-    /// The request's bytes go out, if its last look allows it.
-    Writes(usize),
-    /// The first byte is refused, for the target's reset is known already.
-    WriteRefused(usize),
-    /// A response is read; with the bytes that follow it, or without.
-    Reads {
-        client: usize,
-        rest: bool,
-    },
-    /// The deadline comes while the node reads.
-    Expires(usize),
-    /// The target at the other end runs the request and answers.
-    Runs(usize),
-    RunsWithoutResponse(usize),
-    RunsAndTruncatesResponse(usize),
-    Rejects {
-        connection: usize,
-        is_named: bool,
-    },
-    Strays {
-        connection: usize,
-        content: Content,
-        is_named: bool,
-    },
-    Closes(usize),
-    Replaces(usize),
-    /// The client closes its connection.
-    ClientDeparts(usize),
-    /// The node sees that it did, while it waits for something else.
-    ObservesDeparture(usize),
-    /// The node, which waits for a socket, gives up what it waits for: its client left.
-    Abandons(usize),
-    /// Deadlines pass, as for a node that was frozen.
-    TimePasses,
-    LeaseEnds,
-}
+use crate::search::request::Requests;
+use crate::search::request::actions::RequestAction;
+use crate::search::request::flow::Phase;
+use crate::search::request::state::RequestState;
+use crate::search::request::wire::{Content, Kind};
 
 impl Requests {
-    pub(super) fn client_actions(&self, state: &RequestState, client: usize) -> Vec<RequestAction> {
+    pub(in crate::search) fn client_actions(
+        &self,
+        state: &RequestState,
+        client: usize,
+    ) -> Vec<RequestAction> {
         use RequestAction::*;
         let at = state.connection_of(client).map(|at| &state.connections[at]);
         match &state.phases[client] {
@@ -87,9 +46,9 @@
         }
     }
 
-    /// What a client that may leave, and a node that may see it, do. A one-time request at its
-    /// target is not watched.
-    pub(super) fn departure_actions(
+    /// Departures of clients, and a node's reactions. A one-time request at its target is not
+    /// watched for them.
+    pub(in crate::search) fn departure_actions(
         &self,
         state: &RequestState,
         client: usize,
@@ -122,7 +81,11 @@
         actions
     }
 
-    pub(super) fn target_actions(&self, state: &RequestState, at: usize) -> Vec<RequestAction> {
+    pub(in crate::search) fn target_actions(
+        &self,
+        state: &RequestState,
+        at: usize,
+    ) -> Vec<RequestAction> {
         use RequestAction::*;
         let connection = &state.connections[at];
         let mut actions = Vec::new();
--- a/crates/simulation/src/calls.rs
+++ b/crates/simulation/src/world/calls.rs
@@ -1,73 +1,22 @@
-//! Applications' calls for locks, numbers, keys and watches, and the checks of what they were told.
+//! Applications' calls: sending, retrying, and the outcomes.
 
-use crate::data::Waits;
+use crate::client::calls::{CompletedCall, PendingCall};
 use crate::event::Event;
+use crate::node::data::Waits;
 use crate::world::World;
 use postbarrow_messages::{Request, Response};
 use postbarrow_state::{Call, Change, Name, Outcome, ResourceKind};
-use std::collections::BTreeMap;
 
 const WAIT_MS: u64 = 2_500;
-const TTL_MS: u64 = 1_500;
-
-/// One finished call: when it was asked and answered, and what it found or made.
-#[derive(Clone, Debug, PartialEq)]
-pub struct CompletedCall {
-    pub caller: usize,
-    pub start_us: u64,
-    pub end_us: u64,
-    pub call: Call,
-    pub outcome: Outcome,
-}
-
-#[derive(Clone)]
-struct PendingCall {
-    number: u64,
-    start_us: u64,
-    call: Call,
-    node: usize,
-    sent_us: u64,
-}
 
-#[derive(Default)]
-pub struct Callers {
-    pub done: Vec<CompletedCall>,
-    pub watched_revisions: Vec<u64>,
-    pub watch_from: Option<u64>,
-    pub too_old: u64,
-    pending: BTreeMap<usize, PendingCall>,
-    locks: BTreeMap<usize, (Name, u64, u64)>,
-    lock_owner: Option<(usize, u64)>,
-    number: u64,
-    revisions: BTreeMap<Name, u64>,
-}
+const TTL_MS: u64 = 1_500;
 
 const WATCHER: usize = 3;
-const STALE_US: u64 = 4_000_000;
 
-impl Callers {
-    /// The highest number or revision of the same name that was told before.
-    pub fn max_acknowledged(&self, call: &Call, before_us: u64) -> u64 {
-        let finished = self.done.iter().filter(|done| done.end_us < before_us);
-        let values = finished.filter_map(|done| match (call, &done.call, &done.outcome) {
-            (
-                Call::ReadNumber { name },
-                Call::Next { name: other, .. } | Call::ReadNumber { name: other },
-                Outcome::Number(value),
-            ) if name == other => Some(*value),
-            (
-                Call::ReadKey { name } | Call::Put { name, .. },
-                Call::Put { name: other, .. } | Call::ReadKey { name: other },
-                Outcome::Key(key),
-            ) if name == other => Some(key.revision),
-            _ => None,
-        });
-        values.max().unwrap_or(0)
-    }
-}
+const STALE_US: u64 = 4_000_000;
 
 impl World {
-    /// Asks the next thing, or requests the same again where the node that was asked is gone.
+    /// Sends the next call, or the pending one again where its node ended or did not answer.
     pub fn next_call(&mut self, caller: usize) {
         self.after(40_000, Event::NextCall { caller });
         if let Some(pending) = self.callers.pending.get(&caller).cloned() {
@@ -141,6 +90,8 @@
         );
     }
 
+    /// Handles the controller's response to pending call `number` of `caller`; anything but an
+    /// outcome makes the caller send the call again.
     pub fn caller_receives(&mut self, caller: usize, number: u64, response: Response) {
         let Some(pending) = self.callers.pending.get(&caller).cloned() else { return };
         if pending.number != number {
@@ -150,11 +101,25 @@
             return self.send_call(caller, pending);
         };
         self.callers.pending.remove(&caller);
-        match (&pending.call, &outcome) {
+        self.apply_outcome(caller, &pending, &outcome);
+        let (start_us, end_us) = (pending.start_us, self.now_us);
+        self.callers.done.push(CompletedCall {
+            caller,
+            start_us,
+            end_us,
+            call: pending.call,
+            outcome,
+        });
+    }
+
+    /// What a caller learns from an outcome: events, locks, revisions.
+    fn apply_outcome(&mut self, caller: usize, pending: &PendingCall, outcome: &Outcome) {
+        match (&pending.call, outcome) {
             (_, Outcome::Events { events, next }) => {
                 for event in events {
                     if !matches!(event.change, Change::Key(_) | Change::KeyGone) {
-                        self.ledger.violate("a watch on keys was told of something else".into());
+                        self.ledger
+                            .violate("a watch on keys received an event of another kind".into());
                     }
                     self.callers.watched_revisions.push(event.revision);
                 }
@@ -180,17 +145,9 @@
             }
             _ => {}
         }
-        let (start_us, end_us) = (pending.start_us, self.now_us);
-        self.callers.done.push(CompletedCall {
-            caller,
-            start_us,
-            end_us,
-            call: pending.call,
-            outcome,
-        });
     }
 
-    /// A holder counts its time from when it asked.
+    /// An owner counts its time to live from when it sent the request.
     fn acquire_lock(&mut self, caller: usize, name: Name, fence: u64, requested_us: u64) {
         let until_us = requested_us + TTL_MS * 1_000;
         if self.now_us >= until_us {
@@ -200,7 +157,7 @@
             && other != caller
             && self.now_us < other_us
         {
-            self.ledger.violate(format!("callers {other} and {caller} hold the lock at once"));
+            self.ledger.violate(format!("callers {other} and {caller} own the lock at once"));
         }
         self.callers.lock_owner = Some((caller, until_us));
         self.callers.locks.insert(caller, (name, fence, until_us));
--- a/crates/simulation/src/check_pinned.rs
+++ b/crates/simulation/src/world/pinned_checks.rs
@@ -1,13 +1,15 @@
-//! What those who cling to one control machine were told, against what others were told before.
+//! Checks the responses to pinned clients against what others had received before.
 
-use crate::operator::SubmittedOrder;
-use crate::pinned::PinnedRequest;
+use crate::client::operator::SubmittedOrder;
+use crate::client::pinned::PinnedRequest;
+use crate::client::plans::began_at;
+use crate::node::control::ControlMachine;
 use crate::world::World;
 use postbarrow_messages::Response;
 use postbarrow_state::{Call, Outcome};
 
 impl World {
-    /// Whatever the machine told must hold at some moment between question and answer.
+    /// A response must be true at some time between request and response.
     pub fn check_answer(&mut self, start_us: u64, request: PinnedRequest, response: Response) {
         match (request, response) {
             (PinnedRequest::Show, Response::Plan { offset, .. }) => {
@@ -35,10 +37,10 @@
         }
     }
 
-    /// No proper order is refused, and none is acknowledged that no majority has.
+    /// No valid order is refused, and none is acknowledged that no majority has.
     fn check_order(&mut self, submitted: &SubmittedOrder, status: u16, body: &str) {
         let order = &submitted.order;
-        let proper = self.operator.version == order.base
+        let valid = self.operator.version == order.base
             || self.operator.version.as_ref() == Some(&order.version);
         match status {
             200 => {
@@ -52,18 +54,18 @@
                 }
             }
             503 => {}
-            _ if proper => self.ledger.violate(format!("a proper order got {status}: {body}")),
+            _ if valid => self.ledger.violate(format!("a valid order got {status}: {body}")),
             _ => {}
         }
     }
 
     fn check_majority(&mut self, submitted: &SubmittedOrder, body: &str) {
-        let Some(began) = crate::operator::began_at(body) else {
+        let Some(began) = began_at(body) else {
             return self
                 .ledger
                 .violate(format!("{} is in force from nowhere", submitted.order.version));
         };
-        let has = |machine: &&crate::control::ControlMachine| {
+        let has = |machine: &&ControlMachine| {
             machine.node.as_ref().is_some_and(|node| node.consensus().last_index() >= began)
         };
         if self.control.iter().filter(has).count() < 2 {
@@ -87,7 +89,7 @@
         };
         let max = self.callers.max_acknowledged(call, start_us);
         if value < max {
-            self.ledger.violate(format!("{call:?} was told {value}, after {max} was told"));
+            self.ledger.violate(format!("{call:?} got {value} after {max} was acknowledged"));
         }
     }
 }
--- a/crates/simulation/src/targets.rs
+++ b/crates/simulation/src/world/targets.rs
@@ -1,20 +1,13 @@
-//! Targets that run requests, crash, freeze and pass their address on.
+//! Targets: start, lookup, and their rows in the endpoint list.
 
-use crate::list::Row;
-use crate::world::{World, address};
+use crate::network::address;
+use crate::node::endpoint_list::Row;
+use crate::node::target::Target;
+use crate::world::World;
 use std::net::SocketAddr;
 
-pub struct Target {
-    pub instance: String,
-    pub service: String,
-    pub address: SocketAddr,
-    pub alive: bool,
-    pub frozen: bool,
-    /// Of a thousand runs, so many lose their response.
-    pub lost_per_mille: u64,
-}
-
 impl World {
+    /// Starts a target at this address, or at a new one, and lists it; returns its instance.
     pub fn add_target(&mut self, service: &str, at: Option<SocketAddr>) -> String {
         let number = self.targets.len();
         let address = at.unwrap_or_else(|| address(4, number, 80));
@@ -33,14 +26,17 @@
         instance
     }
 
+    /// The running target at this address.
     pub fn target_at(&self, address: SocketAddr) -> Option<&Target> {
         self.targets.iter().find(|target| target.alive && target.address == address)
     }
 
+    /// The target of this instance.
     pub fn target_mut(&mut self, instance: &str) -> Option<&mut Target> {
         self.targets.iter_mut().find(|target| target.instance == instance)
     }
 
+    /// Records when the endpoint list first showed this instance as draining or gone.
     pub fn record_departure(&mut self, instance: &str) {
         self.list.departures.entry(instance.to_string()).or_insert(self.now_us);
     }
