--- a/crates/consensus/src/disk_health.rs
+++ b/crates/consensus/src/disk_health.rs
@@ -115,7 +115,7 @@
         };
         if !self.leader_state.is_transferring && !self.should_transfer_leadership() {
             self.disk.transfer_due_since_ms = None;
-        } else if now_ms >= since_ms + DISK_YIELD_MS {
+        } else if now_ms >= since_ms + DISK_STEP_DOWN_MS {
             self.disk.transfer_due_since_ms = None;
             self.become_follower(now_ms, self.term, None);
         }
--- a/crates/consensus/tests/disk_health.rs
+++ b/crates/consensus/tests/disk_health.rs
@@ -134,7 +134,7 @@
     let mut cluster = ThreeMembers::led_by_one();
     cluster.stall(1);
     let last = cluster.node(1).last_index();
-    cluster.tick(DISK_STALL_MS + DISK_YIELD_MS + ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS);
+    cluster.tick(DISK_STALL_MS + DISK_STEP_DOWN_MS + ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS);
     assert!(cluster.node(1).commit_index() >= last, "the two others are a majority");
     let leader = cluster.leader();
     assert!(matches!(leader, Some(2 | 3)), "{leader:?} leads");
@@ -164,7 +164,7 @@
     cluster.tick(DISK_STALL_MS + 2 * TICK_MS);
     let _lost = cluster.nodes[0].handle(cluster.now_ms, Input::TransferLeadership(Vec::new()));
     cluster.heal();
-    cluster.tick(DISK_YIELD_MS + ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS);
+    cluster.tick(DISK_STEP_DOWN_MS + ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS);
     let leader = cluster.leader().expect("there is a leader");
     assert!(
         cluster.node(leader).lease_until() > cluster.now_ms,
--- /dev/null
+++ b/crates/controller/tests/golden_bytes.rs
@@ -0,0 +1,94 @@
+//! The bytes of the note that a controller gives to the next one when it stops.
+//!
+//! MessagePack, as `rmp_serde::to_vec` writes it: the note is an array, so its fields are sent by
+//! position and their names are free to change, while their order is not. It has no variants.
+
+mod cluster;
+#[path = "../../state/tests/golden/mod.rs"]
+mod golden;
+mod harness;
+
+use cluster::Cluster;
+use harness::*;
+use postbarrow_consensus::{AppendRequest, Message as LogMessage, TimeoutNow};
+use postbarrow_controller::{Fetched, Input, PageResult};
+use postbarrow_messages::*;
+use postbarrow_state::Name;
+
+const CRATE: &str = env!("CARGO_MANIFEST_DIR");
+
+/// When the last whole walk ended, the order and chain of its pages, the gap between two questions,
+/// and when those of the last window were asked; ages and gap in milliseconds.
+type ScanHandover = (Option<u64>, Vec<Name>, Vec<Option<String>>, u64, Vec<u64>);
+
+/// One tick of a controller whose list has two pages; what it sent to a follower as it stops.
+fn step(cluster: &mut Cluster) -> Option<Vec<u8>> {
+    cluster.harness.tick(20);
+    cluster.harness.sync();
+    while let Some((number, cursor)) = cluster.harness.fetches.pop_front() {
+        let (row, next) = match cursor {
+            None => (Harness::row("catalogue-1", "catalogue", false), "\"second\""),
+            Some(_) => (Harness::row("ledger-1", "ledger", false), "null"),
+        };
+        let text = format!("{{\"targets\":[{row}],\"next\":{next}}}");
+        let fetched = Fetched::Page(text.into_bytes());
+        cluster.harness.input(Input::Page(PageResult { number, fetched }));
+    }
+    let note = cluster.harness.sent.iter().find_map(|message| match message {
+        Message::Consensus { message: LogMessage::TimeoutNow(request), .. } => {
+            Some(request.handover_state.clone())
+        }
+        _ => None,
+    });
+    let responses = cluster.follower_responses();
+    cluster.deliver(responses);
+    note
+}
+
+fn note_of_a_stop() -> Vec<u8> {
+    let mut cluster = Cluster::serving();
+    for _ in 0..400 {
+        step(&mut cluster);
+    }
+    cluster.harness.input(Input::Stop);
+    (0..100).find_map(|_| step(&mut cluster)).expect("it hands over")
+}
+
+#[test]
+fn the_note_of_a_stopping_controller_is_written_and_read() {
+    let note = note_of_a_stop();
+    let decoded = golden::decode::<ScanHandover>(&note).expect("five fields");
+    assert!(decoded.0.is_some() && decoded.1.len() == 2 && decoded.2.len() == 2, "{decoded:?}");
+    assert!(decoded.3 > 0 && !decoded.4.is_empty(), "{decoded:?}");
+    let case = golden::case_of("note", note, |bytes| {
+        Ok(golden::encode(&golden::decode::<ScanHandover>(bytes)?))
+    });
+    golden::check(CRATE, "note.hex", &[case]);
+    assert_next_controller_reads(golden::read_fixture(CRATE, "note.hex").remove(0).1);
+}
+
+/// The next controller knows of the list's walk before it walked.
+fn assert_next_controller_reads(note: Vec<u8>) {
+    let mut cluster = Cluster { harness: Harness::new(recovered(&[1, 2, 3], Vec::new(), 1)) };
+    let sent_ms = cluster.harness.now_ms;
+    let entries = Vec::new();
+    let append =
+        AppendRequest { term: 1, prev_index: 0, prev_term: 0, entries, commit: 0, sent_ms };
+    let request = TimeoutNow { term: 1, sent_ms, handover_state: note };
+    for message in [LogMessage::Append(append), LogMessage::TimeoutNow(request)] {
+        cluster.harness.message(Message::Consensus { from: member(2), to: 1, message });
+    }
+    for _ in 0..5 {
+        cluster.harness.sync();
+        let responses = cluster.follower_responses();
+        cluster.deliver(responses);
+        cluster.harness.tick(20);
+    }
+    assert!(cluster.harness.node.has_lease(cluster.harness.now_ms), "it leads at once");
+    cluster.harness.request(1, Request::Targets);
+    let Some(Response::Operator { body, .. }) = cluster.harness.response(1) else {
+        panic!("no answer")
+    };
+    let body = String::from_utf8_lossy(body);
+    assert!(!body.contains("\"listWalkedMsAgo\":null"), "{body}");
+}
