--- a/crates/controller-client/src/client.rs
+++ b/crates/controller-client/src/client.rs
@@ -14,7 +14,7 @@
     members: Vec<SocketAddr>,
     /// Which member is sent to next while no controller is known.
     next_member: usize,
-    /// Since when this member of the log hears from no leader; none for others, and while it does.
+    /// Since when this member of the log is without a leader; none for others, and while it has one.
     leaderless_since_ms: Option<u64>,
 }
 
@@ -58,8 +58,8 @@
         }
     }
 
-    /// A member of the log has heard from no leader since then. Requests are delayed until it
-    /// does, for the log is the first to know of a leader; after `CONTACT_LOST_MS` they are
+    /// A member of the log has been without a leader since then. Requests are delayed until it
+    /// has one, for the log is the first to know of a leader; after `CONTACT_LOST_MS` they are
     /// answered as unavailable, unless one was sent to a process that may have accepted it.
     pub fn on_leader_lost(&mut self, since_ms: u64) {
         self.controller = None;
@@ -89,7 +89,7 @@
         self.controller = None;
     }
 
-    /// Whether no leader was heard from for longer than an ordinary election takes.
+    /// Whether there was no contact with a leader for longer than an ordinary election takes.
     pub fn is_cut_off(&self, now_ms: u64) -> bool {
         self.leaderless_since_ms.is_some_and(|since_ms| now_ms >= since_ms + CONTACT_LOST_MS)
     }
@@ -104,7 +104,7 @@
         self.pending.len()
     }
 
-    /// Whether this member of the log hears from no leader, so that nothing is sent.
+    /// Whether this member of the log is without a leader, so that nothing is sent.
     pub(crate) fn is_leaderless(&self) -> bool {
         self.leaderless_since_ms.is_some()
     }
--- a/crates/controller-client/src/on_response.rs
+++ b/crates/controller-client/src/on_response.rs
@@ -9,7 +9,7 @@
 impl ControllerClient {
     /// A response to a request that is no longer pending is ignored. A refusal is reported only
     /// once every copy of its request is known to be without effect: one still in flight could be
-    /// accepted after the client heard that its call was refused.
+    /// accepted after the client was answered that its call was refused.
     pub fn on_response(&mut self, now_ms: u64, key: u64, response: Response) -> Vec<Effect> {
         let Some(pending) = self.pending.get_mut(&key) else { return Vec::new() };
         match response {
--- a/crates/controller-client/tests/lost_contact.rs
+++ b/crates/controller-client/tests/lost_contact.rs
@@ -67,7 +67,7 @@
     client.on_leader_lost(0);
     let effects = send(&mut client, CONTACT_LOST_MS, KEY);
     assert_eq!(answers(&effects), [(KEY, Response::Unavailable)]);
-    assert!(sends(&effects).is_empty(), "and the answer holds: nothing was sent");
+    assert!(sends(&effects).is_empty(), "and that is true: nothing was sent");
     assert_eq!(client.pending_count(), 0);
 }
 
--- a/crates/membership/src/ring.rs
+++ b/crates/membership/src/ring.rs
@@ -35,7 +35,7 @@
     (1..count.min(RING_WATCHERS + 1)).map(neighbour).collect()
 }
 
-/// The nodes that this node's heartbeats go to: the next ones on the ring.
+/// The nodes that get this node's heartbeats: the next ones on the ring.
 pub fn watchers(own: u64, nodes: &[u64]) -> Vec<u64> {
     neighbours(own, nodes, Direction::Forward)
 }
--- a/crates/membership/src/subscription.rs
+++ b/crates/membership/src/subscription.rs
@@ -28,7 +28,7 @@
     }
 
     /// The child reports the offset that it has reached. Updates in flight are not sent again
-    /// before they had their time: on a slow link each further copy would only queue behind the
+    /// before `resend_ms` is over: on a slow link each further copy would only queue behind the
     /// first. Without progress that time doubles.
     pub fn renew(&mut self, now_ms: u64, acknowledged: u64) {
         self.renewed_ms = now_ms;
--- a/crates/messages/src/lib.rs
+++ b/crates/messages/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Each message travels in an `Envelope`, and each envelope in a frame: four bytes of length,
 //! big-endian, and MessagePack. Structs are sent by position, variants of enums by name; a renamed
-//! variant keeps its earlier name on the wire, so that two releases understand each other.
+//! variant has its earlier name on the wire, so that two releases understand each other.
 //!
 //! | file | what it does |
 //! | --- | --- |
--- a/crates/messages/src/message.rs
+++ b/crates/messages/src/message.rs
@@ -13,7 +13,7 @@
 /// A message with its sender.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Where responses go.
+    /// The address for responses.
     pub from: SocketAddr,
     /// The message.
     pub message: Message,
--- a/crates/messages/src/request.rs
+++ b/crates/messages/src/request.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// What the controller answers, or what its client concludes where nobody does.
+/// What the controller answers, or what its client concludes without an answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Response {
     /// The ticket is granted: the request may be sent.
--- a/crates/messages/tests/golden_bytes.rs
+++ b/crates/messages/tests/golden_bytes.rs
@@ -3,7 +3,7 @@
 //! A frame is four bytes of length and MessagePack, as `rmp_serde::to_vec` writes it: structs, also
 //! those within variants, are arrays, so their fields are sent by position and their names are free
 //! to change, while their order is not. Variants of enums are sent by name: a variant that is
-//! renamed needs `#[serde(rename)]` with the name that it goes by on the wire. So there is a value
+//! renamed needs `#[serde(rename)]` with its name on the wire. So there is a value
 //! of every variant here.
 
 #[path = "../../consensus/tests/golden/values.rs"]
@@ -42,7 +42,7 @@
     Submission { records: Vec::new(), dry_run: false, allow_empty: true, ..submission() }
 }
 
-/// Values, each with the name that it goes by on the wire.
+/// Values, each with its name on the wire.
 type Named<T> = Vec<(String, T)>;
 
 fn named<T, const COUNT: usize>(values: [(&str, T); COUNT]) -> Named<T> {
@@ -151,8 +151,8 @@
         ("Image", Message::Image(image_frame())),
         ("Beat", Message::Heartbeat { node: 5 }),
     ]);
-    let says = |message| Message::Consensus { from: member(1), to: 2, message };
-    messages.extend(within("Consensus", consensus_values::messages(), says));
+    let consensus = |message| Message::Consensus { from: member(1), to: 2, message };
+    messages.extend(within("Consensus", consensus_values::messages(), consensus));
     let granted = |response| Message::LeaseResponse { number: 17, response };
     messages.extend(within("FreshResponse", lease_responses(), granted));
     let request = |request| Message::Request { key: 21, request };
@@ -172,7 +172,7 @@
 
 /// Every message in its frame, with every request, response and consensus message within.
 #[test]
-fn frames() {
+fn frames_have_the_committed_bytes() {
     let frames: Vec<Case> =
         messages().into_iter().map(|(name, message)| frame(&name, message)).collect();
     assert_covers::<Message>(&frames);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn requests_and_responses() {
+fn requests_and_responses_have_the_committed_bytes() {
     check(CRATE, "requests.hex", &variants(&requests()));
     check(CRATE, "responses.hex", &variants(&responses()));
     check(CRATE, "fresh.hex", &variants(&lease_responses()));
--- a/crates/state/src/call.rs
+++ b/crates/state/src/call.rs
@@ -6,7 +6,7 @@
 /// What an application requests; `holder` is its own token for itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Call {
-    /// Takes a lock, or extends it for its owner.
+    /// Acquires a lock, or extends it for its owner.
     Lock {
         /// The lock.
         name: Name,
@@ -23,7 +23,7 @@
         holder: Name,
         /// The fencing token of its grant.
         fence: u64,
-        /// How long it lasts from now on; none: as long as when it was taken.
+        /// How long it lasts from now on; none: as long as at its grant.
         ttl_ms: Option<u64>,
     },
     /// Releases a lock.
@@ -130,7 +130,7 @@
         /// The revision to watch after next.
         next: u64,
     },
-    /// The events that a watch asks for are no longer retained.
+    /// The events that a watch requests are no longer retained.
     TooOld {
         /// Events after this revision are available.
         floor: u64,
--- a/crates/state/src/coordination.rs
+++ b/crates/state/src/coordination.rs
@@ -39,7 +39,7 @@
 /// How a lock, number or key changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// The lock was taken or extended.
+    /// The lock was granted or extended.
     Locked {
         /// The fencing token of the grant.
         fence: u64,
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,6 +1,6 @@
 //! The replicated state: plans, targets, nodes, tickets, locks, numbers and keys.
 //!
-//! The log holds `Record`s; `State` is what they add up to, in persistent maps whose clones share
+//! The log contains `Record`s; `State` is their result, in persistent maps whose clones share
 //! their content, so that a clone is a cheap image (see `postbarrow_transactions::Image`). Both are
 //! stored: fields of structs by position, variants of enums by name.
 //!
--- a/crates/state/src/plan.rs
+++ b/crates/state/src/plan.rs
@@ -32,7 +32,7 @@
     OneTime,
 }
 
-/// Which requests go to which service, and their limits.
+/// Which requests a service gets, and their limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Path pattern.
@@ -86,7 +86,7 @@
 pub struct WeightedService {
     /// The service's name.
     pub service: Name,
-    /// Its part of the requests, relative to the other weights; 0: none.
+    /// Its weight relative to the others'; 0: it gets no requests.
     pub weight: u64,
 }
 
--- a/crates/state/src/record.rs
+++ b/crates/state/src/record.rs
@@ -37,7 +37,7 @@
     Node(Node),
     /// A data node whose lease has ended.
     NodeGone(Incarnation),
-    /// A one-time request may go to a target.
+    /// A one-time request is granted for a target.
     Ticket(Ticket),
     /// How a ticket ended.
     Settled {
@@ -50,7 +50,7 @@
     },
     /// Tickets whose retention has ended.
     TicketsForgotten(Vec<Name>),
-    /// A lock was taken or extended.
+    /// A lock was granted or extended.
     Lock {
         /// The lock.
         name: Name,
--- a/crates/state/src/state.rs
+++ b/crates/state/src/state.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Everything that the log's records add up to.
+/// The result of all the log's records.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
     /// The plan in force; none before the first.
--- a/crates/state/src/ticket.rs
+++ b/crates/state/src/ticket.rs
@@ -11,15 +11,15 @@
     pub key: Name,
     /// Digest of the request: another request under the same key is recognised by it.
     pub digest: Digest,
-    /// The service that the request goes to.
+    /// The request's service.
     pub service: Name,
-    /// The target that the request goes to.
+    /// The target that the request is granted for.
     pub instance: Name,
     /// The node that sends it.
     pub node: Incarnation,
     /// The node's own number of this attempt; no two attempts share one.
     pub number: u64,
-    /// How it ended; none while that is open.
+    /// How it ended; none until it is settled.
     pub settlement: Option<Settlement>,
     /// What repeats of the request get.
     pub response: Option<Arc<StoredResponse>>,
@@ -42,7 +42,7 @@
     Ran,
     /// It never reached its target and may be granted again.
     Unsent,
-    /// Nobody can say whether it ran.
+    /// It may have run or not.
     Unknown,
 }
 
--- a/crates/state/tests/golden/values.rs
+++ b/crates/state/tests/golden/values.rs
@@ -186,7 +186,7 @@
 }
 
 /// All records applied one after another, and a lock that stays. A ticket is put into the log open
-/// and settled by a record of its own, so the settled one is left out.
+/// and settled by a record of its own, so the settled one is omitted.
 pub fn state() -> State {
     let mut state = State::default();
     let applied = records().into_iter().filter(|(name, _)| *name != "Ticket settled");
--- a/crates/state/tests/golden_bytes.rs
+++ b/crates/state/tests/golden_bytes.rs
@@ -16,12 +16,12 @@
 const CRATE: &str = env!("CARGO_MANIFEST_DIR");
 
 #[test]
-fn records() {
+fn records_have_the_committed_bytes() {
     check(CRATE, "records.hex", &variants(&values::records()));
 }
 
 #[test]
-fn variants_within_records_calls_and_outcomes() {
+fn variants_within_records_calls_and_outcomes_have_the_committed_bytes() {
     check(CRATE, "settlements.hex", &variants(&values::settlements()));
     check(CRATE, "kinds.hex", &variants(&values::kinds()));
     check(CRATE, "sorts.hex", &variants(&values::resource_kinds()));
@@ -31,14 +31,14 @@
 }
 
 #[test]
-fn state() {
+fn state_has_the_committed_bytes() {
     let cases = [case("full", &values::state()), case("empty", &State::default())];
     check(CRATE, "state.hex", &cases);
 }
 
-/// A batch as the log holds it: a byte for the format, then its lines.
+/// A batch as the log contains it: a byte for the format, then its lines.
 #[test]
-fn batches() {
+fn batches_have_the_committed_bytes() {
     let data = || values::records().into_iter().map(|(_, record)| BatchRecord::Data(record));
     let line = |name: &str, line: BatchRecord<Record>| batch(name, &[line]);
     let cases = [
--- a/crates/storage/src/open.rs
+++ b/crates/storage/src/open.rs
@@ -7,7 +7,7 @@
 use postbarrow_consensus::RecoveredState;
 use std::io;
 
-/// What a disk holds when a process starts.
+/// What a disk contains when a process starts.
 pub enum Opened<D> {
     /// Nothing was ever acknowledged from this disk.
     Empty(D),
@@ -20,7 +20,7 @@
     },
     /// Everything that was acknowledged.
     Recovered {
-        /// Where the member's next writes go.
+        /// The storage for the member's next writes.
         storage: Storage<D>,
         /// The member's state.
         recovered: RecoveredState,
--- a/crates/storage/src/storage.rs
+++ b/crates/storage/src/storage.rs
@@ -1,4 +1,4 @@
-//! The storage of one member: which writes are pending, and where the next one goes.
+//! The storage of one member: which writes are pending, and the position of the next one.
 
 use crate::{Disk, WriteError, file_index};
 use postbarrow_consensus::{MemberId, Write};
--- a/crates/storage/src/torn_tail.rs
+++ b/crates/storage/src/torn_tail.rs
@@ -1,4 +1,4 @@
-//! Replays a log and discards its torn tail: records that a loss of power cut short before their
+//! Replays a log and discards its torn tail: records that a loss of power truncated before their
 //! sync, which therefore were never acknowledged.
 
 use crate::log_record::{LogRecord, decode_record};
--- a/crates/storage/tests/golden_bytes.rs
+++ b/crates/storage/tests/golden_bytes.rs
@@ -1,9 +1,9 @@
 //! The bytes of a data folder: both slots and both logs.
 //!
-//! A slot is a magic, a length, a checksum and a body; a log is a row of records, each with the
+//! A slot is a magic, a length, a checksum and a body; a log is a sequence of records, each with the
 //! same before its body. Bodies are MessagePack, as `rmp_serde::to_vec` writes it: structs are
 //! arrays, so their fields are stored by position, while variants of enums are stored by name. A
-//! variant that is renamed needs `#[serde(rename)]` with its stored name. Both logs together hold
+//! variant that is renamed needs `#[serde(rename)]` with its stored name. Both logs together contain
 //! every variant of a log record and, within the entries, every payload.
 
 #[path = "../../consensus/tests/golden/values.rs"]
@@ -54,7 +54,7 @@
     folder
 }
 
-/// What follows a slot: a hard state, entries that go again in part, and a hard state.
+/// What follows a slot: a hard state, entries of which the last are truncated, and a hard state.
 fn log_writes(first: u64, term: u64) -> Vec<Write> {
     let (retained_end, truncated) = (first + 2, entries(first + 3));
     vec![
@@ -76,7 +76,7 @@
     storage.apply(log_writes(44, 5)).expect("it is written");
 }
 
-fn open_sound(folder: &Path) -> (Storage<FolderDisk>, RecoveredState) {
+fn open_intact(folder: &Path) -> (Storage<FolderDisk>, RecoveredState) {
     match open(FolderDisk::new(folder.to_path_buf()).expect("a folder")).expect("it is read") {
         Opened::Recovered { storage, recovered } => (storage, recovered),
         Opened::Damaged { damage, .. } => panic!("damaged: {damage}"),
@@ -92,16 +92,16 @@
 }
 
 #[test]
-fn a_folder_written_today_has_the_committed_bytes() {
+fn folder_written_today_has_the_committed_bytes() {
     let folder = empty_folder("golden-written");
     write_folder(&folder);
     assert_same_files(&folder, files());
 }
 
 #[test]
-fn the_newer_slot_and_its_log_are_read() {
+fn newer_slot_and_its_log_are_recovered() {
     let folder = copy_of_fixture("golden-newer", files());
-    let (storage, recovered) = open_sound(&folder);
+    let (storage, recovered) = open_intact(&folder);
     assert_eq!(storage.id(), MEMBER);
     assert_eq!((recovered.term, recovered.voted_for), (hard(6).term, hard(6).voted_for));
     assert_eq!(recovered.snapshot.as_deref(), Some(&snapshot()));
@@ -111,10 +111,10 @@
 }
 
 #[test]
-fn the_older_slot_and_its_log_are_read() {
+fn older_slot_and_its_log_are_recovered_without_the_newer() {
     let older = [SLOTS[1], LOGS[1]];
     let folder = copy_of_fixture("golden-older", older);
-    let (storage, recovered) = open_sound(&folder);
+    let (storage, recovered) = open_intact(&folder);
     assert_eq!(storage.id(), MEMBER);
     assert_eq!((recovered.term, recovered.voted_for), (hard(3).term, hard(3).voted_for));
     assert_eq!(recovered.snapshot, None);
@@ -122,15 +122,15 @@
     assert_same_files(&folder, older);
 }
 
-/// What a storage writes next to a committed folder goes behind what is there.
+/// What a storage writes to a committed folder follows what is there.
 #[test]
-fn a_committed_folder_is_written_on() {
+fn writes_to_a_committed_folder_follow_its_log() {
     let folder = copy_of_fixture("golden-written-on", files());
-    let (mut storage, before) = open_sound(&folder);
+    let (mut storage, before) = open_intact(&folder);
     storage.apply(vec![Write::Append(entries(46))]).expect("it is written");
     let mut disk = storage.into_disk();
     let log = disk.read(LOGS[0]).expect("it is read");
     assert!(log.starts_with(&std::fs::read(fixture().join(LOGS[0])).expect("the fixture")));
-    let (_, after) = open_sound(&folder);
+    let (_, after) = open_intact(&folder);
     assert_eq!(after.entries, before.entries.into_iter().chain(entries(46)).collect::<Vec<_>>());
 }
