--- a/crates/consensus/tests/golden/values.rs
+++ b/crates/consensus/tests/golden/values.rs
@@ -101,7 +101,7 @@
         ("SnapshotResponse", Message::SnapshotResponse(snapshot_response())),
         ("TakeOver", Message::TimeoutNow(timeout_now)),
         ("Who", Message::LeaderProbe { term: 5, round: 77 }),
-        ("WhoResponse", Message::LeaderProbeResponse { term: 5, round: 77, free: true }),
+        ("WhoResponse", Message::LeaderProbeResponse { term: 5, round: 77, not_leading: true }),
         ("Leaving", Message::DepartureRequest(DepartureRequest { last_index: 44 })),
         ("MayLeave", Message::DepartureGranted(DepartureGranted { last_index: 45 })),
     ]
--- a/crates/controller/tests/golden_folder.rs
+++ b/crates/controller/tests/golden_folder.rs
@@ -1,4 +1,4 @@
-//! A control node on a data folder that commit dfb0489 wrote: all that it promised is still known.
+//! A control node on a data folder that commit dfb0489 wrote: all its acknowledged records are known.
 //!
 //! With POSTBARROW_WRITE_FIXTURES set, the folder is written anew by the present code. Then it no
 //! longer shows that an older release's folder is read, so that is for a further folder only.
@@ -68,38 +68,38 @@
     plan("v2", Some("v1"), 3, "ledger")
 }
 
-fn answered(harness: &mut Harness, key: u64, request: Request) -> Response {
+fn request(harness: &mut Harness, key: u64, request: Request) -> Response {
     harness.request(key, request);
     harness.run_until_idle();
     harness.response(key).cloned().expect("it is answered")
 }
 
-/// One of each kind of promise, with a name that ends in `part`.
-fn promise(harness: &mut Harness, part: &str, keys: u64, status: u16) {
+/// One of each kind of record, with a name that ends in `name_suffix`.
+fn write_records(harness: &mut Harness, name_suffix: &str, keys: u64, status: u16) {
     harness.renew_lease(5);
-    let ticket = ticket(&format!("order-{part}"), keys);
-    answered(harness, keys, Request::Ticket(ticket.clone()));
-    answered(harness, keys + 1, settle(ticket, stored_response(status)));
-    answered(harness, keys + 2, next_number(&format!("number-{part}"), 7));
-    answered(harness, keys + 3, put(&format!("key-{part}")));
-    answered(harness, keys + 4, lock(&format!("lock-{part}")));
+    let ticket = ticket(&format!("order-{name_suffix}"), keys);
+    request(harness, keys, Request::Ticket(ticket.clone()));
+    request(harness, keys + 1, settle(ticket, stored_response(status)));
+    request(harness, keys + 2, next_number(&format!("number-{name_suffix}"), 7));
+    request(harness, keys + 3, put(&format!("key-{name_suffix}")));
+    request(harness, keys + 4, lock(&format!("lock-{name_suffix}")));
 }
 
-/// The first promises go into a snapshot, and the second ones stay in the log behind it.
+/// The first records go into a snapshot, and the second ones stay in the log behind it.
 fn write_folder(folder: &Path) {
     let mut harness = Harness::serving();
-    promise(&mut harness, "old", 100, 201);
+    write_records(&mut harness, "old", 100, 201);
     harness.submit(1, &first_plan());
     harness.run_until_idle();
     harness.set_log_bound(SNAPSHOT_DUE_BYTES);
-    answered(&mut harness, 2, put("last-of-the-snapshot"));
+    request(&mut harness, 2, put("last-of-the-snapshot"));
     let snapshot = harness.snapshot.clone().expect("a snapshot is due");
     harness.set_log_bound(u64::MAX);
     harness.input(Input::Encoded { index: snapshot.index, state: snapshot.state });
     harness.run_until_idle();
     harness.submit(3, &second_plan());
     harness.run_until_idle();
-    promise(&mut harness, "new", 200, 202);
+    write_records(&mut harness, "new", 200, 202);
     harness.renew_lease(5);
     harness.run_until_idle();
 
@@ -130,20 +130,24 @@
     }
 }
 
-fn check_promise(state: &State, part: &str, status: u16, fence: u64) {
-    let named = |kind: &str| name(&format!("{kind}-{part}"));
+fn check_records(state: &State, name_suffix: &str, status: u16, fence: u64) {
+    let named = |kind: &str| name(&format!("{kind}-{name_suffix}"));
     let ticket = &state.tickets[&named("order")];
-    assert_eq!(ticket.settlement, Some(Settlement::Ran), "{part}");
+    assert_eq!(ticket.settlement, Some(Settlement::Ran), "{name_suffix}");
     assert_eq!((ticket.service.as_str(), ticket.instance.as_str()), ("ledger", "ledger-1"));
-    assert_eq!(ticket.response.as_deref(), Some(&stored_response(status)), "{part}");
-    assert_eq!(state.numbers[&named("number")], 7, "{part}");
-    assert_eq!(state.keys[&named("key")].value, b"on\x00", "{part}");
+    assert_eq!(ticket.response.as_deref(), Some(&stored_response(status)), "{name_suffix}");
+    assert_eq!(state.numbers[&named("number")], 7, "{name_suffix}");
+    assert_eq!(state.keys[&named("key")].value, b"on\x00", "{name_suffix}");
     let lock = &state.locks[&named("lock")];
-    assert_eq!((lock.holder.as_str(), lock.fence, lock.ttl_ms), ("me", fence, LONG_MS), "{part}");
+    assert_eq!(
+        (lock.holder.as_str(), lock.fence, lock.ttl_ms),
+        ("me", fence, LONG_MS),
+        "{name_suffix}"
+    );
 }
 
 #[test]
-fn every_promise_of_the_folder_is_known_and_kept() {
+fn a_leader_started_on_the_folder_knows_all_its_records() {
     let (id, recovered) = recovered_from_copy("golden-promises");
     assert_eq!(id, 1);
     let snapshot = recovered.snapshot.clone().expect("a snapshot");
@@ -152,7 +156,7 @@
     let mut harness = Harness::new(recovered);
     let restored = harness.state();
     assert_eq!(restored.plan_version(), Some("v1"), "the snapshot's plan");
-    check_promise(restored, "old", 201, 1);
+    check_records(restored, "old", 201, 1);
     assert!(!restored.numbers.contains_key("number-new"), "the log's are not committed yet");
 
     harness.become_leader();
@@ -162,37 +166,39 @@
     assert_eq!((state.routes.len(), state.services.len()), (3, 1));
     assert_eq!((state.targets.len(), state.nodes.len()), (3, 1));
     assert!(state.accepted_plan("v1").is_some() && state.remembers_every_plan());
-    check_promise(state, "old", 201, 1);
-    check_promise(state, "new", 202, 2);
-
-    for (key, part, status) in [(1, "old", 201), (2, "new", 202)] {
-        let again = Request::Ticket(ticket(&format!("order-{part}"), 999));
-        let Response::Known(known) = answered(&mut harness, key, again) else { panic!("{part}") };
+    check_records(state, "old", 201, 1);
+    check_records(state, "new", 202, 2);
+
+    for (key, name_suffix, status) in [(1, "old", 201), (2, "new", 202)] {
+        let again = Request::Ticket(ticket(&format!("order-{name_suffix}"), 999));
+        let Response::Known(known) = request(&mut harness, key, again) else {
+            panic!("{name_suffix}")
+        };
         assert_eq!(
             known.response.as_deref(),
             Some(&stored_response(status)),
-            "{part}: the kept answer"
+            "{name_suffix}: the stored response"
         );
     }
-    let shown = answered(&mut harness, 3, Request::Show);
+    let shown = request(&mut harness, 3, Request::Show);
     assert!(matches!(shown, Response::Plan { text, .. } if text == second_plan().into_bytes()));
-    let number = answered(&mut harness, 4, next_number("number-old", 1));
+    let number = request(&mut harness, 4, next_number("number-old", 1));
     assert_eq!(number, Response::Outcome(Outcome::Number(8)), "the number goes on");
-    let fence = answered(&mut harness, 5, lock("lock-third"));
+    let fence = request(&mut harness, 5, lock("lock-third"));
     let next = Outcome::Locked { fence: 3, ttl_ms: LONG_MS };
     assert_eq!(fence, Response::Outcome(next), "no fence is given twice");
-    let read = answered(&mut harness, 6, call(Call::ReadKey { name: name("key-old") }));
+    let read = request(&mut harness, 6, call(Call::ReadKey { name: name("key-old") }));
     assert!(
         matches!(&read, Response::Outcome(Outcome::Key(Key { value, .. })) if value == b"on\x00")
     );
 }
 
-/// A snapshot's content is an array of the state and the offset of the last news.
+/// A snapshot's content is an array of the state and the offset of the last update.
 #[test]
-fn the_snapshot_reads_and_writes_byte_for_byte() {
+fn the_snapshot_is_read_and_written_byte_for_byte() {
     let (_, recovered) = recovered_from_copy("golden-snapshot");
     let committed = &recovered.snapshot.expect("a snapshot").state;
     let content: (State, u64) = rmp_serde::from_slice(committed).expect("it is read");
-    assert!(content.1 > 0, "the offset of the last news");
+    assert!(content.1 > 0, "the offset of the last update");
     assert_eq!(&rmp_serde::to_vec(&content).expect("it is written"), committed);
 }
