--- a/crates/controller/src/control_node/leader_probe.rs
+++ b/crates/controller/src/control_node/leader_probe.rs
@@ -14,7 +14,7 @@
         round: u64,
     ) {
         let from = Member { id: former, address: self.own.address };
-        let message = consensus::Message::LeaderProbeResponse { term: 0, round, not_leading: true };
+        let message = consensus::Message::LeaderProbeResponse { term: 0, round, free: true };
         self.send(prober.address, Message::Consensus { from, to: prober.id, message });
     }
 }
--- a/crates/controller/src/control_node/leadership_transfer.rs
+++ b/crates/controller/src/control_node/leadership_transfer.rs
@@ -23,7 +23,7 @@
     fn transfer_reason(&self) -> Option<TransferReason> {
         if self.is_stopping {
             Some(TransferReason::Stopping)
-        } else if self.consensus.should_transfer_leadership() {
+        } else if self.consensus.should_yield() {
             Some(TransferReason::DiskStalled)
         } else {
             None
@@ -70,6 +70,6 @@
     pub fn has_departed(&self) -> bool {
         let leader = self.consensus.leader();
         let has_successor = leader.is_some_and(|leader| leader.id != self.own.id);
-        self.leader.is_none() && has_successor && self.consensus.has_departed()
+        self.leader.is_none() && has_successor && self.consensus.has_left()
     }
 }
--- a/crates/controller/src/control_node/members.rs
+++ b/crates/controller/src/control_node/members.rs
@@ -38,11 +38,10 @@
     pub(super) fn on_members(&mut self, now_ms: u64, origin: Origin) {
         let voters = self.consensus.members();
         let mut members = vec![MemberRow::of(&self.own, "controller", 0, 0)];
-        for follower in self.consensus.followers(now_ms) {
-            let is_voter = voters.iter().any(|voter| voter.id == follower.member.id);
+        for (member, silent_ms, lag) in self.consensus.followers(now_ms) {
+            let is_voter = voters.iter().any(|voter| voter.id == member.id);
             let role = if is_voter { "voter" } else { "learner" };
-            let (silent_ms, lag_entries) = (follower.silent_ms, follower.lag_entries);
-            members.push(MemberRow::of(&follower.member, role, silent_ms, lag_entries));
+            members.push(MemberRow::of(&member, role, silent_ms, lag));
         }
         self.respond(origin, json(200, &MembersReport { members }));
     }
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -200,10 +200,7 @@
         self.sent.clear();
         self.renew_lease(5);
         self.sent.iter().any(|message| {
-            matches!(
-                message,
-                Message::LeaseResponse { response: LeaseResponse::Granted { .. }, .. }
-            )
+            matches!(message, Message::LeaseResponse { fresh: LeaseResponse::Granted { .. }, .. })
         })
     }
 
