--- a/crates/startup/src/bounds/tests.rs
+++ b/crates/startup/src/bounds/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn what_a_deployment_leaves_open_is_the_products_own() {
+fn bounds_that_a_deployment_does_not_set_are_the_constants() {
     let own = Bounds::default();
     assert_eq!(own.node_lease_ms(), NODE_LEASE_MS);
     assert_eq!(own.stop_ms(), (STOP_UNREADY_MS, STOP_UNREADY_MS + STOP_WAIT_MS));
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_dead_voters_seat_is_taken_well_within_the_time_to_catch_up() {
+fn a_dead_voter_is_replaced_within_half_of_the_time_to_catch_up() {
     assert_eq!(Bounds::default().voter_dead_ms(), VOTER_DEAD_MS);
     for (catch_up_ms, dead_ms) in [(2_000, 1_500), (4_000, 2_000), (6_000, 3_000), (60_000, 4_000)]
     {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn holds_and_stops_stay_within_what_a_deployment_allows() {
+fn derived_bounds_stay_within_the_deployments_bounds() {
     for (drain_ms, in_force_ms, grace_ms) in [(2_500, 2_000, 6_000), (2_000, 2_000, 3_000)] {
         let bounds = Bounds { drain_ms, in_force_ms, grace_ms, ..Bounds::default() };
         assert!(
@@ -35,9 +35,9 @@
     }
     let bounds =
         Bounds { retry_percent: 20, retry_window_ms: 10_000, retry_slack: 68, ..Bounds::default() };
-    let (percent, per_s, saved) = bounds.retry_budget();
+    let (percent, per_s, burst) = bounds.retry_budget();
     assert_eq!(percent, 20);
-    assert!(per_s * 10 + saved <= 68, "{per_s} a second, {saved} saved");
+    assert!(per_s * 10 + burst <= 68, "{per_s} a second, {burst} burst");
     let quick = Bounds { list_gap_ms: Some(20), ..Bounds::default() };
     assert_eq!(quick.list_gap_ms(), 26, "the list's own rate, with a margin");
     let slow = Bounds { list_gap_ms: Some(500), ..Bounds::default() };
@@ -45,6 +45,6 @@
     let small =
         Bounds { memory_bytes: Some(64 << 20), disk_bytes: Some(64 << 20), ..Bounds::default() };
     assert_eq!((small.bodies_bytes(), small.log_bytes()), (16 << 20, 8 << 20));
-    let kept = 2 * (small.reserved_log_bytes() + small.reserved_slot_bytes());
-    assert_eq!(kept, 40 << 20, "two logs and two slots, and room beside them");
+    let reserved = 2 * (small.reserved_log_bytes() + small.reserved_slot_bytes());
+    assert_eq!(reserved, 40 << 20, "two logs and two slots, and space beside them");
 }
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -1,12 +1,17 @@
-//! A process's place: its settings file or flags, its logs, and its clean stop.
+//! The start and the end of a process: its settings from file and flags, its log, its signals, and
+//! its graceful shutdown.
+
+#![deny(missing_docs)]
 
 mod bounds;
+mod error;
 mod logs;
 mod run;
 mod settings;
 mod signals;
 
 pub use bounds::Bounds;
+pub use error::{LogError, SettingsError};
 pub use run::with_checked;
 pub use settings::{Flags, ProgramKind, Startup};
 pub use signals::stop_requested;
--- a/crates/startup/src/logs.rs
+++ b/crates/startup/src/logs.rs
@@ -1,21 +1,25 @@
+//! Sets up the process's log.
+
 use crate::Startup;
+use crate::error::LogError;
 use log4rs::append::Append;
 use log4rs::append::console::{ConsoleAppender, Target};
 use log4rs::append::file::FileAppender;
 use log4rs::config::{Appender, Config, Root};
 use log4rs::encode::pattern::PatternEncoder;
 
-/// One line a sentence: time, level, and the part's prefix at the front of the text.
+/// One line an event: UTC time, level, and the text, which begins with its module's prefix.
 const PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3f)(utc)} {l} {m}{n}";
 
-pub fn start_logs(startup: &Startup) -> Result<(), String> {
+/// Starts logging to the file of the settings, or to standard error.
+pub fn start_logs(startup: &Startup) -> Result<(), LogError> {
     let encoder = Box::new(PatternEncoder::new(PATTERN));
     let appender: Box<dyn Append> = match &startup.log {
         Some(file) => Box::new(
             FileAppender::builder()
                 .encoder(encoder)
                 .build(file)
-                .map_err(|error| format!("{}: {error}", file.display()))?,
+                .map_err(|source| LogError::File { file: file.clone(), source })?,
         ),
         None => {
             Box::new(ConsoleAppender::builder().target(Target::Stderr).encoder(encoder).build())
@@ -23,7 +27,7 @@
     };
     let config = Config::builder()
         .appender(Appender::builder().build("log", appender))
-        .build(Root::builder().appender("log").build(startup.level))
-        .map_err(|error| error.to_string())?;
-    log4rs::init_config(config).map(|_| ()).map_err(|error| error.to_string())
+        .build(Root::builder().appender("log").build(startup.level))?;
+    log4rs::init_config(config)?;
+    Ok(())
 }
--- a/crates/startup/src/run.rs
+++ b/crates/startup/src/run.rs
@@ -1,40 +1,55 @@
+//! Runs a process from its settings to its graceful shutdown.
+
+use crate::error::SettingsError;
 use crate::{
     Flags, ProgramKind, Startup, reload_requested, start_logs, stop_requested, watch_signals,
 };
 use postbarrow_constants::traffic::SIGNAL_CHECK_MS;
+use std::fmt::Display;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::time::Duration;
 
+/// The status of a process whose settings are unsound or whose log can't be set up.
+const SETTINGS_STATUS: u8 = 2;
+
 impl Startup {
-    /// The settings file, if one is named, under the flags; findings come as one report to print.
-    pub fn load(part: ProgramKind, file: Option<&str>, flags: &Flags) -> Result<Startup, String> {
+    /// Reads the settings file, if one is named, and lets the flags override it.
+    ///
+    /// # Errors
+    /// The file can't be read, or it and the flags have findings.
+    pub fn load(
+        program: ProgramKind,
+        file: Option<&str>,
+        flags: &Flags,
+    ) -> Result<Startup, SettingsError> {
         let text = match file {
-            Some(file) => {
-                std::fs::read_to_string(file).map_err(|error| format!("{file}: {error}"))?
-            }
+            Some(file) => std::fs::read_to_string(file)
+                .map_err(|source| SettingsError::Unreadable { file: file.into(), source })?,
             None => "{}".into(),
         };
-        Startup::read(part, &text, flags)
-            .map_err(|findings| format!("{:?}", findings.report(file.unwrap_or("flags"), &text)))
+        Startup::read(program, &text, flags).map_err(|findings| {
+            let report = findings.report(file.unwrap_or("flags"), &text);
+            SettingsError::Unsound { report: format!("{report:?}") }
+        })
     }
 
-    /// Runs a process from its logs to its clean stop. On SIGHUP the settings are read again, of
-    /// which a running process takes the seeds; unsound ones change nothing.
-    pub fn serve<P>(
+    /// Runs a process until a signal stops it. On SIGHUP the settings are loaded again and the seeds
+    /// among them are passed to the process; unsound settings change nothing.
+    pub fn serve<P, E: Display>(
         &self,
         start: impl FnOnce(&Startup) -> std::io::Result<P>,
-        again: impl Fn() -> Result<Startup, String>,
-        seeds: impl Fn(&P, Vec<SocketAddr>),
+        reload: impl Fn() -> Result<Startup, E>,
+        set_seeds: impl Fn(&P, Vec<SocketAddr>),
         stop: impl FnOnce(&P),
     ) -> ExitCode {
         if let Err(error) = start_logs(self) {
             eprintln!("logs: {error}");
-            return ExitCode::from(2);
+            return ExitCode::from(SETTINGS_STATUS);
         }
         watch_signals();
-        let running = match start(self) {
-            Ok(running) => running,
+        let process = match start(self) {
+            Ok(process) => process,
             Err(error) => {
                 log::error!("startup: does not start: {error}");
                 return ExitCode::FAILURE;
@@ -43,29 +58,30 @@
         while !stop_requested() {
             std::thread::sleep(Duration::from_millis(SIGNAL_CHECK_MS));
             if reload_requested() {
-                match again() {
-                    Ok(startup) => seeds(&running, startup.seeds),
-                    Err(findings) => {
-                        log::warn!("startup: the settings stay as they were: {findings}")
+                match reload() {
+                    Ok(startup) => set_seeds(&process, startup.seeds),
+                    Err(error) => {
+                        log::warn!("startup: the settings stay as they were: {error}")
                     }
                 }
             }
         }
-        stop(&running);
+        stop(&process);
         ExitCode::SUCCESS
     }
 }
 
-/// `check`: the findings, or a word that there are none.
-pub fn with_checked(
-    loaded: Result<Startup, String>,
+/// Continues with sound settings; prints the error of others to standard error and ends with
+/// status 2.
+pub fn with_checked<E: Display>(
+    loaded: Result<Startup, E>,
     then: impl FnOnce(&Startup) -> ExitCode,
 ) -> ExitCode {
     match loaded {
         Ok(startup) => then(&startup),
-        Err(report) => {
-            eprintln!("{report}");
-            ExitCode::from(2)
+        Err(error) => {
+            eprintln!("{error}");
+            ExitCode::from(SETTINGS_STATUS)
         }
     }
 }
--- a/crates/startup/src/settings.rs
+++ b/crates/startup/src/settings.rs
@@ -1,58 +1,84 @@
+//! The settings of a process, from a file (JSON) and from flags, which override it.
+
 use crate::Bounds;
 use postbarrow_reading::{Fields, Finding, Findings, Reading, Value, text};
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 
+/// Which program the settings are for; the two need different ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProgramKind {
+    /// Serves clients; has no disk.
     DataPlane,
+    /// Replicates the log; needs a data folder and the endpoint list.
     ControlPlane,
 }
 
-/// Where a process stands: its addresses, its zone, three seeds, and what only its part needs.
+/// The checked settings of a process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Startup {
+    /// The process's name in logs and in the status.
     pub name: String,
+    /// The zone of its machine.
     pub zone: String,
-    /// Where other postbarrow processes reach this one.
+    /// The address at which other postbarrow processes reach it.
     pub address: SocketAddr,
     /// Where it listens for them, if its address leads to it by way of something else.
     pub bind: Option<SocketAddr>,
-    /// Where callers, or operators, reach this one.
+    /// Where clients, or operators, reach it.
     pub http: SocketAddr,
-    /// Where a data node is asked whether it is ready, if not at `http`.
+    /// Where a data node answers readiness checks, if not at `http`.
     pub readiness: Option<SocketAddr>,
+    /// Addresses of other processes, of which one suffices to find all.
     pub seeds: Vec<SocketAddr>,
+    /// The data folder; only a control node has one.
     pub data: Option<PathBuf>,
-    /// No log is known to exist yet, so empty disks may begin one.
+    /// No log is known to exist yet, so empty disks may bootstrap one.
     pub may_bootstrap: bool,
     /// The data folder does not last, so this control node is never a member.
     pub observer: bool,
-    /// Control nodes that begin the log together; none: any three with empty disks.
+    /// The control nodes that bootstrap the log together; none: any three with empty disks.
     pub bootstrap_members: Option<Vec<SocketAddr>>,
+    /// The platform's endpoint list; only a control node reads it.
     pub endpoint_list_url: Option<String>,
+    /// The log file; none: standard error.
     pub log: Option<PathBuf>,
+    /// The least severe level that is logged.
     pub level: log::LevelFilter,
+    /// The deployment's bounds.
     pub bounds: Bounds,
 }
 
-/// The same on the command line; a flag beats the file.
+/// Settings as text, from the file or from the command line.
 #[derive(Clone, Debug, Default)]
 pub struct Flags {
+    /// `name`
     pub name: Option<String>,
+    /// `zone`
     pub zone: Option<String>,
+    /// `address`, an IP address and port
     pub address: Option<String>,
+    /// `bind`, an IP address and port
     pub bind: Option<String>,
+    /// `http`, an IP address and port
     pub http: Option<String>,
+    /// `seeds`, IP addresses and ports
     pub seeds: Vec<String>,
+    /// `data`, a folder
     pub data: Option<String>,
+    /// `list`, a URL
     pub endpoint_list_url: Option<String>,
+    /// `log`, a file
     pub log: Option<String>,
+    /// `level`
     pub level: Option<String>,
 }
 
 impl Startup {
-    /// Binds for links, and tells the address that others are given.
+    /// Binds the listener of links; returns it with the address that other processes know.
+    ///
+    /// # Errors
+    /// The address can't be bound.
     pub fn listen(&self) -> std::io::Result<(TcpListener, SocketAddr)> {
         let listener = TcpListener::bind(self.bind.unwrap_or(self.address))?;
         let own = match self.bind {
@@ -62,14 +88,16 @@
         Ok((listener, own))
     }
 
-    /// Reads the file, lets flags overrule it, and reports every finding of both together.
-    pub fn read(part: ProgramKind, file: &str, flags: &Flags) -> Result<Startup, Findings> {
+    /// Reads the settings file's text and lets the flags override it.
+    ///
+    /// # Errors
+    /// All findings of both together.
+    pub fn read(program: ProgramKind, file: &str, flags: &Flags) -> Result<Startup, Findings> {
         let (value, mut reading) = Reading::parse(file)?;
         let from_file = read_fields(&value, &mut reading);
-        let given = merge(from_file, flags);
-        let made = check(part, given, &mut reading);
-        match made {
-            Some(made) => reading.finish(made),
+        let merged = merge(from_file, flags);
+        match check(program, merged, &mut reading) {
+            Some(startup) => reading.finish(startup),
             None => Err(reading.finish(()).err().unwrap_or_else(|| Findings {
                 findings: vec![Finding {
                     field_path: "$".into(),
@@ -83,27 +111,27 @@
 }
 
 fn read_fields(value: &Value, reading: &mut Reading) -> Flags {
-    let mut given = Flags::default();
-    let Some(mut fields) = Fields::of(value, "$", reading) else { return given };
+    let mut flags = Flags::default();
+    let Some(mut fields) = Fields::of(value, "$", reading) else { return flags };
     let mut take = |field| fields.text_or_none(field, reading).map(str::to_string);
-    given.name = take("name");
-    given.zone = take("zone");
-    given.address = take("address");
-    given.bind = take("bind");
-    given.http = take("http");
-    given.data = take("data");
-    given.endpoint_list_url = take("list");
-    given.log = take("log");
-    given.level = take("level");
+    flags.name = take("name");
+    flags.zone = take("zone");
+    flags.address = take("address");
+    flags.bind = take("bind");
+    flags.http = take("http");
+    flags.data = take("data");
+    flags.endpoint_list_url = take("list");
+    flags.log = take("log");
+    flags.level = take("level");
     if fields.get("seeds").is_some() {
-        for (place, value) in fields.array("seeds", reading) {
-            if let Some(seed) = text(value, &place, reading) {
-                given.seeds.push(seed.to_string());
+        for (field_path, value) in fields.array("seeds", reading) {
+            if let Some(seed) = text(value, &field_path, reading) {
+                flags.seeds.push(seed.to_string());
             }
         }
     }
     fields.finish(reading);
-    given
+    flags
 }
 
 fn merge(file: Flags, flags: &Flags) -> Flags {
@@ -122,49 +150,93 @@
     }
 }
 
-fn check(part: ProgramKind, given: Flags, reading: &mut Reading) -> Option<Startup> {
-    let mut address = |field: &str, text: Option<&String>| match text.map(|text| text.parse()) {
-        Some(Ok(address)) => Some(address),
-        Some(Err(_)) => {
-            reading.find(&format!("$.{field}"), "must be an IP address and port".into());
-            None
-        }
-        None => {
-            reading.find(&format!("$.{field}"), "is missing".into());
-            None
-        }
-    };
-    let own: Option<SocketAddr> = address("address", given.address.as_ref());
-    let http: Option<SocketAddr> = address("http", given.http.as_ref());
-    let bind = given.bind.as_ref().and_then(|bind| address("bind", Some(bind)));
+/// Checks every field, in an order that the report of the findings shows.
+fn check(program: ProgramKind, flags: Flags, reading: &mut Reading) -> Option<Startup> {
+    let own = required_address("address", flags.address.as_ref(), reading);
+    let http = required_address("http", flags.http.as_ref(), reading);
+    let bind = flags.bind.as_ref().and_then(|bind| parse_address("bind", bind, reading));
+    let seeds = check_seeds(&flags.seeds, reading);
+    if own.is_some() && own == http {
+        reading.find("$.http", "is the same as $.address".into());
+    }
+    check_names(&flags, reading);
+    check_data(program, flags.data.as_ref(), reading);
+    check_endpoint_list(program, flags.endpoint_list_url.as_deref(), reading);
+    let level = check_level(flags.level.as_deref(), reading);
+    Some(Startup {
+        name: flags.name?,
+        zone: flags.zone?,
+        address: own?,
+        bind,
+        http: http?,
+        readiness: None,
+        seeds,
+        data: flags.data.map(PathBuf::from),
+        may_bootstrap: true,
+        observer: false,
+        bootstrap_members: None,
+        endpoint_list_url: flags.endpoint_list_url,
+        log: flags.log.map(PathBuf::from),
+        level,
+        bounds: Bounds::default(),
+    })
+}
+
+fn parse_address(field: &str, text: &str, reading: &mut Reading) -> Option<SocketAddr> {
+    let address = text.parse().ok();
+    if address.is_none() {
+        reading.find(&format!("$.{field}"), "must be an IP address and port".into());
+    }
+    address
+}
+
+fn required_address(
+    field: &str,
+    text: Option<&String>,
+    reading: &mut Reading,
+) -> Option<SocketAddr> {
+    if text.is_none() {
+        reading.find(&format!("$.{field}"), "is missing".into());
+    }
+    parse_address(field, text?, reading)
+}
+
+fn check_seeds(texts: &[String], reading: &mut Reading) -> Vec<SocketAddr> {
     let mut seeds = Vec::new();
-    for (at, seed) in given.seeds.iter().enumerate() {
-        seeds.extend(address(&format!("seeds[{at}]"), Some(seed)));
+    for (at, seed) in texts.iter().enumerate() {
+        seeds.extend(parse_address(&format!("seeds[{at}]"), seed, reading));
     }
-    if given.seeds.is_empty() {
+    if texts.is_empty() {
         reading
             .find("$.seeds", "must name at least one other process, and should name three".into());
     }
-    if own.is_some() && own == http {
-        reading.find("$.http", "is the same as $.address".into());
-    }
-    for (field, text) in [("name", &given.name), ("zone", &given.zone)] {
+    seeds
+}
+
+fn check_names(flags: &Flags, reading: &mut Reading) {
+    for (field, text) in [("name", &flags.name), ("zone", &flags.zone)] {
         match text {
             Some(text) if (1..=64).contains(&text.len()) => {}
             Some(_) => reading.find(&format!("$.{field}"), "must have 1 to 64 bytes".into()),
             None => reading.find(&format!("$.{field}"), "is missing".into()),
         }
     }
-    match (part, &given.data) {
+}
+
+fn check_data(program: ProgramKind, data: Option<&String>, reading: &mut Reading) {
+    match (program, data) {
         (ProgramKind::ControlPlane, None) => reading.find("$.data", "is missing".into()),
         (ProgramKind::DataPlane, Some(_)) => {
             reading.find("$.data", "is for the control plane: data nodes have no disk".into())
         }
         _ => {}
     }
-    match (part, &given.endpoint_list_url) {
+}
+
+fn check_endpoint_list(program: ProgramKind, url: Option<&str>, reading: &mut Reading) {
+    match (program, url) {
         (ProgramKind::ControlPlane, None) => reading.find("$.list", "is missing".into()),
-        (ProgramKind::ControlPlane, Some(list)) if !list.starts_with("http://") => {
+        (ProgramKind::ControlPlane, Some(url)) if !url.starts_with("http://") => {
             reading.find("$.list", "must begin with http://".into())
         }
         (ProgramKind::DataPlane, Some(_)) => {
@@ -172,29 +244,12 @@
         }
         _ => {}
     }
-    let level = match given.level.as_deref().unwrap_or("info").parse() {
-        Ok(level) => level,
-        Err(_) => {
-            reading.find("$.level", "must be off, error, warn, info, debug or trace".into());
-            log::LevelFilter::Info
-        }
-    };
-    Some(Startup {
-        name: given.name?,
-        zone: given.zone?,
-        address: own?,
-        bind,
-        http: http?,
-        readiness: None,
-        seeds,
-        data: given.data.map(PathBuf::from),
-        may_bootstrap: true,
-        observer: false,
-        bootstrap_members: None,
-        endpoint_list_url: given.endpoint_list_url,
-        log: given.log.map(PathBuf::from),
-        level,
-        bounds: Bounds::default(),
+}
+
+fn check_level(level: Option<&str>, reading: &mut Reading) -> log::LevelFilter {
+    level.unwrap_or("info").parse().unwrap_or_else(|_| {
+        reading.find("$.level", "must be off, error, warn, info, debug or trace".into());
+        log::LevelFilter::Info
     })
 }
 
--- a/crates/startup/src/settings/tests.rs
+++ b/crates/startup/src/settings/tests.rs
@@ -1,13 +1,13 @@
-//! Tests of `place`.
+//! Tests of `settings`.
 
 use super::*;
 
 #[test]
-fn every_finding_is_told_with_its_place() {
+fn every_finding_is_reported_with_its_field_and_line() {
     let file = "{\n \"name\": \"\",\n \"zone\": 7,\n \"address\": \"here\",\n \"seeds\": [\"127.0.0.1:1\", \"x\"],\n \"dtaa\": \"/d\"\n}";
     let findings = Startup::read(ProgramKind::ControlPlane, file, &Flags::default()).unwrap_err();
-    let told = findings.to_string();
-    for part in [
+    let report = findings.to_string();
+    for finding in [
         "$.zone (line 3): must be a string",
         "$.dtaa (line 6): is not a known field",
         "$.address (line 4): must be an IP address and port",
@@ -17,12 +17,12 @@
         "$.data (line 1): is missing",
         "$.list (line 1): is missing",
     ] {
-        assert!(told.contains(part), "{part:?} is not in:\n{told}");
+        assert!(report.contains(finding), "{finding:?} is not in:\n{report}");
     }
 }
 
 #[test]
-fn flags_alone_are_enough_and_beat_the_file() {
+fn flags_alone_suffice_and_override_the_file() {
     let flags = Flags {
         name: Some("d1".into()),
         zone: Some("a".into()),
--- a/crates/startup/src/signals.rs
+++ b/crates/startup/src/signals.rs
@@ -1,9 +1,11 @@
+//! Signals that stop the process or reload its settings.
+
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 
 static STOP: AtomicBool = AtomicBool::new(false);
 static RELOAD: AtomicBool = AtomicBool::new(false);
 
-extern "C" fn on_signal(_signal: libc::c_int) {
+extern "C" fn on_stop(_signal: libc::c_int) {
     STOP.store(true, SeqCst);
 }
 
@@ -11,25 +13,27 @@
     RELOAD.store(true, SeqCst);
 }
 
-/// SIGTERM and SIGINT ask for a clean stop, SIGHUP to read the settings again; SIGPIPE and SIGXFSZ are left to the writer's error.
+/// Installs the handlers. SIGTERM and SIGINT request a graceful shutdown, SIGHUP a reload of the
+/// settings. SIGPIPE and SIGXFSZ are ignored, so that the failed write reports an error instead.
 pub fn watch_signals() {
-    let handler = on_signal as *const () as libc::sighandler_t;
+    let stop = on_stop as *const () as libc::sighandler_t;
     let hangup = on_hangup as *const () as libc::sighandler_t;
+    // SAFETY: both handlers only store to an atomic, which is async-signal-safe.
     unsafe {
         libc::signal(libc::SIGHUP, hangup);
-        libc::signal(libc::SIGTERM, handler);
-        libc::signal(libc::SIGINT, handler);
+        libc::signal(libc::SIGTERM, stop);
+        libc::signal(libc::SIGINT, stop);
         libc::signal(libc::SIGPIPE, libc::SIG_IGN);
         libc::signal(libc::SIGXFSZ, libc::SIG_IGN);
     }
 }
 
-/// Whether a signal asked this process to stop.
+/// Whether a signal requested this process to stop.
 pub fn stop_requested() -> bool {
     STOP.load(SeqCst)
 }
 
-/// Whether the settings are to be read again; true once a signal.
+/// Whether a signal requested a reload; true once for all signals since the last call.
 pub fn reload_requested() -> bool {
     RELOAD.swap(false, SeqCst)
 }
--- a/crates/startup/tests/signals.rs
+++ b/crates/startup/tests/signals.rs
@@ -1,4 +1,6 @@
-use postbarrow_startup::{Flags, ProgramKind, Startup};
+//! Signals of a served process.
+
+use postbarrow_startup::{Flags, ProgramKind, SettingsError, Startup};
 use std::process::ExitCode;
 use std::sync::mpsc::channel;
 use std::time::Duration;
@@ -17,31 +19,31 @@
     Startup::read(ProgramKind::DataPlane, "{}", &flags).unwrap()
 }
 
-/// One test in this file, for signals are the whole process's.
+/// The only test in this file, since signals are delivered to the process as one.
 #[test]
-fn a_hangup_reads_the_settings_again_and_ends_nothing_and_a_term_ends_cleanly() {
-    let (begun, began) = channel();
-    let (told, seeds) = channel();
-    let (ended, ends) = channel();
+fn sighup_reloads_the_seeds_without_a_stop_and_sigterm_stops_cleanly() {
+    let (start_sender, started) = channel();
+    let (seed_sender, seeds) = channel();
+    let (stop_sender, stopped) = channel();
     let serving = std::thread::spawn(move || {
         startup("127.0.0.1:1").serve(
             move |_| {
-                begun.send(()).unwrap();
+                start_sender.send(()).unwrap();
                 Ok(())
             },
-            || Ok(startup("127.0.0.1:2")),
-            move |(), seeds| told.send(seeds).unwrap(),
-            move |()| ended.send(()).unwrap(),
+            || Ok::<_, SettingsError>(startup("127.0.0.1:2")),
+            move |(), seeds| seed_sender.send(seeds).unwrap(),
+            move |()| stop_sender.send(()).unwrap(),
         )
     });
-    began.recv().unwrap();
+    started.recv().unwrap();
     for _ in 0..2 {
         unsafe { libc::raise(libc::SIGHUP) };
-        let seeds = seeds.recv_timeout(Duration::from_secs(60)).expect("read again, not ended");
+        let seeds = seeds.recv_timeout(Duration::from_secs(60)).expect("reloaded, not stopped");
         assert_eq!(seeds, ["127.0.0.1:2".parse().unwrap()]);
     }
-    assert!(ends.try_recv().is_err(), "nothing ended by it");
+    assert!(stopped.try_recv().is_err(), "SIGHUP stops nothing");
     unsafe { libc::raise(libc::SIGTERM) };
-    ends.recv_timeout(Duration::from_secs(60)).expect("a term ends it");
+    stopped.recv_timeout(Duration::from_secs(60)).expect("SIGTERM stops it");
     assert_eq!(format!("{:?}", serving.join().unwrap()), format!("{:?}", ExitCode::SUCCESS));
 }
--- /dev/null
+++ b/programs/control-plane/src/client_listener.rs
@@ -0,0 +1,130 @@
+//! Accepts the connections of operators and applications, each on a small thread of its own.
+
+use crate::RequestSender;
+use crate::client_handler::{ClientHandler, ClientRequest};
+use log::warn;
+use postbarrow_constants::plans::PLAN_TEXT_BYTES;
+use postbarrow_constants::traffic::{BODY_WAIT_MS, CLIENT_CONNECTIONS, STACK_BYTES};
+use postbarrow_downstream::body::{self, Body};
+use postbarrow_downstream::connection::{Connection, NextRequest, ReadLimits};
+use postbarrow_downstream::head::{Head, Reject};
+use postbarrow_downstream::memory_budget::MemoryBudget;
+use postbarrow_transport::clock_ms;
+use std::io;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
+use std::thread;
+use std::time::Duration;
+
+/// Plans of the largest size whose bodies fit in memory at once.
+const CONCURRENT_PLANS: u64 = 2;
+/// Pause after a failed accept, so that a lack of file descriptors doesn't spin.
+const ACCEPT_RETRY_MS: u64 = 10;
+
+/// Binds the listener and serves clients on it; returns the bound address.
+///
+/// # Errors
+/// The address can't be bound, or the system refuses a thread.
+pub fn listen_for_clients(
+    address: SocketAddr,
+    requests: RequestSender,
+    handler: Arc<dyn ClientHandler>,
+) -> io::Result<SocketAddr> {
+    let listener = TcpListener::bind(address)?;
+    let address = listener.local_addr()?;
+    let clients = ClientListener {
+        requests,
+        handler,
+        bodies: MemoryBudget::new(CONCURRENT_PLANS * PLAN_TEXT_BYTES as u64),
+        connections: Arc::default(),
+    };
+    thread::Builder::new().name("clients".into()).spawn(move || clients.accept(&listener))?;
+    Ok(address)
+}
+
+#[derive(Clone)]
+struct ClientListener {
+    requests: RequestSender,
+    handler: Arc<dyn ClientHandler>,
+    bodies: Arc<MemoryBudget>,
+    /// How many connections have a thread now.
+    connections: Arc<AtomicUsize>,
+}
+
+impl ClientListener {
+    fn accept(self, listener: &TcpListener) {
+        for stream in listener.incoming() {
+            let stream = match stream {
+                Ok(stream) => stream,
+                Err(error) => {
+                    warn!("client listener: accept failed: {error}");
+                    thread::sleep(Duration::from_millis(ACCEPT_RETRY_MS));
+                    continue;
+                }
+            };
+            if self.connections.load(Relaxed) >= CLIENT_CONNECTIONS {
+                continue;
+            }
+            self.connections.fetch_add(1, Relaxed);
+            let clients = self.clone();
+            let spawned = thread::Builder::new()
+                .name("client".into())
+                .stack_size(4 * STACK_BYTES)
+                .spawn(move || {
+                    clients.serve(stream);
+                    clients.connections.fetch_sub(1, Relaxed);
+                });
+            if spawned.is_err() {
+                self.connections.fetch_sub(1, Relaxed);
+            }
+        }
+    }
+
+    /// Serves one connection until either side closes it.
+    fn serve(&self, stream: TcpStream) {
+        let Ok(mut connection) = Connection::new(stream) else { return };
+        loop {
+            let is_stopping = || self.requests.is_stopping();
+            let head = match connection.next_request(ReadLimits::default(), is_stopping) {
+                NextRequest::Head(head) => head,
+                NextRequest::Closed => return,
+                NextRequest::Reject(reject) => return self.reject(&mut connection, reject),
+            };
+            let _pending = self.requests.start_request();
+            let body = match self.read_body(&mut connection, &head) {
+                Ok(body) => body,
+                Err(reject) => return self.reject(&mut connection, reject),
+            };
+            let response = self.handler.answer(&ClientRequest {
+                head: &head,
+                body: &body.bytes,
+                requests: &self.requests,
+                client: &connection.watch(),
+            });
+            let close = head.close || self.requests.is_stopping();
+            if connection.write(&response, &head.method, close).is_err() || close {
+                return;
+            }
+        }
+    }
+
+    fn read_body(&self, connection: &mut Connection, head: &Head) -> Result<Body, Reject> {
+        if head.expects_continue && connection.send_continue().is_err() {
+            return Err(body::CLIENT_DEPARTED);
+        }
+        let deadline_ms = clock_ms() + BODY_WAIT_MS;
+        body::read(connection, head.length, PLAN_TEXT_BYTES as u64, &self.bodies, deadline_ms)
+    }
+
+    fn reject(&self, connection: &mut Connection, reject: Reject) {
+        if reject != body::CLIENT_DEPARTED {
+            let response = self.handler.reject(reject.status, reject.reason);
+            let _ = connection.write(&response, "GET", true);
+            connection.linger();
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/programs/control-plane/src/listener/tests.rs
+++ b/programs/control-plane/src/client_listener/tests.rs
@@ -1,30 +1,30 @@
-//! Tests of `door`: callers that leave, with a controller that the test plays.
+//! Tests of `client_listener`: departing clients, with a controller that the test plays.
 
 use super::*;
-use crate::core::Command;
-use crate::operator::OperatorHandler;
+use crate::command::Command;
+use crate::operator_handler::OperatorHandler;
 use postbarrow_messages::{Request, Response};
 use std::io::{Read, Write};
 use std::net::Shutdown;
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::mpsc::{Receiver, channel};
 
-/// Far beyond everything here that ends by an event; reached only by a wait that hangs.
+/// Far longer than any event here takes; reached only if a wait hangs.
 const HANG: Duration = Duration::from_secs(4);
 const PLAN: &str = "{\"version\":\"v1\",\"base\":null,\"services\":{},\"routes\":[]}";
 
 struct Rig {
     address: SocketAddr,
-    asker: RequestSender,
+    requests: RequestSender,
     commands: Receiver<Command>,
 }
 
-fn door() -> Rig {
+fn start_listener() -> Rig {
     let (sender, commands) = channel();
-    let asker = RequestSender::new(sender);
+    let requests = RequestSender::new(sender);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let address = listen_for_clients(any, asker.clone(), Arc::new(OperatorHandler)).unwrap();
-    Rig { address, asker, commands }
+    let address = listen_for_clients(any, requests.clone(), Arc::new(OperatorHandler)).unwrap();
+    Rig { address, requests, commands }
 }
 
 impl Rig {
@@ -35,25 +35,25 @@
     }
 
     fn next(&self) -> Command {
-        self.commands.recv_timeout(HANG).expect("the controller is asked")
+        self.commands.recv_timeout(HANG).expect("the controller gets a request")
     }
 
-    /// The key of a question that waits, and where its answer goes.
-    fn asked(&self) -> (u64, Request, std::sync::mpsc::SyncSender<Response>) {
+    /// The next request to the controller: its key, and where its response goes.
+    fn next_request(&self) -> (u64, Request, std::sync::mpsc::SyncSender<Response>) {
         match self.next() {
             Command::Request { key, request, reply, .. } => (key, request, reply),
             _ => panic!("another command"),
         }
     }
 
-    fn rests(&self) {
+    fn assert_no_pending_requests(&self) {
         for _ in 0..HANG.as_millis() {
-            if self.asker.pending_requests().load(SeqCst) == 0 {
+            if self.requests.pending_requests().load(SeqCst) == 0 {
                 return;
             }
             thread::sleep(Duration::from_millis(1));
         }
-        panic!("a request is at work for a caller that left");
+        panic!("a request of a departed client is pending");
     }
 }
 
@@ -63,70 +63,70 @@
 }
 
 #[test]
-fn a_caller_that_waits_gets_its_answer_and_may_ask_again() {
-    let rig = door();
+fn a_waiting_client_gets_its_response_and_may_reuse_the_connection() {
+    let rig = start_listener();
     let mut stream = rig.send("GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
     for _ in 0..2 {
-        let (_, _, reply) = rig.asked();
+        let (_, _, reply) = rig.next_request();
         reply.send(Response::Operator { status: 200, body: b"{}".to_vec() }).unwrap();
-        let mut told = Vec::new();
-        while !told.ends_with(b"{}") {
+        let mut response = Vec::new();
+        while !response.ends_with(b"{}") {
             let mut byte = [0];
             stream.read_exact(&mut byte).unwrap();
-            told.extend(byte);
+            response.extend(byte);
         }
-        assert!(told.starts_with(b"HTTP/1.1 200"), "{}", String::from_utf8_lossy(&told));
+        assert!(response.starts_with(b"HTTP/1.1 200"), "{}", String::from_utf8_lossy(&response));
         stream.write_all(b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
     }
 }
 
 #[test]
-fn a_question_whose_caller_left_is_withdrawn_and_its_place_free() {
-    let rig = door();
+fn a_request_of_a_departed_client_is_withdrawn_and_not_pending() {
+    let rig = start_listener();
     let stream = rig.send("GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
-    let (asked, _, _reply) = rig.asked();
+    let (sent, _, _reply) = rig.next_request();
     drop(stream);
-    let Command::Withdraw { key } = rig.next() else { panic!("the question stays") };
-    assert_eq!(key, asked);
-    rig.rests();
+    let Command::Withdraw { key } = rig.next() else { panic!("the request is not withdrawn") };
+    assert_eq!(key, sent);
+    rig.assert_no_pending_requests();
 }
 
 #[test]
-fn an_operator_that_leaves_during_the_rehearsal_hands_nothing_over() {
+fn a_plan_is_not_submitted_if_its_operator_departs_during_the_rehearsal() {
     for query in ["", "?dry-run", "?most-lost=0"] {
-        let rig = door();
+        let rig = start_listener();
         let stream = rig.send(&submission(query));
-        let (_, request, reply) = rig.asked();
+        let (_, request, reply) = rig.next_request();
         assert!(matches!(request, Request::RequestSamples), "{request:?}");
         stream.shutdown(Shutdown::Both).unwrap();
         drop(stream);
-        let none = Response::RequestSamples { samples: Vec::new(), seen: 0, seconds: 1 };
-        let _ = reply.send(none);
-        rig.rests();
-        let asked_more = rig
+        let no_samples = Response::RequestSamples { samples: Vec::new(), seen: 0, seconds: 1 };
+        let _ = reply.send(no_samples);
+        rig.assert_no_pending_requests();
+        let is_submitted = rig
             .commands
             .try_iter()
             .any(|command| matches!(command, Command::Request { request: Request::Submit(_), .. }));
-        assert!(!asked_more, "{query}: a plan was handed over for an operator that left");
+        assert!(!is_submitted, "{query}: the plan of a departed operator was submitted");
     }
 }
 
 #[test]
-fn a_caller_that_leaves_amid_its_body_is_forgotten() {
-    let rig = door();
+fn a_client_that_departs_before_its_body_ends_leaves_nothing_pending() {
+    let rig = start_listener();
     let stream = rig.send("POST /plans HTTP/1.1\r\nHost: x\r\nContent-Length: 900\r\n\r\n{");
     drop(stream);
-    rig.rests();
-    assert!(rig.commands.try_recv().is_err(), "nothing is asked for half a plan");
+    rig.assert_no_pending_requests();
+    assert!(rig.commands.try_recv().is_err(), "no request is sent for half a plan");
 }
 
 #[test]
-fn a_plan_too_large_is_refused_unread() {
-    let rig = door();
+fn a_plan_over_the_size_limit_is_rejected_unread() {
+    let rig = start_listener();
     let large = PLAN_TEXT_BYTES + 1;
     let mut stream =
         rig.send(&format!("POST /plans HTTP/1.1\r\nHost: x\r\nContent-Length: {large}\r\n\r\n"));
-    let mut told = String::new();
-    stream.read_to_string(&mut told).unwrap();
-    assert!(told.starts_with("HTTP/1.1 413"), "{told}");
+    let mut response = String::new();
+    stream.read_to_string(&mut response).unwrap();
+    assert!(response.starts_with("HTTP/1.1 413"), "{response}");
 }
--- a/programs/control-plane/src/core.rs
+++ b/programs/control-plane/src/control_loop.rs
@@ -1,10 +1,13 @@
-use crate::disk::DiskWriter;
-use crate::stopping::GracefulShutdown;
+//! The thread that owns a control node: it takes one command at a time and carries out its effects.
+
+use crate::command::{Command, PageRequest};
+use crate::disk_writer::DiskWriter;
+use crate::graceful_shutdown::GracefulShutdown;
 use log::{info, warn};
 use postbarrow_constants::consensus::TICK_MS;
-use postbarrow_controller::{Contact, ControlNode, Effect, Input, PageResult, PendingSnapshot};
+use postbarrow_controller::{Contact, ControlNode, Effect, Input, PendingSnapshot};
 use postbarrow_controller_client::{ControllerClient, Effect as ClientEffect};
-use postbarrow_messages::{Envelope, Message, Request, Response};
+use postbarrow_messages::{Envelope, Message, Response};
 use postbarrow_transport::{Links, clock_ms};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -14,78 +17,64 @@
 use std::thread;
 use std::time::Duration;
 
-pub enum Command {
-    Envelope(Envelope),
-    Synced(u64),
-    DiskFailed(String),
-    Page(PageResult),
-    Encoded {
-        index: u64,
-        state: Vec<u8>,
-    },
-    Request {
-        /// Drawn from the process's `QuestionKeys`.
-        key: u64,
-        request: Request,
-        wait_ms: u64,
-        reply: SyncSender<Response>,
-    },
-    /// Nobody waits for the answer of this request any more.
-    Withdraw {
-        key: u64,
-    },
-    Seeds(Vec<SocketAddr>),
-    /// Hand over, give up the seat, and tell when this process may end.
-    Stop(Sender<()>),
-}
+/// The status with which a process ends whose disk failed.
+const DISK_FAILED_STATUS: i32 = 3;
 
-pub struct Fetch {
-    pub number: u64,
-    pub cursor: Option<String>,
-}
-
-/// The one owner of the control node: works through its queue, carries out effects.
+/// The only owner of the control node.
 pub struct ControlLoop {
     node: ControlNode,
     own: SocketAddr,
     links: Links,
+    /// Messages of this process to itself, which take no link.
+    local: VecDeque<Envelope>,
     controller_client: ControllerClient,
-    /// Who waits for an answer, by the key of the request.
+    /// Where responses go, by the key of the request.
     replies: HashMap<u64, SyncSender<Response>>,
-    writes: DiskWriter,
-    fetches: Sender<Fetch>,
+    disk: DiskWriter,
+    pages: Sender<PageRequest>,
+    /// For the threads that encode snapshots.
     commands: Sender<Command>,
-    local: VecDeque<Envelope>,
-    /// Requests at this process's door that have no answer yet.
+    /// Requests of this process's clients that have no response yet.
     pending_requests: Arc<AtomicUsize>,
-    stopping: Option<(GracefulShutdown, Sender<()>)>,
+    /// Set once the process was requested to stop, with whom to notify when it may.
+    shutdown: Option<(GracefulShutdown, Sender<()>)>,
+}
+
+/// What a control loop works with, besides its node.
+pub struct Connections {
+    /// The address that other processes know.
+    pub own: SocketAddr,
+    /// The disk's queue.
+    pub disk: DiskWriter,
+    /// The queue of the endpoint list's fetchers.
+    pub pages: Sender<PageRequest>,
+    /// The loop's own queue, for threads that it starts.
+    pub commands: Sender<Command>,
+    /// Requests of this process's clients that have no response yet.
+    pub pending_requests: Arc<AtomicUsize>,
 }
 
 impl ControlLoop {
-    pub fn new(
-        node: ControlNode,
-        own: SocketAddr,
-        writes: DiskWriter,
-        fetches: Sender<Fetch>,
-        commands: Sender<Command>,
-        pending_requests: Arc<AtomicUsize>,
-    ) -> Self {
-        let links = Links::new(own);
+    /// A loop that was not run yet.
+    pub fn new(node: ControlNode, connections: Connections) -> Self {
+        let Connections { own, disk, pages, commands, pending_requests } = connections;
         ControlLoop {
             node,
             own,
-            links,
+            links: Links::new(own),
+            local: VecDeque::new(),
             controller_client: ControllerClient::default(),
             replies: HashMap::new(),
-            writes,
-            fetches,
+            disk,
+            pages,
             commands,
-            local: VecDeque::new(),
             pending_requests,
-            stopping: None,
+            shutdown: None,
         }
     }
 
+    /// Runs until the process may end or every sender of the queue is gone. The disk's queue is
+    /// written before the end is notified.
     pub fn run(mut self, queue: Receiver<Command>) {
         let mut tick_ms = 0;
         loop {
@@ -103,9 +92,9 @@
             while let Some(envelope) = self.local.pop_front() {
                 self.receive(envelope);
             }
-            if let Some(done) = self.ended(clock_ms()) {
-                drop(self.writes);
-                let _ = done.send(());
+            if let Some(ended) = self.take_ended(clock_ms()) {
+                drop(self.disk);
+                let _ = ended.send(());
                 return;
             }
         }
@@ -135,7 +124,7 @@
             Command::Synced(sequence) => self.handle(now_ms, Input::Synced(sequence)),
             Command::DiskFailed(error) => {
                 warn!("disk: {error}; this process ends, for it can't promise anything");
-                std::process::exit(3);
+                std::process::exit(DISK_FAILED_STATUS);
             }
             Command::Page(page) => self.handle(now_ms, Input::Page(page)),
             Command::Encoded { index, state } => {
@@ -151,21 +140,21 @@
                 self.controller_client.withdraw(key);
             }
             Command::Seeds(seeds) => self.handle(now_ms, Input::Seeds(seeds)),
-            Command::Stop(done) => {
-                self.stopping = Some((GracefulShutdown::new(now_ms), done));
+            Command::Stop(ended) => {
+                self.shutdown = Some((GracefulShutdown::new(now_ms), ended));
                 self.handle(now_ms, Input::Stop);
             }
         }
     }
 
-    /// Whom to tell that this process may end, once it may.
-    fn ended(&mut self, now_ms: u64) -> Option<Sender<()>> {
-        let (stopping, _) = self.stopping.as_mut()?;
-        let open_requests = self.pending_requests.load(SeqCst);
-        if !stopping.may_end(now_ms, open_requests, self.node.has_handed_over()) {
+    /// Whom to notify that this process may end, once it may.
+    fn take_ended(&mut self, now_ms: u64) -> Option<Sender<()>> {
+        let (shutdown, _) = self.shutdown.as_mut()?;
+        let pending_requests = self.pending_requests.load(SeqCst);
+        if !shutdown.may_end(now_ms, pending_requests, self.node.has_handed_over()) {
             return None;
         }
-        self.stopping.take().map(|(_, done)| done)
+        self.shutdown.take().map(|(_, ended)| ended)
     }
 
     fn receive(&mut self, envelope: Envelope) {
@@ -182,20 +171,21 @@
         for effect in self.node.handle(now_ms, input) {
             match effect {
                 Effect::Send { to, message } => self.send(to, message),
-                Effect::Write { sequence, write } => self.writes.write(sequence, write),
+                Effect::Write { sequence, write } => self.disk.write(sequence, write),
                 Effect::Fetch { number, cursor } => {
-                    let _ = self.fetches.send(Fetch { number, cursor });
+                    let _ = self.pages.send(PageRequest { number, cursor });
                 }
-                Effect::Encode(snap) => self.encode(snap),
+                Effect::Encode(snapshot) => self.encode(snapshot),
                 Effect::Log(text) => info!("control: {text}"),
             }
         }
     }
 
-    fn encode(&self, snap: PendingSnapshot) {
+    /// Encodes a snapshot on a thread of its own, since a large one would hold up heartbeats.
+    fn encode(&self, snapshot: PendingSnapshot) {
         let commands = self.commands.clone();
         let spawned = thread::Builder::new().name("snapshot".into()).spawn(move || {
-            let (index, state) = (snap.index, snap.encode());
+            let (index, state) = (snapshot.index, snapshot.encode());
             let _ = commands.send(Command::Encoded { index, state });
         });
         if let Err(error) = spawned {
--- a/programs/control-plane/src/data_folder.rs
+++ b/programs/control-plane/src/data_folder.rs
@@ -1,31 +1,35 @@
-//! Opening the data folder at the process's start; a full disk makes it wait, not end.
+//! Opens the data folder at the process's start; on a full disk the start waits for space.
 
-use crate::disk::lock;
 use log::{info, warn};
 use postbarrow_consensus::RecoveredState;
 use postbarrow_constants::consensus::DISK_FULL_PAUSE_MS;
 use postbarrow_startup::{Bounds, stop_requested};
 use postbarrow_storage::{FolderDisk, Opened, Reservation, Storage, is_full, open};
 use postbarrow_transport::random;
+use std::fs::File;
 use std::io;
+use std::os::fd::{AsRawFd, IntoRawFd};
 use std::path::Path;
 use std::thread;
 use std::time::Duration;
 
-/// What the folder kept, or a new member's storage. A folder that does not last is not locked: its
-/// process is never a member, and file systems in memory may have no locks.
+/// Recovers what the folder stores, or creates the storage of a new member. A folder that does not
+/// last is not locked: its process is never a member, and file systems in memory may have no locks.
+///
+/// # Errors
+/// Another process uses the folder, or the file system fails other than for lack of space.
 pub fn open_folder(
     folder: &Path,
-    lasts: bool,
+    is_lasting: bool,
 ) -> io::Result<(Storage<FolderDisk>, RecoveredState)> {
-    while_full(|| FolderDisk::new(folder.to_path_buf()))?;
-    if lasts {
-        while_full(|| lock(folder))?;
+    retry_while_full(|| FolderDisk::new(folder.to_path_buf()))?;
+    if is_lasting {
+        retry_while_full(|| lock(folder))?;
     }
-    while_full(|| open_disk(folder))
+    retry_while_full(|| open_disk(folder))
 }
 
-/// The space to keep on a disk of these bounds.
+/// The space to reserve on a disk of these bounds.
 pub fn reservation(bounds: &Bounds) -> Reservation {
     Reservation { log_bytes: bounds.reserved_log_bytes(), slot_bytes: bounds.reserved_slot_bytes() }
 }
@@ -44,18 +48,42 @@
     }
 }
 
-/// Each try begins anew, as a new process would, so a try that failed leaves nothing to trust.
-fn while_full<T>(mut step: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let mut said = false;
+/// Each attempt starts from the beginning, as a new process would, so a failed one leaves nothing
+/// that must be trusted.
+fn retry_while_full<T>(mut step: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let mut is_logged = false;
     loop {
         match step() {
             Err(error) if is_full(&error) && !stop_requested() => {
-                if !std::mem::replace(&mut said, true) {
+                if !std::mem::replace(&mut is_logged, true) {
                     warn!("disk: {error}; the start waits for space");
                 }
                 thread::sleep(Duration::from_millis(DISK_FULL_PAUSE_MS));
             }
-            done => return done,
+            result => return result,
         }
     }
 }
+
+/// Locks the folder for this process; the lock ends with the process. The lock's file has no
+/// content, so it doesn't matter whether its name survives a loss of power.
+///
+/// # Errors
+/// `AddrInUse` if another process has the lock, else the file system's error.
+fn lock(folder: &Path) -> io::Result<()> {
+    let file = File::create(folder.join("lock"))?;
+    if unsafe { libc::flock(file.as_raw_fd(), libc::LOCK_EX | libc::LOCK_NB) } != 0 {
+        let error = io::Error::last_os_error();
+        if error.kind() != io::ErrorKind::WouldBlock {
+            return Err(error);
+        }
+        let text = format!("{} is used by another process", folder.display());
+        return Err(io::Error::new(io::ErrorKind::AddrInUse, text));
+    }
+    // Closing the file would release the lock.
+    let _locked = file.into_raw_fd();
+    Ok(())
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/programs/control-plane/src/disk_writer.rs
@@ -0,0 +1,156 @@
+//! The thread that writes to the disk: it shares syncs, reserves space, and retries while the disk
+//! is full.
+
+use crate::command::Command;
+use log::{info, warn};
+use postbarrow_consensus::Write;
+use postbarrow_constants::consensus::DISK_FULL_PAUSE_MS;
+use postbarrow_storage::{Disk, Reservation, Storage, WriteError};
+use std::io;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
+use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
+use std::thread::{self, JoinHandle};
+use std::time::Duration;
+
+/// A write with its sequence number, which `Command::Synced` repeats.
+type Queued = (u64, Write);
+
+/// The disk's queue. Writes that wait while a sync runs share the next one. Dropping it waits until
+/// the queue is written, except on a full disk.
+pub struct DiskWriter {
+    queue: Option<Sender<Queued>>,
+    thread: Option<JoinHandle<()>>,
+    /// The process ends: a full disk is not retried any longer.
+    is_ending: Arc<AtomicBool>,
+}
+
+impl DiskWriter {
+    /// Starts the thread. A reservation that finds the disk full is retried between the writes.
+    ///
+    /// # Errors
+    /// The system refuses a thread.
+    pub fn start<D: Disk + Send + 'static>(
+        storage: Storage<D>,
+        reservation: Option<Reservation>,
+        commands: Sender<Command>,
+    ) -> io::Result<DiskWriter> {
+        let (queue, receiver) = channel();
+        let is_ending = Arc::new(AtomicBool::new(false));
+        let write_loop = WriteLoop {
+            storage,
+            reservation,
+            commands,
+            is_ending: is_ending.clone(),
+            syncs: 0,
+            writes: 0,
+            is_full: false,
+        };
+        let thread =
+            thread::Builder::new().name("disk".into()).spawn(move || write_loop.run(&receiver))?;
+        Ok(DiskWriter { queue: Some(queue), thread: Some(thread), is_ending })
+    }
+
+    /// Queues a write. `Command::Synced` follows once it is on disk, `Command::DiskFailed` if it
+    /// can't be written.
+    pub fn write(&self, sequence: u64, write: Write) {
+        if let Some(queue) = &self.queue {
+            let _ = queue.send((sequence, write));
+        }
+    }
+}
+
+impl Drop for DiskWriter {
+    fn drop(&mut self) {
+        self.queue = None;
+        self.is_ending.store(true, SeqCst);
+        if let Some(thread) = self.thread.take() {
+            let _ = thread.join();
+        }
+    }
+}
+
+struct WriteLoop<D> {
+    storage: Storage<D>,
+    /// Space that is still to be reserved.
+    reservation: Option<Reservation>,
+    commands: Sender<Command>,
+    is_ending: Arc<AtomicBool>,
+    syncs: u64,
+    writes: u64,
+    /// The disk was full at the last attempt, and that was logged.
+    is_full: bool,
+}
+
+impl<D: Disk> WriteLoop<D> {
+    fn run(mut self, queue: &Receiver<Queued>) {
+        loop {
+            self.reserve();
+            let next = match self.reservation {
+                Some(_) => queue.recv_timeout(Duration::from_millis(DISK_FULL_PAUSE_MS)),
+                None => queue.recv().map_err(RecvTimeoutError::from),
+            };
+            match next {
+                Ok(first) => {
+                    if !self.write_batch(first, queue) {
+                        break;
+                    }
+                }
+                Err(RecvTimeoutError::Timeout) => {}
+                Err(RecvTimeoutError::Disconnected) => break,
+            }
+        }
+        info!("disk: writer ended writes={} syncs={}", self.writes, self.syncs);
+    }
+
+    fn reserve(&mut self) {
+        let Some(reservation) = self.reservation else { return };
+        match self.storage.reserve(reservation) {
+            Ok(()) => self.reservation = None,
+            Err(WriteError::Full(error)) => self.log_full("space can't be reserved yet", &error),
+            Err(WriteError::Failed(error)) => {
+                warn!("disk: space can't be reserved here: {error}");
+                self.reservation = None;
+            }
+        }
+    }
+
+    /// Writes all that is queued with one sync; false if the thread must end.
+    fn write_batch(&mut self, first: Queued, queue: &Receiver<Queued>) -> bool {
+        let (mut sequence, write) = first;
+        let mut batch = vec![write];
+        while let Ok((later, write)) = queue.try_recv() {
+            sequence = later;
+            batch.push(write);
+        }
+        self.syncs += 1;
+        self.writes += batch.len() as u64;
+        let mut written = self.storage.apply(batch);
+        while let Err(WriteError::Full(error)) = &written {
+            if self.is_ending.load(SeqCst) {
+                return false;
+            }
+            self.log_full("this member has no vote until its writes are done", error);
+            thread::sleep(Duration::from_millis(DISK_FULL_PAUSE_MS));
+            written = self.storage.resume();
+        }
+        if let Err(error) = written {
+            let _ = self.commands.send(Command::DiskFailed(error));
+            return false;
+        }
+        if std::mem::take(&mut self.is_full) {
+            info!("disk: there is space again");
+        }
+        self.commands.send(Command::Synced(sequence)).is_ok()
+    }
+
+    /// Logs that the disk is full, once until it has space again.
+    fn log_full(&mut self, consequence: &str, error: &io::Error) {
+        if !std::mem::replace(&mut self.is_full, true) {
+            warn!("disk: {error}; {consequence}");
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/programs/control-plane/src/disk/tests.rs
+++ b/programs/control-plane/src/disk_writer/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the disk's worker.
+//! Tests of `disk_writer`.
 
 use super::*;
 use postbarrow_consensus::HardState;
@@ -7,8 +7,8 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::mpsc::channel;
 
-/// Long past anything a worker needs; reached only if it hangs.
-const HANGS: Duration = Duration::from_secs(20);
+/// Far longer than the writer needs; reached only if it hangs.
+const HANG: Duration = Duration::from_secs(20);
 const RESERVATION: Reservation = Reservation { log_bytes: 4_096, slot_bytes: 4_096 };
 
 #[derive(Default)]
@@ -38,15 +38,15 @@
     }
 
     fn wait_until_refused(&self, times: u64) {
-        let tries = HANGS.as_millis() as usize;
+        let attempts = HANG.as_millis() as usize;
         let refused = || self.0.refused.load(SeqCst) >= times;
-        let seen = (0..tries).any(|_| {
+        let observed = (0..attempts).any(|_| {
             refused() || {
                 thread::sleep(Duration::from_millis(1));
                 false
             }
         });
-        assert!(seen, "the worker does not try again");
+        assert!(observed, "the writer does not retry");
     }
 }
 
@@ -82,79 +82,68 @@
     }
 }
 
-fn worker(reservation: Option<Reservation>) -> (MemoryDisk, DiskWriter, Receiver<Command>) {
+fn start_writer(reservation: Option<Reservation>) -> (MemoryDisk, DiskWriter, Receiver<Command>) {
     let disk = MemoryDisk::default();
     let storage = Storage::create(disk.clone(), 9).unwrap();
     if reservation.is_some() {
         disk.fill(true);
     }
-    let (commands, told) = channel();
-    let writes = start(storage, reservation, commands).unwrap();
-    (disk, writes, told)
+    let (sender, commands) = channel();
+    let writer = DiskWriter::start(storage, reservation, sender).unwrap();
+    (disk, writer, commands)
 }
 
 fn vote(term: u64) -> Write {
     Write::HardState(HardState { term, voted_for: Some(9) })
 }
 
-fn assert_synced(told: &Receiver<Command>, sequence: u64) {
-    match told.recv_timeout(HANGS) {
+fn assert_synced(commands: &Receiver<Command>, sequence: u64) {
+    match commands.recv_timeout(HANG) {
         Ok(Command::Synced(synced)) => assert_eq!(synced, sequence),
         Ok(Command::DiskFailed(error)) => panic!("{error}"),
-        _ => panic!("the worker said something else or nothing"),
+        _ => panic!("the writer sent something else or nothing"),
     }
 }
 
 #[test]
-fn a_full_disk_keeps_the_worker_trying_until_there_is_space() {
-    let (disk, writes, told) = worker(None);
+fn a_full_disk_is_retried_until_it_has_space() {
+    let (disk, writer, commands) = start_writer(None);
     disk.fill(true);
-    writes.write(1, vote(1));
+    writer.write(1, vote(1));
     disk.wait_until_refused(3);
-    assert!(told.try_recv().is_err(), "something was acknowledged or the process was ended");
-    writes.write(2, vote(2));
+    assert!(commands.try_recv().is_err(), "something was acknowledged or the process was ended");
+    writer.write(2, vote(2));
     disk.fill(false);
-    assert_synced(&told, 1);
-    assert_synced(&told, 2);
+    assert_synced(&commands, 1);
+    assert_synced(&commands, 2);
 }
 
 #[test]
-fn space_is_reserved_once_there_is_some() {
-    let (disk, writes, told) = worker(Some(RESERVATION));
+fn space_is_reserved_once_the_disk_has_some() {
+    let (disk, writer, commands) = start_writer(Some(RESERVATION));
     disk.wait_until_refused(2);
     disk.fill(false);
-    writes.write(1, vote(1));
-    assert_synced(&told, 1);
-    drop(writes);
-    let whole = 2 * (RESERVATION.log_bytes + RESERVATION.slot_bytes);
-    assert_eq!(disk.0.reserved.load(SeqCst), whole);
+    writer.write(1, vote(1));
+    assert_synced(&commands, 1);
+    drop(writer);
+    let reserved_bytes = 2 * (RESERVATION.log_bytes + RESERVATION.slot_bytes);
+    assert_eq!(disk.0.reserved.load(SeqCst), reserved_bytes);
 }
 
 #[test]
-fn a_worker_ends_on_a_full_disk_when_its_process_does() {
-    let (disk, writes, told) = worker(None);
+fn the_writer_ends_on_a_full_disk_when_its_process_ends() {
+    let (disk, writer, commands) = start_writer(None);
     disk.fill(true);
-    writes.write(1, vote(1));
+    writer.write(1, vote(1));
     disk.wait_until_refused(1);
-    drop(writes);
-    assert!(told.recv().is_err(), "an end was told as a sync or a failure");
+    drop(writer);
+    assert!(commands.recv().is_err(), "an end was sent as a sync or a failure");
 }
 
 #[test]
-fn a_failed_sync_ends_the_process_even_if_it_says_full() {
-    let (disk, writes, told) = worker(None);
+fn a_failed_sync_is_a_disk_failure_even_if_its_error_says_full() {
+    let (disk, writer, commands) = start_writer(None);
     disk.0.fails.store(true, SeqCst);
-    writes.write(1, vote(1));
-    assert!(matches!(told.recv_timeout(HANGS), Ok(Command::DiskFailed(_))));
-}
-
-#[test]
-fn a_folder_serves_one_process_and_the_lock_says_so() {
-    let folder = std::env::temp_dir().join(format!("postbarrow-lock-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    lock(&folder).expect("nobody holds it");
-    let refused = lock(&folder).expect_err("this process holds it by another file");
-    std::fs::remove_dir_all(&folder).expect("it is empty but for the lock");
-    assert_eq!(refused.kind(), io::ErrorKind::AddrInUse);
-    assert!(lock(&folder).is_err_and(|error| error.kind() == io::ErrorKind::NotFound));
+    writer.write(1, vote(1));
+    assert!(matches!(commands.recv_timeout(HANG), Ok(Command::DiskFailed(_))));
 }
--- /dev/null
+++ b/programs/control-plane/src/operator_client.rs
@@ -0,0 +1,86 @@
+//! Sends the operator's commands to a control node over HTTP.
+
+use std::time::Duration;
+use ureq::Agent;
+
+/// Longer than a submission's own wait, `SUBMIT_WAIT_MS`.
+const TIMEOUT_MS: u64 = 8_000;
+/// The largest body that is read.
+const BODY_BYTES: u64 = 64 * 1024 * 1024;
+
+/// The response of a control node.
+pub struct CommandResponse {
+    /// The HTTP status.
+    pub status: u16,
+    /// JSON, or a plan's text.
+    pub body: String,
+    /// The product's own headers: those that begin with `postbarrow-`.
+    pub headers: Vec<(String, String)>,
+}
+
+/// No control node responded.
+#[derive(Debug, thiserror::Error)]
+#[error("{}", join(.failures))]
+pub struct CommandError {
+    /// One failure for each address, in their order.
+    pub failures: Vec<NodeFailure>,
+}
+
+/// Why one control node did not respond.
+#[derive(Debug, thiserror::Error)]
+#[error("{address}: {source}")]
+pub struct NodeFailure {
+    /// The address as the operator named it.
+    pub address: String,
+    /// What failed.
+    pub source: ureq::Error,
+}
+
+fn join(failures: &[NodeFailure]) -> String {
+    failures.iter().map(NodeFailure::to_string).collect::<Vec<_>>().join("; ")
+}
+
+/// Sends a command to the control nodes in their order until one responds: a submission if there is
+/// a plan, else a query.
+///
+/// # Errors
+/// No control node responded.
+pub fn send_command(
+    control: &[String],
+    path: &str,
+    plan: Option<Vec<u8>>,
+) -> Result<CommandResponse, CommandError> {
+    let config = Agent::config_builder()
+        .http_status_as_error(false)
+        .proxy(None)
+        .timeout_global(Some(Duration::from_millis(TIMEOUT_MS)))
+        .build();
+    let agent = Agent::new_with_config(config);
+    let mut failures = Vec::new();
+    for address in control {
+        let url = format!("http://{address}{path}");
+        let sent = match &plan {
+            Some(plan) => agent.post(&url).send(&plan[..]),
+            None => agent.get(&url).call(),
+        };
+        match sent.and_then(read) {
+            Ok(response) => return Ok(response),
+            Err(source) => failures.push(NodeFailure { address: address.clone(), source }),
+        }
+    }
+    Err(CommandError { failures })
+}
+
+fn read(mut response: ureq::http::Response<ureq::Body>) -> Result<CommandResponse, ureq::Error> {
+    let headers = response
+        .headers()
+        .iter()
+        .filter(|(name, _)| name.as_str().starts_with("postbarrow-"))
+        .map(|(name, value)| {
+            (name.to_string(), String::from_utf8_lossy(value.as_bytes()).into_owned())
+        })
+        .collect();
+    let status = response.status().as_u16();
+    let body = response.body_mut().with_config().limit(BODY_BYTES).read_to_string()?;
+    Ok(CommandResponse { status, body, headers })
+}
--- a/programs/control-plane/src/request_sender.rs
+++ b/programs/control-plane/src/request_sender.rs
@@ -1,6 +1,6 @@
-//! Questions of operators and applications to whoever is controller.
+//! Sends requests of operators and applications to the controller, wherever it runs.
 
-use crate::core::Command;
+use crate::command::Command;
 use postbarrow_constants::coordination::CONTROLLER_ANSWER_SLACK_MS;
 use postbarrow_downstream::client_watch::{ClientWatch, ReceiveError};
 use postbarrow_messages::{Request, Response};
@@ -9,16 +9,16 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::SeqCst};
 use std::sync::mpsc::{Sender, sync_channel};
 
-/// Asks whoever is controller, on behalf of operators and applications.
+/// Sends requests to the controller on behalf of clients. Clones share their counts and keys.
 #[derive(Clone)]
 pub struct RequestSender {
     commands: Sender<Command>,
     keys: Arc<RequestKeys>,
     pending: Arc<AtomicUsize>,
-    stopping: Arc<AtomicBool>,
+    is_stopping: Arc<AtomicBool>,
 }
 
-/// A question at work; this process does not end before it is dropped.
+/// Counts a request as pending until it is dropped; the process does not end before.
 pub struct PendingRequest(Arc<AtomicUsize>);
 
 impl Drop for PendingRequest {
@@ -30,12 +30,12 @@
 impl RequestSender {
     pub(crate) fn new(commands: Sender<Command>) -> RequestSender {
         let keys = Arc::new(RequestKeys::new(random()));
-        RequestSender { commands, keys, pending: Arc::default(), stopping: Arc::default() }
+        RequestSender { commands, keys, pending: Arc::default(), is_stopping: Arc::default() }
     }
 
-    /// The controller's response; `Unavailable` where nobody who could take the question was ever
-    /// sent it, `TimedOut` after so many milliseconds where somebody may have taken it. A question
-    /// whose caller leaves is withdrawn: what it did already stays done, and its end is unknown.
+    /// The controller's response. `Unavailable` if no process that could execute the request was
+    /// sent it, `TimedOut` after `wait_ms` if one may have executed it. The request of a client that
+    /// departs is withdrawn: what it did already stays done, and its outcome is unknown.
     pub fn request(&self, request: Request, wait_ms: u64, client: &ClientWatch) -> Response {
         let (reply, response) = sync_channel(1);
         let key = self.keys.next();
@@ -57,17 +57,17 @@
         PendingRequest(self.pending.clone())
     }
 
-    /// How many requests are at work here; it is shared, and goes on counting.
+    /// The count of pending requests, shared with its owner.
     pub(crate) fn pending_requests(&self) -> Arc<AtomicUsize> {
         self.pending.clone()
     }
 
     pub(crate) fn stop(&self) {
-        self.stopping.store(true, SeqCst);
+        self.is_stopping.store(true, SeqCst);
     }
 
-    /// This process is about to end.
+    /// Whether this process was requested to stop.
     pub fn is_stopping(&self) -> bool {
-        self.stopping.load(SeqCst)
+        self.is_stopping.load(SeqCst)
     }
 }
--- a/programs/control-plane/tests/stop.rs
+++ b/programs/control-plane/tests/stop.rs
@@ -8,10 +8,10 @@
 use std::thread;
 use std::time::Duration;
 
-/// Long past anything that the cluster needs; reached only if it hangs.
-const TRIES: usize = 2_000;
+/// Far more than the cluster needs; reached only if it hangs.
+const ATTEMPTS: usize = 2_000;
 const PAUSE: Duration = Duration::from_millis(10);
-/// Beyond this the server hands a request on before its body is whole.
+/// Blanks that follow the plan, so that most of a submission is sent after the stop began.
 const PADDING_BYTES: usize = 4_096;
 
 fn start(name: &str, folder: &Path, seeds: Vec<SocketAddr>) -> ControlPlane {
@@ -44,23 +44,23 @@
 }
 
 /// Status and body of one request, on a connection of its own.
-fn ask(address: SocketAddr, request: &[u8]) -> Option<(u16, String)> {
+fn send(address: SocketAddr, request: &[u8]) -> Option<(u16, String)> {
     let mut connection = TcpStream::connect(address).ok()?;
     connection.write_all(request).ok()?;
-    read_answer(&mut connection)
+    read_response(&mut connection)
 }
 
-fn read_answer(connection: &mut TcpStream) -> Option<(u16, String)> {
+fn read_response(connection: &mut TcpStream) -> Option<(u16, String)> {
     let mut text = String::new();
     connection.read_to_string(&mut text).ok()?;
     let status = text.split(' ').nth(1)?.parse().ok()?;
     Some((status, text))
 }
 
-/// The controller that this member tells of.
+/// The controller that this member's status names.
 fn controller(member: &ControlPlane) -> Option<String> {
     let request = b"GET /status HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    let (status, text) = ask(member.http(), request)?;
+    let (status, text) = send(member.http(), request)?;
     let (_, after) = text.split_once("\"controller\":\"")?;
     let (name, _) = after.split_once('"')?;
     (status == 200).then(|| name.to_string())
@@ -70,18 +70,18 @@
     member.address().to_string() == name
 }
 
-fn wait_for<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let found = (0..TRIES).find_map(|_| {
+fn wait_for<T>(failure: &str, mut look: impl FnMut() -> Option<T>) -> T {
+    let found = (0..ATTEMPTS).find_map(|_| {
         look().or_else(|| {
             thread::sleep(PAUSE);
             None
         })
     });
-    found.unwrap_or_else(|| panic!("{what}"))
+    found.unwrap_or_else(|| panic!("{failure}"))
 }
 
 #[test]
-fn a_stopping_controller_hands_over_while_an_operator_still_sends_its_order() {
+fn a_stopping_controller_transfers_leadership_while_an_operator_still_sends_its_plan() {
     let folder = empty_folder("stop");
     let first = start("one", &folder, Vec::new());
     let seeds = vec![first.address()];
@@ -89,25 +89,25 @@
     members.push(start("two", &folder, seeds.clone()));
     members.push(start("three", &folder, seeds));
     let old = wait_for("nobody leads", || controller(&members[0]));
-    let leaver =
+    let departing =
         members.iter().position(|member| is_named(member, &old)).expect("one of the three");
-    let leaver = members.remove(leaver);
+    let departing = members.remove(departing);
 
     let plan = "{\"version\":\"v1\",\"base\":null,\"services\":{},\"routes\":[]}";
     let body = format!("{plan}{}", " ".repeat(PADDING_BYTES));
-    let (begin, rest) = body.split_at(10);
-    let mut order = TcpStream::connect(leaver.http()).expect("it listens");
+    let (start_of_body, rest) = body.split_at(10);
+    let mut submission = TcpStream::connect(departing.http()).expect("it listens");
     let head = "POST /plans HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length:";
-    write!(order, "{head} {}\r\n\r\n{begin}", body.len()).expect("it reads");
-    wait_for("the order is not at work", || (leaver.pending_requests() > 0).then_some(()));
+    write!(submission, "{head} {}\r\n\r\n{start_of_body}", body.len()).expect("it reads");
+    wait_for("the request is not pending", || (departing.pending_requests() > 0).then_some(()));
 
-    let stopped = thread::spawn(move || leaver.stop());
-    let heir = wait_for("nobody leads in its place", || {
+    let stopped = thread::spawn(move || departing.stop());
+    let successor = wait_for("nobody leads in its place", || {
         controller(&members[0]).filter(|name| *name != old)
     });
-    assert!(members.iter().any(|member| is_named(member, &heir)), "{heir}");
-    order.write_all(rest.as_bytes()).expect("it still reads");
-    let (status, text) = read_answer(&mut order).expect("a whole answer");
+    assert!(members.iter().any(|member| is_named(member, &successor)), "{successor}");
+    submission.write_all(rest.as_bytes()).expect("it still reads");
+    let (status, text) = read_response(&mut submission).expect("a complete response");
     assert_eq!(status, 200, "{text}");
     stopped.join().expect("it ends");
 }
