--- a/crates/downstream/src/body.rs
+++ b/crates/downstream/src/body.rs
@@ -1,106 +1,112 @@
-//! Bodies of requests, read whole within bounds.
+//! Bodies of requests, read completely within bounds (RFC 9112, sections 6 and 7.1).
 
 use crate::connection::Connection;
-use crate::head::{Length, Reject};
+use crate::head::Length;
 use crate::memory_budget::{MemoryBudget, Reserved};
+use crate::reject::BAD_CHUNK;
+pub use crate::reject::{CLIENT_DEPARTED, FULL, Reject, TOO_LARGE};
 use postbarrow_constants::traffic::CHUNK_LINE_BYTES;
 use std::sync::Arc;
 
-/// A whole body, and the memory that it takes until it is dropped.
+/// A complete body, with the memory that it reserves until it is dropped.
 pub struct Body {
-    /// What came, without the framing of chunks.
+    /// The content, without the framing of chunks.
     pub bytes: Vec<u8>,
     _reserved: Reserved,
 }
 
-/// Takes in the whole body, within the route's bound and the node's memory. A body that ends short
-/// gives an error, and is never passed on.
+/// Reads the complete body, within `max_bytes` of its route and the node's memory, until a moment of
+/// the boot-time clock. A body that ends early is an error, never a shorter body.
 ///
 /// # Errors
-/// How to refuse the request, or `CLIENT_LEFT`.
+/// How to reject the request, or `CLIENT_DEPARTED`.
 pub fn read(
     connection: &mut Connection,
     length: Length,
-    most_bytes: u64,
+    max_bytes: u64,
     memory: &Arc<MemoryBudget>,
     deadline_ms: u64,
 ) -> Result<Body, Reject> {
-    let mut reserved = memory.reserve(0).ok_or(FULL)?;
-    let mut bytes = Vec::new();
+    let reserved = memory.reserve(0).ok_or(FULL)?;
+    let mut reader = BodyReader { connection, max_bytes, reserved, bytes: Vec::new(), deadline_ms };
     match length {
         Length::None => {}
-        Length::Sized(size_bytes) => {
-            if size_bytes > most_bytes {
-                return Err(TOO_LARGE);
-            }
-            if !reserved.grow(size_bytes) {
-                return Err(FULL);
-            }
-            connection.read_exact(size_bytes as usize, &mut bytes, deadline_ms)?;
+        Length::Sized(size_bytes) => reader.read_bytes(size_bytes)?,
+        Length::Chunked => reader.read_chunks()?,
+    }
+    Ok(Body { bytes: reader.bytes, _reserved: reader.reserved })
+}
+
+struct BodyReader<'c> {
+    connection: &'c mut Connection,
+    max_bytes: u64,
+    reserved: Reserved,
+    bytes: Vec<u8>,
+    deadline_ms: u64,
+}
+
+impl BodyReader<'_> {
+    /// Appends so many bytes of content.
+    fn read_bytes(&mut self, size_bytes: u64) -> Result<(), Reject> {
+        if size_bytes > self.max_bytes.saturating_sub(self.bytes.len() as u64) {
+            return Err(TOO_LARGE);
         }
-        Length::Chunked => loop {
-            let size_bytes = chunk_size(connection, deadline_ms)?;
+        if !self.reserved.grow(size_bytes) {
+            return Err(FULL);
+        }
+        self.connection.read_exact(size_bytes as usize, &mut self.bytes, self.deadline_ms)
+    }
+
+    fn read_chunks(&mut self) -> Result<(), Reject> {
+        loop {
+            let size_bytes = self.read_chunk_size()?;
             if size_bytes == 0 {
-                skip_trailers(connection, deadline_ms)?;
-                break;
-            }
-            if size_bytes > most_bytes.saturating_sub(bytes.len() as u64) {
-                return Err(TOO_LARGE);
-            }
-            if !reserved.grow(size_bytes) {
-                return Err(FULL);
+                return self.skip_trailers();
             }
-            connection.read_exact(size_bytes as usize, &mut bytes, deadline_ms)?;
+            self.read_bytes(size_bytes)?;
             let mut end = Vec::new();
-            connection.read_exact(2, &mut end, deadline_ms)?;
+            self.connection.read_exact(2, &mut end, self.deadline_ms)?;
             if end != b"\r\n" {
                 return Err(BAD_CHUNK);
             }
-        },
+        }
     }
-    Ok(Body { bytes, _reserved: reserved })
-}
 
-/// The client closed its side or the connection broke: nobody is there to hear a refusal.
-pub const CLIENT_DEPARTED: Reject = Reject { status: 0, reason: "the client left" };
-/// The body is over the bound of its route.
-pub const TOO_LARGE: Reject = Reject { status: 413, reason: "the body is too large" };
-/// The node has no memory left for the body.
-pub const FULL: Reject = Reject { status: 503, reason: "this node is full" };
-const BAD_CHUNK: Reject = Reject { status: 400, reason: "a chunk is malformed" };
-
-fn chunk_size(connection: &mut Connection, deadline_ms: u64) -> Result<u64, Reject> {
-    loop {
-        match httparse::parse_chunk_size(connection.buffered()) {
-            Ok(httparse::Status::Complete((used, size_bytes))) => {
-                connection.consume(used);
-                return Ok(size_bytes);
-            }
-            Ok(httparse::Status::Partial) if connection.buffered().len() < CHUNK_LINE_BYTES => {
-                connection.read_more(deadline_ms)?;
+    fn read_chunk_size(&mut self) -> Result<u64, Reject> {
+        loop {
+            let buffered = self.connection.buffered();
+            match httparse::parse_chunk_size(buffered) {
+                Ok(httparse::Status::Complete((line_bytes, size_bytes))) => {
+                    self.connection.consume(line_bytes);
+                    return Ok(size_bytes);
+                }
+                Ok(httparse::Status::Partial) if buffered.len() < CHUNK_LINE_BYTES => {
+                    self.connection.read_more(self.deadline_ms)?;
+                }
+                _ => return Err(BAD_CHUNK),
             }
-            _ => return Err(BAD_CHUNK),
         }
     }
-}
 
-fn skip_trailers(connection: &mut Connection, deadline_ms: u64) -> Result<(), Reject> {
-    let mut skipped = 0;
-    loop {
-        let line = connection.buffered().windows(2).position(|pair| pair == b"\r\n");
-        match line {
-            Some(0) => {
-                connection.consume(2);
-                return Ok(());
+    /// Trailer fields are dropped, as RFC 9112, 7.1.2 permits.
+    fn skip_trailers(&mut self) -> Result<(), Reject> {
+        let mut skipped_bytes = 0;
+        loop {
+            let buffered = self.connection.buffered();
+            match buffered.windows(2).position(|pair| pair == b"\r\n") {
+                Some(0) => {
+                    self.connection.consume(2);
+                    return Ok(());
+                }
+                Some(line_bytes) => {
+                    self.connection.consume(line_bytes + 2);
+                    skipped_bytes += line_bytes + 2;
+                }
+                None => self.connection.read_more(self.deadline_ms)?,
             }
-            Some(at) => {
-                connection.consume(at + 2);
-                skipped += at + 2;
+            if skipped_bytes + self.connection.buffered().len() > 8 * CHUNK_LINE_BYTES {
+                return Err(BAD_CHUNK);
             }
-            None => connection.read_more(deadline_ms)?,
-        }
-        if skipped + connection.buffered().len() > 8 * CHUNK_LINE_BYTES {
-            return Err(BAD_CHUNK);
         }
     }
 }
--- a/crates/downstream/src/client_watch.rs
+++ b/crates/downstream/src/client_watch.rs
@@ -7,42 +7,45 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::Duration;
 
-/// Tells when the client of one request has left: it closed its side of the connection, or the
-/// connection broke. A client that closes only its sending side counts as left as well, for nothing
-/// on the wire tells the two apart before bytes are sent to it.
+/// Observes whether the client of one request has departed: it closed its side of the connection, or
+/// the connection broke. A client that closes only its sending side counts as departed as well,
+/// since nothing on the wire distinguishes the two before bytes are sent to it.
 #[derive(Debug)]
 pub struct ClientWatch<'a> {
-    /// None: nobody who could leave.
+    /// None: there is no client that could depart.
     stream: Option<&'a TcpStream>,
     departed: Cell<bool>,
-    /// Bytes of the client's next request wait, so that more to read says nothing new.
+    /// Bytes of the client's next request are unread, so that readability has no more to say.
     has_unread: Cell<bool>,
 }
 
 /// What ended a wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitOutcome {
-    /// The socket that was waited for is ready.
+    /// The other socket is ready.
     Ready,
-    /// The client has left, whether or not the socket is ready as well.
+    /// The client has departed, whether or not the socket is ready as well.
     ClientDeparted,
-    /// The time is over.
+    /// The deadline has passed.
     TimedOut,
 }
 
 /// Why nothing was received on a channel.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReceiveError {
-    /// The client left meanwhile.
+    /// The client departed meanwhile.
+    #[error("the client departed")]
     ClientDeparted,
-    /// The time is over.
+    /// The deadline has passed.
+    #[error("the deadline has passed")]
     TimedOut,
-    /// Nobody is left to send.
+    /// All senders are gone.
+    #[error("all senders are gone")]
     Disconnected,
 }
 
 impl<'a> ClientWatch<'a> {
-    /// Watches the connection that the request came on.
+    /// Watches the connection that the request was received on.
     pub fn new(stream: &'a TcpStream) -> ClientWatch<'a> {
         ClientWatch {
             stream: Some(stream),
@@ -51,17 +54,17 @@
         }
     }
 
-    /// For work that goes on whoever leaves.
+    /// For work that no client's departure ends.
     pub fn nobody() -> ClientWatch<'static> {
         ClientWatch { stream: None, departed: Cell::new(false), has_unread: Cell::new(false) }
     }
 
-    /// Whether an earlier look saw that the client has left.
+    /// Whether an earlier check observed the departure.
     pub fn is_known_departed(&self) -> bool {
         self.departed.get()
     }
 
-    /// Looks whether the client has left by now.
+    /// Checks whether the client has departed by now.
     pub fn has_departed(&self) -> bool {
         if let Some(stream) = self.stream.filter(|_| !self.departed.get()) {
             let found = poll([(stream, self.interest())], 0);
@@ -71,7 +74,7 @@
         self.departed.get()
     }
 
-    /// Waits for another socket until a moment of the boot-time clock, or until the client leaves.
+    /// Waits for another socket until a moment of the boot-time clock, or until the client departs.
     ///
     /// # Errors
     /// The system refuses to wait.
@@ -107,16 +110,19 @@
         }
     }
 
-    /// Waits for a message of another thread until a moment of the boot-time clock, or until a look,
-    /// one every `CLIENT_CLOSED_CHECK_MS`, sees that the client left.
+    /// Waits for a message of another thread until a moment of the boot-time clock, or until a check,
+    /// one every `CLIENT_CLOSED_CHECK_MS`, observes the client's departure.
     ///
     /// # Errors
-    /// What came instead of a message.
+    /// Why no message was received.
     pub fn receive<T>(&self, messages: &Receiver<T>, until_ms: u64) -> Result<T, ReceiveError> {
         loop {
-            let left_ms = until_ms.saturating_sub(clock_ms());
-            let wait_ms =
-                if self.stream.is_some() { left_ms.min(CLIENT_CLOSED_CHECK_MS) } else { left_ms };
+            let remaining_ms = until_ms.saturating_sub(clock_ms());
+            let wait_ms = if self.stream.is_some() {
+                remaining_ms.min(CLIENT_CLOSED_CHECK_MS)
+            } else {
+                remaining_ms
+            };
             match messages.recv_timeout(Duration::from_millis(wait_ms)) {
                 Ok(message) => return Ok(message),
                 Err(RecvTimeoutError::Disconnected) => return Err(ReceiveError::Disconnected),
@@ -131,8 +137,8 @@
         }
     }
 
-    /// Bytes to read are asked for as well, until some wait: a system that does not tell a hangup
-    /// by itself tells it as an end that can be read.
+    /// Includes readability until there are unread bytes: a system that does not report a hangup by
+    /// itself reports an end of file that can be read.
     fn interest(&self) -> Interest {
         if self.has_unread.get() { Interest::Hangup } else { Interest::Read }
     }
--- a/crates/downstream/src/client_watch/tests.rs
+++ b/crates/downstream/src/client_watch/tests.rs
@@ -4,7 +4,7 @@
 use std::io::Write;
 use std::net::{Shutdown, TcpListener};
 
-/// Long past any wait here that ends by an event.
+/// Far longer than any event here takes; reached only if a wait hangs.
 const HANG_MS: u64 = 60_000;
 
 fn pair() -> (TcpStream, TcpStream) {
@@ -19,27 +19,27 @@
 }
 
 #[test]
-fn a_client_that_waits_has_not_left() {
+fn a_waiting_client_has_not_departed() {
     let (near, _client) = pair();
     let watch = ClientWatch::new(&near);
     assert!(!watch.has_departed() && !watch.is_known_departed());
 }
 
 #[test]
-fn a_close_a_half_close_and_a_reset_are_seen() {
-    let ends: [fn(TcpStream); 3] =
+fn a_close_a_half_close_and_a_reset_are_departures() {
+    let closes: [fn(TcpStream); 3] =
         [drop, |client| client.shutdown(Shutdown::Write).unwrap(), reset];
-    for end in ends {
+    for close in closes {
         let (near, client) = pair();
         let watch = ClientWatch::new(&near);
-        end(client);
+        close(client);
         assert!(watch.has_departed());
         assert!(watch.is_known_departed());
     }
 }
 
 #[test]
-fn a_client_that_leaves_behind_its_next_request_is_seen() {
+fn a_close_behind_unread_bytes_is_a_departure() {
     let (near, mut client) = pair();
     let watch = ClientWatch::new(&near);
     client.write_all(b"GET /next HTTP/1.1\r\n\r\n").unwrap();
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_leaving_client_ends_a_wait_and_goes_before_what_is_ready() {
+fn a_departure_ends_a_wait_and_precedes_readiness() {
     let (near, client) = pair();
     let (other, mut far) = pair();
     far.write_all(b"a").unwrap();
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn nobody_never_leaves() {
+fn nobody_never_departs() {
     let (other, mut far) = pair();
     let watch = ClientWatch::nobody();
     assert!(!watch.has_departed());
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_message_is_received_and_a_leaving_client_ends_the_wait_for_one() {
+fn a_message_is_received_and_a_departure_ends_the_wait_for_one() {
     let (near, client) = pair();
     let watch = ClientWatch::new(&near);
     let (sender, messages) = std::sync::mpsc::channel();
--- a/crates/downstream/src/connection.rs
+++ b/crates/downstream/src/connection.rs
@@ -1,8 +1,9 @@
-//! One connection of a caller: its requests in, its responses out.
+//! One connection of a client: its requests in, its responses out.
 
-use crate::body::CLIENT_DEPARTED;
 use crate::client_watch::ClientWatch;
-use crate::head::{self, Head, Reject, end_to_end_headers};
+use crate::head::{self, Head};
+use crate::reject::{CLIENT_DEPARTED, HEAD_TOO_LARGE, Reject, TIMED_OUT};
+use crate::response::ResponseHead;
 use postbarrow_constants::traffic::*;
 use postbarrow_node::TargetResponse;
 use postbarrow_transport::{clock_ms, enable_keepalive};
@@ -10,7 +11,7 @@
 use std::net::{IpAddr, TcpStream};
 use std::time::Duration;
 
-/// One client connection, read with deadlines so that none holds its thread for ever.
+/// One client connection, read with deadlines so that none occupies its thread for ever.
 pub struct Connection {
     stream: TcpStream,
     buffer: Vec<u8>,
@@ -18,14 +19,14 @@
     client: IpAddr,
 }
 
-/// How much and how long a client may take.
+/// Bounds of reading a request's head.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadLimits {
-    /// The largest head.
+    /// The largest head, in bytes.
     pub head_bytes: usize,
-    /// From a head's first byte to its last.
+    /// From a head's first byte to its last, in milliseconds.
     pub head_wait_ms: u64,
-    /// Between two requests.
+    /// Between two requests, in milliseconds.
     pub idle_ms: u64,
 }
 
@@ -43,19 +44,17 @@
 pub enum NextRequest {
     /// A request, whose body is not read yet.
     Head(Head),
-    /// Something that is no request; the connection can't go on.
+    /// Something that is no request; the connection can't be used any longer.
     Reject(Reject),
-    /// Nothing more: either side ended it.
+    /// No request follows: either side closed the connection.
     Closed,
 }
 
-const SLOW: Reject = Reject { status: 408, reason: "the request did not come in time" };
-
 impl Connection {
-    /// Takes a connection as it was accepted.
+    /// Prepares a connection that was just accepted.
     ///
     /// # Errors
-    /// The socket takes no options, or is closed already.
+    /// The socket refuses an option, or is closed already.
     pub fn new(stream: TcpStream) -> std::io::Result<Self> {
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(Duration::from_millis(PEER_CLOSED_CHECK_MS)))?;
@@ -65,13 +64,9 @@
         Ok(Connection { stream, buffer: Vec::new(), start: 0, client })
     }
 
-    /// Waits for the next request; an idle connection ends when the node stops.
-    pub fn next_request(
-        &mut self,
-        patience: ReadLimits,
-        stopping: impl Fn() -> bool,
-    ) -> NextRequest {
-        let idle_until_ms = clock_ms() + patience.idle_ms;
+    /// Waits for the next request; an idle connection is closed when the node stops.
+    pub fn next_request(&mut self, limits: ReadLimits, stopping: impl Fn() -> bool) -> NextRequest {
+        let idle_until_ms = clock_ms() + limits.idle_ms;
         while self.buffered().is_empty() {
             if stopping() || clock_ms() >= idle_until_ms {
                 return NextRequest::Closed;
@@ -80,24 +75,18 @@
                 return NextRequest::Closed;
             }
         }
-        let deadline_ms = clock_ms() + patience.head_wait_ms;
+        let deadline_ms = clock_ms() + limits.head_wait_ms;
         loop {
             match head::parse(self.buffered()) {
-                Ok(Some((_, length))) if length > patience.head_bytes => {
-                    return NextRequest::Reject(Reject {
-                        status: 431,
-                        reason: "the head is too large",
-                    });
+                Ok(Some((_, length))) if length > limits.head_bytes => {
+                    return NextRequest::Reject(HEAD_TOO_LARGE);
                 }
                 Ok(Some((head, length))) => {
                     self.consume(length);
                     return NextRequest::Head(head);
                 }
-                Ok(None) if self.buffered().len() > patience.head_bytes => {
-                    return NextRequest::Reject(Reject {
-                        status: 431,
-                        reason: "the head is too large",
-                    });
+                Ok(None) if self.buffered().len() > limits.head_bytes => {
+                    return NextRequest::Reject(HEAD_TOO_LARGE);
                 }
                 Ok(None) => match self.read_more(deadline_ms) {
                     Ok(()) => {}
@@ -109,17 +98,17 @@
         }
     }
 
-    /// The caller's address.
+    /// The client's address.
     pub fn client(&self) -> IpAddr {
         self.client
     }
 
-    /// What was read and not consumed yet.
+    /// The bytes that were read and not consumed yet.
     pub fn buffered(&self) -> &[u8] {
         &self.buffer[self.start..]
     }
 
-    /// Drops so many bytes of what was read.
+    /// Drops so many of the buffered bytes.
     pub fn consume(&mut self, length: usize) {
         self.start += length;
         if self.start == self.buffer.len() {
@@ -131,13 +120,13 @@
         }
     }
 
-    /// True if bytes came, false if none did yet.
+    /// Reads once: true if bytes arrived, false if none did within the read timeout.
     fn fill(&mut self) -> std::io::Result<bool> {
-        let mut part = [0; READ_BYTES];
-        match self.stream.read(&mut part) {
+        let mut received = [0; READ_BYTES];
+        match self.stream.read(&mut received) {
             Ok(0) => Err(ErrorKind::UnexpectedEof.into()),
             Ok(length) => {
-                self.buffer.extend_from_slice(&part[..length]);
+                self.buffer.extend_from_slice(&received[..length]);
                 Ok(true)
             }
             Err(error) => match error.kind() {
@@ -150,11 +139,11 @@
     /// Reads at least one byte more, until a moment of the boot-time clock.
     ///
     /// # Errors
-    /// It is too late, or the client left.
+    /// The deadline has passed, or the client departed.
     pub fn read_more(&mut self, deadline_ms: u64) -> Result<(), Reject> {
         loop {
             if clock_ms() >= deadline_ms {
-                return Err(SLOW);
+                return Err(TIMED_OUT);
             }
             match self.fill() {
                 Ok(true) => return Ok(()),
@@ -164,106 +153,87 @@
         }
     }
 
-    /// Reads exactly so many bytes.
+    /// Moves exactly so many bytes to the end of `into`, until a moment of the boot-time clock.
     ///
     /// # Errors
-    /// It is too late, or the client left.
+    /// The deadline has passed, or the client departed.
     pub fn read_exact(
         &mut self,
         length: usize,
         into: &mut Vec<u8>,
         deadline_ms: u64,
     ) -> Result<(), Reject> {
-        let mut left = length;
+        let mut remaining = length;
         loop {
-            let ready = left.min(self.buffered().len());
+            let ready = remaining.min(self.buffered().len());
             into.extend_from_slice(&self.buffered()[..ready]);
             self.consume(ready);
-            left -= ready;
-            if left == 0 {
+            remaining -= ready;
+            if remaining == 0 {
                 return Ok(());
             }
             self.read_more(deadline_ms)?;
         }
     }
 
-    /// Tells when the client leaves, without taking a byte.
+    /// Observes whether the client departs, without reading a byte.
     pub fn watch(&self) -> ClientWatch<'_> {
         ClientWatch::new(&self.stream)
     }
 
-    /// Tells a client that waits for it to send its body.
+    /// Lets a client that waits for it send its body (RFC 9110, 10.1.1).
     ///
     /// # Errors
-    /// The client left.
+    /// The client departed.
     pub fn send_continue(&mut self) -> std::io::Result<()> {
         self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
     }
 
-    /// Writes a whole response; its length is always told, so a cut one never looks whole.
+    /// Writes a complete response. Its length is always named, so a truncated one never looks
+    /// complete.
     ///
     /// # Errors
-    /// The client left, or takes its response too slowly.
+    /// The client departed, or reads its response too slowly.
     pub fn write(
         &mut self,
         response: &TargetResponse,
         method: &str,
         close: bool,
     ) -> std::io::Result<()> {
-        let mut out = Vec::with_capacity(1_024);
-        write!(out, "HTTP/1.1 {} {}\r\n", response.status, reason(response.status))?;
-        let mut told = None;
-        for (name, value) in &response.headers {
-            if name.eq_ignore_ascii_case("content-length") {
-                told = Some(value.clone());
-            }
-        }
-        for (name, value) in end_to_end_headers(&response.headers) {
-            write!(out, "{name}: {value}\r\n")?;
-        }
-        let bodiless = matches!(response.status, 100..=199 | 204 | 304);
-        if method == "HEAD" || response.status == 304 {
-            if let Some(length) = told {
-                write!(out, "Content-Length: {length}\r\n")?;
-            }
-        } else if !bodiless {
-            write!(out, "Content-Length: {}\r\n", response.body.len())?;
-        }
-        if close {
-            out.extend_from_slice(b"Connection: close\r\n");
-        }
-        out.extend_from_slice(b"\r\n");
-        if method != "HEAD" && !bodiless {
-            if out.len() + response.body.len() <= WRITE_BYTES {
-                out.extend_from_slice(&response.body);
+        let ResponseHead { mut bytes, has_body } = ResponseHead::new(response, method, close);
+        if has_body {
+            if bytes.len() + response.body.len() <= WRITE_BYTES {
+                bytes.extend_from_slice(&response.body);
             } else {
-                self.write_slowly(&out, response.body.len())?;
-                return self.write_slowly(&response.body, response.body.len());
+                self.write_chunks(&bytes, response.body.len())?;
+                return self.write_chunks(&response.body, response.body.len());
             }
         }
-        self.stream.write_all(&out)
+        self.stream.write_all(&bytes)
     }
 
-    /// A client that takes its response too slowly loses it, and gives back its memory.
-    fn write_slowly(&mut self, bytes: &[u8], whole_bytes: usize) -> std::io::Result<()> {
+    /// Writes with a deadline for the response, so that a client that reads too slowly does not
+    /// occupy its memory.
+    fn write_chunks(&mut self, bytes: &[u8], body_bytes: usize) -> std::io::Result<()> {
         let until_ms =
-            clock_ms() + DOWNSTREAM_WRITE_MS + whole_bytes as u64 / DOWNSTREAM_BYTES_PER_MS;
-        for part in bytes.chunks(WRITE_BYTES) {
+            clock_ms() + DOWNSTREAM_WRITE_MS + body_bytes as u64 / DOWNSTREAM_BYTES_PER_MS;
+        for chunk in bytes.chunks(WRITE_BYTES) {
             if clock_ms() >= until_ms {
                 return Err(ErrorKind::TimedOut.into());
             }
-            self.stream.write_all(part)?;
+            self.stream.write_all(chunk)?;
         }
         Ok(())
     }
 
-    /// Lets a client that still sends read its refusal before the connection goes.
+    /// Lets a client that still sends read its rejection: a close with unread bytes would reset the
+    /// connection (RFC 9112, 9.6).
     pub fn linger(&mut self) {
         let _ = self.stream.shutdown(std::net::Shutdown::Write);
         let until_ms = clock_ms() + 2 * PEER_CLOSED_CHECK_MS;
-        let mut part = [0; READ_BYTES];
+        let mut received = [0; READ_BYTES];
         while clock_ms() < until_ms {
-            match self.stream.read(&mut part) {
+            match self.stream.read(&mut received) {
                 Ok(0) => return,
                 Ok(_) => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {}
@@ -272,10 +242,3 @@
         }
     }
 }
-
-fn reason(status: u16) -> &'static str {
-    http::StatusCode::from_u16(status)
-        .ok()
-        .and_then(|status| status.canonical_reason())
-        .unwrap_or("Status")
-}
--- a/crates/downstream/src/head.rs
+++ b/crates/downstream/src/head.rs
@@ -1,64 +1,57 @@
-//! Heads of requests.
+//! Heads of requests (RFC 9112, sections 2 to 6).
 
+pub use crate::reject::Reject;
 use postbarrow_constants::traffic::HEADERS;
 
-/// How the end of a request's body is known.
+/// How the end of a request's body is known (RFC 9112, 6.3).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Length {
-    /// There is none.
+    /// There is no body.
     None,
-    /// By its number of bytes.
+    /// By its number of bytes, from Content-Length.
     Sized(u64),
-    /// By an empty chunk.
+    /// By an empty chunk, with Transfer-Encoding.
     Chunked,
 }
 
 /// The head of one request.
 #[derive(Clone, Debug)]
 pub struct Head {
-    /// As it came, in any case.
+    /// The method as received; its case is not checked.
     pub method: String,
-    /// Path and query as they came.
+    /// Path and query as received.
     pub target: String,
-    /// Names and values in their order.
+    /// Names and values in the order received.
     pub headers: Vec<(String, String)>,
     /// How its body ends.
     pub length: Length,
-    /// The connection is not used after it.
+    /// The connection is closed after its response.
     pub close: bool,
-    /// The client waits to be told before it sends its body.
+    /// The client waits for 100 Continue before it sends its body (RFC 9110, 10.1.1).
     pub expects_continue: bool,
 }
 
-/// Why a request is turned away before it is understood.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Reject {
-    /// The status to answer with.
-    pub status: u16,
-    /// For the client to read.
-    pub reason: &'static str,
-}
-
-const fn reject(status: u16, why: &'static str) -> Reject {
-    Reject { status, reason: why }
-}
-
 impl Head {
     /// The target up to its query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or("")
     }
+
     /// What follows the first question mark.
     pub fn query(&self) -> &str {
         self.target.split_once('?').map_or("", |(_, query)| query)
     }
-    /// The first value of a header, whose name counts in any case.
+
+    /// The first value of a header; names are case-insensitive.
     pub fn header(&self, name: &str) -> Option<&str> {
         values(&self.headers, name).next()
     }
 }
 
-fn values<'h>(headers: &'h [(String, String)], name: &str) -> impl Iterator<Item = &'h str> {
+pub(crate) fn values<'h>(
+    headers: &'h [(String, String)],
+    name: &str,
+) -> impl Iterator<Item = &'h str> {
     let name = name.to_string();
     headers
         .iter()
@@ -66,79 +59,94 @@
         .map(|(_, value)| value.as_str())
 }
 
-/// Parses a head if it is whole; the second value is its length in bytes.
+/// Parses a head if it is complete; the second value is its length in bytes.
 ///
 /// # Errors
-/// Bytes that are no sound head, or that two readers could read two ways.
+/// The bytes are no valid head, or two recipients could interpret them differently.
 pub fn parse(bytes: &[u8]) -> Result<Option<(Head, usize)>, Reject> {
-    let mut room = [httparse::EMPTY_HEADER; HEADERS];
-    let mut parsed = httparse::Request::new(&mut room);
+    let mut fields = [httparse::EMPTY_HEADER; HEADERS];
+    let mut parsed = httparse::Request::new(&mut fields);
     let length = match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(httparse::Error::TooManyHeaders) => return Err(reject(431, "too many headers")),
-        Err(httparse::Error::Version) => return Err(reject(505, "only HTTP/1.0 and 1.1")),
-        Err(_) => return Err(reject(400, "the head is not HTTP/1.1")),
+        Err(httparse::Error::TooManyHeaders) => return Err(Reject::new(431, "too many headers")),
+        Err(httparse::Error::Version) => return Err(Reject::new(505, "only HTTP/1.0 and 1.1")),
+        Err(_) => return Err(Reject::new(400, "the head is not HTTP/1.1")),
     };
-    let old = parsed.version == Some(0);
-    let mut headers = Vec::with_capacity(parsed.headers.len());
-    for header in parsed.headers.iter() {
-        let value = std::str::from_utf8(header.value)
-            .map_err(|_| reject(400, "a header's value is not UTF-8"))?;
-        headers.push((header.name.to_string(), value.to_string()));
-    }
+    let is_http_1_0 = parsed.version == Some(0);
+    let headers = owned_headers(parsed.headers)?;
     let target = parsed.path.unwrap_or_default().to_string();
-    if !target.starts_with('/') {
-        return Err(reject(400, "the target must begin with /"));
-    }
-    if target.contains('#') {
-        return Err(reject(400, "the target must not have a fragment"));
-    }
+    check_target(&target)?;
     let hosts = values(&headers, "host").count();
-    if hosts > 1 || (hosts == 0 && !old) {
-        return Err(reject(400, "exactly one Host is needed"));
+    if hosts > 1 || (hosts == 0 && !is_http_1_0) {
+        return Err(Reject::new(400, "exactly one Host is needed"));
     }
-    let body = body_length(&headers, old)?;
+    let body = body_length(&headers, is_http_1_0)?;
     let connection = values(&headers, "connection").collect::<Vec<_>>().join(",");
-    let says =
-        |word: &str| connection.split(',').any(|token| token.trim().eq_ignore_ascii_case(word));
-    let waits = values(&headers, "expect").any(|value| value.eq_ignore_ascii_case("100-continue"));
+    let has_option =
+        |name: &str| connection.split(',').any(|option| option.trim().eq_ignore_ascii_case(name));
+    let expects_continue =
+        values(&headers, "expect").any(|value| value.eq_ignore_ascii_case("100-continue"));
     let head = Head {
         method: parsed.method.unwrap_or_default().to_string(),
         target,
-        close: says("close") || (old && !says("keep-alive")),
+        close: has_option("close") || (is_http_1_0 && !has_option("keep-alive")),
         length: body,
         headers,
-        expects_continue: waits,
+        expects_continue,
     };
     Ok(Some((head, length)))
 }
 
-/// One clear length or none: anything that two readers could read two ways is refused.
-fn body_length(headers: &[(String, String)], old: bool) -> Result<Length, Reject> {
+fn owned_headers(headers: &[httparse::Header]) -> Result<Vec<(String, String)>, Reject> {
+    let mut owned = Vec::with_capacity(headers.len());
+    for header in headers {
+        let value = std::str::from_utf8(header.value)
+            .map_err(|_| Reject::new(400, "a header's value is not UTF-8"))?;
+        owned.push((header.name.to_string(), value.to_string()));
+    }
+    Ok(owned)
+}
+
+/// Only the origin form is served (RFC 9112, 3.2.1).
+fn check_target(target: &str) -> Result<(), Reject> {
+    if !target.starts_with('/') {
+        return Err(Reject::new(400, "the target must begin with /"));
+    }
+    if target.contains('#') {
+        return Err(Reject::new(400, "the target must not have a fragment"));
+    }
+    Ok(())
+}
+
+/// One unambiguous length or none, since a request that two recipients frame differently can be
+/// smuggled (RFC 9112, 6.3 and 11.2).
+fn body_length(headers: &[(String, String)], is_http_1_0: bool) -> Result<Length, Reject> {
     let lengths: Vec<&str> = values(headers, "content-length").collect();
     let codings: Vec<&str> = values(headers, "transfer-encoding").collect();
     if !lengths.is_empty() && !codings.is_empty() {
-        return Err(reject(400, "Content-Length together with Transfer-Encoding"));
+        return Err(Reject::new(400, "Content-Length together with Transfer-Encoding"));
     }
     if lengths.len() > 1 {
-        return Err(reject(400, "more than one Content-Length"));
+        return Err(Reject::new(400, "more than one Content-Length"));
     }
     if let Some(coding) = codings.first() {
-        if old || codings.len() > 1 || !coding.trim().eq_ignore_ascii_case("chunked") {
-            return Err(reject(501, "the only Transfer-Encoding is chunked"));
+        if is_http_1_0 || codings.len() > 1 || !coding.trim().eq_ignore_ascii_case("chunked") {
+            return Err(Reject::new(501, "the only Transfer-Encoding is chunked"));
         }
         return Ok(Length::Chunked);
     }
     match lengths.first() {
         None => Ok(Length::None),
-        Some(text) if !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit()) => {
-            text.parse().map(Length::Sized).map_err(|_| reject(400, "Content-Length is too large"))
-        }
-        Some(_) => Err(reject(400, "Content-Length is not a number")),
+        Some(text) if !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit()) => text
+            .parse()
+            .map(Length::Sized)
+            .map_err(|_| Reject::new(400, "Content-Length is too large")),
+        Some(_) => Err(Reject::new(400, "Content-Length is not a number")),
     }
 }
 
+/// Fields of one connection, which a proxy must not forward (RFC 9110, 7.6.1).
 const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -151,7 +159,8 @@
     "upgrade",
 ];
 
-/// Headers that go on: all but those that speak of one connection, and the length, which is made anew.
+/// The headers that are forwarded: all but those of one connection (RFC 9110, 7.6.1), the length,
+/// which is computed again, and Expect.
 pub fn end_to_end_headers(headers: &[(String, String)]) -> Vec<(String, String)> {
     let named: Vec<String> = values(headers, "connection")
         .flat_map(|value| value.split(','))
--- a/crates/downstream/src/head/tests.rs
+++ b/crates/downstream/src/head/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn what_two_readers_could_read_two_ways_is_refused() {
+fn an_ambiguous_head_is_rejected() {
     let with = |lines: &str| status(&format!("POST /a HTTP/1.1\r\nHost: h\r\n{lines}\r\n"));
     assert_eq!(with("Content-Length: 3\r\n"), 200);
     assert_eq!(with("Content-Length: 3\r\nContent-Length: 4\r\n"), 400);
@@ -28,15 +28,15 @@
 }
 
 #[test]
-fn repeated_headers_go_on_and_those_of_the_connection_do_not() {
+fn repeated_headers_are_forwarded_and_hop_by_hop_headers_are_not() {
     let text = "GET /a%2Fb?c=%20&c HTTP/1.1\r\nHost: h\r\nX-A: 1\r\nx-a: 2\r\nConnection: x-b, close\r\nX-B: 3\r\nTE: x\r\n\r\n";
     let (head, length) = parse(text.as_bytes()).unwrap().unwrap();
     assert_eq!(length, text.len());
     assert_eq!(head.target, "/a%2Fb?c=%20&c");
     assert!(head.close);
-    let passed: Vec<String> = end_to_end_headers(&head.headers)
+    let forwarded: Vec<String> = end_to_end_headers(&head.headers)
         .iter()
         .map(|(name, value)| format!("{name}={value}"))
         .collect();
-    assert_eq!(passed, ["Host=h", "X-A=1", "x-a=2"]);
+    assert_eq!(forwarded, ["Host=h", "X-A=1", "x-a=2"]);
 }
--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -13,22 +13,23 @@
 use std::thread;
 use std::time::Duration;
 
-/// Outgoing links, one thread each. Frames may be lost, never reordered within a link's life. A link
-/// over which nothing goes for `LINK_IDLE_MS` ends, so that none is kept for a peer that left.
+/// Outgoing links, one thread each. Frames may be lost, but are never reordered while a link exists.
+/// A link that is idle for `LINK_IDLE_MS` ends, so that none is retained for a departed peer.
 pub struct Links {
     own: SocketAddr,
     idle: Duration,
     links: HashMap<SocketAddr, Link>,
 }
 
-/// Frames waiting are counted beside the queue: one made for so many would take a megabyte a link.
+/// Pending frames are counted beside an unbounded queue: a bounded one would allocate a megabyte a
+/// link.
 struct Link {
     queue: Sender<Message>,
     pending: Arc<AtomicUsize>,
 }
 
 impl Links {
-    /// Links of the process at this address.
+    /// Links of the process with this address, which is the sender of every message.
     pub fn new(own: SocketAddr) -> Self {
         Links::with_idle(own, Duration::from_millis(LINK_IDLE_MS))
     }
@@ -37,7 +38,7 @@
         Links { own, idle, links: HashMap::new() }
     }
 
-    /// Sends a message, or drops it where its link is full or breaks.
+    /// Sends a message, or drops it if its link is full or fails.
     pub fn send(&mut self, to: SocketAddr, message: Message) {
         let (own, idle) = (self.own, self.idle);
         if !self.links.contains_key(&to) {
@@ -45,7 +46,7 @@
         }
         let link = self.links.entry(to).or_insert_with(|| start(own, to, idle));
         if link.pending.load(Relaxed) >= LINK_FRAMES {
-            return debug!("link: {to} is full");
+            return debug!("link: full to={to}");
         }
         link.pending.fetch_add(1, Relaxed);
         if let Err(SendError(message)) = link.queue.send(message) {
@@ -58,7 +59,7 @@
 }
 
 impl Link {
-    /// Its thread holds the other end of the count while it runs.
+    /// The thread owns a reference to the count while it runs.
     fn has_ended(&self) -> bool {
         Arc::strong_count(&self.pending) == 1
     }
@@ -66,8 +67,8 @@
 
 fn start(own: SocketAddr, to: SocketAddr, idle: Duration) -> Link {
     let (queue, receiver) = channel();
-    let waiting = Arc::new(AtomicUsize::new(0));
-    let count = waiting.clone();
+    let pending = Arc::new(AtomicUsize::new(0));
+    let count = pending.clone();
     let spawned = thread::Builder::new()
         .name(format!("link {to}"))
         .stack_size(STACK_BYTES)
@@ -75,48 +76,48 @@
     if let Err(error) = spawned {
         warn!("link: no thread for {to}: {error}");
     }
-    Link { queue, pending: waiting }
+    Link { queue, pending }
 }
 
 fn run(
     own: SocketAddr,
     to: SocketAddr,
     queue: &Receiver<Message>,
-    waiting: &AtomicUsize,
+    pending: &AtomicUsize,
     idle: Duration,
 ) {
     let mut stream: Option<TcpStream> = None;
-    let mut down = false;
+    let mut is_unreachable = false;
     while let Ok(message) = queue.recv_timeout(idle) {
-        waiting.fetch_sub(1, Relaxed);
+        pending.fetch_sub(1, Relaxed);
         let frame = match to_frame(&Envelope { from: own, message }) {
             Ok(frame) => frame,
             Err(error) => {
-                warn!("link: not sent to {to}: {error}");
+                warn!("link: not sent to={to}: {error}");
                 continue;
             }
         };
         if stream.is_none() {
             match connect(to) {
-                Ok(opened) => stream = Some(opened),
+                Ok(connected) => stream = Some(connected),
                 Err(error) => {
-                    if !down {
-                        debug!("link: {to} is out of reach: {error}");
+                    if !is_unreachable {
+                        debug!("link: unreachable to={to}: {error}");
                     }
-                    down = true;
+                    is_unreachable = true;
                     thread::sleep(Duration::from_millis(LINK_RETRY_MS));
                     while queue.try_recv().is_ok() {
-                        waiting.fetch_sub(1, Relaxed);
+                        pending.fetch_sub(1, Relaxed);
                     }
                     continue;
                 }
             }
         }
-        down = false;
-        if let Some(open) = &mut stream
-            && let Err(error) = open.write_all(&frame)
+        is_unreachable = false;
+        if let Some(connected) = &mut stream
+            && let Err(error) = connected.write_all(&frame)
         {
-            debug!("link: to {to}: {error}");
+            debug!("link: failed to={to}: {error}");
             stream = None;
         }
     }
--- a/crates/transport/src/listen.rs
+++ b/crates/transport/src/listen.rs
@@ -10,44 +10,48 @@
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::thread;
 
-/// Takes links and hands each frame on. An unreadable one closes its link, nothing else.
+/// Accepts links and passes each message to `deliver`, which returns false to close the link. An
+/// unreadable frame closes its link and nothing else. Returns the bound address.
+///
+/// # Errors
+/// The listener has no address, or the system refuses a thread.
 pub fn listen(
     listener: TcpListener,
-    hand: impl Fn(Envelope) -> bool + Send + Sync + 'static,
+    deliver: impl Fn(Envelope) -> bool + Send + Sync + 'static,
 ) -> std::io::Result<SocketAddr> {
     let address = listener.local_addr()?;
-    let hand = Arc::new(hand);
-    let open = Arc::new(AtomicUsize::new(0));
+    let deliver = Arc::new(deliver);
+    let links = Arc::new(AtomicUsize::new(0));
     thread::Builder::new().name("listen".into()).spawn(move || {
         for stream in listener.incoming().flatten() {
-            if open.load(Relaxed) >= LINKS {
-                warn!("link: {LINKS} links are open, one more is closed");
+            if links.load(Relaxed) >= LINKS {
+                warn!("link: too many incoming links max={LINKS}");
                 continue;
             }
-            open.fetch_add(1, Relaxed);
-            let (hand, done) = (hand.clone(), open.clone());
+            links.fetch_add(1, Relaxed);
+            let (deliver, count) = (deliver.clone(), links.clone());
             let spawned = thread::Builder::new()
                 .name("link in".into())
                 .stack_size(4 * STACK_BYTES)
                 .spawn(move || {
-                    read(stream, hand.as_ref());
-                    done.fetch_sub(1, Relaxed);
+                    read(stream, deliver.as_ref());
+                    count.fetch_sub(1, Relaxed);
                 });
             if spawned.is_err() {
-                open.fetch_sub(1, Relaxed);
+                links.fetch_sub(1, Relaxed);
             }
         }
     })?;
     Ok(address)
 }
 
-/// A peer whose machine vanished sends no end: without probes its place would be taken for good.
+/// A peer whose machine vanished closes nothing: without probes its link would be counted for ever.
 fn prepare(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     enable_keepalive(stream)
 }
 
-fn read(stream: TcpStream, hand: &(impl Fn(Envelope) -> bool + ?Sized)) {
+fn read(stream: TcpStream, deliver: &(impl Fn(Envelope) -> bool + ?Sized)) {
     let from = stream.peer_addr();
     if let Err(error) = prepare(&stream) {
         return debug!("link: from {from:?}: {error}");
@@ -56,7 +60,7 @@
     loop {
         match read_frame(&mut reader) {
             Ok(envelope) => {
-                if !hand(envelope) {
+                if !deliver(envelope) {
                     return;
                 }
             }
--- a/crates/transport/src/poll.rs
+++ b/crates/transport/src/poll.rs
@@ -4,12 +4,12 @@
 use std::net::TcpStream;
 use std::os::fd::AsRawFd;
 
-/// What to wait for on a socket. The end of the peer's side and errors are always told.
+/// What to wait for on a socket. The end of the peer's side and errors are always reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Interest {
     /// Bytes to read.
     Read,
-    /// Room to write.
+    /// Space to write.
     Write,
     /// Only that the peer closed or reset the connection.
     Hangup,
@@ -20,12 +20,12 @@
 pub struct Readiness(libc::c_short);
 
 impl Readiness {
-    /// A read or write ends at once, be it with an error.
+    /// A read or write returns at once, possibly with an error.
     pub fn is_ready(self) -> bool {
         self.0 != 0
     }
 
-    /// Bytes, or the end, can be read.
+    /// Bytes, or the end of the stream, can be read.
     pub fn is_readable(self) -> bool {
         self.0 & libc::POLLIN != 0
     }
@@ -36,11 +36,11 @@
     }
 }
 
-/// Waits until one of the sockets is ready, at most for so long. A signal may end the wait early,
-/// with none ready.
+/// Waits until one of the sockets is ready, for `wait_ms` milliseconds at most. A signal may end the
+/// wait early, with none ready.
 ///
 /// # Errors
-/// The system refuses to wait.
+/// The error of poll(2), except an interruption by a signal.
 pub fn poll<const N: usize>(
     sockets: [(&TcpStream, Interest); N],
     wait_ms: u64,
--- a/crates/transport/src/poll/tests.rs
+++ b/crates/transport/src/poll/tests.rs
@@ -14,27 +14,27 @@
 }
 
 #[test]
-fn bytes_and_room_are_told_and_silence_is_not() {
+fn bytes_and_space_are_reported_and_an_idle_socket_is_not_ready() {
     let (near, mut far) = pair();
-    let [silent] = poll([(&near, Interest::Read)], 0).unwrap();
-    assert!(!silent.is_ready() && !silent.is_hung_up());
-    let [room] = poll([(&near, Interest::Write)], HANG_MS).unwrap();
-    assert!(room.is_ready() && !room.is_readable());
+    let [idle] = poll([(&near, Interest::Read)], 0).unwrap();
+    assert!(!idle.is_ready() && !idle.is_hung_up());
+    let [space] = poll([(&near, Interest::Write)], HANG_MS).unwrap();
+    assert!(space.is_ready() && !space.is_readable());
     far.write_all(b"a").unwrap();
     let [bytes] = poll([(&near, Interest::Read)], HANG_MS).unwrap();
     assert!(bytes.is_readable() && !bytes.is_hung_up());
 }
 
 #[test]
-fn a_hangup_is_told_behind_bytes_that_nobody_read() {
+fn a_hangup_is_reported_behind_unread_bytes() {
     for interest in [Interest::Hangup, Interest::Read, Interest::Write] {
         let (mut near, mut far) = pair();
         far.write_all(b"the next request").unwrap();
-        let [open] = poll([(&near, Interest::Hangup)], 0).unwrap();
-        assert!(!open.is_ready(), "bytes alone are no hangup");
+        let [unread] = poll([(&near, Interest::Hangup)], 0).unwrap();
+        assert!(!unread.is_ready(), "bytes alone are no hangup");
         far.shutdown(Shutdown::Write).unwrap();
-        let [left] = poll([(&near, interest)], HANG_MS).unwrap();
-        assert!(left.is_hung_up(), "{interest:?}");
+        let [closed] = poll([(&near, interest)], HANG_MS).unwrap();
+        assert!(closed.is_hung_up(), "{interest:?}");
         let mut read = Vec::new();
         near.read_to_end(&mut read).unwrap();
         assert_eq!(read, b"the next request", "the bytes are still there");
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn one_of_two_ends_the_wait() {
+fn one_ready_socket_of_two_completes_the_wait() {
     let (quiet, _far) = pair();
     let (near, far) = pair();
     drop(far);
--- a/crates/transport/src/request_keys/tests.rs
+++ b/crates/transport/src/request_keys/tests.rs
@@ -1,15 +1,15 @@
-//! Tests of `question_keys`.
+//! Tests of `request_keys`.
 
 use super::*;
 use std::collections::HashSet;
 
-fn keys(life: u64, count: usize) -> Vec<u64> {
-    let source = RequestKeys::new(life);
+fn keys(incarnation: u64, count: usize) -> Vec<u64> {
+    let source = RequestKeys::new(incarnation);
     (0..count).map(|_| source.next()).collect()
 }
 
 #[test]
-fn no_key_comes_twice_in_a_life_whichever_thread_draws_it() {
+fn no_key_is_drawn_twice_by_several_threads() {
     let source = RequestKeys::new(u64::MAX - 5);
     let drawn: Vec<u64> = std::thread::scope(|scope| {
         let threads: Vec<_> = (0..4)
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_key_of_an_earlier_life_is_none_of_this_one() {
+fn keys_of_two_incarnations_differ() {
     for (earlier, later) in [(7, 0x5bd1_e995_0000_0123), (u64::MAX - 5, 0x9e37_79b9_7f4a_7c15)] {
         let earlier: HashSet<u64> = keys(earlier, 50).into_iter().collect();
         assert!(keys(later, 50).iter().all(|key| !earlier.contains(key)));
--- a/crates/transport/src/tcp_timeouts/tests.rs
+++ b/crates/transport/src/tcp_timeouts/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `unheard`.
+//! Tests of `tcp_timeouts`.
 
 use super::*;
 use std::net::TcpListener;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn the_system_takes_the_patience_and_gives_it_back() {
+fn the_user_timeout_is_set_and_reset() {
     let stream = connected();
     for wait_ms in [400, 0] {
         set_unacknowledged_timeout(&stream, wait_ms).unwrap();
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_system_probes_a_silent_peer_and_gives_it_up() {
+fn keepalive_is_enabled_with_the_constants() {
     let stream = connected();
     assert!(!SockRef::from(&stream).keepalive().unwrap());
     enable_keepalive(&stream).unwrap();
