--- a/crates/controller/src/control_node/node_lease.rs
+++ b/crates/controller/src/control_node/node_lease.rs
@@ -23,7 +23,7 @@
         } else {
             LeaseResponse::NotController { controller: self.other_leader(), members }
         };
-        self.send(from, Message::LeaseResponse { number, fresh: response });
+        self.send(from, Message::LeaseResponse { number, response });
     }
 
     /// What the endpoint list showed while nobody had the lease must be known before any node serves
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -200,7 +200,10 @@
         self.sent.clear();
         self.renew_lease(5);
         self.sent.iter().any(|message| {
-            matches!(message, Message::LeaseResponse { fresh: LeaseResponse::Granted { .. }, .. })
+            matches!(
+                message,
+                Message::LeaseResponse { response: LeaseResponse::Granted { .. }, .. }
+            )
         })
     }
 
--- a/crates/controller/tests/node_without_log.rs
+++ b/crates/controller/tests/node_without_log.rs
@@ -22,8 +22,8 @@
         Message::Consensus {
             from,
             to: 2,
-            message: LogMessage::LeaderProbeResponse { round, free, .. },
-        } => Some((from.id, *round, *free)),
+            message: LogMessage::LeaderProbeResponse { round, not_leading, .. },
+        } => Some((from.id, *round, *not_leading)),
         _ => None,
     });
     assert_eq!(response, Some((77, 9, true)), "its former incarnation has ended");
