--- a/programs/data-plane/src/answer/tests.rs
+++ b/programs/data-plane/src/answer/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_body_without_one_clear_end_is_no_whole_body() {
+fn body_without_unambiguous_length_is_rejected() {
     assert_eq!(size("Content-Length: 5\r\n"), Ok(Size::Bytes(5)));
     assert_eq!(size("Transfer-Encoding: chunked\r\n"), Ok(Size::Chunks));
     assert!(size("").is_err());
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn chunks_come_whole_or_not_yet() {
+fn chunk_is_parsed_only_when_complete() {
     assert_eq!(chunk(b"3\r\nab"), Ok(None));
     assert_eq!(chunk(b"3\r\nabc\r\n"), Ok(Some((8, 3..6))));
     assert_eq!(chunk(b"0\r\nT: v\r\n"), Ok(None));
--- /dev/null
+++ b/programs/data-plane/src/tests/client_departure.rs
@@ -0,0 +1,136 @@
+//! Clients that depart before their response: no further attempt starts, repeatable requests are
+//! cancelled, and one-time requests keep their guarantees.
+
+mod one_time;
+mod repeatable;
+
+use super::named_targets::{IdentifiedDialect, response};
+use super::rig::*;
+use postbarrow_messages::Request;
+use postbarrow_state::{Settlement, Target};
+use std::io::Write;
+use std::net::TcpStream;
+use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
+use std::sync::mpsc::{Receiver, channel};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::Duration;
+
+/// Longer than any wait here that an event ends; only a wait that hangs reaches it.
+const HANG: Duration = Duration::from_secs(12);
+/// The route's deadline in these tests: a wait that ends by it is one that hangs.
+const LONG_MS: u64 = 60_000;
+
+/// How a client ends its connection.
+#[derive(Clone, Copy, Debug)]
+enum Departure {
+    Close,
+    Reset,
+}
+
+/// Bytes of a response that no socket buffers completely.
+const LARGE: usize = 24 << 20;
+const DEPARTURES: [Departure; 2] = [Departure::Close, Departure::Reset];
+
+fn depart(stream: TcpStream, departure: Departure) {
+    if matches!(departure, Departure::Reset) {
+        socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
+    }
+}
+
+fn client(rig: &Rig, bytes: &[u8]) -> TcpStream {
+    let mut stream = TcpStream::connect(rig.http).unwrap();
+    stream.write_all(bytes).unwrap();
+    stream
+}
+
+const LOOK: &[u8] = b"GET /look/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: p\r\n\r\n";
+const POST: &[u8] =
+    b"POST /post/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: p\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\nx";
+
+fn await_signal(from: &Receiver<()>, message: &str) {
+    from.recv_timeout(HANG).unwrap_or_else(|_| panic!("{message}"));
+}
+
+/// Waits until a target has received a request.
+fn await_request(target: &ScriptedTarget) {
+    while target.runs() == 0 {
+        thread::yield_now();
+    }
+}
+
+/// Waits until the node has nothing in flight.
+fn await_idle(rig: &Rig) {
+    let count = |of: &AtomicUsize| of.load(Relaxed);
+    let shared = &rig.shared;
+    let at_work =
+        || count(&shared.requests_at_work) + count(&shared.calls) + count(&shared.watches);
+    let attempts = HANG.as_millis();
+    for _ in 0..attempts {
+        if at_work() == 0 {
+            return;
+        }
+        thread::sleep(Duration::from_millis(1));
+    }
+    panic!("{} requests are in flight for departed clients", at_work());
+}
+
+/// Asserts that every counter that a request raised is back at 0.
+fn assert_all_released(rig: &Rig) {
+    await_idle(rig);
+    let own = std::net::IpAddr::from([127, 0, 0, 1]);
+    assert_eq!(rig.shared.clients.of(own).load(Relaxed), 0, "requests of the client");
+    let table = rig.shared.table.load_full();
+    for load in table.loads().values() {
+        assert_eq!(load.at_work(), 0, "load of its target");
+    }
+    let postbarrow_routing::RouteMatch::Route(entry) = table.find("GET", "/look/1", &[]) else {
+        panic!("no route")
+    };
+    assert_eq!(entry.compiled.limits.at_work(), 0, "concurrency of its route");
+}
+
+fn target_of(scripted: &ScriptedTarget, instance: &str) -> Target {
+    Target { slots: 2, ..target(instance, "s", scripted.address) }
+}
+
+/// A node with these targets, of which the first is selected first; the targets identify themselves,
+/// or each request names its target.
+fn node(named: bool, targets: &[(&str, &ScriptedTarget)]) -> Rig {
+    let rig = match named {
+        true => Rig::with_dialect(Arc::new(IdentifiedDialect), Vec::new(), grant_all),
+        false => Rig::new(Vec::new(), grant_all),
+    };
+    publish(&rig, targets);
+    rig
+}
+
+fn publish(rig: &Rig, targets: &[(&str, &ScriptedTarget)]) {
+    let warming_up = |at: usize| at > 0;
+    let targets = targets.iter().enumerate().map(|(at, (instance, scripted))| Target {
+        warming_up: warming_up(at),
+        ..target_of(scripted, instance)
+    });
+    rig.publish_with(targets.collect(), LONG_MS);
+}
+
+fn answers() -> Vec<Script> {
+    vec![Script::Reply(response("p", "", "done"))]
+}
+
+/// A controller that answers ticket and call requests only once the test allows it.
+fn unresponsive_controller(
+    targets: &[(&str, &ScriptedTarget)],
+) -> (Rig, Receiver<()>, impl Fn() + use<>) {
+    let ((requested, on_request), (respond, may_respond)) = (channel(), channel::<()>());
+    let may_respond = Mutex::new(may_respond);
+    let rig = Rig::new(Vec::new(), move |request| {
+        if matches!(request, Request::Ticket(_) | Request::Call { .. }) {
+            let _ = requested.send(());
+            let _ = may_respond.lock().unwrap().recv();
+        }
+        grant_all(request)
+    });
+    publish(&rig, targets);
+    (rig, on_request, move || respond.send(()).unwrap())
+}
--- a/programs/data-plane/src/tests/mod.rs
+++ b/programs/data-plane/src/tests/mod.rs
@@ -1,11 +1,13 @@
-mod answers;
-mod asks;
-mod client_left;
-mod crowds;
-mod named;
-mod promises;
-mod proved;
+//! Tests of a node on real sockets, before scripted targets and a scripted controller.
+
+mod admission;
+mod client_departure;
+mod execution_evidence;
+mod library_behaviour;
+mod named_targets;
+mod requests;
+mod responses;
 mod rig;
 mod scripted;
-mod silence;
-mod traps;
+mod unresponsive_named_targets;
+mod unresponsive_targets;
--- a/programs/data-plane/src/tests/rig.rs
+++ b/programs/data-plane/src/tests/rig.rs
@@ -15,16 +15,16 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// The most that a request to `/large/` may carry: more than sockets hold on their way.
+/// Body limit of the routes under `/large/`: more than sockets buffer in transfer.
 pub const LARGE_BYTES: u64 = 64 << 20;
-/// What routes give each request, unless a test says otherwise.
+/// The routes' deadline, unless a test sets another.
 const DEADLINE_MS: u64 = 4_000;
 
-/// One node whose image and hold the test sets, and whose controller the test plays.
+/// One node whose routing table and lease the test sets, and whose controller the test plays.
 pub struct Rig {
     pub shared: Arc<Shared>,
     pub http: SocketAddr,
-    pub asked: Arc<Mutex<Vec<Request>>>,
+    pub requested: Arc<Mutex<Vec<Request>>>,
     withdrawn: Arc<AtomicUsize>,
 }
 
@@ -47,10 +47,10 @@
         targets: Vec<Target>,
         answer: impl Fn(&Request) -> Response + Send + 'static,
     ) -> Rig {
-        Rig::speaking(Arc::new(crate::NativeDialect), targets, answer)
+        Rig::with_dialect(Arc::new(crate::NativeDialect), targets, answer)
     }
 
-    pub fn speaking(
+    pub fn with_dialect(
         dialect: Arc<dyn crate::Dialect>,
         targets: Vec<Target>,
         answer: impl Fn(&Request) -> Response + Send + 'static,
@@ -60,8 +60,8 @@
         let own = Node { incarnation: 7, name: "n".into(), address: http, http, zone: "a".into() };
         let (commands, queue) = channel();
         let shared = Arc::new(Shared::new(own, dialect, &Bounds::default(), commands));
-        let asked = Arc::new(Mutex::new(Vec::new()));
-        let told = asked.clone();
+        let requested = Arc::new(Mutex::new(Vec::new()));
+        let received = requested.clone();
         let withdrawn = Arc::new(AtomicUsize::new(0));
         let count = withdrawn.clone();
         thread::spawn(move || {
@@ -69,7 +69,7 @@
                 match command {
                     Command::Request { request, reply, .. } => {
                         let response = answer(&request);
-                        told.lock().unwrap().push(request);
+                        received.lock().unwrap().push(request);
                         if let Some(reply) = reply {
                             let _ = reply.send(response);
                         }
@@ -79,7 +79,7 @@
                 }
             }
         });
-        let rig = Rig { shared, http, asked, withdrawn };
+        let rig = Rig { shared, http, requested, withdrawn };
         rig.publish(targets);
         rig.shared.lease_until_ms.store(u64::MAX, Relaxed);
         downstream::listen(listener, rig.shared.clone()).unwrap();
@@ -90,7 +90,7 @@
         self.publish_with(targets, DEADLINE_MS);
     }
 
-    /// The same with routes that give each request so long.
+    /// The same with this deadline for the routes.
     pub fn publish_with(&self, targets: Vec<Target>, deadline_ms: u64) {
         let mut state = State::default();
         let plan = PlanHead { version: "v1".into(), base: None, offset: 1 };
@@ -129,38 +129,38 @@
         self.shared.table.store(Arc::new(table));
     }
 
-    /// Sends one request as raw bytes, waits for its response, and gives back all that comes until
-    /// the node closes.
+    /// Sends one request as raw bytes, waits for its response, and returns all bytes until the node
+    /// closes.
     pub fn raw(&self, bytes: &[u8]) -> String {
         self.talk(bytes, 1)
     }
 
-    /// Sends requests as raw bytes and closes its side once so many responses came whole: a client
-    /// that closes earlier has left.
+    /// Sends requests as raw bytes and closes its side once so many responses are complete: a client
+    /// that closes earlier counts as departed.
     pub fn talk(&self, bytes: &[u8], responses: usize) -> String {
         let mut stream = TcpStream::connect(self.http).unwrap();
         stream.write_all(bytes).unwrap();
-        let mut told = Vec::new();
-        let mut part = [0; 4096];
-        while whole_responses(&told) < responses {
-            match stream.read(&mut part) {
+        let mut received = Vec::new();
+        let mut chunk = [0; 4096];
+        while complete_responses(&received) < responses {
+            match stream.read(&mut chunk) {
                 Ok(0) | Err(_) => break,
-                Ok(length) => told.extend_from_slice(&part[..length]),
+                Ok(length) => received.extend_from_slice(&chunk[..length]),
             }
         }
         let _ = stream.shutdown(Shutdown::Write);
-        let _ = stream.read_to_end(&mut told);
-        String::from_utf8_lossy(&told).into_owned()
+        let _ = stream.read_to_end(&mut received);
+        String::from_utf8_lossy(&received).into_owned()
     }
 
-    /// Sends bytes and leaves at once; gives back what came all the same.
-    pub fn send_and_leave(&self, bytes: &[u8]) -> String {
+    /// Sends bytes and closes its side at once; returns what the node sent nonetheless.
+    pub fn send_and_close(&self, bytes: &[u8]) -> String {
         let mut stream = TcpStream::connect(self.http).unwrap();
         stream.write_all(bytes).unwrap();
         stream.shutdown(Shutdown::Write).unwrap();
-        let mut told = Vec::new();
-        let _ = stream.read_to_end(&mut told);
-        String::from_utf8_lossy(&told).into_owned()
+        let mut received = Vec::new();
+        let _ = stream.read_to_end(&mut received);
+        String::from_utf8_lossy(&received).into_owned()
     }
 
     pub fn get(&self, path: &str) -> String {
@@ -175,43 +175,43 @@
         )
     }
 
-    /// Questions that were taken back so far.
+    /// Controller requests withdrawn so far.
     pub fn withdrawn(&self) -> usize {
         self.shared.request(Request::Show, 60_000, &ClientWatch::nobody());
         self.withdrawn.load(Relaxed)
     }
 
-    /// All settled so far: a question behind them in the queue is answered after them.
-    pub fn settled(&self) -> Vec<Settlement> {
+    /// All settlements so far: a request queued behind them is answered after them.
+    pub fn settlements(&self) -> Vec<Settlement> {
         self.shared.request(Request::Show, 60_000, &ClientWatch::nobody());
-        let asked = self.asked.lock().unwrap();
-        let settled = asked.iter().filter_map(|ask| match ask {
+        let requested = self.requested.lock().unwrap();
+        let settlements = requested.iter().filter_map(|request| match request {
             Request::Settle { settlement, .. } => Some(*settlement),
             _ => None,
         });
-        settled.collect()
+        settlements.collect()
     }
 }
 
-/// How many responses are whole in what came, each with a length.
-fn whole_responses(mut told: &[u8]) -> usize {
+/// How many complete responses, each with a length, the bytes hold.
+fn complete_responses(mut received: &[u8]) -> usize {
     let mut count = 0;
-    while let Some(end) = told.windows(4).position(|four| four == b"\r\n\r\n") {
-        let head = String::from_utf8_lossy(&told[..end]).to_ascii_lowercase();
+    while let Some(end) = received.windows(4).position(|four| four == b"\r\n\r\n") {
+        let head = String::from_utf8_lossy(&received[..end]).to_ascii_lowercase();
         let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
         let length = length.and_then(|text| text.parse().ok()).unwrap_or(0);
-        let Some(rest) = told.get(end + 4 + length..) else { return count };
-        told = rest;
+        let Some(rest) = received.get(end + 4 + length..) else { return count };
+        received = rest;
         count += 1;
     }
     count
 }
 
-/// A controller that grants and settles all.
-pub fn yes(ask: &Request) -> Response {
-    match ask {
+/// A controller that grants every ticket and accepts every settlement.
+pub fn grant_all(request: &Request) -> Response {
+    match request {
         Request::Ticket(_) => Response::Granted,
         Request::Settle { .. } => Response::Settled,
-        _ => Response::Refused("not asked here".into()),
+        _ => Response::Refused("not expected here".into()),
     }
 }
--- a/programs/data-plane/src/tests/scripted.rs
+++ b/programs/data-plane/src/tests/scripted.rs
@@ -7,52 +7,52 @@
 use std::thread;
 
 #[derive(Clone, Default)]
-pub struct Seen {
+pub struct Observed {
     pub heads: Vec<String>,
     pub bodies: Vec<Vec<u8>>,
     pub connections: usize,
 }
 
-/// What a target does with the next ask it gets.
+/// What a target does with the next request it receives.
 #[derive(Clone)]
 pub enum Script {
-    Whole(&'static str),
+    Complete(&'static str),
     /// These bytes, then the connection ends.
     Raw(Vec<u8>),
     /// These bytes, and the connection goes on.
     Reply(Vec<u8>),
-    /// A whole response, then the connection ends without a word of it.
-    WholeThenClose(&'static str),
+    /// A complete response, then the connection ends without `Connection: close`.
+    CompleteThenClose(&'static str),
     /// These bytes, then a reset.
     Reset(Vec<u8>),
     /// Bytes at once, others when the test says so, and the connection goes on.
-    Later(Vec<u8>, Cue, Vec<u8>),
+    Delayed(Vec<u8>, Cue, Vec<u8>),
     /// Bytes at once, and a reset when the test says so.
-    LaterReset(Vec<u8>, Cue),
-    /// Works on the request until its connection ends.
-    Hold(Watched),
+    DelayedReset(Vec<u8>, Cue),
+    /// Runs the request until its connection ends.
+    Hang(Observer),
 }
 
-/// Where a target tells what it sees of a request that it holds.
+/// The target's side of the observations of a request that it never answers.
 #[derive(Clone)]
-pub struct Watched {
+pub struct Observer {
     began: Sender<()>,
     ended: Sender<()>,
 }
 
-/// Where a test hears of it.
-pub struct Sightings {
+/// The test's side of them.
+pub struct Observations {
     pub began: Receiver<()>,
     pub ended: Receiver<()>,
 }
 
-/// What a target does instead of proving itself.
-pub type Unproved = Option<Watched>;
+/// Where a target that never identifies itself reports.
+pub type Unidentified = Option<Observer>;
 
-/// A target that proves itself and reads no more than a little of a body until the test says so.
+/// A target that identifies itself and reads only the first bytes of a body until the test allows more.
 pub struct UnreadingTarget {
     pub address: SocketAddr,
-    /// Tells when a request's first bytes are there.
+    /// Receives once a request's first bytes have arrived.
     pub began: Receiver<()>,
     read_on: Sender<()>,
     got: Receiver<Option<usize>>,
@@ -62,83 +62,85 @@
     pub fn start(instance: &'static str, service: &'static str) -> UnreadingTarget {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let ((begins, began), (read_on, may_read), (gets, got)) = (channel(), channel(), channel());
+        let ((began_sender, began), (read_on, may_read), (got_sender, got)) =
+            (channel(), channel(), channel());
         thread::spawn(move || {
             let (mut stream, _) = listener.accept().unwrap();
             let mut buffer = Vec::new();
-            let (head, _) = read_request(&mut stream, &mut buffer).expect("its proof is asked for");
+            let (head, _) =
+                read_request(&mut stream, &mut buffer).expect("its identity is requested first");
             assert!(head.contains(PROOF_PATH), "{head}");
-            stream.write_all(whole(&proof(instance, service)).as_bytes()).unwrap();
+            stream.write_all(complete(&identity(instance, service)).as_bytes()).unwrap();
             let mut first = [0; 4];
             stream.read_exact(&mut first).unwrap();
-            let _ = begins.send(());
+            let _ = began_sender.send(());
             let _ = may_read.recv();
             buffer.extend_from_slice(&first);
             let request = read_request(&mut stream, &mut buffer);
-            let _ = gets.send(request.map(|(_, body)| body.len()));
-            let _ = stream.write_all(whole("done").as_bytes());
+            let _ = got_sender.send(request.map(|(_, body)| body.len()));
+            let _ = stream.write_all(complete("done").as_bytes());
         });
         UnreadingTarget { address, began, read_on, got }
     }
 
-    /// Reads on; gives the bytes of the whole body, or none where the connection broke before.
+    /// Reads on; returns the length of the complete body, or none if the connection broke before.
     pub fn reads_on(&self) -> Option<usize> {
         self.read_on.send(()).unwrap();
         self.got.recv().unwrap()
     }
 }
 
-fn proof(instance: &str, service: &str) -> String {
+fn identity(instance: &str, service: &str) -> String {
     format!(
         "{{\"instance\":\"{instance}\",\"service\":\"{service}\",\"labels\":{{}},\"occupancy\":0}}"
     )
 }
 
-pub fn sightings() -> (Sightings, Watched) {
-    let ((began, begins), (ended, ends)) = (channel(), channel());
-    (Sightings { began: begins, ended: ends }, Watched { began, ended })
+pub fn observations() -> (Observations, Observer) {
+    let ((began, on_began), (ended, on_ended)) = (channel(), channel());
+    (Observations { began: on_began, ended: on_ended }, Observer { began, ended })
 }
 
-impl Watched {
-    /// Reads on, whatever comes, until the connection ends.
-    fn hold(&self, stream: &mut TcpStream) {
+impl Observer {
+    /// Reads and discards until the connection ends.
+    fn hang(&self, stream: &mut TcpStream) {
         let _ = self.began.send(());
-        let mut part = [0; 4096];
-        while matches!(stream.read(&mut part), Ok(length) if length > 0) {}
+        let mut chunk = [0; 4096];
+        while matches!(stream.read(&mut chunk), Ok(length) if length > 0) {}
         let _ = self.ended.send(());
     }
 }
 
-/// The target's side of a moment that the test chooses.
+/// The target's side of an event that the test triggers.
 #[derive(Clone)]
 pub struct Cue {
-    go: Arc<Mutex<Receiver<()>>>,
+    proceed: Arc<Mutex<Receiver<()>>>,
     done: Sender<()>,
 }
 
 /// The test's side of it.
-pub struct Moment {
-    go: Sender<()>,
+pub struct Trigger {
+    proceed: Sender<()>,
     done: Receiver<()>,
 }
 
-pub fn moment() -> (Moment, Cue) {
-    let ((go, waits), (done, hears)) = (channel(), channel());
-    let cue = Cue { go: Arc::new(Mutex::new(waits)), done };
-    (Moment { go, done: hears }, cue)
+pub fn trigger() -> (Trigger, Cue) {
+    let ((proceed, on_proceed), (done, on_done)) = (channel(), channel());
+    let cue = Cue { proceed: Arc::new(Mutex::new(on_proceed)), done };
+    (Trigger { proceed, done: on_done }, cue)
 }
 
-impl Moment {
-    /// Lets the target act, and returns when it did.
-    pub fn comes(&self) {
-        self.go.send(()).unwrap();
+impl Trigger {
+    /// Lets the target act, and returns once it has.
+    pub fn fire(&self) {
+        self.proceed.send(()).unwrap();
         self.done.recv().unwrap();
     }
 }
 
 impl Cue {
     fn wait(&self) {
-        let _ = self.go.lock().unwrap().recv();
+        let _ = self.proceed.lock().unwrap().recv();
     }
 }
 
@@ -147,15 +149,15 @@
     let linger = libc::linger { l_onoff: 1, l_linger: 0 };
     let size = size_of::<libc::linger>() as libc::socklen_t;
     let (level, option) = (libc::SOL_SOCKET, libc::SO_LINGER);
-    let place = std::ptr::from_ref(&linger).cast();
-    let set = unsafe { libc::setsockopt(stream.as_raw_fd(), level, option, place, size) };
+    let value = std::ptr::from_ref(&linger).cast();
+    let set = unsafe { libc::setsockopt(stream.as_raw_fd(), level, option, value, size) };
     assert_eq!(set, 0, "the socket takes the option");
 }
 
-/// A target on a real socket that proves itself and then plays its script.
+/// A target on a real socket that identifies itself and then plays its script.
 pub struct ScriptedTarget {
     pub address: SocketAddr,
-    pub seen: Arc<Mutex<Seen>>,
+    pub observed: Arc<Mutex<Observed>>,
 }
 
 pub fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<(String, Vec<u8>)> {
@@ -174,51 +176,54 @@
                 return Some((head, body));
             }
         }
-        let mut part = [0; 4096];
-        match stream.read(&mut part) {
+        let mut chunk = [0; 4096];
+        match stream.read(&mut chunk) {
             Ok(0) | Err(_) => return None,
-            Ok(length) => buffer.extend_from_slice(&part[..length]),
+            Ok(length) => buffer.extend_from_slice(&chunk[..length]),
         }
     }
 }
 
-fn whole(body: &str) -> String {
+fn complete(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nX-T: 1\r\nX-T: 2\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
 impl ScriptedTarget {
     pub fn start(instance: &'static str, service: &'static str, script: Vec<Script>) -> Self {
-        ScriptedTarget::proving(instance, service, script, None)
+        ScriptedTarget::start_with(instance, service, script, None)
     }
 
-    /// One that holds whoever asks for its proof.
-    pub fn unproved(instance: &'static str, service: &'static str, watched: Watched) -> Self {
-        ScriptedTarget::proving(instance, service, vec![Script::Whole("")], Some(watched))
+    /// One that never answers an identity request.
+    pub fn unidentified(instance: &'static str, service: &'static str, observer: Observer) -> Self {
+        ScriptedTarget::start_with(instance, service, vec![Script::Complete("")], Some(observer))
     }
 
-    fn proving(
+    fn start_with(
         instance: &'static str,
         service: &'static str,
         script: Vec<Script>,
-        unproved: Unproved,
+        unidentified: Unidentified,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let seen = Arc::new(Mutex::new(Seen::default()));
+        let observed = Arc::new(Mutex::new(Observed::default()));
         let script = Arc::new(Mutex::new(script));
-        let told = seen.clone();
+        let recorder = observed.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (script, told, unproved) = (script.clone(), told.clone(), unproved.clone());
-                told.lock().unwrap().connections += 1;
-                thread::spawn(move || play(stream, instance, service, &script, &told, unproved));
+                let (script, recorder, unidentified) =
+                    (script.clone(), recorder.clone(), unidentified.clone());
+                recorder.lock().unwrap().connections += 1;
+                thread::spawn(move || {
+                    play(stream, instance, service, &script, &recorder, unidentified)
+                });
             }
         });
-        ScriptedTarget { address, seen }
+        ScriptedTarget { address, observed }
     }
 
     pub fn runs(&self) -> usize {
-        self.seen.lock().unwrap().heads.len()
+        self.observed.lock().unwrap().heads.len()
     }
 }
 
@@ -227,28 +232,28 @@
     instance: &str,
     service: &str,
     script: &Mutex<Vec<Script>>,
-    told: &Mutex<Seen>,
-    unproved: Unproved,
+    recorder: &Mutex<Observed>,
+    unidentified: Unidentified,
 ) {
     let mut buffer = Vec::new();
     stream.set_nodelay(true).unwrap();
     while let Some((head, body)) = read_request(&mut stream, &mut buffer) {
         if head.contains(PROOF_PATH) {
-            if let Some(watched) = &unproved {
-                return watched.hold(&mut stream);
+            if let Some(observer) = &unidentified {
+                return observer.hang(&mut stream);
             }
-            stream.write_all(whole(&proof(instance, service)).as_bytes()).unwrap();
+            stream.write_all(complete(&identity(instance, service)).as_bytes()).unwrap();
             continue;
         }
         let next = {
-            let mut seen = told.lock().unwrap();
-            seen.heads.push(head);
-            seen.bodies.push(body);
+            let mut observed = recorder.lock().unwrap();
+            observed.heads.push(head);
+            observed.bodies.push(body);
             let mut script = script.lock().unwrap();
             if script.len() > 1 { script.remove(0) } else { script[0].clone() }
         };
         match next {
-            Script::Whole(body) => stream.write_all(whole(body).as_bytes()).unwrap(),
+            Script::Complete(body) => stream.write_all(complete(body).as_bytes()).unwrap(),
             Script::Reply(bytes) => stream.write_all(&bytes).unwrap(),
             Script::Raw(bytes) => {
                 let _ = stream.write_all(&bytes);
@@ -258,22 +263,22 @@
                 let _ = stream.write_all(&bytes);
                 return reset(stream);
             }
-            Script::Later(first, cue, second) => {
+            Script::Delayed(first, cue, second) => {
                 stream.write_all(&first).unwrap();
                 cue.wait();
                 let _ = stream.write_all(&second);
                 let _ = cue.done.send(());
             }
-            Script::LaterReset(first, cue) => {
+            Script::DelayedReset(first, cue) => {
                 stream.write_all(&first).unwrap();
                 cue.wait();
                 reset(stream);
                 let _ = cue.done.send(());
                 return;
             }
-            Script::Hold(watched) => return watched.hold(&mut stream),
-            Script::WholeThenClose(body) => {
-                let _ = stream.write_all(whole(body).as_bytes());
+            Script::Hang(observer) => return observer.hang(&mut stream),
+            Script::CompleteThenClose(body) => {
+                let _ = stream.write_all(complete(body).as_bytes());
                 return;
             }
         }
