--- a/programs/data-plane/src/core.rs
+++ b/programs/data-plane/src/control_loop.rs
@@ -1,77 +1,47 @@
-use crate::pools::Pools;
-use crate::share::Shared;
+//! The control loop: the one thread that owns the node's state machine.
+
+use crate::command::Command;
+use crate::shared::Shared;
 use log::info;
 use postbarrow_constants::consensus::TICK_MS;
-use postbarrow_messages::{Envelope, Request, Response};
+use postbarrow_messages::Response;
 use postbarrow_node::{DataNode, Effect, Input};
-use postbarrow_routing::Table;
-use postbarrow_state::Name;
 use postbarrow_transport::{Links, clock_ms};
 use std::collections::HashMap;
-use std::net::SocketAddr;
 use std::sync::Arc;
-use std::sync::atomic::Ordering::*;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, SyncSender};
 use std::time::Duration;
 
-pub enum Command {
-    Envelope(Envelope),
-    Request {
-        /// Drawn from the process's `QuestionKeys`.
-        key: u64,
-        request: Request,
-        wait_ms: u64,
-        reply: Option<SyncSender<Response>>,
-    },
-    /// Nobody waits for the answer of this request any more.
-    Withdraw {
-        key: u64,
-    },
-    Probed {
-        instance: Name,
-        sound: bool,
-    },
-    Seeds(Vec<SocketAddr>),
-    Stop,
-    /// Ends once the controller has taken every settlement, or at this time.
-    End {
-        until_ms: u64,
-        done: Sender<()>,
-    },
-}
-
-/// The one owner of the node's tables: works through its queue, carries out effects.
-pub struct Core {
+/// Owns the node: works through its queue of commands and carries out the node's effects.
+pub struct ControlLoop {
     node: DataNode,
     links: Links,
-    /// Who waits for an answer, by the key of the request.
+    /// Who waits for a response, by the key of the request.
     replies: HashMap<u64, SyncSender<Response>>,
     shared: Arc<Shared>,
     ending: Option<(u64, Sender<()>)>,
 }
 
-impl Core {
+impl ControlLoop {
+    /// The loop of a node, before it runs.
     pub fn new(node: DataNode, shared: Arc<Shared>) -> Self {
         let links = Links::new(node.own().address);
-        Core { node, links, replies: HashMap::new(), shared, ending: None }
+        ControlLoop { node, links, replies: HashMap::new(), shared, ending: None }
     }
 
+    /// Runs until the queue is closed or [`Command::End`] is fulfilled.
     pub fn run(mut self, queue: Receiver<Command>) {
         let mut tick_ms = 0;
         loop {
             let now_ms = clock_ms();
             if now_ms >= tick_ms {
                 tick_ms = now_ms + TICK_MS;
-                let (samples, seen) = self.shared.seen();
-                if seen > 0 {
-                    self.handle(now_ms, Input::Saw { samples, seen });
-                }
-                self.handle(now_ms, Input::Tick);
+                self.tick(now_ms);
             }
             let wait_ms = tick_ms.saturating_sub(clock_ms()).max(1);
             match queue.recv_timeout(Duration::from_millis(wait_ms)) {
                 Err(RecvTimeoutError::Disconnected) => return,
-                Ok(command) => self.work(command),
+                Ok(command) => self.execute(command),
                 Err(RecvTimeoutError::Timeout) => {}
             }
             if let Some((until_ms, done)) = &self.ending
@@ -83,7 +53,15 @@
         }
     }
 
-    fn work(&mut self, command: Command) {
+    fn tick(&mut self, now_ms: u64) {
+        let (samples, seen) = self.shared.samples.drain();
+        if seen > 0 {
+            self.handle(now_ms, Input::Saw { samples, seen });
+        }
+        self.handle(now_ms, Input::Tick);
+    }
+
+    fn execute(&mut self, command: Command) {
         let now_ms = clock_ms();
         match command {
             Command::Envelope(envelope) => self.handle(now_ms, Input::Receive(envelope)),
@@ -115,17 +93,8 @@
                         let _ = reply.try_send(response);
                     }
                 }
-                Effect::Publish { state, offset } => {
-                    let old = self.shared.table.load();
-                    let same_targets = state.targets.ptr_eq(&old.state.targets);
-                    let table = Table::new(state, offset, &old);
-                    if !same_targets {
-                        let pools = Pools::carry(&self.shared.pools.load(), &table);
-                        self.shared.pools.store(Arc::new(pools));
-                    }
-                    self.shared.table.store(Arc::new(table));
-                }
-                Effect::Lease { until_ms } => self.shared.lease_until_ms.store(until_ms, Release),
+                Effect::Publish { state, offset } => self.shared.publish(state, offset),
+                Effect::Lease { until_ms } => self.shared.lease.set_until(until_ms),
                 Effect::Log(text) => info!("node: {text}"),
             }
         }
--- a/programs/data-plane/src/dialect.rs
+++ b/programs/data-plane/src/dialect.rs
@@ -1,59 +1,64 @@
-//! What a node's callers and targets speak.
+//! What a node's clients and targets speak.
+//!
+//! The product has a dialect of its own, [`NativeDialect`]; an adapter to another platform implements
+//! [`Dialect`]. Nothing else in this crate knows a header or a JSON field of a dialect.
 
-use crate::calls;
+use crate::json_response;
 use postbarrow_downstream::head::{Head, end_to_end_headers};
 use postbarrow_node::{Completion, TargetResponse};
 
-/// The node's own calls, which are no requests for a target.
+/// An endpoint of the node itself; a request to it has no target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeEndpoint {
-    /// Whether this node is ready.
+    /// States whether this node is ready.
     Ready,
-    /// An application's call to the controller.
+    /// An application's coordination call to the controller.
     Coordination,
 }
 
-/// What a target's response is worth, to who asked.
+/// What a response proves about the request that was sent.
 #[derive(Debug, PartialEq)]
 pub enum ResponseJudgement {
-    /// The target's own, whole response to this request.
+    /// It is the target's complete response to this request.
     Complete,
-    /// The target says that it did not run the request, nor will.
+    /// The target states that it did not run the request, nor will; with the reason.
     NotRun(String),
-    /// Not what a sound target sends; the request may have run.
+    /// No conforming target sends it; the request may have run. With the reason.
     Unsound(String),
-    /// It belongs to a request before this one.
+    /// It answers a request before this one.
     Misdirected,
 }
 
-/// How targets are spoken to that tell no proof of themselves, but turn away what names another.
+/// How each request names its target, where targets do not identify themselves on a new connection
+/// but reject a request that names another.
 pub trait TargetIdentification: Send + Sync {
-    /// Headers for this target, with the milliseconds that are left.
-    fn headers(&self, head: &Head, instance: &str, left_ms: u64) -> Vec<(String, String)>;
-    /// What a response on a connection is worth; `first`: none came on it before.
+    /// Headers for this target; `remaining_ms` is the time until the request's deadline.
+    fn headers(&self, head: &Head, instance: &str, remaining_ms: u64) -> Vec<(String, String)>;
+    /// What a response proves; `first`: no response came on its connection before.
     fn judge_response(
         &self,
         head: &Head,
         response: &TargetResponse,
         first: bool,
     ) -> ResponseJudgement;
-    /// Requests at work and waiting there, if the response tells.
+    /// Requests in flight and queued at the target, if the response states them.
     fn in_flight(&self, response: &TargetResponse) -> Option<u64>;
 }
 
-/// What callers and targets of this node speak. The product's own dialect is `Own`.
+/// What clients and targets of this node speak.
 pub trait Dialect: Send + Sync {
-    /// Which of the node's own calls this is, if any.
+    /// Which endpoint of the node itself the request is for, if any.
     fn node_endpoint(&self, head: &Head) -> Option<NodeEndpoint>;
-    /// How long the client waits, if it says, in milliseconds.
+    /// How long the client waits, in milliseconds, if it states so.
     fn client_timeout_ms(&self, head: &Head) -> Option<u64>;
-    /// What makes two requests the same one.
+    /// The key by which a repeat of the request is recognised.
     fn idempotency_key<'h>(&self, head: &'h Head) -> Option<&'h str>;
-    /// A response that ends a request, for its client.
-    fn render_completion(&self, verdict: Completion) -> TargetResponse;
-    /// A request that was not read whole, or not understood.
-    fn render_rejection(&self, status: u16, unsure: bool, why: &str) -> TargetResponse;
-    /// None: targets prove themselves on each connection.
+    /// The response to the client of a request that ended.
+    fn render_completion(&self, completion: Completion) -> TargetResponse;
+    /// The response to a request that was not read completely or not understood; `unsure`: a request
+    /// under its key may have run before.
+    fn render_rejection(&self, status: u16, unsure: bool, reason: &str) -> TargetResponse;
+    /// How requests name their target. None: targets identify themselves on each new connection.
     fn target_identification(&self) -> Option<&dyn TargetIdentification>;
 }
 
@@ -74,27 +79,27 @@
     fn idempotency_key<'h>(&self, head: &'h Head) -> Option<&'h str> {
         head.header("idempotency-key")
     }
-    fn render_completion(&self, verdict: Completion) -> TargetResponse {
-        verdict.into_response()
+    fn render_completion(&self, completion: Completion) -> TargetResponse {
+        completion.into_response()
     }
-    fn render_rejection(&self, status: u16, unsure: bool, why: &str) -> TargetResponse {
-        calls::refused(status, if unsure { "unknown" } else { "not-run" }, why)
+    fn render_rejection(&self, status: u16, unsure: bool, reason: &str) -> TargetResponse {
+        json_response::rejection(status, if unsure { "unknown" } else { "not-run" }, reason)
     }
     fn target_identification(&self) -> Option<&dyn TargetIdentification> {
         None
     }
 }
 
-/// The head as it goes on to a target.
-pub fn on_to_target(
+/// The headers of a request as they are forwarded to a target.
+pub fn target_headers(
     dialect: &dyn Dialect,
     head: &Head,
     instance: &str,
-    left_ms: u64,
+    remaining_ms: u64,
 ) -> Vec<(String, String)> {
     let mut headers = end_to_end_headers(&head.headers);
     if let Some(named) = dialect.target_identification() {
-        for (name, value) in named.headers(head, instance, left_ms) {
+        for (name, value) in named.headers(head, instance, remaining_ms) {
             headers.retain(|(known, _)| !known.eq_ignore_ascii_case(&name));
             headers.push((name, value));
         }
--- a/programs/data-plane/src/main.rs
+++ b/programs/data-plane/src/main.rs
@@ -1,3 +1,7 @@
+//! The program `postbarrow-data-plane`.
+
+#![deny(missing_docs)]
+
 use gumdrop::Options;
 use postbarrow_data_plane::DataPlane;
 use postbarrow_startup::{Flags, ProgramKind, Startup, checked};
--- /dev/null
+++ b/programs/data-plane/src/phases.rs
@@ -0,0 +1,39 @@
+//! The phases of a request, in order; each is the module of its name.
+//!
+//! | phase | what it does | ends the request with |
+//! | --- | --- | --- |
+//! | [`accept`] | accepts a client connection | 503 if the node or the client has too many |
+//! | [`read_head`] | reads the head of the next request | 400, 408, 431 |
+//! | [`match_route`] | finds the route in the table in force | 404, 405; 503 without a lease |
+//! | [`admit_or_reject`] | checks the key, takes the permits | 400, 429, 503 |
+//! | [`read_body`] | reads the body within its limits | 408, 413, 503 |
+//! | [`select_endpoint`] | draws a service; the target is selected anew for each attempt | no target |
+//! | [`connect`] | reuses or opens a connection, verifies the target's identity | |
+//! | [`authorise_by_ticket`] | obtains a one-time request's ticket from the log | no ticket |
+//! | [`forward`] | sends the request, after the final check | |
+//! | [`read_response`] | reads the response and judges it | |
+//! | [`retry_or_finish`] | settles the ticket; a next attempt, or the completion | all others |
+//! | [`write_response`] | writes the response to the client | |
+//!
+//! [`client_connection`] runs `read_head` and `write_response` for each request of a connection,
+//! [`request`] runs the phases between them, and [`attempts`] those from `select_endpoint` to
+//! `retry_or_finish`. What an attempt leads to is decided by `postbarrow_node::RequestFlow`, which does
+//! no I/O: it returns a step, and the phase of that step returns an event.
+
+pub mod accept;
+mod admit_or_reject;
+mod attempts;
+mod authorise_by_ticket;
+mod client_connection;
+mod connect;
+mod forward;
+mod match_route;
+mod read_body;
+mod read_head;
+mod read_response;
+mod rejection;
+mod request;
+mod request_state;
+mod retry_or_finish;
+mod select_endpoint;
+mod write_response;
--- /dev/null
+++ b/programs/data-plane/src/phases/client_connection.rs
@@ -0,0 +1,30 @@
+//! Serves the requests of one client connection, one after the other.
+
+use super::read_head::{HeadRead, read_head};
+use super::write_response::{write_completion, write_rejection};
+use super::{request, write_response::Persistence};
+use crate::shared::Shared;
+use postbarrow_downstream::connection::Connection;
+use std::sync::Arc;
+
+/// Serves a client connection until either side ends it.
+pub fn serve(mut connection: Connection, shared: &Arc<Shared>) {
+    loop {
+        let head = match read_head(&mut connection, shared) {
+            HeadRead::Head(head) => head,
+            HeadRead::Rejected(rejection) => {
+                return write_rejection(&mut connection, shared, "GET", rejection);
+            }
+            HeadRead::Closed => return,
+        };
+        match request::process(&mut connection, shared, &head) {
+            Ok(end) => match write_completion(&mut connection, shared, &head, end) {
+                Persistence::KeepAlive => {}
+                Persistence::Close => return,
+            },
+            Err(rejection) => {
+                return write_rejection(&mut connection, shared, &head.method, rejection);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/programs/data-plane/src/phases/read_body.rs
@@ -0,0 +1,78 @@
+//! Phase: reads the body of a request, within the limits of its route and the node's memory.
+
+use super::match_route::MatchedRoute;
+use super::rejection::Rejection;
+use crate::shared::Shared;
+use postbarrow_constants::traffic::BODY_WAIT_MS;
+use postbarrow_downstream::body::{self, Body};
+use postbarrow_downstream::connection::Connection;
+use postbarrow_downstream::head::{Head, Length, Reject};
+use postbarrow_node::RequestOutcome;
+use postbarrow_transport::clock_ms;
+
+/// Reads the body of a request with a route.
+///
+/// # Errors
+/// It is too large, malformed, late, or the node has no memory for it.
+pub fn read_route_body(
+    connection: &mut Connection,
+    shared: &Shared,
+    head: &Head,
+    route: &MatchedRoute,
+    arrived_ms: u64,
+) -> Result<Body, Rejection> {
+    let max_bytes = route.entry.route().body_bytes;
+    let until_ms = until_ms(shared, head, arrived_ms);
+    read(connection, shared, head, max_bytes, until_ms).map_err(|reject| {
+        let outcome = if reject == body::TOO_LARGE {
+            RequestOutcome::BodyTooLarge(max_bytes)
+        } else if reject == body::FULL {
+            RequestOutcome::Overloaded
+        } else {
+            return unreadable(shared, head, reject);
+        };
+        Rejection::decided(shared, route.evidence, outcome)
+    })
+}
+
+/// Reads the body of a request to an endpoint of the node itself.
+///
+/// # Errors
+/// It is too large, malformed, late, or the node has no memory for it.
+pub fn read_node_body(
+    connection: &mut Connection,
+    shared: &Shared,
+    head: &Head,
+    max_bytes: u64,
+) -> Result<Body, Rejection> {
+    let until_ms = clock_ms() + BODY_WAIT_MS;
+    read(connection, shared, head, max_bytes, until_ms)
+        .map_err(|reject| unreadable(shared, head, reject))
+}
+
+/// A client that states how long it waits needs no response later, so its body is not awaited longer.
+fn until_ms(shared: &Shared, head: &Head, arrived_ms: u64) -> u64 {
+    let wait_ms = shared.dialect.client_timeout_ms(head).unwrap_or(BODY_WAIT_MS);
+    arrived_ms + wait_ms.min(BODY_WAIT_MS)
+}
+
+fn unreadable(shared: &Shared, head: &Head, reject: Reject) -> Rejection {
+    let unsure = shared.dialect.idempotency_key(head).is_some();
+    Rejection::Unreadable { reject, unsure }
+}
+
+fn read(
+    connection: &mut Connection,
+    shared: &Shared,
+    head: &Head,
+    max_bytes: u64,
+    until_ms: u64,
+) -> Result<Body, Reject> {
+    if matches!(head.length, Length::Sized(size_bytes) if size_bytes > max_bytes) {
+        return Err(body::TOO_LARGE);
+    }
+    if head.expects_continue && connection.send_continue().is_err() {
+        return Err(body::CLIENT_LEFT);
+    }
+    body::read(connection, head.length, max_bytes, &shared.memory.request_bodies, until_ms)
+}
--- /dev/null
+++ b/programs/data-plane/src/phases/read_response.rs
@@ -0,0 +1,33 @@
+//! Phase: reads the response to a forwarded request and judges it.
+
+use super::forward::{Forwarded, cancellation};
+use super::request_state::RequestState;
+use crate::balancing::report_in_flight;
+use crate::dialect::ResponseJudgement;
+use crate::target_connection::ExpectedResponse;
+use postbarrow_node::{AttemptOutcome, TargetResponse};
+
+/// Reads the response; a connection that may be used again goes back to its pool.
+pub fn read_response(request: &mut RequestState<'_>, forwarded: Forwarded) -> AttemptOutcome {
+    let Forwarded { mut connection, load, mut memory, until_ms } = forwarded;
+    let (head, dialect) = (request.incoming.head, request.shared.dialect.as_ref());
+    let judge = |response: &TargetResponse, first| match dialect.target_identification() {
+        Some(identification) => identification.judge_response(head, response, first),
+        None => ResponseJudgement::Complete,
+    };
+    let expected = ExpectedResponse { method: &head.method, until_ms, judge: &judge };
+    let (outcome, is_reusable) = connection.receive(&expected, &cancellation(request), &mut memory);
+    let connection = is_reusable.then_some(connection);
+    let load = load.release();
+    if let (AttemptOutcome::Complete(response), Some(identification)) =
+        (&outcome, dialect.target_identification())
+        && let Some(in_flight) = identification.in_flight(response)
+    {
+        report_in_flight(&load, in_flight);
+    }
+    request.response_memory = Some(memory);
+    if let (Some(connection), Some(target)) = (connection, &request.attempt.target) {
+        request.shared.pools.load().put(target, connection);
+    }
+    outcome
+}
--- /dev/null
+++ b/programs/data-plane/src/phases/request.rs
@@ -0,0 +1,66 @@
+//! One request, from its head to its end: the phases between reading the head and writing the
+//! response, in order.
+
+use super::admit_or_reject::admit;
+use super::attempts;
+use super::match_route::match_route;
+use super::read_body::{read_node_body, read_route_body};
+use super::rejection::Rejection;
+use super::request_state::{IncomingRequest, RequestEnd};
+use crate::coordination;
+use crate::dialect::NodeEndpoint;
+use crate::readiness::readiness;
+use crate::shared::Shared;
+use postbarrow_constants::traffic::HEAD_BYTES;
+use postbarrow_downstream::connection::Connection;
+use postbarrow_downstream::head::Head;
+use postbarrow_transport::clock_ms;
+use std::sync::Arc;
+
+/// Takes a request from its head to its end.
+///
+/// # Errors
+/// It is rejected, and its body stays unread.
+pub fn process(
+    connection: &mut Connection,
+    shared: &Arc<Shared>,
+    head: &Head,
+) -> Result<RequestEnd, Rejection> {
+    let arrived_ms = clock_ms();
+    if let Some(endpoint) = shared.dialect.node_endpoint(head) {
+        return serve_node_endpoint(connection, shared, head, endpoint);
+    }
+    let route = match_route(shared, head)?;
+    let _permits = admit(shared, &route, head, connection.client())?;
+    let body = read_route_body(connection, shared, head, &route, arrived_ms)?;
+    let has_body = !body.bytes.is_empty();
+    let start_ms = if route.is_one_time() || has_body { clock_ms() } else { arrived_ms };
+    let incoming = IncomingRequest {
+        entry: route.entry.clone(),
+        head,
+        body: body.bytes,
+        start_ms,
+        arrived_ms,
+        client: &connection.watch(),
+    };
+    Ok(attempts::run(shared, incoming))
+}
+
+fn serve_node_endpoint(
+    connection: &mut Connection,
+    shared: &Arc<Shared>,
+    head: &Head,
+    endpoint: NodeEndpoint,
+) -> Result<RequestEnd, Rejection> {
+    let response = match endpoint {
+        NodeEndpoint::Ready => {
+            read_node_body(connection, shared, head, HEAD_BYTES as u64)?;
+            readiness(shared)
+        }
+        NodeEndpoint::Coordination => {
+            let body = read_node_body(connection, shared, head, coordination::BODY_BYTES)?;
+            coordination::serve(shared, head, &body.bytes, &connection.watch())
+        }
+    };
+    Ok(RequestEnd::Respond(response, None))
+}
--- a/programs/data-plane/src/probe.rs
+++ b/programs/data-plane/src/probe.rs
@@ -1,5 +1,8 @@
-use crate::core::Command;
-use crate::share::Shared;
+//! Probes targets: each is identified periodically, on an idle connection where there is one.
+
+use crate::command::Command;
+use crate::error::Result;
+use crate::shared::Shared;
 use crate::target_connection::TargetConnection;
 use postbarrow_constants::nodes::PROBE_MS;
 use postbarrow_constants::traffic::{PROOF_WAIT_MS, STACK_BYTES};
@@ -8,19 +11,19 @@
 use postbarrow_transport::clock_ms;
 use std::collections::HashSet;
 use std::sync::Arc;
-use std::sync::atomic::Ordering::Relaxed;
+use std::sync::mpsc::channel;
 use std::thread;
 use std::time::Duration;
 
-/// One small thread a target: probes it on a kept connection, and ends with the target.
+/// Runs one small thread for each target, which ends with the target.
 pub fn run(shared: Arc<Shared>) {
     let mut probed: HashSet<Name> = HashSet::new();
-    let (ended, ends) = std::sync::mpsc::channel::<Name>();
+    let (ended, ended_probes) = channel::<Name>();
     loop {
-        for gone in ends.try_iter() {
-            probed.remove(&gone);
+        for instance in ended_probes.try_iter() {
+            probed.remove(&instance);
         }
-        let table = shared.table.load_full();
+        let table = shared.routing.load_full();
         for instance in table.state.targets.keys() {
             if probed.insert(instance.clone()) {
                 let (shared, name, ended) = (shared.clone(), instance.clone(), ended.clone());
@@ -28,7 +31,7 @@
                     .name(format!("probe {instance}"))
                     .stack_size(STACK_BYTES)
                     .spawn(move || {
-                        watch(&shared, &name);
+                        probe_periodically(&shared, &name);
                         let _ = ended.send(name);
                     });
                 if spawned.is_err() {
@@ -40,25 +43,22 @@
     }
 }
 
-fn watch(shared: &Shared, instance: &Name) {
+/// Probes one target until it is removed or the node stops.
+fn probe_periodically(shared: &Shared, instance: &Name) {
     loop {
         let start_ms = clock_ms();
-        let table = shared.table.load_full();
+        let table = shared.routing.load_full();
         let Some(target) = table.state.targets.get(instance).cloned() else { return };
-        let sound = match probe(shared, &target) {
-            Ok(occupancy) => {
-                if let Some(load) = table.loads().get(instance) {
-                    load.report(occupancy);
-                }
-                true
-            }
-            Err(_) => false,
-        };
-        let end = shared.table.load();
-        if end.state.targets.get(instance).is_none_or(|now| now.address == target.address) {
-            shared.command(Command::Probed { instance: instance.clone(), sound });
+        let in_flight = probe(shared, &target);
+        let sound = in_flight.is_ok();
+        if let (Ok(in_flight), Some(load)) = (in_flight, table.loads().get(instance)) {
+            load.report(in_flight);
+        }
+        let now = shared.routing.load();
+        if now.state.targets.get(instance).is_none_or(|now| now.address == target.address) {
+            shared.control_loop.send(Command::Probed { instance: instance.clone(), sound });
         }
-        if shared.stopping.load(Relaxed) {
+        if shared.lifecycle.is_stopping() {
             return;
         }
         let pause_ms = (start_ms + PROBE_MS).saturating_sub(clock_ms());
@@ -66,19 +66,20 @@
     }
 }
 
-/// The oldest idle connection is proved anew and put back, which also keeps one warm.
-fn probe(shared: &Shared, target: &Target) -> Result<u64, String> {
+/// Identifies the target on its oldest idle connection, which also keeps one open, or on a new one.
+/// Returns how many requests are in flight there.
+fn probe(shared: &Shared, target: &Target) -> Result<u64> {
     let pools = shared.pools.load();
     let nobody = ClientWatch::nobody();
     let until_ms = clock_ms() + PROOF_WAIT_MS;
     if let Some(mut connection) = pools.take(target)
-        && let Ok(occupancy) = connection.prove(target, until_ms, &nobody)
+        && let Ok(in_flight) = connection.identify(target, until_ms, &nobody)
     {
-        pools.give(target, connection);
-        return Ok(occupancy);
+        pools.put(target, connection);
+        return Ok(in_flight);
     }
     let mut connection = TargetConnection::open(target.address, until_ms, &nobody)?;
-    let occupancy = connection.prove(target, until_ms, &nobody)?;
-    pools.give(target, connection);
-    Ok(occupancy)
+    let in_flight = connection.identify(target, until_ms, &nobody)?;
+    pools.put(target, connection);
+    Ok(in_flight)
 }
--- /dev/null
+++ b/programs/data-plane/src/response_parser.rs
@@ -0,0 +1,156 @@
+//! Parses the head and the body framing of a target's response (RFC 9112, sections 4 and 6).
+//!
+//! Stricter than the RFC allows: a response whose end is known only by the end of its connection is
+//! an error, for it can't be told from a truncated one.
+
+use crate::error::ParseError;
+use postbarrow_constants::traffic::*;
+use postbarrow_node::TargetResponse;
+use std::ops::Range;
+
+/// How the end of a body is known.
+#[derive(Debug, PartialEq)]
+pub enum BodyFraming {
+    /// By this many bytes.
+    Sized(usize),
+    /// By the last chunk.
+    Chunked,
+}
+
+/// The head of a response.
+#[derive(Debug)]
+pub struct ResponseHead {
+    /// Status and headers; the body is empty.
+    pub response: TargetResponse,
+    /// Bytes that the head takes.
+    pub length: usize,
+    /// How the end of the body is known.
+    pub framing: BodyFraming,
+    /// Whether the target keeps the connection open.
+    pub is_persistent: bool,
+    /// How long the target keeps it open while idle, less a margin, in milliseconds.
+    pub idle_limit_ms: Option<u64>,
+}
+
+/// Parses a response's head, or none if it is not complete.
+///
+/// # Errors
+/// The bytes are no HTTP/1.1 response with one unambiguous length.
+pub fn parse_head(bytes: &[u8], method: &str) -> Result<Option<ResponseHead>, ParseError> {
+    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+    let mut parsed = httparse::Response::new(&mut headers);
+    let length = match parsed.parse(bytes) {
+        Ok(httparse::Status::Complete(length)) => length,
+        Ok(httparse::Status::Partial) => return Ok(None),
+        Err(error) => return Err(ParseError::Head(error)),
+    };
+    let status = parsed.code.unwrap_or(0);
+    let fields = FramingFields::read(parsed.version == Some(1), parsed.headers)?;
+    let framing = fields.framing(method, status)?;
+    let FramingFields { headers, is_persistent, idle_limit_ms, .. } = fields;
+    let response = TargetResponse { status, headers, body: Vec::new() };
+    Ok(Some(ResponseHead { response, length, framing, is_persistent, idle_limit_ms }))
+}
+
+/// The headers, and what they state on framing and connection.
+struct FramingFields {
+    headers: Vec<(String, String)>,
+    lengths: Vec<usize>,
+    has_transfer_coding: bool,
+    is_chunked: bool,
+    is_persistent: bool,
+    idle_limit_ms: Option<u64>,
+}
+
+impl FramingFields {
+    fn read(
+        is_http_1_1: bool,
+        headers: &[httparse::Header<'_>],
+    ) -> Result<FramingFields, ParseError> {
+        let mut fields = FramingFields {
+            headers: Vec::with_capacity(headers.len()),
+            lengths: Vec::new(),
+            has_transfer_coding: false,
+            is_chunked: false,
+            is_persistent: is_http_1_1,
+            idle_limit_ms: None,
+        };
+        for header in headers {
+            let value = std::str::from_utf8(header.value).map_err(|_| ParseError::HeaderNotUtf8)?;
+            fields.read_header(header.name, value)?;
+            fields.headers.push((header.name.to_string(), value.to_string()));
+        }
+        Ok(fields)
+    }
+
+    fn read_header(&mut self, name: &str, value: &str) -> Result<(), ParseError> {
+        let is = |known: &str| name.eq_ignore_ascii_case(known);
+        if is("content-length") {
+            let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
+            let length = value.parse::<usize>().ok().filter(|_| digits);
+            self.lengths.push(length.ok_or(ParseError::LengthNotANumber)?);
+        } else if is("transfer-encoding") {
+            self.has_transfer_coding = true;
+            self.is_chunked = value.trim().eq_ignore_ascii_case("chunked");
+        } else if is("connection") {
+            self.is_persistent &= !value.to_ascii_lowercase().contains("close");
+        } else if is("keep-alive") {
+            self.idle_limit_ms = idle_limit_ms(value);
+        }
+        Ok(())
+    }
+
+    fn framing(&self, method: &str, status: u16) -> Result<BodyFraming, ParseError> {
+        let bodiless = method == "HEAD" || status < 200 || matches!(status, 204 | 304);
+        match (&self.lengths[..], self.has_transfer_coding, self.is_chunked) {
+            _ if bodiless => Ok(BodyFraming::Sized(0)),
+            ([length], false, _) => Ok(BodyFraming::Sized(*length)),
+            ([], true, true) => Ok(BodyFraming::Chunked),
+            _ => Err(ParseError::AmbiguousLength),
+        }
+    }
+}
+
+fn idle_limit_ms(value: &str) -> Option<u64> {
+    let timeout = value.split(',').find_map(|field| field.trim().strip_prefix("timeout="))?;
+    let timeout_ms = timeout.trim().parse::<u64>().ok()?.saturating_mul(1_000);
+    Some(timeout_ms.saturating_sub(TARGET_IDLE_MARGIN_MS).min(TARGET_IDLE_MAX_MS))
+}
+
+/// Parses the next chunk (RFC 9112, section 7.1), or none if it is not complete: how many bytes it
+/// takes in all, and where its data are. Empty data are the end of the body.
+///
+/// # Errors
+/// The size or the end of the chunk is malformed, or a line exceeds its limit.
+pub fn parse_chunk(bytes: &[u8]) -> Result<Option<(usize, Range<usize>)>, ParseError> {
+    let (start, size) = match httparse::parse_chunk_size(bytes) {
+        Ok(httparse::Status::Complete((start, size))) => (start, size as usize),
+        Ok(httparse::Status::Partial) if bytes.len() < CHUNK_LINE_BYTES => return Ok(None),
+        _ => return Err(ParseError::ChunkSize),
+    };
+    if size == 0 {
+        return skip_trailers(bytes, start).map(|end| end.map(|end| (end, start..start)));
+    }
+    let end = start.checked_add(size).filter(|end| *end < usize::MAX - 2);
+    let end = end.ok_or(ParseError::ChunkTooLarge)?;
+    match bytes.get(end..end + 2) {
+        None => Ok(None),
+        Some(b"\r\n") => Ok(Some((end + 2, start..end))),
+        Some(_) => Err(ParseError::ChunkUnterminated),
+    }
+}
+
+fn skip_trailers(bytes: &[u8], mut at: usize) -> Result<Option<usize>, ParseError> {
+    loop {
+        let rest = &bytes[at..];
+        match rest.windows(2).position(|pair| pair == b"\r\n") {
+            Some(0) => return Ok(Some(at + 2)),
+            Some(line) => at += line + 2,
+            None if rest.len() > CHUNK_LINE_BYTES => return Err(ParseError::TrailersTooLong),
+            None => return Ok(None),
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/programs/data-plane/src/shared/control_loop_handle.rs
@@ -0,0 +1,53 @@
+//! The way to the control loop, and through it to the controller.
+
+use crate::command::Command;
+use postbarrow_constants::coordination::CONTROLLER_ANSWER_SLACK_MS;
+use postbarrow_downstream::client_watch::{ClientWatch, ReceiveError};
+use postbarrow_messages::{Request, Response};
+use postbarrow_transport::{RequestKeys, clock_ms, random};
+use std::sync::mpsc::{Sender, sync_channel};
+
+/// Sends commands to the control loop.
+pub struct ControlLoopHandle {
+    request_keys: RequestKeys,
+    commands: Sender<Command>,
+}
+
+impl ControlLoopHandle {
+    /// A handle that sends into this queue.
+    pub fn new(commands: Sender<Command>) -> Self {
+        ControlLoopHandle { request_keys: RequestKeys::new(random()), commands }
+    }
+
+    /// Sends a request to the controller and waits for its response, at most `wait_ms`. If the
+    /// client departs, the request is withdrawn: what it did already stays done, and its outcome is
+    /// unknown.
+    pub fn request(&self, request: Request, wait_ms: u64, client: &ClientWatch) -> Response {
+        let (reply, response) = sync_channel(1);
+        let (key, wait_ms) = (self.request_keys.next(), wait_ms.max(1));
+        let command = Command::Request { key, request, wait_ms, reply: Some(reply) };
+        if self.commands.send(command).is_err() {
+            return Response::TimedOut;
+        }
+        match client.receive(&response, clock_ms() + wait_ms + CONTROLLER_ANSWER_SLACK_MS) {
+            Ok(response) => response,
+            Err(ReceiveError::ClientLeft) => {
+                self.send(Command::Withdraw { key });
+                Response::TimedOut
+            }
+            Err(ReceiveError::TimedOut | ReceiveError::Disconnected) => Response::TimedOut,
+        }
+    }
+
+    /// Sends a request to the controller for whose response nobody waits; it is sent again until
+    /// the controller accepts it, for at most `wait_ms`.
+    pub fn notify(&self, request: Request, wait_ms: u64) {
+        let key = self.request_keys.next();
+        self.send(Command::Request { key, request, wait_ms, reply: None });
+    }
+
+    /// Sends a command; without effect once the loop has ended.
+    pub fn send(&self, command: Command) {
+        let _ = self.commands.send(command);
+    }
+}
--- /dev/null
+++ b/programs/data-plane/src/shared/sample_buffer.rs
@@ -0,0 +1,54 @@
+//! Samples of client requests, for rehearsals.
+
+use crossbeam_queue::ArrayQueue;
+use postbarrow_constants::plans::{SAMPLE_BYTES, SAMPLES_PER_REPORT, SAMPLES_WAITING};
+use postbarrow_downstream::head::{Head, Length};
+use postbarrow_routing::Table;
+use postbarrow_state::{Name, Sample};
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+
+/// Samples of some requests, and the count of all.
+pub struct SampleBuffer {
+    samples: ArrayQueue<Sample>,
+    observed: AtomicU64,
+}
+
+impl Default for SampleBuffer {
+    fn default() -> Self {
+        SampleBuffer { samples: ArrayQueue::new(SAMPLES_WAITING), observed: AtomicU64::new(0) }
+    }
+}
+
+impl SampleBuffer {
+    /// Counts a request and samples it while there is capacity; of its headers only those that
+    /// rules name.
+    pub fn observe(&self, table: &Table, head: &Head) {
+        self.observed.fetch_add(1, Relaxed);
+        if self.samples.is_full() || head.path().len() > SAMPLE_BYTES {
+            return;
+        }
+        let rule_headers = table.rule_headers();
+        let is_sampled = |(name, value): &&(String, String)| {
+            !rule_headers.is_empty()
+                && rule_headers.contains(&name.to_ascii_lowercase())
+                && value.len() <= SAMPLE_BYTES
+        };
+        let sample = Sample {
+            method: Name::from(&head.method),
+            path: head.path().to_string(),
+            headers: head.headers.iter().filter(is_sampled).cloned().collect(),
+            body_bytes: match head.length {
+                Length::Sized(size_bytes) => size_bytes,
+                Length::None | Length::Chunked => 0,
+            },
+        };
+        let _ = self.samples.push(sample);
+    }
+
+    /// Samples, at most `SAMPLES_PER_REPORT`, and how many requests were observed since the last
+    /// call.
+    pub fn drain(&self) -> (Vec<Sample>, u64) {
+        let samples = std::iter::from_fn(|| self.samples.pop()).take(SAMPLES_PER_REPORT).collect();
+        (samples, self.observed.swap(0, Relaxed))
+    }
+}
--- a/programs/data-plane/src/target_connection/connect.rs
+++ b/programs/data-plane/src/target_connection/open.rs
@@ -1,6 +1,7 @@
-//! Opening a connection to a target.
+//! Opens a connection to a target.
 
-use super::{CLIENT_LEFT, TargetConnection};
+use super::TargetConnection;
+use crate::error::{Result, UpstreamError};
 use postbarrow_constants::traffic::{TARGET_CONNECT_MS, TARGET_IDLE_MS};
 use postbarrow_downstream::client_watch::{ClientWatch, WaitOutcome};
 use postbarrow_transport::{Interest, clock_ms};
@@ -9,8 +10,8 @@
 use std::net::{SocketAddr, TcpStream};
 
 impl TargetConnection {
-    /// Connects, within `TARGET_CONNECT_MS` and until a moment of the boot-time clock, unless the
-    /// client leaves before.
+    /// Connects within `TARGET_CONNECT_MS`, and before `until_ms` of the boot-time clock, unless the
+    /// client departs before.
     ///
     /// # Errors
     /// Why there is no connection.
@@ -18,33 +19,34 @@
         address: SocketAddr,
         until_ms: u64,
         client: &ClientWatch,
-    ) -> Result<TargetConnection, String> {
+    ) -> Result<TargetConnection> {
         let until_ms = until_ms.min(clock_ms() + TARGET_CONNECT_MS);
-        let stream = connect(address, until_ms, client).map_err(|why| format!("connect: {why}"))?;
+        let stream = connect(address, until_ms, client)
+            .map_err(|error| UpstreamError::Connect(Box::new(error)))?;
         Ok(TargetConnection {
             stream,
             buffer: Vec::new(),
             start: 0,
-            unheard_ms: 0,
+            unacknowledged_limit_ms: 0,
             first: true,
             used_ms: clock_ms(),
-            keep_ms: TARGET_IDLE_MS,
+            idle_limit_ms: TARGET_IDLE_MS,
         })
     }
 }
 
-fn connect(address: SocketAddr, until_ms: u64, client: &ClientWatch) -> io::Result<TcpStream> {
+fn connect(address: SocketAddr, until_ms: u64, client: &ClientWatch) -> Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
     socket.set_tcp_nodelay(true)?;
     match socket.connect(&address.into()) {
-        Err(error) if error.raw_os_error() != Some(libc::EINPROGRESS) => return Err(error),
+        Err(error) if error.raw_os_error() != Some(libc::EINPROGRESS) => return Err(error.into()),
         _ => {}
     }
     let stream = TcpStream::from(socket);
     match client.wait_for(&stream, Interest::Write, until_ms)? {
-        WaitOutcome::Ready => stream.take_error()?.map_or(Ok(stream), Err),
-        WaitOutcome::ClientLeft => Err(io::Error::other(CLIENT_LEFT)),
-        WaitOutcome::TimedOut => Err(ErrorKind::TimedOut.into()),
+        WaitOutcome::Ready => Ok(stream.take_error()?.map_or(Ok(stream), Err)?),
+        WaitOutcome::ClientLeft => Err(UpstreamError::ClientDeparted),
+        WaitOutcome::TimedOut => Err(io::Error::from(ErrorKind::TimedOut).into()),
     }
 }
--- /dev/null
+++ b/programs/data-plane/src/target_connection/send.rs
@@ -0,0 +1,114 @@
+//! Sends one request to a target.
+
+use super::{Cancellation, TargetConnection};
+use crate::error::{Result, UpstreamError};
+use postbarrow_constants::traffic::*;
+use postbarrow_downstream::client_watch::ClientWatch;
+use postbarrow_node::AttemptOutcome;
+use postbarrow_transport::{Interest, set_unacknowledged_timeout};
+use socket2::SockRef;
+use std::io::{ErrorKind, Write};
+use std::result;
+use std::time::Duration;
+
+/// A request as its target gets it.
+pub struct OutgoingRequest<'a> {
+    /// Its method.
+    pub method: &'a str,
+    /// Path and query, as the client sent them.
+    pub path: &'a str,
+    /// Its headers.
+    pub headers: &'a [(String, String)],
+    /// Its body.
+    pub body: &'a [u8],
+    /// Its response must be complete by then, in milliseconds of the boot-time clock.
+    pub until_ms: u64,
+    /// It may be retried at another target, so an unresponsive machine is given up soon.
+    pub repeatable: bool,
+}
+
+impl TargetConnection {
+    /// Sends a request, if the final check allows it right before the first byte.
+    ///
+    /// # Errors
+    /// How the attempt ended; the connection can't be used again.
+    pub fn send(
+        &mut self,
+        request: &OutgoingRequest<'_>,
+        may_send: &dyn Fn() -> bool,
+        cancellation: &Cancellation<'_>,
+    ) -> result::Result<(), AttemptOutcome> {
+        let bytes = encode(request);
+        self.limit_unacknowledged(request.repeatable);
+        if !may_send() {
+            return Err(AttemptOutcome::Unsent("no longer allowed".into()));
+        }
+        let client = cancellation.while_sending();
+        self.write(&bytes, request.until_ms, client).map_err(|(sent_bytes, error)| {
+            if matches!(error, UpstreamError::ClientDeparted) {
+                self.discard_unsent();
+            }
+            let why = error.during("sending");
+            match sent_bytes {
+                0 => AttemptOutcome::Unsent(why),
+                _ => AttemptOutcome::Unknown { late: false, why },
+            }
+        })
+    }
+
+    /// What the system still buffers of a request is not sent: the connection ends with a reset.
+    fn discard_unsent(&self) {
+        let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
+    }
+
+    fn limit_unacknowledged(&mut self, repeatable: bool) {
+        let limit_ms = if repeatable { TARGET_UNRESPONSIVE_MS } else { 0 };
+        if limit_ms != self.unacknowledged_limit_ms {
+            let _ = set_unacknowledged_timeout(&self.stream, limit_ms);
+            self.unacknowledged_limit_ms = limit_ms;
+        }
+    }
+
+    /// Writes all; an error states how many bytes the system accepted before.
+    fn write(
+        &mut self,
+        bytes: &[u8],
+        until_ms: u64,
+        client: &ClientWatch,
+    ) -> result::Result<(), (usize, UpstreamError)> {
+        let mut sent = 0;
+        while sent < bytes.len() {
+            let written: Result<()> = match self.stream.write(&bytes[sent..]) {
+                Ok(0) => Err(UpstreamError::Closed),
+                Ok(length) => {
+                    sent += length;
+                    Ok(())
+                }
+                Err(error) if error.kind() == ErrorKind::Interrupted => Ok(()),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                    self.wait(Interest::Write, until_ms, client)
+                }
+                Err(error) => Err(error.into()),
+            };
+            written.map_err(|error| (sent, error))?;
+        }
+        Ok(())
+    }
+}
+
+/// The bytes of a request, with a `Content-Length` of its own for its body.
+fn encode(request: &OutgoingRequest<'_>) -> Vec<u8> {
+    let OutgoingRequest { method, path, headers, body, .. } = request;
+    let mut bytes = Vec::with_capacity(HEAD_INITIAL_BYTES + body.len());
+    let _ = write!(bytes, "{method} {path} HTTP/1.1\r\n");
+    for (name, value) in *headers {
+        let _ = write!(bytes, "{name}: {value}\r\n");
+    }
+    let bodiless = matches!(*method, "GET" | "HEAD" | "OPTIONS" | "DELETE");
+    if !body.is_empty() || !bodiless {
+        let _ = write!(bytes, "Content-Length: {}\r\n", body.len());
+    }
+    bytes.extend_from_slice(b"\r\n");
+    bytes.extend_from_slice(body);
+    bytes
+}
--- a/programs/data-plane/src/tests/admission.rs
+++ b/programs/data-plane/src/tests/admission.rs
@@ -1,5 +1,5 @@
 use super::rig::*;
-use crate::fair::{Counted, is_over_share};
+use crate::admission::{Permit, is_over_share};
 use postbarrow_constants::traffic::*;
 use std::net::{IpAddr, Ipv4Addr};
 use std::sync::atomic::Ordering::Relaxed;
@@ -15,32 +15,33 @@
     let (_found, rig) = rig();
     let own = IpAddr::V4(Ipv4Addr::LOCALHOST);
     let shared = rig.shared.clone();
-    let count = shared.clients.of(own);
-    let mine: Vec<Counted<'_>> =
-        (0..REQUESTS_IN_FLIGHT * CLIENT_SHARE_PERCENT / 100).map(|_| Counted::one(count)).collect();
+    let count = shared.admission.requests_by_client.of(own);
+    let mine: Vec<Permit<'_>> = (0..REQUESTS_IN_FLIGHT * CLIENT_SHARE_PERCENT / 100)
+        .map(|_| Permit::acquire(count))
+        .collect();
     assert!(rig.get("/look/1").starts_with("HTTP/1.1 200"), "capacity is plenty");
-    shared.requests_at_work.store(REQUESTS_IN_FLIGHT / 2 + 1, Relaxed);
+    shared.admission.requests.store(REQUESTS_IN_FLIGHT / 2 + 1, Relaxed);
     let reply = rig.get("/look/1");
     assert!(reply.starts_with("HTTP/1.1 503") && reply.contains("Retry-After"), "{reply}");
     drop(mine);
     assert!(rig.get("/look/1").starts_with("HTTP/1.1 200"), "another client is admitted");
-    shared.requests_at_work.store(0, Relaxed);
+    shared.admission.requests.store(0, Relaxed);
 }
 
 #[test]
 fn route_over_its_share_is_shed_and_others_are_admitted() {
     let (_found, rig) = rig();
-    let table = rig.shared.table.load_full();
+    let table = rig.shared.routing.load_full();
     let postbarrow_routing::RouteMatch::Route(entry) = table.find("GET", "/look/1", &[]) else {
         panic!("no route")
     };
     for _ in 0..REQUESTS_IN_FLIGHT * ROUTE_SHARE_PERCENT / 100 {
         entry.compiled.limits.enter(1, 1).unwrap();
     }
-    rig.shared.requests_at_work.store(REQUESTS_IN_FLIGHT / 2 + 1, Relaxed);
+    rig.shared.admission.requests.store(REQUESTS_IN_FLIGHT / 2 + 1, Relaxed);
     assert!(rig.get("/look/1").starts_with("HTTP/1.1 503"));
     assert!(rig.post("", "a").starts_with("HTTP/1.1 200"), "the other route is admitted");
-    rig.shared.requests_at_work.store(0, Relaxed);
+    rig.shared.admission.requests.store(0, Relaxed);
 }
 
 #[test]
@@ -68,14 +69,17 @@
 #[test]
 fn response_over_the_memory_budget_fails_and_its_memory_is_released() {
     let (scripted, rig) = rig();
-    let all = rig.shared.responses.reserve(BODIES_BYTES as u64).expect("all of it");
+    let all = rig.shared.memory.response_bodies.reserve(BODIES_BYTES as u64).expect("all of it");
     let reply = rig.get("/look/1");
     assert!(reply.starts_with("HTTP/1.1 502"), "{reply}");
     let posted = rig.post("", "a");
     assert!(posted.contains("Postbarrow-Outcome: unknown"), "it ran: {posted}");
     drop(all);
     assert!(rig.get("/look/1").starts_with("HTTP/1.1 200"));
-    assert!(rig.shared.responses.reserve(BODIES_BYTES as u64).is_some(), "all is released");
+    assert!(
+        rig.shared.memory.response_bodies.reserve(BODIES_BYTES as u64).is_some(),
+        "all is released"
+    );
     assert!(scripted.runs() >= 3);
 }
 
@@ -83,15 +87,14 @@
 fn plan_limits_client_heads_and_idle_times() {
     let scripted = ScriptedTarget::start("s-1", "s", vec![Script::Complete("x")]);
     let rig = Rig::new(vec![target("s-1", "s", scripted.address)], grant_all);
-    let state = rig.shared.table.load().state.as_ref().clone();
+    let state = rig.shared.routing.load().state.as_ref().clone();
     let callers = postbarrow_state::ClientLimits {
         head_bytes: Some(300),
         head_wait_ms: Some(50),
         idle_ms: Some(1),
     };
     let state = postbarrow_state::State { callers, ..state };
-    let table = postbarrow_routing::Table::new(state.into(), 2, &rig.shared.table.load());
-    rig.shared.table.store(table.into());
+    rig.shared.publish(state.into(), 2);
     let long = format!("GET /look/1 HTTP/1.1\r\nHost: h\r\nX: {}\r\n\r\n", "a".repeat(400));
     assert!(rig.raw(long.as_bytes()).starts_with("HTTP/1.1 431"));
     let mut idle = std::net::TcpStream::connect(rig.http).unwrap();
--- a/programs/data-plane/src/tests/client_departure.rs
+++ b/programs/data-plane/src/tests/client_departure.rs
@@ -63,8 +63,11 @@
 fn await_idle(rig: &Rig) {
     let count = |of: &AtomicUsize| of.load(Relaxed);
     let shared = &rig.shared;
-    let at_work =
-        || count(&shared.requests_at_work) + count(&shared.calls) + count(&shared.watches);
+    let at_work = || {
+        count(&shared.admission.requests)
+            + count(&shared.admission.calls)
+            + count(&shared.admission.watches)
+    };
     let attempts = HANG.as_millis();
     for _ in 0..attempts {
         if at_work() == 0 {
@@ -79,8 +82,12 @@
 fn assert_all_released(rig: &Rig) {
     await_idle(rig);
     let own = std::net::IpAddr::from([127, 0, 0, 1]);
-    assert_eq!(rig.shared.clients.of(own).load(Relaxed), 0, "requests of the client");
-    let table = rig.shared.table.load_full();
+    assert_eq!(
+        rig.shared.admission.requests_by_client.of(own).load(Relaxed),
+        0,
+        "requests of the client"
+    );
+    let table = rig.shared.routing.load_full();
     for load in table.loads().values() {
         assert_eq!(load.at_work(), 0, "load of its target");
     }
--- a/programs/data-plane/src/tests/client_departure/repeatable.rs
+++ b/programs/data-plane/src/tests/client_departure/repeatable.rs
@@ -71,7 +71,10 @@
     let mut rest = Vec::new();
     let _ = target.read_to_end(&mut rest);
     assert!(rest.len() < LARGE_BYTES as usize, "the complete body was sent nonetheless");
-    assert!(rig.shared.memory.reserve(LARGE_BYTES).is_some(), "its memory is released");
+    assert!(
+        rig.shared.memory.request_bodies.reserve(LARGE_BYTES).is_some(),
+        "its memory is released"
+    );
 }
 
 #[test]
@@ -88,17 +91,21 @@
     depart(client(&rig, half), Departure::Close);
     assert_all_released(&rig);
     for _ in 0..HANG.as_millis() {
-        if rig.shared.downstreams.load(Relaxed) == 0 {
+        if rig.shared.admission.connections.load(Relaxed) == 0 {
             break;
         }
         thread::sleep(Duration::from_millis(1));
     }
-    assert_eq!(rig.shared.downstreams.load(Relaxed), 0, "connections of departed clients");
+    assert_eq!(
+        rig.shared.admission.connections.load(Relaxed),
+        0,
+        "connections of departed clients"
+    );
     let free = |memory: &Arc<postbarrow_downstream::memory_budget::MemoryBudget>| {
         memory.reserve(postbarrow_constants::traffic::BODIES_BYTES as u64).is_some()
     };
     assert!(
-        free(&rig.shared.responses) && free(&rig.shared.memory),
+        free(&rig.shared.memory.response_bodies) && free(&rig.shared.memory.request_bodies),
         "memory of request and response bodies"
     );
 }
--- a/programs/data-plane/src/tests/execution_evidence.rs
+++ b/programs/data-plane/src/tests/execution_evidence.rs
@@ -1,6 +1,8 @@
 use super::rig::*;
 use crate::dialect::ResponseJudgement;
-use crate::target_connection::{EndsWithClient, Outgoing, TargetConnection, Terms};
+use crate::target_connection::{
+    CancelScope, Cancellation, ExchangeTerms, OutgoingRequest, TargetConnection,
+};
 use postbarrow_downstream::client_watch::ClientWatch;
 use postbarrow_downstream::memory_budget::{MemoryBudget, Reserved};
 use postbarrow_messages::{Request, Response};
@@ -65,12 +67,12 @@
 }
 
 /// Forwards a one-time request over a new connection to an identified target.
-fn pass(to: &Target, body: &[u8], may_send: &dyn Fn() -> bool) -> (AttemptOutcome, bool) {
+fn exchange(to: &Target, body: &[u8], may_send: &dyn Fn() -> bool) -> (AttemptOutcome, bool) {
     let nobody = ClientWatch::nobody();
     let until_ms = clock_ms() + 60_000;
     let mut connection = TargetConnection::open(to.address, until_ms, &nobody).unwrap();
-    connection.prove(to, until_ms, &nobody).unwrap();
-    let request = Outgoing {
+    connection.identify(to, until_ms, &nobody).unwrap();
+    let request = OutgoingRequest {
         method: "POST",
         path: "/post/1",
         headers: &[],
@@ -78,27 +80,26 @@
         until_ms,
         repeatable: false,
     };
-    let terms = Terms {
+    let terms = ExchangeTerms {
         may_send,
-        client: &nobody,
-        ends_with_client: EndsWithClient::Never,
+        cancellation: Cancellation::new(&nobody, CancelScope::Never),
         judge: &|_, _| ResponseJudgement::Complete,
     };
-    let (outcome, back) = connection.pass(&request, &terms, &mut space());
-    (outcome, back.is_some())
+    connection.exchange(&request, &terms, &mut space())
 }
 
 #[test]
 fn failed_final_check_sends_no_byte_and_a_passed_check_is_evaluated_once() {
     let scripted = ScriptedTarget::start("s-1", "s", vec![Script::Complete("fine")]);
     let to = target("s-1", "s", scripted.address);
-    let (outcome, is_back) = pass(&to, b"a", &|| false);
-    assert!(matches!(outcome, AttemptOutcome::Unsent(_)) && !is_back, "{outcome:?}");
+    let (outcome, is_reusable) = exchange(&to, b"a", &|| false);
+    assert!(matches!(outcome, AttemptOutcome::Unsent(_)) && !is_reusable, "{outcome:?}");
     assert_eq!(scripted.runs(), 0);
     let requested = Cell::new(0);
     let body = vec![7; 300_000];
-    let (outcome, is_back) = pass(&to, &body, &|| requested.replace(requested.get() + 1) == 0);
-    assert!(matches!(outcome, AttemptOutcome::Complete(_)) && is_back, "{outcome:?}");
+    let (outcome, is_reusable) =
+        exchange(&to, &body, &|| requested.replace(requested.get() + 1) == 0);
+    assert!(matches!(outcome, AttemptOutcome::Complete(_)) && is_reusable, "{outcome:?}");
     assert_eq!(requested.get(), 1, "the identity request does not evaluate the check");
     assert_eq!(scripted.observed.lock().unwrap().bodies[0].len(), body.len());
 }
--- a/programs/data-plane/src/tests/named_targets.rs
+++ b/programs/data-plane/src/tests/named_targets.rs
@@ -76,7 +76,7 @@
     let other = ScriptedTarget::start("s-2", "s", other);
     let slots = |target: postbarrow_state::Target, warming_up| postbarrow_state::Target {
         slots: 2,
-        warming_up: warming_up,
+        warming_up,
         ..target
     };
     let targets = vec![
--- a/programs/data-plane/src/tests/requests.rs
+++ b/programs/data-plane/src/tests/requests.rs
@@ -74,7 +74,7 @@
 fn node_without_lease_sheds_and_is_unready() {
     let (scripted, rig) = one(vec![Script::Complete("x")]);
     assert!(rig.get("/ready").starts_with("HTTP/1.1 200"));
-    rig.shared.lease_until_ms.store(0, Relaxed);
+    rig.shared.lease.set_until(0);
     assert!(rig.get("/ready").starts_with("HTTP/1.1 503"));
     let shed = rig.post("", "a");
     assert!(shed.starts_with("HTTP/1.1 503") && shed.contains("Retry-After: "), "{shed}");
@@ -157,15 +157,15 @@
 #[test]
 fn node_over_capacity_sheds_at_once_with_retry_after() {
     let (scripted, rig) = one(vec![Script::Complete("x")]);
-    rig.shared.requests_at_work.store(postbarrow_constants::traffic::REQUESTS_IN_FLIGHT, Relaxed);
+    rig.shared.admission.requests.store(postbarrow_constants::traffic::REQUESTS_IN_FLIGHT, Relaxed);
     let shed = rig.post("", "a");
     assert!(shed.starts_with("HTTP/1.1 503") && shed.contains("Retry-After: 1"), "{shed}");
     assert!(shed.contains("Postbarrow-Outcome: not-run"), "{shed}");
-    rig.shared.requests_at_work.store(0, Relaxed);
-    while rig.shared.downstreams.load(Relaxed) > 0 {
+    rig.shared.admission.requests.store(0, Relaxed);
+    while rig.shared.admission.connections.load(Relaxed) > 0 {
         std::thread::yield_now();
     }
-    rig.shared.downstreams.store(postbarrow_constants::traffic::DOWNSTREAMS, Relaxed);
+    rig.shared.admission.connections.store(postbarrow_constants::traffic::DOWNSTREAMS, Relaxed);
     let mut stream = std::net::TcpStream::connect(rig.http).unwrap();
     let mut reply = String::new();
     let _ = std::io::Read::read_to_string(&mut stream, &mut reply);
@@ -177,7 +177,7 @@
 fn stopping_node_serves_one_more_request_on_a_kept_alive_connection_and_closes_it() {
     let (scripted, rig) = one(vec![Script::Complete("x")]);
     let mut stream = std::net::TcpStream::connect(rig.http).unwrap();
-    rig.shared.stopping.store(true, Relaxed);
+    rig.shared.lifecycle.begin_stop();
     assert!(rig.get("/ready").starts_with("HTTP/1.1 503"), "unready first");
     std::io::Write::write_all(&mut stream, b"GET /look/1 HTTP/1.1\r\nHost: h\r\n\r\n").unwrap();
     let mut reply = String::new();
--- a/programs/data-plane/src/tests/rig.rs
+++ b/programs/data-plane/src/tests/rig.rs
@@ -1,11 +1,9 @@
 pub use super::scripted::*;
-use crate::core::Command;
-use crate::downstream;
-use crate::pools::Pools;
-use crate::share::Shared;
+use crate::command::Command;
+use crate::phases::accept;
+use crate::shared::Shared;
 use postbarrow_downstream::client_watch::ClientWatch;
 use postbarrow_messages::{Request, Response};
-use postbarrow_routing::Table;
 use postbarrow_startup::Bounds;
 use postbarrow_state::*;
 use std::io::{Read, Write};
@@ -81,8 +79,8 @@
         });
         let rig = Rig { shared, http, requested, withdrawn };
         rig.publish(targets);
-        rig.shared.lease_until_ms.store(u64::MAX, Relaxed);
-        downstream::listen(listener, rig.shared.clone()).unwrap();
+        rig.shared.lease.set_until(u64::MAX);
+        accept::listen(listener, rig.shared.clone()).unwrap();
         rig
     }
 
@@ -123,10 +121,7 @@
         for target in targets {
             state.targets.insert(target.instance.clone(), Arc::new(target));
         }
-        let table = Table::new(Arc::new(state), 1, &self.shared.table.load());
-        let pools = Pools::carry(&self.shared.pools.load(), &table);
-        self.shared.pools.store(Arc::new(pools));
-        self.shared.table.store(Arc::new(table));
+        self.shared.publish(Arc::new(state), 1);
     }
 
     /// Sends one request as raw bytes, waits for its response, and returns all bytes until the node
@@ -177,13 +172,13 @@
 
     /// Controller requests withdrawn so far.
     pub fn withdrawn(&self) -> usize {
-        self.shared.request(Request::Show, 60_000, &ClientWatch::nobody());
+        self.shared.control_loop.request(Request::Show, 60_000, &ClientWatch::nobody());
         self.withdrawn.load(Relaxed)
     }
 
     /// All settlements so far: a request queued behind them is answered after them.
     pub fn settlements(&self) -> Vec<Settlement> {
-        self.shared.request(Request::Show, 60_000, &ClientWatch::nobody());
+        self.shared.control_loop.request(Request::Show, 60_000, &ClientWatch::nobody());
         let requested = self.requested.lock().unwrap();
         let settlements = requested.iter().filter_map(|request| match request {
             Request::Settle { settlement, .. } => Some(*settlement),
--- a/programs/data-plane/src/tests/unresponsive_named_targets.rs
+++ b/programs/data-plane/src/tests/unresponsive_named_targets.rs
@@ -3,7 +3,9 @@
 use super::named_targets::{IdentifiedDialect, get, response, two_targets};
 use super::rig::*;
 use crate::TargetIdentification;
-use crate::target_connection::{EndsWithClient, Outgoing, TargetConnection, Terms};
+use crate::target_connection::{
+    CancelScope, Cancellation, ExchangeTerms, OutgoingRequest, TargetConnection,
+};
 use postbarrow_downstream::client_watch::ClientWatch;
 use postbarrow_downstream::head::parse;
 use postbarrow_downstream::memory_budget::MemoryBudget;
@@ -133,7 +135,7 @@
     let (head, _) = parse(text).unwrap().unwrap();
     let until_ms = clock_ms() + 60_000;
     let nobody = ClientWatch::nobody();
-    let request = Outgoing {
+    let request = OutgoingRequest {
         method: &head.method,
         path: &head.target,
         headers: &[],
@@ -142,19 +144,18 @@
         repeatable: false,
     };
     let mut memory = MemoryBudget::new(1_000).reserve(0).unwrap();
-    let mut pass = |allowed: bool| {
-        let terms = Terms {
+    let mut exchange = |allowed: bool| {
+        let terms = ExchangeTerms {
             may_send: &|| allowed,
-            client: &nobody,
-            ends_with_client: EndsWithClient::Never,
+            cancellation: Cancellation::new(&nobody, CancelScope::Never),
             judge: &|response, first| IdentifiedDialect.judge_response(&head, response, first),
         };
-        let connection = TargetConnection::open(one.address, until_ms, &nobody).unwrap();
-        connection.pass(&request, &terms, &mut memory)
+        let mut connection = TargetConnection::open(one.address, until_ms, &nobody).unwrap();
+        connection.exchange(&request, &terms, &mut memory)
     };
-    let (outcome, reused) = pass(false);
-    assert!(matches!(outcome, AttemptOutcome::Unsent(_)) && reused.is_none(), "{outcome:?}");
-    let (outcome, reused) = pass(true);
-    assert!(matches!(outcome, AttemptOutcome::Complete(_)) && reused.is_some(), "{outcome:?}");
+    let (outcome, is_reusable) = exchange(false);
+    assert!(matches!(outcome, AttemptOutcome::Unsent(_)) && !is_reusable, "{outcome:?}");
+    let (outcome, is_reusable) = exchange(true);
+    assert!(matches!(outcome, AttemptOutcome::Complete(_)) && is_reusable, "{outcome:?}");
     assert_eq!(one.runs(), 1, "the forbidden one never arrived");
 }
