--- a/programs/data-plane/src/coordination.rs
+++ b/programs/data-plane/src/coordination.rs
@@ -96,3 +96,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/programs/data-plane/src/error.rs
+++ b/programs/data-plane/src/error.rs
@@ -146,3 +146,6 @@
 
 /// The result of work on a connection to a target.
 pub type Result<T> = result::Result<T, UpstreamError>;
+
+#[cfg(test)]
+mod tests;
--- a/programs/data-plane/src/phases/read_head.rs
+++ b/programs/data-plane/src/phases/read_head.rs
@@ -5,7 +5,7 @@
 use postbarrow_downstream::connection::{Connection, Next, ReadLimits};
 use postbarrow_downstream::head::Head;
 
-/// What comes next on a connection.
+/// The next input on a connection.
 pub enum HeadRead {
     /// A request; its body is not read yet.
     Head(Head),
--- a/programs/data-plane/src/shared/connection_pools.rs
+++ b/programs/data-plane/src/shared/connection_pools.rs
@@ -58,7 +58,7 @@
         std::iter::from_fn(|| idle.pop()).find(TargetConnection::is_reusable)
     }
 
-    /// Stores a connection as idle, or closes it if the pool is full or its target is gone.
+    /// Stores a connection as idle, or closes it if the pool is full or its target was removed.
     pub fn put(&self, target: &Target, connection: TargetConnection) {
         if let Some((address, idle)) = self.0.get(&target.instance)
             && *address == target.address
--- a/programs/data-plane/src/shared/memory_limits.rs
+++ b/programs/data-plane/src/shared/memory_limits.rs
@@ -3,7 +3,7 @@
 use postbarrow_downstream::memory_budget::MemoryBudget;
 use std::sync::Arc;
 
-/// How many bytes of bodies this node holds at once.
+/// How many bytes of bodies this node buffers at once.
 pub struct MemoryLimits {
     /// Of requests.
     pub request_bodies: Arc<MemoryBudget>,
--- a/programs/data-plane/src/tests/rig.rs
+++ b/programs/data-plane/src/tests/rig.rs
@@ -188,7 +188,7 @@
     }
 }
 
-/// How many complete responses, each with a length, the bytes hold.
+/// How many complete responses, each with a length, the bytes contain.
 fn complete_responses(mut received: &[u8]) -> usize {
     let mut count = 0;
     while let Some(end) = received.windows(4).position(|four| four == b"\r\n\r\n") {
--- a/programs/data-plane/src/tests/scripted.rs
+++ b/programs/data-plane/src/tests/scripted.rs
@@ -19,15 +19,15 @@
     Complete(&'static str),
     /// These bytes, then the connection ends.
     Raw(Vec<u8>),
-    /// These bytes, and the connection goes on.
+    /// These bytes, and the connection stays open.
     Reply(Vec<u8>),
     /// A complete response, then the connection ends without `Connection: close`.
     CompleteThenClose(&'static str),
     /// These bytes, then a reset.
     Reset(Vec<u8>),
-    /// Bytes at once, others when the test says so, and the connection goes on.
+    /// Bytes at once, others when the test triggers them, and the connection stays open.
     Delayed(Vec<u8>, Cue, Vec<u8>),
-    /// Bytes at once, and a reset when the test says so.
+    /// Bytes at once, and a reset when the test triggers it.
     DelayedReset(Vec<u8>, Cue),
     /// Runs the request until its connection ends.
     Hang(Observer),
