--- a/programs/data-plane/src/admission.rs
+++ b/programs/data-plane/src/admission.rs
@@ -83,7 +83,7 @@
     let node = node.ok_or(Rejected::Overloaded)?;
     let client = counters.requests_by_client.of(client);
     let in_flight = counters.requests.load(Relaxed);
-    let (of_client, of_route) = (client.load(Relaxed), entry.compiled.limits.at_work() as usize);
+    let (of_client, of_route) = (client.load(Relaxed), entry.compiled.limits.in_flight() as usize);
     if is_over_share(in_flight, of_client + 1, REQUESTS_IN_FLIGHT, CLIENT_SHARE_PERCENT)
         || is_over_share(in_flight, of_route + 1, REQUESTS_IN_FLIGHT, ROUTE_SHARE_PERCENT)
     {
--- a/programs/data-plane/src/balancing.rs
+++ b/programs/data-plane/src/balancing.rs
@@ -6,7 +6,7 @@
 
 /// The route with one of its weighted services drawn.
 pub fn draw_service(entry: &Arc<Entry>, seed: u64) -> Arc<Entry> {
-    entry.drawn(seed)
+    entry.draw_service(seed)
 }
 
 /// A request counted at its target from the selection on, so that two requests at once don't select
@@ -34,5 +34,5 @@
 
 /// Records the requests in flight that a response states, without this node's own.
 pub fn report_in_flight(load: &Load, in_flight: u64) {
-    load.report_at(clock_ms(), in_flight.saturating_sub(load.at_work()));
+    load.report_slots_used(clock_ms(), in_flight.saturating_sub(load.in_flight()));
 }
--- a/programs/data-plane/src/control_loop.rs
+++ b/programs/data-plane/src/control_loop.rs
@@ -56,7 +56,7 @@
     fn tick(&mut self, now_ms: u64) {
         let (samples, seen) = self.shared.samples.drain();
         if seen > 0 {
-            self.handle(now_ms, Input::Saw { samples, seen });
+            self.handle(now_ms, Input::Sampled { samples, seen });
         }
         self.handle(now_ms, Input::Tick);
     }
--- a/programs/data-plane/src/coordination.rs
+++ b/programs/data-plane/src/coordination.rs
@@ -77,7 +77,8 @@
 fn watch(shared: &Shared, call: Call, client: &ClientWatch) -> TargetResponse {
     let until_ms = clock_ms() + WATCH_WAIT_MS;
     let first = matches!(call, Call::Watch { after: None, .. });
-    let is_over = || clock_ms() >= until_ms || shared.lifecycle.is_stopping() || client.has_left();
+    let is_over =
+        || clock_ms() >= until_ms || shared.lifecycle.is_stopping() || client.has_departed();
     let mut call = call;
     loop {
         let request = Request::Call { id: None, call: call.clone() };
--- a/programs/data-plane/src/lib.rs
+++ b/programs/data-plane/src/lib.rs
@@ -104,7 +104,7 @@
             let probed = shared.clone();
             thread::Builder::new().name("probes".into()).spawn(move || probe::run(probed))?;
         }
-        if let Some(condition) = startup.condition {
+        if let Some(condition) = startup.readiness {
             accept::listen(TcpListener::bind(condition)?, shared.clone())?;
         }
         accept::listen(http, shared.clone())?;
--- a/programs/data-plane/src/phases/admit_or_reject.rs
+++ b/programs/data-plane/src/phases/admit_or_reject.rs
@@ -12,7 +12,7 @@
 
 const INVALID_KEY: Reject = Reject {
     status: 400,
-    why: "the Idempotency-Key must be one of 1 to 200 printable characters, no colon",
+    reason: "the Idempotency-Key must be one of 1 to 200 printable characters, no colon",
 };
 
 /// Checks the key of a one-time request and takes the permits.
--- a/programs/data-plane/src/phases/attempts.rs
+++ b/programs/data-plane/src/phases/attempts.rs
@@ -27,8 +27,8 @@
                     Err(outcome) => outcome,
                 })
             }
-            Step::Settle { settling, wait_ms } => settle(&request, settling, wait_ms),
-            Step::Done { verdict, settling } => return finish(request, verdict, settling),
+            Step::SettleTicket { settlement, wait_ms } => settle(&request, settlement, wait_ms),
+            Step::Done { completion, settling } => return finish(request, completion, settling),
         };
     }
 }
--- a/programs/data-plane/src/phases/forward.rs
+++ b/programs/data-plane/src/phases/forward.rs
@@ -75,7 +75,7 @@
 /// The final check, right before the first byte: the client still waits, the target is still allowed,
 /// the ticket still valid, and the lease is looked at last.
 fn may_send(request: &RequestState<'_>, instance: &Name, until_ms: u64) -> bool {
-    !request.incoming.client.has_left()
+    !request.incoming.client.has_departed()
         && request.shared.routing.load().allows(&request.service, instance)
         && clock_ms() < until_ms
         && request.shared.lease.is_valid()
--- a/programs/data-plane/src/phases/read_body.rs
+++ b/programs/data-plane/src/phases/read_body.rs
@@ -72,7 +72,7 @@
         return Err(body::TOO_LARGE);
     }
     if head.expects_continue && connection.send_continue().is_err() {
-        return Err(body::CLIENT_LEFT);
+        return Err(body::CLIENT_DEPARTED);
     }
     body::read(connection, head.length, max_bytes, &shared.memory.request_bodies, until_ms)
 }
--- a/programs/data-plane/src/phases/read_head.rs
+++ b/programs/data-plane/src/phases/read_head.rs
@@ -2,7 +2,7 @@
 
 use super::rejection::Rejection;
 use crate::shared::Shared;
-use postbarrow_downstream::connection::{Connection, Next, ReadLimits};
+use postbarrow_downstream::connection::{Connection, NextRequest, ReadLimits};
 use postbarrow_downstream::head::Head;
 
 /// The next input on a connection.
@@ -17,10 +17,10 @@
 
 /// Reads the head of the next request.
 pub fn read_head(connection: &mut Connection, shared: &Shared) -> HeadRead {
-    match connection.next(limits(shared), || shared.lifecycle.is_closed()) {
-        Next::Head(head) => HeadRead::Head(head),
-        Next::Closed => HeadRead::Closed,
-        Next::Reject(reject) => {
+    match connection.next_request(limits(shared), || shared.lifecycle.is_closed()) {
+        NextRequest::Head(head) => HeadRead::Head(head),
+        NextRequest::Closed => HeadRead::Closed,
+        NextRequest::Reject(reject) => {
             let unsure = matches!(reject.status, 408 | 431);
             HeadRead::Rejected(Rejection::Unreadable { reject, unsure })
         }
--- a/programs/data-plane/src/phases/retry_or_finish.rs
+++ b/programs/data-plane/src/phases/retry_or_finish.rs
@@ -16,7 +16,7 @@
         table: &table,
         serves: shared.lease.is_valid(),
         number: shared.keys.next_number(),
-        client_left: request.incoming.client.is_known_left(),
+        client_departed: request.incoming.client.is_known_departed(),
     };
     flow.handle(&context, event)
 }
@@ -40,7 +40,7 @@
         shared.control_loop.notify(settlement.into(), SETTLEMENT_WAIT_MS);
     }
     match completion.outcome {
-        RequestOutcome::ClientLeft => RequestEnd::ClientDeparted,
+        RequestOutcome::ClientDeparted => RequestEnd::ClientDeparted,
         _ => {
             let response = shared.dialect.render_completion(completion);
             RequestEnd::Respond(response, request.response_memory)
--- a/programs/data-plane/src/phases/select_endpoint.rs
+++ b/programs/data-plane/src/phases/select_endpoint.rs
@@ -33,10 +33,10 @@
         },
         keyed: key.is_some(),
         digest: if is_ticketed { digest(incoming.head, &incoming.body) } else { [0; 32] },
-        logged,
+        uses_ticket_log: logged,
         node: shared.own.incarnation,
         zone: shared.own.zone.clone(),
-        until_ms: client_until_ms.map_or(until_ms, |client_ms| until_ms.min(client_ms)),
+        deadline_ms: client_until_ms.map_or(until_ms, |client_ms| until_ms.min(client_ms)),
         seed,
     };
     (context, entry)
--- a/programs/data-plane/src/phases/write_response.rs
+++ b/programs/data-plane/src/phases/write_response.rs
@@ -38,9 +38,9 @@
     rejection: Rejection,
 ) {
     match rejection {
-        Rejection::Unreadable { reject, .. } if reject == body::CLIENT_LEFT => return,
+        Rejection::Unreadable { reject, .. } if reject == body::CLIENT_DEPARTED => return,
         Rejection::Unreadable { reject, unsure } => {
-            let response = shared.dialect.render_rejection(reject.status, unsure, reject.why);
+            let response = shared.dialect.render_rejection(reject.status, unsure, reject.reason);
             let _ = connection.write(&response, "GET", true);
         }
         Rejection::Decided(response) => {
--- a/programs/data-plane/src/shared/control_loop_handle.rs
+++ b/programs/data-plane/src/shared/control_loop_handle.rs
@@ -31,7 +31,7 @@
         }
         match client.receive(&response, clock_ms() + wait_ms + CONTROLLER_ANSWER_SLACK_MS) {
             Ok(response) => response,
-            Err(ReceiveError::ClientLeft) => {
+            Err(ReceiveError::ClientDeparted) => {
                 self.send(Command::Withdraw { key });
                 Response::TimedOut
             }
--- a/programs/data-plane/src/shared/routing_table.rs
+++ b/programs/data-plane/src/shared/routing_table.rs
@@ -13,7 +13,11 @@
 impl RoutingTable {
     /// An empty table with the retry budget of the settings.
     pub fn new(bounds: &Bounds) -> Self {
-        RoutingTable { table: ArcSwap::from_pointee(Table::empty().with_extra(bounds.extra())) }
+        RoutingTable {
+            table: ArcSwap::from_pointee(
+                Table::empty().with_retry_allowance(bounds.retry_budget()),
+            ),
+        }
     }
 
     /// The table for a short look.
--- a/programs/data-plane/src/shared/sample_buffer.rs
+++ b/programs/data-plane/src/shared/sample_buffer.rs
@@ -1,7 +1,7 @@
 //! Samples of client requests, for rehearsals.
 
 use crossbeam_queue::ArrayQueue;
-use postbarrow_constants::plans::{SAMPLE_BYTES, SAMPLES_PER_REPORT, SAMPLES_WAITING};
+use postbarrow_constants::plans::{SAMPLE_BYTES, SAMPLES_PENDING, SAMPLES_PER_REPORT};
 use postbarrow_downstream::head::{Head, Length};
 use postbarrow_routing::Table;
 use postbarrow_state::{Name, Sample};
@@ -15,7 +15,7 @@
 
 impl Default for SampleBuffer {
     fn default() -> Self {
-        SampleBuffer { samples: ArrayQueue::new(SAMPLES_WAITING), observed: AtomicU64::new(0) }
+        SampleBuffer { samples: ArrayQueue::new(SAMPLES_PENDING), observed: AtomicU64::new(0) }
     }
 }
 
--- a/programs/data-plane/src/target_connection.rs
+++ b/programs/data-plane/src/target_connection.rs
@@ -120,7 +120,7 @@
     fn wait(&self, interest: Interest, until_ms: u64, client: &ClientWatch) -> Result<()> {
         match client.wait_for(&self.stream, interest, until_ms)? {
             WaitOutcome::Ready => Ok(()),
-            WaitOutcome::ClientLeft => Err(UpstreamError::ClientDeparted),
+            WaitOutcome::ClientDeparted => Err(UpstreamError::ClientDeparted),
             WaitOutcome::TimedOut => Err(UpstreamError::DeadlinePassed),
         }
     }
--- a/programs/data-plane/src/target_connection/identify.rs
+++ b/programs/data-plane/src/target_connection/identify.rs
@@ -42,11 +42,11 @@
             (AttemptOutcome::Complete(response), true) => verify_identity(&response, target),
             (AttemptOutcome::Complete(_), false) => Err(UpstreamError::ClosesAfterIdentity),
             (
-                AttemptOutcome::Unsent(why)
-                | AttemptOutcome::NotRun(why)
-                | AttemptOutcome::Unknown { why, .. },
+                AttemptOutcome::Unsent(reason)
+                | AttemptOutcome::NotRun(reason)
+                | AttemptOutcome::Unknown { reason, .. },
                 _,
-            ) => Err(UpstreamError::IdentityExchange(why)),
+            ) => Err(UpstreamError::IdentityExchange(reason)),
         }
     }
 }
--- a/programs/data-plane/src/target_connection/open.rs
+++ b/programs/data-plane/src/target_connection/open.rs
@@ -46,7 +46,7 @@
     let stream = TcpStream::from(socket);
     match client.wait_for(&stream, Interest::Write, until_ms)? {
         WaitOutcome::Ready => Ok(stream.take_error()?.map_or(Ok(stream), Err)?),
-        WaitOutcome::ClientLeft => Err(UpstreamError::ClientDeparted),
+        WaitOutcome::ClientDeparted => Err(UpstreamError::ClientDeparted),
         WaitOutcome::TimedOut => Err(io::Error::from(ErrorKind::TimedOut).into()),
     }
 }
--- a/programs/data-plane/src/target_connection/receive.rs
+++ b/programs/data-plane/src/target_connection/receive.rs
@@ -36,8 +36,8 @@
                 Ok(received) => received,
                 Err(error) => {
                     let late = matches!(error, UpstreamError::DeadlinePassed);
-                    let why = error.during("reading");
-                    return (AttemptOutcome::Unknown { late, why }, false);
+                    let reason = error.during("reading");
+                    return (AttemptOutcome::Unknown { late, reason }, false);
                 }
             };
             let judgement = (expected.judge)(&response, self.first);
@@ -45,12 +45,12 @@
             let outcome = match judgement {
                 ResponseJudgement::Misdirected if is_persistent => continue,
                 ResponseJudgement::Misdirected => {
-                    AttemptOutcome::Unknown { late: false, why: "another's".into() }
+                    AttemptOutcome::Unknown { late: false, reason: "another's".into() }
                 }
-                ResponseJudgement::Unsound(why) => {
-                    return (AttemptOutcome::Unknown { late: false, why }, false);
+                ResponseJudgement::Unsound(reason) => {
+                    return (AttemptOutcome::Unknown { late: false, reason }, false);
                 }
-                ResponseJudgement::NotRun(why) => AttemptOutcome::NotRun(why),
+                ResponseJudgement::NotRun(reason) => AttemptOutcome::NotRun(reason),
                 ResponseJudgement::Complete => AttemptOutcome::Complete(response),
             };
             let is_reusable = is_persistent && self.start == self.buffer.len();
--- a/programs/data-plane/src/target_connection/send.rs
+++ b/programs/data-plane/src/target_connection/send.rs
@@ -48,10 +48,10 @@
             if matches!(error, UpstreamError::ClientDeparted) {
                 self.discard_unsent();
             }
-            let why = error.during("sending");
+            let reason = error.during("sending");
             match sent_bytes {
-                0 => AttemptOutcome::Unsent(why),
-                _ => AttemptOutcome::Unknown { late: false, why },
+                0 => AttemptOutcome::Unsent(reason),
+                _ => AttemptOutcome::Unknown { late: false, reason },
             }
         })
     }
--- a/programs/data-plane/src/tests/client_departure.rs
+++ b/programs/data-plane/src/tests/client_departure.rs
@@ -63,19 +63,19 @@
 fn await_idle(rig: &Rig) {
     let count = |of: &AtomicUsize| of.load(Relaxed);
     let shared = &rig.shared;
-    let at_work = || {
+    let in_flight = || {
         count(&shared.admission.requests)
             + count(&shared.admission.calls)
             + count(&shared.admission.watches)
     };
     let attempts = HANG.as_millis();
     for _ in 0..attempts {
-        if at_work() == 0 {
+        if in_flight() == 0 {
             return;
         }
         thread::sleep(Duration::from_millis(1));
     }
-    panic!("{} requests are in flight for departed clients", at_work());
+    panic!("{} requests are in flight for departed clients", in_flight());
 }
 
 /// Asserts that every counter that a request raised is back at 0.
@@ -89,12 +89,12 @@
     );
     let table = rig.shared.routing.load_full();
     for load in table.loads().values() {
-        assert_eq!(load.at_work(), 0, "load of its target");
+        assert_eq!(load.in_flight(), 0, "load of its target");
     }
     let postbarrow_routing::RouteMatch::Route(entry) = table.find("GET", "/look/1", &[]) else {
         panic!("no route")
     };
-    assert_eq!(entry.compiled.limits.at_work(), 0, "concurrency of its route");
+    assert_eq!(entry.compiled.limits.in_flight(), 0, "concurrency of its route");
 }
 
 fn target_of(scripted: &ScriptedTarget, instance: &str) -> Target {
--- a/programs/data-plane/src/tests/named_targets.rs
+++ b/programs/data-plane/src/tests/named_targets.rs
@@ -25,7 +25,7 @@
     fn render_completion(&self, completion: Completion) -> TargetResponse {
         let (status, sent) = match completion.outcome {
             RequestOutcome::Complete(response) => return response,
-            _ if completion.evidence.sent => (502, "sent"),
+            _ if completion.evidence.may_have_run => (502, "sent"),
             _ => (503, "unsent"),
         };
         TargetResponse { status, headers: Vec::new(), body: sent.into() }
