--- a/crates/simulation/src/search/request_wire.rs
+++ b/crates/simulation/src/search/request_wire.rs
@@ -1,8 +1,8 @@
 //! Connections to two targets, as bytes and resets leave them.
 //!
-//! The node's end mirrors `programs/data-plane/src/target_connection.rs` (`is_fresh`, `exchange` from
-//! the last look on, `read_own`) and `pools.rs` (`Pools::take`); the reading of a name mirrors
-//! `platform/src/front.rs` (`Named::heard`).
+//! The node's end mirrors `programs/data-plane/src/target_connection.rs` (`is_reusable`, `send` from
+//! the final check on, `receive`) and `shared/connection_pools.rs` (`Pools::take`); the reading of a
+//! name mirrors `platform/src/data_dialect.rs` (`TargetIdentification::judge_response`).
 
 use postbarrow_node::AttemptOutcome;
 
@@ -89,7 +89,7 @@
         }
     }
 
-    /// As `TargetConnection::is_fresh`: nothing came since it was given back, and it is not closed.
+    /// As `TargetConnection::is_reusable`: nothing came since it was given back, and it is not closed.
     pub fn is_unused(&self) -> bool {
         self.inbox.is_empty() && !self.closed
     }
@@ -116,7 +116,7 @@
         }
     }
 
-    /// As `TargetConnection::read_own`: reads up to a response that is not another's. `rest`:
+    /// As `TargetConnection::receive`: reads up to a response that is not another's. `rest`:
     /// bytes that follow it are already read in.
     pub fn read(&mut self, client: usize, rest: bool, requires_name: bool) -> Option<Read> {
         let unknown = |why: &str| AttemptOutcome::Unknown { late: false, reason: why.into() };
--- a/programs/data-plane/src/lib.rs
+++ b/programs/data-plane/src/lib.rs
@@ -86,7 +86,7 @@
             zone: Name::from(&startup.zone),
         };
         info!(
-            "node starts: name={} incarnation={:016x} zone={}",
+            "node: starting name={} incarnation={:016x} zone={}",
             own.name, own.incarnation, own.zone
         );
         let (commands, queue) = channel();
@@ -128,7 +128,7 @@
 
     /// Stops gracefully: the node becomes unready, requests in flight finish, then it ends.
     pub fn stop(&self) {
-        info!("node stops");
+        info!("node: stopping");
         self.shared.lifecycle.begin_stop();
         self.shared.control_loop.send(Command::Stop);
         let (unready_ms, end_ms) = self.stop_ms;
@@ -143,6 +143,6 @@
         self.shared.control_loop.send(Command::End { until_ms, done });
         let _ =
             ended.recv_timeout(Duration::from_millis(until_ms.saturating_sub(clock_ms()) + 100));
-        info!("node ends");
+        info!("node: stopped");
     }
 }
--- a/programs/data-plane/src/phases/accept.rs
+++ b/programs/data-plane/src/phases/accept.rs
@@ -27,7 +27,7 @@
             let stream = match stream {
                 Ok(stream) => stream,
                 Err(error) => {
-                    warn!("accept failed: error={error}");
+                    warn!("downstream: accept failed error={error}");
                     thread::sleep(ACCEPT_RETRY);
                     continue;
                 }
--- a/programs/data-plane/src/phases/forward.rs
+++ b/programs/data-plane/src/phases/forward.rs
@@ -3,7 +3,7 @@
 use super::request_state::RequestState;
 use crate::balancing::LoadPermit;
 use crate::dialect::target_headers;
-use crate::target_connection::{CancelScope, Cancellation, OutgoingRequest, TargetConnection};
+use crate::target_connection::{OutgoingRequest, TargetConnection};
 use postbarrow_downstream::memory_budget::Reserved;
 use postbarrow_node::AttemptOutcome;
 use postbarrow_state::Name;
@@ -50,7 +50,7 @@
         repeatable: request.is_repeatable,
     };
     let may_send = || may_send(request, &target.instance, until_ms);
-    match connection.send(&outgoing, &may_send, &cancellation(request)) {
+    match connection.send(&outgoing, &may_send, &request.cancellation()) {
         Ok(()) => Ok(Forwarded { connection, load, memory, until_ms: outgoing.until_ms }),
         Err(outcome) => {
             drop((connection, load));
@@ -60,18 +60,6 @@
     }
 }
 
-/// For how long the departure of the client cancels the attempt.
-pub fn cancellation<'a>(request: &RequestState<'a>) -> Cancellation<'a> {
-    let incoming = request.incoming;
-    let is_keyed = request.shared.dialect.idempotency_key(incoming.head).is_some();
-    let scope = match (request.is_repeatable, is_keyed) {
-        (true, _) => CancelScope::Always,
-        (false, true) => CancelScope::Never,
-        (false, false) => CancelScope::UntilSent,
-    };
-    Cancellation::new(incoming.client, scope)
-}
-
 /// The final check, right before the first byte: the client still waits, the target is still allowed,
 /// the ticket still valid, and the lease is looked at last.
 fn may_send(request: &RequestState<'_>, instance: &Name, until_ms: u64) -> bool {
--- a/programs/data-plane/src/phases/read_response.rs
+++ b/programs/data-plane/src/phases/read_response.rs
@@ -1,6 +1,6 @@
 //! Phase: reads the response to a forwarded request and judges it.
 
-use super::forward::{Forwarded, cancellation};
+use super::forward::Forwarded;
 use super::request_state::RequestState;
 use crate::balancing::report_in_flight;
 use crate::dialect::ResponseJudgement;
@@ -16,7 +16,8 @@
         None => ResponseJudgement::Complete,
     };
     let expected = ExpectedResponse { method: &head.method, until_ms, judge: &judge };
-    let (outcome, is_reusable) = connection.receive(&expected, &cancellation(request), &mut memory);
+    let (outcome, is_reusable) =
+        connection.receive(&expected, &request.cancellation(), &mut memory);
     let connection = is_reusable.then_some(connection);
     let load = load.release();
     if let (AttemptOutcome::Complete(response), Some(identification)) =
--- a/programs/data-plane/src/phases/request_state.rs
+++ b/programs/data-plane/src/phases/request_state.rs
@@ -2,7 +2,7 @@
 
 use crate::balancing::LoadPermit;
 use crate::shared::Shared;
-use crate::target_connection::TargetConnection;
+use crate::target_connection::{CancelScope, Cancellation, TargetConnection};
 use postbarrow_downstream::client_watch::ClientWatch;
 use postbarrow_downstream::head::Head;
 use postbarrow_downstream::memory_budget::Reserved;
@@ -45,6 +45,8 @@
     pub service: Name,
     /// Whether it may be repeated, as a lookup may.
     pub is_repeatable: bool,
+    /// For how long the departure of its client cancels it.
+    cancel_scope: CancelScope,
     /// The attempt in progress.
     pub attempt: Attempt,
     /// Covers the body of the response.
@@ -69,13 +71,26 @@
         incoming: &'a IncomingRequest<'a>,
         entry: &Entry,
     ) -> RequestState<'a> {
+        let is_repeatable = entry.route().kind != RouteKind::OneTime;
+        let is_keyed = shared.dialect.idempotency_key(incoming.head).is_some();
+        let cancel_scope = match (is_repeatable, is_keyed) {
+            (true, _) => CancelScope::Always,
+            (false, true) => CancelScope::Never,
+            (false, false) => CancelScope::UntilSent,
+        };
         RequestState {
             shared,
             incoming,
             service: entry.route().service.clone(),
-            is_repeatable: entry.route().kind != RouteKind::OneTime,
+            is_repeatable,
+            cancel_scope,
             attempt: Attempt::default(),
             response_memory: None,
         }
     }
+
+    /// The client whose departure cancels an attempt, and for how long.
+    pub fn cancellation(&self) -> Cancellation<'a> {
+        Cancellation::new(self.incoming.client, self.cancel_scope)
+    }
 }
