--- a/crates/constants/src/coordination.rs
+++ b/crates/constants/src/coordination.rs
@@ -1,57 +1,59 @@
 //! Tickets, locks, numbers, keys and watches.
 
-/// A granted ticket is used within this time of the question or never.
+/// A granted ticket is used within this time of its request, or never.
 pub const TICKET_USE_MS: u64 = 1_500;
-/// A question to the controller that gets no response in this time has an unknown end.
+/// A request to the controller without a response in this time has an unknown outcome.
 pub const CONTROLLER_REQUEST_MS: u64 = 2_500;
-/// Who asked waits so much longer than the question lives, for the answer that its time is over.
+/// The requester waits so much longer than its request is valid, for the response that it expired.
 pub const CONTROLLER_ANSWER_SLACK_MS: u64 = 200;
-/// A question is sent again at this pace while its end is open; the controller sees repeats.
+/// Interval at which a request without a response is sent again; the controller deduplicates.
 pub const REQUEST_RETRY_MS: u64 = 300;
-/// A settled ticket is kept this long: a client's retries come within minutes.
+/// How long a settled ticket is retained: a client's retries arrive within minutes.
 pub const TICKET_RETENTION_MS: u64 = 15 * 60 * 1_000;
-/// The log's own time goes on in such steps; a change of controller may lose one.
+/// Step of the log's own time; a change of leader may lose one.
 pub const ERA_MS: u64 = 30_000;
-/// Tickets at most: twice Kutch's 170 a second for fifteen minutes. Beyond it new one-time requests are
-/// shed; a kept key is never dropped before its time.
+/// Largest number of tickets: twice Kutch's 170 a second for fifteen minutes. Beyond it new
+/// one-time requests are shed; a retained key is never dropped before its time.
 pub const TICKETS: usize = 306_000;
-/// Bytes of kept responses in all: with the tickets, a slot of a small disk stays near 160 MiB.
+/// Bytes of all stored responses: with the tickets, a slot of a small disk stays near 160 MiB.
 pub const STORED_RESPONSES_BYTES: u64 = 64 * 1024 * 1024;
-/// A response kept with its ticket, at most; larger ones get 409 on repeat.
+/// Largest response stored with its ticket; a repeat of a request with a larger one gets 409.
 pub const STORED_RESPONSE_BYTES: usize = 2 * 1024;
-/// An Idempotency-Key, at most.
+/// Largest Idempotency-Key.
 pub const TICKET_KEY_BYTES: usize = 200;
-/// Results of coordination calls kept for repeats; beyond it calls that change anything are shed.
+/// Largest number of results of coordination calls stored for repeats; beyond it calls that change
+/// anything are shed.
 pub const STORED_RESULTS: usize = 60_000;
-/// Such a result is kept this long.
+/// How long such a result is retained.
 pub const STORED_RESULT_RETENTION_MS: u64 = 120_000;
-/// Watch events kept at least this long; the brief asks for about 20 s.
+/// Watch events are retained at least this long; the users' pages require about 20 s.
 pub const HISTORY_RETENTION_MS: u64 = 25_000;
-/// Watch events kept at most, shed beyond; 65 calls a second for 25 s is 1 625.
+/// Largest number of retained watch events, shed beyond; 65 calls a second for 25 s are 1 625.
 pub const HISTORY_EVENTS: usize = 50_000;
-/// A long poll ends empty after this.
+/// A long poll ends without events after this time.
 pub const WATCH_WAIT_MS: u64 = 20_000;
-/// Long polls open at one node.
+/// Pending long polls of one node.
 pub const WATCHES: usize = 2_000;
-/// A long poll asks the controller again at this pace.
+/// Interval at which a long poll queries the controller.
 pub const WATCH_POLL_MS: u64 = 250;
 /// Events in one watch response.
 pub const WATCH_EVENTS: usize = 500;
-/// Shortest time to live of a lock; a shorter wish is refused.
+/// Shortest time to live of a lock; a shorter one is refused.
 pub const LOCK_TTL_MIN_MS: u64 = 500;
 /// Longest time to live of a lock.
 pub const LOCK_TTL_MAX_MS: u64 = 10 * 60 * 1_000;
-/// Name of a lock, number or key.
+/// Largest name of a lock, number or key.
 pub const NAME_BYTES: usize = 256;
-/// Value of a small key.
+/// Largest value of a key.
 pub const VALUE_BYTES: usize = 16 * 1024;
-/// Housekeeping of tickets, repeats and history.
+/// Interval at which expired tickets, results and events are removed.
 pub const RETENTION_MS: u64 = 1_000;
-/// Records in one housekeeping batch.
+/// Records in one batch of removals.
 pub const RETENTION_RECORDS: usize = 2_000;
-/// Operator's submission waits this long for its end.
+/// How long an operator's submission waits for its outcome.
 pub const SUBMIT_WAIT_MS: u64 = 5_000;
-/// A stopping control node leaves its last answer this long to be written.
+/// How long a stopping control node waits for its last response to be written.
 pub const ANSWER_WRITE_MS: u64 = 50;
-/// A settlement is sent again for this long; beyond it the node's own end settles as unknown.
+/// How long a settlement is retried; beyond it the end of the node's incarnation settles the ticket
+/// as unknown.
 pub const SETTLEMENT_WAIT_MS: u64 = 10 * 60 * 1_000;
