--- a/tools/fleet-runner/src/fault_schedule.rs
+++ b/tools/fleet-runner/src/fault_schedule.rs
@@ -188,3 +188,6 @@
     });
     faults.collect()
 }
+
+#[cfg(test)]
+mod tests;
