--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -69,56 +69,66 @@
     let (queue, receiver) = channel();
     let pending = Arc::new(AtomicUsize::new(0));
     let count = pending.clone();
-    let spawned = thread::Builder::new()
-        .name(format!("link {to}"))
-        .stack_size(STACK_BYTES)
-        .spawn(move || run(own, to, &receiver, &count, idle));
+    let spawned = thread::Builder::new().name(format!("link {to}")).stack_size(STACK_BYTES).spawn(
+        move || {
+            let (queue, pending) = (&receiver, count.as_ref());
+            LinkThread { own, to, queue, pending, stream: None, is_unreachable: false }.run(idle)
+        },
+    );
     if let Err(error) = spawned {
         warn!("link: no thread for {to}: {error}");
     }
     Link { queue, pending }
 }
 
-fn run(
+/// The thread of one link. It connects when there is a message to send, and again after a failure.
+struct LinkThread<'q> {
     own: SocketAddr,
     to: SocketAddr,
-    queue: &Receiver<Message>,
-    pending: &AtomicUsize,
-    idle: Duration,
-) {
-    let mut stream: Option<TcpStream> = None;
-    let mut is_unreachable = false;
-    while let Ok(message) = queue.recv_timeout(idle) {
-        pending.fetch_sub(1, Relaxed);
-        let frame = match to_frame(&Envelope { from: own, message }) {
-            Ok(frame) => frame,
-            Err(error) => {
-                warn!("link: not sent to={to}: {error}");
-                continue;
+    queue: &'q Receiver<Message>,
+    pending: &'q AtomicUsize,
+    stream: Option<TcpStream>,
+    /// The last attempt to connect failed, and that was logged.
+    is_unreachable: bool,
+}
+
+impl LinkThread<'_> {
+    /// Runs until the link is idle for so long or its owner drops it.
+    fn run(mut self, idle: Duration) {
+        while let Ok(message) = self.queue.recv_timeout(idle) {
+            self.pending.fetch_sub(1, Relaxed);
+            match to_frame(&Envelope { from: self.own, message }) {
+                Ok(frame) => self.send(&frame),
+                Err(error) => warn!("link: not sent to={}: {error}", self.to),
             }
-        };
-        if stream.is_none() {
-            match connect(to) {
-                Ok(connected) => stream = Some(connected),
-                Err(error) => {
-                    if !is_unreachable {
-                        debug!("link: unreachable to={to}: {error}");
-                    }
-                    is_unreachable = true;
-                    thread::sleep(Duration::from_millis(LINK_RETRY_MS));
-                    while queue.try_recv().is_ok() {
-                        pending.fetch_sub(1, Relaxed);
-                    }
-                    continue;
-                }
+        }
+    }
+
+    fn send(&mut self, frame: &[u8]) {
+        if self.stream.is_none() {
+            match connect(self.to) {
+                Ok(connected) => self.stream = Some(connected),
+                Err(error) => return self.on_unreachable(&error),
             }
         }
-        is_unreachable = false;
-        if let Some(connected) = &mut stream
-            && let Err(error) = connected.write_all(&frame)
+        self.is_unreachable = false;
+        if let Some(connected) = &mut self.stream
+            && let Err(error) = connected.write_all(frame)
         {
-            debug!("link: failed to={to}: {error}");
-            stream = None;
+            debug!("link: failed to={}: {error}", self.to);
+            self.stream = None;
+        }
+    }
+
+    /// Pauses and drops what is pending meanwhile; the protocols send again.
+    fn on_unreachable(&mut self, error: &std::io::Error) {
+        if !self.is_unreachable {
+            debug!("link: unreachable to={}: {error}", self.to);
+        }
+        self.is_unreachable = true;
+        thread::sleep(Duration::from_millis(LINK_RETRY_MS));
+        while self.queue.try_recv().is_ok() {
+            self.pending.fetch_sub(1, Relaxed);
         }
     }
 }
