--- a/crates/consensus/tests/leadership_transfer.rs
+++ b/crates/consensus/tests/leadership_transfer.rs
@@ -1,3 +1,5 @@
+//! Leadership transfer by TimeoutNow.
+
 use postbarrow_consensus::*;
 use std::sync::Arc;
 
--- a/crates/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -1,3 +1,5 @@
+//! Changes of the membership: learners, seats and their order.
+
 use postbarrow_consensus::*;
 use postbarrow_constants::consensus::*;
 use std::sync::Arc;
--- a/crates/consensus/tests/votes.rs
+++ b/crates/consensus/tests/votes.rs
@@ -1,3 +1,5 @@
+//! Votes: who grants one, who refuses, and who is bound to a leader.
+
 use postbarrow_consensus::*;
 use postbarrow_constants::consensus::{ELECTION_MIN_MS, LEADER_LEASE_MS};
 use std::sync::Arc;
--- a/programs/control-plane/tests/surface.rs
+++ b/programs/control-plane/tests/surface.rs
@@ -54,18 +54,18 @@
 }
 
 #[test]
-fn paths_headers_and_keys_of_the_operators_door() {
+fn paths_headers_and_keys_of_the_operators_listener() {
     let folder = empty_folder("surface");
     let first = start("one", &folder, Vec::new());
     let seeds = vec![first.address()];
     let _others = ["two", "three"].map(|name| start(name, &folder, seeds.clone()));
-    let door = first.http();
+    let address = first.http();
     let leads = (0..TRIES).any(|_| {
         std::thread::sleep(PAUSE);
-        response(door, "GET", "/status", "").contains(" 200 ")
+        response(address, "GET", "/status", "").contains(" 200 ")
     });
     assert!(leads, "nobody leads");
-    let asked = [
+    let requests = [
         ("GET", "/plan", ""),
         ("POST", "/plans", "{}"),
         ("POST", "/plans?dry-run=true&allow-empty=true", PLAN),
@@ -83,12 +83,16 @@
         ("POST", "/members", ""),
         ("GET", "/elsewhere", ""),
     ];
-    let responses = asked.map(|(method, path, body)| {
-        let text = response(door, method, path, body);
+    let responses = requests.map(|(method, path, body)| {
+        let text = response(address, method, path, body);
         // Which rows a young cluster has is a matter of time; their keys stand in the test of the
-        // controller that tells them.
-        let told = method == "GET" && ["/status", "/targets", "/members"].contains(&path);
-        if told { text.split("\n{").next().expect("a head").to_string() + "\n\n" } else { text }
+        // controller that reports them.
+        let is_report = method == "GET" && ["/status", "/targets", "/members"].contains(&path);
+        if is_report {
+            text.split("\n{").next().expect("a head").to_string() + "\n\n"
+        } else {
+            text
+        }
     });
     insta::assert_snapshot!(responses.concat());
 }
