--- a/crates/membership/tests/relay.rs
+++ b/crates/membership/tests/relay.rs
@@ -95,60 +95,87 @@
     assert_eq!(relay.retained_bytes(), 1, "a gap leaves nothing of what was before");
 }
 
-/// A child on a link of so many bytes a millisecond that renews its subscription as data nodes do,
-/// while a change comes every 136 ms (220 in 30 s): bytes sent on the link, and the longest lag.
+const CHANGE_PERIOD_MS: u64 = 136;
+/// What changes for 30 s.
+const CHANGES: u64 = 220;
+/// What a link may send at once after a pause.
+const LINK_BURST_BYTES: usize = 64 * 1024;
+
+/// A link that sends so many bytes a millisecond, in order.
+struct SlowLink {
+    bytes_per_ms: usize,
+    budget_bytes: usize,
+    /// Size and offset of what is not sent yet.
+    queue: VecDeque<(usize, u64)>,
+    queued_bytes: usize,
+}
+
+impl SlowLink {
+    fn new(bytes_per_ms: usize) -> SlowLink {
+        SlowLink { bytes_per_ms, budget_bytes: 0, queue: VecDeque::new(), queued_bytes: 0 }
+    }
+
+    fn push(&mut self, size_bytes: usize, offset: u64) {
+        self.queued_bytes += size_bytes;
+        self.queue.push_back((size_bytes, offset));
+    }
+
+    /// One millisecond passes; returns the offsets that arrive.
+    fn tick(&mut self) -> Vec<u64> {
+        let mut arrived = Vec::new();
+        self.budget_bytes = (self.budget_bytes + self.bytes_per_ms).min(LINK_BURST_BYTES);
+        while let Some((size_bytes, offset)) = self.queue.front().copied()
+            && size_bytes <= self.budget_bytes
+        {
+            self.budget_bytes -= size_bytes;
+            self.queue.pop_front();
+            arrived.push(offset);
+        }
+        if self.queue.is_empty() {
+            self.budget_bytes = self.budget_bytes.min(self.bytes_per_ms);
+        }
+        arrived
+    }
+}
+
+/// A child on a slow link that renews its subscription as data nodes do, while a change comes every
+/// 136 ms: bytes sent on the link, and the longest lag.
 fn run_on_a_slow_link(
     link_bytes_per_ms: usize,
     change_bytes: usize,
     image_bytes: usize,
 ) -> (usize, u64) {
-    let mut relay = Relay::default();
-    let mut queue: VecDeque<(usize, u64)> = VecDeque::new();
-    let (mut at, mut own, mut all_bytes, mut link_budget_bytes, mut longest_ms) = (0, 0, 0, 0, 0);
+    let (mut relay, mut link) = (Relay::default(), SlowLink::new(link_bytes_per_ms));
+    let (mut reached, mut own, mut tail_due_ms, mut longest_ms) = (0, 0, 0, 0);
     let mut changed_ms = vec![0];
-    let mut tail_due_ms = 0;
     for now_ms in 0..35_000 {
-        if now_ms % 136 == 0 && own < 220 {
+        if now_ms % CHANGE_PERIOD_MS == 0 && own < CHANGES {
             own += 1;
             relay.push(entry(own, change_bytes));
             changed_ms.push(now_ms);
         }
-        link_budget_bytes = (link_budget_bytes + link_bytes_per_ms).min(64 * 1024);
-        while let Some((size, offset)) = queue.front().copied()
-            && size <= link_budget_bytes
-        {
-            link_budget_bytes -= size;
-            queue.pop_front();
-            at = at.max(offset);
-        }
-        if queue.is_empty() {
-            link_budget_bytes = link_budget_bytes.min(link_bytes_per_ms);
-        }
+        reached = link.tick().into_iter().fold(reached, u64::max);
         if now_ms >= tail_due_ms {
-            tail_due_ms = now_ms + if at < own { TAIL_RETRY_MS } else { TAIL_RENEW_MS };
-            relay.on_tail(now_ms, child(1), at);
+            tail_due_ms = now_ms + if reached < own { TAIL_RETRY_MS } else { TAIL_RENEW_MS };
+            relay.on_tail(now_ms, child(1), reached);
         }
         for delivery in relay.deliver(now_ms, own, own) {
             match delivery {
                 Delivery::Updates { entries, .. } => {
-                    for entry in entries {
-                        all_bytes += entry.bytes.len();
-                        queue.push_back((entry.bytes.len(), entry.offset));
-                    }
+                    entries.iter().for_each(|entry| link.push(entry.bytes.len(), entry.offset));
                 }
                 Delivery::Image { to } => {
-                    all_bytes += image_bytes;
-                    queue.push_back((image_bytes, own));
+                    link.push(image_bytes, own);
                     relay.on_image_sent(now_ms, to, own);
                 }
             }
         }
-        if at < own {
-            longest_ms = longest_ms.max(now_ms - changed_ms[at as usize + 1]);
+        if reached < own {
+            longest_ms = longest_ms.max(now_ms - changed_ms[reached as usize + 1]);
         }
     }
-    assert_eq!(at, 220, "the child ends up to date");
-    (all_bytes, longest_ms)
+    assert_eq!(reached, CHANGES, "the child ends up to date");
+    (link.queued_bytes, longest_ms)
 }
 
 #[test]
--- a/crates/storage/tests/power.rs
+++ b/crates/storage/tests/power.rs
@@ -23,36 +23,51 @@
     Write::Slot { snapshot, hard: HardState { term, voted_for: Some(1) }, entries }
 }
 
+/// What a member has written, as far as the next write depends on it.
+struct Model {
+    /// Index of the last entry.
+    last: u64,
+    term: u64,
+    snapshot_index: u64,
+    /// The term of the last write that stores one.
+    durable_term: u64,
+}
+
+impl Model {
+    fn next_write(&mut self, random: &mut Random) -> Write {
+        match random.below(6) {
+            0 => {
+                self.term += 1;
+                self.durable_term = self.term;
+                Write::HardState(HardState { term: self.term, voted_for: Some(2) })
+            }
+            1 if self.last > self.snapshot_index => {
+                self.snapshot_index = self.last - random.below(self.last - self.snapshot_index);
+                self.durable_term = self.term;
+                let rest = self.snapshot_index + 1..=self.last;
+                let entries = rest.map(|index| entry(self.term, index)).collect();
+                slot(self.snapshot_index, self.term, entries)
+            }
+            _ => {
+                self.last += 1;
+                Write::Append(vec![entry(self.term, self.last)])
+            }
+        }
+    }
+}
+
 #[test]
 fn synced_writes_are_recovered_after_power_loss_at_any_operation() {
     for seed in 0..400 {
         let mut random = Random::new(seed);
         let disk = SimDisk::default();
         let mut storage = Storage::create(disk.clone(), 9).unwrap();
-        let (mut last, mut term, mut base) = (0, 1, 0);
-        let mut written = 0;
+        let mut model = Model { last: 0, term: 1, snapshot_index: 0, durable_term: 0 };
         let steps = random.below(30);
         for _ in 0..steps {
-            let write = match random.below(6) {
-                0 => {
-                    term += 1;
-                    Write::HardState(HardState { term, voted_for: Some(2) })
-                }
-                1 if last > base => {
-                    base = last - random.below(last - base);
-                    let tail = (base + 1..=last).map(|index| entry(term, index)).collect();
-                    slot(base, term, tail)
-                }
-                _ => {
-                    last += 1;
-                    Write::Append(vec![entry(term, last)])
-                }
-            };
-            if matches!(write, Write::HardState(_) | Write::Slot { .. }) {
-                written = term;
-            }
-            storage.apply(vec![write]).unwrap();
+            storage.apply(vec![model.next_write(&mut random)]).unwrap();
         }
+        let Model { last, term, durable_term, .. } = model;
         disk.set_fuse(random.below(5));
         let outcome = storage.apply(vec![
             Write::Append(vec![entry(term, last + 1)]),
@@ -61,7 +76,7 @@
         disk.lose_power(&mut random);
         let (storage, recovered) = reopen(&disk);
         assert_eq!(storage.id(), 9, "seed {seed}");
-        assert!(recovered.term >= written, "seed {seed}: the term is lost");
+        assert!(recovered.term >= durable_term, "seed {seed}: the term is lost");
         let found = recovered.entries.last().map_or(0, |entry| entry.index);
         let found = found.max(recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index));
         assert!(found >= last, "seed {seed}: {found} of {last} entries, {outcome:?}");
