--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -3,7 +3,7 @@
 use gumdrop::Options;
 use postbarrow_simulation::{
     Fault, INJECTED_FAULTS, InjectedFault, InjectionPoint, OPERATIONS, Operation, OutcomeCounts,
-    Scenario,
+    RunResult, Scenario,
 };
 use std::process::ExitCode;
 use std::sync::Mutex;
@@ -38,7 +38,7 @@
     zone_us: u64,
 }
 
-/// What can't be run is told, all of it, and nothing is.
+/// All arguments that can't be run; with any of them nothing is run.
 fn findings(cli: &Cli) -> Vec<String> {
     let minimums = [
         ("--seeds", cli.seeds, 1),
@@ -50,7 +50,7 @@
     low.map(|(flag, given, min)| format!("{flag} {given}: at least {min}")).collect()
 }
 
-/// Every step of every kind, until the controller takes no more.
+/// Injects each fault at every step of each operation, until the controller takes no more steps.
 fn steps(cli: &Cli) -> ExitCode {
     let kinds: Vec<(Operation, InjectedFault)> = OPERATIONS
         .into_iter()
@@ -98,6 +98,14 @@
     if cli.steps {
         return steps(&cli);
     }
+    let outcomes = run_seeds(&cli);
+    print_summary(&outcomes);
+    let failed = outcomes.iter().any(|outcome| !outcome.violations.is_empty());
+    if failed { ExitCode::FAILURE } else { ExitCode::SUCCESS }
+}
+
+/// Runs all seeds and prints their logs and violations.
+fn run_seeds(cli: &Cli) -> Vec<RunResult> {
     let next = AtomicU64::new(cli.seed);
     let outcomes = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
@@ -129,13 +137,16 @@
             });
         }
     });
-    let outcomes = outcomes.into_inner().unwrap_or_default();
+    outcomes.into_inner().unwrap_or_default()
+}
+
+/// Prints the sums over all runs.
+fn print_summary(outcomes: &[RunResult]) {
     let failed = outcomes.iter().filter(|outcome| !outcome.violations.is_empty()).count();
     let mut recovery: Vec<u64> = outcomes.iter().map(|outcome| outcome.recovery_ms).collect();
     recovery.sort_unstable();
     let at = |percent: usize| recovery.get(recovery.len() * percent / 100).copied().unwrap_or(0);
-    let sum =
-        |of: fn(&postbarrow_simulation::RunResult) -> usize| outcomes.iter().map(of).sum::<usize>();
+    let sum = |of: fn(&RunResult) -> usize| outcomes.iter().map(of).sum::<usize>();
     let counts =
         outcomes.iter().fold(OutcomeCounts::default(), |sum, outcome| sum.plus(outcome.outcomes));
     println!(
@@ -146,6 +157,20 @@
         sum(|outcome| outcome.calls),
         sum(|outcome| outcome.events),
     );
+    print_requests(&counts);
+    print_disks(outcomes);
+    println!(
+        "recovery ms: p50 {} p90 {} p99 {} most {}; longest leave ms {}",
+        at(50),
+        at(90),
+        at(99),
+        recovery.last().copied().unwrap_or(0),
+        outcomes.iter().map(|outcome| outcome.max_departure_lag_ms).max().unwrap_or(0),
+    );
+}
+
+/// Prints how many requests had each outcome.
+fn print_requests(counts: &OutcomeCounts) {
     println!(
         "{} requests: {} ran, {} not run, {} unknown, {} pending, {} unreached, {} unanswered, {} left",
         counts.total(),
@@ -157,6 +182,11 @@
         counts.unanswered,
         counts.departed,
     );
+}
+
+/// Prints the work and the failures of disks and of the endpoint list.
+fn print_disks(outcomes: &[RunResult]) {
+    let sum = |of: fn(&RunResult) -> usize| outcomes.iter().map(of).sum::<usize>();
     let synced = |part: fn(&(usize, usize)) -> usize| {
         outcomes.iter().map(|outcome| part(&outcome.synced)).sum::<usize>()
     };
@@ -167,13 +197,4 @@
         sum(|outcome| outcome.disk_failures),
         sum(|outcome| outcome.list_refusals),
     );
-    println!(
-        "recovery ms: p50 {} p90 {} p99 {} most {}; longest leave ms {}",
-        at(50),
-        at(90),
-        at(99),
-        recovery.last().copied().unwrap_or(0),
-        outcomes.iter().map(|outcome| outcome.longest_leave_ms).max().unwrap_or(0),
-    );
-    if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/crates/simulation/src/contact_loss.rs
+++ b/crates/simulation/src/scenario/contact_loss.rs
@@ -1,65 +1,77 @@
-//! One control machine loses contact for twenty seconds while some cling to it.
+//! One control machine loses contact for twenty seconds while clients are pinned to it.
 
+use crate::client::pinned::{OWN_NUMBER, PinnedClients};
 use crate::event::{Event, ProcessId};
 use crate::fault::Fault;
-use crate::history::check_calls;
-use crate::pinned::PinnedClients;
-use crate::scenario::recover;
+use crate::scenario::{check_history, recover};
 use crate::world::World;
 use std::net::IpAddr;
 
 /// How the machine loses contact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ContactLoss {
-    /// From everybody.
+    /// To and from all other machines.
     Full,
-    /// It hears all, and nobody hears it.
+    /// It receives from all, and nobody receives from it.
     Outbound,
-    /// All hear it, and it hears nobody.
+    /// All receive from it, and it receives from nobody.
     Inbound,
-    /// From the other members only; data nodes and those who cling reach it.
+    /// To and from the other members only; data nodes and pinned clients reach it.
     Members,
-    /// From data nodes only.
+    /// To and from data nodes only.
     Data,
-    /// It stands still and goes on.
+    /// Its process is frozen and wakes.
     Frozen,
-    /// From everybody, and its process is killed and started in the middle of it.
+    /// To and from all, and its process is killed and started meanwhile.
     Restarted,
 }
 
-/// A cut of the leader, or of a follower, from one seed.
+/// A run in which the leader, or a follower, loses contact.
 #[derive(Clone, Copy, Debug)]
 pub struct ContactLossRun {
+    /// The run's seed.
     pub seed: u64,
+    /// How contact is lost.
     pub kind: ContactLoss,
+    /// Whether the machine leads; otherwise it is a follower.
     pub leader: bool,
 }
 
-/// What became of it.
+/// What such a run ended with.
 #[derive(Debug, Default)]
 pub struct ContactLossResult {
+    /// What did not hold.
     pub violations: Vec<String>,
-    /// Questions to the machine that got an answer, "not taken", or no clear answer.
+    /// Requests that the machine answered.
     pub answered: usize,
+    /// Requests that the machine answered with `Unavailable`.
     pub unavailable: usize,
+    /// Requests that timed out.
     pub unclear: usize,
-    /// The longest wait for "not taken" of those asked when the cut had lasted for `NOTICED_US`.
+    /// The longest wait for `Unavailable`, in milliseconds, of requests sent `NOTICED_US` or later
+    /// after the loss.
     pub longest_wait_ms: u64,
+    /// Orders that the pinned clients submitted.
     pub orders: usize,
+    /// Plans acknowledged in the whole run.
     pub plans: u64,
     /// The leader and its term stayed the same.
     pub undisturbed: bool,
 }
 
 const START_US: u64 = 4_500_000;
+
 const CUT_US: u64 = 20_000_000;
-/// Silence that the machine notices, an election, and a margin.
+
+/// Time to notice the loss, an election, and a margin.
 const NOTICED_US: u64 = 2_500_000;
+
 const AFTER_US: u64 = 3_000_000;
+
 const RESTART_AFTER_US: u64 = 8_000_000;
 
 impl ContactLossRun {
-    /// Runs it; the same seed gives the same end.
+    /// Runs it; the same seed gives the same result.
     pub fn run(&self) -> ContactLossResult {
         let mut world = World::new(self.seed, 3, 6);
         world.request_pause_us = 250_000;
@@ -99,8 +111,8 @@
             ContactLoss::Frozen => (Vec::new(), Vec::new()),
         };
         let own = world.control[at].address.ip();
-        out.into_iter().for_each(|other| world.net.partition(own, other));
-        into.into_iter().for_each(|other| world.net.partition(other, own));
+        out.into_iter().for_each(|other| world.network.partition(own, other));
+        into.into_iter().for_each(|other| world.network.partition(other, own));
         match self.kind {
             ContactLoss::Frozen => {
                 world.frozen.entry(ProcessId::Control(at)).or_default();
@@ -122,15 +134,15 @@
         recovery_ms: u64,
         undisturbed: bool,
     ) -> ContactLossResult {
-        check_calls(&mut world);
+        check_history(&mut world);
         if recovery_ms == u64::MAX {
-            world.ledger.violate("no full service after the cut".into());
+            world.ledger.violate("no full service after the loss of contact".into());
         }
         let Some(pinned) = world.pinned.take() else { return ContactLossResult::default() };
         check_numbers(&mut world, &pinned);
         let overdue = pinned.overdue(world.now_us);
         if overdue > 0 {
-            world.ledger.violate(format!("{overdue} questions never had an end"));
+            world.ledger.violate(format!("{overdue} requests never had a response"));
         }
         let noticed = (cut_us + NOTICED_US)..(cut_us + CUT_US);
         let waits =
@@ -148,13 +160,13 @@
     }
 }
 
-/// What was told as not taken was not counted, and what was told is counted once.
+/// A call answered as unavailable was not counted, and each acknowledged one was counted once.
 fn check_numbers(world: &mut World, pinned: &PinnedClients) {
     let mut acknowledged = pinned.numbers.clone();
     acknowledged.sort_unstable();
     acknowledged.dedup();
     let Some(node) = world.leader().and_then(|at| world.control[at].node.as_ref()) else { return };
-    let counted = node.committed().numbers.get("clung").copied().unwrap_or(0) as usize;
+    let counted = node.committed().numbers.get(OWN_NUMBER).copied().unwrap_or(0) as usize;
     let max = acknowledged.len() + pinned.numbers_unclear;
     if acknowledged.len() != pinned.numbers.len() || !(acknowledged.len()..=max).contains(&counted)
     {
@@ -164,21 +176,3 @@
         ));
     }
 }
-
-impl World {
-    /// Connections keep no order among each other: at worst, whoever stood still reads questions
-    /// first, then what other machines sent, and looks at its clock last.
-    fn deliver_requests_before_ticks(&mut self, process: ProcessId) {
-        if let Some(pending) = self.frozen.get_mut(&process) {
-            pending.sort_by_key(|event| match event {
-                Event::PinnedArrives { .. } => 0,
-                Event::Tick { .. } => 2,
-                _ => 1,
-            });
-        }
-    }
-
-    fn term(&self, at: usize) -> Option<u64> {
-        self.control[at].node.as_ref().map(|node| node.consensus().term())
-    }
-}
--- a/crates/simulation/src/search/forwarded_rules.rs
+++ b/crates/simulation/src/search/forwarded/rules.rs
@@ -1,20 +1,21 @@
-//! What must hold of every forwarded call.
+//! Invariants of every forwarded call.
 
-use super::forwarded::ForwardedCalls;
-use super::forwarded_log::is_refusal;
-use super::forwarded_state::{ForwardedState, Progress};
+use crate::search::Violation;
+use crate::search::forwarded::ForwardedCalls;
+use crate::search::forwarded::log::is_refusal;
+use crate::search::forwarded::state::{ForwardedState, Progress};
 use postbarrow_messages::Response;
 use postbarrow_state::{Outcome, Record};
 use std::collections::BTreeSet;
 
 impl ForwardedCalls {
-    /// Whatever a caller was told is true of its own call.
-    pub(super) fn check_answered(
+    /// A caller's response is true of its own call.
+    pub(in crate::search) fn check_answered(
         &self,
         state: &ForwardedState,
         at: usize,
         floor: u64,
-    ) -> Result<(), String> {
+    ) -> Result<(), Violation> {
         let Progress::Answered { response, .. } = &state.progress[at] else { return Ok(()) };
         let own: Vec<&Record> = state
             .committed()
@@ -23,7 +24,7 @@
             .flat_map(|entry| &entry.records)
             .collect();
         if is_refusal(response) && !own.is_empty() {
-            return Err(format!("call {at} was told {response:?} and took effect"));
+            return Err(Violation(format!("call {at} got {response:?} and took effect")));
         }
         let done =
             match response {
@@ -39,11 +40,19 @@
                 ),
                 _ => true,
             };
-        if done { Ok(()) } else { Err(format!("call {at} was told {response:?}, not its own")) }
+        if done {
+            Ok(())
+        } else {
+            Err(Violation(format!("call {at} got {response:?}, not its own")))
+        }
     }
 
-    /// A put has one revision and a lock one fence, however often its question arrives.
-    pub(super) fn check_once(&self, state: &ForwardedState, at: usize) -> Result<(), String> {
+    /// A put has one revision and a lock one fence, however often its request arrives.
+    pub(in crate::search) fn check_once(
+        &self,
+        state: &ForwardedState,
+        at: usize,
+    ) -> Result<(), Violation> {
         let own = state.committed().iter().filter(|entry| entry.source == Some(at));
         let marks: BTreeSet<u64> = own
             .flat_map(|entry| &entry.records)
@@ -54,7 +63,7 @@
             })
             .collect();
         if marks.len() > 1 {
-            return Err(format!("call {at} was done as {marks:?}"));
+            return Err(Violation(format!("call {at} was done as {marks:?}")));
         }
         Ok(())
     }
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -1,22 +1,22 @@
-//! How each fault is brought about in a world.
+//! How each fault is injected into a world.
 
 use crate::event::{Event, ProcessId};
 use crate::fault::{Fault, Stage};
+use crate::node::target::Target;
 use crate::world::World;
 use postbarrow_constants::consensus::VOTERS;
 use postbarrow_messages::Response;
-use postbarrow_node::{AttemptOutcome, Event as GoEvent};
+use postbarrow_node::{AttemptOutcome, Event as FlowEvent};
+use std::net::IpAddr;
 
 impl World {
+    /// Brings about one fault now. Every call draws the same numbers, whatever the fault.
     pub fn inject(&mut self, fault: Fault) {
         let log_line = format!("{:.3} fault {fault:?}", self.now_us as f64 / 1e6);
         if let Some(log) = &mut self.log {
             log.push(log_line);
         }
-        let leader = self
-            .control
-            .iter()
-            .position(|machine| machine.node.as_ref().is_some_and(|node| node.is_leading()));
+        let leader = self.leader();
         let some = self.random.below(3) as usize;
         let control = if self.random.chance(600) { leader.unwrap_or(some) } else { some };
         let data = self.random.below(self.data.len() as u64) as usize;
@@ -29,33 +29,14 @@
             Fault::EmptyDiskAtNewAddress => self.empty_disk(control, true),
             Fault::FreezeControl => self.freeze(ProcessId::Control(control)),
             Fault::CutControl => self.isolate(control),
-            Fault::SplitControl => {
-                let one = self.control[control].address.ip();
-                let others = (0..3).filter(|other| *other != control);
-                for other in
-                    others.map(|other| self.control[other].address.ip()).collect::<Vec<_>>()
-                {
-                    self.net.partition(one, other);
-                    self.net.partition(other, one);
-                }
-            }
-            Fault::OneWayCut => {
-                let (one, other) =
-                    (self.control[some].address, self.control[(some + 1) % 3].address);
-                self.net.partition(one.ip(), other.ip());
-            }
+            Fault::SplitControl => self.split_control(control),
+            Fault::OneWayCut => self.cut_one_way(some),
             Fault::KillData => self.end_data(data),
             Fault::KillManyData => (0..self.data.len() / 2).for_each(|at| self.end_data(at)),
             Fault::FreezeData => self.freeze(ProcessId::Data(data)),
-            Fault::CutData => {
-                let isolated = self.data[data].address.ip();
-                for other in self.addresses() {
-                    self.net.partition(isolated, other);
-                    self.net.partition(other, isolated);
-                }
-            }
-            Fault::SlowLinks => self.net.slow_us = 30_000,
-            Fault::LossyLinks => self.net.loss_per_mille = 100,
+            Fault::CutData => self.partition_from_all(self.data[data].address.ip()),
+            Fault::SlowLinks => self.network.slow_us = 30_000,
+            Fault::LossyLinks => self.network.loss_per_mille = 100,
             Fault::KillTarget => self.change_some_target(|target| target.alive = false),
             Fault::FreezeTarget => self.change_some_target(|target| target.frozen = true),
             Fault::DrainTarget => self.drain(),
@@ -76,7 +57,7 @@
         }
     }
 
-    fn addresses(&self) -> Vec<std::net::IpAddr> {
+    fn addresses(&self) -> Vec<IpAddr> {
         let control = self.control.iter().map(|machine| machine.address.ip());
         control.chain(self.data.iter().map(|machine| machine.address.ip())).collect()
     }
@@ -87,6 +68,7 @@
         self.after(for_us, Event::Wake(process));
     }
 
+    /// Freezes the data node of this event if `FreezeAt` waits for its stage.
     pub fn freeze_before(&mut self, event: &Event) {
         let Some(stage) = self.freeze_before else { return };
         let (data, request, here) = match event {
@@ -94,9 +76,11 @@
             Event::Send { data, request, .. } => (*data, *request, stage == Stage::Sending),
             Event::Resume { data, request, event, .. } => {
                 let here = match event {
-                    GoEvent::Connected => stage == Stage::Connected,
-                    GoEvent::ControllerResponded(Response::Granted) => stage == Stage::Granted,
-                    GoEvent::AttemptEnded(AttemptOutcome::Complete(_)) => stage == Stage::Responded,
+                    FlowEvent::Connected => stage == Stage::Connected,
+                    FlowEvent::ControllerResponded(Response::Granted) => stage == Stage::Granted,
+                    FlowEvent::AttemptEnded(AttemptOutcome::Complete(_)) => {
+                        stage == Stage::Responded
+                    }
                     _ => false,
                 };
                 (*data, *request, here)
@@ -112,15 +96,36 @@
         }
     }
 
+    /// Partitions control machine `at` from all other machines, in both directions.
     pub fn isolate(&mut self, at: usize) {
-        let isolated = self.control[at].address.ip();
+        self.partition_from_all(self.control[at].address.ip());
+    }
+
+    fn partition_from_all(&mut self, isolated: IpAddr) {
         for other in self.addresses() {
-            self.net.partition(isolated, other);
-            self.net.partition(other, isolated);
+            self.network.partition(isolated, other);
+            self.network.partition(other, isolated);
         }
     }
 
-    /// A disk is lost only while the log can spare it: the others are whole members.
+    /// Partitions control machine `at` from the other two, in both directions.
+    fn split_control(&mut self, at: usize) {
+        let one = self.control[at].address.ip();
+        let others = (0..3).filter(|other| *other != at);
+        for other in others.map(|other| self.control[other].address.ip()).collect::<Vec<_>>() {
+            self.network.partition(one, other);
+            self.network.partition(other, one);
+        }
+    }
+
+    /// Loses all frames from control machine `at` to the next one.
+    fn cut_one_way(&mut self, at: usize) {
+        let (one, other) = (self.control[at].address, self.control[(at + 1) % 3].address);
+        self.network.partition(one.ip(), other.ip());
+    }
+
+    /// A disk is lost only while the cluster can spare it: the two others are members and agree on
+    /// all three.
     fn empty_disk(&mut self, at: usize, elsewhere: bool) {
         if !self.can_spare(at) {
             return;
@@ -155,7 +160,7 @@
         others.iter().all(is_full_member) && ids(&others[0]) == ids(&others[1])
     }
 
-    fn change_some_target(&mut self, change: impl Fn(&mut crate::targets::Target)) {
+    fn change_some_target(&mut self, change: impl Fn(&mut Target)) {
         let Some(instance) = self.some_target() else { return };
         if let Some(target) = self.target_mut(&instance) {
             change(target);
@@ -184,7 +189,7 @@
         self.add_target(&service, None);
     }
 
-    /// A ledger is retired and a photo store takes its address before the list knows.
+    /// A ledger is retired and a photo store takes its address before the list shows it.
     fn reuse_address(&mut self) {
         let found =
             self.targets.iter().position(|target| target.alive && target.service == "ledger");
@@ -197,9 +202,9 @@
         let _still_listed = instance;
     }
 
-    /// All that was brought about ends: processes run, links carry, lists are true.
+    /// Ends all faults: processes run, links carry frames, the endpoint list is correct.
     pub fn heal(&mut self) {
-        self.net.heal();
+        self.network.heal();
         self.slow_disks = false;
         self.control.iter().for_each(|machine| machine.disk.set_fault(None));
         self.freeze_before = None;
--- /dev/null
+++ b/programs/data-plane/src/tests/execution_evidence.rs
@@ -0,0 +1,146 @@
+use super::rig::*;
+use crate::dialect::ResponseJudgement;
+use crate::target_connection::{
+    CancelScope, Cancellation, ExchangeTerms, OutgoingRequest, TargetConnection,
+};
+use postbarrow_downstream::client_watch::ClientWatch;
+use postbarrow_downstream::memory_budget::{MemoryBudget, Reserved};
+use postbarrow_messages::{Request, Response};
+use postbarrow_node::AttemptOutcome;
+use postbarrow_state::{Call, Change, Event, Outcome, Target};
+use postbarrow_transport::clock_ms;
+use std::cell::Cell;
+use std::io::{Read, Write};
+use std::net::TcpStream;
+
+fn space() -> Reserved {
+    MemoryBudget::new(1 << 20).reserve(0).unwrap()
+}
+
+fn header(reply: &str, name: &str) -> Option<String> {
+    let line = reply.lines().find(|line| line.to_ascii_lowercase().starts_with(name))?;
+    Some(line.split_once(": ")?.1.to_string())
+}
+
+fn keys(rig: &Rig) -> Vec<String> {
+    let requested = rig.requested.lock().unwrap();
+    let keys = requested.iter().filter_map(|request| match request {
+        Request::Ticket(ticket) => Some(ticket.key.to_string()),
+        _ => None,
+    });
+    keys.collect()
+}
+
+#[test]
+fn client_without_key_receives_a_synthesized_key_for_a_safe_repeat() {
+    let scripted = ScriptedTarget::start("s-1", "s", vec![Script::Raw(Vec::new())]);
+    let rig = Rig::new(vec![target("s-1", "s", scripted.address)], grant_all);
+    let reply = rig.post("", "a");
+    assert!(reply.contains("Postbarrow-Outcome: unknown"), "{reply}");
+    let key = header(&reply, "postbarrow-key:").expect("the synthesized key is in the response");
+    assert_eq!(header(&reply, "retry-after:"), None, "a repeat without the key is not safe");
+    assert_eq!(keys(&rig), [key.as_str()]);
+    rig.post(&format!("Idempotency-Key: {key}\r\n"), "a");
+    assert_eq!(keys(&rig), [key.as_str(), key.as_str()], "a repeat requests the same ticket");
+    let other = header(&rig.post("", "a"), "postbarrow-key:").unwrap();
+    assert_ne!(other, key);
+    let common = other.bytes().zip(key.bytes()).rev().take_while(|(a, b)| a == b).count();
+    assert!(common < 6, "a key can't be guessed from another: {key} {other}");
+    let keyed = rig.post("Idempotency-Key: mine\r\n", "a");
+    assert_eq!(header(&keyed, "postbarrow-key:"), None);
+    assert!(header(&keyed, "retry-after:").is_some(), "its own key makes a repeat safe");
+}
+
+#[test]
+fn keyed_request_rejected_unread_is_unknown_and_never_not_run() {
+    let scripted = ScriptedTarget::start("s-1", "s", vec![Script::Complete("fine")]);
+    let rig = Rig::new(vec![target("s-1", "s", scripted.address)], grant_all);
+    let failing = |key: &str| {
+        let head = format!("POST /post/1 HTTP/1.1\r\nHost: h\r\n{key}Transfer-Encoding: chunked");
+        rig.raw(format!("{head}\r\n\r\nzz\r\n").as_bytes())
+    };
+    assert!(failing("").contains("Postbarrow-Outcome: not-run"));
+    let keyed = failing("Idempotency-Key: k\r\n");
+    assert!(keyed.starts_with("HTTP/1.1 400"), "{keyed}");
+    assert!(keyed.contains("Postbarrow-Outcome: unknown"), "{keyed}");
+    assert_eq!(scripted.runs(), 0);
+}
+
+/// Forwards a one-time request over a new connection to an identified target.
+fn exchange(to: &Target, body: &[u8], may_send: &dyn Fn() -> bool) -> (AttemptOutcome, bool) {
+    let nobody = ClientWatch::nobody();
+    let until_ms = clock_ms() + 60_000;
+    let mut connection = TargetConnection::open(to.address, until_ms, &nobody).unwrap();
+    connection.identify(to, until_ms, &nobody).unwrap();
+    let request = OutgoingRequest {
+        method: "POST",
+        path: "/post/1",
+        headers: &[],
+        body,
+        until_ms,
+        repeatable: false,
+    };
+    let terms = ExchangeTerms {
+        may_send,
+        cancellation: Cancellation::new(&nobody, CancelScope::Never),
+        judge: &|_, _| ResponseJudgement::Complete,
+    };
+    connection.exchange(&request, &terms, &mut space())
+}
+
+#[test]
+fn failed_final_check_sends_no_byte_and_a_passed_check_is_evaluated_once() {
+    let scripted = ScriptedTarget::start("s-1", "s", vec![Script::Complete("fine")]);
+    let to = target("s-1", "s", scripted.address);
+    let (outcome, is_reusable) = exchange(&to, b"a", &|| false);
+    assert!(matches!(outcome, AttemptOutcome::Unsent(_)) && !is_reusable, "{outcome:?}");
+    assert_eq!(scripted.runs(), 0);
+    let requested = Cell::new(0);
+    let body = vec![7; 300_000];
+    let (outcome, is_reusable) =
+        exchange(&to, &body, &|| requested.replace(requested.get() + 1) == 0);
+    assert!(matches!(outcome, AttemptOutcome::Complete(_)) && is_reusable, "{outcome:?}");
+    assert_eq!(requested.get(), 1, "the identity request does not evaluate the check");
+    assert_eq!(scripted.observed.lock().unwrap().bodies[0].len(), body.len());
+}
+
+#[test]
+fn full_log_yields_not_run_with_retry_after() {
+    let scripted = ScriptedTarget::start("s-1", "s", vec![Script::Complete("fine")]);
+    let full = |request: &Request| match request {
+        Request::Ticket(_) => Response::Full,
+        request => grant_all(request),
+    };
+    let rig = Rig::new(vec![target("s-1", "s", scripted.address)], full);
+    for key in ["", "Idempotency-Key: k\r\n"] {
+        let reply = rig.post(key, "a");
+        assert!(reply.starts_with("HTTP/1.1 503"), "{reply}");
+        assert!(reply.contains("Postbarrow-Outcome: not-run"), "{reply}");
+        assert!(header(&reply, "retry-after:").is_some());
+    }
+    assert_eq!(scripted.runs(), 0);
+}
+
+/// Events that do not match a watch still advance it, or the history it needs would be trimmed.
+#[test]
+fn watch_without_matching_events_advances_with_the_log() {
+    let answer = |request: &Request| match request {
+        Request::Call { call: Call::Watch { after: Some(3), .. }, .. } => {
+            Response::Outcome(Outcome::Events { events: Vec::new(), next: 9 })
+        }
+        Request::Call { call: Call::Watch { after: Some(9), .. }, .. } => {
+            let change = Change::Number(4);
+            let event = Event { revision: 12, name: "n".into(), change };
+            Response::Outcome(Outcome::Events { events: vec![event], next: 12 })
+        }
+        _ => Response::Outcome(Outcome::TooOld { floor: 5 }),
+    };
+    let rig = Rig::new(Vec::new(), answer);
+    let mut stream = TcpStream::connect(rig.http).unwrap();
+    let head =
+        "GET /coordination/watch/numbers?after=3 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
+    stream.write_all(head.as_bytes()).unwrap();
+    let mut reply = String::new();
+    stream.read_to_string(&mut reply).unwrap();
+    assert!(reply.contains("\"next\":12") && reply.contains("200 OK"), "{reply}");
+}
--- a/programs/data-plane/tests/surface.rs
+++ b/programs/data-plane/tests/surface.rs
@@ -1,4 +1,4 @@
-//! What callers see of a data plane: the help, its own paths, and the keys of JSON.
+//! The outer interface of a data plane: the help, its own paths, and the keys of JSON.
 
 #[path = "../../control-plane/tests/outer/mod.rs"]
 mod outer;
@@ -15,7 +15,7 @@
     insta::assert_snapshot!(help(PROGRAM, &[]));
 }
 
-/// A node that never hears of a controller; what its calls lack is told before that matters.
+/// A node without a controller; invalid calls are rejected before one is needed.
 fn start() -> DataPlane {
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     let startup = Startup {
@@ -56,6 +56,6 @@
         ("GET", "/coordination/watch/keys?after=x"),
         ("GET", "/coordination/elsewhere"),
     ];
-    let told = empty.map(|(method, path)| response(address, method, path, ""));
-    insta::assert_snapshot!(told.concat());
+    let responses = empty.map(|(method, path)| response(address, method, path, ""));
+    insta::assert_snapshot!(responses.concat());
 }
