--- a/crates/node/src/data_node.rs
+++ b/crates/node/src/data_node.rs
@@ -230,13 +230,13 @@
     }
 
     /// When its lease ends, on its own boot-time clock; 0 without one.
-    pub fn lease_until(&self) -> u64 {
+    pub fn lease_until_ms(&self) -> u64 {
         self.lease.until_ms(self.published())
     }
 
     /// Whether it may serve requests: it has a lease and a plan.
     fn serves(&self, now_ms: u64) -> bool {
-        now_ms < self.lease_until() && self.image().plan.is_some()
+        now_ms < self.lease_until_ms() && self.image().plan.is_some()
     }
 
     /// Whether clients may be sent here.
--- a/crates/node/src/flow_step.rs
+++ b/crates/node/src/flow_step.rs
@@ -115,7 +115,7 @@
         /// For the client.
         completion: Completion,
         /// For the log: requested until it is acknowledged, though nobody awaits that.
-        settling: Option<TicketSettlement>,
+        settlement: Option<TicketSettlement>,
     },
 }
 
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -39,7 +39,7 @@
     pub number: u64,
     /// The controller, or all that may know one.
     pub to: Vec<SocketAddr>,
-    /// No controller is known: each is asked for an introduction too.
+    /// No controller is known: each gets a request for an introduction too.
     pub is_search: bool,
 }
 
--- a/crates/node/src/request_flow/finish.rs
+++ b/crates/node/src/request_flow/finish.rs
@@ -10,7 +10,7 @@
     pub(super) fn finish(
         &mut self,
         outcome: RequestOutcome,
-        settling: Option<TicketSettlement>,
+        settlement: Option<TicketSettlement>,
     ) -> Step {
         self.phase = Phase::Finish;
         let outcome = match outcome {
@@ -20,7 +20,7 @@
             }
             outcome => outcome,
         };
-        Step::Done { completion: self.completion(outcome), settling }
+        Step::Done { completion: self.completion(outcome), settlement }
     }
 
     /// An event that does not belong to the phase, which no driver gives: nothing is promised of the
--- a/crates/node/src/response.rs
+++ b/crates/node/src/response.rs
@@ -1,7 +1,7 @@
 //! The HTTP response to a completion, in the product's own dialect.
 //!
-//! `Postbarrow-Outcome` says whether the request ran. A node without the log's word can't say what a
-//! client's key did before, so a rejected one-time request with a key is `unknown` and never
+//! `Postbarrow-Outcome` says whether the request ran. A node that the log did not answer can't say
+//! what a client's key did before, so a rejected one-time request with a key is `unknown` and never
 //! `not-run`, whatever it was rejected for.
 
 use crate::{Completion, ExecutionEvidence, RequestOutcome, TargetResponse};
--- a/crates/node/tests/lease.rs
+++ b/crates/node/tests/lease.rs
@@ -92,7 +92,7 @@
     bench.updates(0, 4, &[plan("v1")]);
     bench.now_ms += NODE_LEASE_MS - 10;
     bench.granted(number, 1, 4);
-    assert_eq!(bench.node.lease_until(), sent_ms + NODE_LEASE_MS);
+    assert_eq!(bench.node.lease_until_ms(), sent_ms + NODE_LEASE_MS);
     assert!(bench.node.is_ready(bench.now_ms));
     assert!(
         !bench.node.is_ready(bench.now_ms + 10),
@@ -120,15 +120,18 @@
     bench.tick(20);
     bench.updates(0, 4, &[plan("v1")]);
     bench.granted(bench.requests[0].0, 3, 4);
-    let first = bench.node.lease_until();
+    let first = bench.node.lease_until_ms();
     bench.tick(LEASE_RENEW_MS);
     let number = bench.requests.last().unwrap().0;
     bench.granted(number, 2, 4);
-    assert_eq!(bench.node.lease_until(), first);
+    assert_eq!(bench.node.lease_until_ms(), first);
     bench.granted(number, 3, 4);
-    assert!(bench.node.lease_until() > first);
+    assert!(bench.node.lease_until_ms() > first);
     bench.granted(number + 99, 3, 4);
-    assert!(bench.node.lease_until() < bench.now_ms + NODE_LEASE_MS + 1, "nobody requests that");
+    assert!(
+        bench.node.lease_until_ms() < bench.now_ms + NODE_LEASE_MS + 1,
+        "no request has this number"
+    );
 }
 
 #[test]
@@ -158,7 +161,7 @@
     bench.granted(bench.requests[0].0, 1, 4);
     bench.input(Input::Stop);
     assert!(!bench.node.is_ready(bench.now_ms));
-    assert!(bench.node.lease_until() > bench.now_ms);
+    assert!(bench.node.lease_until_ms() > bench.now_ms);
 }
 
 #[test]
@@ -172,7 +175,7 @@
     bench.requested_at.clear();
     bench.tick(LEASE_RENEW_MS);
     assert!(bench.requested_at.contains(&address(44)), "{:?}", bench.requested_at);
-    assert!(bench.node.lease_until() < bench.now_ms, "an introduction grants nothing");
+    assert!(bench.node.lease_until_ms() < bench.now_ms, "an introduction grants nothing");
 }
 
 #[test]
@@ -184,8 +187,8 @@
     later.updates(0, 4, &[plan("v1")]);
     let (number, _) = *earlier.requests.last().expect("a lease request");
     later.granted(number, 1, 4);
-    assert_eq!(later.node.lease_until(), 0, "the request was another incarnation's");
+    assert_eq!(later.node.lease_until_ms(), 0, "the request was another incarnation's");
     let (number, sent_ms) = *later.requests.last().expect("a lease request");
     later.granted(number, 1, 4);
-    assert!(later.node.lease_until() > sent_ms);
+    assert!(later.node.lease_until_ms() > sent_ms);
 }
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -1,7 +1,7 @@
 //! Limits: whether a route's concurrency and rate admit a request at this node.
 //!
-//! A plan's limits are for the whole fleet; each of `n` nodes enforces its part without asking the
-//! others, since an answer would cost more than the request:
+//! A plan's limits are for the whole fleet; each of `n` nodes enforces its part without consulting
+//! the others, which would cost more than the request:
 //!
 //! - concurrency: at most `ceil(limit / n)` requests in flight here, so that each node admits one;
 //! - rate: a token bucket that fills with `rate / n` a second and holds one second's tokens, at
--- a/crates/simulation/src/requests.rs
+++ b/crates/simulation/src/requests.rs
@@ -206,17 +206,17 @@
             Step::RequestTicket { ticket, wait_ms } => {
                 self.request_controller(request, data, Request::Ticket(ticket), wait_ms);
             }
-            Step::SettleTicket { settlement: settling, wait_ms } => {
-                self.request_controller(request, data, settling.into(), wait_ms);
+            Step::SettleTicket { settlement, wait_ms } => {
+                self.request_controller(request, data, settlement.into(), wait_ms);
             }
             Step::Forward { until_ms, .. } => {
                 run.awaits = Awaits::Sending;
                 let incarnation = self.data[data].incarnation;
                 self.after(20, Event::Send { request, data, incarnation, until_ms });
             }
-            Step::Done { completion, settling } => {
-                if let Some(settling) = settling {
-                    let settle = settling.into();
+            Step::Done { completion, settlement } => {
+                if let Some(settlement) = settlement {
+                    let settle = settlement.into();
                     self.send_to_controller(data, settle, SETTLEMENT_WAIT_MS, Waits::Nobody);
                 }
                 self.end_request(request, completion);
--- a/crates/simulation/src/search/request_flow.rs
+++ b/crates/simulation/src/search/request_flow.rs
@@ -173,8 +173,8 @@
 fn ticket_after(ticket: TicketEnd, event: FlowEvent, step: &Step) -> TicketEnd {
     match step {
         Step::RequestTicket { .. } => TicketEnd::Pending,
-        Step::Done { settling: Some(settling), .. } => {
-            TicketEnd::Settled(match settling.settlement {
+        Step::Done { settlement: Some(settlement), .. } => {
+            TicketEnd::Settled(match settlement.settlement {
                 Settlement::Ran => Settled::Ran,
                 Settlement::Unsent => Settled::Unsent,
                 Settlement::Unknown => Settled::Unknown,
--- a/programs/data-plane/src/forward.rs
+++ b/programs/data-plane/src/forward.rs
@@ -60,12 +60,12 @@
             Step::Forward { wait_ms, until_ms } => {
                 Event::AttemptEnded(work.pass(wait_ms, until_ms))
             }
-            Step::SettleTicket { settlement: settling, wait_ms } => Event::ControllerResponded(
-                shared.request(settling.into(), wait_ms, incoming.client),
+            Step::SettleTicket { settlement, wait_ms } => Event::ControllerResponded(
+                shared.request(settlement.into(), wait_ms, incoming.client),
             ),
-            Step::Done { completion: verdict, settling } => {
-                if let Some(settling) = settling {
-                    shared.tell(settling.into(), SETTLEMENT_WAIT_MS);
+            Step::Done { completion: verdict, settlement } => {
+                if let Some(settlement) = settlement {
+                    shared.tell(settlement.into(), SETTLEMENT_WAIT_MS);
                 }
                 return match verdict.outcome {
                     RequestOutcome::ClientDeparted => Forwarded::ClientLeft,
