--- a/crates/plan/tests/rehearsal.rs
+++ b/crates/plan/tests/rehearsal.rs
@@ -1,6 +1,6 @@
 //! A rehearsal compares only what is not shared, with the same result as one that compares all.
 
-use postbarrow_plan::Rehearsal;
+use postbarrow_plan::{Rehearsal, ServiceRehearsal};
 use postbarrow_state::*;
 use postbarrow_transactions::Image as _;
 
@@ -105,3 +105,22 @@
     assert_eq!(rehearsal.routes_changed, ["GET /r0", "PUT /r0"], "a rule first, or none");
     assert_eq!(rehearsal, Rehearsal::of(&unshared(&before), &staged));
 }
+
+#[test]
+fn the_json_of_a_rehearsal_has_the_names_that_operators_read() {
+    let row = ServiceRehearsal { service: "s".into(), live_before: 1, live_after: 2 };
+    let rehearsal = Rehearsal {
+        routes_added: vec!["a".into()],
+        routes_removed: vec!["b".into()],
+        routes_changed: vec!["c".into()],
+        services_added: vec!["d".into()],
+        services_removed: vec!["e".into()],
+        services_changed: vec!["f".into()],
+        live_targets: vec![row],
+        without_target: vec!["g".into()],
+    };
+    assert_eq!(
+        facet_json::to_string(&rehearsal).unwrap(),
+        r#"{"routesAdded":["a"],"routesRemoved":["b"],"routesChanged":["c"],"servicesAdded":["d"],"servicesRemoved":["e"],"servicesChanged":["f"],"liveTargets":[{"service":"s","liveBefore":1,"liveAfter":2}],"withoutTarget":["g"]}"#
+    );
+}
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -5,7 +5,8 @@
 //!
 //! - concurrency: at most `ceil(limit / n)` requests in flight here, so that each node admits one;
 //! - rate: a token bucket that fills with `rate / n` a second and holds one second's tokens, at
-//!   least one. It starts full. A request over the rate gives its concurrency back.
+//!   least one. It starts with one second's tokens, and a refill counts one second at most, however
+//!   long ago the last was. A request over the rate gives its concurrency back.
 
 use postbarrow_state::Route;
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering::Relaxed};
--- /dev/null
+++ b/crates/routing/tests/balancing/limits.rs
@@ -0,0 +1,55 @@
+//! Which requests a route's rate and concurrency admit at one of several nodes.
+
+use postbarrow_routing::{LimitExceeded, RouteLimits};
+use postbarrow_state::{Route, RouteKind};
+
+fn limits(rate_per_s: Option<u64>, concurrency: Option<u64>) -> RouteLimits {
+    RouteLimits::new(&Route {
+        path: "/".into(),
+        methods: vec!["*".into()],
+        kind: RouteKind::Lookup,
+        service: "s".into(),
+        when: None,
+        body_bytes: 1,
+        rate_per_s,
+        concurrency,
+        deadline_ms: 1,
+        host: None,
+        weighted_services: Vec::new(),
+        max_attempts: None,
+        latency_target_ms: None,
+        priority: 0,
+    })
+}
+
+fn admitted(limits: &RouteLimits, now_ms: u64, nodes: u64) -> usize {
+    (0..100).filter(|_| limits.enter(now_ms, nodes).is_ok()).count()
+}
+
+#[test]
+fn each_node_admits_its_part_of_the_concurrency_rounded_up() {
+    let limits = limits(None, Some(10));
+    assert_eq!(admitted(&limits, 1_000, 4), 3);
+    assert_eq!(limits.enter(1_000, 4), Err(LimitExceeded::Concurrency));
+    limits.leave();
+    assert_eq!((limits.enter(1_000, 4), limits.in_flight()), (Ok(()), 3));
+}
+
+#[test]
+fn a_rate_admits_one_second_at_once_and_refills_by_time() {
+    let limits = limits(Some(20), None);
+    assert_eq!(admitted(&limits, 1_000, 2), 10, "one second is there from the start");
+    assert_eq!(limits.enter(1_000, 2), Err(LimitExceeded::Rate));
+    assert_eq!(limits.in_flight(), 10, "a rejected request gives its concurrency back");
+    assert_eq!(admitted(&limits, 1_300, 2), 3);
+    assert_eq!(admitted(&limits, 9_000, 2), 10, "no more than a second is saved up");
+}
+
+#[test]
+fn a_rate_below_the_number_of_nodes_refills_by_one_second_a_request_at_most() {
+    let limits = limits(Some(1), None);
+    assert_eq!(admitted(&limits, 1_000, 4), 0, "a quarter of a token");
+    assert_eq!(admitted(&limits, 4_000, 4), 0, "three seconds count as one");
+    assert_eq!(admitted(&limits, 5_000, 4), 0);
+    assert_eq!(admitted(&limits, 6_000, 4), 1);
+}
--- a/crates/routing/tests/balancing/main.rs
+++ b/crates/routing/tests/balancing/main.rs
@@ -1,6 +1,7 @@
-//! From a request to a target: route match, selection and ejection.
+//! From a request to a target: route match, limits, selection and ejection.
 
 mod ejection;
+mod limits;
 mod route_match;
 mod selection;
 mod support;
