--- a/crates/controller/tests/golden_bytes.rs
+++ b/crates/controller/tests/golden_bytes.rs
@@ -1,6 +1,6 @@
-//! The bytes of the note that a controller gives to the next one when it stops.
+//! The bytes of the handover state that a leader sends to its successor when it stops.
 //!
-//! MessagePack, as `rmp_serde::to_vec` writes it: the note is an array, so its fields are sent by
+//! MessagePack, as `rmp_serde::to_vec` writes it: the state is an array, so its fields are sent by
 //! position and their names are free to change, while their order is not. It has no variants.
 
 mod cluster;
@@ -17,11 +17,11 @@
 
 const CRATE: &str = env!("CARGO_MANIFEST_DIR");
 
-/// When the last whole walk ended, the order and chain of its pages, the gap between two questions,
-/// and when those of the last window were asked; ages and gap in milliseconds.
+/// When the last complete scan ended, the order and chain of its pages, the gap between two requests,
+/// and when those of the last window were sent; ages and gap in milliseconds.
 type ScanHandover = (Option<u64>, Vec<Name>, Vec<Option<String>>, u64, Vec<u64>);
 
-/// One tick of a controller whose list has two pages; what it sent to a follower as it stops.
+/// One tick of a leader whose list has two pages; what it sent to a follower as it stops.
 fn step(cluster: &mut Cluster) -> Option<Vec<u8>> {
     cluster.harness.tick(20);
     cluster.harness.sync();
@@ -34,7 +34,7 @@
         let fetched = Fetched::Page(text.into_bytes());
         cluster.harness.input(Input::Page(PageResult { number, fetched }));
     }
-    let note = cluster.harness.sent.iter().find_map(|message| match message {
+    let handover = cluster.harness.sent.iter().find_map(|message| match message {
         Message::Consensus { message: LogMessage::TimeoutNow(request), .. } => {
             Some(request.handover_state.clone())
         }
@@ -42,39 +42,39 @@
     });
     let responses = cluster.follower_responses();
     cluster.deliver(responses);
-    note
+    handover
 }
 
-fn note_of_a_stop() -> Vec<u8> {
+fn handover_of_a_stopping_leader() -> Vec<u8> {
     let mut cluster = Cluster::serving();
     for _ in 0..400 {
         step(&mut cluster);
     }
     cluster.harness.input(Input::Stop);
-    (0..100).find_map(|_| step(&mut cluster)).expect("it hands over")
+    (0..100).find_map(|_| step(&mut cluster)).expect("it transfers its leadership")
 }
 
 #[test]
-fn the_note_of_a_stopping_controller_is_written_and_read() {
-    let note = note_of_a_stop();
-    let decoded = golden::decode::<ScanHandover>(&note).expect("five fields");
+fn the_handover_state_of_a_stopping_leader_keeps_its_bytes() {
+    let handover = handover_of_a_stopping_leader();
+    let decoded = golden::decode::<ScanHandover>(&handover).expect("five fields");
     assert!(decoded.0.is_some() && decoded.1.len() == 2 && decoded.2.len() == 2, "{decoded:?}");
     assert!(decoded.3 > 0 && !decoded.4.is_empty(), "{decoded:?}");
-    let case = golden::case_of("note", note, |bytes| {
+    let case = golden::case_of("note", handover, |bytes| {
         Ok(golden::encode(&golden::decode::<ScanHandover>(bytes)?))
     });
     golden::check(CRATE, "note.hex", &[case]);
-    assert_next_controller_reads(golden::read_fixture(CRATE, "note.hex").remove(0).1);
+    assert_next_leader_reads(golden::read_fixture(CRATE, "note.hex").remove(0).1);
 }
 
-/// The next controller knows of the list's walk before it walked.
-fn assert_next_controller_reads(note: Vec<u8>) {
+/// The next leader knows of the last scan before it has scanned.
+fn assert_next_leader_reads(handover: Vec<u8>) {
     let mut cluster = Cluster { harness: Harness::new(recovered(&[1, 2, 3], Vec::new(), 1)) };
     let sent_ms = cluster.harness.now_ms;
     let entries = Vec::new();
     let append =
         AppendRequest { term: 1, prev_index: 0, prev_term: 0, entries, commit: 0, sent_ms };
-    let request = TimeoutNow { term: 1, sent_ms, handover_state: note };
+    let request = TimeoutNow { term: 1, sent_ms, handover_state: handover };
     for message in [LogMessage::Append(append), LogMessage::TimeoutNow(request)] {
         cluster.harness.message(Message::Consensus { from: member(2), to: 1, message });
     }
--- a/crates/controller/tests/surface.rs
+++ b/crates/controller/tests/surface.rs
@@ -9,15 +9,15 @@
 use harness::*;
 use postbarrow_messages::{Request, Response, Submission};
 
-fn answer(cluster: &mut Cluster, what: &str, key: u64, request: Request) -> String {
+fn body_shape(cluster: &mut Cluster, title: &str, key: u64, request: Request) -> String {
     cluster.harness.request(key, request);
     cluster.run_until_idle();
     match cluster.harness.response(key) {
         Some(Response::Operator { status, body }) => {
             let body = String::from_utf8_lossy(body);
-            format!("$ {what}\n{status}\n{}\n", outer::shape(&body))
+            format!("$ {title}\n{status}\n{}\n", outer::shape(&body))
         }
-        other => panic!("{what}: {other:?}"),
+        other => panic!("{title}: {other:?}"),
     }
 }
 
@@ -25,7 +25,7 @@
 fn keys_of_operators_json() {
     let mut cluster = Cluster::serving();
     let dry_run = Submission { dry_run: true, ..submission(&plan("v1", None, 2, "ledger")) };
-    let asked = [
+    let requests = [
         ("show without a plan", Request::Show),
         ("dry run", Request::Submit(dry_run)),
         ("submit", Request::Submit(submission(&plan("v1", None, 2, "ledger")))),
@@ -35,8 +35,8 @@
         ("targets", Request::Targets),
     ];
     let answers: Vec<String> = (1..)
-        .zip(asked)
-        .map(|(key, (what, request))| answer(&mut cluster, what, key, request))
+        .zip(requests)
+        .map(|(key, (title, request))| body_shape(&mut cluster, title, key, request))
         .collect();
     insta::assert_snapshot!(answers.concat());
 }
--- a/crates/node/src/data_node.rs
+++ b/crates/node/src/data_node.rs
@@ -75,7 +75,7 @@
     fn receive(&mut self, now_ms: u64, envelope: Envelope) {
         let Envelope { from, message } = envelope;
         match message {
-            Message::LeaseResponse { number, fresh: response } => {
+            Message::LeaseResponse { number, response } => {
                 self.on_lease_response(now_ms, from, number, response)
             }
             Message::Introduction { control, formed } => {
@@ -261,6 +261,6 @@
 
     /// Requests to the controller that await their response.
     pub fn pending_requests(&self) -> usize {
-        self.controller_client.open()
+        self.controller_client.pending_count()
     }
 }
--- a/crates/node/tests/lease.rs
+++ b/crates/node/tests/lease.rs
@@ -71,7 +71,7 @@
 
     fn granted(&mut self, number: u64, term: u64, watermark: u64) {
         let response = LeaseResponse::Granted { term, watermark, members: vec![address(1)] };
-        self.receive(Message::LeaseResponse { number, fresh: response });
+        self.receive(Message::LeaseResponse { number, response });
     }
 
     fn updates(&mut self, prev: u64, offset: u64, records: &[BatchRecord<Record>]) {
--- a/crates/plan/src/delta.rs
+++ b/crates/plan/src/delta.rs
@@ -31,8 +31,8 @@
 fn difference(old: &State, new: &State, head: &PlanHead) -> Vec<Record> {
     let (version, base) = (head.version.clone(), head.base.clone());
     let mut records = vec![Record::PlanDelta { version, base }];
-    if old.callers != new.callers {
-        records.push(Record::ClientLimits(new.callers.clone()));
+    if old.client_limits != new.client_limits {
+        records.push(Record::ClientLimits(new.client_limits.clone()));
     }
     let removed = old.services.keys().filter(|name| !new.services.contains_key(*name));
     records.extend(removed.cloned().map(Record::ServiceGone));
--- a/crates/simulation/src/search/request.rs
+++ b/crates/simulation/src/search/request/mod.rs
@@ -1,33 +1,28 @@
 //! Model of two requests through one node: the real `RequestFlow` over modelled connections.
 
-use super::Model;
-use super::request_actions::RequestAction;
-use super::request_flow::{
-    AttemptEnd, DEADLINE_MS, FlowEvent, FlowInput, FlowStates, Phase, START_MS, TicketEnd,
-    as_flow_event,
+mod actions;
+mod enabled;
+mod flow;
+mod plan;
+mod rules;
+mod state;
+mod wire;
+
+pub use actions::RequestAction;
+pub use state::{Faults, RequestState};
+pub use wire::Kind;
+
+use crate::search::request::flow::{
+    AttemptEnd, FlowEvent, FlowInput, FlowStates, Phase, TicketEnd, as_flow_event,
 };
-use super::request_state::RequestState;
-use super::request_wire::{Connection, ConnectionUse, Content, Kind};
+use crate::search::request::plan::{DEADLINE_MS, START_MS};
+use crate::search::request::wire::{Connection, ConnectionUse, Content};
+use crate::search::{Model, Violation};
 use std::cell::RefCell;
 
-/// How much may go wrong.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Faults {
-    /// Second responses and garbage that targets may send.
-    pub strays: u8,
-    /// Connections that targets may close.
-    pub closes: u8,
-    /// Targets that may be replaced under the same address.
-    pub replaces: u8,
-    /// The node may stand still beyond its deadlines, and its lease may end.
-    pub freezes: bool,
-    /// Clients may leave at any moment.
-    pub departures: bool,
-}
-
 /// Two requests through one node to two targets.
 pub struct Requests {
-    pub(super) kinds: [Kind; 2],
+    pub(in crate::search) kinds: [Kind; 2],
     logged: bool,
     requires_name: bool,
     checks_client: bool,
@@ -36,19 +31,19 @@
 }
 
 impl Requests {
-    /// `logged`: tickets come from the log, and connections prove who is there; else requests name
-    /// their targets.
+    /// `logged`: tickets come from the log, and connections prove the target's identity; else
+    /// requests name their targets.
     pub fn new(kinds: [Kind; 2], logged: bool, faults: Faults) -> Requests {
         let flow_states = RefCell::new(FlowStates::new(kinds, logged));
         Requests { kinds, logged, requires_name: true, checks_client: true, faults, flow_states }
     }
 
-    /// Nobody looks for the client right before the first byte.
+    /// Omits the check for the client right before the first byte.
     pub fn without_client_check(self) -> Requests {
         Requests { checks_client: false, ..self }
     }
 
-    /// A nameless word 'not run' counts on every response of a connection, not on its first alone.
+    /// Accepts an unnamed 'not run' on every response of a connection, not on its first alone.
     pub fn accepting_unnamed_refusals(self) -> Requests {
         Requests { requires_name: false, ..self }
     }
@@ -65,7 +60,7 @@
         state.tickets = flow_states.tickets(state.flow_state);
     }
 
-    /// As a wait that ends with `Waited::ClientLeft` or `Unreceived::ClientLeft`.
+    /// Ends a wait since the client departed.
     fn abandons(&self, state: &mut RequestState, client: usize) {
         state.departure_observed[client] = true;
         match state.phases[client] {
@@ -91,7 +86,7 @@
         self.feed(state, client, FlowEvent::Connected);
     }
 
-    /// As `TargetConnection::exchange` up to the end of its write.
+    /// The data plane's exchange up to the end of its write.
     fn writes(&self, state: &mut RequestState, client: usize) {
         let Some(at) = state.connection_of(client) else { return };
         let connection = &mut state.connections[at];
@@ -217,7 +212,7 @@
         next
     }
 
-    fn check(&self, state: &RequestState) -> Result<(), String> {
+    fn check(&self, state: &RequestState) -> Result<(), Violation> {
         (0..2).try_for_each(|client| self.check_request(state, client))
     }
 }
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/world/operator.rs
@@ -1,97 +1,29 @@
-//! Operators that submit plans, race each other, lose answers and send orders again.
-
-mod plans;
-
-pub use plans::{began_at, plan_text};
+//! Operators that submit plans, race each other, lose responses and submit orders again.
 
+use crate::client::operator::{Order, Purpose, SubmittedOrder};
+use crate::client::plans::{ROUTES, began_at, plan_text};
 use crate::event::Event;
-use crate::orders::Order;
 use crate::world::World;
-use postbarrow_controller_client::{ControllerClient, Effect};
+use postbarrow_controller_client::Effect;
 use postbarrow_messages::{Envelope, Message, Request, Response, Submission};
 use postbarrow_plan::Plan;
-use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// What an operator expects of an order that is sent.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Purpose {
-    Change,
-    DryRun,
-    /// Acknowledged or refused before; the same answer is due.
-    Repeat,
-}
-
-/// An order on its way.
-#[derive(Clone, Debug)]
-pub struct SubmittedOrder {
-    pub order: Order,
-    pub routes: usize,
-    pub purpose: Purpose,
-}
-
-/// Operators who hand over plans, sometimes two at once on one base.
-pub struct Operator {
-    pub address: SocketAddr,
-    pub version: Option<String>,
-    pub acknowledged: u64,
-    pub refusals: u64,
-    pub shown: Option<String>,
-    /// Texts of plans of which nobody knows yet whether they are in force.
-    pub unsure: BTreeSet<String>,
-    pub texts: BTreeMap<String, String>,
-    controller_client: ControllerClient,
-    submitted: BTreeMap<u64, SubmittedOrder>,
-    key: u64,
-    pub number: u64,
-}
-
 const WAIT_MS: u64 = 3_000;
-/// Orders under way at once, at most.
+
+/// Maximum of orders pending at once.
 const RACERS: u64 = 8;
-/// Of a thousand acknowledgements, so many are lost.
-const ACKNOWLEDGEMENTS_LOST_PER_MILLE: u64 = 150;
-/// Routes of every plan besides those it is given.
-pub const ROUTES: usize = 3;
-/// Routes of a large plan, whose entries every check reads; few where only contact is looked at.
-const MANY_ROUTES: u64 = 1_500;
-const FEW_ROUTES: u64 = 30;
 
-impl Operator {
-    pub fn new(address: SocketAddr) -> Self {
-        Operator {
-            address,
-            version: None,
-            acknowledged: 0,
-            refusals: 0,
-            shown: None,
-            unsure: BTreeSet::new(),
-            texts: BTreeMap::new(),
-            controller_client: ControllerClient::default(),
-            submitted: BTreeMap::new(),
-            key: 0,
-            number: 0,
-        }
-    }
+/// Of a thousand acknowledgements, how many are lost.
+const ACKNOWLEDGEMENTS_LOST_PER_MILLE: u64 = 150;
 
-    /// Answers may overtake each other, so an older version is no news. Numbers only rise.
-    fn learn(&mut self, version: String) {
-        let number = |version: &str| version.strip_prefix('v')?.parse::<u64>().ok();
-        if number(&version) > self.version.as_deref().and_then(number) {
-            self.version = Some(version);
-        }
-    }
-}
+/// Routes of a large plan, whose entries every check reads; few where only contact is checked.
+const MANY_ROUTES: u64 = 1_500;
 
-impl Operator {
-    /// Every plan of its own has its end.
-    pub fn is_idle(&self) -> bool {
-        self.submitted.is_empty() && self.version.is_some()
-    }
-}
+const FEW_ROUTES: u64 = 30;
 
 impl World {
-    /// Twenty times a second: looks after open questions; now and then hands over a plan.
+    /// Twenty times a second: drives pending requests, and now and then submits a plan.
     pub fn operate(&mut self) {
         let now_ms = self.now_us / 1_000;
         let listed = self.control.iter().filter(|machine| machine.is_listed(self.now_us));
@@ -129,13 +61,15 @@
         self.after(50_000, Event::Operate);
     }
 
+    /// Prepares a plan with `routes` further routes and submits it; `dry`: as a dry run; `empty`:
+    /// with a service that has no target.
     pub fn submit_plan(&mut self, routes: u64, dry: bool, empty: bool) {
         self.operator.number += 1;
         let submitted = self.prepare_order(routes, dry, empty);
         self.submit(submitted);
     }
 
-    /// Up to eight operators pick one number for different changes.
+    /// Up to eight operators submit different changes under one version.
     fn race(&mut self) {
         self.operator.number += 1;
         for routes in 0..self.random.between(2, RACERS) {
@@ -144,7 +78,7 @@
         }
     }
 
-    /// One order by two paths at once.
+    /// Submits one order by two members at once.
     fn submit_plan_twice(&mut self) {
         self.operator.number += 1;
         let submitted = self.prepare_order(2, false, false);
@@ -152,7 +86,7 @@
         self.submit_elsewhere(submitted);
     }
 
-    /// An order that was acknowledged and one that was refused are sent again as they were.
+    /// Submits an acknowledged and a refused order again, unchanged.
     fn send_old_orders(&mut self) {
         let (accepted, refused) =
             (self.ledger.orders.accepted_orders(), self.ledger.orders.refused_orders());
@@ -180,15 +114,16 @@
         SubmittedOrder { order: Order { version, base, text }, routes, purpose }
     }
 
-    /// By another member than the one that answers now.
+    /// Submits by another member than the one that answers now.
     fn submit_elsewhere(&mut self, submitted: SubmittedOrder) {
         self.operator.controller_client.suspect_controller();
         self.submit(submitted);
     }
 
+    /// Submits an order, which stays pending until it has a clear response.
     pub fn submit(&mut self, submitted: SubmittedOrder) {
         let order = &submitted.order;
-        let plan = Plan::read(order.text.as_bytes()).expect("the simulator's plans are sound");
+        let plan = Plan::read(order.text.as_bytes()).expect("the simulator's plans are valid");
         let submission = Submission {
             version: order.version.as_str().into(),
             base: order.base.as_deref().map(Into::into),
@@ -205,6 +140,7 @@
         self.send_operator_request(key, Request::Submit(submission));
     }
 
+    /// Requests the plan in force; `Operator::shown` receives it.
     pub fn show(&mut self) {
         self.operator.key += 1;
         let key = self.operator.key;
@@ -221,6 +157,7 @@
         self.apply_operator_effects(effects);
     }
 
+    /// Feeds a frame to the operators' client.
     pub fn operator_receives(&mut self, envelope: Envelope) {
         if let Message::Response { key, response } = envelope.message {
             let effects =
@@ -246,8 +183,8 @@
         }
     }
 
-    /// An order without a clear answer is sent again as it was, and so is one whose
-    /// acknowledgement was lost.
+    /// Handles a response. An order without a clear one is submitted again unchanged, as is one
+    /// whose acknowledgement was lost.
     fn plan_ended(&mut self, submitted: SubmittedOrder, response: Response) {
         let Response::Operator { status, body } = response else {
             return self.submit_elsewhere(submitted);
@@ -295,6 +232,7 @@
         }
     }
 
+    /// Records an acknowledged plan; `text` is the response's body.
     pub fn plan_acknowledged(&mut self, order: Order, text: &str) {
         let began = began_at(text);
         self.operator.acknowledged += 1;
--- a/crates/simulation/src/requests.rs
+++ b/crates/simulation/src/world/requests.rs
@@ -1,62 +1,20 @@
-//! Clients' requests on their way through data nodes.
+//! Clients' requests to data nodes and their flow through them.
 
-mod departure;
-
-use crate::data::Waits;
+use crate::checker::ledger::ClientOutcome;
+use crate::client::requests::{Awaits, RequestRun};
 use crate::event::{Event, ProcessId};
-use crate::ledger::ClientOutcome;
+use crate::node::data::Waits;
 use crate::world::World;
 use postbarrow_constants::coordination::SETTLEMENT_WAIT_MS;
 use postbarrow_messages::Request;
 use postbarrow_node::*;
-use postbarrow_routing::{Load, RouteMatch};
-use postbarrow_state::{Name, Target};
-use std::sync::Arc;
-
-/// One request on its way through a node.
-pub struct RequestRun {
-    pub id: u64,
-    pub keyed: bool,
-    pub attempts: u32,
-    pub service: &'static str,
-    data: usize,
-    /// The life of the node that took it, and when it must have answered at the latest.
-    incarnation: u64,
-    answer_due_us: u64,
-    flow: Option<RequestFlow>,
-    pub target: Option<(Arc<Target>, Arc<Load>)>,
-    /// Who was at the other end when the connection was made, whoever that is.
-    pub connected: Option<String>,
-    /// Its client closed the connection, and whether the node has seen that.
-    pub client_left: bool,
-    departure_observed: bool,
-    awaits: Awaits,
-}
-
-/// What a request waits for at its node.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Awaits {
-    /// A connection to a target, with its proof.
-    Connection,
-    /// The controller's answer to the question of this key.
-    Controller { key: u64 },
-    /// The last look before its bytes go out.
-    Sending,
-    /// Its target's response.
-    Target,
-}
+use postbarrow_routing::{Entry, RouteMatch};
+use postbarrow_state::Name;
 
-impl RequestRun {
-    pub fn is_in_flight(&self, data: usize) -> bool {
-        self.data == data && self.flow.is_some()
-    }
-
-    pub fn target_name(&self) -> Option<String> {
-        self.target.as_ref().map(|(target, _)| target.instance.to_string())
-    }
-}
+use std::sync::Arc;
 
 const BEHIND_US: u64 = 300_000;
+
 /// After its deadline a request may still wait for the settlement of its ticket.
 const SETTLED_US: u64 = 2_000_000;
 
@@ -71,6 +29,7 @@
 ];
 
 impl World {
+    /// Sends one new request and schedules the next.
     pub fn next_request(&mut self) {
         if self.quiet && self.request_pause_us == 0 {
             return;
@@ -88,8 +47,14 @@
         self.after(pause_us, Event::NextRequest);
     }
 
-    /// The platform gives clients to ready nodes; now and then it is a little behind.
-    fn client_sends(&mut self, id: u64, service: &'static str, keyed: bool, attempts: u32) {
+    /// The platform routes clients to ready nodes; now and then its view is a little old.
+    pub(super) fn client_sends(
+        &mut self,
+        id: u64,
+        service: &'static str,
+        keyed: bool,
+        attempts: u32,
+    ) {
         let any = self.random.chance(50);
         let behind = |at: usize| any && self.now_us < self.data[at].ready_us + BEHIND_US;
         let nodes: Vec<usize> =
@@ -121,7 +86,7 @@
         self.schedule_departure(request);
     }
 
-    /// Requests that a node took, in its present life, and did not answer in time.
+    /// Requests that a node's present incarnation accepted and did not answer in time.
     pub fn overdue(&self) -> Vec<u64> {
         let overdue = |run: &&RequestRun| {
             let same_incarnation = self.data[run.data].incarnation == run.incarnation;
@@ -130,37 +95,37 @@
         self.requests.values().filter(overdue).map(|run| run.id).collect()
     }
 
+    /// A request reaches data node `data`, which starts its flow or answers at once.
     pub fn request_arrives(&mut self, request: u64, data: usize, incarnation: u64) {
         let Some(run) = self.requests.get(&request) else { return };
-        let (id, service, keyed) = (run.id, run.service, run.keyed);
+        let (id, service) = (run.id, run.service);
         if self.data[data].incarnation != incarnation {
             return self.ledger.record_outcome(id, request, ClientOutcome::Unreached);
         }
-        let one_time = service != "catalogue";
-        let about = ExecutionEvidence { one_time, keyed, ..ExecutionEvidence::default() };
         if !self.serves(data) {
-            return self.end_request(
-                request,
-                Completion {
-                    outcome: postbarrow_node::RequestOutcome::Unready,
-                    evidence: about,
-                    key: None,
-                },
-            );
+            return self.reject_request(request, RequestOutcome::Unready);
         }
         let table = self.data[data].table.clone();
         let (method, path, _) =
             *SERVICES.iter().find(|row| row.2 == service).unwrap_or(&SERVICES[0]);
-        let RouteMatch::Route(entry) = table.find(method, path, &[]) else {
-            return self.end_request(
-                request,
-                Completion {
-                    outcome: postbarrow_node::RequestOutcome::NoRoute,
-                    evidence: about,
-                    key: None,
-                },
-            );
-        };
+        match table.find(method, path, &[]) {
+            RouteMatch::Route(entry) => self.start_flow(request, data, entry),
+            _ => self.reject_request(request, RequestOutcome::NoRoute),
+        }
+    }
+
+    /// Ends a request that was not forwarded.
+    fn reject_request(&mut self, request: u64, outcome: RequestOutcome) {
+        let Some(run) = self.requests.get(&request) else { return };
+        let (one_time, keyed) = (run.service != "catalogue", run.keyed);
+        let evidence = ExecutionEvidence { one_time, keyed, ..ExecutionEvidence::default() };
+        self.end_request(request, Completion { outcome, evidence, key: None });
+    }
+
+    /// Starts the flow of a request that has a route.
+    fn start_flow(&mut self, request: u64, data: usize, entry: Arc<Entry>) {
+        let Some(run) = self.requests.get(&request) else { return };
+        let (id, keyed) = (run.id, run.keyed);
         let until_ms = self.local_ms(ProcessId::Data(data)) + entry.route().deadline_ms;
         let seed = self.random.draw();
         let machine = &mut self.data[data];
@@ -186,6 +151,7 @@
         self.resume_request(request, data, postbarrow_node::Event::Start);
     }
 
+    /// Feeds an event to a request's flow and carries out the step that it returns.
     pub fn resume_request(&mut self, request: u64, data: usize, event: postbarrow_node::Event) {
         let now_ms = self.local_ms(ProcessId::Data(data));
         let serves = self.serves(data);
@@ -224,7 +190,8 @@
         }
     }
 
-    /// Asks the controller on behalf of a request, which waits for the answer.
+    /// Sends a request to the controller on behalf of a client's request, which waits for the
+    /// response.
     fn request_controller(&mut self, request: u64, data: usize, question: Request, wait_ms: u64) {
         let key = self.next_request_key(data);
         if let Some(run) = self.requests.get_mut(&request) {
@@ -260,4 +227,9 @@
             self.client_sends(id, service, true, attempts + 1);
         }
     }
+
+    /// The instance that a request was sent to, if any.
+    pub fn target_of(&self, request: u64) -> Option<String> {
+        self.requests.get(&request)?.target_name()
+    }
 }
