--- a/programs/data-plane/src/phases/attempts.rs
+++ b/programs/data-plane/src/phases/attempts.rs
@@ -28,7 +28,9 @@
                 })
             }
             Step::SettleTicket { settlement, wait_ms } => settle(&request, settlement, wait_ms),
-            Step::Done { completion, settling } => return finish(request, completion, settling),
+            Step::Done { completion, settlement } => {
+                return finish(request, completion, settlement);
+            }
         };
     }
 }
