--- a/crates/controller/src/control_node.rs
+++ b/crates/controller/src/control_node.rs
@@ -30,6 +30,7 @@
 
 use crate::endpoint_list::ReceivedHandover;
 use crate::leader_contact::LeaderContact;
+use crate::leader_settings::LeaderSettings;
 use crate::leader_state::LeaderState;
 use crate::origin::Origin;
 use crate::peer_directory::PeerDirectory;
@@ -39,11 +40,9 @@
 use postbarrow_consensus::{
     self as consensus, Consensus, Effect as LogEffect, Entry, Member, RecoveredState,
 };
-use postbarrow_constants::consensus::LOG_BYTES;
 use postbarrow_messages::{Envelope, Message};
 use postbarrow_state::State;
 use postbarrow_transactions::Tail;
-use settings::{LeaderSettings, log_bound_bytes};
 use std::net::SocketAddr;
 
 /// A member of the control plane's log, or a node that is to become one.
@@ -80,7 +79,7 @@
             consensus: Consensus::new(own.id, recovered, seed, now_ms),
             tail: Tail::new(0, State::default()),
             updates: RoutingUpdates::default(),
-            snapshots: SnapshotSchedule::new(log_bytes, log_bound_bytes(own.id, LOG_BYTES)),
+            snapshots: SnapshotSchedule::new(own.id, log_bytes),
             directory: PeerDirectory::new(seeds, own.address),
             contact: LeaderContact::new(now_ms),
             settings: LeaderSettings::default(),
--- a/crates/controller/src/control_node/endpoint_list.rs
+++ b/crates/controller/src/control_node/endpoint_list.rs
@@ -67,7 +67,7 @@
         let bound_ms = leader.endpoint_list.leave_bound_ms();
         match leader.endpoint_list.update_slowness() {
             Some(true) => self.log_line(format!(
-                "the platform's list is slow: a leaving target may get asks for {bound_ms} ms"
+                "the platform's list is slow: a leaving target may get requests for {bound_ms} ms"
             )),
             Some(false) => {
                 self.log_line(format!("the platform's list is quick again: {bound_ms} ms"));
--- a/crates/controller/src/control_node/settings.rs
+++ b/crates/controller/src/control_node/settings.rs
@@ -1,38 +1,15 @@
 //! What a deployment sets beyond what every control node needs.
 
 use crate::ControlNode;
-use postbarrow_consensus::MemberId;
-use postbarrow_constants::consensus::LOG_SPREAD;
-use postbarrow_constants::coordination::HISTORY_RETENTION_MS;
-use postbarrow_constants::nodes::LIST_GAP_MS;
+use crate::leader_settings::LeaderSettings;
 use std::net::SocketAddr;
 
-/// Settings that a leader reads.
-pub(super) struct LeaderSettings {
-    /// The smallest gap between two requests for pages of the endpoint list.
-    pub list_gap_ms: u64,
-    /// How long events are retained.
-    pub history_ms: u64,
-}
-
-impl Default for LeaderSettings {
-    fn default() -> Self {
-        LeaderSettings { list_gap_ms: LIST_GAP_MS, history_ms: HISTORY_RETENTION_MS }
-    }
-}
-
-/// After so many bytes of log a snapshot is due; spread over the members, so that they don't all
-/// write a slot at once.
-pub(super) fn log_bound_bytes(own: MemberId, log_bytes: u64) -> u64 {
-    log_bytes + own % LOG_SPREAD * (log_bytes / LOG_SPREAD)
-}
-
 impl ControlNode {
     /// The smallest gap between requests for pages of the endpoint list, how long events are
     /// retained, both in milliseconds, and after how many bytes of log a snapshot is due.
     pub fn with_bounds(mut self, list_gap_ms: u64, history_ms: u64, log_bytes: u64) -> Self {
         self.settings = LeaderSettings { list_gap_ms, history_ms };
-        self.snapshots.set_bound(log_bound_bytes(self.own.id, log_bytes));
+        self.snapshots.set_spread_bound(self.own.id, log_bytes);
         self
     }
 
--- a/crates/controller/src/endpoint_list.rs
+++ b/crates/controller/src/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The platform's endpoint list: fetched page by page, scan after scan, by the leader alone.
 //!
 //! `poller` is what the leader has of it. It fetches pages by `scan` at the speed of `poll_rate`,
-//! reads each by `page`, lets `absence` decide who is no longer listed, and keeps what the pages
+//! reads each by `page`, lets `absence` decide who is no longer listed, and stores what the pages
 //! change in `deferred_change` until no transaction is open. `handover` travels to the next leader.
 
 mod absence;
--- a/crates/controller/src/leader_state/log_writer.rs
+++ b/crates/controller/src/leader_state/log_writer.rs
@@ -1,6 +1,6 @@
 //! The single writer of the log, and the replies that wait for what it wrote.
 
-use super::Reply;
+use super::reply::Reply;
 use postbarrow_state::{Record, State};
 use postbarrow_transactions::{BatchRecord, Writer};
 
--- a/crates/controller/src/leader_state/plan_transaction.rs
+++ b/crates/controller/src/leader_state/plan_transaction.rs
@@ -1,6 +1,6 @@
 //! The one open transaction, and the requests that wait for its end.
 
-use super::OpenPlan;
+use super::open_plan::OpenPlan;
 use crate::origin::Origin;
 use postbarrow_messages::Request;
 use std::collections::VecDeque;
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -35,6 +35,7 @@
 mod error;
 mod input;
 mod leader_contact;
+mod leader_settings;
 mod leader_state;
 mod operator_body;
 mod origin;
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -25,7 +25,7 @@
     pub pages: Vec<String>,
     pub encoded: usize,
     pub snapshot: Option<Snapshot>,
-    /// All that its disk was asked to write, in order.
+    /// All writes that the node requested, in order.
     pub writes: Vec<Write>,
     unsynced: Option<u64>,
 }
