--- a/crates/simulation/src/control.rs
+++ b/crates/simulation/src/world/control.rs
@@ -1,4 +1,4 @@
-//! Control machines: a real control node each, over a simulated disk and network.
+//! Start, end, inputs and disk of control machines.
 
 use crate::disk::SimDisk;
 use crate::event::{Event, ProcessId};
@@ -7,75 +7,28 @@
 use postbarrow_consensus::{Member, RecoveredState, Write};
 use postbarrow_constants::consensus::DISK_FULL_PAUSE_MS;
 use postbarrow_controller::{ControlNode, Effect, Input};
-use postbarrow_state::{Name, Target};
 use postbarrow_storage::{Opened, Storage, WriteError, is_full, open};
-use std::collections::VecDeque;
-use std::net::SocketAddr;
-use std::sync::Arc;
+use std::io;
 
-/// A process that ended is begun again after this time.
+/// A process that ended starts again after this time.
 const AGAIN_US: u64 = 500_000;
 
-/// The operators' list of control machines is this old.
-const OPERATORS_LIST_LAG_US: u64 = 3_000_000;
-
-/// Small, so that every run writes slots and a late member needs a snapshot.
+/// Small, so that every run writes snapshots and a late member needs one.
 const LOG_BOUND_BYTES: u64 = 48 * 1024;
 
-/// One control machine: its disk stays, its process comes and goes.
-pub struct ControlMachine {
-    pub address: SocketAddr,
-    pub disk: SimDisk,
-    pub incarnation: u64,
-    pub offset_ms: u64,
-    /// By how many thousandths its clock is fast.
-    pub rate: u64,
-    pub node: Option<ControlNode>,
-    storage: Option<Storage<SimDisk>>,
-    writes: VecDeque<(u64, Write)>,
-    syncing: bool,
-    /// Since when it is gone for good: its process does not begin again once it has ended.
-    pub retired_us: Option<u64>,
-    /// It has no disk that lasts, so it is never a member.
-    pub observer: bool,
-    /// How many of the writes the storage has and could not carry out yet.
-    in_storage: usize,
-    /// Targets as last seen committed here, to find what was dropped.
-    pub targets: OrdMap<Name, Arc<Target>>,
-}
-
-impl ControlMachine {
-    pub fn new(address: SocketAddr, offset_ms: u64, rate: u64) -> Self {
-        ControlMachine {
-            address,
-            disk: SimDisk::default(),
-            incarnation: 0,
-            offset_ms,
-            rate,
-            node: None,
-            storage: None,
-            writes: VecDeque::new(),
-            syncing: false,
-            retired_us: None,
-            observer: false,
-            in_storage: 0,
-            targets: OrdMap::new(),
+/// The storage on this disk and what it recovers; a new one with this id if the disk has no intact
+/// one.
+fn open_or_create(disk: SimDisk, id: u64) -> io::Result<(Storage<SimDisk>, RecoveredState)> {
+    open(disk).and_then(|opened| match opened {
+        Opened::Recovered { storage, recovered } => Ok((storage, recovered)),
+        Opened::Empty(disk) | Opened::Damaged { disk, .. } => {
+            Storage::create(disk, id).map(|storage| (storage, RecoveredState::default()))
         }
-    }
-}
-
-impl ControlMachine {
-    /// Whether operators find it on their list, which tells of a machine's end a while later.
-    pub fn is_listed(&self, now_us: u64) -> bool {
-        self.retired_us.is_none_or(|retired_us| now_us < retired_us + OPERATORS_LIST_LAG_US)
-    }
-
-    pub fn writes(&self) -> impl Iterator<Item = &Write> {
-        self.writes.iter().map(|(_, write)| write)
-    }
+    })
 }
 
 impl World {
+    /// Starts the process of control machine `at` from what its disk holds.
     pub fn start_control(&mut self, at: usize) {
         let seed = self.random.draw();
         let id = self.random.draw().max(1);
@@ -91,13 +44,7 @@
         if machine.disk.is_stalled() {
             return self.start_later(at);
         }
-        let opened = open(machine.disk.clone()).and_then(|opened| match opened {
-            Opened::Recovered { storage, recovered } => Ok((storage, recovered)),
-            Opened::Empty(disk) | Opened::Damaged { disk, .. } => {
-                Storage::create(disk, id).map(|made| (made, RecoveredState::default()))
-            }
-        });
-        let (storage, recovered) = match opened {
+        let (storage, recovered) = match open_or_create(machine.disk.clone(), id) {
             Ok(opened) => opened,
             Err(error) if is_full(&error) => return self.start_later(at),
             Err(error) => return self.disk_failed(at, &error),
@@ -118,13 +65,13 @@
         self.after(0, Event::Tick { process: ProcessId::Control(at), incarnation });
     }
 
-    /// Ends the process; with `power`, what was not synced goes too, perhaps amid a write.
+    /// Ends the process; with `power`, unsynced writes are lost too, perhaps amid one of them.
     pub fn end_control(&mut self, at: usize, power: bool) {
         let fuse = self.random.below(4);
         self.end(at, power.then_some(fuse));
     }
 
-    /// Power goes after so many of the operations that wait for the disk.
+    /// Ends the process by a loss of power after this many of the pending disk operations.
     pub fn end_with_fuse(&mut self, at: usize, fuse: u64) {
         self.end(at, Some(fuse));
     }
@@ -148,6 +95,7 @@
         }
     }
 
+    /// Feeds one input to control node `at`, carries out its effects and runs the checks.
     pub fn control_input(&mut self, at: usize, input: Input) {
         let now_ms = self.local_ms(ProcessId::Control(at));
         let machine = &mut self.control[at];
@@ -185,20 +133,20 @@
         self.check_control(at);
     }
 
-    /// As the program does: its start waits while its disk takes nothing.
+    /// As the program does: the start waits while the disk accepts nothing.
     fn start_later(&mut self, at: usize) {
         self.after(AGAIN_US, Event::Start(ProcessId::Control(at)));
     }
 
-    /// As the program does: it ends, for it can't promise anything, and is begun again.
-    fn disk_failed(&mut self, at: usize, error: &std::io::Error) {
+    /// As the program does: it ends, since nothing more can be acknowledged, and starts again.
+    fn disk_failed(&mut self, at: usize, error: &io::Error) {
         self.log_line(ProcessId::Control(at), &format!("ends: {error}"));
         self.disk_failures += 1;
         self.end_control(at, false);
         self.start_later(at);
     }
 
-    /// All that waited shares this sync. While the disk takes nothing, the same is tried again.
+    /// All pending writes share this sync. While the disk accepts nothing, it is tried again.
     pub fn disk_done(&mut self, at: usize) {
         let machine = &mut self.control[at];
         if machine.disk.is_stalled() {
@@ -230,4 +178,11 @@
         let incarnation = self.control[at].incarnation;
         self.after(DISK_FULL_PAUSE_MS * 1_000, Event::Synced { at, incarnation });
     }
+
+    /// The index of the control machine that leads, if any does.
+    pub fn leader(&self) -> Option<usize> {
+        self.control
+            .iter()
+            .position(|machine| machine.node.as_ref().is_some_and(|node| node.is_leading()))
+    }
 }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -1,20 +1,43 @@
 //! All machines, clients and faults of one simulated run, and the queue of its events.
+//!
+//! Each module has what one concern adds to `World`; the state that it works on is in the layers
+//! below (`node`, `client`, `fault`, `checker`), which do not know the world.
 
-use crate::calls::Callers;
-use crate::control::ControlMachine;
-use crate::data::DataMachine;
+mod calls;
+mod checks;
+mod control;
+mod data;
+mod departure;
+mod endpoint_list;
+mod faults;
+mod forwarding;
+mod injection;
+mod membership;
+mod operator;
+mod pinned;
+mod pinned_checks;
+mod requests;
+mod rolling_restart;
+mod service;
+mod slow;
+mod targets;
+
+use crate::checker::ledger::Ledger;
+use crate::client::calls::Callers;
+use crate::client::operator::Operator;
+use crate::client::pinned::PinnedClients;
+use crate::client::requests::RequestRun;
+use crate::clock::Clock;
 use crate::event::{Event, ProcessId};
 use crate::fault::Stage;
-use crate::ledger::Ledger;
-use crate::list::PlatformList;
-use crate::net::Net;
-use crate::operator::Operator;
-use crate::pinned::PinnedClients;
+use crate::fault::injection::Injection;
+use crate::network::{Network, address};
+use crate::node::control::ControlMachine;
+use crate::node::data::DataMachine;
+use crate::node::endpoint_list::PlatformList;
+use crate::node::slow::SlowMachine;
+use crate::node::target::Target;
 use crate::random::Random;
-use crate::requests::RequestRun;
-use crate::slow::SlowMachine;
-use crate::steps::Injection;
-use crate::targets::Target;
 use postbarrow_constants::consensus::{TICK_MS, VOTER_DEAD_MS};
 use postbarrow_controller::Input as ControlInput;
 use postbarrow_messages::{Envelope, Message};
@@ -22,59 +45,75 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Clocks run up to a hundredth faster than true time: far more than any machine's does.
-const RATE_SCALE: u64 = 1_000;
-const MAX_RATE: u64 = 11;
-
-/// A whole cluster with its surroundings, on one queue of events.
+/// A cluster with its surroundings, on one queue of events.
 pub struct World {
+    /// True time in microseconds; processes see only their own clocks.
     pub now_us: u64,
+    /// The source of every draw of the run but those of the scenario's faults.
     pub random: Random,
-    pub net: Net,
+    /// The network.
+    pub network: Network,
+    /// Control machines, by index.
     pub control: Vec<ControlMachine>,
+    /// Data machines, by index.
     pub data: Vec<DataMachine>,
+    /// Targets, ended ones too.
     pub targets: Vec<Target>,
+    /// The platform's endpoint list.
     pub list: PlatformList,
+    /// The operators.
     pub operator: Operator,
+    /// Applications that call for locks, numbers, keys and watches.
     pub callers: Callers,
     pub(crate) pinned: Option<PinnedClients>,
+    /// Every attempt of a client, by number.
     pub requests: BTreeMap<u64, RequestRun>,
+    /// What the checks compare, and the violations.
     pub ledger: Ledger,
+    /// Addresses by which a starting process finds the cluster.
     pub seeds: Vec<SocketAddr>,
+    /// Frozen processes, each with the events that wait for it.
     pub frozen: BTreeMap<ProcessId, Vec<Event>>,
-    /// The next node about to take this step of a request freezes right before it.
+    /// The next data node that reaches this stage of a one-time request freezes right before it.
     pub freeze_before: Option<Stage>,
+    /// How many requests clients have sent.
     pub next_request: u64,
+    /// Mean pause between two requests in microseconds.
     pub request_pause_us: u64,
+    /// No more changes of plans: the run only waits for full service.
     pub quiet: bool,
+    /// The run's log, if it is recorded.
     pub log: Option<Vec<String>>,
+    /// A digest of the time and order of all events.
     pub digest: u64,
+    /// Snapshots that were encoded.
     pub snapshots: usize,
+    /// Every sync takes 10 to 50 ms.
     pub slow_disks: bool,
-    /// What the deployment says of its core: losses to bear, and the silence of a dead voter.
+    /// Simultaneous losses that the control nodes must tolerate.
     pub losses: usize,
-    /// A machine that begins is told of no data node beside its seeds.
+    /// A starting process has only control machines among its seeds.
     pub control_seeds_only: bool,
+    /// Milliseconds after which an unresponsive voter counts as lost.
     pub voter_dead_ms: u64,
+    /// A control machine on a slow link and disk.
     pub slow: Option<SlowMachine>,
     pub(crate) injection: Option<Injection>,
-    /// Syncs that were done, and the writes that shared them.
+    /// Syncs, and the writes that shared them.
     pub synced: (usize, usize),
+    /// Control processes that ended because a write or sync failed.
     pub disk_failures: usize,
     queue: BTreeMap<(u64, u64), Event>,
     order: u64,
 }
 
-pub fn address(net: u8, at: usize, port: u16) -> SocketAddr {
-    SocketAddr::from(([10, net, (at / 250) as u8, (at % 250) as u8 + 1], port))
-}
-
 impl World {
+    /// A cluster of three control machines, these data nodes and these targets, all starting now.
     pub fn new(seed: u64, data_nodes: usize, targets: usize) -> World {
         let mut world = World {
             now_us: 1_000_000,
             random: Random::new(seed),
-            net: Net::default(),
+            network: Network::default(),
             control: Vec::new(),
             data: Vec::new(),
             targets: Vec::new(),
@@ -104,33 +143,37 @@
             queue: BTreeMap::new(),
             order: 0,
         };
+        world.start_all(data_nodes, targets);
+        world
+    }
+
+    /// Adds and starts all machines and targets, and schedules the first events of the clients.
+    fn start_all(&mut self, data_nodes: usize, targets: usize) {
         for at in 0..3 {
-            let offset_ms = world.random.below(1_000_000);
-            let rate = world.random.below(MAX_RATE);
-            world.control.push(ControlMachine::new(address(1, at, 1), offset_ms, rate));
+            let clock = Clock::draw(&mut self.random);
+            self.control.push(ControlMachine::new(address(1, at, 1), clock));
         }
         for at in 0..data_nodes {
-            let offset_ms = world.random.below(1_000_000);
-            let rate = world.random.below(MAX_RATE);
-            world.data.push(DataMachine::new(at, offset_ms, rate));
+            let clock = Clock::draw(&mut self.random);
+            self.data.push(DataMachine::new(at, clock));
         }
         for at in 0..targets {
-            world.add_target(["catalogue", "ledger", "photos"][at % 3], None);
+            self.add_target(["catalogue", "ledger", "photos"][at % 3], None);
         }
         for at in 0..3 {
-            world.start_control(at);
+            self.start_control(at);
         }
         for at in 0..data_nodes {
-            world.start_data(at);
+            self.start_data(at);
         }
-        world.after(2_500_000, Event::Operate);
-        world.after(3_000_000, Event::NextRequest);
+        self.after(2_500_000, Event::Operate);
+        self.after(3_000_000, Event::NextRequest);
         for caller in 0..4 {
-            world.after(3_000_000, Event::NextCall { caller });
+            self.after(3_000_000, Event::NextCall { caller });
         }
-        world
     }
 
+    /// Schedules an event; events of one time keep the order in which they were scheduled.
     pub fn after(&mut self, delay_us: u64, event: Event) {
         self.order += 1;
         self.queue.insert((self.now_us + delay_us, self.order), event);
@@ -141,33 +184,36 @@
         self.queue.insert((at_us, self.order), event);
     }
 
-    /// A process's own clock: it shares neither zero nor rate with any other.
+    /// A process's own clock in milliseconds, whose zero and rate no other shares.
     pub fn local_ms(&self, process: ProcessId) -> u64 {
-        let (offset_ms, rate) = match process {
-            ProcessId::Control(at) => (self.control[at].offset_ms, self.control[at].rate),
-            ProcessId::Data(at) => (self.data[at].offset_ms, self.data[at].rate),
+        let clock = match process {
+            ProcessId::Control(at) => self.control[at].clock,
+            ProcessId::Data(at) => self.data[at].clock,
         };
-        (self.now_us + self.now_us * rate / RATE_SCALE) / 1_000 + offset_ms
+        clock.local_ms(self.now_us)
     }
 
+    /// Sends a message over the network, which may delay or lose it.
     pub fn transmit(&mut self, from: SocketAddr, to: SocketAddr, message: Message) {
         let envelope = Envelope { from, message };
         if from == to {
             return self.after(0, Event::Deliver { to, envelope });
         }
         let sent_us = self.now_us + self.link_wait_us(to, &envelope);
-        let arrival = self.net.arrival(sent_us, from, to, &mut self.random);
+        let arrival = self.network.arrival(sent_us, from, to, &mut self.random);
         if let Some(at_us) = arrival {
             self.at(at_us, Event::Deliver { to, envelope });
         }
     }
 
+    /// Adds a line to the run's log.
     pub fn log_line(&mut self, process: ProcessId, text: &str) {
         if let Some(log) = &mut self.log {
             log.push(format!("{:.3} {process:?}: {text}", self.now_us as f64 / 1e6));
         }
     }
 
+    /// Handles all events up to this time.
     pub fn run_until(&mut self, until_us: u64) {
         while let Some(((at_us, _), _)) = self.queue.first_key_value() {
             if *at_us > until_us {
@@ -213,6 +259,20 @@
                 self.control_input(at, ControlInput::Encoded { index, state })
             }
             Event::Synced { .. } | Event::Page { .. } | Event::Encoded { .. } => {}
+            Event::Probe { data, incarnation } => self.probe(data, incarnation),
+            Event::Fault(fault) => self.inject(fault),
+            Event::Wake(process) => self.wake(process),
+            Event::Start(process) => self.start(process),
+            Event::CheckShutdown { process, incarnation, since_us } => {
+                self.check_shutdown(process, incarnation, since_us)
+            }
+            event => self.handle_client_event(event),
+        }
+    }
+
+    /// Handles the events of clients, callers and operators.
+    fn handle_client_event(&mut self, event: Event) {
+        match event {
             Event::Arrive { request, data, incarnation } => {
                 self.request_arrives(request, data, incarnation)
             }
@@ -234,7 +294,6 @@
             Event::Run { request, data, incarnation, instance } => {
                 self.run(request, data, incarnation, &instance)
             }
-            Event::Probe { data, incarnation } => self.probe(data, incarnation),
             Event::NextRequest => self.next_request(),
             Event::NextCall { caller } => self.next_call(caller),
             Event::Operate => self.operate(),
@@ -242,12 +301,7 @@
             Event::PinnedArrives { key, requested_us, request, .. } => {
                 self.pinned_request_arrives(key, requested_us, request)
             }
-            Event::Fault(fault) => self.inject(fault),
-            Event::Wake(process) => self.wake(process),
-            Event::Start(process) => self.start(process),
-            Event::Leave { process, incarnation, since_us } => {
-                self.leave(process, incarnation, since_us)
-            }
+            _ => unreachable!("`step` handles all other events"),
         }
     }
 
@@ -273,7 +327,7 @@
         self.after(TICK_MS * 1_000, Event::Tick { process, incarnation });
     }
 
-    /// Responses are for the door of this machine, all else for the node.
+    /// Responses belong to the clients pinned to this machine, all else to its node.
     fn control_receives(&mut self, at: usize, envelope: Envelope) {
         match envelope.message {
             Message::Response { key, response } => self.pinned_clients_receive(at, key, response),
@@ -281,9 +335,34 @@
         }
     }
 
+    /// Ends a freeze: the process receives all that arrived meanwhile.
     pub fn wake(&mut self, process: ProcessId) {
         for event in self.frozen.remove(&process).unwrap_or_default() {
             self.after(0, event);
         }
     }
 }
+
+impl World {
+    /// The process that handles an event; while it is frozen, the event waits.
+    pub fn process_of(&self, event: &Event) -> Option<ProcessId> {
+        match event {
+            Event::Tick { process, .. } => Some(*process),
+            Event::Deliver { to, .. } => {
+                let control = self.control.iter().position(|machine| machine.address == *to);
+                let data = || self.data.iter().position(|machine| machine.address == *to);
+                control.map(ProcessId::Control).or_else(|| data().map(ProcessId::Data))
+            }
+            Event::Synced { at, .. }
+            | Event::Page { at, .. }
+            | Event::Encoded { at, .. }
+            | Event::PinnedArrives { at, .. } => Some(ProcessId::Control(*at)),
+            Event::Arrive { data, .. }
+            | Event::DepartureObserved { data, .. }
+            | Event::Resume { data, .. }
+            | Event::Send { data, .. }
+            | Event::Probe { data, .. } => Some(ProcessId::Data(*data)),
+            _ => None,
+        }
+    }
+}
--- a/crates/simulation/src/rolling_restart.rs
+++ b/crates/simulation/src/world/rolling_restart.rs
@@ -1,4 +1,4 @@
-//! Planned stops and starts of machines.
+//! Rolling restarts: graceful shutdown and start of one process after another.
 
 use crate::event::{Event, ProcessId};
 use crate::world::World;
@@ -8,29 +8,35 @@
 use postbarrow_node::Input as DataInput;
 
 const LOOK_US: u64 = 20_000;
+
 const AWAY_US: u64 = 300_000;
 
-/// Planned stops, as the programs do them: hand over or finish, then end, then begin again.
+/// As the programs do: leadership is transferred or requests finish, then the process ends and
+/// starts again.
 impl World {
+    /// Asks control process `at` to shut down gracefully; it starts again unless it is retired.
     pub fn rolling_restart_control(&mut self, at: usize) {
         let (incarnation, since_us) = (self.control[at].incarnation, self.now_us);
         self.control_input(at, ControlInput::Stop);
         self.after(
             LOOK_US,
-            Event::Leave { process: ProcessId::Control(at), incarnation, since_us },
+            Event::CheckShutdown { process: ProcessId::Control(at), incarnation, since_us },
         );
     }
 
+    /// Asks data process `at` to shut down gracefully; it starts again.
     pub fn rolling_restart_data(&mut self, at: usize) {
         let (incarnation, since_us) = (self.data[at].incarnation, self.now_us);
         self.data_input(at, DataInput::Stop);
         self.after(
             STOP_UNREADY_MS * 1_000,
-            Event::Leave { process: ProcessId::Data(at), incarnation, since_us },
+            Event::CheckShutdown { process: ProcessId::Data(at), incarnation, since_us },
         );
     }
 
-    pub fn leave(&mut self, process: ProcessId, incarnation: u64, since_us: u64) {
+    /// Ends a process that shuts down once its work is done or its time is over; otherwise looks
+    /// again later.
+    pub fn check_shutdown(&mut self, process: ProcessId, incarnation: u64, since_us: u64) {
         let past_ms = (self.now_us - since_us) / 1_000;
         let (here, done) = match process {
             ProcessId::Control(at) => {
@@ -54,7 +60,7 @@
         match (here, done, process) {
             (false, ..) => {}
             (true, false, _) => {
-                self.after(LOOK_US, Event::Leave { process, incarnation, since_us })
+                self.after(LOOK_US, Event::CheckShutdown { process, incarnation, since_us })
             }
             (true, true, ProcessId::Control(at)) => {
                 self.end_control(at, false);
@@ -69,6 +75,7 @@
         }
     }
 
+    /// Starts a process that is down.
     pub fn start(&mut self, process: ProcessId) {
         match process {
             ProcessId::Control(at) if self.control[at].node.is_none() => self.start_control(at),
