--- a/crates/controller/src/control_node/compaction.rs
+++ b/crates/controller/src/control_node/compaction.rs
@@ -33,7 +33,7 @@
     }
 
     pub(super) fn on_encoded(&mut self, now_ms: u64, index: u64, state: Vec<u8>) {
-        self.log_line(format!("snapshot at {index}, {} bytes", state.len()));
+        self.log_line(format!("snapshot taken index={index} bytes={}", state.len()));
         self.snapshots.on_encoded();
         self.log(now_ms, postbarrow_consensus::Input::Compact { index, state });
         self.count_log();
--- a/crates/controller/src/control_node/discovery.rs
+++ b/crates/controller/src/control_node/discovery.rs
@@ -53,7 +53,7 @@
         let own = self.own;
         let Some(members) = self.directory.bootstrap_members(own) else { return };
         let ids: BTreeSet<MemberId> = members.iter().map(|member| member.id).collect();
-        self.log_line(format!("begins a new log of {} members", ids.len()));
+        self.log_line(format!("log bootstrapped members={}", ids.len()));
         self.log(now_ms, consensus::Input::Bootstrap(members.clone()));
         for member in members.iter().filter(|member| **member != own) {
             self.send(member.address, Message::Bootstrap(members.clone()));
--- a/crates/controller/src/control_node/endpoint_list.rs
+++ b/crates/controller/src/control_node/endpoint_list.rs
@@ -57,7 +57,7 @@
     fn on_list_error(&mut self, error: &Error) {
         let Some(leader) = &mut self.leader else { return };
         if let Some(finding) = leader.endpoint_list.record_finding(error) {
-            self.log_line(format!("the platform's list: {finding}"));
+            self.log_line(format!("endpoint list fault finding={finding:?}"));
         }
     }
 
@@ -66,11 +66,11 @@
         let Some(leader) = &mut self.leader else { return };
         let bound_ms = leader.endpoint_list.leave_bound_ms();
         match leader.endpoint_list.update_slowness() {
-            Some(true) => self.log_line(format!(
-                "the platform's list is slow: a leaving target may get requests for {bound_ms} ms"
-            )),
+            Some(true) => {
+                self.log_line(format!("endpoint list too slow drain_bound_ms={bound_ms}"))
+            }
             Some(false) => {
-                self.log_line(format!("the platform's list is quick again: {bound_ms} ms"));
+                self.log_line(format!("endpoint list fast enough again drain_bound_ms={bound_ms}"));
             }
             None => {}
         }
--- a/crates/controller/src/control_node/leadership_transfer.rs
+++ b/crates/controller/src/control_node/leadership_transfer.rs
@@ -48,7 +48,7 @@
         }
         let handover = leader.endpoint_list.handover_state(now_ms).encode();
         if reason == TransferReason::DiskStalled {
-            self.log_line("transfers its leadership: its disk is stalled".into());
+            self.log_line("leadership transfer started reason=\"disk stalled\"".into());
         }
         self.log(now_ms, postbarrow_consensus::Input::TransferLeadership(handover));
     }
--- a/crates/controller/src/control_node/node_expiry.rs
+++ b/crates/controller/src/control_node/node_expiry.rs
@@ -22,7 +22,7 @@
         }
         records.extend(leader.nodes.target_conditions(now_ms, state));
         if !departed.is_empty() {
-            self.log_line(format!("{} nodes are gone", departed.len()));
+            self.log_line(format!("nodes expired count={}", departed.len()));
         }
         if !records.is_empty() {
             self.propose(now_ms, records);
--- a/crates/controller/src/control_node/node_lease.rs
+++ b/crates/controller/src/control_node/node_lease.rs
@@ -41,7 +41,7 @@
         let known = self.current().and_then(|state| state.nodes.get(&node.incarnation));
         let is_unregistered = known.is_none_or(|known| **known != *node);
         if is_unregistered && !self.has_open_transaction() {
-            self.log_line(format!("node {} joins from {}", node.name, node.address));
+            self.log_line(format!("node joined name={} address={}", node.name, node.address));
             self.propose(now_ms, vec![Record::Node(node.clone())]);
         }
         let Some(leader) = &mut self.leader else { return };
--- a/crates/controller/src/control_node/plan_abort.rs
+++ b/crates/controller/src/control_node/plan_abort.rs
@@ -30,7 +30,7 @@
         let leader = self.leader.as_mut()?;
         let plan = leader.transaction.take_plan()?;
         let abort = leader.writer.abort(reason)?;
-        self.log_line(format!("plan {} is aborted: {reason}", plan.version));
+        self.log_line(format!("plan aborted version={} reason={reason:?}", plan.version));
         Some((self.propose_batch(now_ms, vec![abort]), plan.origin))
     }
 
--- a/crates/controller/src/control_node/term.rs
+++ b/crates/controller/src/control_node/term.rs
@@ -11,7 +11,7 @@
         match role {
             Role::Leader => {
                 let term = self.consensus.term();
-                self.log_line(format!("leads term {term}"));
+                self.log_line(format!("leader elected term={term}"));
                 self.leader = Some(LeaderState::new(term, now_ms, self.settings.list_gap_ms));
             }
             _ => self.step_down(),
@@ -31,7 +31,9 @@
         leader.start_serving(now_ms, state);
         if self.tail.is_open() {
             let name = self.tail.open_transaction_name().unwrap_or_default();
-            self.log_line(format!("aborts {name:?}, left open by an earlier controller"));
+            self.log_line(format!(
+                "transaction aborted name={name:?} reason=\"left open by an earlier leader\""
+            ));
             let abort = BatchRecord::abort("the controller that began it is gone");
             self.propose_batch(now_ms, vec![abort]);
         }
@@ -43,7 +45,7 @@
     /// A higher term or a lost majority: the optimistic state is dropped, the committed one stays.
     fn step_down(&mut self) {
         let Some(mut leader) = self.leader.take() else { return };
-        self.log_line(format!("no longer leads term {}", leader.term()));
+        self.log_line(format!("leader stepped down term={}", leader.term()));
         for reply in leader.writer.into_replies() {
             self.respond(reply.origin, reply.when_deposed());
         }
--- a/crates/node/src/data_node.rs
+++ b/crates/node/src/data_node.rs
@@ -201,8 +201,8 @@
         self.logged_serving = serves;
         let version = self.image().plan_version().unwrap_or_default().to_string();
         self.effects.push(Effect::Log(match serves {
-            true => format!("serves, plan {version}"),
-            false => "sheds, no controller's word covers it".into(),
+            true => format!("serving version={version}"),
+            false => "shedding reason=\"no lease covers the published image\"".into(),
         }));
     }
 
--- a/crates/node/src/image_tail.rs
+++ b/crates/node/src/image_tail.rs
@@ -90,7 +90,7 @@
         let mut effects = Vec::new();
         let is_behind = !self.has_image || self.published < watermark;
         if self.leaves_parent(now_ms, is_behind) {
-            effects.push(Effect::Log("tails the controller directly".into()));
+            effects.push(Effect::Log("relay bypassed reason=\"behind the watermark\"".into()));
         }
         let source = controller.map(|controller| self.source(now_ms, controller));
         let subscription = &mut self.subscription;
--- a/crates/startup/src/run.rs
+++ b/crates/startup/src/run.rs
@@ -51,7 +51,7 @@
         let process = match start(self) {
             Ok(process) => process,
             Err(error) => {
-                log::error!("startup: does not start: {error}");
+                log::error!("startup: failed error={error}");
                 return ExitCode::FAILURE;
             }
         };
@@ -61,7 +61,7 @@
                 match reload() {
                     Ok(startup) => set_seeds(&process, startup.seeds),
                     Err(error) => {
-                        log::warn!("startup: the settings stay as they were: {error}")
+                        log::warn!("startup: reload refused, settings unchanged error={error}")
                     }
                 }
             }
--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -46,7 +46,7 @@
         }
         let link = self.links.entry(to).or_insert_with(|| start(own, to, idle));
         if link.pending.load(Relaxed) >= LINK_FRAMES {
-            return debug!("link: full to={to}");
+            return debug!("link: queue full to={to}");
         }
         link.pending.fetch_add(1, Relaxed);
         if let Err(SendError(message)) = link.queue.send(message) {
@@ -74,7 +74,7 @@
         .stack_size(STACK_BYTES)
         .spawn(move || run(own, to, &receiver, &count, idle));
     if let Err(error) = spawned {
-        warn!("link: no thread for {to}: {error}");
+        warn!("link: thread failed to start to={to} error={error}");
     }
     Link { queue, pending }
 }
@@ -93,7 +93,7 @@
         let frame = match to_frame(&Envelope { from: own, message }) {
             Ok(frame) => frame,
             Err(error) => {
-                warn!("link: not sent to={to}: {error}");
+                warn!("link: frame not sent to={to} error={error}");
                 continue;
             }
         };
@@ -102,7 +102,7 @@
                 Ok(connected) => stream = Some(connected),
                 Err(error) => {
                     if !is_unreachable {
-                        debug!("link: unreachable to={to}: {error}");
+                        debug!("link: unreachable to={to} error={error}");
                     }
                     is_unreachable = true;
                     thread::sleep(Duration::from_millis(LINK_RETRY_MS));
@@ -117,7 +117,7 @@
         if let Some(connected) = &mut stream
             && let Err(error) = connected.write_all(&frame)
         {
-            debug!("link: failed to={to}: {error}");
+            debug!("link: failed to={to} error={error}");
             stream = None;
         }
     }
--- a/crates/transport/src/listen.rs
+++ b/crates/transport/src/listen.rs
@@ -54,7 +54,7 @@
 fn read(stream: TcpStream, deliver: &(impl Fn(Envelope) -> bool + ?Sized)) {
     let from = stream.peer_addr();
     if let Err(error) = prepare(&stream) {
-        return debug!("link: from {from:?}: {error}");
+        return debug!("link: closed from={from:?} error={error}");
     }
     let mut reader = BufReader::with_capacity(64 * 1024, stream);
     loop {
@@ -65,8 +65,10 @@
                 }
             }
             Err(FrameError::Closed) => return,
-            Err(error @ FrameError::Io(_)) => return debug!("link: from {from:?}: {error}"),
-            Err(error) => return warn!("link: from {from:?} closed: {error}"),
+            Err(error @ FrameError::Io(_)) => {
+                return debug!("link: closed from={from:?} error={error}");
+            }
+            Err(error) => return warn!("link: closed from={from:?} error={error}"),
         }
     }
 }
--- a/programs/control-plane/src/client_listener.rs
+++ b/programs/control-plane/src/client_listener.rs
@@ -58,7 +58,7 @@
             let stream = match stream {
                 Ok(stream) => stream,
                 Err(error) => {
-                    warn!("client listener: accept failed: {error}");
+                    warn!("client listener: accept failed error={error}");
                     thread::sleep(Duration::from_millis(ACCEPT_RETRY_MS));
                     continue;
                 }
--- a/programs/control-plane/src/control_loop.rs
+++ b/programs/control-plane/src/control_loop.rs
@@ -3,7 +3,7 @@
 use crate::command::{Command, PageRequest};
 use crate::disk_writer::DiskWriter;
 use crate::graceful_shutdown::GracefulShutdown;
-use log::{info, warn};
+use log::{error, info, warn};
 use postbarrow_constants::consensus::TICK_MS;
 use postbarrow_controller::{Contact, ControlNode, Effect, Input, PendingSnapshot};
 use postbarrow_controller_client::{ControllerClient, Effect as ClientEffect};
@@ -123,7 +123,7 @@
             Command::Envelope(envelope) => self.receive(envelope),
             Command::Synced(sequence) => self.handle(now_ms, Input::Synced(sequence)),
             Command::DiskFailed(error) => {
-                warn!("disk: {error}; this process ends, for it can't promise anything");
+                error!("disk: write failed, the process ends error={error}");
                 std::process::exit(DISK_FAILED_STATUS);
             }
             Command::Page(page) => self.handle(now_ms, Input::Page(page)),
@@ -189,7 +189,7 @@
             let _ = commands.send(Command::Encoded { index, state });
         });
         if let Err(error) = spawned {
-            warn!("control: no thread for a snapshot: {error}");
+            warn!("control: snapshot thread failed to start error={error}");
         }
     }
 
--- a/programs/control-plane/src/control_plane.rs
+++ b/programs/control-plane/src/control_plane.rs
@@ -49,7 +49,10 @@
         let (storage, recovered) = data_folder::open_folder(&folder, !startup.observer)?;
         let (links, address) = startup.listen()?;
         let own = Member { id: storage.id(), address };
-        info!("control: {} is member {:016x} at {}", startup.name, own.id, own.address);
+        info!(
+            "control: starting name={} member={:016x} address={}",
+            startup.name, own.id, own.address
+        );
         let (commands, queue) = channel();
         let reservation = (!startup.observer).then(|| data_folder::reservation(&startup.bounds));
         let disk = DiskWriter::start(storage, reservation, commands.clone())?;
@@ -105,7 +108,7 @@
             let wait = Duration::from_millis(SUBMIT_WAIT_MS + LEADERSHIP_TRANSFER_MS);
             let _ = ended.recv_timeout(wait);
         }
-        info!("control: ends");
+        info!("control: stopped");
     }
 }
 
@@ -119,7 +122,10 @@
         node = node.with_founders(members);
     }
     if startup.observer {
-        info!("control: {} has no disk that lasts, it only hands questions on", startup.name);
+        info!(
+            "control: observer without a lasting disk, forwards requests only name={}",
+            startup.name
+        );
         node = node.as_observer();
     }
     if !startup.may_bootstrap {
--- a/programs/control-plane/src/data_folder.rs
+++ b/programs/control-plane/src/data_folder.rs
@@ -1,6 +1,6 @@
 //! Opens the data folder at the process's start; on a full disk the start waits for space.
 
-use log::{info, warn};
+use log::{error, info, warn};
 use postbarrow_consensus::RecoveredState;
 use postbarrow_constants::consensus::DISK_FULL_PAUSE_MS;
 use postbarrow_startup::{Bounds, stop_requested};
@@ -38,11 +38,11 @@
     match open(FolderDisk::new(folder.to_path_buf())?)? {
         Opened::Recovered { storage, recovered } => Ok((storage, recovered)),
         Opened::Empty(disk) => {
-            info!("disk: {} is empty, this is a new member", folder.display());
+            info!("disk: empty, starting as a new member folder={}", folder.display());
             Ok((Storage::create(disk, random())?, RecoveredState::default()))
         }
         Opened::Damaged { disk, damage } => {
-            warn!("disk: {damage}; what it knew is lost, this is a new member");
+            error!("disk: damaged, starting as a new member finding={damage}");
             Ok((Storage::create(disk, random())?, RecoveredState::default()))
         }
     }
@@ -56,7 +56,7 @@
         match step() {
             Err(error) if is_full(&error) && !stop_requested() => {
                 if !std::mem::replace(&mut is_logged, true) {
-                    warn!("disk: {error}; the start waits for space");
+                    warn!("disk: full, waiting for space to start error={error}");
                 }
                 thread::sleep(Duration::from_millis(DISK_FULL_PAUSE_MS));
             }
--- a/programs/control-plane/src/disk_writer.rs
+++ b/programs/control-plane/src/disk_writer.rs
@@ -109,7 +109,7 @@
             Ok(()) => self.reservation = None,
             Err(WriteError::Full(error)) => self.log_full("space can't be reserved yet", &error),
             Err(WriteError::Failed(error)) => {
-                warn!("disk: space can't be reserved here: {error}");
+                warn!("disk: no space reserved error={error}");
                 self.reservation = None;
             }
         }
@@ -139,7 +139,7 @@
             return false;
         }
         if std::mem::take(&mut self.is_full) {
-            info!("disk: there is space again");
+            info!("disk: space available again");
         }
         self.commands.send(Command::Synced(sequence)).is_ok()
     }
@@ -147,7 +147,7 @@
     /// Logs that the disk is full, once until it has space again.
     fn log_full(&mut self, consequence: &str, error: &io::Error) {
         if !std::mem::replace(&mut self.is_full, true) {
-            warn!("disk: {error}; {consequence}");
+            warn!("disk: full, {consequence} error={error}");
         }
     }
 }
