--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -46,7 +46,7 @@
         }
         let link = self.links.entry(to).or_insert_with(|| start(own, to, idle));
         if link.pending.load(Relaxed) >= LINK_FRAMES {
-            return debug!("link: full to={to}");
+            return debug!("link: queue full to={to}");
         }
         link.pending.fetch_add(1, Relaxed);
         if let Err(SendError(message)) = link.queue.send(message) {
@@ -76,7 +76,7 @@
         },
     );
     if let Err(error) = spawned {
-        warn!("link: no thread for {to}: {error}");
+        warn!("link: thread failed to start to={to} error={error}");
     }
     Link { queue, pending }
 }
@@ -99,7 +99,7 @@
             self.pending.fetch_sub(1, Relaxed);
             match to_frame(&Envelope { from: self.own, message }) {
                 Ok(frame) => self.send(&frame),
-                Err(error) => warn!("link: not sent to={}: {error}", self.to),
+                Err(error) => warn!("link: frame not sent to={} error={error}", self.to),
             }
         }
     }
@@ -115,7 +115,7 @@
         if let Some(connected) = &mut self.stream
             && let Err(error) = connected.write_all(frame)
         {
-            debug!("link: failed to={}: {error}", self.to);
+            debug!("link: failed to={} error={error}", self.to);
             self.stream = None;
         }
     }
@@ -123,7 +123,7 @@
     /// Pauses and drops what is pending meanwhile; the protocols send again.
     fn on_unreachable(&mut self, error: &std::io::Error) {
         if !self.is_unreachable {
-            debug!("link: unreachable to={}: {error}", self.to);
+            debug!("link: unreachable to={} error={error}", self.to);
         }
         self.is_unreachable = true;
         thread::sleep(Duration::from_millis(LINK_RETRY_MS));
--- a/programs/control-plane/tests/surface.rs
+++ b/programs/control-plane/tests/surface.rs
@@ -12,8 +12,8 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_postbarrow-control-plane");
 const VERBS: [&str; 8] =
     ["run", "check", "submit", "dry-run", "show", "targets", "members", "status"];
-/// Far more than the cluster needs; reached only if it hangs.
-const ATTEMPTS: usize = 2_000;
+/// Long past anything that the cluster needs; reached only if it hangs.
+const TRIES: usize = 2_000;
 const PAUSE: Duration = Duration::from_millis(10);
 const PLAN: &str = r#"{"version":"v1","base":null,"services":{},"routes":[]}"#;
 
@@ -54,17 +54,17 @@
 }
 
 #[test]
-fn paths_headers_and_keys_of_the_operator_listener() {
+fn paths_headers_and_keys_of_the_operators_listener() {
     let folder = empty_folder("surface");
     let first = start("one", &folder, Vec::new());
     let seeds = vec![first.address()];
     let _others = ["two", "three"].map(|name| start(name, &folder, seeds.clone()));
     let address = first.http();
-    let has_leader = (0..ATTEMPTS).any(|_| {
+    let leads = (0..TRIES).any(|_| {
         std::thread::sleep(PAUSE);
         response(address, "GET", "/status", "").contains(" 200 ")
     });
-    assert!(has_leader, "nobody has_leader");
+    assert!(leads, "nobody leads");
     let requests = [
         ("GET", "/plan", ""),
         ("POST", "/plans", "{}"),
