--- a/programs/control-plane/tests/stop.rs
+++ b/programs/control-plane/tests/stop.rs
@@ -1,10 +1,12 @@
 //! A planned stop of a controller in a cluster of real control planes.
 
+mod local;
+
+use local::{empty_folder, startup};
 use postbarrow_control_plane::ControlPlane;
-use postbarrow_startup::{Bounds, Startup};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::thread;
 use std::time::Duration;
 
@@ -15,32 +17,7 @@
 const PADDING_BYTES: usize = 4_096;
 
 fn start(name: &str, folder: &Path, seeds: Vec<SocketAddr>) -> ControlPlane {
-    let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    let startup = Startup {
-        name: name.into(),
-        zone: "a".into(),
-        address: any,
-        bind: None,
-        http: any,
-        readiness: None,
-        seeds,
-        data: Some(folder.join(name)),
-        may_bootstrap: true,
-        observer: false,
-        bootstrap_members: None,
-        endpoint_list_url: None,
-        log: None,
-        level: log::LevelFilter::Off,
-        bounds: Bounds::default(),
-    };
-    ControlPlane::start(&startup).expect("it starts")
-}
-
-fn empty_folder(name: &str) -> PathBuf {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("a folder");
-    folder
+    ControlPlane::start(&startup(name, seeds, Some(folder.join(name)))).expect("it starts")
 }
 
 /// Status and body of one request, on a connection of its own.
--- a/programs/control-plane/tests/surface.rs
+++ b/programs/control-plane/tests/surface.rs
@@ -1,12 +1,13 @@
 //! What operators see of a control plane: the help, the paths, the headers and the keys of JSON.
 
+mod local;
 mod outer;
 
+use local::{empty_folder, startup};
 use outer::{help, listed_verbs, response};
 use postbarrow_control_plane::ControlPlane;
-use postbarrow_startup::{Bounds, Startup};
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::time::Duration;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_postbarrow-control-plane");
@@ -25,32 +26,7 @@
 }
 
 fn start(name: &str, folder: &Path, seeds: Vec<SocketAddr>) -> ControlPlane {
-    let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    let startup = Startup {
-        name: name.into(),
-        zone: "a".into(),
-        address: any,
-        bind: None,
-        http: any,
-        readiness: None,
-        seeds,
-        data: Some(folder.join(name)),
-        may_bootstrap: true,
-        observer: false,
-        bootstrap_members: None,
-        endpoint_list_url: None,
-        log: None,
-        level: log::LevelFilter::Off,
-        bounds: Bounds::default(),
-    };
-    ControlPlane::start(&startup).expect("it starts")
-}
-
-fn empty_folder(name: &str) -> PathBuf {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("a folder");
-    folder
+    ControlPlane::start(&startup(name, seeds, Some(folder.join(name)))).expect("it starts")
 }
 
 #[test]
--- a/programs/data-plane/tests/surface.rs
+++ b/programs/data-plane/tests/surface.rs
@@ -1,12 +1,13 @@
 //! The outer interface of a data plane: the help, its own paths, and the keys of JSON.
 
+#[path = "../../control-plane/tests/local/mod.rs"]
+mod local;
 #[path = "../../control-plane/tests/outer/mod.rs"]
 mod outer;
 
+use local::startup;
 use outer::{help, response};
 use postbarrow_data_plane::DataPlane;
-use postbarrow_startup::{Bounds, Startup};
-use std::net::SocketAddr;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_postbarrow-data-plane");
 
@@ -17,25 +18,7 @@
 
 /// A node without a controller; invalid calls are rejected before one is needed.
 fn start() -> DataPlane {
-    let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    let startup = Startup {
-        name: "node".into(),
-        zone: "a".into(),
-        address: any,
-        bind: None,
-        http: any,
-        readiness: None,
-        seeds: Vec::new(),
-        data: None,
-        may_bootstrap: true,
-        observer: false,
-        bootstrap_members: None,
-        endpoint_list_url: None,
-        log: None,
-        level: log::LevelFilter::Off,
-        bounds: Bounds::default(),
-    };
-    DataPlane::start(&startup).expect("it starts")
+    DataPlane::start(&startup("node", Vec::new(), None)).expect("it starts")
 }
 
 #[test]
