--- a/crates/controller/src/control_node/plan_commit.rs
+++ b/crates/controller/src/control_node/plan_commit.rs
@@ -95,7 +95,7 @@
         let accepted = Record::PlanAccepted { version: version.clone(), base, digest, began_at };
         let offset = self.propose_batch(now_ms, vec![BatchRecord::Data(accepted), end]);
         let body = Submitted::new(&version, began_at, offset, rehearsal);
-        self.log_line(format!("plan committed version={version} offset={offset}"));
+        self.log_line(format!("plan end proposed version={version} offset={offset}"));
         self.reply_at(now_ms, offset, origin, json(200, &body));
         self.serve_waiting_requests(now_ms);
     }
