--- /dev/null
+++ b/crates/simulation/tests/support/mod.rs
@@ -0,0 +1,3 @@
+//! What several searches over simulated clusters share.
+
+pub mod history;
