--- a/crates/consensus/src/interface.rs
+++ b/crates/consensus/src/interface.rs
@@ -1,70 +1,76 @@
-//! What the owner of a [`Consensus`](crate::Consensus) gives it and gets from it.
+//! Inputs that the owner of a [`Consensus`](crate::Consensus) passes to it, and effects that it
+//! returns to its owner.
 
 use crate::{Entry, Member, Message, Role, Snapshot, Write};
 use std::sync::Arc;
 
-/// Something that happened to this member.
+/// An event that a member handles.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time has passed; given every `TICK_MS`.
+    /// Time has passed. The owner passes this input every `TICK_MS`.
     Tick,
-    /// All writes up to this sequence are synced to disk.
+    /// All writes up to this sequence number are synced to disk.
     Synced(u64),
-    /// A message arrived.
+    /// A message of another member arrived.
     Receive {
-        /// Its sender.
+        /// Sender of the message.
         from: Member,
-        /// The message.
+        /// The message that arrived.
         message: Message,
     },
-    /// Append these batches, one entry each; ignored unless this member leads.
+    /// Append these batches of application bytes to the log, each as one entry. Ignored unless this
+    /// member leads.
     Propose(Vec<Vec<u8>>),
-    /// First start: all of these members have an empty disk and name the same members.
+    /// Start a new log with these voters: all of them have an empty disk and are given the same
+    /// list.
     Bootstrap(Vec<Member>),
-    /// A process that is no voter asks to follow the log; ignored unless this member leads.
+    /// Add this process, which follows the log without a vote, as a learner; if it is a voter
+    /// already, update its address. Ignored unless this member leads.
     AddLearner(Member),
-    /// The application's state at a committed index: entries that it covers may be dropped.
+    /// Replace the beginning of the log by a snapshot of the application's state at a committed
+    /// index: entries that the snapshot covers may be dropped.
     Compact {
-        /// Last entry applied to the state.
+        /// Index of the last entry applied to the state.
         index: u64,
-        /// The state, encoded.
+        /// Encoded state of the application.
         state: Vec<u8>,
     },
-    /// Relinquish the lease and let a caught-up follower campaign at once; it receives this
-    /// handover state. Ignored unless this member leads.
+    /// Relinquish the lease and let a caught-up follower campaign at once, which receives this
+    /// handover state. Ignored unless this member leads and such a follower exists.
     TransferLeadership(Vec<u8>),
-    /// This member is about to stop: it gives up its seat if a learner can take it.
+    /// This member is about to stop: if a learner can replace it, it is removed from the voters.
     Depart,
 }
 
-/// Something that the owner must carry out. Effects are carried out in their order.
+/// An action that the owner must carry out. Effects are carried out in the order in which they are
+/// returned.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Send a message; it may be lost, duplicated or delayed.
+    /// Send a message, which may be lost, duplicated or delayed.
     Send {
-        /// Its recipient.
+        /// Recipient of the message.
         to: Member,
-        /// The message.
+        /// The message to send.
         message: Message,
     },
-    /// Write to disk, and report the sequence by [`Input::Synced`] once it is synced.
+    /// Write to disk, and report the sequence number by [`Input::Synced`] once the write is synced.
     Write {
-        /// Number of the write; sequences grow by one.
+        /// Sequence number of the write, one more than that of the write before.
         sequence: u64,
-        /// What to write.
+        /// The change to the state on disk.
         write: Write,
     },
     /// These entries are committed: apply them, in order.
     Commit(Vec<Entry>),
     /// Replace the application's state by this snapshot.
     Restore(Arc<Snapshot>),
-    /// This member's role has changed.
+    /// This member's role has changed to the one given.
     Role(Role),
-    /// The leader transferred leadership to this member, which campaigns now.
+    /// The leader transferred leadership to this member, which starts an election now.
     LeadershipReceived {
-        /// What the former leader sent along.
+        /// State that the former leader's owner passed to [`Input::TransferLeadership`].
         handover_state: Vec<u8>,
-        /// Milliseconds by which the transfer was delayed beyond the fastest message of that
+        /// Milliseconds by which the transfer message took longer than the fastest message of that
         /// leader.
         late_ms: u64,
     },
--- a/crates/consensus/src/messages.rs
+++ b/crates/consensus/src/messages.rs
@@ -1,9 +1,10 @@
-//! Messages between members. They are encoded by position: fields may only be added at the end.
+//! Messages between members. Fields are encoded by position, so new ones may only be added at the
+//! end.
 
 use crate::{Entry, Member};
 use serde::{Deserialize, Serialize};
 
-/// RequestVote and pre-vote (thesis, 3.4 and 9.6).
+/// Arguments of RequestVote and of a pre-vote request (thesis, 3.4 and 9.6).
 #[derive(Clone, Debug, Hash, Serialize, Deserialize)]
 pub struct VoteRequest {
     /// Term in which the candidate campaigns or, for a pre-vote, would campaign.
@@ -12,27 +13,27 @@
     pub last_index: u64,
     /// Term of the candidate's last entry.
     pub last_term: u64,
-    /// The leader relinquished its lease in favour of this candidate (thesis, 3.10).
+    /// Whether the leader relinquished its lease in favour of this candidate (thesis, 3.10).
     pub leadership_transfer: bool,
-    /// Every member denied in one probe round that it leads.
+    /// Whether every member reported in one probe round that it does not lead.
     #[serde(default)]
     pub leaderless: bool,
 }
 
-/// AppendEntries (thesis, 3.5); without entries a heartbeat.
+/// Arguments of AppendEntries (thesis, 3.5); without entries it is a heartbeat.
 #[derive(Clone, Debug, Hash, Serialize, Deserialize)]
 pub struct AppendRequest {
     /// The leader's term.
     pub term: u64,
     /// Index of the entry before `entries`.
     pub prev_index: u64,
-    /// Term of that entry.
+    /// Term of the entry at `prev_index`.
     pub prev_term: u64,
     /// Entries to store, in order.
     pub entries: Vec<Entry>,
     /// The leader's commit index.
     pub commit: u64,
-    /// When the leader sent it, by the leader's clock.
+    /// Time at which the leader sent the append, in milliseconds of the leader's clock.
     pub sent_ms: u64,
 }
 
@@ -41,33 +42,36 @@
 pub struct AppendResponse {
     /// The follower's term.
     pub term: u64,
-    /// The follower's log equals the leader's up to here; `None` is a refusal.
+    /// Index up to which the follower's log equals the leader's; absent if the follower refused the
+    /// append.
     pub matched: Option<u64>,
-    /// On a refusal the index to continue from, or zero if only a snapshot helps.
+    /// On a refusal, the index from which the leader should continue. Zero if the follower needs a
+    /// snapshot, or if the append was of an earlier term.
     pub hint: u64,
-    /// Send time of the answered append, by the leader's clock.
+    /// Send time of the answered append, in milliseconds of the leader's clock; zero if the append
+    /// was of an earlier term.
     pub sent_ms: u64,
 }
 
-/// InstallSnapshot (thesis, figure 5.3): a chunk of a snapshot's state.
+/// Arguments of InstallSnapshot (thesis, figure 5.3): a chunk of a snapshot's state.
 #[derive(Clone, Debug, Hash, Serialize, Deserialize)]
 pub struct SnapshotChunk {
     /// The leader's term.
     pub term: u64,
-    /// Last entry that the snapshot covers.
+    /// Index of the last entry that the snapshot covers.
     pub index: u64,
-    /// Term of that entry.
+    /// Term of the entry at `index`.
     pub snapshot_term: u64,
-    /// Configuration at that entry.
+    /// Voters of the configuration that applies at `index`.
     pub members: Vec<Member>,
-    /// Position of `bytes` in the state.
+    /// Offset of `bytes` in the state, in bytes.
     pub offset: u64,
-    /// Bytes of the complete state.
+    /// Size of the complete state in bytes.
     pub total: u64,
-    /// This chunk.
+    /// The part of the state that this chunk contains.
     #[serde(with = "serde_bytes")]
     pub bytes: Vec<u8>,
-    /// When the leader sent it, by the leader's clock.
+    /// Time at which the leader sent the chunk, in milliseconds of the leader's clock.
     pub sent_ms: u64,
     /// CRC-32 of the complete state, so that chunks of two snapshots are never joined.
     #[serde(default)]
@@ -81,53 +85,57 @@
     pub term: u64,
     /// Index of the snapshot that the chunk belongs to.
     pub index: u64,
-    /// Bytes of the state received without a gap.
+    /// Number of bytes from the beginning of the state that were received without a gap.
     pub received: u64,
-    /// The follower has everything up to `index`.
+    /// Whether the follower has the state up to `index`, so that no more chunks are needed.
     pub done: bool,
-    /// Send time of the answered chunk, by the leader's clock.
+    /// Send time of the answered chunk, in milliseconds of the leader's clock.
     pub sent_ms: u64,
-    /// Where the answered chunk began: beyond `received`, an earlier one is missing.
+    /// Offset of the answered chunk in the state. If it is larger than `received`, an earlier chunk
+    /// is missing.
     #[serde(default)]
     pub offset: u64,
 }
 
-/// A leader that has relinquished its lease lets a follower campaign at once (thesis, 3.10).
+/// Arguments of TimeoutNow (thesis, 3.10): a leader that has relinquished its lease lets a follower
+/// campaign at once.
 #[derive(Clone, Debug, Hash, Serialize, Deserialize)]
 pub struct TimeoutNow {
     /// The leader's term.
     pub term: u64,
-    /// When the leader sent it, by the leader's clock.
+    /// Time at which the leader sent the request, in milliseconds of the leader's clock.
     pub sent_ms: u64,
-    /// Opaque to this crate; returned in [`Effect::LeadershipReceived`](crate::Effect).
+    /// State that the leader's owner hands over. It is opaque to this crate, and is returned in
+    /// [`Effect::LeadershipReceived`](crate::Effect).
     #[serde(with = "serde_bytes")]
     pub handover_state: Vec<u8>,
 }
 
-/// A member that is about to stop announces it.
+/// Announcement of a member that it is about to stop.
 #[derive(Clone, Copy, Debug, Hash, Serialize, Deserialize)]
 pub struct DepartureRequest {
-    /// End of its log.
+    /// Index of the last entry in the departing member's log.
     pub last_index: u64,
 }
 
-/// The leader's response: the log can do without that member.
+/// The leader's permission for a member to stop: the log no longer depends on that member.
 #[derive(Clone, Copy, Debug, Hash, Serialize, Deserialize)]
 pub struct DepartureGranted {
-    /// The remaining members have everything up to here.
+    /// Last index that the departing member announced: the remaining members have all entries of
+    /// the leader's log up to it.
     pub last_index: u64,
 }
 
 /// Any message between members.
 #[derive(Clone, Debug, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Would the recipient vote for the sender?
+    /// Request for a pre-vote: the response says whether the recipient would vote for the sender.
     PreVote(VoteRequest),
-    /// Response to a pre-vote.
+    /// Response to a pre-vote request.
     PreVoteResponse {
         /// The requested term if granted, else the voter's term.
         term: u64,
-        /// Whether the sender would vote for the candidate.
+        /// Whether the voter would vote for the candidate.
         granted: bool,
     },
     /// Request for a vote.
@@ -136,7 +144,7 @@
     VoteResponse {
         /// The voter's term.
         term: u64,
-        /// Whether the sender votes for the candidate.
+        /// Whether the voter votes for the candidate.
         granted: bool,
     },
     /// Entries or a heartbeat.
@@ -145,17 +153,17 @@
     AppendResponse(AppendResponse),
     /// A chunk of a snapshot.
     Snapshot(SnapshotChunk),
-    /// Response to a chunk.
+    /// Response to a snapshot chunk.
     SnapshotResponse(SnapshotResponse),
-    /// Campaign at once.
+    /// Request of the leader that the recipient campaigns at once.
     #[serde(rename = "TakeOver")]
     TimeoutNow(TimeoutNow),
-    /// Does the recipient lead?
+    /// Request that the recipient reports whether it leads.
     #[serde(rename = "Who")]
     LeaderProbe {
         /// The sender's term.
         term: u64,
-        /// Number of the probe round.
+        /// Number of the sender's probe round.
         round: u64,
     },
     /// Response to a leader probe.
@@ -163,15 +171,15 @@
     LeaderProbeResponse {
         /// The sender's term.
         term: u64,
-        /// Number of the probe round that it answers.
+        /// Number of the probe round that is answered.
         round: u64,
-        /// The sender does not lead.
+        /// Whether the sender of the response does not lead.
         not_leading: bool,
     },
-    /// The sender is about to stop.
+    /// Announcement that the sender is about to stop.
     #[serde(rename = "Leaving")]
     DepartureRequest(DepartureRequest),
-    /// The recipient may stop.
+    /// Permission of the leader for the recipient to stop.
     #[serde(rename = "MayLeave")]
     DepartureGranted(DepartureGranted),
 }
