--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -1,11 +1,12 @@
-//! How the first members begin a log.
+//! Bootstrap of a new log by its first members.
 
 use crate::{Consensus, Member, Snapshot};
 use std::sync::Arc;
 
 impl Consensus {
-    /// First start of members with empty disks that all name the same members: an empty snapshot
-    /// with that configuration becomes the log's base.
+    /// Starts a new log, whose base is an empty snapshot with `members` as its configuration. All
+    /// of these have an empty disk and are given the same list. Ignored unless this member is
+    /// uninitialized and one of them.
     pub(crate) fn bootstrap(&mut self, members: Vec<Member>) {
         if !self.is_uninitialized()
             || self.log.last_index() > 0
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,4 +1,4 @@
-//! One member of the replicated log: its state, and which input leads to which handler.
+//! One member of the replicated log: its state, and the dispatch of inputs to their handlers.
 
 use crate::campaign::Election;
 use crate::departure::Departures;
@@ -25,9 +25,9 @@
     pub(crate) role: Role,
     pub(crate) log: RaftLog,
     pub(crate) commit_index: u64,
-    /// The newest snapshot on this disk, or on its way there.
+    /// The newest snapshot that is on this member's disk or is being written to it.
     pub(crate) snapshot: Option<Arc<Snapshot>>,
-    /// A snapshot that arrives from the leader, up to its first missing byte.
+    /// The snapshot that is being received from the leader, up to its first missing byte.
     pub(crate) incoming: Option<IncomingSnapshot>,
     pub(crate) election: Election,
     pub(crate) probe: ProbeState,
@@ -37,13 +37,14 @@
     pub(crate) disk: DiskHealth,
     pub(crate) seats: SeatPolicy,
     pub(crate) departures: Departures,
-    /// Effects of the input in progress.
+    /// Effects of the input that is being handled.
     pub(crate) effects: Vec<Effect>,
 }
 
 impl Consensus {
-    /// A member that starts from what its disk returned. `seed` differs between members and between
-    /// the incarnations of one member; `now_ms` is the time of the clock that all inputs follow.
+    /// Creates a member from the state that its disk returned. `seed` must differ between members
+    /// and between the incarnations of one member; `now_ms` is the time of the clock that all
+    /// inputs follow.
     pub fn new(id: MemberId, recovered: RecoveredState, seed: u64, now_ms: u64) -> Self {
         let log = RaftLog::recovered(&recovered);
         Consensus {
@@ -67,17 +68,19 @@
         }
     }
 
-    /// Sets the number of voters to what a majority needs after so many losses at once.
+    /// Sets the number of voters such that a majority remains after `losses` of them are lost at
+    /// once; it is never set below `VOTERS`.
     pub fn set_losses(&mut self, losses: usize) {
         self.seats.set_losses(losses);
     }
 
-    /// Sets the time without a response after which a voter's seat goes to a learner.
+    /// Sets the time in milliseconds after which a voter that does not respond may be replaced by a
+    /// learner.
     pub fn set_voter_dead_ms(&mut self, voter_dead_ms: u64) {
         self.seats.voter_dead_ms = voter_dead_ms;
     }
 
-    /// Handles one input at a time of this member's clock, and returns what to carry out.
+    /// Handles one input at `now_ms` of this member's clock, and returns the effects to carry out.
     pub fn handle(&mut self, now_ms: u64, input: Input) -> Vec<Effect> {
         self.disk.advance_clock(now_ms);
         match input {
@@ -143,7 +146,8 @@
         self.effects.push(Effect::Send { to, message });
     }
 
-    /// Sends a message that acknowledges or grants something once all writes so far are synced.
+    /// Sends a message that acknowledges or grants something, once all writes issued so far are
+    /// synced.
     pub(crate) fn send_after_sync(&mut self, to: Member, message: Message) {
         if let Some(message) = self.durability.defer(to, message) {
             self.send(to, message);
@@ -164,79 +168,81 @@
         HardState { term: self.term, voted_for: self.voted_for }
     }
 
-    /// All voters but this member.
+    /// Returns all voters except this member.
     pub(crate) fn peers(&self) -> Vec<Member> {
         self.log.members().iter().filter(|member| member.id != self.id).copied().collect()
     }
 
-    /// Voters needed to elect a leader and to confirm its lease.
+    /// Returns the number of voters needed to elect a leader and to confirm its lease.
     pub(crate) fn majority(&self) -> usize {
         self.log.members().len() / 2 + 1
     }
 
-    /// This member's identity.
+    /// Returns the identity of this member, which is that of its disk.
     pub fn id(&self) -> MemberId {
         self.id
     }
 
-    /// The newest term that this member knows.
+    /// Returns the newest term that this member knows.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// This member's role in its term.
+    /// Returns this member's role in its current term.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// The newest entry known to be committed.
+    /// Returns the index of the newest entry that this member knows to be committed.
     pub fn commit_index(&self) -> u64 {
         self.commit_index
     }
 
-    /// The newest entry in this member's log.
+    /// Returns the index of the newest entry in this member's log, committed or not.
     pub fn last_index(&self) -> u64 {
         self.log.last_index()
     }
 
-    /// Index of the newest snapshot of this member, or zero.
+    /// Returns the index of this member's newest snapshot, or zero if it has none.
     pub fn snapshot_index(&self) -> u64 {
         self.snapshot.as_ref().map_or(0, |snapshot| snapshot.index)
     }
 
-    /// All voters; empty for an uninitialized member.
+    /// Returns all voters of the newest configuration; an uninitialized member has none.
     pub fn members(&self) -> &[Member] {
         self.log.members()
     }
 
-    /// Whether this member's disk has no log yet.
+    /// Returns whether this member has no configuration, and so no log, yet.
     pub fn is_uninitialized(&self) -> bool {
         self.log.members().is_empty()
     }
 
-    /// Whether it never granted or acknowledged anything either: only such a member may bootstrap.
+    /// Returns whether this member is uninitialized and has never granted or acknowledged anything:
+    /// only such a member may bootstrap.
     pub fn is_pristine(&self) -> bool {
         self.is_uninitialized() && self.term == 0
     }
 
-    /// The leader of this term, if this member knows it and it is a voter.
+    /// Returns the leader of the current term, if this member knows it and it is a voter.
     pub fn leader(&self) -> Option<Member> {
         let id = self.contact.leader?;
         self.log.members().iter().find(|member| member.id == id).copied()
     }
 
-    /// When a message of a leader arrived last, by this member's clock in milliseconds.
+    /// Returns when the last message of a leader arrived, in milliseconds of this member's clock.
+    /// The start of the process counts as such a message.
     pub fn leader_contact_ms(&self) -> u64 {
         self.contact.last_contact_ms
     }
 
-    /// Whether this member leads and the first entry of its term is committed: everything
-    /// acknowledged before is applied.
+    /// Returns whether this member leads and the first entry of its term is committed: then every
+    /// entry acknowledged before is applied.
     pub fn is_ready(&self) -> bool {
         self.role == Role::Leader && self.commit_index >= self.leader_state.term_start_index
     }
 
-    /// The log.
+    /// Returns the part of the log that is in memory.
     pub fn log(&self) -> &RaftLog {
         &self.log
     }
--- a/crates/consensus/src/raft_log.rs
+++ b/crates/consensus/src/raft_log.rs
@@ -1,10 +1,11 @@
-//! The log in memory: entries after a base, and the configurations that apply to them.
+//! The part of the log that is in memory: entries after a base, and the configurations that apply
+//! to them.
 
 use crate::{Entry, Member, MemberId, Payload, RecoveredState, Snapshot};
 use std::collections::VecDeque;
 
-/// Entries after a base. Beside them, the base's configuration and each later one with the index
-/// from which it applies.
+/// The entries after a base index, the configuration that applies at the base, and each later
+/// configuration with the index from which it applies.
 #[derive(Clone, Debug, Hash)]
 pub struct RaftLog {
     base_index: u64,
@@ -14,7 +15,8 @@
 }
 
 impl RaftLog {
-    /// The log that the disk returned. Entries that don't continue it are left out.
+    /// Builds the log from the state that the disk returned. An entry that does not directly follow
+    /// the one before it is skipped.
     pub fn recovered(recovered: &RecoveredState) -> Self {
         let mut log =
             RaftLog { base_index: 0, base_term: 0, entries: VecDeque::new(), configs: Vec::new() };
@@ -29,7 +31,7 @@
         log
     }
 
-    /// Replaces everything by a snapshot's index, term and configuration.
+    /// Drops all entries and continues from a snapshot's index, term and configuration.
     pub fn reset(&mut self, snapshot: &Snapshot) {
         self.base_index = snapshot.index;
         self.base_term = snapshot.term;
@@ -37,7 +39,8 @@
         self.configs = vec![(snapshot.index, snapshot.members.clone())];
     }
 
-    /// Appends the next entry. A configuration applies from here on, committed or not (thesis, 4.1).
+    /// Appends the next entry. A configuration applies from its own entry on, committed or not
+    /// (thesis, 4.1).
     pub fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last_index() + 1);
         if let Payload::Members(members) = &entry.payload {
@@ -46,7 +49,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Removes the entries from `from` on, and their configurations.
+    /// Removes the entries from index `from` on, and the configurations that they contain.
     pub fn truncate(&mut self, from: u64) {
         while self.last_index() >= from && !self.entries.is_empty() {
             self.entries.pop_back();
@@ -58,7 +61,7 @@
         }
     }
 
-    /// Drops entries up to `index`, which a snapshot covers.
+    /// Drops entries up to `index`, which a snapshot covers, and moves the base there.
     pub fn compact_to(&mut self, index: u64) {
         while self.base_index < index {
             let Some(entry) = self.entries.pop_front() else { break };
@@ -69,13 +72,14 @@
         self.configs.drain(..base_config.unwrap_or(0));
     }
 
-    /// Bytes of all entries after `index`.
+    /// Returns the approximate size in bytes of all entries after `index`.
     pub fn bytes_after(&self, index: u64) -> u64 {
         let skipped = index.saturating_sub(self.base_index) as usize;
         self.entries.iter().skip(skipped).map(|entry| entry.size() as u64).sum()
     }
 
-    /// The lowest base that retains, up to `index`, no more than so many entries and bytes.
+    /// Returns the lowest base that retains at most `entries` entries and `size_bytes` bytes up to
+    /// `index`.
     pub fn base_retaining(&self, index: u64, entries: u64, size_bytes: u64) -> u64 {
         let mut base = index.min(self.last_index());
         let mut remaining_bytes = size_bytes;
@@ -89,22 +93,22 @@
         base
     }
 
-    /// Index of the entry before the first one in memory.
+    /// Returns the index of the entry before the first one in memory.
     pub fn base(&self) -> u64 {
         self.base_index
     }
 
-    /// Index of the last entry.
+    /// Returns the index of the last entry, or that of the base if there is no entry after it.
     pub fn last_index(&self) -> u64 {
         self.base_index + self.entries.len() as u64
     }
 
-    /// Term of the last entry.
+    /// Returns the term of the last entry, or that of the base if there is no entry after it.
     pub fn last_term(&self) -> u64 {
         self.entries.back().map_or(self.base_term, |entry| entry.term)
     }
 
-    /// Term of an entry in memory or of the base.
+    /// Returns the term of the entry at `index`, if it is in memory or is the base.
     pub fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -112,13 +116,14 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// An entry in memory.
+    /// Returns the entry at `index`, if it is in memory.
     pub fn get(&self, index: u64) -> Option<&Entry> {
         let offset = index.checked_sub(self.base_index + 1)?;
         self.entries.get(offset as usize)
     }
 
-    /// Entries from `from` on, up to so many bytes; the first is returned whatever its size.
+    /// Returns the entries from index `from` on, up to `max_bytes` in total; the first one is
+    /// returned whatever its size.
     pub fn slice(&self, from: u64, max_bytes: usize) -> Vec<Entry> {
         let mut out = Vec::new();
         let mut size_bytes = 0;
@@ -134,28 +139,28 @@
         out
     }
 
-    /// The entries in memory from `from` to `to`, with both.
+    /// Returns the entries in memory from index `from` to index `to`, both included.
     pub fn range(&self, from: u64, to: u64) -> Vec<Entry> {
         (from..=to).filter_map(|index| self.get(index).cloned()).collect()
     }
 
-    /// The newest configuration.
+    /// Returns the voters of the newest configuration, committed or not; empty if there is none.
     pub fn members(&self) -> &[Member] {
         self.configs.last().map_or(&[], |(_, members)| members)
     }
 
-    /// The configuration that applies at `index`.
+    /// Returns the voters of the configuration that applies at `index`; empty if there is none.
     pub fn members_at(&self, index: u64) -> Vec<Member> {
         let config = self.configs.iter().rev().find(|(from, _)| *from <= index);
         config.map_or_else(Vec::new, |(_, members)| members.clone())
     }
 
-    /// Index of the newest configuration's entry.
+    /// Returns the index from which the newest configuration applies, or zero if there is none.
     pub fn config_index(&self) -> u64 {
         self.configs.last().map_or(0, |(index, _)| *index)
     }
 
-    /// Whether this is a voter of the newest configuration.
+    /// Returns whether the member is a voter of the newest configuration.
     pub fn is_member(&self, id: MemberId) -> bool {
         self.members().iter().any(|member| member.id == id)
     }
--- a/crates/consensus/src/role.rs
+++ b/crates/consensus/src/role.rs
@@ -1,19 +1,19 @@
-//! Roles and the changes between them (thesis, 3.3 and 3.4).
+//! Roles and the transitions between them (thesis, 3.3 and 3.4).
 
 use crate::progress::Progress;
 use crate::{Consensus, Effect, MemberId, Payload};
 use postbarrow_constants::consensus::ELECTION_MIN_MS;
 
-/// What a member does in its term.
+/// Role of a member in its current term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Role {
-    /// Takes entries from a leader, or waits for one.
+    /// Stores the entries of a leader, or waits for a leader.
     Follower,
-    /// Asks whether it would win an election (thesis, 9.6).
+    /// Requests pre-votes, to learn whether it would win an election (thesis, 9.6).
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes from the other voters.
     Candidate,
-    /// Appends entries and replicates them.
+    /// Appends entries to its log and replicates them.
     Leader,
 }
 
