--- a/crates/consensus/src/append_handling.rs
+++ b/crates/consensus/src/append_handling.rs
@@ -1,11 +1,11 @@
-//! How a follower takes entries from its leader (thesis, 3.5): the consistency check, the removal of
-//! entries that conflict, and the response.
+//! How a follower handles its leader's entries (thesis, 3.5): the consistency check, the removal of
+//! conflicting entries, and the response.
 
 use crate::{AppendRequest, AppendResponse, Consensus, Entry, Member, Message, Write};
 
 impl Consensus {
-    /// Stores a leader's entries if this log has the entry before them. The response is sent once
-    /// they are on disk.
+    /// Stores a leader's entries if this log has the entry before them. The confirmation is sent
+    /// once they are on disk; a refusal is sent at once.
     pub(crate) fn on_append(&mut self, now_ms: u64, from: Member, append: AppendRequest) {
         if append.term < self.term {
             let response = AppendResponse { term: self.term, matched: None, hint: 0, sent_ms: 0 };
@@ -32,8 +32,8 @@
         self.send_after_sync(from, Message::AppendResponse(response));
     }
 
-    /// Where the leader should continue after a refusal: the first entry of the conflicting term,
-    /// so that one response skips all entries of a term (thesis, 3.5).
+    /// Returns the index from which the leader should continue after a refusal: the first entry of
+    /// the conflicting term, so that one response skips all entries of a term (thesis, 3.5).
     fn conflict_hint(&self, prev_index: u64) -> u64 {
         let Some(term) = self.log.term_at(prev_index) else { return self.log.last_index() + 1 };
         let mut first = prev_index;
@@ -43,8 +43,8 @@
         first
     }
 
-    /// Appends the entries that this log lacks. The first one that conflicts removes everything
-    /// from its index on.
+    /// Appends the entries that this log lacks. The first one whose term conflicts removes all
+    /// entries from its index on.
     fn store_entries(&mut self, entries: Vec<Entry>) {
         let mut appended = Vec::new();
         for entry in entries {
--- a/crates/consensus/src/commit.rs
+++ b/crates/consensus/src/commit.rs
@@ -1,11 +1,11 @@
-//! Where an entry is committed (thesis, 3.5 and 3.6.2).
+//! Commitment of entries (thesis, 3.5 and 3.6.2).
 
 use crate::{Consensus, Effect};
 
 impl Consensus {
-    /// Leader: commits what a majority of the voters has on disk. Only an entry of the leader's own
-    /// term is committed by counting; entries of earlier terms are committed with it (thesis,
-    /// 3.6.2).
+    /// Commits, on a leader, the entries that a majority of the voters has on disk. Only an entry
+    /// of the leader's own term is committed by counting; entries of earlier terms are committed
+    /// with it (thesis, 3.6.2).
     pub(crate) fn advance_commit(&mut self) {
         let members = self.log.members();
         let mut matched: Vec<u64> = members.iter().map(|member| self.matched(member.id)).collect();
@@ -16,7 +16,7 @@
         }
     }
 
-    /// All members: everything up to `index`, as far as this log has it, is committed.
+    /// Commits, on any member, all entries up to `index` that this member's log has.
     pub(crate) fn commit_to(&mut self, index: u64) {
         let index = index.min(self.log.last_index());
         if index <= self.commit_index {
--- a/crates/consensus/src/leader_state.rs
+++ b/crates/consensus/src/leader_state.rs
@@ -1,38 +1,38 @@
-//! What only a leader has, and loses when it follows again.
+//! State that a member has only while it leads.
 
 use crate::progress::Progress;
 use crate::{Consensus, FingerprintTime, Member, MemberId};
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
-/// How far a follower is behind, for status.
+/// How far a follower is behind its leader, reported in the leader's status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowerStatus {
-    /// The voter or learner.
+    /// The follower, which is a voter or a learner.
     pub member: Member,
-    /// Milliseconds since its last response.
+    /// Milliseconds since the follower's last response.
     pub silent_ms: u64,
-    /// Entries of the leader's log that it has not confirmed.
+    /// Number of entries in the leader's log that the follower has not confirmed.
     pub lag_entries: u64,
 }
 
 /// A leader's followers and the times of its term.
 #[derive(Clone, Debug)]
 pub(crate) struct LeaderState {
-    /// Of each voter and learner but this member.
+    /// State of each voter and learner except this member.
     pub progress: BTreeMap<MemberId, Progress>,
     /// Members that follow the log without a vote (thesis, 4.2.1).
     pub learners: BTreeMap<MemberId, Member>,
     pub heartbeat_due_ms: u64,
-    /// First entry of the leader's own term.
+    /// Index of the first entry of the leader's own term.
     pub term_start_index: u64,
     pub elected_ms: u64,
-    /// The lease is relinquished for the rest of the term.
+    /// Whether the leader relinquished its lease for the rest of the term.
     pub is_transferring: bool,
 }
 
 impl LeaderState {
-    /// Of a member that has not led yet.
+    /// Returns the state of a member that has not led yet.
     pub fn new(now_ms: u64) -> Self {
         LeaderState {
             progress: BTreeMap::new(),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// A term begins, with its first entry at that index.
+    /// Begins a term of this leader, whose first entry is at `term_start_index`.
     pub fn start_term(
         &mut self,
         now_ms: u64,
@@ -57,18 +57,18 @@
         self.term_start_index = term_start_index;
     }
 
-    /// The term is over.
+    /// Forgets all followers when this member no longer leads.
     pub fn clear_followers(&mut self) {
         self.progress.clear();
         self.learners.clear();
     }
 
-    /// Send time of the newest message that this follower answered, or zero.
+    /// Returns this leader's send time of the newest message that the follower answered, or zero.
     pub fn acknowledged_send_ms(&self, id: MemberId) -> u64 {
         self.progress.get(&id).map_or(0, |progress| progress.acknowledged_send_ms)
     }
 
-    /// What later behaviour depends on, but for what only departures use.
+    /// Hashes what later behaviour depends on, except for what only departures use.
     pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
         (&self.learners, self.term_start_index, self.is_transferring).hash(into);
         time.until(self.heartbeat_due_ms).hash(into);
@@ -79,7 +79,8 @@
 }
 
 impl Consensus {
-    /// The newest entry that this voter or learner is known to have on disk, or zero.
+    /// Returns the index of the newest entry that this voter or learner is known to have on disk,
+    /// or zero.
     pub(crate) fn matched(&self, id: MemberId) -> u64 {
         match self.leader_state.progress.get(&id) {
             _ if id == self.id => self.durability.matched(),
@@ -88,12 +89,13 @@
         }
     }
 
-    /// All members that follow this leader without a vote.
+    /// Returns all members that follow this leader without a vote; none unless this member leads.
     pub fn learners(&self) -> Vec<Member> {
         self.leader_state.learners.values().copied().collect()
     }
 
-    /// All voters and learners that follow this leader; none unless this member leads.
+    /// Returns the status of all voters and learners that follow this leader; none unless this
+    /// member leads.
     pub fn followers(&self, now_ms: u64) -> Vec<FollowerStatus> {
         let last_index = self.log.last_index();
         let status = |progress: &Progress| FollowerStatus {
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of one follower (nextIndex and matchIndex of the thesis, 3.5).
+//! State that a leader keeps for each follower (nextIndex and matchIndex of the thesis, 3.5).
 
 use crate::in_flight::InFlight;
 use crate::outgoing_snapshot::OutgoingSnapshot;
@@ -6,32 +6,34 @@
 use postbarrow_constants::consensus::VOTER_DEAD_MS;
 use std::hash::{Hash, Hasher};
 
-/// A leader's view of one follower.
+/// A leader's state of one follower, which is a voter or a learner.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
     pub member: Member,
-    /// The follower's log equals the leader's up to here, on disk.
+    /// Index up to which the follower's log is known to equal the leader's and to be on disk.
     pub matched: u64,
-    /// The next entry to send.
+    /// Index of the next entry to send.
     pub next: u64,
-    /// Leader's send time of the newest message that this follower answered.
+    /// Leader's send time of the newest message that this follower answered, or zero.
     pub acknowledged_send_ms: u64,
-    /// When its last response arrived.
+    /// When the follower's last response arrived, or since when it is replicated to if none has.
     pub last_response_ms: u64,
-    /// Since when this leader replicates to it.
+    /// Time since which this leader replicates to the follower.
     pub since_ms: u64,
-    /// The snapshot that is sent to it.
+    /// The transfer of a snapshot to the follower, while one is in progress.
     pub snapshot: Option<OutgoingSnapshot>,
     in_flight: InFlight,
-    /// `next` is a guess: one frame at a time.
+    /// Whether `next_index` is a guess, because no message sent since it was set back has been
+    /// confirmed: only one frame of entries may then be in flight.
     is_probing: bool,
-    /// When `next` was last set back: responses to older frames say nothing of what was sent since.
-    /// A confirmation waits for a sync, so it may arrive after refusals of later frames.
+    /// When `next_index` was last set back. Responses to frames sent earlier show nothing about
+    /// frames sent since. A confirmation waits for a sync, so it may arrive after refusals of
+    /// frames that were sent later.
     restarted_ms: u64,
 }
 
 impl Progress {
-    /// Of a follower that has confirmed nothing yet.
+    /// Returns the state of a follower that has confirmed nothing yet.
     pub fn new(member: Member, next: u64, now_ms: u64) -> Self {
         Progress {
             member,
@@ -47,7 +49,7 @@
         }
     }
 
-    /// What later behaviour depends on.
+    /// Hashes what later behaviour depends on.
     pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
         (self.member, self.matched, self.next, self.is_probing).hash(into);
         (time.age(self.acknowledged_send_ms), time.age(self.last_response_ms)).hash(into);
@@ -59,17 +61,18 @@
         }
     }
 
-    /// Whether it responded within the default time after which a voter may be replaced.
+    /// Returns whether the follower responded within the default time after which a voter may be
+    /// replaced.
     pub fn is_live(&self, now_ms: u64) -> bool {
         now_ms < self.last_response_ms + VOTER_DEAD_MS
     }
 
-    /// Milliseconds since its last response.
+    /// Returns the milliseconds since the follower's last response.
     pub fn silent_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.last_response_ms)
     }
 
-    /// Whether these entries, which begin at `next`, may be sent now.
+    /// Returns whether these entries, of which the first is at `next_index`, may be sent now.
     pub fn may_send(&self, entries: &[Entry]) -> bool {
         match self.is_probing {
             true => self.in_flight.is_empty(),
@@ -77,20 +80,21 @@
         }
     }
 
-    /// These entries are in flight.
+    /// Records that these entries were sent and are in flight.
     pub fn on_sent(&mut self, entries: &[Entry]) {
         let Some(last) = entries.last() else { return };
         self.next = last.index + 1;
         self.in_flight.push(last.index, size_bytes(entries));
     }
 
-    /// Any response of this term to a message sent then.
+    /// Records a response of this term, of any kind, to a message that was sent at `sent_ms`.
     pub fn on_response(&mut self, now_ms: u64, sent_ms: u64) {
         self.last_response_ms = now_ms;
         self.acknowledged_send_ms = self.acknowledged_send_ms.max(sent_ms);
     }
 
-    /// The follower has all entries up to `matched`, says the response to a frame sent then.
+    /// Records that the follower has all entries up to `match_index` on disk, according to its
+    /// response to a message that was sent at `sent_ms`.
     pub fn on_confirmed(&mut self, matched: u64, sent_ms: u64) {
         self.matched = self.matched.max(matched);
         self.next = self.next.max(self.matched + 1);
@@ -98,12 +102,13 @@
         self.is_probing &= sent_ms < self.restarted_ms;
     }
 
-    /// Whether a refusal answers a frame sent since `next` was last set back.
+    /// Returns whether a refused frame, sent at `sent_ms`, was sent since `next_index` was last set
+    /// back.
     pub fn is_current_refusal(&self, sent_ms: u64) -> bool {
         sent_ms >= self.restarted_ms
     }
 
-    /// Entries are sent again from here; what was in flight counts as lost.
+    /// Sets `next_index` so that entries are sent from there; frames in flight count as lost.
     pub fn restart_at(&mut self, next: u64, now_ms: u64) {
         self.next = next;
         self.in_flight.clear();
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,4 +1,4 @@
-//! Entries from the leader's log to its followers' (thesis, 3.5), batched and pipelined (10.2.2).
+//! Replication of the leader's log to its followers (thesis, 3.5), batched and pipelined (10.2.2).
 
 use crate::{
     AppendRequest, AppendResponse, Consensus, Entry, Member, MemberId, Message, Payload, Role,
@@ -7,14 +7,15 @@
 use postbarrow_constants::consensus::{APPEND_BYTES, ELECTION_MIN_MS, HEARTBEAT_MS};
 
 impl Consensus {
-    /// Appends batches of the application, if this member leads.
+    /// Appends batches of application bytes as entries, if this member leads.
     pub(crate) fn propose(&mut self, now_ms: u64, batches: Vec<Vec<u8>>) {
         if self.role == Role::Leader {
             self.append_own(now_ms, batches.into_iter().map(Payload::Batch).collect());
         }
     }
 
-    /// Appends entries to the leader's own log, and replicates them while they are written.
+    /// Appends entries to the leader's own log, and replicates them while they are being written to
+    /// disk.
     pub(crate) fn append_own(&mut self, now_ms: u64, payloads: Vec<Payload>) {
         let mut entries = Vec::with_capacity(payloads.len());
         for payload in payloads {
@@ -28,7 +29,8 @@
         self.advance_commit();
     }
 
-    /// Heartbeats; a leader without a lease to which nobody responds steps down (thesis, 6.2).
+    /// Sends heartbeats when they are due. A leader without a lease steps down if no follower has
+    /// responded for `ELECTION_MIN_MS` (thesis, 6.2).
     pub(crate) fn leader_tick(&mut self, now_ms: u64) {
         if self.is_unreachable(now_ms) {
             return self.become_follower(now_ms, self.term, None);
@@ -59,8 +61,8 @@
         self.leader_state.progress.keys().copied().collect()
     }
 
-    /// Sends what the in-flight bound allows; a heartbeat is sent in any case, without entries if
-    /// need be.
+    /// Sends the entries or snapshot chunks that the in-flight limit allows. A heartbeat is always
+    /// sent, without entries if no frame with entries was.
     pub(crate) fn send_append(&mut self, now_ms: u64, id: MemberId, is_heartbeat: bool) {
         let Some(progress) = self.leader_state.progress.get(&id) else { return };
         let needs_snapshot = progress.snapshot.is_some() || progress.next <= self.log.base();
@@ -73,7 +75,8 @@
         }
     }
 
-    /// Sends frames of entries until the follower has enough in flight; whether any was sent.
+    /// Sends frames of entries until the in-flight limit or the end of the log is reached. Returns
+    /// whether any was sent.
     fn send_entries(&mut self, now_ms: u64, id: MemberId) -> bool {
         let mut sent = false;
         while let Some(progress) = self.leader_state.progress.get(&id) {
@@ -102,7 +105,7 @@
         self.send(to, Message::Append(append));
     }
 
-    /// A follower confirmed entries, or refused them.
+    /// Handles a follower's confirmation or refusal of entries.
     pub(crate) fn on_append_response(
         &mut self,
         now_ms: u64,
