--- a/crates/consensus/src/campaign.rs
+++ b/crates/consensus/src/campaign.rs
@@ -9,18 +9,18 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Election {
     due_ms: u64,
-    /// Start of this incarnation.
+    /// When this incarnation of the member started.
     started_ms: u64,
-    /// Members that granted the vote or pre-vote in progress, with this one.
+    /// Members that granted the vote or pre-vote in progress, including this one.
     votes: BTreeSet<MemberId>,
-    /// The candidacy follows a probe round in which nobody led.
+    /// Whether the candidacy follows a probe round in which no member led.
     pub leaderless: bool,
-    /// State of the generator that spreads the timers.
+    /// State of the xorshift generator that randomizes the election time-outs.
     random: u64,
 }
 
 impl Election {
-    /// A timer with its first spread.
+    /// Returns the state at the start of an incarnation, with the first random time-out.
     pub fn new(seed: u64, now_ms: u64) -> Self {
         let mut election = Election {
             due_ms: 0,
@@ -33,33 +33,35 @@
         election
     }
 
-    /// Starts the timer anew, with a spread drawn at random (thesis, 3.4).
+    /// Restarts the timer with a time-out drawn at random (thesis, 3.4).
     pub fn reset_timer(&mut self, now_ms: u64) {
         let spread_ms = self.random() % ELECTION_SPREAD_MS;
         self.due_ms = now_ms + ELECTION_MIN_MS + spread_ms;
     }
 
-    /// Gives a candidate time to win.
+    /// Delays the end of the timer to `until_ms`, if it would end earlier.
     fn postpone(&mut self, until_ms: u64) {
         self.due_ms = self.due_ms.max(until_ms);
     }
 
-    /// Whether the timer has run out.
+    /// Returns whether the timer has run out.
     pub fn is_due(&self, now_ms: u64) -> bool {
         now_ms >= self.due_ms
     }
 
-    /// Until when an earlier incarnation of this member may be bound to a leader.
+    /// Returns the time until which this member withholds its vote after its start, because an
+    /// earlier incarnation of it may have confirmed a leader's lease.
     pub fn bound_by_start_until_ms(&self) -> u64 {
         self.started_ms + ELECTION_MIN_MS
     }
 
-    /// Defers to a candidate that this member gave its pre-vote.
+    /// Postpones this member's own candidacy, so that a candidate that received its pre-vote has
+    /// time to win.
     pub fn defer_to_candidate(&mut self, now_ms: u64) {
         self.postpone(now_ms + ELECTION_SPREAD_MS);
     }
 
-    /// What later behaviour depends on, but for the generator's state.
+    /// Hashes what later behaviour depends on, except for the generator's state.
     pub fn fingerprint(&self, time: crate::FingerprintTime, into: &mut impl Hasher) {
         (&self.votes, self.leaderless).hash(into);
         (time.age(self.started_ms), time.until(self.due_ms)).hash(into);
@@ -74,7 +76,8 @@
 }
 
 impl Consensus {
-    /// Asks all members whether this one would win an election, without a new term.
+    /// Requests pre-votes from all other voters, to learn whether this member would win an
+    /// election, without starting a term.
     pub(crate) fn start_pre_vote(&mut self, now_ms: u64, leaderless: bool) {
         self.election.reset_timer(now_ms);
         if self.is_disk_stalled() {
@@ -93,7 +96,7 @@
         }
     }
 
-    /// Begins a term as candidate. Its own vote is synced before it requests others.
+    /// Starts a term as its candidate. This member's own vote is synced before it requests others.
     pub(crate) fn start_vote(&mut self, now_ms: u64, leadership_transfer: bool) {
         self.election.reset_timer(now_ms);
         if self.is_disk_stalled() {
@@ -159,7 +162,7 @@
         }
     }
 
-    /// Only voters of this member's own configuration count (thesis, 4.1).
+    /// Counts a vote, if the voter belongs to this member's own configuration (thesis, 4.1).
     fn count_vote(&mut self, from: Member) {
         if self.log.is_member(from.id) {
             self.election.votes.insert(from.id);
--- a/crates/consensus/src/leader_contact.rs
+++ b/crates/consensus/src/leader_contact.rs
@@ -1,27 +1,28 @@
-//! What a member knows of its leader: who it is, and when its last message arrived.
+//! State that a member keeps about its leader: its identity, and when its last message arrived.
 
 use crate::{Consensus, FingerprintTime, Member, MemberId, Role};
 use postbarrow_constants::consensus::ELECTION_MIN_MS;
 use std::hash::{Hash, Hasher};
 
-/// A member's contact with its leader.
+/// The leader that a member follows, and when the member received from a leader.
 #[derive(Clone, Debug)]
 pub(crate) struct LeaderContact {
     pub leader: Option<MemberId>,
-    /// When a message of a leader arrived last.
+    /// When the last message of a leader arrived, by this member's clock.
     pub last_contact_ms: u64,
-    /// Smallest difference observed between this clock and the leader's: that of the message with
-    /// the least delay.
+    /// Smallest difference observed between this member's clock and the leader's send time, which
+    /// is that of the message with the least delay; absent before the leader's first message.
     min_offset_ms: Option<i64>,
 }
 
 impl LeaderContact {
-    /// At the start of an incarnation, which counts as a contact.
+    /// Returns the state at the start of an incarnation, which counts as a contact with a leader.
     pub fn new(now_ms: u64) -> Self {
         LeaderContact { leader: None, last_contact_ms: now_ms, min_offset_ms: None }
     }
 
-    /// Follows this leader, or none. Another leader has another clock.
+    /// Sets the leader that is followed, if any. The clock difference is forgotten when the leader
+    /// changes, because another leader has another clock.
     pub fn follow(&mut self, leader: Option<MemberId>) {
         if leader != self.leader {
             self.min_offset_ms = None;
@@ -29,12 +30,14 @@
         self.leader = leader;
     }
 
-    /// A former leader counts as contacted by itself at that time.
+    /// Moves the time of the last contact forward to `at_ms`, if it was earlier. A leader that
+    /// steps down counts as having been in contact with itself.
     pub fn raise_last_contact(&mut self, at_ms: u64) {
         self.last_contact_ms = self.last_contact_ms.max(at_ms);
     }
 
-    /// Until when a voter grants no vote: longer than the lease that its response confirms.
+    /// Returns the time until which this member withholds its vote because of its last contact.
+    /// That is longer than the lease that its response confirms.
     pub fn bound_until_ms(&self) -> u64 {
         self.last_contact_ms + ELECTION_MIN_MS
     }
@@ -46,20 +49,21 @@
         self.min_offset_ms = Some(min_ms);
     }
 
-    /// By how much longer than the fastest message of this leader one was delayed.
+    /// Returns by how many milliseconds a message was delayed longer than the leader's fastest one.
     pub fn excess_delay_ms(&self, now_ms: u64, sent_ms: u64) -> u64 {
         let offset_ms = now_ms as i64 - sent_ms as i64;
         self.min_offset_ms.map_or(0, |min_ms| (offset_ms - min_ms).max(0) as u64)
     }
 
-    /// What later behaviour depends on, but for the clock offset.
+    /// Hashes what later behaviour depends on, except for the clock difference.
     pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
         (self.leader, time.age(self.last_contact_ms)).hash(into);
     }
 }
 
 impl Consensus {
-    /// A message of the leader of this term arrived: no election while such messages come.
+    /// Handles the arrival of a message of the leader of `term`: this member follows it, and starts
+    /// no election while such messages arrive.
     pub(crate) fn on_leader_contact(&mut self, now_ms: u64, from: Member, term: u64, sent_ms: u64) {
         let is_followed = self.role == Role::Follower && self.contact.leader == Some(from.id);
         if term > self.term || !is_followed {
--- a/crates/consensus/src/leader_lease.rs
+++ b/crates/consensus/src/leader_lease.rs
@@ -1,17 +1,17 @@
-//! When the leader's lease ends (thesis, 6.4.1).
+//! The end of the leader's lease (thesis, 6.4.1).
 //!
-//! A follower that responds to a leader grants no vote for `ELECTION_MIN_MS` from then on (see
-//! `vote_granting`), and the leader counts its lease, which is shorter, from when it sent what was
-//! answered. So no other leader is elected within the lease, as long as no clock gains the
-//! difference within that time.
+//! A follower that responds to a leader grants no vote for `ELECTION_MIN_MS` after it received the
+//! leader's message (see `vote_granting`). The leader counts its lease, which is shorter, from when
+//! it sent the message that was answered. So no other leader is elected during the lease, provided
+//! that no clock gains the difference between the two times within that period.
 
 use crate::{Consensus, Role};
 use postbarrow_constants::consensus::LEADER_LEASE_MS;
 
 impl Consensus {
-    /// End of the lease that a majority confirmed, by this leader's own send times in milliseconds;
-    /// zero for a member without a lease. A leader that relinquished its lease has none for the
-    /// rest of its term.
+    /// Returns the end of the lease that a majority confirmed, in milliseconds of this leader's
+    /// clock, counted from its own send times; zero for a member without a lease. A leader that
+    /// relinquished its lease has none for the rest of its term.
     pub fn lease_until(&self) -> u64 {
         if self.role != Role::Leader || self.leader_state.is_transferring {
             return 0;
--- a/crates/consensus/src/leader_probe.rs
+++ b/crates/consensus/src/leader_probe.rs
@@ -1,32 +1,32 @@
-//! How a cluster without a leader elects at once.
+//! Probes for a leader, by which a cluster without one elects at once.
 //!
-//! A lease is only in the memory of the leader. So when every member denies in one round that it
-//! leads, no lease is left, and nobody needs to wait for its end: after all have restarted at once,
-//! or the leader alone.
+//! A lease exists only in the memory of the leader. So when every member reports in one round that
+//! it does not lead, no lease is left, and no member needs to wait for one to end. This is the case
+//! after all members have restarted at the same time, or the leader alone.
 //!
 //! Rounds are numbered from a random start in each incarnation, so that no response to an earlier
-//! incarnation counts. A member that comes to lead after its response starts its term with an entry
-//! that the prober lacks, and the members that confirm its lease have that entry and refuse the
-//! prober their votes.
+//! incarnation counts. A member that becomes leader after its response starts its term with an
+//! entry that the probing member lacks; the members that confirm its lease have that entry and
+//! refuse the probing member their votes.
 
 use crate::{Consensus, FingerprintTime, Member, MemberId, Message, Role};
 use postbarrow_constants::consensus::LEADER_PROBE_MS;
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
-/// Rounds of asking all other members whether they lead.
+/// The probe rounds of a member, in each of which it asks all other voters whether they lead.
 #[derive(Clone, Debug)]
 pub(crate) struct ProbeState {
     round: u64,
     due_ms: u64,
-    /// Members that denied in this round that they lead.
+    /// Members that reported in the current round that they do not lead.
     non_leaders: BTreeSet<MemberId>,
-    /// This member denied that it leads, and had contact with no leader since.
+    /// Whether this member reported that it does not lead, and has received from no leader since.
     pub denied_leadership: bool,
 }
 
 impl ProbeState {
-    /// Before the first round of an incarnation.
+    /// Returns the state before the first round of an incarnation.
     pub fn new(seed: u64, now_ms: u64) -> Self {
         ProbeState {
             round: seed >> 1,
@@ -36,14 +36,14 @@
         }
     }
 
-    /// Later responses to this round are ignored: they may tell of a time before what was received
-    /// since.
+    /// Ends the current round. Its late responses are ignored, since they may describe the time
+    /// before a message that was received since.
     pub fn end_round(&mut self) {
         self.round += 1;
         self.non_leaders.clear();
     }
 
-    /// What later behaviour depends on.
+    /// Hashes what later behaviour depends on.
     pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
         (self.round, &self.non_leaders, self.denied_leadership).hash(into);
         time.until(self.due_ms).hash(into);
@@ -51,7 +51,8 @@
 }
 
 impl Consensus {
-    /// A member that just started and knows of no leader probes all others, round after round.
+    /// Probes all other voters, round after round, while this member knows no leader and has only
+    /// just started.
     pub(crate) fn probe_tick(&mut self, now_ms: u64) {
         let is_probing = self.is_without_leader()
             && now_ms < self.election.bound_by_start_until_ms()
@@ -73,7 +74,7 @@
         self.send(from, Message::LeaderProbeResponse { term: self.term, round, not_leading });
     }
 
-    /// Campaigns once all other members denied in one round that they lead.
+    /// Starts a candidacy once all other voters reported in one round that they do not lead.
     pub(crate) fn on_leader_probe_response(
         &mut self,
         now_ms: u64,
--- a/crates/consensus/src/leadership_transfer.rs
+++ b/crates/consensus/src/leadership_transfer.rs
@@ -1,11 +1,11 @@
-//! Leadership transfer (thesis, 3.10): a leader relinquishes its lease and lets a caught-up follower
-//! campaign at once.
+//! Leadership transfer (thesis, 3.10): a leader relinquishes its lease and lets a caught-up
+//! follower campaign at once.
 
 use crate::{Consensus, Effect, Member, Message, Role, TimeoutNow};
 
 impl Consensus {
-    /// The lease ends first and for the rest of the term, so that the others need not wait for it.
-    /// Without a caught-up follower nothing happens.
+    /// Transfers leadership to a caught-up follower, if there is one. The lease is relinquished
+    /// first and for the rest of the term, so that the others need not wait for its end.
     pub(crate) fn transfer_leadership(&mut self, now_ms: u64, handover_state: Vec<u8>) {
         if self.role != Role::Leader {
             return;
@@ -28,8 +28,8 @@
         candidates.next().map(|progress| progress.member)
     }
 
-    /// This member's leader lets it campaign: without a pre-vote, and though voters are bound to
-    /// that leader.
+    /// Starts an election at the request of this member's leader, without a pre-vote, and although
+    /// other voters still withhold their votes because of that leader.
     pub(crate) fn on_timeout_now(&mut self, now_ms: u64, from: Member, request: TimeoutNow) {
         let is_follower = self.role == Role::Follower && self.contact.leader == Some(from.id);
         if request.term != self.term || !is_follower || !self.log.is_member(self.id) {
--- a/crates/consensus/src/vote_granting.rs
+++ b/crates/consensus/src/vote_granting.rs
@@ -1,14 +1,15 @@
-//! Where a vote is granted: the election restriction (thesis, 3.6.1), the vote's persistence (3.8)
-//! and the refusal while a leader may hold a lease (4.2.3 and 6.4.1).
+//! Granting of votes: the election restriction (thesis, 3.6.1), the vote's persistence (3.8) and
+//! the refusal while a leader may have a lease (4.2.3 and 6.4.1).
 
 use crate::{Consensus, Member, Message, Role, VoteRequest};
 
 impl Consensus {
-    /// Answers whether this member would vote for the sender, without promising anything.
+    /// Responds whether this member would vote for the sender. The response binds this member to
+    /// nothing.
     ///
-    /// Whether the answer counts is for the candidate's configuration to say: a voter that has not
-    /// received yet the entry by which it joined must still answer, or the others may lack a
-    /// majority for ever.
+    /// The candidate counts responses by its own configuration, so this member responds whatever
+    /// its configuration is: a voter that has not yet received the entry that added it must still
+    /// respond, or the others may never have a majority.
     pub(crate) fn on_pre_vote(&mut self, now_ms: u64, from: Member, request: VoteRequest) {
         let granted = request.term > self.term
             && !self.is_disk_stalled()
@@ -23,7 +24,8 @@
         self.send(from, Message::PreVoteResponse { term, granted });
     }
 
-    /// Grants this member's vote of a term, once, and responds when the vote is on disk.
+    /// Grants this member's vote to at most one candidate in each term, and responds once the vote
+    /// is on disk.
     pub(crate) fn on_vote(&mut self, now_ms: u64, from: Member, request: VoteRequest) {
         let may_override = request.leadership_transfer || self.is_known_leaderless(&request);
         if self.is_bound_to_leader(now_ms) && !may_override {
@@ -46,8 +48,9 @@
         self.send_after_sync(from, response);
     }
 
-    /// A voter that had contact with a leader lately, or that just started and may have had,
-    /// grants nothing: the leader's lease rests on that.
+    /// Returns whether this member must not grant a vote: it has a lease as leader, received from a
+    /// leader within `ELECTION_MIN_MS`, or started within that time and may have received from one
+    /// before. The leader's lease relies on this.
     fn is_bound_to_leader(&self, now_ms: u64) -> bool {
         let has_lease = self.role == Role::Leader && now_ms < self.lease_until();
         let bound_until_ms =
@@ -55,13 +58,15 @@
         has_lease || now_ms < bound_until_ms
     }
 
-    /// The election restriction: the candidate's log has every committed entry.
+    /// Returns whether the candidate's log is at least as up to date as this member's. This is the
+    /// election restriction, by which an elected leader's log has every committed entry.
     fn is_up_to_date(&self, request: &VoteRequest) -> bool {
         (request.last_term, request.last_index) >= (self.log.last_term(), self.log.last_index())
     }
 
-    /// Of two members that campaign at once, the one with the longer log continues, or else the one
-    /// with the lower identity.
+    /// Returns whether this member lets another candidate continue. Of two members that campaign at
+    /// the same time, the one with the more up-to-date log continues, or else the one with the
+    /// lower identity.
     fn defers_to(&self, other: &Member, request: &VoteRequest) -> bool {
         let is_longer =
             (request.last_term, request.last_index) > (self.log.last_term(), self.log.last_index());
@@ -70,7 +75,9 @@
             || other.id < self.id
     }
 
-    /// Since this member denied that it leads, it had contact with no leader: nobody has a lease.
+    /// Returns whether the request follows a probe round in which no member led, and this member
+    /// has received from no leader since it reported that it does not lead: then no member has a
+    /// lease.
     fn is_known_leaderless(&self, request: &VoteRequest) -> bool {
         request.leaderless && self.probe.denied_leadership && self.role != Role::Leader
     }
