--- a/crates/consensus/src/departure.rs
+++ b/crates/consensus/src/departure.rs
@@ -1,6 +1,6 @@
-//! How this member departs before a planned stop: it announces it to all members, the leader gives
-//! its seat to a caught-up learner, and it may stop once the remaining members have all that it
-//! acknowledged. See `departure_granting` for the leader's part.
+//! Departure of this member before a planned stop. It announces its departure to all members, and
+//! the leader replaces it as a voter by a caught-up learner. It may stop once the remaining members
+//! have all entries that it acknowledged. See `departure_granting` for the leader's part.
 
 use crate::departure_granting::DepartingMember;
 use crate::{
@@ -9,29 +9,31 @@
 use postbarrow_constants::consensus::{HEARTBEAT_MS, RESPONSIVE_MS};
 use std::collections::BTreeMap;
 
-/// The departures of this member and of others.
+/// The departures of this member and of other members.
 #[derive(Clone, Debug)]
 pub(crate) struct Departures {
     own: Departure,
     announce_due_ms: u64,
-    /// Other members that announced theirs.
+    /// Other members that announced their departure.
     pub others: BTreeMap<MemberId, DepartingMember>,
 }
 
 impl Departures {
-    /// Nobody departs.
+    /// Returns the state in which no member departs.
     pub fn new(now_ms: u64) -> Self {
         Departures { own: Departure::Staying, announce_due_ms: now_ms, others: BTreeMap::new() }
     }
 }
 
-/// How far this member's own departure has come.
+/// Progress of this member's own departure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Departure {
     Staying,
-    /// Announced to all; this member continues to acknowledge entries, since the log may need it.
+    /// The departure is announced to all members. This member still acknowledges entries, since the
+    /// log may need it.
     Announced,
-    /// The others can do without it: it acknowledges nothing more since then.
+    /// A grant arrived that does not cover this member's last entry. It has acknowledged nothing
+    /// since then, so that its log no longer grows.
     Sealed {
         since_ms: u64,
     },
@@ -45,7 +47,7 @@
 }
 
 impl Consensus {
-    /// This member is about to stop. A leader transfers leadership first; see
+    /// Starts this member's departure. A leader transfers leadership first; see
     /// [`Input::TransferLeadership`](crate::Input::TransferLeadership).
     pub(crate) fn depart(&mut self, now_ms: u64) {
         if self.departures.own != Departure::Staying {
@@ -58,12 +60,13 @@
         self.departure_tick(now_ms);
     }
 
-    /// Whether this member was to depart, and the log does not depend on it any more.
+    /// Returns whether this member's departure is complete: the log no longer depends on it.
     pub fn has_departed(&self) -> bool {
         self.departures.own == Departure::Done
     }
 
-    /// Repeats the announcement; a seal that no grant followed is undone.
+    /// Repeats the announcement. A member that stopped acknowledging entries, but whose departure
+    /// was not granted within `RESPONSIVE_MS`, acknowledges entries again.
     pub(crate) fn departure_tick(&mut self, now_ms: u64) {
         if let Departure::Sealed { since_ms } = self.departures.own
             && now_ms > since_ms + RESPONSIVE_MS
@@ -76,7 +79,7 @@
         }
     }
 
-    /// To every member, so that a new leader knows it too.
+    /// Announces the departure to every other voter, so that a new leader knows of it too.
     fn announce_departure(&mut self, now_ms: u64) {
         self.departures.announce_due_ms = now_ms + HEARTBEAT_MS;
         let request = DepartureRequest { last_index: self.log.last_index() };
@@ -85,14 +88,16 @@
         }
     }
 
-    /// A sealed member acknowledges nothing more in its term; only a newer term may unseal it.
+    /// Returns whether this member ignores an append because a grant of its departure has arrived:
+    /// it acknowledges nothing more in its term. An append of a newer term is still handled.
     pub(crate) fn is_sealed_against(&self, append: &AppendRequest) -> bool {
         let is_sealed = matches!(self.departures.own, Departure::Sealed { .. } | Departure::Done);
         is_sealed && append.term <= self.term
     }
 
-    /// The first grant seals this member, and it announces its final log end; a grant that covers
-    /// that end completes the departure.
+    /// Handles the leader's permission to stop. If it covers this member's last entry, the
+    /// departure is complete. Otherwise this member stops acknowledging entries, so that its log no
+    /// longer grows, and announces its last index again.
     pub(crate) fn on_departure_granted(&mut self, now_ms: u64, grant: DepartureGranted) {
         if self.role == Role::Leader || !self.departures.own.is_pending() {
             return;
--- a/crates/consensus/src/departure_granting.rs
+++ b/crates/consensus/src/departure_granting.rs
@@ -1,4 +1,4 @@
-//! Where the leader grants a member's departure, and what it knows of members that depart. See
+//! Granting of departures by the leader, and the record of members that announced theirs. See
 //! `departure` for the departing member's part.
 
 use crate::{Consensus, DepartureGranted, DepartureRequest, Member, MemberId, Message};
@@ -10,13 +10,14 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DepartingMember {
     member: Member,
-    /// End of its log at its last announcement.
+    /// Index of the last entry in its log at its last announcement.
     last_index: u64,
     announced_ms: u64,
 }
 
 impl Consensus {
-    /// Another member announces its departure; every member remembers it for a while.
+    /// Records another member's announcement. Every member remembers it for
+    /// `DEPARTING_RETENTION_MS`.
     pub(crate) fn on_departure_request(
         &mut self,
         now_ms: u64,
@@ -31,7 +32,7 @@
         self.grant_departures(now_ms);
     }
 
-    /// Grants the departures that the log can do without.
+    /// Grants the departures of all announced members on which the log no longer depends.
     pub(crate) fn grant_departures(&mut self, now_ms: u64) {
         let others: Vec<DepartingMember> = self.departures.others.values().copied().collect();
         for departing in others {
@@ -43,8 +44,8 @@
         }
     }
 
-    /// All responsive voters that remain have what the departing member has, they are a majority
-    /// without it, and no learner waits for its seat.
+    /// Returns whether a member may stop: all responsive voters that remain have the entries that
+    /// it has, they are a majority without it, and no learner waits to replace it.
     fn may_depart(&self, now_ms: u64, departing: &DepartingMember) -> bool {
         if !self.is_ready() || self.log.config_index() > self.commit_index {
             return false;
@@ -63,8 +64,8 @@
             && !(has_seat && self.may_learner_wait(now_ms))
     }
 
-    /// Whether a learner responds or just came, or one may exist that has not reached this new
-    /// leader yet.
+    /// Returns whether a learner responds or has only just joined, or may exist that has not
+    /// reached this newly elected leader yet.
     fn may_learner_wait(&self, now_ms: u64) -> bool {
         let is_waiting = |id: &MemberId| {
             let progress = self.leader_state.progress.get(id);
@@ -75,14 +76,14 @@
             || self.leader_state.learners.keys().any(is_waiting)
     }
 
-    /// Whether this member announced its departure lately.
+    /// Returns whether a member announced its departure within the last `RESPONSIVE_MS`.
     pub(crate) fn is_departing(&self, now_ms: u64, id: MemberId) -> bool {
         let departing = self.departures.others.get(&id);
         departing.is_some_and(|departing| now_ms <= departing.announced_ms + RESPONSIVE_MS)
     }
 
-    /// Whether it announced its departure and did not respond since: it is taken for dead without
-    /// waiting for `voter_dead_ms`.
+    /// Returns whether a member announced its departure more than `RESPONSIVE_MS` ago and has sent
+    /// no response since that time passed: it counts as dead without waiting for `voter_dead_ms`.
     pub(crate) fn has_stopped(&self, now_ms: u64, id: MemberId) -> bool {
         let Some(departing) = self.departures.others.get(&id) else { return false };
         let until_ms = departing.announced_ms + RESPONSIVE_MS;
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,5 +1,5 @@
-//! How the members change: one member at a time (thesis, chapter 4), with learners that catch up
-//! before they vote (4.2.1).
+//! Membership changes, one member at a time (thesis, chapter 4), with learners that catch up before
+//! they become voters (4.2.1).
 
 use crate::progress::Progress;
 use crate::{Consensus, Member, MemberId, Payload, Role};
@@ -7,12 +7,14 @@
     LEARNER_LAG_ENTRIES, LEARNER_STANDBY_MS, RESPONSIVE_MS, VOTER_DEAD_MS, VOTERS,
 };
 
-/// How many voters there should be, and when one of them is replaced.
+/// The number of voters that the configuration should have, and the time after which an
+/// unresponsive one is replaced.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SeatPolicy {
-    /// Voters that the configuration grows to while learners are caught up.
+    /// Number of voters up to which the configuration grows while learners are caught up.
     pub voters: usize,
-    /// A voter without a response for this long is removed while a learner is caught up.
+    /// Time in milliseconds without a response after which a voter is removed, if a learner is
+    /// caught up.
     pub voter_dead_ms: u64,
 }
 
@@ -23,14 +25,15 @@
 }
 
 impl SeatPolicy {
-    /// As many voters as a majority needs after so many losses at once.
+    /// Sets the number of voters such that a majority remains after `losses` of them are lost at
+    /// once.
     pub fn set_losses(&mut self, losses: usize) {
         self.voters = VOTERS.max(2 * losses + 1);
     }
 }
 
 impl Consensus {
-    /// A process asks to follow the log: it becomes a learner, or a voter's address is updated.
+    /// Adds a process as a learner; if it is a voter already, its address is updated instead.
     pub(crate) fn add_learner(&mut self, now_ms: u64, member: Member) {
         let is_departing = self.is_departing(now_ms, member.id);
         if self.role != Role::Leader || member.id == self.id || is_departing {
@@ -47,8 +50,8 @@
         self.follow_progress_of(now_ms, member, next);
     }
 
-    /// One step at a time (thesis, 4.1), and none that would leave the log without a majority of
-    /// responsive voters.
+    /// Proposes the next configuration: one change at a time (thesis, 4.1), and none that would
+    /// leave the log without a majority of responsive voters.
     pub(crate) fn membership_tick(&mut self, now_ms: u64) {
         if !self.is_ready() || self.log.config_index() > self.commit_index {
             return;
@@ -62,11 +65,15 @@
         }
     }
 
-    /// A dead voter is removed first, then the learner joins: if the learner is lost meanwhile, no
-    /// majority of four lacks it. A responsive voter that departs is removed last: four responsive
-    /// voters bear a loss at each step, and if one of them does not respond, the departure is the
-    /// more certain loss. No voter is removed before the learner has responded for longer than
-    /// `RESPONSIVE_MS`, since it may run on the machine of a voter that was lost a moment ago.
+    /// Returns the next configuration, if the voters should change.
+    ///
+    /// A dead voter is removed before the learner is added: otherwise there would be four voters,
+    /// of which no majority would be left if the learner were lost as well. A responsive voter that
+    /// departs is removed after the learner is added: four responsive voters bear a loss at each
+    /// step. If one of the four does not respond but does not count as dead, the departing voter is
+    /// removed, since its loss is the more certain one. No voter is removed before the learner has
+    /// responded for longer than `RESPONSIVE_MS`, since the learner may run on the machine of a
+    /// voter that was lost a moment ago.
     fn next_members(&self, now_ms: u64) -> Option<Vec<Member>> {
         let members = self.log.members();
         if members.len() > self.seats.voters {
@@ -93,7 +100,7 @@
         self.log.members().iter().filter(|member| member.id != removed).copied().collect()
     }
 
-    /// Of the voters that count as dead, the one whose last response is oldest.
+    /// Returns the voter with the oldest last response among those that count as dead.
     fn dead_voter(&self, now_ms: u64) -> Option<MemberId> {
         let silent_ms = |id: MemberId| {
             self.leader_state.progress.get(&id).map_or(0, |progress| progress.silent_ms(now_ms))
@@ -104,7 +111,7 @@
         self.peer_ids().filter(is_dead).max_by_key(|id| silent_ms(*id))
     }
 
-    /// A responsive voter that announced its departure.
+    /// Returns a voter that is departing and still announces it.
     fn departing_voter(&self, now_ms: u64) -> Option<MemberId> {
         self.peer_ids().find(|id| self.is_departing(now_ms, *id))
     }
@@ -113,8 +120,9 @@
         self.log.members().iter().map(|member| member.id).filter(|id| *id != self.id)
     }
 
-    /// Whether it responded to this leader lately, or this member was elected lately and cannot
-    /// tell yet.
+    /// Returns whether a voter or learner responded to this leader within `RESPONSIVE_MS`. One that
+    /// this leader has only begun to replicate to counts as responsive for that time, because it
+    /// may not have been able to respond yet.
     pub(crate) fn is_responsive(&self, now_ms: u64, id: MemberId) -> bool {
         let progress = self.leader_state.progress.get(&id);
         progress.is_some_and(|progress| progress.silent_ms(now_ms) < RESPONSIVE_MS)
@@ -129,7 +137,8 @@
         self.leader_state.learners.values().find(is_caught_up).copied()
     }
 
-    /// The same disk at another address: the voters remain the same, so one step is enough.
+    /// Proposes a voter's new address. The disk and the set of voters stay the same, so one step is
+    /// enough.
     fn change_address(&mut self, now_ms: u64, moved: Member) {
         let mut members = self.members_without(moved.id);
         members.push(moved);
