--- a/crates/consensus/src/compaction.rs
+++ b/crates/consensus/src/compaction.rs
@@ -1,5 +1,5 @@
-//! When a snapshot replaces the log's beginning (thesis, chapter 5), and which entries are retained
-//! behind it.
+//! Replacement of the log's beginning by a snapshot (thesis, chapter 5), and the entries that are
+//! retained behind the snapshot.
 
 use crate::outgoing_snapshot::OutgoingSnapshot;
 use crate::{Consensus, Snapshot, Write};
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 
 impl Consensus {
-    /// The application took a snapshot at `index`: it is written to a slot with the entries after
-    /// it, and old entries are dropped from memory.
+    /// Replaces the log up to `index` by a snapshot that the application took there: writes it to a
+    /// slot with the entries after it, and drops old entries from memory.
     pub(crate) fn compact(&mut self, now_ms: u64, index: u64, state: Vec<u8>) {
         let Some(term) = self.log.term_at(index) else { return };
         if index > self.commit_index || index <= self.snapshot_index() {
@@ -22,8 +22,11 @@
         self.write_slot(snapshot);
     }
 
-    /// Entries that a live follower lacks are retained, or it would need snapshot after snapshot:
-    /// up to as many bytes as its snapshot has, since the link carries those in the same time.
+    /// Drops entries up to `index` from memory, except for a number of the newest ones and for
+    /// those that a live follower lacks, which would otherwise need one snapshot after another. For
+    /// such a follower, at most `ENTRIES_RETAINED_MAX_BYTES` are retained or, if that is more, as
+    /// many bytes as the snapshot that is being sent to it has, since the link carries those in the
+    /// same time.
     fn drop_entries(&mut self, now_ms: u64, index: u64) {
         let mut base = self.log.base_retaining(index, ENTRIES_RETAINED, ENTRIES_RETAINED_BYTES);
         let followers = self.leader_state.progress.values();
--- a/crates/consensus/src/deferred_sends.rs
+++ b/crates/consensus/src/deferred_sends.rs
@@ -1,10 +1,11 @@
-//! Messages that acknowledge or grant something, deferred until the writes that they depend on are synced.
+//! Messages that acknowledge or grant something, deferred until the writes that they depend on are
+//! synced.
 
 use crate::{AppendResponse, FingerprintTime, Member, Message};
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
 
-/// A message and the newest write that it depends on.
+/// A deferred message, and the sequence number of the newest write that it depends on.
 #[derive(Clone, Debug)]
 struct DeferredSend {
     sequence: u64,
@@ -12,15 +13,16 @@
     message: Message,
 }
 
-/// Messages in the order of their writes.
+/// Deferred messages in the order of the writes that they depend on.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DeferredSends {
     queue: VecDeque<DeferredSend>,
 }
 
 impl DeferredSends {
-    /// Defers a message until that write is synced. While a disk does not respond, heartbeats
-    /// arrive and no write is issued: their responses to one leader become one.
+    /// Defers a message until the write with this sequence number is synced. While a disk does not
+    /// respond, heartbeats arrive and no write is issued; the responses to one leader are then
+    /// merged into one.
     pub fn push(&mut self, sequence: u64, to: Member, message: Message) {
         if let Message::AppendResponse(newer) = &message
             && let Some(last) = self.queue.back_mut()
@@ -33,13 +35,13 @@
         self.queue.push_back(DeferredSend { sequence, to, message });
     }
 
-    /// The next message whose write is synced.
+    /// Removes and returns the next message, if its write is synced.
     pub fn pop(&mut self, synced: u64) -> Option<(Member, Message)> {
         let next = self.queue.pop_front_if(|next| next.sequence <= synced)?;
         Some((next.to, next.message))
     }
 
-    /// What later behaviour depends on.
+    /// Hashes what later behaviour depends on.
     pub fn fingerprint(&self, synced: u64, time: FingerprintTime, into: &mut impl Hasher) {
         for deferred in &self.queue {
             (deferred.sequence.saturating_sub(synced), deferred.to).hash(into);
@@ -48,8 +50,8 @@
     }
 }
 
-/// Both respond to the same leader and depend on the same write, so no entry was replaced between
-/// them: what either confirms is true.
+/// Merges a newer response into an older one. Both respond to the same leader and depend on the
+/// same write, so no entry was replaced between them, and what either confirms is true.
 fn merge(older: &mut AppendResponse, newer: &AppendResponse) {
     older.matched = older.matched.max(newer.matched);
     older.hint = newer.hint;
--- a/crates/consensus/src/disk_health.rs
+++ b/crates/consensus/src/disk_health.rs
@@ -1,37 +1,40 @@
-//! Whether this member's disk keeps up, judged from its own writes: no I/O is needed.
+//! Detection of a stalled disk by the age of this member's own writes, without additional I/O.
 //!
-//! A disk is stalled while its oldest unsynced write is older than a bound. Such a member neither
-//! campaigns nor votes, and if it leads it transfers leadership: everything it acknowledges waits for
-//! its disk. The first sync that returns makes it an ordinary follower again.
+//! A disk is stalled while its oldest unsynced write is older than a limit. A member with a stalled
+//! disk neither campaigns nor votes, and if it leads, it transfers leadership, because everything
+//! that it acknowledges waits for its disk. The first sync that returns makes it an ordinary
+//! follower again.
 
 use crate::{Consensus, FingerprintTime, Role};
 use postbarrow_constants::consensus::*;
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
 
-/// Two inputs further apart than this mean that the process itself was paused.
+/// Interval between two inputs above which the process itself is assumed to have been paused.
 const PROCESS_PAUSE_MS: u64 = 5 * TICK_MS;
 
-/// Consecutive writes of one millisecond that are not synced.
+/// Consecutive writes that were issued in the same millisecond and are not synced.
 #[derive(Clone, Copy, Debug)]
 struct UnsyncedWrites {
     last_sequence: u64,
     issued_ms: u64,
 }
 
-/// The writes that wait for their sync, by age.
+/// The writes that are not synced, oldest first, and the clock that gives their age.
 #[derive(Clone, Debug)]
 pub(crate) struct DiskHealth {
     now_ms: u64,
     unsynced: VecDeque<UnsyncedWrites>,
-    /// The newest write of a slot, which takes longer.
+    /// Sequence number of the newest write of a slot, which takes longer than other writes; zero if
+    /// there was none.
     newest_slot: u64,
-    /// Since when this leader has been due to transfer leadership because of its disk.
+    /// Since when this leader should transfer leadership because of its disk; absent if it should
+    /// not.
     transfer_due_since_ms: Option<u64>,
 }
 
 impl DiskHealth {
-    /// Nothing is written yet.
+    /// Returns the state before the first write.
     pub fn new(now_ms: u64) -> Self {
         DiskHealth {
             now_ms,
@@ -41,7 +44,8 @@
         }
     }
 
-    /// A process observes its disk while it runs: a pause makes no write older.
+    /// Sets the clock to `now_ms`. A disk can only be observed while the process runs, so a pause
+    /// of the process does not add to the age of a write.
     pub fn advance_clock(&mut self, now_ms: u64) {
         let gap_ms = now_ms.saturating_sub(self.now_ms);
         self.now_ms = self.now_ms.max(now_ms);
@@ -50,7 +54,7 @@
         }
     }
 
-    /// A write is issued now.
+    /// Records a write that is issued now.
     pub fn on_write(&mut self, sequence: u64, is_slot: bool) {
         if is_slot {
             self.newest_slot = sequence;
@@ -63,14 +67,14 @@
         }
     }
 
-    /// All writes up to `sequence` are synced.
+    /// Removes all writes up to `sequence`, which are synced.
     pub fn on_synced(&mut self, sequence: u64) {
         while self.unsynced.front().is_some_and(|writes| writes.last_sequence <= sequence) {
             self.unsynced.pop_front();
         }
     }
 
-    /// What later behaviour depends on.
+    /// Hashes what later behaviour depends on.
     pub fn fingerprint(&self, synced: u64, time: FingerprintTime, into: &mut impl Hasher) {
         for writes in &self.unsynced {
             let ahead = writes.last_sequence.saturating_sub(synced);
@@ -89,21 +93,22 @@
 }
 
 impl Consensus {
-    /// Whether this member's disk is stalled: it neither campaigns nor votes, and should not lead.
+    /// Returns whether this member's disk is stalled. Such a member neither campaigns nor votes,
+    /// and should not lead.
     pub fn is_disk_stalled(&self) -> bool {
         self.disk.is_stalled()
     }
 
-    /// Whether this member leads with a stalled disk while another member responds: its owner
-    /// should give [`Input::TransferLeadership`](crate::Input::TransferLeadership).
+    /// Returns whether this member leads with a stalled disk while another voter responds. Its
+    /// owner should then pass [`Input::TransferLeadership`](crate::Input::TransferLeadership).
     pub fn should_transfer_leadership(&self) -> bool {
         self.role == Role::Leader
             && self.is_disk_stalled()
             && self.peers().iter().any(|peer| self.is_responsive(self.disk.now_ms, peer.id))
     }
 
-    /// A leader with a stalled disk whose transfer did not succeed steps down, so that the others
-    /// hold an election.
+    /// Makes a leader with a stalled disk step down if it could not transfer leadership within
+    /// `DISK_STEP_DOWN_MS`, so that the others hold an election.
     pub(crate) fn stalled_leader_tick(&mut self, now_ms: u64) {
         if self.role != Role::Leader {
             self.disk.transfer_due_since_ms = None;
--- a/crates/consensus/src/durability.rs
+++ b/crates/consensus/src/durability.rs
@@ -1,27 +1,29 @@
-//! What of this member's own log is on disk, and which messages wait for a write (thesis, 3.8 and
-//! 10.2.1).
+//! The part of this member's log that is on disk, and the messages that wait for a write (thesis,
+//! 3.8 and 10.2.1).
 
 use crate::deferred_sends::DeferredSends;
 use crate::{Consensus, FingerprintTime, Member, Message, Role};
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
 
-/// The writes issued and synced so far.
+/// The writes issued and synced so far, and the messages that wait for them.
 #[derive(Clone, Debug)]
 pub(crate) struct Durability {
-    /// The newest write issued.
+    /// Sequence number of the newest write issued, or zero.
     sequence: u64,
-    /// The newest write synced.
+    /// Sequence number of the newest write synced, or zero.
     synced: u64,
-    /// Sequence of each write with entries that is not synced, and the log's end after it.
+    /// Sequence number of each unsynced write that contains entries, with the log's last index
+    /// after it.
     appended: VecDeque<(u64, u64)>,
-    /// The newest entry on this disk.
+    /// Index of the newest entry of the log that is on this member's disk.
     matched: u64,
     deferred: DeferredSends,
 }
 
 impl Durability {
-    /// Everything up to the log's end was recovered from the disk.
+    /// Returns the state at the start, when all entries up to `last_index` were recovered from the
+    /// disk.
     pub fn new(last_index: u64) -> Self {
         Durability {
             sequence: 0,
@@ -32,23 +34,23 @@
         }
     }
 
-    /// Number of the write that is issued now.
+    /// Returns the sequence number of the write that is issued now.
     pub fn next_sequence(&mut self) -> u64 {
         self.sequence += 1;
         self.sequence
     }
 
-    /// The newest entry on this disk.
+    /// Returns the index of the newest entry of the log that is on this member's disk.
     pub fn matched(&self) -> u64 {
         self.matched
     }
 
-    /// The write issued last brings the log up to `last_index`.
+    /// Records that the write issued last extends the log on disk to `last_index`.
     pub fn on_append(&mut self, last_index: u64) {
         self.appended.push_back((self.sequence, last_index));
     }
 
-    /// Entries after `last_index` are replaced: their writes don't count.
+    /// Records that the entries after `last_index` are replaced: writes of them no longer count.
     pub fn on_truncate(&mut self, last_index: u64) {
         self.matched = self.matched.min(last_index);
         for (_, appended) in &mut self.appended {
@@ -56,13 +58,13 @@
         }
     }
 
-    /// The log was replaced by a snapshot that is not on disk yet.
+    /// Records that the log was replaced by a snapshot that is not on disk yet.
     pub fn on_log_replaced(&mut self) {
         self.appended.clear();
         self.matched = 0;
     }
 
-    /// Returns a message that may be sent now, since all writes are synced, or defers it.
+    /// Returns the message if it may be sent now, since all writes are synced; otherwise defers it.
     pub fn defer(&mut self, to: Member, message: Message) -> Option<Message> {
         if self.sequence <= self.synced {
             return Some(message);
@@ -80,8 +82,8 @@
         }
     }
 
-    /// What later behaviour depends on. Only how far each write is ahead of the newest sync
-    /// matters, not its number.
+    /// Hashes what later behaviour depends on. Only how far each write is ahead of the newest sync
+    /// matters, not its sequence number.
     pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
         (self.matched, self.sequence - self.synced).hash(into);
         for (sequence, last_index) in &self.appended {
@@ -90,14 +92,15 @@
         self.deferred.fingerprint(self.synced, time, into);
     }
 
-    /// The newest write synced.
+    /// Returns the sequence number of the newest write synced, or zero.
     pub fn synced(&self) -> u64 {
         self.synced
     }
 }
 
 impl Consensus {
-    /// All writes up to `sequence` are on disk: what waited for them is sent, and counts.
+    /// Handles the sync of all writes up to `sequence`: sends the messages that waited for them
+    /// and, on a leader, commits the entries that a majority now has on disk.
     pub(crate) fn on_synced(&mut self, sequence: u64) {
         self.durability.on_synced(sequence);
         self.disk.on_synced(sequence);
--- a/crates/consensus/src/fingerprint.rs
+++ b/crates/consensus/src/fingerprint.rs
@@ -1,16 +1,16 @@
-//! Identity of a state, for searches over many of them: equal fingerprints mean equal behaviour from
-//! there on, but for the spread of election timers.
+//! Fingerprints of a member's state, for searches over many states: equal fingerprints mean equal
+//! behaviour from there on, except for the random part of election time-outs.
 
 use crate::{Consensus, Message};
 use std::hash::{Hash, Hasher};
 
-/// The time of a state. Times are hashed by their distance from it, and those older than the horizon
-/// are all alike.
+/// The time at which a state is fingerprinted. Other times are hashed by their distance from it,
+/// and all times older than the horizon have the same hash.
 #[derive(Clone, Copy)]
 pub struct FingerprintTime {
     /// Time of the state, in milliseconds.
     pub now_ms: u64,
-    /// Age from which times no longer differ, in milliseconds.
+    /// Age in milliseconds from which times are no longer distinguished.
     pub horizon_ms: u64,
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl Message {
-    /// Hashes the message with its send time as an age, and all else as it is.
+    /// Hashes the message, with its send time replaced by an age and everything else unchanged.
     pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
         let mut message = self.clone();
         match &mut message {
@@ -41,8 +41,9 @@
 }
 
 impl Consensus {
-    /// Hashes all that later behaviour depends on. The state of the random generator and the clock
-    /// offset are omitted, and so is what a departure adds, since no search begins one.
+    /// Hashes everything that later behaviour depends on, except for the state of the random
+    /// generator, the clock difference to the leader, and the state of departures, which no search
+    /// begins.
     pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
         (self.id, self.term, self.voted_for, self.commit_index, self.role).hash(into);
         (&self.log, &self.snapshot, &self.incoming, self.seats.voters).hash(into);
--- a/crates/consensus/src/incoming_snapshot.rs
+++ b/crates/consensus/src/incoming_snapshot.rs
@@ -1,8 +1,9 @@
-//! The recipient's end of one snapshot's transfer: chunks are joined in order, and checked.
+//! The recipient's side of a snapshot transfer: chunks are joined in order, and the complete state
+//! is checked.
 
 use crate::{MemberId, SnapshotChunk};
 
-/// What must agree in all chunks of one snapshot.
+/// Values that are equal in all chunks of one transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Source {
     from: MemberId,
@@ -13,7 +14,7 @@
     checksum: u32,
 }
 
-/// The bytes of one snapshot up to the first that is missing.
+/// A snapshot that is being received, up to its first missing byte.
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct IncomingSnapshot {
     source: Source,
@@ -21,7 +22,7 @@
 }
 
 impl IncomingSnapshot {
-    /// Continues the transfer in progress if the chunk is of the same snapshot, or begins a new one.
+    /// Continues the transfer in progress if the chunk belongs to it; otherwise begins a new one.
     pub fn resume(
         in_progress: Option<IncomingSnapshot>,
         from: MemberId,
@@ -39,7 +40,8 @@
         same.unwrap_or(IncomingSnapshot { source, state: Vec::new() })
     }
 
-    /// Joins the chunk if it is the next one.
+    /// Appends the chunk if it begins at the first missing byte and does not exceed the state's
+    /// size.
     pub fn add(&mut self, chunk: &SnapshotChunk) {
         let missing_bytes = self.source.total - self.received();
         if chunk.offset == self.received() && chunk.bytes.len() as u64 <= missing_bytes {
@@ -47,17 +49,17 @@
         }
     }
 
-    /// Bytes joined so far.
+    /// Returns the number of bytes received without a gap.
     pub fn received(&self) -> u64 {
         self.state.len() as u64
     }
 
-    /// Whether nothing is missing.
+    /// Returns whether all bytes of the state were received.
     pub fn is_complete(&self) -> bool {
         self.received() == self.source.total
     }
 
-    /// The complete state, if it is the one that the sender has.
+    /// Returns the complete state if its checksum equals the one that the sender computed.
     pub fn into_state(self) -> Option<Vec<u8>> {
         let is_intact = self.is_complete() && crc32fast::hash(&self.state) == self.source.checksum;
         is_intact.then_some(self.state)
--- a/crates/consensus/src/outgoing_snapshot.rs
+++ b/crates/consensus/src/outgoing_snapshot.rs
@@ -1,4 +1,4 @@
-//! The sender's end of one snapshot's transfer: chunks in flight, and those that are sent again.
+//! The sender's side of a snapshot transfer: chunks in flight, and chunks that are sent again.
 
 use crate::{FingerprintTime, Snapshot, SnapshotChunk, SnapshotResponse};
 use postbarrow_constants::consensus::{
@@ -7,28 +7,29 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// A transfer in progress: it continues with its own snapshot over newer ones.
+/// A snapshot transfer in progress. It continues with its own snapshot when a newer one exists.
 #[derive(Clone, Debug)]
 pub(crate) struct OutgoingSnapshot {
     snapshot: Arc<Snapshot>,
     checksum: u32,
-    /// A chunk was sent; even an empty state has one.
+    /// Whether a chunk was sent; even an empty state has one chunk.
     is_started: bool,
-    /// Bytes that the follower has received without a gap.
+    /// Number of bytes that the follower has received without a gap.
     confirmed: u64,
-    /// Bytes sent.
+    /// Number of bytes sent, counted from the beginning of the state.
     sent: u64,
-    /// When a chunk was last answered, or sent again for want of a response.
+    /// When a chunk was last answered, or was sent again because no response arrived.
     last_attempt_ms: u64,
     retry_interval_ms: u64,
-    /// When a chunk was sent again; nothing else is sent before its response.
+    /// When a chunk was last sent again; no other chunk is sent until that one is answered.
     resent_ms: Option<u64>,
-    /// When `sent` was last set back: responses to older chunks say nothing of what was sent since.
+    /// When `sent` was last set back. Responses to chunks sent earlier show nothing about chunks
+    /// sent since.
     rewound_ms: u64,
 }
 
 impl OutgoingSnapshot {
-    /// Begins at the first byte.
+    /// Returns a transfer that begins at the first byte.
     pub fn new(snapshot: Arc<Snapshot>, now_ms: u64) -> Self {
         OutgoingSnapshot {
             checksum: crc32fast::hash(&snapshot.state),
@@ -43,18 +44,18 @@
         }
     }
 
-    /// The last entry that the snapshot covers.
+    /// Returns the index of the last entry that the snapshot covers.
     pub fn index(&self) -> u64 {
         self.snapshot.index
     }
 
-    /// Bytes of the complete state.
+    /// Returns the size of the complete state in bytes.
     pub fn total(&self) -> u64 {
         self.snapshot.state.len() as u64
     }
 
-    /// Chunks to send now: as many as the in-flight bound allows, or one again that was not
-    /// answered.
+    /// Returns the chunks to send now: as many as the in-flight limit allows or, if no response
+    /// arrived within the retry interval, the first unconfirmed chunk again.
     pub fn take_due_chunks(&mut self, now_ms: u64, term: u64) -> Vec<SnapshotChunk> {
         if self.is_started && now_ms >= self.last_attempt_ms + self.retry_interval_ms {
             self.last_attempt_ms = now_ms;
@@ -72,7 +73,7 @@
         chunks
     }
 
-    /// What later behaviour depends on.
+    /// Hashes what later behaviour depends on.
     pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
         let interval_ms = self.retry_interval_ms;
         (self.snapshot.index, self.is_started, self.confirmed, self.sent, interval_ms).hash(into);
@@ -101,8 +102,9 @@
         }
     }
 
-    /// Continues after a chunk that joined, or goes back to where the follower lacks one. A response
-    /// to a chunk that was sent again covers all chunks before it, since a link keeps its order.
+    /// Handles the response to a chunk: continues after a chunk that was received in order, or goes
+    /// back to the first byte that the follower lacks. A response to a chunk that was sent again
+    /// covers all chunks before it, since a link keeps the order of messages.
     pub fn on_response(&mut self, now_ms: u64, response: &SnapshotResponse) {
         self.last_attempt_ms = now_ms;
         self.retry_interval_ms = SNAPSHOT_RETRY_MS;
--- a/crates/consensus/src/snapshot_installation.rs
+++ b/crates/consensus/src/snapshot_installation.rs
@@ -1,4 +1,4 @@
-//! Where a snapshot is installed: a follower receives its chunks, and replaces its state and log
+//! Installation of a snapshot: a follower receives its chunks, and replaces its state and log
 //! (thesis, figure 5.3).
 
 use crate::incoming_snapshot::IncomingSnapshot;
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 impl Consensus {
-    /// Joins a chunk, and installs the snapshot that it completes. A complete snapshot is
-    /// acknowledged once its slot is on disk.
+    /// Adds a chunk to the snapshot that is being received, and installs the snapshot once it is
+    /// complete. A complete snapshot is acknowledged once its slot is on disk.
     pub(crate) fn on_snapshot_chunk(&mut self, now_ms: u64, from: Member, chunk: SnapshotChunk) {
         let mut response = SnapshotResponse {
             term: self.term,
@@ -43,8 +43,8 @@
         self.send_after_sync(from, Message::SnapshotResponse(response));
     }
 
-    /// Entries after the snapshot are retained if the log has the snapshot's last entry; otherwise
-    /// the snapshot replaces the log.
+    /// Replaces the state by a snapshot. Entries after it are retained if the log has the
+    /// snapshot's last entry; otherwise the snapshot replaces the log.
     fn install(&mut self, snapshot: Arc<Snapshot>) {
         if !self.is_uninitialized() && self.log.term_at(snapshot.index) == Some(snapshot.term) {
             self.log.compact_to(snapshot.index);
--- a/crates/consensus/src/snapshot_sending.rs
+++ b/crates/consensus/src/snapshot_sending.rs
@@ -1,11 +1,12 @@
-//! How a leader sends its snapshot to a follower whose entries are dropped (thesis, figure 5.3).
+//! Sending of the leader's snapshot to a follower that lacks entries which the leader has dropped
+//! (thesis, figure 5.3).
 
 use crate::outgoing_snapshot::OutgoingSnapshot;
 use crate::{Consensus, Member, MemberId, Message, Role, SnapshotResponse};
 
 impl Consensus {
-    /// Sends the chunks that are due. A transfer continues to its end over newer snapshots, unless
-    /// its follower does not respond any more.
+    /// Sends the snapshot chunks that are due. A transfer continues to its end when a newer
+    /// snapshot exists, unless its follower no longer responds.
     pub(crate) fn send_snapshot(&mut self, now_ms: u64, id: MemberId) {
         let Some(newest) = self.snapshot.clone() else { return };
         let term = self.term;
@@ -19,7 +20,8 @@
         }
     }
 
-    /// A follower received a chunk, or has the complete snapshot on disk.
+    /// Handles a follower's response to a chunk, which it received or which completed the snapshot
+    /// on its disk.
     pub(crate) fn on_snapshot_response(
         &mut self,
         now_ms: u64,
