--- a/crates/consensus/src/campaign.rs
+++ b/crates/consensus/src/campaign.rs
@@ -62,9 +62,9 @@
     }
 
     /// Hashes what later behaviour depends on, except for the generator's state.
-    pub fn fingerprint(&self, time: crate::FingerprintTime, into: &mut impl Hasher) {
-        (&self.votes, self.leaderless).hash(into);
-        (time.age(self.started_ms), time.until(self.due_ms)).hash(into);
+    pub fn fingerprint(&self, time: crate::FingerprintTime, hasher: &mut impl Hasher) {
+        (&self.votes, self.leaderless).hash(hasher);
+        (time.age(self.started_ms), time.until(self.due_ms)).hash(hasher);
     }
 
     fn random(&mut self) -> u64 {
--- a/crates/consensus/src/commit.rs
+++ b/crates/consensus/src/commit.rs
@@ -8,11 +8,13 @@
     /// with it (thesis, 3.6.2).
     pub(crate) fn advance_commit(&mut self) {
         let members = self.log.members();
-        let mut matched: Vec<u64> = members.iter().map(|member| self.matched(member.id)).collect();
-        matched.sort_unstable_by(|a, b| b.cmp(a));
-        let replicated = matched.get(members.len() / 2).copied().unwrap_or(0);
-        if replicated > self.commit_index && self.log.term_at(replicated) == Some(self.term) {
-            self.commit_to(replicated);
+        let mut match_indexes: Vec<u64> =
+            members.iter().map(|member| self.match_index(member.id)).collect();
+        match_indexes.sort_unstable_by(|a, b| b.cmp(a));
+        let majority_index = match_indexes.get(members.len() / 2).copied().unwrap_or(0);
+        if majority_index > self.commit_index && self.log.term_at(majority_index) == Some(self.term)
+        {
+            self.commit_to(majority_index);
         }
     }
 
--- a/crates/consensus/src/compaction.rs
+++ b/crates/consensus/src/compaction.rs
@@ -32,11 +32,13 @@
         let followers = self.leader_state.progress.values();
         for progress in followers.filter(|progress| progress.is_live(now_ms)) {
             let sending = progress.snapshot.as_ref();
-            let matched = progress.matched;
-            let next = sending.map_or(matched, |sending| sending.index().max(matched));
+            let match_index = progress.match_index;
+            let follower_index =
+                sending.map_or(match_index, |sending| sending.index().max(match_index));
             let max_bytes =
                 sending.map_or(0, OutgoingSnapshot::total).max(ENTRIES_RETAINED_MAX_BYTES);
-            base = base.min(next.max(self.log.base_retaining(index, u64::MAX, max_bytes)));
+            base =
+                base.min(follower_index.max(self.log.base_retaining(index, u64::MAX, max_bytes)));
         }
         self.log.compact_to(base);
     }
--- a/crates/consensus/src/deferred_sends.rs
+++ b/crates/consensus/src/deferred_sends.rs
@@ -42,10 +42,10 @@
     }
 
     /// Hashes what later behaviour depends on.
-    pub fn fingerprint(&self, synced: u64, time: FingerprintTime, into: &mut impl Hasher) {
+    pub fn fingerprint(&self, synced: u64, time: FingerprintTime, hasher: &mut impl Hasher) {
         for deferred in &self.queue {
-            (deferred.sequence.saturating_sub(synced), deferred.to).hash(into);
-            deferred.message.fingerprint(time, into);
+            (deferred.sequence.saturating_sub(synced), deferred.to).hash(hasher);
+            deferred.message.fingerprint(time, hasher);
         }
     }
 }
--- a/crates/consensus/src/departure_granting.rs
+++ b/crates/consensus/src/departure_granting.rs
@@ -57,7 +57,7 @@
                 && (member.id == self.id || self.is_responsive(now_ms, member.id))
         });
         let (caught_up, lagging): (Vec<&Member>, Vec<&Member>) =
-            remaining.partition(|member| self.matched(member.id) >= required_index);
+            remaining.partition(|member| self.match_index(member.id) >= required_index);
         let has_seat = self.log.is_member(departing.member.id);
         lagging.is_empty()
             && caught_up.len() > members.len() / 2
--- a/crates/consensus/src/disk_health.rs
+++ b/crates/consensus/src/disk_health.rs
@@ -75,13 +75,13 @@
     }
 
     /// Hashes what later behaviour depends on.
-    pub fn fingerprint(&self, synced: u64, time: FingerprintTime, into: &mut impl Hasher) {
+    pub fn fingerprint(&self, synced: u64, time: FingerprintTime, hasher: &mut impl Hasher) {
         for writes in &self.unsynced {
             let ahead = writes.last_sequence.saturating_sub(synced);
-            (ahead, time.age(writes.issued_ms)).hash(into);
+            (ahead, time.age(writes.issued_ms)).hash(hasher);
         }
-        self.newest_slot.saturating_sub(synced).hash(into);
-        self.transfer_due_since_ms.map(|since_ms| time.age(since_ms)).hash(into);
+        self.newest_slot.saturating_sub(synced).hash(hasher);
+        self.transfer_due_since_ms.map(|since_ms| time.age(since_ms)).hash(hasher);
     }
 
     fn is_stalled(&self) -> bool {
--- a/crates/consensus/src/durability.rs
+++ b/crates/consensus/src/durability.rs
@@ -10,14 +10,14 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Durability {
     /// Sequence number of the newest write issued, or zero.
-    sequence: u64,
+    last_issued: u64,
     /// Sequence number of the newest write synced, or zero.
-    synced: u64,
+    last_synced: u64,
     /// Sequence number of each unsynced write that contains entries, with the log's last index
     /// after it.
-    appended: VecDeque<(u64, u64)>,
+    unsynced_appends: VecDeque<(u64, u64)>,
     /// Index of the newest entry of the log that is on this member's disk.
-    matched: u64,
+    synced_index: u64,
     deferred: DeferredSends,
 }
 
@@ -26,75 +26,75 @@
     /// disk.
     pub fn new(last_index: u64) -> Self {
         Durability {
-            sequence: 0,
-            synced: 0,
-            appended: VecDeque::new(),
-            matched: last_index,
+            last_issued: 0,
+            last_synced: 0,
+            unsynced_appends: VecDeque::new(),
+            synced_index: last_index,
             deferred: DeferredSends::default(),
         }
     }
 
     /// Returns the sequence number of the write that is issued now.
     pub fn next_sequence(&mut self) -> u64 {
-        self.sequence += 1;
-        self.sequence
+        self.last_issued += 1;
+        self.last_issued
     }
 
     /// Returns the index of the newest entry of the log that is on this member's disk.
-    pub fn matched(&self) -> u64 {
-        self.matched
+    pub fn synced_index(&self) -> u64 {
+        self.synced_index
     }
 
     /// Records that the write issued last extends the log on disk to `last_index`.
     pub fn on_append(&mut self, last_index: u64) {
-        self.appended.push_back((self.sequence, last_index));
+        self.unsynced_appends.push_back((self.last_issued, last_index));
     }
 
     /// Records that the entries after `last_index` are replaced: writes of them no longer count.
     pub fn on_truncate(&mut self, last_index: u64) {
-        self.matched = self.matched.min(last_index);
-        for (_, appended) in &mut self.appended {
-            *appended = (*appended).min(last_index);
+        self.synced_index = self.synced_index.min(last_index);
+        for (_, appended_index) in &mut self.unsynced_appends {
+            *appended_index = (*appended_index).min(last_index);
         }
     }
 
     /// Records that the log was replaced by a snapshot that is not on disk yet.
     pub fn on_log_replaced(&mut self) {
-        self.appended.clear();
-        self.matched = 0;
+        self.unsynced_appends.clear();
+        self.synced_index = 0;
     }
 
     /// Returns the message if it may be sent now, since all writes are synced; otherwise defers it.
     pub fn defer(&mut self, to: Member, message: Message) -> Option<Message> {
-        if self.sequence <= self.synced {
+        if self.last_issued <= self.last_synced {
             return Some(message);
         }
-        self.deferred.push(self.sequence, to, message);
+        self.deferred.push(self.last_issued, to, message);
         None
     }
 
     fn on_synced(&mut self, sequence: u64) {
-        self.synced = self.synced.max(sequence);
+        self.last_synced = self.last_synced.max(sequence);
         while let Some((_, last_index)) =
-            self.appended.pop_front_if(|(sequence, _)| *sequence <= self.synced)
+            self.unsynced_appends.pop_front_if(|(sequence, _)| *sequence <= self.last_synced)
         {
-            self.matched = self.matched.max(last_index);
+            self.synced_index = self.synced_index.max(last_index);
         }
     }
 
     /// Hashes what later behaviour depends on. Only how far each write is ahead of the newest sync
     /// matters, not its sequence number.
-    pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
-        (self.matched, self.sequence - self.synced).hash(into);
-        for (sequence, last_index) in &self.appended {
-            (sequence.saturating_sub(self.synced), last_index).hash(into);
+    pub fn fingerprint(&self, time: FingerprintTime, hasher: &mut impl Hasher) {
+        (self.synced_index, self.last_issued - self.last_synced).hash(hasher);
+        for (sequence, last_index) in &self.unsynced_appends {
+            (sequence.saturating_sub(self.last_synced), last_index).hash(hasher);
         }
-        self.deferred.fingerprint(self.synced, time, into);
+        self.deferred.fingerprint(self.last_synced, time, hasher);
     }
 
     /// Returns the sequence number of the newest write synced, or zero.
-    pub fn synced(&self) -> u64 {
-        self.synced
+    pub fn last_synced(&self) -> u64 {
+        self.last_synced
     }
 }
 
@@ -104,7 +104,7 @@
     pub(crate) fn on_synced(&mut self, sequence: u64) {
         self.durability.on_synced(sequence);
         self.disk.on_synced(sequence);
-        while let Some((to, message)) = self.durability.deferred.pop(self.durability.synced) {
+        while let Some((to, message)) = self.durability.deferred.pop(self.durability.last_synced) {
             self.send(to, message);
         }
         if self.role == Role::Leader {
--- a/crates/consensus/src/fingerprint.rs
+++ b/crates/consensus/src/fingerprint.rs
@@ -26,7 +26,7 @@
 
 impl Message {
     /// Hashes the message, with its send time replaced by an age and everything else unchanged.
-    pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
+    pub fn fingerprint(&self, time: FingerprintTime, hasher: &mut impl Hasher) {
         let mut message = self.clone();
         match &mut message {
             Message::Append(append) => append.sent_ms = time.age(append.sent_ms),
@@ -36,7 +36,7 @@
             Message::TimeoutNow(request) => request.sent_ms = time.age(request.sent_ms),
             _ => {}
         }
-        message.hash(into);
+        message.hash(hasher);
     }
 }
 
@@ -44,14 +44,14 @@
     /// Hashes everything that later behaviour depends on, except for the state of the random
     /// generator, the clock difference to the leader, and the state of departures, which no search
     /// begins.
-    pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
-        (self.id, self.term, self.voted_for, self.commit_index, self.role).hash(into);
-        (&self.log, &self.snapshot, &self.incoming, self.seats.voters).hash(into);
-        self.election.fingerprint(time, into);
-        self.probe.fingerprint(time, into);
-        self.contact.fingerprint(time, into);
-        self.leader_state.fingerprint(time, into);
-        self.disk.fingerprint(self.durability.synced(), time, into);
-        self.durability.fingerprint(time, into);
+    pub fn fingerprint(&self, time: FingerprintTime, hasher: &mut impl Hasher) {
+        (self.id, self.term, self.voted_for, self.commit_index, self.role).hash(hasher);
+        (&self.log, &self.snapshot, &self.incoming, self.seats.voters).hash(hasher);
+        self.election.fingerprint(time, hasher);
+        self.probe.fingerprint(time, hasher);
+        self.contact.fingerprint(time, hasher);
+        self.leader_state.fingerprint(time, hasher);
+        self.disk.fingerprint(self.durability.last_synced(), time, hasher);
+        self.durability.fingerprint(time, hasher);
     }
 }
--- a/crates/consensus/src/in_flight.rs
+++ b/crates/consensus/src/in_flight.rs
@@ -30,8 +30,8 @@
     }
 
     /// Removes the frames that the follower confirmed by having all entries up to `match_index`.
-    pub fn confirm(&mut self, matched: u64) {
-        while let Some(frame) = self.frames.pop_front_if(|frame| frame.last_index <= matched) {
+    pub fn confirm(&mut self, match_index: u64) {
+        while let Some(frame) = self.frames.pop_front_if(|frame| frame.last_index <= match_index) {
             self.size_bytes -= frame.size_bytes;
         }
     }
--- a/crates/consensus/src/leader_contact.rs
+++ b/crates/consensus/src/leader_contact.rs
@@ -56,8 +56,8 @@
     }
 
     /// Hashes what later behaviour depends on, except for the clock difference.
-    pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
-        (self.leader, time.age(self.last_contact_ms)).hash(into);
+    pub fn fingerprint(&self, time: FingerprintTime, hasher: &mut impl Hasher) {
+        (self.leader, time.age(self.last_contact_ms)).hash(hasher);
     }
 }
 
--- a/crates/consensus/src/leader_probe.rs
+++ b/crates/consensus/src/leader_probe.rs
@@ -44,9 +44,9 @@
     }
 
     /// Hashes what later behaviour depends on.
-    pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
-        (self.round, &self.non_leaders, self.denied_leadership).hash(into);
-        time.until(self.due_ms).hash(into);
+    pub fn fingerprint(&self, time: FingerprintTime, hasher: &mut impl Hasher) {
+        (self.round, &self.non_leaders, self.denied_leadership).hash(hasher);
+        time.until(self.due_ms).hash(hasher);
     }
 }
 
--- a/crates/consensus/src/leader_state.rs
+++ b/crates/consensus/src/leader_state.rs
@@ -69,11 +69,11 @@
     }
 
     /// Hashes what later behaviour depends on, except for what only departures use.
-    pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
-        (&self.learners, self.term_start_index, self.is_transferring).hash(into);
-        time.until(self.heartbeat_due_ms).hash(into);
+    pub fn fingerprint(&self, time: FingerprintTime, hasher: &mut impl Hasher) {
+        (&self.learners, self.term_start_index, self.is_transferring).hash(hasher);
+        time.until(self.heartbeat_due_ms).hash(hasher);
         for progress in self.progress.values() {
-            progress.fingerprint(time, into);
+            progress.fingerprint(time, hasher);
         }
     }
 }
@@ -81,10 +81,10 @@
 impl Consensus {
     /// Returns the index of the newest entry that this voter or learner is known to have on disk,
     /// or zero.
-    pub(crate) fn matched(&self, id: MemberId) -> u64 {
+    pub(crate) fn match_index(&self, id: MemberId) -> u64 {
         match self.leader_state.progress.get(&id) {
-            _ if id == self.id => self.durability.matched(),
-            Some(progress) => progress.matched,
+            _ if id == self.id => self.durability.synced_index(),
+            Some(progress) => progress.match_index,
             None => 0,
         }
     }
@@ -101,7 +101,7 @@
         let status = |progress: &Progress| FollowerStatus {
             member: progress.member,
             silent_ms: progress.silent_ms(now_ms),
-            lag_entries: last_index.saturating_sub(progress.matched),
+            lag_entries: last_index.saturating_sub(progress.match_index),
         };
         self.leader_state.progress.values().map(status).collect()
     }
--- a/crates/consensus/src/leadership_transfer.rs
+++ b/crates/consensus/src/leadership_transfer.rs
@@ -20,7 +20,7 @@
         let last_index = self.log.last_index();
         let mut candidates = self.leader_state.progress.values().filter(|progress| {
             let id = progress.member.id;
-            progress.matched == last_index
+            progress.match_index == last_index
                 && self.log.is_member(id)
                 && self.is_responsive(now_ms, id)
                 && !self.is_departing(now_ms, id)
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -45,9 +45,9 @@
             }
             return;
         }
-        let next = self.log.last_index() + 1;
+        let next_index = self.log.last_index() + 1;
         self.leader_state.learners.insert(member.id, member);
-        self.follow_progress_of(now_ms, member, next);
+        self.track_progress(now_ms, member, next_index);
     }
 
     /// Proposes the next configuration: one change at a time (thesis, 4.1), and none that would
@@ -132,7 +132,7 @@
         let is_caught_up = |learner: &&Member| {
             self.is_responsive(now_ms, learner.id)
                 && !self.is_departing(now_ms, learner.id)
-                && self.matched(learner.id) + LEARNER_LAG_ENTRIES >= self.log.last_index()
+                && self.match_index(learner.id) + LEARNER_LAG_ENTRIES >= self.log.last_index()
         };
         self.leader_state.learners.values().find(is_caught_up).copied()
     }
@@ -148,11 +148,11 @@
 
     fn propose_members(&mut self, now_ms: u64, members: Vec<Member>) {
         self.append_own(now_ms, vec![Payload::Members(members.clone())]);
-        let next = self.log.last_index() + 1;
+        let next_index = self.log.last_index() + 1;
         for member in &members {
             self.leader_state.learners.remove(&member.id);
             if member.id != self.id {
-                self.follow_progress_of(now_ms, *member, next);
+                self.track_progress(now_ms, *member, next_index);
             }
         }
         let learners = &self.leader_state.learners;
@@ -161,8 +161,8 @@
         });
     }
 
-    fn follow_progress_of(&mut self, now_ms: u64, member: Member, next: u64) {
+    fn track_progress(&mut self, now_ms: u64, member: Member, next_index: u64) {
         let progress = self.leader_state.progress.entry(member.id);
-        progress.or_insert_with(|| Progress::new(member, next, now_ms));
+        progress.or_insert_with(|| Progress::new(member, next_index, now_ms));
     }
 }
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -11,9 +11,9 @@
 pub(crate) struct Progress {
     pub member: Member,
     /// Index up to which the follower's log is known to equal the leader's and to be on disk.
-    pub matched: u64,
+    pub match_index: u64,
     /// Index of the next entry to send.
-    pub next: u64,
+    pub next_index: u64,
     /// Leader's send time of the newest message that this follower answered, or zero.
     pub acknowledged_send_ms: u64,
     /// When the follower's last response arrived, or since when it is replicated to if none has.
@@ -34,11 +34,11 @@
 
 impl Progress {
     /// Returns the state of a follower that has confirmed nothing yet.
-    pub fn new(member: Member, next: u64, now_ms: u64) -> Self {
+    pub fn new(member: Member, next_index: u64, now_ms: u64) -> Self {
         Progress {
             member,
-            matched: 0,
-            next,
+            match_index: 0,
+            next_index,
             acknowledged_send_ms: 0,
             last_response_ms: now_ms,
             since_ms: now_ms,
@@ -50,14 +50,14 @@
     }
 
     /// Hashes what later behaviour depends on.
-    pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
-        (self.member, self.matched, self.next, self.is_probing).hash(into);
-        (time.age(self.acknowledged_send_ms), time.age(self.last_response_ms)).hash(into);
-        (time.age(self.since_ms), time.age(self.restarted_ms)).hash(into);
-        self.in_flight.hash(into);
-        self.snapshot.is_some().hash(into);
+    pub fn fingerprint(&self, time: FingerprintTime, hasher: &mut impl Hasher) {
+        (self.member, self.match_index, self.next_index, self.is_probing).hash(hasher);
+        (time.age(self.acknowledged_send_ms), time.age(self.last_response_ms)).hash(hasher);
+        (time.age(self.since_ms), time.age(self.restarted_ms)).hash(hasher);
+        self.in_flight.hash(hasher);
+        self.snapshot.is_some().hash(hasher);
         if let Some(snapshot) = &self.snapshot {
-            snapshot.fingerprint(time, into);
+            snapshot.fingerprint(time, hasher);
         }
     }
 
@@ -83,7 +83,7 @@
     /// Records that these entries were sent and are in flight.
     pub fn on_sent(&mut self, entries: &[Entry]) {
         let Some(last) = entries.last() else { return };
-        self.next = last.index + 1;
+        self.next_index = last.index + 1;
         self.in_flight.push(last.index, size_bytes(entries));
     }
 
@@ -95,10 +95,10 @@
 
     /// Records that the follower has all entries up to `match_index` on disk, according to its
     /// response to a message that was sent at `sent_ms`.
-    pub fn on_confirmed(&mut self, matched: u64, sent_ms: u64) {
-        self.matched = self.matched.max(matched);
-        self.next = self.next.max(self.matched + 1);
-        self.in_flight.confirm(self.matched);
+    pub fn on_confirmed(&mut self, match_index: u64, sent_ms: u64) {
+        self.match_index = self.match_index.max(match_index);
+        self.next_index = self.next_index.max(self.match_index + 1);
+        self.in_flight.confirm(self.match_index);
         self.is_probing &= sent_ms < self.restarted_ms;
     }
 
@@ -109,8 +109,8 @@
     }
 
     /// Sets `next_index` so that entries are sent from there; frames in flight count as lost.
-    pub fn restart_at(&mut self, next: u64, now_ms: u64) {
-        self.next = next;
+    pub fn restart_at(&mut self, next_index: u64, now_ms: u64) {
+        self.next_index = next_index;
         self.in_flight.clear();
         self.is_probing = true;
         self.restarted_ms = now_ms;
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -65,7 +65,7 @@
     /// sent, without entries if no frame with entries was.
     pub(crate) fn send_append(&mut self, now_ms: u64, id: MemberId, is_heartbeat: bool) {
         let Some(progress) = self.leader_state.progress.get(&id) else { return };
-        let needs_snapshot = progress.snapshot.is_some() || progress.next <= self.log.base();
+        let needs_snapshot = progress.snapshot.is_some() || progress.next_index <= self.log.base();
         if needs_snapshot {
             self.send_snapshot(now_ms, id);
         }
@@ -80,7 +80,7 @@
     fn send_entries(&mut self, now_ms: u64, id: MemberId) -> bool {
         let mut sent = false;
         while let Some(progress) = self.leader_state.progress.get(&id) {
-            let entries = self.log.slice(progress.next, APPEND_BYTES);
+            let entries = self.log.slice(progress.next_index, APPEND_BYTES);
             if entries.is_empty() || !progress.may_send(&entries) {
                 break;
             }
@@ -92,7 +92,7 @@
 
     fn send_frame(&mut self, now_ms: u64, id: MemberId, entries: Vec<Entry>) {
         let Some(progress) = self.leader_state.progress.get_mut(&id) else { return };
-        let (to, prev_index) = (progress.member, progress.next - 1);
+        let (to, prev_index) = (progress.member, progress.next_index - 1);
         progress.on_sent(&entries);
         let append = AppendRequest {
             term: self.term,
@@ -131,8 +131,8 @@
             None if progress.snapshot.is_some()
                 || !progress.is_current_refusal(response.sent_ms) => {}
             None => {
-                let next = response.hint.clamp(progress.matched + 1, last_index + 1);
-                progress.restart_at(next, now_ms);
+                let next_index = response.hint.clamp(progress.match_index + 1, last_index + 1);
+                progress.restart_at(next_index, now_ms);
                 self.send_append(now_ms, from.id, true);
             }
         }
--- a/crates/consensus/src/role.rs
+++ b/crates/consensus/src/role.rs
@@ -42,10 +42,11 @@
         self.probe.denied_leadership = false;
         self.contact.leader = Some(self.id);
         self.incoming = None;
-        let next = self.log.last_index() + 1;
+        let next_index = self.log.last_index() + 1;
         let followers = self.peers().into_iter();
-        let progress = followers.map(|member| (member.id, Progress::new(member, next, now_ms)));
-        self.leader_state.start_term(now_ms, next, progress.collect());
+        let progress =
+            followers.map(|member| (member.id, Progress::new(member, next_index, now_ms)));
+        self.leader_state.start_term(now_ms, next_index, progress.collect());
         self.append_own(now_ms, vec![Payload::TermStart]);
     }
 
--- a/crates/consensus/src/snapshot_sending.rs
+++ b/crates/consensus/src/snapshot_sending.rs
@@ -39,7 +39,7 @@
         if response.done {
             progress.on_confirmed(response.index, response.sent_ms);
             if progress.snapshot.take_if(|sending| sending.index() <= response.index).is_some() {
-                progress.restart_at(progress.matched + 1, now_ms);
+                progress.restart_at(progress.match_index + 1, now_ms);
             }
             return self.send_append(now_ms, from.id, true);
         }
