--- a/crates/consensus/src/append_handling.rs
+++ b/crates/consensus/src/append_handling.rs
@@ -25,10 +25,10 @@
             response.hint = self.conflict_hint(append.prev_index);
             return self.send(from, Message::AppendResponse(response));
         }
-        let verified = append.prev_index + append.entries.len() as u64;
+        let verified_index = append.prev_index + append.entries.len() as u64;
         self.store_entries(append.entries);
-        response.matched = Some(verified);
-        self.commit_to(append.commit.min(verified));
+        response.matched = Some(verified_index);
+        self.commit_to(append.commit.min(verified_index));
         self.send_after_sync(from, Message::AppendResponse(response));
     }
 
@@ -36,11 +36,12 @@
     /// the conflicting term, so that one response skips all entries of a term (thesis, 3.5).
     fn conflict_hint(&self, prev_index: u64) -> u64 {
         let Some(term) = self.log.term_at(prev_index) else { return self.log.last_index() + 1 };
-        let mut first = prev_index;
-        while first > self.commit_index + 1 && self.log.term_at(first - 1) == Some(term) {
-            first -= 1;
+        let mut first_index = prev_index;
+        while first_index > self.commit_index + 1 && self.log.term_at(first_index - 1) == Some(term)
+        {
+            first_index -= 1;
         }
-        first
+        first_index
     }
 
     /// Appends the entries that this log lacks. The first one whose term conflicts removes all
@@ -64,7 +65,10 @@
     }
 
     fn truncate(&mut self, from: u64) {
-        assert!(from > self.commit_index, "a committed entry is never replaced");
+        assert!(
+            from > self.commit_index,
+            "cannot truncate the log from index {from}: that entry is committed"
+        );
         self.log.truncate(from);
         self.durability.on_truncate(from - 1);
         self.write(Write::Truncate { from });
--- a/crates/consensus/src/campaign.rs
+++ b/crates/consensus/src/campaign.rs
@@ -16,7 +16,7 @@
     /// Whether the candidacy follows a probe round in which no member led.
     pub leaderless: bool,
     /// State of the xorshift generator that randomizes the election time-outs.
-    random: u64,
+    generator_state: u64,
 }
 
 impl Election {
@@ -27,7 +27,7 @@
             started_ms: now_ms,
             votes: BTreeSet::new(),
             leaderless: false,
-            random: seed | 1,
+            generator_state: seed | 1,
         };
         election.reset_timer(now_ms);
         election
@@ -35,7 +35,7 @@
 
     /// Restarts the timer with a time-out drawn at random (thesis, 3.4).
     pub fn reset_timer(&mut self, now_ms: u64) {
-        let spread_ms = self.random() % ELECTION_SPREAD_MS;
+        let spread_ms = self.next_random() % ELECTION_SPREAD_MS;
         self.due_ms = now_ms + ELECTION_MIN_MS + spread_ms;
     }
 
@@ -51,7 +51,7 @@
 
     /// Returns the time until which this member withholds its vote after its start, because an
     /// earlier incarnation of it may have confirmed a leader's lease.
-    pub fn bound_by_start_until_ms(&self) -> u64 {
+    pub fn vote_withheld_after_start_until_ms(&self) -> u64 {
         self.started_ms + ELECTION_MIN_MS
     }
 
@@ -67,11 +67,11 @@
         (time.age(self.started_ms), time.until(self.due_ms)).hash(hasher);
     }
 
-    fn random(&mut self) -> u64 {
-        self.random ^= self.random << 13;
-        self.random ^= self.random >> 7;
-        self.random ^= self.random << 17;
-        self.random
+    fn next_random(&mut self) -> u64 {
+        self.generator_state ^= self.generator_state << 13;
+        self.generator_state ^= self.generator_state >> 7;
+        self.generator_state ^= self.generator_state << 17;
+        self.generator_state
     }
 }
 
--- a/crates/consensus/src/compaction.rs
+++ b/crates/consensus/src/compaction.rs
@@ -31,12 +31,12 @@
         let mut base = self.log.base_retaining(index, ENTRIES_RETAINED, ENTRIES_RETAINED_BYTES);
         let followers = self.leader_state.progress.values();
         for progress in followers.filter(|progress| progress.is_live(now_ms)) {
-            let sending = progress.snapshot.as_ref();
+            let transfer = progress.snapshot_transfer.as_ref();
             let match_index = progress.match_index;
             let follower_index =
-                sending.map_or(match_index, |sending| sending.index().max(match_index));
+                transfer.map_or(match_index, |transfer| transfer.index().max(match_index));
             let max_bytes =
-                sending.map_or(0, OutgoingSnapshot::total).max(ENTRIES_RETAINED_MAX_BYTES);
+                transfer.map_or(0, OutgoingSnapshot::total_bytes).max(ENTRIES_RETAINED_MAX_BYTES);
             base =
                 base.min(follower_index.max(self.log.base_retaining(index, u64::MAX, max_bytes)));
         }
--- a/crates/consensus/src/deferred_sends.rs
+++ b/crates/consensus/src/deferred_sends.rs
@@ -30,13 +30,13 @@
             && let Message::AppendResponse(older) = &mut last.message
             && older.term == newer.term
         {
-            return merge(older, newer);
+            return merge_responses(older, newer);
         }
         self.queue.push_back(DeferredSend { sequence, to, message });
     }
 
     /// Removes and returns the next message, if its write is synced.
-    pub fn pop(&mut self, synced: u64) -> Option<(Member, Message)> {
+    pub fn pop_synced(&mut self, synced: u64) -> Option<(Member, Message)> {
         let next = self.queue.pop_front_if(|next| next.sequence <= synced)?;
         Some((next.to, next.message))
     }
@@ -52,7 +52,7 @@
 
 /// Merges a newer response into an older one. Both respond to the same leader and depend on the
 /// same write, so no entry was replaced between them, and what either confirms is true.
-fn merge(older: &mut AppendResponse, newer: &AppendResponse) {
+fn merge_responses(older: &mut AppendResponse, newer: &AppendResponse) {
     older.matched = older.matched.max(newer.matched);
     older.hint = newer.hint;
     older.sent_ms = older.sent_ms.max(newer.sent_ms);
--- a/crates/consensus/src/departure.rs
+++ b/crates/consensus/src/departure.rs
@@ -21,28 +21,32 @@
 impl Departures {
     /// Returns the state in which no member departs.
     pub fn new(now_ms: u64) -> Self {
-        Departures { own: Departure::Staying, announce_due_ms: now_ms, others: BTreeMap::new() }
+        Departures {
+            own: Departure::NotRequested,
+            announce_due_ms: now_ms,
+            others: BTreeMap::new(),
+        }
     }
 }
 
 /// Progress of this member's own departure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Departure {
-    Staying,
+    NotRequested,
     /// The departure is announced to all members. This member still acknowledges entries, since the
     /// log may need it.
     Announced,
     /// A grant arrived that does not cover this member's last entry. It has acknowledged nothing
     /// since then, so that its log no longer grows.
-    Sealed {
+    Quiesced {
         since_ms: u64,
     },
-    Done,
+    Completed,
 }
 
 impl Departure {
     fn is_pending(self) -> bool {
-        matches!(self, Departure::Announced | Departure::Sealed { .. })
+        matches!(self, Departure::Announced | Departure::Quiesced { .. })
     }
 }
 
@@ -50,25 +54,25 @@
     /// Starts this member's departure. A leader transfers leadership first; see
     /// [`Input::TransferLeadership`](crate::Input::TransferLeadership).
     pub(crate) fn depart(&mut self, now_ms: u64) {
-        if self.departures.own != Departure::Staying {
+        if self.departures.own != Departure::NotRequested {
             return;
         }
         self.departures.own = match self.log.is_member(self.id) {
             true => Departure::Announced,
-            false => Departure::Done,
+            false => Departure::Completed,
         };
         self.departure_tick(now_ms);
     }
 
     /// Returns whether this member's departure is complete: the log no longer depends on it.
     pub fn has_departed(&self) -> bool {
-        self.departures.own == Departure::Done
+        self.departures.own == Departure::Completed
     }
 
     /// Repeats the announcement. A member that stopped acknowledging entries, but whose departure
     /// was not granted within `RESPONSIVE_MS`, acknowledges entries again.
     pub(crate) fn departure_tick(&mut self, now_ms: u64) {
-        if let Departure::Sealed { since_ms } = self.departures.own
+        if let Departure::Quiesced { since_ms } = self.departures.own
             && now_ms > since_ms + RESPONSIVE_MS
         {
             self.departures.own = Departure::Announced;
@@ -90,9 +94,10 @@
 
     /// Returns whether this member ignores an append because a grant of its departure has arrived:
     /// it acknowledges nothing more in its term. An append of a newer term is still handled.
-    pub(crate) fn is_sealed_against(&self, append: &AppendRequest) -> bool {
-        let is_sealed = matches!(self.departures.own, Departure::Sealed { .. } | Departure::Done);
-        is_sealed && append.term <= self.term
+    pub(crate) fn ignores_append(&self, append: &AppendRequest) -> bool {
+        let is_quiesced =
+            matches!(self.departures.own, Departure::Quiesced { .. } | Departure::Completed);
+        is_quiesced && append.term <= self.term
     }
 
     /// Handles the leader's permission to stop. If it covers this member's last entry, the
@@ -103,9 +108,9 @@
             return;
         }
         if grant.last_index >= self.log.last_index() {
-            self.departures.own = Departure::Done;
+            self.departures.own = Departure::Completed;
         } else if self.departures.own == Departure::Announced {
-            self.departures.own = Departure::Sealed { since_ms: now_ms };
+            self.departures.own = Departure::Quiesced { since_ms: now_ms };
             self.announce_departure(now_ms);
         }
     }
--- a/crates/consensus/src/departure_granting.rs
+++ b/crates/consensus/src/departure_granting.rs
@@ -58,15 +58,15 @@
         });
         let (caught_up, lagging): (Vec<&Member>, Vec<&Member>) =
             remaining.partition(|member| self.match_index(member.id) >= required_index);
-        let has_seat = self.log.is_member(departing.member.id);
+        let is_voter = self.log.is_member(departing.member.id);
         lagging.is_empty()
             && caught_up.len() > members.len() / 2
-            && !(has_seat && self.may_learner_wait(now_ms))
+            && !(is_voter && self.may_have_waiting_learner(now_ms))
     }
 
     /// Returns whether a learner responds or has only just joined, or may exist that has not
     /// reached this newly elected leader yet.
-    fn may_learner_wait(&self, now_ms: u64) -> bool {
+    fn may_have_waiting_learner(&self, now_ms: u64) -> bool {
         let is_waiting = |id: &MemberId| {
             let progress = self.leader_state.progress.get(id);
             let since_ms = progress.map_or(0, |progress| progress.since_ms);
@@ -84,7 +84,7 @@
 
     /// Returns whether a member announced its departure more than `RESPONSIVE_MS` ago and has sent
     /// no response since that time passed: it counts as dead without waiting for `voter_dead_ms`.
-    pub(crate) fn has_stopped(&self, now_ms: u64, id: MemberId) -> bool {
+    pub(crate) fn has_stopped_after_announcement(&self, now_ms: u64, id: MemberId) -> bool {
         let Some(departing) = self.departures.others.get(&id) else { return false };
         let until_ms = departing.announced_ms + RESPONSIVE_MS;
         let progress = self.leader_state.progress.get(&id);
--- a/crates/consensus/src/disk_health.rs
+++ b/crates/consensus/src/disk_health.rs
@@ -27,7 +27,7 @@
     unsynced: VecDeque<UnsyncedWrites>,
     /// Sequence number of the newest write of a slot, which takes longer than other writes; zero if
     /// there was none.
-    newest_slot: u64,
+    newest_slot_sequence: u64,
     /// Since when this leader should transfer leadership because of its disk; absent if it should
     /// not.
     transfer_due_since_ms: Option<u64>,
@@ -39,7 +39,7 @@
         DiskHealth {
             now_ms,
             unsynced: VecDeque::new(),
-            newest_slot: 0,
+            newest_slot_sequence: 0,
             transfer_due_since_ms: None,
         }
     }
@@ -57,7 +57,7 @@
     /// Records a write that is issued now.
     pub fn on_write(&mut self, sequence: u64, is_slot: bool) {
         if is_slot {
-            self.newest_slot = sequence;
+            self.newest_slot_sequence = sequence;
         }
         match self.unsynced.back_mut() {
             Some(writes) if writes.issued_ms == self.now_ms => writes.last_sequence = sequence,
@@ -80,13 +80,13 @@
             let ahead = writes.last_sequence.saturating_sub(synced);
             (ahead, time.age(writes.issued_ms)).hash(hasher);
         }
-        self.newest_slot.saturating_sub(synced).hash(hasher);
+        self.newest_slot_sequence.saturating_sub(synced).hash(hasher);
         self.transfer_due_since_ms.map(|since_ms| time.age(since_ms)).hash(hasher);
     }
 
     fn is_stalled(&self) -> bool {
         let Some(oldest) = self.unsynced.front() else { return false };
-        let is_slot = self.newest_slot >= oldest.last_sequence;
+        let is_slot = self.newest_slot_sequence >= oldest.last_sequence;
         let bound_ms = if is_slot { DISK_STALL_SLOT_MS } else { DISK_STALL_MS };
         self.now_ms.saturating_sub(oldest.issued_ms) > bound_ms
     }
--- a/crates/consensus/src/durability.rs
+++ b/crates/consensus/src/durability.rs
@@ -104,7 +104,9 @@
     pub(crate) fn on_synced(&mut self, sequence: u64) {
         self.durability.on_synced(sequence);
         self.disk.on_synced(sequence);
-        while let Some((to, message)) = self.durability.deferred.pop(self.durability.last_synced) {
+        while let Some((to, message)) =
+            self.durability.deferred.pop_synced(self.durability.last_synced)
+        {
             self.send(to, message);
         }
         if self.role == Role::Leader {
--- a/crates/consensus/src/fingerprint.rs
+++ b/crates/consensus/src/fingerprint.rs
@@ -46,7 +46,8 @@
     /// begins.
     pub fn fingerprint(&self, time: FingerprintTime, hasher: &mut impl Hasher) {
         (self.id, self.term, self.voted_for, self.commit_index, self.role).hash(hasher);
-        (&self.log, &self.snapshot, &self.incoming, self.seats.voters).hash(hasher);
+        (&self.log, &self.snapshot, &self.incoming_snapshot, self.voter_policy.target_voters)
+            .hash(hasher);
         self.election.fingerprint(time, hasher);
         self.probe.fingerprint(time, hasher);
         self.contact.fingerprint(time, hasher);
--- a/crates/consensus/src/leader_contact.rs
+++ b/crates/consensus/src/leader_contact.rs
@@ -23,7 +23,7 @@
 
     /// Sets the leader that is followed, if any. The clock difference is forgotten when the leader
     /// changes, because another leader has another clock.
-    pub fn follow(&mut self, leader: Option<MemberId>) {
+    pub fn set_leader(&mut self, leader: Option<MemberId>) {
         if leader != self.leader {
             self.min_offset_ms = None;
         }
@@ -32,17 +32,17 @@
 
     /// Moves the time of the last contact forward to `at_ms`, if it was earlier. A leader that
     /// steps down counts as having been in contact with itself.
-    pub fn raise_last_contact(&mut self, at_ms: u64) {
+    pub fn advance_last_contact(&mut self, at_ms: u64) {
         self.last_contact_ms = self.last_contact_ms.max(at_ms);
     }
 
     /// Returns the time until which this member withholds its vote because of its last contact.
     /// That is longer than the lease that its response confirms.
-    pub fn bound_until_ms(&self) -> u64 {
+    pub fn vote_withheld_until_ms(&self) -> u64 {
         self.last_contact_ms + ELECTION_MIN_MS
     }
 
-    fn record(&mut self, now_ms: u64, sent_ms: u64) {
+    fn record_contact(&mut self, now_ms: u64, sent_ms: u64) {
         self.last_contact_ms = now_ms;
         let offset_ms = now_ms as i64 - sent_ms as i64;
         let min_ms = self.min_offset_ms.map_or(offset_ms, |min_ms| min_ms.min(offset_ms));
@@ -65,12 +65,12 @@
     /// Handles the arrival of a message of the leader of `term`: this member follows it, and starts
     /// no election while such messages arrive.
     pub(crate) fn on_leader_contact(&mut self, now_ms: u64, from: Member, term: u64, sent_ms: u64) {
-        let is_followed = self.role == Role::Follower && self.contact.leader == Some(from.id);
-        if term > self.term || !is_followed {
+        let follows_sender = self.role == Role::Follower && self.contact.leader == Some(from.id);
+        if term > self.term || !follows_sender {
             self.become_follower(now_ms, term, Some(from.id));
         }
-        self.probe.denied_leadership = false;
-        self.contact.record(now_ms, sent_ms);
+        self.probe.reported_not_leading = false;
+        self.contact.record_contact(now_ms, sent_ms);
         self.election.reset_timer(now_ms);
     }
 }
--- a/crates/consensus/src/leader_probe.rs
+++ b/crates/consensus/src/leader_probe.rs
@@ -22,7 +22,7 @@
     /// Members that reported in the current round that they do not lead.
     non_leaders: BTreeSet<MemberId>,
     /// Whether this member reported that it does not lead, and has received from no leader since.
-    pub denied_leadership: bool,
+    pub reported_not_leading: bool,
 }
 
 impl ProbeState {
@@ -32,7 +32,7 @@
             round: seed >> 1,
             due_ms: now_ms,
             non_leaders: BTreeSet::new(),
-            denied_leadership: false,
+            reported_not_leading: false,
         }
     }
 
@@ -45,7 +45,7 @@
 
     /// Hashes what later behaviour depends on.
     pub fn fingerprint(&self, time: FingerprintTime, hasher: &mut impl Hasher) {
-        (self.round, &self.non_leaders, self.denied_leadership).hash(hasher);
+        (self.round, &self.non_leaders, self.reported_not_leading).hash(hasher);
         time.until(self.due_ms).hash(hasher);
     }
 }
@@ -55,7 +55,7 @@
     /// just started.
     pub(crate) fn probe_tick(&mut self, now_ms: u64) {
         let is_probing = self.is_without_leader()
-            && now_ms < self.election.bound_by_start_until_ms()
+            && now_ms < self.election.vote_withheld_after_start_until_ms()
             && self.log.is_member(self.id);
         if !is_probing || now_ms < self.probe.due_ms {
             return;
@@ -70,7 +70,7 @@
 
     pub(crate) fn on_leader_probe(&mut self, from: Member, round: u64) {
         let not_leading = self.role != Role::Leader;
-        self.probe.denied_leadership = not_leading;
+        self.probe.reported_not_leading = not_leading;
         self.send(from, Message::LeaderProbeResponse { term: self.term, round, not_leading });
     }
 
@@ -83,8 +83,8 @@
         round: u64,
         not_leading: bool,
     ) {
-        let counts = round == self.probe.round && not_leading;
-        if !counts || !self.is_without_leader() || !self.log.is_member(self.id) {
+        let is_current_report = round == self.probe.round && not_leading;
+        if !is_current_report || !self.is_without_leader() || !self.log.is_member(self.id) {
             return;
         }
         if term > self.term {
@@ -93,7 +93,7 @@
         self.probe.non_leaders.insert(from.id);
         if self.peers().iter().all(|peer| self.probe.non_leaders.contains(&peer.id)) {
             self.probe.end_round();
-            self.probe.denied_leadership = true;
+            self.probe.reported_not_leading = true;
             self.start_pre_vote(now_ms, true);
         }
     }
--- a/crates/consensus/src/leadership_transfer.rs
+++ b/crates/consensus/src/leadership_transfer.rs
@@ -31,8 +31,8 @@
     /// Starts an election at the request of this member's leader, without a pre-vote, and although
     /// other voters still withhold their votes because of that leader.
     pub(crate) fn on_timeout_now(&mut self, now_ms: u64, from: Member, request: TimeoutNow) {
-        let is_follower = self.role == Role::Follower && self.contact.leader == Some(from.id);
-        if request.term != self.term || !is_follower || !self.log.is_member(self.id) {
+        let follows_sender = self.role == Role::Follower && self.contact.leader == Some(from.id);
+        if request.term != self.term || !follows_sender || !self.log.is_member(self.id) {
             return;
         }
         let late_ms = self.contact.excess_delay_ms(now_ms, request.sent_ms);
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -10,25 +10,25 @@
 /// The number of voters that the configuration should have, and the time after which an
 /// unresponsive one is replaced.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct SeatPolicy {
+pub(crate) struct VoterPolicy {
     /// Number of voters up to which the configuration grows while learners are caught up.
-    pub voters: usize,
+    pub target_voters: usize,
     /// Time in milliseconds without a response after which a voter is removed, if a learner is
     /// caught up.
     pub voter_dead_ms: u64,
 }
 
-impl Default for SeatPolicy {
+impl Default for VoterPolicy {
     fn default() -> Self {
-        SeatPolicy { voters: VOTERS, voter_dead_ms: VOTER_DEAD_MS }
+        VoterPolicy { target_voters: VOTERS, voter_dead_ms: VOTER_DEAD_MS }
     }
 }
 
-impl SeatPolicy {
+impl VoterPolicy {
     /// Sets the number of voters such that a majority remains after `losses` of them are lost at
     /// once.
     pub fn set_losses(&mut self, losses: usize) {
-        self.voters = VOTERS.max(2 * losses + 1);
+        self.target_voters = VOTERS.max(2 * losses + 1);
     }
 }
 
@@ -76,13 +76,13 @@
     /// voter that was lost a moment ago.
     fn next_members(&self, now_ms: u64) -> Option<Vec<Member>> {
         let members = self.log.members();
-        if members.len() > self.seats.voters {
+        if members.len() > self.voter_policy.target_voters {
             let removed = self.dead_voter(now_ms).or_else(|| self.departing_voter(now_ms))?;
             return Some(self.members_without(removed));
         }
         let learner = self.caught_up_learner(now_ms)?;
         let with_learner = || members.iter().copied().chain([learner]).collect();
-        if members.len() < self.seats.voters {
+        if members.len() < self.voter_policy.target_voters {
             return Some(with_learner());
         }
         let progress = self.leader_state.progress.get(&learner.id);
@@ -106,7 +106,8 @@
             self.leader_state.progress.get(&id).map_or(0, |progress| progress.silent_ms(now_ms))
         };
         let is_dead = |id: &MemberId| {
-            silent_ms(*id) >= self.seats.voter_dead_ms || self.has_stopped(now_ms, *id)
+            silent_ms(*id) >= self.voter_policy.voter_dead_ms
+                || self.has_stopped_after_announcement(now_ms, *id)
         };
         self.peer_ids().filter(is_dead).max_by_key(|id| silent_ms(*id))
     }
@@ -147,7 +148,7 @@
     }
 
     fn propose_members(&mut self, now_ms: u64, members: Vec<Member>) {
-        self.append_own(now_ms, vec![Payload::Members(members.clone())]);
+        self.append_to_own_log(now_ms, vec![Payload::Members(members.clone())]);
         let next_index = self.log.last_index() + 1;
         for member in &members {
             self.leader_state.learners.remove(&member.id);
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -8,7 +8,7 @@
 use crate::leader_contact::LeaderContact;
 use crate::leader_probe::ProbeState;
 use crate::leader_state::LeaderState;
-use crate::membership::SeatPolicy;
+use crate::membership::VoterPolicy;
 use crate::{
     Effect, HardState, Input, Member, MemberId, Message, RaftLog, RecoveredState, Role, Snapshot,
     Write,
@@ -28,14 +28,14 @@
     /// The newest snapshot that is on this member's disk or is being written to it.
     pub(crate) snapshot: Option<Arc<Snapshot>>,
     /// The snapshot that is being received from the leader, up to its first missing byte.
-    pub(crate) incoming: Option<IncomingSnapshot>,
+    pub(crate) incoming_snapshot: Option<IncomingSnapshot>,
     pub(crate) election: Election,
     pub(crate) probe: ProbeState,
     pub(crate) contact: LeaderContact,
     pub(crate) leader_state: LeaderState,
     pub(crate) durability: Durability,
     pub(crate) disk: DiskHealth,
-    pub(crate) seats: SeatPolicy,
+    pub(crate) voter_policy: VoterPolicy,
     pub(crate) departures: Departures,
     /// Effects of the input that is being handled.
     pub(crate) effects: Vec<Effect>,
@@ -56,13 +56,13 @@
             durability: Durability::new(log.last_index()),
             log,
             snapshot: recovered.snapshot,
-            incoming: None,
+            incoming_snapshot: None,
             election: Election::new(seed, now_ms),
             probe: ProbeState::new(seed, now_ms),
             contact: LeaderContact::new(now_ms),
             leader_state: LeaderState::new(now_ms),
             disk: DiskHealth::new(now_ms),
-            seats: SeatPolicy::default(),
+            voter_policy: VoterPolicy::default(),
             departures: Departures::new(now_ms),
             effects: Vec::new(),
         }
@@ -71,13 +71,13 @@
     /// Sets the number of voters such that a majority remains after `losses` of them are lost at
     /// once; it is never set below `VOTERS`.
     pub fn set_losses(&mut self, losses: usize) {
-        self.seats.set_losses(losses);
+        self.voter_policy.set_losses(losses);
     }
 
     /// Sets the time in milliseconds after which a voter that does not respond may be replaced by a
     /// learner.
     pub fn set_voter_dead_ms(&mut self, voter_dead_ms: u64) {
-        self.seats.voter_dead_ms = voter_dead_ms;
+        self.voter_policy.voter_dead_ms = voter_dead_ms;
     }
 
     /// Handles one input at `now_ms` of this member's clock, and returns the effects to carry out.
@@ -109,7 +109,7 @@
             Message::VoteResponse { term, granted } => {
                 self.on_vote_response(now_ms, from, term, granted)
             }
-            Message::Append(append) if self.is_sealed_against(&append) => {}
+            Message::Append(append) if self.ignores_append(&append) => {}
             Message::Append(append) => self.on_append(now_ms, from, append),
             Message::AppendResponse(response) => self.on_append_response(now_ms, from, response),
             Message::Snapshot(chunk) => self.on_snapshot_chunk(now_ms, from, chunk),
--- a/crates/consensus/src/outgoing_snapshot.rs
+++ b/crates/consensus/src/outgoing_snapshot.rs
@@ -15,16 +15,16 @@
     /// Whether a chunk was sent; even an empty state has one chunk.
     is_started: bool,
     /// Number of bytes that the follower has received without a gap.
-    confirmed: u64,
+    confirmed_bytes: u64,
     /// Number of bytes sent, counted from the beginning of the state.
-    sent: u64,
+    sent_bytes: u64,
     /// When a chunk was last answered, or was sent again because no response arrived.
     last_attempt_ms: u64,
     retry_interval_ms: u64,
     /// When a chunk was last sent again; no other chunk is sent until that one is answered.
     resent_ms: Option<u64>,
-    /// When `sent` was last set back. Responses to chunks sent earlier show nothing about chunks
-    /// sent since.
+    /// When `sent_bytes` was last set back. Responses to chunks sent earlier show nothing about
+    /// chunks sent since.
     rewound_ms: u64,
 }
 
@@ -35,8 +35,8 @@
             checksum: crc32fast::hash(&snapshot.state),
             snapshot,
             is_started: false,
-            confirmed: 0,
-            sent: 0,
+            confirmed_bytes: 0,
+            sent_bytes: 0,
             last_attempt_ms: now_ms,
             retry_interval_ms: SNAPSHOT_RETRY_MS,
             resent_ms: None,
@@ -50,7 +50,7 @@
     }
 
     /// Returns the size of the complete state in bytes.
-    pub fn total(&self) -> u64 {
+    pub fn total_bytes(&self) -> u64 {
         self.snapshot.state.len() as u64
     }
 
@@ -61,41 +61,42 @@
             self.last_attempt_ms = now_ms;
             self.retry_interval_ms = (self.retry_interval_ms * 2).min(SNAPSHOT_RETRY_MAX_MS);
             self.resent_ms = Some(now_ms);
-            return vec![self.chunk(self.confirmed, now_ms, term)];
+            return vec![self.chunk(self.confirmed_bytes, now_ms, term)];
         }
         let mut chunks = Vec::new();
         while self.resent_ms.is_none() && (!self.is_started || self.has_capacity()) {
             self.is_started = true;
-            let chunk = self.chunk(self.sent, now_ms, term);
-            self.sent += chunk.bytes.len() as u64;
+            let chunk = self.chunk(self.sent_bytes, now_ms, term);
+            self.sent_bytes += chunk.bytes.len() as u64;
             chunks.push(chunk);
         }
         chunks
     }
 
     /// Hashes what later behaviour depends on.
-    pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
+    pub fn fingerprint(&self, time: FingerprintTime, hasher: &mut impl Hasher) {
         let interval_ms = self.retry_interval_ms;
-        (self.snapshot.index, self.is_started, self.confirmed, self.sent, interval_ms).hash(into);
-        (time.age(self.last_attempt_ms), time.age(self.rewound_ms)).hash(into);
-        self.resent_ms.map(|resent_ms| time.age(resent_ms)).hash(into);
+        (self.snapshot.index, self.is_started, self.confirmed_bytes, self.sent_bytes, interval_ms)
+            .hash(hasher);
+        (time.age(self.last_attempt_ms), time.age(self.rewound_ms)).hash(hasher);
+        self.resent_ms.map(|resent_ms| time.age(resent_ms)).hash(hasher);
     }
 
     fn has_capacity(&self) -> bool {
-        let in_flight_bytes = self.sent - self.confirmed;
-        self.sent < self.total()
+        let in_flight_bytes = self.sent_bytes - self.confirmed_bytes;
+        self.sent_bytes < self.total_bytes()
             && in_flight_bytes + SNAPSHOT_CHUNK_BYTES <= FOLLOWER_IN_FLIGHT_BYTES
     }
 
     fn chunk(&self, offset: u64, now_ms: u64, term: u64) -> SnapshotChunk {
-        let end = (offset + SNAPSHOT_CHUNK_BYTES).min(self.total());
+        let end = (offset + SNAPSHOT_CHUNK_BYTES).min(self.total_bytes());
         SnapshotChunk {
             term,
             index: self.snapshot.index,
             snapshot_term: self.snapshot.term,
             members: self.snapshot.members.clone(),
             offset,
-            total: self.total(),
+            total: self.total_bytes(),
             bytes: self.snapshot.state[offset as usize..end as usize].to_vec(),
             sent_ms: now_ms,
             checksum: self.checksum,
@@ -108,18 +109,18 @@
     pub fn on_response(&mut self, now_ms: u64, response: &SnapshotResponse) {
         self.last_attempt_ms = now_ms;
         self.retry_interval_ms = SNAPSHOT_RETRY_MS;
-        let received = response.received.min(self.total());
+        let received = response.received.min(self.total_bytes());
         let answers_resent = self.resent_ms.is_some_and(|resent_ms| response.sent_ms >= resent_ms);
         let reports_gap =
             response.offset > response.received && response.sent_ms >= self.rewound_ms;
         if answers_resent || reports_gap {
-            self.confirmed = received;
-            self.sent = received;
+            self.confirmed_bytes = received;
+            self.sent_bytes = received;
             self.resent_ms = None;
             self.rewound_ms = now_ms;
         } else if response.offset <= response.received {
-            self.confirmed = self.confirmed.max(received);
-            self.sent = self.sent.max(self.confirmed);
+            self.confirmed_bytes = self.confirmed_bytes.max(received);
+            self.sent_bytes = self.sent_bytes.max(self.confirmed_bytes);
         }
     }
 }
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -21,7 +21,7 @@
     /// Time since which this leader replicates to the follower.
     pub since_ms: u64,
     /// The transfer of a snapshot to the follower, while one is in progress.
-    pub snapshot: Option<OutgoingSnapshot>,
+    pub snapshot_transfer: Option<OutgoingSnapshot>,
     in_flight: InFlight,
     /// Whether `next_index` is a guess, because no message sent since it was set back has been
     /// confirmed: only one frame of entries may then be in flight.
@@ -42,7 +42,7 @@
             acknowledged_send_ms: 0,
             last_response_ms: now_ms,
             since_ms: now_ms,
-            snapshot: None,
+            snapshot_transfer: None,
             in_flight: InFlight::default(),
             is_probing: false,
             restarted_ms: 0,
@@ -55,9 +55,9 @@
         (time.age(self.acknowledged_send_ms), time.age(self.last_response_ms)).hash(hasher);
         (time.age(self.since_ms), time.age(self.restarted_ms)).hash(hasher);
         self.in_flight.hash(hasher);
-        self.snapshot.is_some().hash(hasher);
-        if let Some(snapshot) = &self.snapshot {
-            snapshot.fingerprint(time, hasher);
+        self.snapshot_transfer.is_some().hash(hasher);
+        if let Some(transfer) = &self.snapshot_transfer {
+            transfer.fingerprint(time, hasher);
         }
     }
 
--- a/crates/consensus/src/raft_log.rs
+++ b/crates/consensus/src/raft_log.rs
@@ -125,18 +125,18 @@
     /// Returns the entries from index `from` on, up to `max_bytes` in total; the first one is
     /// returned whatever its size.
     pub fn slice(&self, from: u64, max_bytes: usize) -> Vec<Entry> {
-        let mut out = Vec::new();
+        let mut entries = Vec::new();
         let mut size_bytes = 0;
         let mut index = from;
         while let Some(entry) = self.get(index) {
             size_bytes += entry.size();
-            if !out.is_empty() && size_bytes > max_bytes {
+            if !entries.is_empty() && size_bytes > max_bytes {
                 break;
             }
-            out.push(entry.clone());
+            entries.push(entry.clone());
             index += 1;
         }
-        out
+        entries
     }
 
     /// Returns the entries in memory from index `from` to index `to`, both included.
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -10,13 +10,13 @@
     /// Appends batches of application bytes as entries, if this member leads.
     pub(crate) fn propose(&mut self, now_ms: u64, batches: Vec<Vec<u8>>) {
         if self.role == Role::Leader {
-            self.append_own(now_ms, batches.into_iter().map(Payload::Batch).collect());
+            self.append_to_own_log(now_ms, batches.into_iter().map(Payload::Batch).collect());
         }
     }
 
     /// Appends entries to the leader's own log, and replicates them while they are being written to
     /// disk.
-    pub(crate) fn append_own(&mut self, now_ms: u64, payloads: Vec<Payload>) {
+    pub(crate) fn append_to_own_log(&mut self, now_ms: u64, payloads: Vec<Payload>) {
         let mut entries = Vec::with_capacity(payloads.len());
         for payload in payloads {
             let entry = Entry { term: self.term, index: self.log.last_index() + 1, payload };
@@ -46,9 +46,9 @@
     fn is_unreachable(&self, now_ms: u64) -> bool {
         let is_lease_over = self.lease_until().saturating_add(ELECTION_MIN_MS) < now_ms;
         let followers = &self.leader_state.progress;
-        let nobody_responds =
+        let all_unresponsive =
             followers.values().all(|progress| progress.last_response_ms + ELECTION_MIN_MS < now_ms);
-        is_lease_over && nobody_responds && !followers.is_empty()
+        is_lease_over && all_unresponsive && !followers.is_empty()
     }
 
     fn replicate(&mut self, now_ms: u64) {
@@ -65,7 +65,8 @@
     /// sent, without entries if no frame with entries was.
     pub(crate) fn send_append(&mut self, now_ms: u64, id: MemberId, is_heartbeat: bool) {
         let Some(progress) = self.leader_state.progress.get(&id) else { return };
-        let needs_snapshot = progress.snapshot.is_some() || progress.next_index <= self.log.base();
+        let needs_snapshot =
+            progress.snapshot_transfer.is_some() || progress.next_index <= self.log.base();
         if needs_snapshot {
             self.send_snapshot(now_ms, id);
         }
@@ -128,7 +129,7 @@
                 self.send_append(now_ms, from.id, false);
             }
             None if response.hint == 0 => self.send_snapshot(now_ms, from.id),
-            None if progress.snapshot.is_some()
+            None if progress.snapshot_transfer.is_some()
                 || !progress.is_current_refusal(response.sent_ms) => {}
             None => {
                 let next_index = response.hint.clamp(progress.match_index + 1, last_index + 1);
--- a/crates/consensus/src/role.rs
+++ b/crates/consensus/src/role.rs
@@ -27,27 +27,27 @@
         }
         self.election.leaderless = false;
         self.probe.end_round();
-        self.probe.denied_leadership &= leader.is_none();
+        self.probe.reported_not_leading &= leader.is_none();
         if self.role == Role::Leader {
             self.leader_state.clear_followers();
-            self.contact.raise_last_contact(now_ms.saturating_sub(ELECTION_MIN_MS));
+            self.contact.advance_last_contact(now_ms.saturating_sub(ELECTION_MIN_MS));
         }
         self.set_role(Role::Follower);
-        self.contact.follow(leader);
+        self.contact.set_leader(leader);
         self.election.reset_timer(now_ms);
     }
 
     pub(crate) fn become_leader(&mut self, now_ms: u64) {
         self.set_role(Role::Leader);
-        self.probe.denied_leadership = false;
+        self.probe.reported_not_leading = false;
         self.contact.leader = Some(self.id);
-        self.incoming = None;
+        self.incoming_snapshot = None;
         let next_index = self.log.last_index() + 1;
         let followers = self.peers().into_iter();
         let progress =
             followers.map(|member| (member.id, Progress::new(member, next_index, now_ms)));
         self.leader_state.start_term(now_ms, next_index, progress.collect());
-        self.append_own(now_ms, vec![Payload::TermStart]);
+        self.append_to_own_log(now_ms, vec![Payload::TermStart]);
     }
 
     pub(crate) fn set_role(&mut self, role: Role) {
--- a/crates/consensus/src/snapshot_installation.rs
+++ b/crates/consensus/src/snapshot_installation.rs
@@ -26,11 +26,11 @@
         if response.done {
             return self.send_after_sync(from, Message::SnapshotResponse(response));
         }
-        let mut incoming = IncomingSnapshot::resume(self.incoming.take(), from.id, &chunk);
-        incoming.add(&chunk);
-        response.received = incoming.received();
+        let mut incoming = IncomingSnapshot::resume(self.incoming_snapshot.take(), from.id, &chunk);
+        incoming.append_chunk(&chunk);
+        response.received = incoming.received_bytes();
         if !incoming.is_complete() {
-            self.incoming = Some(incoming);
+            self.incoming_snapshot = Some(incoming);
             return self.send(from, Message::SnapshotResponse(response));
         }
         let Some(state) = incoming.into_state() else {
@@ -38,14 +38,14 @@
             return self.send(from, Message::SnapshotResponse(response));
         };
         let SnapshotChunk { index, snapshot_term: term, members, .. } = chunk;
-        self.install(Arc::new(Snapshot { index, term, members, state }));
+        self.install_snapshot(Arc::new(Snapshot { index, term, members, state }));
         response.done = true;
         self.send_after_sync(from, Message::SnapshotResponse(response));
     }
 
     /// Replaces the state by a snapshot. Entries after it are retained if the log has the
     /// snapshot's last entry; otherwise the snapshot replaces the log.
-    fn install(&mut self, snapshot: Arc<Snapshot>) {
+    fn install_snapshot(&mut self, snapshot: Arc<Snapshot>) {
         if !self.is_uninitialized() && self.log.term_at(snapshot.index) == Some(snapshot.term) {
             self.log.compact_to(snapshot.index);
         } else {
--- a/crates/consensus/src/snapshot_sending.rs
+++ b/crates/consensus/src/snapshot_sending.rs
@@ -12,10 +12,10 @@
         let term = self.term;
         let Some(progress) = self.leader_state.progress.get_mut(&id) else { return };
         let (to, is_live) = (progress.member, progress.is_live(now_ms));
-        progress.snapshot.take_if(|sending| !is_live && sending.index() < newest.index);
-        let sending =
-            progress.snapshot.get_or_insert_with(|| OutgoingSnapshot::new(newest, now_ms));
-        for chunk in sending.take_due_chunks(now_ms, term) {
+        progress.snapshot_transfer.take_if(|transfer| !is_live && transfer.index() < newest.index);
+        let transfer =
+            progress.snapshot_transfer.get_or_insert_with(|| OutgoingSnapshot::new(newest, now_ms));
+        for chunk in transfer.take_due_chunks(now_ms, term) {
             self.send(to, Message::Snapshot(chunk));
         }
     }
@@ -38,14 +38,18 @@
         progress.on_response(now_ms, response.sent_ms);
         if response.done {
             progress.on_confirmed(response.index, response.sent_ms);
-            if progress.snapshot.take_if(|sending| sending.index() <= response.index).is_some() {
+            if progress
+                .snapshot_transfer
+                .take_if(|transfer| transfer.index() <= response.index)
+                .is_some()
+            {
                 progress.restart_at(progress.match_index + 1, now_ms);
             }
             return self.send_append(now_ms, from.id, true);
         }
-        let sending = progress.snapshot.as_mut();
-        if let Some(sending) = sending.filter(|sending| sending.index() == response.index) {
-            sending.on_response(now_ms, &response);
+        let transfer = progress.snapshot_transfer.as_mut();
+        if let Some(transfer) = transfer.filter(|transfer| transfer.index() == response.index) {
+            transfer.on_response(now_ms, &response);
             self.send_snapshot(now_ms, from.id);
         }
     }
--- a/crates/consensus/src/vote_granting.rs
+++ b/crates/consensus/src/vote_granting.rs
@@ -13,7 +13,7 @@
     pub(crate) fn on_pre_vote(&mut self, now_ms: u64, from: Member, request: VoteRequest) {
         let granted = request.term > self.term
             && !self.is_disk_stalled()
-            && (!self.is_bound_to_leader(now_ms) || self.is_known_leaderless(&request))
+            && (!self.must_withhold_vote(now_ms) || self.is_known_leaderless(&request))
             && self.is_up_to_date(&request)
             && self.defers_to(&from, &request);
         if granted && self.role != Role::Leader {
@@ -28,15 +28,15 @@
     /// is on disk.
     pub(crate) fn on_vote(&mut self, now_ms: u64, from: Member, request: VoteRequest) {
         let may_override = request.leadership_transfer || self.is_known_leaderless(&request);
-        if self.is_bound_to_leader(now_ms) && !may_override {
+        if self.must_withhold_vote(now_ms) && !may_override {
             return;
         }
         if request.term > self.term {
             self.become_follower(now_ms, request.term, None);
         }
-        let is_vote_free = self.voted_for.is_none() || self.voted_for == Some(from.id);
+        let may_vote_for_candidate = self.voted_for.is_none() || self.voted_for == Some(from.id);
         let granted = request.term == self.term
-            && is_vote_free
+            && may_vote_for_candidate
             && !self.is_disk_stalled()
             && self.is_up_to_date(&request);
         if granted {
@@ -51,11 +51,13 @@
     /// Returns whether this member must not grant a vote: it has a lease as leader, received from a
     /// leader within `ELECTION_MIN_MS`, or started within that time and may have received from one
     /// before. The leader's lease relies on this.
-    fn is_bound_to_leader(&self, now_ms: u64) -> bool {
+    fn must_withhold_vote(&self, now_ms: u64) -> bool {
         let has_lease = self.role == Role::Leader && now_ms < self.lease_until();
-        let bound_until_ms =
-            self.contact.bound_until_ms().max(self.election.bound_by_start_until_ms());
-        has_lease || now_ms < bound_until_ms
+        let withheld_until_ms = self
+            .contact
+            .vote_withheld_until_ms()
+            .max(self.election.vote_withheld_after_start_until_ms());
+        has_lease || now_ms < withheld_until_ms
     }
 
     /// Returns whether the candidate's log is at least as up to date as this member's. This is the
@@ -68,10 +70,10 @@
     /// the same time, the one with the more up-to-date log continues, or else the one with the
     /// lower identity.
     fn defers_to(&self, other: &Member, request: &VoteRequest) -> bool {
-        let is_longer =
+        let is_more_up_to_date =
             (request.last_term, request.last_index) > (self.log.last_term(), self.log.last_index());
         !matches!(self.role, Role::PreCandidate | Role::Candidate)
-            || is_longer
+            || is_more_up_to_date
             || other.id < self.id
     }
 
@@ -79,6 +81,6 @@
     /// has received from no leader since it reported that it does not lead: then no member has a
     /// lease.
     fn is_known_leaderless(&self, request: &VoteRequest) -> bool {
-        request.leaderless && self.probe.denied_leadership && self.role != Role::Leader
+        request.leaderless && self.probe.reported_not_leading && self.role != Role::Leader
     }
 }
