--- a/crates/consensus/src/campaign.rs
+++ b/crates/consensus/src/campaign.rs
@@ -61,7 +61,7 @@
         self.postpone(now_ms + ELECTION_SPREAD_MS);
     }
 
-    /// Hashes what later behaviour depends on, except for the generator's state.
+    /// Hashes the state that later behaviour depends on, except for the generator's state.
     pub fn fingerprint(&self, time: crate::FingerprintTime, hasher: &mut impl Hasher) {
         (&self.votes, self.leaderless).hash(hasher);
         (time.age(self.started_ms), time.until(self.due_ms)).hash(hasher);
--- a/crates/consensus/src/commit.rs
+++ b/crates/consensus/src/commit.rs
@@ -1,4 +1,4 @@
-//! Commitment of entries (thesis, 3.5 and 3.6.2).
+//! Advance of the commit index (thesis, 3.5 and 3.6.2).
 
 use crate::{Consensus, Effect};
 
--- a/crates/consensus/src/deferred_sends.rs
+++ b/crates/consensus/src/deferred_sends.rs
@@ -41,7 +41,7 @@
         Some((next.to, next.message))
     }
 
-    /// Hashes what later behaviour depends on.
+    /// Hashes the state that later behaviour depends on.
     pub fn fingerprint(&self, synced: u64, time: FingerprintTime, hasher: &mut impl Hasher) {
         for deferred in &self.queue {
             (deferred.sequence.saturating_sub(synced), deferred.to).hash(hasher);
--- a/crates/consensus/src/departure.rs
+++ b/crates/consensus/src/departure.rs
@@ -1,6 +1,7 @@
 //! Departure of this member before a planned stop. It announces its departure to all members, and
-//! the leader replaces it as a voter by a caught-up learner. It may stop once the remaining members
-//! have all entries that it acknowledged. See `departure_granting` for the leader's part.
+//! the leader replaces it as a voter by a caught-up learner, if there is one. It may stop once the
+//! remaining members have all entries that it acknowledged. See `departure_granting` for the
+//! leader's part.
 
 use crate::departure_granting::DepartingMember;
 use crate::{
--- a/crates/consensus/src/disk_health.rs
+++ b/crates/consensus/src/disk_health.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Hashes what later behaviour depends on.
+    /// Hashes the state that later behaviour depends on.
     pub fn fingerprint(&self, synced: u64, time: FingerprintTime, hasher: &mut impl Hasher) {
         for writes in &self.unsynced {
             let ahead = writes.last_sequence.saturating_sub(synced);
@@ -87,8 +87,8 @@
     fn is_stalled(&self) -> bool {
         let Some(oldest) = self.unsynced.front() else { return false };
         let is_slot = self.newest_slot_sequence >= oldest.last_sequence;
-        let bound_ms = if is_slot { DISK_STALL_SLOT_MS } else { DISK_STALL_MS };
-        self.now_ms.saturating_sub(oldest.issued_ms) > bound_ms
+        let limit_ms = if is_slot { DISK_STALL_SLOT_MS } else { DISK_STALL_MS };
+        self.now_ms.saturating_sub(oldest.issued_ms) > limit_ms
     }
 }
 
--- a/crates/consensus/src/durability.rs
+++ b/crates/consensus/src/durability.rs
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Hashes what later behaviour depends on. Only how far each write is ahead of the newest sync
-    /// matters, not its sequence number.
+    /// Hashes the state that later behaviour depends on. Only how far each write is ahead of the
+    /// newest sync matters, not its sequence number.
     pub fn fingerprint(&self, time: FingerprintTime, hasher: &mut impl Hasher) {
         (self.synced_index, self.last_issued - self.last_synced).hash(hasher);
         for (sequence, last_index) in &self.unsynced_appends {
--- a/crates/consensus/src/interface.rs
+++ b/crates/consensus/src/interface.rs
@@ -24,7 +24,7 @@
     /// Start a new log with these voters: all of them have an empty disk and are given the same
     /// list.
     Bootstrap(Vec<Member>),
-    /// Add this process, which follows the log without a vote, as a learner; if it is a voter
+    /// Add this process as a learner, which follows the log without a vote; if it is a voter
     /// already, update its address. Ignored unless this member leads.
     AddLearner(Member),
     /// Replace the beginning of the log by a snapshot of the application's state at a committed
@@ -35,8 +35,8 @@
         /// Encoded state of the application.
         state: Vec<u8>,
     },
-    /// Relinquish the lease and let a caught-up follower campaign at once, which receives this
-    /// handover state. Ignored unless this member leads and such a follower exists.
+    /// Relinquish the lease and let a caught-up follower campaign at once. The follower receives
+    /// this handover state. Ignored unless this member leads and such a follower exists.
     TransferLeadership(Vec<u8>),
     /// This member is about to stop: if a learner can replace it, it is removed from the voters.
     Depart,
--- a/crates/consensus/src/leader_contact.rs
+++ b/crates/consensus/src/leader_contact.rs
@@ -55,7 +55,7 @@
         self.min_offset_ms.map_or(0, |min_ms| (offset_ms - min_ms).max(0) as u64)
     }
 
-    /// Hashes what later behaviour depends on, except for the clock difference.
+    /// Hashes the state that later behaviour depends on, except for the clock difference.
     pub fn fingerprint(&self, time: FingerprintTime, hasher: &mut impl Hasher) {
         (self.leader, time.age(self.last_contact_ms)).hash(hasher);
     }
--- a/crates/consensus/src/leader_lease.rs
+++ b/crates/consensus/src/leader_lease.rs
@@ -10,8 +10,9 @@
 
 impl Consensus {
     /// Returns the end of the lease that a majority confirmed, in milliseconds of this leader's
-    /// clock, counted from its own send times; zero for a member without a lease. A leader that
-    /// relinquished its lease has none for the rest of its term.
+    /// clock, counted from its own send times; zero for a member without a lease, and `u64::MAX`
+    /// for the leader of a log without other voters. A leader that relinquished its lease has none
+    /// for the rest of its term.
     pub fn lease_until(&self) -> u64 {
         if self.role != Role::Leader || self.leader_state.is_transferring {
             return 0;
--- a/crates/consensus/src/leader_probe.rs
+++ b/crates/consensus/src/leader_probe.rs
@@ -21,7 +21,8 @@
     due_ms: u64,
     /// Members that reported in the current round that they do not lead.
     non_leaders: BTreeSet<MemberId>,
-    /// Whether this member reported that it does not lead, and has received from no leader since.
+    /// Whether this member reported that it does not lead, or learned from a probe round that no
+    /// other member does, and has received from no leader since.
     pub reported_not_leading: bool,
 }
 
@@ -43,7 +44,7 @@
         self.non_leaders.clear();
     }
 
-    /// Hashes what later behaviour depends on.
+    /// Hashes the state that later behaviour depends on.
     pub fn fingerprint(&self, time: FingerprintTime, hasher: &mut impl Hasher) {
         (self.round, &self.non_leaders, self.reported_not_leading).hash(hasher);
         time.until(self.due_ms).hash(hasher);
--- a/crates/consensus/src/leader_state.rs
+++ b/crates/consensus/src/leader_state.rs
@@ -68,7 +68,7 @@
         self.progress.get(&id).map_or(0, |progress| progress.acknowledged_send_ms)
     }
 
-    /// Hashes what later behaviour depends on, except for what only departures use.
+    /// Hashes the state that later behaviour depends on, except for what only departures use.
     pub fn fingerprint(&self, time: FingerprintTime, hasher: &mut impl Hasher) {
         (&self.learners, self.term_start_index, self.is_transferring).hash(hasher);
         time.until(self.heartbeat_due_ms).hash(hasher);
--- a/crates/consensus/src/outgoing_snapshot.rs
+++ b/crates/consensus/src/outgoing_snapshot.rs
@@ -73,7 +73,7 @@
         chunks
     }
 
-    /// Hashes what later behaviour depends on.
+    /// Hashes the state that later behaviour depends on.
     pub fn fingerprint(&self, time: FingerprintTime, hasher: &mut impl Hasher) {
         let interval_ms = self.retry_interval_ms;
         (self.snapshot.index, self.is_started, self.confirmed_bytes, self.sent_bytes, interval_ms)
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -16,7 +16,8 @@
     pub next_index: u64,
     /// Leader's send time of the newest message that this follower answered, or zero.
     pub acknowledged_send_ms: u64,
-    /// When the follower's last response arrived, or since when it is replicated to if none has.
+    /// When the follower's last response arrived; before the first one, when replication to it
+    /// began.
     pub last_response_ms: u64,
     /// Time since which this leader replicates to the follower.
     pub since_ms: u64,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Hashes what later behaviour depends on.
+    /// Hashes the state that later behaviour depends on.
     pub fn fingerprint(&self, time: FingerprintTime, hasher: &mut impl Hasher) {
         (self.member, self.match_index, self.next_index, self.is_probing).hash(hasher);
         (time.age(self.acknowledged_send_ms), time.age(self.last_response_ms)).hash(hasher);
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -61,8 +61,8 @@
         self.leader_state.progress.keys().copied().collect()
     }
 
-    /// Sends the entries or snapshot chunks that the in-flight limit allows. A heartbeat is always
-    /// sent, without entries if no frame with entries was.
+    /// Sends the entries or snapshot chunks that the in-flight limit allows. With `is_heartbeat`, a
+    /// frame without entries is sent if none with entries was.
     pub(crate) fn send_append(&mut self, now_ms: u64, id: MemberId, is_heartbeat: bool) {
         let Some(progress) = self.leader_state.progress.get(&id) else { return };
         let needs_snapshot =
--- a/crates/consensus/src/snapshot_sending.rs
+++ b/crates/consensus/src/snapshot_sending.rs
@@ -20,8 +20,8 @@
         }
     }
 
-    /// Handles a follower's response to a chunk, which it received or which completed the snapshot
-    /// on its disk.
+    /// Handles a follower's response to a chunk: the follower received the chunk, or it has the
+    /// complete snapshot on disk.
     pub(crate) fn on_snapshot_response(
         &mut self,
         now_ms: u64,
