--- a/crates/consensus/src/append_handling.rs
+++ b/crates/consensus/src/append_handling.rs
@@ -1,11 +1,11 @@
-//! How a follower takes entries from its leader (thesis, 3.5): the consistency check, the removal of
-//! entries that conflict, and the response.
+//! How a follower handles its leader's entries (thesis, 3.5): the consistency check, the removal of
+//! conflicting entries, and the response.
 
 use crate::{AppendRequest, AppendResponse, Consensus, Entry, Member, Message, Write};
 
 impl Consensus {
-    /// Stores a leader's entries if this log has the entry before them. The response is sent once
-    /// they are on disk.
+    /// Stores a leader's entries if this log has the entry before them. The confirmation is sent
+    /// once they are on disk; a refusal is sent at once.
     pub(crate) fn on_append(&mut self, now_ms: u64, from: Member, append: AppendRequest) {
         if append.term < self.term {
             let response = AppendResponse { term: self.term, matched: None, hint: 0, sent_ms: 0 };
@@ -25,26 +25,27 @@
             response.hint = self.conflict_hint(append.prev_index);
             return self.send(from, Message::AppendResponse(response));
         }
-        let verified = append.prev_index + append.entries.len() as u64;
+        let verified_index = append.prev_index + append.entries.len() as u64;
         self.store_entries(append.entries);
-        response.matched = Some(verified);
-        self.commit_to(append.commit.min(verified));
+        response.matched = Some(verified_index);
+        self.commit_to(append.commit.min(verified_index));
         self.send_after_sync(from, Message::AppendResponse(response));
     }
 
-    /// Where the leader should continue after a refusal: the first entry of the conflicting term,
-    /// so that one response skips all entries of a term (thesis, 3.5).
+    /// Returns the index from which the leader should continue after a refusal: the first entry of
+    /// the conflicting term, so that one response skips all entries of a term (thesis, 3.5).
     fn conflict_hint(&self, prev_index: u64) -> u64 {
         let Some(term) = self.log.term_at(prev_index) else { return self.log.last_index() + 1 };
-        let mut first = prev_index;
-        while first > self.commit_index + 1 && self.log.term_at(first - 1) == Some(term) {
-            first -= 1;
+        let mut first_index = prev_index;
+        while first_index > self.commit_index + 1 && self.log.term_at(first_index - 1) == Some(term)
+        {
+            first_index -= 1;
         }
-        first
+        first_index
     }
 
-    /// Appends the entries that this log lacks. The first one that conflicts removes everything
-    /// from its index on.
+    /// Appends the entries that this log lacks. The first one whose term conflicts removes all
+    /// entries from its index on.
     fn store_entries(&mut self, entries: Vec<Entry>) {
         let mut appended = Vec::new();
         for entry in entries {
@@ -64,7 +65,10 @@
     }
 
     fn truncate(&mut self, from: u64) {
-        assert!(from > self.commit_index, "a committed entry is never replaced");
+        assert!(
+            from > self.commit_index,
+            "cannot truncate the log from index {from}: that entry is committed"
+        );
         self.log.truncate(from);
         self.durability.on_truncate(from - 1);
         self.write(Write::Truncate { from });
--- a/crates/consensus/src/compaction.rs
+++ b/crates/consensus/src/compaction.rs
@@ -1,5 +1,5 @@
-//! When a snapshot replaces the log's beginning (thesis, chapter 5), and which entries are retained
-//! behind it.
+//! Replacement of the log's beginning by a snapshot (thesis, chapter 5), and the entries that are
+//! retained behind the snapshot.
 
 use crate::outgoing_snapshot::OutgoingSnapshot;
 use crate::{Consensus, Snapshot, Write};
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 
 impl Consensus {
-    /// The application took a snapshot at `index`: it is written to a slot with the entries after
-    /// it, and old entries are dropped from memory.
+    /// Replaces the log up to `index` by a snapshot that the application took there: writes it to a
+    /// slot with the entries after it, and drops old entries from memory.
     pub(crate) fn compact(&mut self, now_ms: u64, index: u64, state: Vec<u8>) {
         let Some(term) = self.log.term_at(index) else { return };
         if index > self.commit_index || index <= self.snapshot_index() {
@@ -22,18 +22,23 @@
         self.write_slot(snapshot);
     }
 
-    /// Entries that a live follower lacks are retained, or it would need snapshot after snapshot:
-    /// up to as many bytes as its snapshot has, since the link carries those in the same time.
+    /// Drops entries up to `index` from memory, except for a number of the newest ones and for
+    /// those that a live follower lacks, which would otherwise need one snapshot after another. For
+    /// such a follower, at most `ENTRIES_RETAINED_MAX_BYTES` are retained or, if that is more, as
+    /// many bytes as the snapshot that is being sent to it has, since the link carries those in the
+    /// same time.
     fn drop_entries(&mut self, now_ms: u64, index: u64) {
         let mut base = self.log.base_retaining(index, ENTRIES_RETAINED, ENTRIES_RETAINED_BYTES);
         let followers = self.leader_state.progress.values();
         for progress in followers.filter(|progress| progress.is_live(now_ms)) {
-            let sending = progress.snapshot.as_ref();
-            let matched = progress.matched;
-            let next = sending.map_or(matched, |sending| sending.index().max(matched));
+            let transfer = progress.snapshot_transfer.as_ref();
+            let match_index = progress.match_index;
+            let follower_index =
+                transfer.map_or(match_index, |transfer| transfer.index().max(match_index));
             let max_bytes =
-                sending.map_or(0, OutgoingSnapshot::total).max(ENTRIES_RETAINED_MAX_BYTES);
-            base = base.min(next.max(self.log.base_retaining(index, u64::MAX, max_bytes)));
+                transfer.map_or(0, OutgoingSnapshot::total_bytes).max(ENTRIES_RETAINED_MAX_BYTES);
+            base =
+                base.min(follower_index.max(self.log.base_retaining(index, u64::MAX, max_bytes)));
         }
         self.log.compact_to(base);
     }
--- a/crates/consensus/src/fingerprint.rs
+++ b/crates/consensus/src/fingerprint.rs
@@ -1,16 +1,16 @@
-//! Identity of a state, for searches over many of them: equal fingerprints mean equal behaviour from
-//! there on, but for the spread of election timers.
+//! Fingerprints of a member's state, for searches over many states: equal fingerprints mean equal
+//! behaviour from there on, except for the random part of election time-outs.
 
 use crate::{Consensus, Message};
 use std::hash::{Hash, Hasher};
 
-/// The time of a state. Times are hashed by their distance from it, and those older than the horizon
-/// are all alike.
+/// The time at which a state is fingerprinted. Other times are hashed by their distance from it,
+/// and all times older than the horizon have the same hash.
 #[derive(Clone, Copy)]
 pub struct FingerprintTime {
     /// Time of the state, in milliseconds.
     pub now_ms: u64,
-    /// Age from which times no longer differ, in milliseconds.
+    /// Age in milliseconds from which times are no longer distinguished.
     pub horizon_ms: u64,
 }
 
@@ -25,8 +25,8 @@
 }
 
 impl Message {
-    /// Hashes the message with its send time as an age, and all else as it is.
-    pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
+    /// Hashes the message, with its send time replaced by an age and everything else unchanged.
+    pub fn fingerprint(&self, time: FingerprintTime, hasher: &mut impl Hasher) {
         let mut message = self.clone();
         match &mut message {
             Message::Append(append) => append.sent_ms = time.age(append.sent_ms),
@@ -36,21 +36,23 @@
             Message::TimeoutNow(request) => request.sent_ms = time.age(request.sent_ms),
             _ => {}
         }
-        message.hash(into);
+        message.hash(hasher);
     }
 }
 
 impl Consensus {
-    /// Hashes all that later behaviour depends on. The state of the random generator and the clock
-    /// offset are omitted, and so is what a departure adds, since no search begins one.
-    pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
-        (self.id, self.term, self.voted_for, self.commit_index, self.role).hash(into);
-        (&self.log, &self.snapshot, &self.incoming, self.seats.voters).hash(into);
-        self.election.fingerprint(time, into);
-        self.probe.fingerprint(time, into);
-        self.contact.fingerprint(time, into);
-        self.leader_state.fingerprint(time, into);
-        self.disk.fingerprint(self.durability.synced(), time, into);
-        self.durability.fingerprint(time, into);
+    /// Hashes everything that later behaviour depends on, except for the state of the random
+    /// generator, the clock difference to the leader, and the state of departures, which no search
+    /// begins.
+    pub fn fingerprint(&self, time: FingerprintTime, hasher: &mut impl Hasher) {
+        (self.id, self.term, self.voted_for, self.commit_index, self.role).hash(hasher);
+        (&self.log, &self.snapshot, &self.incoming_snapshot, self.voter_policy.target_voters)
+            .hash(hasher);
+        self.election.fingerprint(time, hasher);
+        self.probe.fingerprint(time, hasher);
+        self.contact.fingerprint(time, hasher);
+        self.leader_state.fingerprint(time, hasher);
+        self.disk.fingerprint(self.durability.last_synced(), time, hasher);
+        self.durability.fingerprint(time, hasher);
     }
 }
--- a/crates/consensus/src/leader_probe.rs
+++ b/crates/consensus/src/leader_probe.rs
@@ -1,60 +1,62 @@
-//! How a cluster without a leader elects at once.
+//! Probes for a leader, by which a cluster without one elects at once.
 //!
-//! A lease is only in the memory of the leader. So when every member denies in one round that it
-//! leads, no lease is left, and nobody needs to wait for its end: after all have restarted at once,
-//! or the leader alone.
+//! A lease exists only in the memory of the leader. So when every member reports in one round that
+//! it does not lead, no lease is left, and no member needs to wait for one to end. This is the case
+//! after all members have restarted at the same time, or the leader alone.
 //!
 //! Rounds are numbered from a random start in each incarnation, so that no response to an earlier
-//! incarnation counts. A member that comes to lead after its response starts its term with an entry
-//! that the prober lacks, and the members that confirm its lease have that entry and refuse the
-//! prober their votes.
+//! incarnation counts. A member that becomes leader after its response starts its term with an
+//! entry that the probing member lacks; the members that confirm its lease have that entry and
+//! refuse the probing member their votes.
 
 use crate::{Consensus, FingerprintTime, Member, MemberId, Message, Role};
 use postbarrow_constants::consensus::LEADER_PROBE_MS;
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
-/// Rounds of asking all other members whether they lead.
+/// The probe rounds of a member, in each of which it asks all other voters whether they lead.
 #[derive(Clone, Debug)]
 pub(crate) struct ProbeState {
     round: u64,
     due_ms: u64,
-    /// Members that denied in this round that they lead.
+    /// Members that reported in the current round that they do not lead.
     non_leaders: BTreeSet<MemberId>,
-    /// This member denied that it leads, and had contact with no leader since.
-    pub denied_leadership: bool,
+    /// Whether this member reported that it does not lead, or learned from a probe round that no
+    /// other member does, and has received from no leader since.
+    pub reported_not_leading: bool,
 }
 
 impl ProbeState {
-    /// Before the first round of an incarnation.
+    /// Returns the state before the first round of an incarnation.
     pub fn new(seed: u64, now_ms: u64) -> Self {
         ProbeState {
             round: seed >> 1,
             due_ms: now_ms,
             non_leaders: BTreeSet::new(),
-            denied_leadership: false,
+            reported_not_leading: false,
         }
     }
 
-    /// Later responses to this round are ignored: they may tell of a time before what was received
-    /// since.
+    /// Ends the current round. Its late responses are ignored, since they may describe the time
+    /// before a message that was received since.
     pub fn end_round(&mut self) {
         self.round += 1;
         self.non_leaders.clear();
     }
 
-    /// What later behaviour depends on.
-    pub fn fingerprint(&self, time: FingerprintTime, into: &mut impl Hasher) {
-        (self.round, &self.non_leaders, self.denied_leadership).hash(into);
-        time.until(self.due_ms).hash(into);
+    /// Hashes the state that later behaviour depends on.
+    pub fn fingerprint(&self, time: FingerprintTime, hasher: &mut impl Hasher) {
+        (self.round, &self.non_leaders, self.reported_not_leading).hash(hasher);
+        time.until(self.due_ms).hash(hasher);
     }
 }
 
 impl Consensus {
-    /// A member that just started and knows of no leader probes all others, round after round.
+    /// Probes all other voters, round after round, while this member knows no leader and has only
+    /// just started.
     pub(crate) fn probe_tick(&mut self, now_ms: u64) {
         let is_probing = self.is_without_leader()
-            && now_ms < self.election.bound_by_start_until_ms()
+            && now_ms < self.election.vote_withheld_after_start_until_ms()
             && self.log.is_member(self.id);
         if !is_probing || now_ms < self.probe.due_ms {
             return;
@@ -69,11 +71,11 @@
 
     pub(crate) fn on_leader_probe(&mut self, from: Member, round: u64) {
         let not_leading = self.role != Role::Leader;
-        self.probe.denied_leadership = not_leading;
+        self.probe.reported_not_leading = not_leading;
         self.send(from, Message::LeaderProbeResponse { term: self.term, round, not_leading });
     }
 
-    /// Campaigns once all other members denied in one round that they lead.
+    /// Starts a candidacy once all other voters reported in one round that they do not lead.
     pub(crate) fn on_leader_probe_response(
         &mut self,
         now_ms: u64,
@@ -82,8 +84,8 @@
         round: u64,
         not_leading: bool,
     ) {
-        let counts = round == self.probe.round && not_leading;
-        if !counts || !self.is_without_leader() || !self.log.is_member(self.id) {
+        let is_current_report = round == self.probe.round && not_leading;
+        if !is_current_report || !self.is_without_leader() || !self.log.is_member(self.id) {
             return;
         }
         if term > self.term {
@@ -92,7 +94,7 @@
         self.probe.non_leaders.insert(from.id);
         if self.peers().iter().all(|peer| self.probe.non_leaders.contains(&peer.id)) {
             self.probe.end_round();
-            self.probe.denied_leadership = true;
+            self.probe.reported_not_leading = true;
             self.start_pre_vote(now_ms, true);
         }
     }
--- a/crates/consensus/src/leadership_transfer.rs
+++ b/crates/consensus/src/leadership_transfer.rs
@@ -1,11 +1,11 @@
-//! Leadership transfer (thesis, 3.10): a leader relinquishes its lease and lets a caught-up follower
-//! campaign at once.
+//! Leadership transfer (thesis, 3.10): a leader relinquishes its lease and lets a caught-up
+//! follower campaign at once.
 
 use crate::{Consensus, Effect, Member, Message, Role, TimeoutNow};
 
 impl Consensus {
-    /// The lease ends first and for the rest of the term, so that the others need not wait for it.
-    /// Without a caught-up follower nothing happens.
+    /// Transfers leadership to a caught-up follower, if there is one. The lease is relinquished
+    /// first and for the rest of the term, so that the others need not wait for its end.
     pub(crate) fn transfer_leadership(&mut self, now_ms: u64, handover_state: Vec<u8>) {
         if self.role != Role::Leader {
             return;
@@ -20,7 +20,7 @@
         let last_index = self.log.last_index();
         let mut candidates = self.leader_state.progress.values().filter(|progress| {
             let id = progress.member.id;
-            progress.matched == last_index
+            progress.match_index == last_index
                 && self.log.is_member(id)
                 && self.is_responsive(now_ms, id)
                 && !self.is_departing(now_ms, id)
@@ -28,11 +28,11 @@
         candidates.next().map(|progress| progress.member)
     }
 
-    /// This member's leader lets it campaign: without a pre-vote, and though voters are bound to
-    /// that leader.
+    /// Starts an election at the request of this member's leader, without a pre-vote, and although
+    /// other voters still withhold their votes because of that leader.
     pub(crate) fn on_timeout_now(&mut self, now_ms: u64, from: Member, request: TimeoutNow) {
-        let is_follower = self.role == Role::Follower && self.contact.leader == Some(from.id);
-        if request.term != self.term || !is_follower || !self.log.is_member(self.id) {
+        let follows_sender = self.role == Role::Follower && self.contact.leader == Some(from.id);
+        if request.term != self.term || !follows_sender || !self.log.is_member(self.id) {
             return;
         }
         let late_ms = self.contact.excess_delay_ms(now_ms, request.sent_ms);
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,5 +1,5 @@
-//! How the members change: one member at a time (thesis, chapter 4), with learners that catch up
-//! before they vote (4.2.1).
+//! Membership changes, one member at a time (thesis, chapter 4), with learners that catch up before
+//! they become voters (4.2.1).
 
 use crate::progress::Progress;
 use crate::{Consensus, Member, MemberId, Payload, Role};
@@ -7,30 +7,33 @@
     LEARNER_LAG_ENTRIES, LEARNER_STANDBY_MS, RESPONSIVE_MS, VOTER_DEAD_MS, VOTERS,
 };
 
-/// How many voters there should be, and when one of them is replaced.
+/// The number of voters that the configuration should have, and the time after which an
+/// unresponsive one is replaced.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct SeatPolicy {
-    /// Voters that the configuration grows to while learners are caught up.
-    pub voters: usize,
-    /// A voter without a response for this long is removed while a learner is caught up.
+pub(crate) struct VoterPolicy {
+    /// Number of voters up to which the configuration grows while learners are caught up.
+    pub target_voters: usize,
+    /// Time in milliseconds without a response after which a voter is removed, if a learner is
+    /// caught up.
     pub voter_dead_ms: u64,
 }
 
-impl Default for SeatPolicy {
+impl Default for VoterPolicy {
     fn default() -> Self {
-        SeatPolicy { voters: VOTERS, voter_dead_ms: VOTER_DEAD_MS }
+        VoterPolicy { target_voters: VOTERS, voter_dead_ms: VOTER_DEAD_MS }
     }
 }
 
-impl SeatPolicy {
-    /// As many voters as a majority needs after so many losses at once.
+impl VoterPolicy {
+    /// Sets the number of voters such that a majority remains after `losses` of them are lost at
+    /// once.
     pub fn set_losses(&mut self, losses: usize) {
-        self.voters = VOTERS.max(2 * losses + 1);
+        self.target_voters = VOTERS.max(2 * losses + 1);
     }
 }
 
 impl Consensus {
-    /// A process asks to follow the log: it becomes a learner, or a voter's address is updated.
+    /// Adds a process as a learner; if it is a voter already, its address is updated instead.
     pub(crate) fn add_learner(&mut self, now_ms: u64, member: Member) {
         let is_departing = self.is_departing(now_ms, member.id);
         if self.role != Role::Leader || member.id == self.id || is_departing {
@@ -42,13 +45,13 @@
             }
             return;
         }
-        let next = self.log.last_index() + 1;
+        let next_index = self.log.last_index() + 1;
         self.leader_state.learners.insert(member.id, member);
-        self.follow_progress_of(now_ms, member, next);
+        self.track_progress(now_ms, member, next_index);
     }
 
-    /// One step at a time (thesis, 4.1), and none that would leave the log without a majority of
-    /// responsive voters.
+    /// Proposes the next configuration: one change at a time (thesis, 4.1), and none that would
+    /// leave the log without a majority of responsive voters.
     pub(crate) fn membership_tick(&mut self, now_ms: u64) {
         if !self.is_ready() || self.log.config_index() > self.commit_index {
             return;
@@ -62,20 +65,24 @@
         }
     }
 
-    /// A dead voter is removed first, then the learner joins: if the learner is lost meanwhile, no
-    /// majority of four lacks it. A responsive voter that departs is removed last: four responsive
-    /// voters bear a loss at each step, and if one of them does not respond, the departure is the
-    /// more certain loss. No voter is removed before the learner has responded for longer than
-    /// `RESPONSIVE_MS`, since it may run on the machine of a voter that was lost a moment ago.
+    /// Returns the next configuration, if the voters should change.
+    ///
+    /// A dead voter is removed before the learner is added: otherwise there would be four voters,
+    /// of which no majority would be left if the learner were lost as well. A responsive voter that
+    /// departs is removed after the learner is added: four responsive voters bear a loss at each
+    /// step. If one of the four does not respond but does not count as dead, the departing voter is
+    /// removed, since its loss is the more certain one. No voter is removed before the learner has
+    /// responded for longer than `RESPONSIVE_MS`, since the learner may run on the machine of a
+    /// voter that was lost a moment ago.
     fn next_members(&self, now_ms: u64) -> Option<Vec<Member>> {
         let members = self.log.members();
-        if members.len() > self.seats.voters {
+        if members.len() > self.voter_policy.target_voters {
             let removed = self.dead_voter(now_ms).or_else(|| self.departing_voter(now_ms))?;
             return Some(self.members_without(removed));
         }
         let learner = self.caught_up_learner(now_ms)?;
         let with_learner = || members.iter().copied().chain([learner]).collect();
-        if members.len() < self.seats.voters {
+        if members.len() < self.voter_policy.target_voters {
             return Some(with_learner());
         }
         let progress = self.leader_state.progress.get(&learner.id);
@@ -93,18 +100,19 @@
         self.log.members().iter().filter(|member| member.id != removed).copied().collect()
     }
 
-    /// Of the voters that count as dead, the one whose last response is oldest.
+    /// Returns the voter with the oldest last response among those that count as dead.
     fn dead_voter(&self, now_ms: u64) -> Option<MemberId> {
         let silent_ms = |id: MemberId| {
             self.leader_state.progress.get(&id).map_or(0, |progress| progress.silent_ms(now_ms))
         };
         let is_dead = |id: &MemberId| {
-            silent_ms(*id) >= self.seats.voter_dead_ms || self.has_stopped(now_ms, *id)
+            silent_ms(*id) >= self.voter_policy.voter_dead_ms
+                || self.has_stopped_after_announcement(now_ms, *id)
         };
         self.peer_ids().filter(is_dead).max_by_key(|id| silent_ms(*id))
     }
 
-    /// A responsive voter that announced its departure.
+    /// Returns a voter that is departing and still announces it.
     fn departing_voter(&self, now_ms: u64) -> Option<MemberId> {
         self.peer_ids().find(|id| self.is_departing(now_ms, *id))
     }
@@ -113,8 +121,9 @@
         self.log.members().iter().map(|member| member.id).filter(|id| *id != self.id)
     }
 
-    /// Whether it responded to this leader lately, or this member was elected lately and cannot
-    /// tell yet.
+    /// Returns whether a voter or learner responded to this leader within `RESPONSIVE_MS`. One that
+    /// this leader has only begun to replicate to counts as responsive for that time, because it
+    /// may not have been able to respond yet.
     pub(crate) fn is_responsive(&self, now_ms: u64, id: MemberId) -> bool {
         let progress = self.leader_state.progress.get(&id);
         progress.is_some_and(|progress| progress.silent_ms(now_ms) < RESPONSIVE_MS)
@@ -124,12 +133,13 @@
         let is_caught_up = |learner: &&Member| {
             self.is_responsive(now_ms, learner.id)
                 && !self.is_departing(now_ms, learner.id)
-                && self.matched(learner.id) + LEARNER_LAG_ENTRIES >= self.log.last_index()
+                && self.match_index(learner.id) + LEARNER_LAG_ENTRIES >= self.log.last_index()
         };
         self.leader_state.learners.values().find(is_caught_up).copied()
     }
 
-    /// The same disk at another address: the voters remain the same, so one step is enough.
+    /// Proposes a voter's new address. The disk and the set of voters stay the same, so one step is
+    /// enough.
     fn change_address(&mut self, now_ms: u64, moved: Member) {
         let mut members = self.members_without(moved.id);
         members.push(moved);
@@ -138,12 +148,12 @@
     }
 
     fn propose_members(&mut self, now_ms: u64, members: Vec<Member>) {
-        self.append_own(now_ms, vec![Payload::Members(members.clone())]);
-        let next = self.log.last_index() + 1;
+        self.append_to_own_log(now_ms, vec![Payload::Members(members.clone())]);
+        let next_index = self.log.last_index() + 1;
         for member in &members {
             self.leader_state.learners.remove(&member.id);
             if member.id != self.id {
-                self.follow_progress_of(now_ms, *member, next);
+                self.track_progress(now_ms, *member, next_index);
             }
         }
         let learners = &self.leader_state.learners;
@@ -152,8 +162,8 @@
         });
     }
 
-    fn follow_progress_of(&mut self, now_ms: u64, member: Member, next: u64) {
+    fn track_progress(&mut self, now_ms: u64, member: Member, next_index: u64) {
         let progress = self.leader_state.progress.entry(member.id);
-        progress.or_insert_with(|| Progress::new(member, next, now_ms));
+        progress.or_insert_with(|| Progress::new(member, next_index, now_ms));
     }
 }
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,4 +1,4 @@
-//! Entries from the leader's log to its followers' (thesis, 3.5), batched and pipelined (10.2.2).
+//! Replication of the leader's log to its followers (thesis, 3.5), batched and pipelined (10.2.2).
 
 use crate::{
     AppendRequest, AppendResponse, Consensus, Entry, Member, MemberId, Message, Payload, Role,
@@ -7,15 +7,16 @@
 use postbarrow_constants::consensus::{APPEND_BYTES, ELECTION_MIN_MS, HEARTBEAT_MS};
 
 impl Consensus {
-    /// Appends batches of the application, if this member leads.
+    /// Appends batches of application bytes as entries, if this member leads.
     pub(crate) fn propose(&mut self, now_ms: u64, batches: Vec<Vec<u8>>) {
         if self.role == Role::Leader {
-            self.append_own(now_ms, batches.into_iter().map(Payload::Batch).collect());
+            self.append_to_own_log(now_ms, batches.into_iter().map(Payload::Batch).collect());
         }
     }
 
-    /// Appends entries to the leader's own log, and replicates them while they are written.
-    pub(crate) fn append_own(&mut self, now_ms: u64, payloads: Vec<Payload>) {
+    /// Appends entries to the leader's own log, and replicates them while they are being written to
+    /// disk.
+    pub(crate) fn append_to_own_log(&mut self, now_ms: u64, payloads: Vec<Payload>) {
         let mut entries = Vec::with_capacity(payloads.len());
         for payload in payloads {
             let entry = Entry { term: self.term, index: self.log.last_index() + 1, payload };
@@ -28,7 +29,8 @@
         self.advance_commit();
     }
 
-    /// Heartbeats; a leader without a lease to which nobody responds steps down (thesis, 6.2).
+    /// Sends heartbeats when they are due. A leader without a lease steps down if no follower has
+    /// responded for `ELECTION_MIN_MS` (thesis, 6.2).
     pub(crate) fn leader_tick(&mut self, now_ms: u64) {
         if self.is_unreachable(now_ms) {
             return self.become_follower(now_ms, self.term, None);
@@ -44,9 +46,9 @@
     fn is_unreachable(&self, now_ms: u64) -> bool {
         let is_lease_over = self.lease_until().saturating_add(ELECTION_MIN_MS) < now_ms;
         let followers = &self.leader_state.progress;
-        let nobody_responds =
+        let all_unresponsive =
             followers.values().all(|progress| progress.last_response_ms + ELECTION_MIN_MS < now_ms);
-        is_lease_over && nobody_responds && !followers.is_empty()
+        is_lease_over && all_unresponsive && !followers.is_empty()
     }
 
     fn replicate(&mut self, now_ms: u64) {
@@ -59,11 +61,12 @@
         self.leader_state.progress.keys().copied().collect()
     }
 
-    /// Sends what the in-flight bound allows; a heartbeat is sent in any case, without entries if
-    /// need be.
+    /// Sends the entries or snapshot chunks that the in-flight limit allows. With `is_heartbeat`, a
+    /// frame without entries is sent if none with entries was.
     pub(crate) fn send_append(&mut self, now_ms: u64, id: MemberId, is_heartbeat: bool) {
         let Some(progress) = self.leader_state.progress.get(&id) else { return };
-        let needs_snapshot = progress.snapshot.is_some() || progress.next <= self.log.base();
+        let needs_snapshot =
+            progress.snapshot_transfer.is_some() || progress.next_index <= self.log.base();
         if needs_snapshot {
             self.send_snapshot(now_ms, id);
         }
@@ -73,11 +76,12 @@
         }
     }
 
-    /// Sends frames of entries until the follower has enough in flight; whether any was sent.
+    /// Sends frames of entries until the in-flight limit or the end of the log is reached. Returns
+    /// whether any was sent.
     fn send_entries(&mut self, now_ms: u64, id: MemberId) -> bool {
         let mut sent = false;
         while let Some(progress) = self.leader_state.progress.get(&id) {
-            let entries = self.log.slice(progress.next, APPEND_BYTES);
+            let entries = self.log.slice(progress.next_index, APPEND_BYTES);
             if entries.is_empty() || !progress.may_send(&entries) {
                 break;
             }
@@ -89,7 +93,7 @@
 
     fn send_frame(&mut self, now_ms: u64, id: MemberId, entries: Vec<Entry>) {
         let Some(progress) = self.leader_state.progress.get_mut(&id) else { return };
-        let (to, prev_index) = (progress.member, progress.next - 1);
+        let (to, prev_index) = (progress.member, progress.next_index - 1);
         progress.on_sent(&entries);
         let append = AppendRequest {
             term: self.term,
@@ -102,7 +106,7 @@
         self.send(to, Message::Append(append));
     }
 
-    /// A follower confirmed entries, or refused them.
+    /// Handles a follower's confirmation or refusal of entries.
     pub(crate) fn on_append_response(
         &mut self,
         now_ms: u64,
@@ -125,11 +129,11 @@
                 self.send_append(now_ms, from.id, false);
             }
             None if response.hint == 0 => self.send_snapshot(now_ms, from.id),
-            None if progress.snapshot.is_some()
+            None if progress.snapshot_transfer.is_some()
                 || !progress.is_current_refusal(response.sent_ms) => {}
             None => {
-                let next = response.hint.clamp(progress.matched + 1, last_index + 1);
-                progress.restart_at(next, now_ms);
+                let next_index = response.hint.clamp(progress.match_index + 1, last_index + 1);
+                progress.restart_at(next_index, now_ms);
                 self.send_append(now_ms, from.id, true);
             }
         }
