--- a/crates/controller/src/control_node.rs
+++ b/crates/controller/src/control_node.rs
@@ -1,4 +1,4 @@
-//! The control node: what each input does.
+//! The control node: dispatches each input to its handler and returns the resulting effects.
 
 mod calls;
 mod compaction;
@@ -45,26 +45,33 @@
 use postbarrow_transactions::Tail;
 use std::net::SocketAddr;
 
-/// A member of the control plane's log, or a node that is to become one.
+/// A control-plane node: a member of the replicated log, a node that is joining it, or an observer,
+/// which never becomes a member.
 pub struct ControlNode {
+    /// This node's member id and address.
     own: Member,
     consensus: Consensus,
-    /// The committed state.
+    /// Reader of the committed log; its image is the committed state.
     tail: Tail<State>,
     updates: RoutingUpdates,
     snapshots: SnapshotSchedule,
     directory: PeerDirectory,
     contact: LeaderContact,
     settings: LeaderSettings,
+    /// The leader's working state; `None` while this node does not lead.
     leader: Option<LeaderState>,
+    /// The endpoint list's scan state that a former leader sent with its leadership transfer.
     received_handover: Option<ReceivedHandover>,
     is_stopping: bool,
+    /// Effects of the input that is being handled, in the order in which they are to be carried
+    /// out.
     effects: Vec<Effect>,
 }
 
 impl ControlNode {
-    /// A node with what its disk gave back. `seeds` are addresses that may introduce it to others;
-    /// `seed` starts its random draws; `now_ms` is a time of the clock that `handle` is given.
+    /// Creates a node from the state recovered from its disk. `seeds` are addresses of nodes that
+    /// may introduce it to other control nodes; `seed` seeds its random numbers; `now_ms` is the
+    /// current time of the clock that `handle` is given.
     pub fn new(
         own: Member,
         recovered: RecoveredState,
@@ -94,18 +101,18 @@
         node
     }
 
-    /// Takes one input at this time, in milliseconds of a clock that never goes back, and returns
-    /// what is to be done, in its order.
+    /// Handles one input at `now_ms`, in milliseconds of a monotonic clock, and returns the effects
+    /// to be carried out, in order.
     ///
     /// # Panics
-    /// On a committed entry or snapshot that this release can't read.
+    /// If a committed entry or a snapshot can't be decoded by this release.
     pub fn handle(&mut self, now_ms: u64, input: Input) -> Vec<Effect> {
         match input {
             Input::Tick => self.tick(now_ms),
             Input::Stop => self.stop(now_ms),
             Input::Seeds(seeds) => self.directory.set_seeds(&seeds),
             Input::Receive(envelope) => self.receive(now_ms, envelope),
-            Input::Synced(sequence) => self.log(now_ms, consensus::Input::Synced(sequence)),
+            Input::Synced(sequence) => self.step(now_ms, consensus::Input::Synced(sequence)),
             Input::Page(result) => self.on_fetched(now_ms, result),
             Input::Encoded { index, state } => self.on_encoded(now_ms, index, state),
         }
@@ -117,7 +124,7 @@
         let Envelope { from, message } = envelope;
         match message {
             Message::Consensus { from, to, message } if to == self.own.id => {
-                self.log(now_ms, consensus::Input::Receive { from, message })
+                self.step(now_ms, consensus::Input::Receive { from, message })
             }
             Message::Consensus {
                 from,
@@ -127,8 +134,8 @@
             Message::DiscoveryAnnouncement(announcement) => {
                 self.on_announcement(now_ms, from, announcement)
             }
-            Message::Bootstrap(members) => self.log(now_ms, consensus::Input::Bootstrap(members)),
-            Message::Introduce => self.introduce(from),
+            Message::Bootstrap(members) => self.step(now_ms, consensus::Input::Bootstrap(members)),
+            Message::Introduce => self.send_introduction(from),
             Message::Introduction { control, formed } => self.on_introduction(control, formed),
             Message::LeaseRequest(request) => self.on_lease_request(now_ms, from, request),
             Message::Tail { after } => {
@@ -150,7 +157,7 @@
 
     fn tick(&mut self, now_ms: u64) {
         let gap_ms = self.contact.on_tick(now_ms);
-        self.log(now_ms, consensus::Input::Tick);
+        self.step(now_ms, consensus::Input::Tick);
         self.contact_tick(now_ms, gap_ms);
         self.discovery_tick(now_ms);
         if self.is_leading() && !self.is_departing() {
@@ -170,10 +177,11 @@
         self.watch_tick(now_ms);
     }
 
-    /// Runs the log and carries out its effects. Writes and sends go out in the log's own order
-    /// before anything else, for what a commit brings about may write again.
-    fn log(&mut self, now_ms: u64, input: consensus::Input) {
-        let mut later = Vec::new();
+    /// Passes an input to the consensus module and carries out its effects. Writes and sends are
+    /// emitted first, in the order consensus returned them, because handling the other effects,
+    /// such as a commit, may write again.
+    fn step(&mut self, now_ms: u64, input: consensus::Input) {
+        let mut deferred = Vec::new();
         for effect in self.consensus.handle(now_ms, input) {
             match effect {
                 LogEffect::Send { to, message } => {
@@ -186,10 +194,10 @@
                     }
                     self.effects.push(Effect::Write { sequence, write });
                 }
-                other => later.push(other),
+                other => deferred.push(other),
             }
         }
-        for effect in later {
+        for effect in deferred {
             match effect {
                 LogEffect::Commit(entries) => self.on_commit(now_ms, entries),
                 LogEffect::Restore(snapshot) => self.restore(&snapshot),
@@ -200,7 +208,7 @@
                 LogEffect::Send { .. } | LogEffect::Write { .. } => {}
             }
         }
-        self.finish_take_over(now_ms);
+        self.start_serving_when_ready(now_ms);
     }
 
     fn send_updates(&mut self, now_ms: u64) {
@@ -219,38 +227,39 @@
         self.effects.push(Effect::Log(text));
     }
 
-    /// The member's log.
+    /// Returns this node's consensus module, which holds the replicated log.
     pub fn consensus(&self) -> &Consensus {
         &self.consensus
     }
 
-    /// The committed state.
+    /// Returns the state with all committed records applied; an open transaction is not part of it.
     pub fn committed(&self) -> &State {
         self.tail.image()
     }
 
-    /// The reader of the committed log.
+    /// Returns the reader that applies the committed log to the state.
     pub fn tail(&self) -> &Tail<State> {
         &self.tail
     }
 
-    /// Whether this node leads, and has applied what earlier leaders committed.
+    /// Returns whether this node leads and has applied everything that earlier leaders committed.
     pub fn is_leading(&self) -> bool {
         self.leader.as_ref().is_some_and(LeaderState::is_serving)
     }
 
-    /// Whether this node leads and nobody else can at this time.
+    /// Returns whether this node leads and holds the leader lease, so that no other node can lead
+    /// at `now_ms`.
     pub fn has_lease(&self, now_ms: u64) -> bool {
         self.is_leading() && now_ms < self.consensus.lease_until()
     }
 
-    /// Images encoded for data nodes so far.
+    /// Returns how many images this node has encoded for data nodes.
     pub fn images_encoded(&self) -> u64 {
         self.updates.images_encoded()
     }
 
-    /// The longest time that a request waited for an open transaction since this node leads, in
-    /// milliseconds.
+    /// Returns the longest time that a request has waited for an open transaction since this node
+    /// became the leader, in milliseconds; 0 while this node does not lead.
     pub fn stall_ms(&self) -> u64 {
         self.leader.as_ref().map_or(0, |leader| leader.transaction.longest_stall_ms())
     }
@@ -259,7 +268,7 @@
         self.consensus.members().iter().map(|member| member.address).collect()
     }
 
-    /// The leader's address as the log knows it, unless it is this node's.
+    /// Returns the address of the leader that consensus knows, unless that is this node.
     fn other_leader(&self) -> Option<SocketAddr> {
         let leader = self.consensus.leader().map(|leader| leader.address);
         leader.filter(|address| *address != self.own.address)
--- a/crates/controller/src/control_node/calls.rs
+++ b/crates/controller/src/control_node/calls.rs
@@ -1,4 +1,4 @@
-//! Applications' calls: locks, numbers, keys and watches.
+//! Handles calls of applications: locks, numbers, keys and watches.
 
 use crate::ControlNode;
 use crate::call_check::check_call;
@@ -9,7 +9,8 @@
 use postbarrow_state::{Call, Name, Outcome, Record};
 
 impl ControlNode {
-    /// `id` names a call that writes, so that a repeat gets the first outcome.
+    /// Handles an application's call. `id` identifies a call that writes, so that a repeat of it
+    /// gets the outcome of the first one.
     pub(super) fn on_call(&mut self, now_ms: u64, origin: Origin, id: Option<Name>, call: Call) {
         if let Err(error) = check_call(&call) {
             return self.respond(origin, Response::Refused(error.to_string()));
@@ -27,7 +28,7 @@
     }
 
     fn on_write(&mut self, now_ms: u64, origin: Origin, id: Option<Name>, call: Call) {
-        let Some(state) = self.current() else { return };
+        let Some(state) = self.proposed_state() else { return };
         if let Some(known) = id.as_ref().and_then(|id| state.repeats.get(id)) {
             let outcome = known.as_ref().clone();
             return self.reply_when_committed(now_ms, origin, Response::Outcome(outcome));
--- a/crates/controller/src/control_node/compaction.rs
+++ b/crates/controller/src/control_node/compaction.rs
@@ -1,4 +1,4 @@
-//! When a snapshot is taken out of the state, and what it does to the log.
+//! Takes snapshots of the committed state, compacts the log with them, and restores them.
 
 use crate::snapshot::SnapshotContent;
 use crate::{ControlNode, Effect, PendingSnapshot};
@@ -6,18 +6,20 @@
 use postbarrow_transactions::Tail;
 
 impl ControlNode {
-    /// Starts again from a snapshot.
+    /// Replaces the committed state by the snapshot's.
     pub(super) fn restore(&mut self, snapshot: &Snapshot) {
         let content = SnapshotContent::decode(snapshot);
         self.tail = Tail::new(snapshot.index, content.state.as_ref().clone());
         self.updates.restore(content.update_offset);
-        self.count_log();
+        self.update_log_bytes();
     }
 
-    /// Between transactions only: a snapshot carries no markers. So it is due after each entry, not
-    /// at ticks: while plan follows plan, a transaction is open at nearly every tick. It is encoded
-    /// beside the control loop, since that takes longer than a lease can spare. A node that has just
-    /// started has applied nothing beyond its snapshot: the log that it read counts until it has.
+    /// Starts encoding a snapshot if one is due. A snapshot carries no transaction markers, so it
+    /// is taken only between transactions. This is checked after each entry and not only at ticks:
+    /// while plans are submitted back to back, a transaction is open at nearly every tick. The
+    /// snapshot is encoded beside the control loop, since encoding takes longer than the leader may
+    /// delay the renewal of its lease. A node that has just started has applied nothing beyond its
+    /// snapshot and takes none; the log that it read at its start counts towards the next one.
     pub(super) fn compact(&mut self, now_ms: u64) {
         if !self.snapshots.is_due(now_ms) || self.tail.is_open() {
             return;
@@ -35,13 +37,13 @@
     pub(super) fn on_encoded(&mut self, now_ms: u64, index: u64, state: Vec<u8>) {
         self.log_line(format!("snapshot taken index={index} bytes={}", state.len()));
         self.snapshots.on_encoded();
-        self.log(now_ms, postbarrow_consensus::Input::Compact { index, state });
-        self.count_log();
+        self.step(now_ms, postbarrow_consensus::Input::Compact { index, state });
+        self.update_log_bytes();
     }
 
-    /// The next start reads all entries after the snapshot, also those that came while it was
-    /// encoded.
-    fn count_log(&mut self) {
+    /// Sets the size of the log after the last snapshot. This includes the entries that were
+    /// appended while the snapshot was encoded, because the next start reads them too.
+    fn update_log_bytes(&mut self) {
         let log_bytes = self.consensus.log().bytes_after(self.consensus.snapshot_index());
         self.snapshots.set_log_bytes(log_bytes);
     }
--- a/crates/controller/src/control_node/contact.rs
+++ b/crates/controller/src/control_node/contact.rs
@@ -3,7 +3,7 @@
 use crate::{Contact, ControlNode};
 
 impl ControlNode {
-    /// What this node knows of the leader at this time.
+    /// Returns whether this node is in contact with a leader at `now_ms`, and with which one.
     pub fn contact(&self, now_ms: u64) -> Contact {
         if !self.consensus.log().is_member(self.own.id) {
             return Contact::Outside;
--- a/crates/controller/src/control_node/discovery.rs
+++ b/crates/controller/src/control_node/discovery.rs
@@ -1,4 +1,4 @@
-//! How control nodes find each other, bootstrap a log, and join one.
+//! Discovery: control nodes find each other, and bootstrap a log or join one.
 
 use crate::ControlNode;
 use crate::peer_directory::DiscoveredPeer;
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 
 impl ControlNode {
-    /// A node that is no member, or a member without a leader for long, announces itself, unless its
-    /// process is about to end.
+    /// Announces this node if it is not a member, or is a member that has been without a leader for
+    /// longer than elections take. A node that is stopping doesn't announce itself.
     pub(super) fn discovery_tick(&mut self, now_ms: u64) {
         if self.consensus.leader().is_some() || self.leader.is_some() {
             self.directory.on_leader_known(now_ms);
@@ -19,8 +19,8 @@
         if is_member {
             self.introduce_to_seeds(now_ms);
         }
-        let needs_others = !is_member || self.directory.is_leaderless(now_ms);
-        if !self.directory.is_announcement_due(now_ms) || !needs_others || self.is_stopping {
+        let needs_peers = !is_member || self.directory.is_leaderless(now_ms);
+        if !self.directory.is_announcement_due(now_ms) || !needs_peers || self.is_stopping {
             return;
         }
         self.directory.schedule_announcement(now_ms);
@@ -54,7 +54,7 @@
         let Some(members) = self.directory.bootstrap_members(own) else { return };
         let ids: BTreeSet<MemberId> = members.iter().map(|member| member.id).collect();
         self.log_line(format!("log bootstrapped members={}", ids.len()));
-        self.log(now_ms, consensus::Input::Bootstrap(members.clone()));
+        self.step(now_ms, consensus::Input::Bootstrap(members.clone()));
         for member in members.iter().filter(|member| **member != own) {
             self.send(member.address, Message::Bootstrap(members.clone()));
         }
@@ -82,12 +82,13 @@
         if uninitialized && first_members.contains(&member) && self.consensus.log().base() == 0 {
             return self.send(from, Message::Bootstrap(first_members));
         }
-        self.log(now_ms, consensus::Input::AddLearner(member));
+        self.step(now_ms, consensus::Input::AddLearner(member));
     }
 
-    /// Names the members, or who may lead to them. A node that is no member itself, an observer for
-    /// one, reports that a log exists: whoever knows only observers finds the members by them.
-    pub(super) fn introduce(&mut self, from: SocketAddr) {
+    /// Sends the members' addresses; a node without a log adds all control nodes that it knows.
+    /// Such a node, for example an observer, also reports whether a log is known to exist: a node
+    /// that knows only observers must find the members through them.
+    pub(super) fn send_introduction(&mut self, from: SocketAddr) {
         let is_uninitialized = self.consensus.is_uninitialized();
         let formed = !is_uninitialized || self.directory.is_log_known();
         let mut control = self.member_addresses();
@@ -97,8 +98,9 @@
         self.send(from, Message::Introduction { control, formed });
     }
 
-    /// Members name themselves to the seeds that are none. Such a seed may have started again and
-    /// know only others like itself, while data nodes learn of nobody else.
+    /// Sends the members' addresses to the seeds that are not members. Such a seed may have
+    /// restarted and know only other nodes without a log, while data nodes have no other source of
+    /// addresses.
     fn introduce_to_seeds(&mut self, now_ms: u64) {
         if !self.directory.take_due_introduction(now_ms) {
             return;
--- a/crates/controller/src/control_node/endpoint_list.rs
+++ b/crates/controller/src/control_node/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Polls the endpoint list and proposes what it changes: the leader's work alone.
+//! Polls the endpoint list and proposes the changes that it shows; only the leader does this.
 
 use crate::endpoint_list::PollProgress;
 use crate::error::Error;
@@ -10,14 +10,15 @@
         let has_lease = self.has_lease(now_ms);
         let Some(leader) = &mut self.leader else { return };
         if let Err(error) = leader.endpoint_list.check_overdue_page(now_ms) {
-            return self.on_list_error(&error);
+            return self.log_list_error(&error);
         }
         if has_lease && let Some((number, cursor)) = leader.endpoint_list.next_fetch(now_ms) {
             self.effects.push(Effect::Fetch { number, cursor });
         }
     }
 
-    /// Changes wait for an open transaction, but one by which a target departs not for long.
+    /// Proposes the changes of the list, which wait until no transaction is open. A change by which
+    /// a target departs waits only for a bounded time; then the open plan is aborted.
     fn apply_list_changes(&mut self, now_ms: u64) {
         let leader = self.leader.as_ref();
         let is_overdue =
@@ -28,7 +29,7 @@
         while !self.has_open_transaction() {
             let Some(leader) = &mut self.leader else { return };
             let Some(change) = leader.endpoint_list.next_change() else { return };
-            let Some(state) = leader.writer.current() else { continue };
+            let Some(state) = leader.writer.proposed_state() else { continue };
             let records = change.records(state);
             if !records.is_empty() {
                 self.propose(now_ms, records);
@@ -41,28 +42,29 @@
             return;
         }
         let Some(leader) = &mut self.leader else { return };
-        let Some(state) = leader.writer.current() else { return };
+        let Some(state) = leader.writer.proposed_state() else { return };
         match leader.endpoint_list.on_fetched(now_ms, result, state) {
             Ok(PollProgress::Ignored) => {}
             Ok(PollProgress::Advanced) => self.endpoint_list_tick(now_ms),
             Ok(PollProgress::Completed) => {
-                self.report_leave_bound();
+                self.log_slowness_change();
                 self.endpoint_list_tick(now_ms);
             }
-            Err(error) => self.on_list_error(&error),
+            Err(error) => self.log_list_error(&error),
         }
     }
 
     /// Logs a failure of the list, unless it is the same as the last one.
-    fn on_list_error(&mut self, error: &Error) {
+    fn log_list_error(&mut self, error: &Error) {
         let Some(leader) = &mut self.leader else { return };
         if let Some(finding) = leader.endpoint_list.record_finding(error) {
-            self.log_line(format!("endpoint list fault finding={finding:?}"));
+            self.log_line(format!("endpoint list failed finding={finding:?}"));
         }
     }
 
-    /// Logs once that the list is too slow for the users' bound, and once that it no longer is.
-    fn report_leave_bound(&mut self) {
+    /// Logs once when draining a target would exceed the users' bound because the list is too slow,
+    /// and once when it no longer would.
+    fn log_slowness_change(&mut self) {
         let Some(leader) = &mut self.leader else { return };
         let bound_ms = leader.endpoint_list.leave_bound_ms();
         match leader.endpoint_list.update_slowness() {
--- a/crates/controller/src/control_node/leader_probe.rs
+++ b/crates/controller/src/control_node/leader_probe.rs
@@ -1,12 +1,12 @@
-//! Answers a leader probe for a member that this process replaced.
+//! Answers leader probes for a former member at this node's address.
 
 use crate::ControlNode;
 use postbarrow_consensus::{self as consensus, Member, MemberId};
 use postbarrow_messages::Message;
 
 impl ControlNode {
-    /// Another member was at this address before and lost its disk: it leads no more, for its
-    /// process has ended. Nothing else can be answered for it.
+    /// Answers a leader probe for the member that had this address before its disk was lost. Its
+    /// process has ended, so it no longer leads; no other message to it can be answered.
     pub(super) fn on_probe_of_former_member(
         &mut self,
         prober: Member,
--- a/crates/controller/src/control_node/leadership_transfer.rs
+++ b/crates/controller/src/control_node/leadership_transfer.rs
@@ -1,5 +1,6 @@
-//! A planned stop: what was begun commits, another leads, and the log needs this member no more
-//! (Raft thesis, 3.10).
+//! Leadership transfer before a planned stop or with a stalled disk (Raft thesis, 3.10). A stopping
+//! leader lets its pending entries commit, transfers the leadership, and has departed once the log
+//! no longer depends on this member.
 
 use crate::ControlNode;
 use crate::endpoint_list::ReceivedHandover;
@@ -7,16 +8,16 @@
 /// Why a leader transfers its leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TransferReason {
-    /// Its process is to end.
+    /// The leader's process is about to end.
     Stopping,
-    /// Its disk delays every commit.
+    /// The leader's disk is stalled, which delays every commit.
     DiskStalled,
 }
 
 impl ControlNode {
     pub(super) fn stop(&mut self, now_ms: u64) {
         self.is_stopping = true;
-        self.log(now_ms, postbarrow_consensus::Input::Depart);
+        self.step(now_ms, postbarrow_consensus::Input::Depart);
         self.leadership_transfer_tick(now_ms);
     }
 
@@ -30,13 +31,14 @@
         }
     }
 
-    /// About to transfer its leadership, with no transaction open: nothing new is begun either.
+    /// Returns whether this node has a reason to transfer its leadership and no open transaction to
+    /// finish first. It then accepts no new work.
     pub(super) fn is_departing(&self) -> bool {
         self.transfer_reason().is_some() && !self.has_open_transaction()
     }
 
-    /// Lets what was begun commit, then transfers the leadership with what is known of the endpoint
-    /// list.
+    /// Transfers the leadership if there is a reason to, once no transaction is open and all
+    /// entries are committed. The successor also gets the scan state of the endpoint list.
     pub(super) fn leadership_transfer_tick(&mut self, now_ms: u64) {
         let Some(reason) = self.transfer_reason() else { return };
         let Some(leader) = self.leader.as_ref().filter(|leader| leader.is_serving()) else {
@@ -50,7 +52,7 @@
         if reason == TransferReason::DiskStalled {
             self.log_line("leadership transfer started reason=\"disk stalled\"".into());
         }
-        self.log(now_ms, postbarrow_consensus::Input::TransferLeadership(handover));
+        self.step(now_ms, postbarrow_consensus::Input::TransferLeadership(handover));
     }
 
     pub(super) fn on_leadership_received(&mut self, now_ms: u64, handover: &[u8], late_ms: u64) {
@@ -59,14 +61,15 @@
         }
     }
 
-    /// What the former leader sent, if it is recent.
+    /// Removes and returns the former leader's scan state; `None` if none was received or it is too
+    /// old.
     pub(super) fn take_handover(&mut self, now_ms: u64) -> Option<ReceivedHandover> {
         self.received_handover.take().filter(|received| received.is_current(now_ms))
     }
 
-    /// Whether another leads and the log needs nothing of this process: its seat was given to a
-    /// learner that had caught up, if there was one, and the remaining members have all that it
-    /// acknowledged.
+    /// Returns whether another node leads and the log no longer depends on this process: this
+    /// member's seat was given to a learner that had caught up, if there was one, and the remaining
+    /// members have every entry that it acknowledged.
     pub fn has_departed(&self) -> bool {
         let leader = self.consensus.leader();
         let has_successor = leader.is_some_and(|leader| leader.id != self.own.id);
--- a/crates/controller/src/control_node/lease.rs
+++ b/crates/controller/src/control_node/lease.rs
@@ -1,10 +1,11 @@
-//! When the leader's lease is gained or lost.
+//! Tracks when the leader's lease is gained or lost.
 
 use crate::ControlNode;
 
 impl ControlNode {
-    /// A lease that is gained, or gained again, starts with nothing known: neither what the endpoint
-    /// list showed meanwhile, nor which data nodes requested a lease in vain.
+    /// Records whether the leader has its lease. When it is gained, also after a loss, two things
+    /// are unknown and start afresh: the endpoint list may have changed meanwhile, and data nodes
+    /// may have requested leases that were refused.
     pub(super) fn lease_tick(&mut self, now_ms: u64) {
         let has_lease = self.has_lease(now_ms);
         let had_none = self.leader.as_ref().is_some_and(|leader| leader.lease_since_ms.is_none());
--- a/crates/controller/src/control_node/log_commit.rs
+++ b/crates/controller/src/control_node/log_commit.rs
@@ -1,4 +1,4 @@
-//! What committed entries do to the state.
+//! Applies committed entries to the state.
 
 use crate::ControlNode;
 use postbarrow_consensus::{Entry, Payload};
@@ -15,22 +15,22 @@
             self.compact(now_ms);
         }
         self.send_committed_replies(now_ms);
-        self.answer_watches(now_ms);
-        self.continue_plan(now_ms);
+        self.respond_to_watches(now_ms);
+        self.propose_plan_batches(now_ms);
     }
 
     fn on_batch(&mut self, now_ms: u64, offset: u64, bytes: &[u8]) {
         let records: Vec<BatchRecord<Record>> =
-            decode(bytes).unwrap_or_else(|error| panic!("log offset {offset}: {error}"));
+            decode(bytes).unwrap_or_else(|error| panic!("batch at log offset {offset}: {error}"));
         let outcome = match self.tail.apply(offset, bytes.len(), &records) {
             Ok(outcome) => outcome,
-            Err(error) => panic!("log offset {offset}: {error}"),
+            Err(error) => panic!("batch at log offset {offset} not applied: {error}"),
         };
         self.track_committed(now_ms, &records);
         self.updates.on_batch(offset, records, outcome == BatchOutcome::Pending);
     }
 
-    /// What the leader follows of its own log.
+    /// Updates the retention queue and the lock deadlines of the leader by these committed records.
     fn track_committed(&mut self, now_ms: u64, records: &[BatchRecord<Record>]) {
         let era = self.committed().era;
         let Some(leader) = &mut self.leader else { return };
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Whether the state holds every committed entry, be it from a snapshot or applied one by one.
+    /// Returns whether the state includes every committed entry, from a snapshot or applied one by
+    /// one.
     pub(super) fn has_applied_commit(&self) -> bool {
         self.tail.offset() >= self.consensus.commit_index()
     }
--- a/crates/controller/src/control_node/members.rs
+++ b/crates/controller/src/control_node/members.rs
@@ -1,4 +1,4 @@
-//! The operators' view of the log's members.
+//! Operators' report of the log's members.
 
 use crate::ControlNode;
 use crate::operator_body::json;
@@ -11,14 +11,14 @@
 struct MemberRow {
     id: String,
     address: String,
-    /// controller, voter or learner
+    /// The member's role: `controller`, `voter` or `learner`.
     role: String,
     silent_ms: u64,
     lag_entries: u64,
 }
 
 impl MemberRow {
-    fn of(member: &Member, role: &str, silent_ms: u64, lag_entries: u64) -> Self {
+    fn new(member: &Member, role: &str, silent_ms: u64, lag_entries: u64) -> Self {
         MemberRow {
             id: format!("{:016x}", member.id),
             address: member.address.to_string(),
@@ -37,12 +37,12 @@
 impl ControlNode {
     pub(super) fn on_members(&mut self, now_ms: u64, origin: Origin) {
         let voters = self.consensus.members();
-        let mut members = vec![MemberRow::of(&self.own, "controller", 0, 0)];
+        let mut members = vec![MemberRow::new(&self.own, "controller", 0, 0)];
         for follower in self.consensus.followers(now_ms) {
             let is_voter = voters.iter().any(|voter| voter.id == follower.member.id);
             let role = if is_voter { "voter" } else { "learner" };
             let (silent_ms, lag_entries) = (follower.silent_ms, follower.lag_entries);
-            members.push(MemberRow::of(&follower.member, role, silent_ms, lag_entries));
+            members.push(MemberRow::new(&follower.member, role, silent_ms, lag_entries));
         }
         self.respond(origin, json(200, &MembersReport { members }));
     }
--- a/crates/controller/src/control_node/node_expiry.rs
+++ b/crates/controller/src/control_node/node_expiry.rs
@@ -1,4 +1,5 @@
-//! Where data nodes that stopped reporting are removed, and targets found down.
+//! Removes data nodes that stopped reporting, and marks targets as down or up by the nodes'
+//! reports.
 
 use crate::ControlNode;
 use crate::leader_state::unknown_settlements;
@@ -12,8 +13,8 @@
             return;
         }
         leader.nodes.schedule_check(now_ms);
-        let Some(state) = leader.writer.current() else { return };
-        leader.nodes.follow(now_ms, state);
+        let Some(state) = leader.writer.proposed_state() else { return };
+        leader.nodes.sync_with_state(now_ms, state);
         let departed = leader.nodes.departed(now_ms);
         let mut records: Vec<Record> =
             departed.iter().map(|node| Record::NodeGone(*node)).collect();
--- a/crates/controller/src/control_node/node_lease.rs
+++ b/crates/controller/src/control_node/node_lease.rs
@@ -1,4 +1,4 @@
-//! Where a data node is granted its lease.
+//! Grants leases to data nodes.
 
 use crate::ControlNode;
 use crate::leader_state::NodeReport;
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 impl ControlNode {
-    /// Only the leader within its own lease grants one to a node.
+    /// Answers a data node's lease request. Only a leader that has its own lease grants one.
     pub(super) fn on_lease_request(
         &mut self,
         now_ms: u64,
@@ -16,7 +16,7 @@
         request: LeaseRequest,
     ) {
         let (number, members) = (request.number, self.member_addresses());
-        let response = if self.has_lease(now_ms) && self.knows_targets(now_ms) {
+        let response = if self.has_lease(now_ms) && self.is_first_scan_done_or_overdue(now_ms) {
             self.on_node_report(now_ms, request);
             let watermark = self.updates.image_offset();
             LeaseResponse::Granted { term: self.consensus.term(), watermark, members }
@@ -26,19 +26,21 @@
         self.send(from, Message::LeaseResponse { number, response });
     }
 
-    /// What the endpoint list showed while nobody had the lease must be known before any node serves
-    /// by it; but an unreachable list stops the service only for a while.
-    fn knows_targets(&self, now_ms: u64) -> bool {
+    /// Returns whether data nodes may serve by the targets in the state. The endpoint list may have
+    /// changed while no leader had a lease, so it must have been scanned once since this leader's
+    /// lease began. After `LIST_FIRST_SCAN_WAIT_MS` an unreachable list no longer stops the
+    /// service.
+    fn is_first_scan_done_or_overdue(&self, now_ms: u64) -> bool {
         let Some(leader) = &self.leader else { return false };
         let Some(since_ms) = leader.lease_since_ms else { return false };
         leader.endpoint_list.completed_ms().is_some()
             || now_ms >= since_ms + LIST_FIRST_SCAN_WAIT_MS
     }
 
-    /// Registers a new or changed node, and takes its report.
+    /// Registers the node if it is new or changed, and records its report.
     fn on_node_report(&mut self, now_ms: u64, mut request: LeaseRequest) {
         let node = &request.node;
-        let known = self.current().and_then(|state| state.nodes.get(&node.incarnation));
+        let known = self.proposed_state().and_then(|state| state.nodes.get(&node.incarnation));
         let is_unregistered = known.is_none_or(|known| **known != *node);
         if is_unregistered && !self.has_open_transaction() {
             self.log_line(format!("node joined name={} address={}", node.name, node.address));
@@ -48,6 +50,6 @@
         let samples = std::mem::take(&mut request.samples);
         leader.samples.add(now_ms, samples, request.request_count);
         let incarnation = request.node.incarnation;
-        leader.nodes.record(incarnation, NodeReport::of(now_ms, request));
+        leader.nodes.record(incarnation, NodeReport::from_request(now_ms, request));
     }
 }
--- a/crates/controller/src/control_node/plan.rs
+++ b/crates/controller/src/control_node/plan.rs
@@ -1,4 +1,4 @@
-//! The operators' view of the plan in force.
+//! Returns the plan in force to operators.
 
 use crate::ControlNode;
 use crate::operator_body::{Refused, json};
@@ -6,7 +6,7 @@
 use postbarrow_messages::Response;
 
 impl ControlNode {
-    /// Exactly the text in force, byte for byte.
+    /// Responds with the text of the plan in force exactly as submitted, byte for byte.
     pub(super) fn on_show(&mut self, origin: Origin) {
         let state = self.committed();
         let response = match &state.plan {
--- a/crates/controller/src/control_node/plan_abort.rs
+++ b/crates/controller/src/control_node/plan_abort.rs
@@ -1,4 +1,4 @@
-//! Where the open plan is aborted.
+//! Aborts the open plan.
 
 use crate::ControlNode;
 use crate::operator_body::{Refused, json};
@@ -7,25 +7,27 @@
 use postbarrow_state::State;
 
 impl ControlNode {
-    /// Aborts the open plan for a reason that the same plan would meet again: it is refused with
-    /// this HTTP status.
+    /// Aborts the open plan and refuses it with this HTTP status. The reason is one for which the
+    /// same plan would be refused again.
     pub(super) fn refuse_plan(&mut self, now_ms: u64, status: u16, reason: &str) {
         let Some((offset, origin)) = self.abort_plan(now_ms, reason) else { return };
-        let in_force = self.current().and_then(State::plan_version);
+        let in_force = self.proposed_state().and_then(State::plan_version);
         let refused = json(status, &Refused::new(reason, in_force));
         self.reply_at(now_ms, offset, origin, refused);
         self.serve_waiting_requests(now_ms);
     }
 
-    /// Aborts the open plan for want of time. Another copy of it may be waiting or under way and be
-    /// accepted, so this is no refusal but no clear answer.
+    /// Aborts the open plan because its transaction was open too long, or blocked an urgent change
+    /// of the endpoint list. Another copy of the plan may be waiting or in transit and may still be
+    /// accepted, so the response is `TimedOut`, not a refusal.
     pub(super) fn abort_overdue_plan(&mut self, now_ms: u64, reason: &str) {
         let Some((offset, origin)) = self.abort_plan(now_ms, reason) else { return };
         self.reply_at(now_ms, offset, origin, Response::TimedOut);
         self.serve_waiting_requests(now_ms);
     }
 
-    /// Writes the Abort; returns its offset and who submitted the plan.
+    /// Proposes the Abort. Returns its log offset and the origin of the plan's submission; `None`
+    /// if no plan is open.
     fn abort_plan(&mut self, now_ms: u64, reason: &str) -> Option<(u64, Origin)> {
         let leader = self.leader.as_mut()?;
         let plan = leader.transaction.take_plan()?;
--- a/crates/controller/src/control_node/plan_commit.rs
+++ b/crates/controller/src/control_node/plan_commit.rs
@@ -1,4 +1,4 @@
-//! Where a plan is committed: as one transaction of Begin, its batches and End (KIP-868).
+//! Commits a plan as one transaction of Begin, the plan's batches and End (KIP-868).
 
 use crate::ControlNode;
 use crate::leader_state::OpenPlan;
@@ -19,7 +19,7 @@
         digest: Digest,
     ) {
         let name = format!("plan {}", submission.version);
-        let Some(state) = self.current() else { return };
+        let Some(state) = self.proposed_state() else { return };
         let records = plan_records(state, std::mem::take(&mut submission.records));
         let Some(leader) = &mut self.leader else { return };
         let Some(begin) = leader.writer.begin(now_ms, &name) else { return };
@@ -27,23 +27,24 @@
         if let Some(leader) = &mut self.leader {
             leader.transaction.open(OpenPlan::new(origin, submission, digest, records, offset));
         }
-        self.continue_plan(now_ms);
+        self.propose_plan_batches(now_ms);
     }
 
-    /// Proposes the batches that may be in flight; after the last one, closes the plan.
-    pub(super) fn continue_plan(&mut self, now_ms: u64) {
+    /// Proposes batches of the open plan up to the limit of batches in flight. Once all are
+    /// proposed, rehearses and finishes the plan.
+    pub(super) fn propose_plan_batches(&mut self, now_ms: u64) {
         let commit_index = self.consensus.commit_index();
         loop {
             let Some(leader) = &mut self.leader else { return };
             let Some(plan) = leader.transaction.plan_mut() else { return };
             plan.on_committed(commit_index);
-            if plan.is_at_flight_limit() {
+            if plan.is_at_in_flight_limit() {
                 return;
             }
             let Some(batch) = plan.next_batch() else { break };
             let batch: Vec<BatchRecord<Record>> =
                 batch.into_iter().map(BatchRecord::Data).collect();
-            if !leader.writer.grow(encode(&batch).len()) {
+            if !leader.writer.grow_transaction(encode(&batch).len()) {
                 return self.refuse_plan(now_ms, 413, "the plan is over the bound of one delta");
             }
             let offset = self.propose_batch(now_ms, batch);
@@ -52,13 +53,14 @@
                 plan.on_proposed(offset);
             }
         }
-        self.close_plan(now_ms);
+        self.rehearse_and_finish_plan(now_ms);
     }
 
-    /// Rehearses the plan that is in the log completely, and ends, refuses or drops it.
-    fn close_plan(&mut self, now_ms: u64) {
+    /// Rehearses the open plan, whose batches have all been proposed, and then finishes a dry run,
+    /// refuses the plan, or proposes its End.
+    fn rehearse_and_finish_plan(&mut self, now_ms: u64) {
         let Some(leader) = &self.leader else { return };
-        let (before, after) = (leader.writer.before_transaction(), leader.writer.current());
+        let (before, after) = (leader.writer.before_transaction(), leader.writer.proposed_state());
         let (Some(plan), Some(before), Some(after)) = (leader.transaction.plan(), before, after)
         else {
             return;
@@ -72,7 +74,7 @@
             let reason = format!("no live target for {empty}; allow-empty was not given");
             return self.refuse_plan(now_ms, 422, &reason);
         }
-        self.end_plan(now_ms, rehearsal);
+        self.propose_plan_end(now_ms, rehearsal);
     }
 
     fn finish_dry_run(&mut self, now_ms: u64, rehearsal: Rehearsal) {
@@ -85,12 +87,12 @@
         self.serve_waiting_requests(now_ms);
     }
 
-    fn end_plan(&mut self, now_ms: u64, rehearsal: Rehearsal) {
+    fn propose_plan_end(&mut self, now_ms: u64, rehearsal: Rehearsal) {
         let Some(leader) = &mut self.leader else { return };
         let Some(end) = leader.writer.end() else { return };
         let Some(plan) = leader.transaction.take_plan() else { return };
         let OpenPlan { origin, version, base, digest, .. } = plan;
-        let in_force = leader.writer.current().and_then(|state| state.plan.as_ref());
+        let in_force = leader.writer.proposed_state().and_then(|state| state.plan.as_ref());
         let began_at = in_force.map_or(0, |plan| plan.offset);
         let accepted = Record::PlanAccepted { version: version.clone(), base, digest, began_at };
         let offset = self.propose_batch(now_ms, vec![BatchRecord::Data(accepted), end]);
--- a/crates/controller/src/control_node/proposal.rs
+++ b/crates/controller/src/control_node/proposal.rs
@@ -1,12 +1,12 @@
-//! How the leader writes to the log.
+//! Proposes entries to the log, and applies them to the leader's optimistic state.
 
 use crate::ControlNode;
 use postbarrow_state::{Record, State};
 use postbarrow_transactions::{BatchRecord, encode};
 
 impl ControlNode {
-    /// One atomic batch of records outside any transaction, or of the one that is open. Returns its
-    /// log offset.
+    /// Proposes the records as one atomic batch, which belongs to the open transaction if there is
+    /// one. Returns the batch's log offset.
     pub(super) fn propose(&mut self, now_ms: u64, records: Vec<Record>) -> u64 {
         self.propose_batch(now_ms, records.into_iter().map(BatchRecord::Data).collect())
     }
@@ -17,13 +17,14 @@
             leader.writer.apply(offset, &records);
         }
         let bytes = encode(&records);
-        self.log(now_ms, postbarrow_consensus::Input::Propose(vec![bytes]));
+        self.step(now_ms, postbarrow_consensus::Input::Propose(vec![bytes]));
         offset
     }
 
-    /// The optimistic state of a leader that serves.
-    pub(super) fn current(&self) -> Option<&State> {
-        self.leader.as_ref()?.writer.current()
+    /// Returns the committed state with all proposed records applied; `None` unless this node leads
+    /// and serves.
+    pub(super) fn proposed_state(&self) -> Option<&State> {
+        self.leader.as_ref()?.writer.proposed_state()
     }
 
     pub(super) fn has_open_transaction(&self) -> bool {
--- a/crates/controller/src/control_node/replies.rs
+++ b/crates/controller/src/control_node/replies.rs
@@ -1,7 +1,7 @@
-//! When a response is sent.
+//! Sends responses, either at once or when the entries that they depend on are committed.
 
 use crate::ControlNode;
-use crate::leader_state::{Cover, Reply};
+use crate::leader_state::{Precondition, Reply};
 use crate::origin::Origin;
 use postbarrow_messages::{Message, Response};
 
@@ -19,15 +19,15 @@
         origin: Origin,
         response: Response,
     ) {
-        self.reply(now_ms, Reply { origin, offset, cover: Cover::OwnEntry, response });
+        self.reply(now_ms, Reply { origin, offset, condition: Precondition::OwnEntry, response });
     }
 
-    /// For a response for which nothing is written: a refusal, a repeat, a conflict. It rests on
-    /// the optimistic state, so it waits until all of that is committed, and is sent only within
-    /// the lease.
+    /// Sends a response for which nothing was written: a refusal, a repeat or a conflict. It
+    /// depends on the optimistic state, so it waits until all entries written so far are committed,
+    /// and is sent only while the leader has its lease.
     pub(super) fn reply_when_committed(&mut self, now_ms: u64, origin: Origin, response: Response) {
         let offset = self.consensus.last_index();
-        self.reply(now_ms, Reply { origin, offset, cover: Cover::Lease, response });
+        self.reply(now_ms, Reply { origin, offset, condition: Precondition::Lease, response });
     }
 
     fn reply(&mut self, now_ms: u64, reply: Reply) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Sends the replies whose offset is committed now.
+    /// Sends the pending replies whose log offset is committed.
     pub(super) fn send_committed_replies(&mut self, now_ms: u64) {
         let commit_index = self.consensus.commit_index();
         let Some(leader) = &mut self.leader else { return };
@@ -49,7 +49,7 @@
 
     fn send_reply(&mut self, now_ms: u64, reply: Reply) {
         let origin = reply.origin;
-        let response = reply.when_committed(self.has_lease(now_ms));
+        let response = reply.response_when_committed(self.has_lease(now_ms));
         self.respond(origin, response);
     }
 }
--- a/crates/controller/src/control_node/requests.rs
+++ b/crates/controller/src/control_node/requests.rs
@@ -1,5 +1,5 @@
-//! Where every request comes in: it is served, redirected to the leader, or waits for an open
-//! transaction.
+//! Entry point of all requests: serves a request, redirects it to the leader, or queues it while a
+//! transaction is open.
 
 use crate::ControlNode;
 use crate::origin::Origin;
@@ -7,16 +7,16 @@
 use postbarrow_state::Call;
 
 impl ControlNode {
-    /// Without the lease nothing is answered from the committed state, which another leader may have
-    /// changed, and nothing is written: so "not the controller" always means that the request did
-    /// nothing here.
+    /// Serves, redirects or queues a request. Without the leader lease, nothing is answered from
+    /// the committed state, which another leader may have changed, and nothing is written. So
+    /// `NotController` always means that the request had no effect on this node.
     pub(super) fn on_request(&mut self, now_ms: u64, origin: Origin, request: Request) {
         if !self.has_lease(now_ms) || self.is_departing() {
             let controller = self.other_leader();
             return self.respond(origin, Response::NotController { controller });
         }
         if self.has_open_transaction() && !is_read(&request) {
-            return self.wait_for_transaction(now_ms, origin, request);
+            return self.queue_request(now_ms, origin, request);
         }
         match request {
             Request::Ticket(ticket) => self.on_ticket(now_ms, origin, ticket),
@@ -33,16 +33,17 @@
         }
     }
 
-    /// A repeat of a waiting request is dropped, and its sender notified.
-    fn wait_for_transaction(&mut self, now_ms: u64, origin: Origin, request: Request) {
+    /// Queues a request until the open transaction ends. A repeat of a request that is already
+    /// queued, or that submitted the open plan, is answered as a duplicate.
+    fn queue_request(&mut self, now_ms: u64, origin: Origin, request: Request) {
         let Some(leader) = &mut self.leader else { return };
-        if leader.transaction.is_known(origin) {
+        if leader.transaction.is_duplicate(origin) {
             return self.respond(origin, Response::Duplicate);
         }
         leader.transaction.enqueue(now_ms, origin, request);
     }
 
-    /// Serves the waiting requests, until one of them opens the next transaction.
+    /// Serves the queued requests in order, until one of them opens the next transaction.
     pub(super) fn serve_waiting_requests(&mut self, now_ms: u64) {
         loop {
             let Some(leader) = &mut self.leader else { return };
@@ -57,7 +58,7 @@
         self.respond(origin, response);
     }
 
-    /// A bound of space is reached: the request is shed, and nothing that is stored is dropped.
+    /// Sheds a request because a storage limit is reached; stored records are never dropped for it.
     pub(super) fn shed(&mut self, now_ms: u64, origin: Origin) {
         if let Some(leader) = &mut self.leader {
             leader.shedding.requests += 1;
@@ -66,7 +67,7 @@
     }
 }
 
-/// Reads are served while a transaction is open.
+/// Returns whether the request only reads; reads are served while a transaction is open.
 fn is_read(request: &Request) -> bool {
     match request {
         Request::Show
--- a/crates/controller/src/control_node/retention.rs
+++ b/crates/controller/src/control_node/retention.rs
@@ -1,4 +1,4 @@
-//! Where old records are removed.
+//! Proposes the removal of old records.
 
 use crate::ControlNode;
 
@@ -13,7 +13,7 @@
             return;
         }
         leader.retention.schedule_next(now_ms);
-        let Some(state) = leader.writer.current() else { return };
+        let Some(state) = leader.writer.proposed_state() else { return };
         let records = leader.retention.due_records(now_ms, history_ms, state);
         if !records.is_empty() {
             self.propose(now_ms, records);
--- a/crates/controller/src/control_node/status.rs
+++ b/crates/controller/src/control_node/status.rs
@@ -1,4 +1,4 @@
-//! The operators' view of the leader: its log, its lease, its space and its data nodes.
+//! Operators' report of the leader: its log, lease, storage limits and data nodes.
 
 use crate::ControlNode;
 use crate::leader_state::NodeReport;
@@ -45,9 +45,10 @@
     stored_response_bytes: u64,
     #[facet(rename = "keptBytesMost")]
     max_stored_response_bytes: u64,
-    /// Responses not stored, and requests and calls shed, for lack of space since this node leads.
+    /// Responses not stored for lack of space since this node became the leader.
     #[facet(rename = "unkept")]
     responses_not_stored: u64,
+    /// Requests and calls shed for lack of space since this node became the leader.
     #[facet(rename = "shed")]
     requests_shed: u64,
     locks: u64,
@@ -59,7 +60,7 @@
 }
 
 impl NodeRow {
-    fn of(now_ms: u64, node: &Node, report: Option<&NodeReport>) -> Self {
+    fn new(now_ms: u64, node: &Node, report: Option<&NodeReport>) -> Self {
         let version = report.and_then(|report| report.version.as_ref());
         NodeRow {
             name: node.name.to_string(),
@@ -115,6 +116,6 @@
     fn node_rows(&self, now_ms: u64) -> Vec<NodeRow> {
         let report = |node: &Node| self.leader.as_ref()?.nodes.report(node.incarnation);
         let nodes = self.committed().nodes.values();
-        nodes.map(|node| NodeRow::of(now_ms, node, report(node))).collect()
+        nodes.map(|node| NodeRow::new(now_ms, node, report(node))).collect()
     }
 }
--- a/crates/controller/src/control_node/submissions.rs
+++ b/crates/controller/src/control_node/submissions.rs
@@ -1,4 +1,4 @@
-//! What becomes of a submission, by the decision on it.
+//! Handles submitted plans: begins a plan, acknowledges a repeat, or refuses the submission.
 
 use crate::ControlNode;
 use crate::operator_body::{Refused, Submitted, json};
@@ -10,7 +10,7 @@
 impl ControlNode {
     pub(super) fn on_submit(&mut self, now_ms: u64, origin: Origin, submission: Submission) {
         let digest = text_digest(&submission.text());
-        let Some(state) = self.current() else { return };
+        let Some(state) = self.proposed_state() else { return };
         match decide_submission(state, &submission, &digest) {
             SubmissionDecision::Proceed => self.begin_plan(now_ms, origin, submission, digest),
             SubmissionDecision::AlreadyAccepted { began_at, ended_at } => {
--- a/crates/controller/src/control_node/targets.rs
+++ b/crates/controller/src/control_node/targets.rs
@@ -1,4 +1,4 @@
-//! The operators' view of the targets and the endpoint list.
+//! Operators' report of the targets and the endpoint list.
 
 use crate::ControlNode;
 use crate::operator_body::json;
@@ -14,7 +14,7 @@
     address: String,
     zone: String,
     labels: BTreeMap<String, String>,
-    /// live, draining or down
+    /// The target's condition: `live`, `draining` or `down`.
     condition: String,
     services: Vec<String>,
 }
@@ -26,13 +26,14 @@
     #[facet(rename = "listWalkedMsAgo")]
     list_scan_age_ms: Option<u64>,
     list_finding: Option<String>,
-    /// The longest time from a draining row to the last request, with the list as it is.
+    /// The longest time from a target's draining row in the list to its last request, in
+    /// milliseconds, at the list's present size and speed.
     leave_bound_ms: Option<u64>,
     list_refusals: u64,
 }
 
 impl TargetRow {
-    fn of(target: &Target, state: &State) -> Self {
+    fn new(target: &Target, state: &State) -> Self {
         let labels = target.labels.iter();
         let services = state.services.values().filter(|service| target.matches(service));
         TargetRow {
@@ -56,7 +57,7 @@
         let state = self.committed();
         let list = self.leader.as_ref().map(|leader| &leader.endpoint_list);
         let body = TargetsReport {
-            targets: state.targets.values().map(|target| TargetRow::of(target, state)).collect(),
+            targets: state.targets.values().map(|target| TargetRow::new(target, state)).collect(),
             list_scan_age_ms: list
                 .and_then(|list| list.completed_ms())
                 .map(|at_ms| now_ms.saturating_sub(at_ms)),
--- a/crates/controller/src/control_node/term.rs
+++ b/crates/controller/src/control_node/term.rs
@@ -18,16 +18,17 @@
         }
     }
 
-    /// Once this term's first entry is committed and applied: aborts the transaction that a former
-    /// leader left open, then serves.
-    pub(super) fn finish_take_over(&mut self, now_ms: u64) {
+    /// Starts serving once the first entry of this term is committed and applied. Aborts the
+    /// transaction that an earlier leader left open, and settles as unknown the open tickets of
+    /// nodes that are no longer registered.
+    pub(super) fn start_serving_when_ready(&mut self, now_ms: u64) {
         let has_applied = self.has_applied_commit();
         let Some(leader) = &mut self.leader else { return };
         if leader.is_serving() || !self.consensus.is_ready() || !has_applied {
             return;
         }
         let state = self.tail.image().as_ref().clone();
-        let orphans = unknown_settlements(&state, |node| !state.nodes.contains_key(&node));
+        let settlements = unknown_settlements(&state, |node| !state.nodes.contains_key(&node));
         leader.start_serving(now_ms, state);
         if self.tail.is_open() {
             let name = self.tail.open_transaction_name().unwrap_or_default();
@@ -37,17 +38,18 @@
             let abort = BatchRecord::abort("the controller that began it is gone");
             self.propose_batch(now_ms, vec![abort]);
         }
-        if !orphans.is_empty() {
-            self.propose(now_ms, orphans);
+        if !settlements.is_empty() {
+            self.propose(now_ms, settlements);
         }
     }
 
-    /// A higher term or a lost majority: the optimistic state is dropped, the committed one stays.
+    /// Steps down as leader after a higher term or the loss of the majority. The optimistic state
+    /// is dropped, the committed state stays, and pending requests get their responses.
     fn step_down(&mut self) {
         let Some(mut leader) = self.leader.take() else { return };
         self.log_line(format!("leader stepped down term={}", leader.term()));
         for reply in leader.writer.into_replies() {
-            self.respond(reply.origin, reply.when_deposed());
+            self.respond(reply.origin, reply.response_when_deposed());
         }
         if let Some(plan) = leader.transaction.take_plan() {
             self.respond(plan.origin, Response::Lost);
--- a/crates/controller/src/control_node/tickets.rs
+++ b/crates/controller/src/control_node/tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets of one-time requests, and their settlements.
+//! Grants and settles tickets of one-time requests.
 
 use crate::ControlNode;
 use crate::origin::Origin;
@@ -7,9 +7,10 @@
 use postbarrow_state::{Record, Settlement, State, StoredResponse, Ticket};
 
 impl ControlNode {
-    /// Grants a key to one attempt, and again only once that was settled as unsent.
+    /// Grants a key to one attempt. Another attempt is granted the key only once the first was
+    /// settled as unsent.
     pub(super) fn on_ticket(&mut self, now_ms: u64, origin: Origin, ticket: Ticket) {
-        let Some(state) = self.current() else { return };
+        let Some(state) = self.proposed_state() else { return };
         if !state.nodes.contains_key(&ticket.node) {
             let refused = Response::Refused("the node is not registered".into());
             return self.reply_when_committed(now_ms, origin, refused);
@@ -25,8 +26,9 @@
         }
     }
 
-    /// Only the attempt that has the ticket settles it. An attempt whose ticket never came leaves a
-    /// settled one, so that its late request for it is not granted any more.
+    /// Settles a ticket; only the attempt that was granted it can. If the key has no ticket because
+    /// the attempt's ticket request has not arrived, a settled ticket is written, so that the late
+    /// ticket request is not granted.
     pub(super) fn on_settle(
         &mut self,
         now_ms: u64,
@@ -35,7 +37,7 @@
         settlement: Settlement,
         response: Option<StoredResponse>,
     ) {
-        let Some(state) = self.current() else { return };
+        let Some(state) = self.proposed_state() else { return };
         let size_bytes = response.as_ref().map_or(0, |response| response.size() as u64);
         let fits = state.stored_response_bytes + size_bytes <= STORED_RESPONSES_BYTES;
         let response = response.filter(|_| fits);
@@ -61,7 +63,7 @@
     }
 }
 
-/// None where the key may be granted.
+/// Returns the response for a key that has a ticket; `None` if the key may be granted.
 fn response_of_known_key(state: &State, ticket: &Ticket) -> Option<Response> {
     let known = state.tickets.get(&ticket.key)?;
     if known.digest != ticket.digest {
--- a/crates/controller/src/control_node/watches.rs
+++ b/crates/controller/src/control_node/watches.rs
@@ -1,4 +1,4 @@
-//! Long polls for events of locks and keys.
+//! Handles watches: long polls for events of locks and keys.
 
 use crate::ControlNode;
 use crate::leader_state::PendingWatch;
@@ -8,7 +8,9 @@
 use postbarrow_state::{Name, Outcome, ResourceKind};
 
 impl ControlNode {
-    /// Without `after` a watch gets the present revision at once, to continue from.
+    /// Answers a watch at once if it has events, or is too old or too new; otherwise it stays
+    /// pending. A watch without `after` gets the current revision at once, from which the client
+    /// continues.
     pub(super) fn on_watch(
         &mut self,
         now_ms: u64,
@@ -35,24 +37,25 @@
         }
     }
 
-    /// Events that were committed without the lease wait for it: they may be outdated by now.
-    pub(super) fn answer_watches(&mut self, now_ms: u64) {
+    /// Answers the pending watches that have events. Events that were committed while the leader
+    /// had no lease are sent once it is renewed, because they may be outdated until then.
+    pub(super) fn respond_to_watches(&mut self, now_ms: u64) {
         if !self.has_lease(now_ms) {
             return;
         }
         let Some(leader) = &mut self.leader else { return };
-        for (origin, outcome) in leader.watches.take_answered(self.tail.image()) {
+        for (origin, outcome) in leader.watches.take_ready(self.tail.image()) {
             self.respond(origin, Response::Outcome(outcome));
         }
     }
 
-    /// Ends the long polls whose time is over.
+    /// Answers the watches whose poll time is over.
     pub(super) fn watch_tick(&mut self, now_ms: u64) {
         let has_lease = self.has_lease(now_ms);
         let Some(leader) = &mut self.leader else { return };
         for watch in leader.watches.take_overdue(now_ms) {
             let response = if has_lease {
-                Response::Outcome(watch.final_outcome(self.committed()))
+                Response::Outcome(watch.timeout_outcome(self.committed()))
             } else {
                 Response::NotController { controller: None }
             };
--- a/crates/controller/src/leader_state.rs
+++ b/crates/controller/src/leader_state.rs
@@ -1,4 +1,5 @@
-//! What only the leader has, by concern. It is lost with the term, and rebuilt from the log.
+//! The working state that only the leader has, one module for each concern. It is dropped at the
+//! end of the term; the next leader rebuilds its own from the log.
 
 mod lock_deadlines;
 mod log_writer;
@@ -16,7 +17,7 @@
 pub(crate) use open_plan::OpenPlan;
 pub(crate) use pending_watches::{PendingWatch, PendingWatches};
 pub(crate) use plan_transaction::PlanTransaction;
-pub(crate) use reply::{Cover, Reply};
+pub(crate) use reply::{Precondition, Reply};
 pub(crate) use request_samples::RequestSamples;
 pub(crate) use retention::Retention;
 
@@ -35,16 +36,16 @@
     pub retention: Retention,
     pub watches: PendingWatches,
     pub shedding: SheddingCounts,
-    /// Since when the leader's lease has lasted without a break.
+    /// When the present lease was gained, in milliseconds; `None` while this leader has no lease.
     pub lease_since_ms: Option<u64>,
 }
 
-/// What was shed for lack of space since this node leads.
+/// Counts of what was shed for lack of space since this node became the leader.
 #[derive(Default)]
 pub(crate) struct SheddingCounts {
-    /// Requests and calls.
+    /// Requests and calls that were answered with `Response::Full`.
     pub requests: u64,
-    /// Responses that were not stored while their settlement was.
+    /// Responses that were not stored with their ticket's settlement.
     pub responses: u64,
 }
 
@@ -69,16 +70,17 @@
         self.term
     }
 
-    /// Whether everything that earlier leaders committed is applied, so that requests are served.
+    /// Returns whether this leader serves requests: everything that earlier leaders committed is
+    /// applied.
     pub fn is_serving(&self) -> bool {
         self.writer.is_started()
     }
 
-    /// Starts serving on the committed state.
+    /// Starts serving requests from this committed state.
     pub fn start_serving(&mut self, now_ms: u64, state: State) {
-        self.locks = LockDeadlines::of(now_ms, &state);
+        self.locks = LockDeadlines::from_state(now_ms, &state);
         self.retention.restore(now_ms, &state);
-        self.nodes = NodeRegistry::of(now_ms, &state);
+        self.nodes = NodeRegistry::from_state(now_ms, &state);
         self.writer.start(self.term, state);
     }
 }
--- a/crates/controller/src/leader_state/log_writer.rs
+++ b/crates/controller/src/leader_state/log_writer.rs
@@ -1,10 +1,10 @@
-//! The single writer of the log, and the replies that wait for what it wrote.
+//! The leader's writer of the log, and the replies that wait until written entries are committed.
 
 use super::reply::Reply;
 use postbarrow_state::{Record, State};
 use postbarrow_transactions::{BatchRecord, Writer};
 
-/// The optimistic state of a leader that serves, and its pending replies.
+/// The optimistic state of a leader, which it has once it serves, and its pending replies.
 #[derive(Default)]
 pub(crate) struct LogWriter {
     writer: Option<Writer<State>>,
@@ -20,12 +20,12 @@
         self.writer.is_some()
     }
 
-    /// The committed state and all that was proposed since.
-    pub fn current(&self) -> Option<&State> {
+    /// Returns the committed state with all proposed records applied; `None` before serving starts.
+    pub fn proposed_state(&self) -> Option<&State> {
         self.writer.as_ref().map(Writer::current)
     }
 
-    /// The state before the open transaction.
+    /// Returns the state before the open transaction; `None` if none is open.
     pub fn before_transaction(&self) -> Option<&State> {
         self.writer.as_ref().and_then(Writer::rollback)
     }
@@ -39,13 +39,14 @@
         }
     }
 
-    /// Begins a transaction; none while another is open.
+    /// Begins a transaction and returns its Begin marker; `None` while another is open.
     pub fn begin(&mut self, now_ms: u64, name: &str) -> Option<BatchRecord<Record>> {
         self.writer.as_mut().and_then(|writer| writer.begin(now_ms, name).ok())
     }
 
-    /// Counts a batch against the bound of a transaction; false once it is over.
-    pub fn grow(&mut self, size_bytes: usize) -> bool {
+    /// Adds a batch's size to the open transaction's. Returns whether the transaction is still
+    /// within its size limit.
+    pub fn grow_transaction(&mut self, size_bytes: usize) -> bool {
         let writer = self.writer.as_mut().expect("an open transaction has a writer");
         writer.grow(size_bytes).is_ok()
     }
@@ -70,7 +71,8 @@
         self.replies.push(reply);
     }
 
-    /// Removes and returns the replies whose offset is committed, in the order they were added.
+    /// Removes and returns the replies whose log offset is committed, in the order of their
+    /// addition.
     pub fn take_committed_replies(&mut self, commit_index: u64) -> Vec<Reply> {
         let (committed, pending) = std::mem::take(&mut self.replies)
             .into_iter()
--- a/crates/controller/src/leader_state/node_registry.rs
+++ b/crates/controller/src/leader_state/node_registry.rs
@@ -1,4 +1,4 @@
-//! The data nodes' reports: which nodes have departed, and which targets are down.
+//! Tracks the data nodes' reports: which nodes have departed, and which targets are down.
 
 use postbarrow_constants::nodes::*;
 use postbarrow_membership::watchers;
@@ -8,22 +8,22 @@
 
 /// The last report of one data node.
 pub(crate) struct NodeReport {
-    /// When it arrived.
+    /// When the report arrived, in milliseconds of this leader's clock.
     pub last_ms: u64,
-    /// The offset of the node's image.
+    /// The log offset of the image that the node serves from.
     pub published: u64,
-    /// The version of the plan that the node follows.
+    /// The version of the plan that the node serves by; `None` without a plan or a report.
     pub version: Option<Name>,
     pub ready: bool,
     /// Targets that fail the node's probes.
     failing: BTreeSet<Name>,
-    /// Neighbours on the ring that sent it no heartbeat.
+    /// Neighbours on the ring whose heartbeats the node misses.
     suspects: Vec<Incarnation>,
 }
 
 impl NodeReport {
-    /// Of a node that has not reported to this leader.
-    fn none(now_ms: u64) -> Self {
+    /// Creates the entry of a node that has not reported to this leader; its time counts from now.
+    fn unreported(now_ms: u64) -> Self {
         NodeReport {
             last_ms: now_ms,
             published: 0,
@@ -34,7 +34,7 @@
         }
     }
 
-    pub fn of(now_ms: u64, request: LeaseRequest) -> Self {
+    pub fn from_request(now_ms: u64, request: LeaseRequest) -> Self {
         NodeReport {
             last_ms: now_ms,
             published: request.published,
@@ -54,8 +54,9 @@
 }
 
 impl NodeRegistry {
-    pub fn of(now_ms: u64, state: &State) -> Self {
-        let reports = state.nodes.keys().map(|node| (*node, NodeReport::none(now_ms))).collect();
+    pub fn from_state(now_ms: u64, state: &State) -> Self {
+        let reports =
+            state.nodes.keys().map(|node| (*node, NodeReport::unreported(now_ms))).collect();
         NodeRegistry { reports, check_due_ms: 0 }
     }
 
@@ -67,7 +68,8 @@
         self.reports.insert(node, report);
     }
 
-    /// Without the lease requests were refused, so that time counts for no node.
+    /// Restarts the time since each node's last report. While this leader had no lease, it refused
+    /// the nodes' requests, so that time must not count against them.
     pub fn on_lease_gained(&mut self, now_ms: u64) {
         self.reports.values_mut().for_each(|report| report.last_ms = now_ms);
     }
@@ -80,16 +82,17 @@
         self.check_due_ms = now_ms + LEASE_RENEW_MS;
     }
 
-    /// Follows the state: drops removed nodes, and counts the time of added ones from now.
-    pub fn follow(&mut self, now_ms: u64, state: &State) {
+    /// Updates the registry to the nodes in the state: drops removed nodes and adds new ones, whose
+    /// time since the last report counts from now.
+    pub fn sync_with_state(&mut self, now_ms: u64, state: &State) {
         self.reports.retain(|node, _| state.nodes.contains_key(node));
         for node in state.nodes.keys() {
-            self.reports.entry(*node).or_insert_with(|| NodeReport::none(now_ms));
+            self.reports.entry(*node).or_insert_with(|| NodeReport::unreported(now_ms));
         }
     }
 
-    /// Nodes without a report for long, or for a shorter time while their watchers on the ring
-    /// suspect them as well.
+    /// Returns the nodes without a report for `NODE_EXPIRY_MS`, or for one and a half lease times
+    /// if most of their watchers on the ring suspect them too.
     pub fn departed(&self, now_ms: u64) -> BTreeSet<Incarnation> {
         let mut departed = self.unresponsive(now_ms, NODE_EXPIRY_MS);
         let suspected = self.unresponsive(now_ms, NODE_LEASE_MS * 3 / 2);
@@ -102,7 +105,7 @@
         late.map(|(node, _)| *node).collect()
     }
 
-    /// Whether most of the node's watchers on the ring suspect it.
+    /// Returns whether most of the node's watchers on the ring suspect it.
     fn is_suspected(&self, node: Incarnation) -> bool {
         let ring: Vec<Incarnation> = self.reports.keys().copied().collect();
         let watchers = watchers(node, &ring);
@@ -112,8 +115,8 @@
         suspecting.count() * 2 > watchers.len()
     }
 
-    /// Records of the targets whose condition changed: one is down while more than half of the
-    /// reporting nodes fail to probe it.
+    /// Returns records of the targets whose condition changed. A target is down while more than
+    /// half of the nodes with a recent report fail to probe it.
     pub fn target_conditions(&self, now_ms: u64, state: &State) -> Vec<Record> {
         let reporting: Vec<&NodeReport> = self
             .reports
@@ -135,7 +138,8 @@
     }
 }
 
-/// Settles the open tickets of departed nodes: nobody can say whether their requests ran.
+/// Returns records that settle the open tickets of departed nodes as unknown, since no remaining
+/// node knows whether their requests ran.
 pub(crate) fn unknown_settlements(
     state: &State,
     is_departed: impl Fn(Incarnation) -> bool,
--- a/crates/controller/src/leader_state/open_plan.rs
+++ b/crates/controller/src/leader_state/open_plan.rs
@@ -1,4 +1,4 @@
-//! A submitted plan on its way into the log.
+//! A submitted plan whose transaction is open.
 
 use crate::origin::Origin;
 use postbarrow_constants::plans::BATCHES_IN_FLIGHT;
@@ -7,7 +7,7 @@
 use postbarrow_transactions::split;
 use std::collections::VecDeque;
 
-/// What the open transaction stages: what is still to be proposed, and what is not committed yet.
+/// The plan of the open transaction, with its batches that are not proposed or not committed yet.
 pub(crate) struct OpenPlan {
     pub origin: Origin,
     pub version: Name,
@@ -15,13 +15,15 @@
     pub digest: Digest,
     pub dry_run: bool,
     pub allow_empty: bool,
+    /// Batches that are not proposed yet, in order.
     batches: VecDeque<Vec<Record>>,
+    /// Log offsets of the entries that are proposed but not known to be committed, in order.
     in_flight: VecDeque<u64>,
 }
 
 impl OpenPlan {
-    /// A plan whose Begin has this offset. `records` are those of the submission that go into the
-    /// log.
+    /// Creates the open plan of a submission whose Begin has this log offset. `records` are the
+    /// records that are written to the log for it.
     pub fn new(
         origin: Origin,
         submission: Submission,
@@ -47,7 +49,7 @@
         }
     }
 
-    pub fn is_at_flight_limit(&self) -> bool {
+    pub fn is_at_in_flight_limit(&self) -> bool {
         self.in_flight.len() >= BATCHES_IN_FLIGHT
     }
 
--- a/crates/controller/src/leader_state/pending_watches.rs
+++ b/crates/controller/src/leader_state/pending_watches.rs
@@ -1,22 +1,24 @@
-//! Long polls that wait for their next event.
+//! Watches (long polls) that wait for their next event.
 
 use crate::origin::Origin;
 use postbarrow_constants::coordination::WATCH_EVENTS;
 use postbarrow_state::{Event, Name, Outcome, ResourceKind, State};
 use std::sync::Arc;
 
-/// A watch without an event so far.
+/// A watch that has had no event yet.
 pub(crate) struct PendingWatch {
     pub origin: Origin,
     pub kind: ResourceKind,
     pub prefix: Name,
-    /// The last revision that the client knows.
+    /// The last revision that the client knows; only later events are sent.
     pub after: u64,
+    /// When the watch is answered even without an event, in milliseconds of this leader's clock.
     pub until_ms: u64,
 }
 
 impl PendingWatch {
-    /// The events after the known revision, oldest first; none while there is none.
+    /// Returns the events after the client's revision, oldest first and at most `WATCH_EVENTS`;
+    /// `None` if there are none.
     pub fn outcome(&self, state: &State) -> Option<Outcome> {
         let new_events = state.revision.saturating_sub(self.after) as usize;
         let skipped = state.history.len().saturating_sub(new_events);
@@ -32,40 +34,40 @@
         Some(Outcome::Events { events, next })
     }
 
-    /// The events so far, be it none: the end of a long poll.
-    pub fn final_outcome(&self, state: &State) -> Outcome {
+    /// Returns the outcome at the end of the poll time: the events so far, which may be none.
+    pub fn timeout_outcome(&self, state: &State) -> Outcome {
         let none = Outcome::Events { events: Vec::new(), next: state.revision };
         self.outcome(state).unwrap_or(none)
     }
 }
 
-/// All pending watches of a leader, in the order they came.
+/// All pending watches of a leader, in the order of their arrival.
 #[derive(Default)]
 pub(crate) struct PendingWatches {
     watches: Vec<PendingWatch>,
 }
 
 impl PendingWatches {
-    /// A repeat of a request replaces its watch.
+    /// Adds a watch; it replaces the watch of the same request if that was sent before.
     pub fn add(&mut self, watch: PendingWatch) {
         self.watches.retain(|other| other.origin != watch.origin);
         self.watches.push(watch);
     }
 
-    /// Removes the watches that have events in this state, and returns these.
-    pub fn take_answered(&mut self, state: &State) -> Vec<(Origin, Outcome)> {
-        let mut answered = Vec::new();
+    /// Removes the watches that have events in this state, and returns their origins and outcomes.
+    pub fn take_ready(&mut self, state: &State) -> Vec<(Origin, Outcome)> {
+        let mut ready = Vec::new();
         self.watches.retain(|watch| match watch.outcome(state) {
             Some(outcome) => {
-                answered.push((watch.origin, outcome));
+                ready.push((watch.origin, outcome));
                 false
             }
             None => true,
         });
-        answered
+        ready
     }
 
-    /// Removes and returns the watches whose time is over.
+    /// Removes and returns the watches whose poll time is over.
     pub fn take_overdue(&mut self, now_ms: u64) -> Vec<PendingWatch> {
         let (overdue, pending) = std::mem::take(&mut self.watches)
             .into_iter()
--- a/crates/controller/src/leader_state/plan_transaction.rs
+++ b/crates/controller/src/leader_state/plan_transaction.rs
@@ -1,11 +1,12 @@
-//! The one open transaction, and the requests that wait for its end.
+//! The plan of the open transaction, and the requests that wait until it ends.
 
 use super::open_plan::OpenPlan;
 use crate::origin::Origin;
 use postbarrow_messages::Request;
 use std::collections::VecDeque;
 
-/// Nothing is interleaved with an open transaction: other requests wait.
+/// The open transaction, of which there is at most one, and the requests that wait for its end: no
+/// other write is interleaved with it.
 #[derive(Default)]
 pub(crate) struct PlanTransaction {
     plan: Option<OpenPlan>,
@@ -37,13 +38,13 @@
         self.plan.as_mut()
     }
 
-    /// Ends the transaction here; its record in the log is the caller's part.
+    /// Removes and returns the open plan. The caller writes the End or Abort marker to the log.
     pub fn take_plan(&mut self) -> Option<OpenPlan> {
         self.plan.take()
     }
 
-    /// Whether this very request submitted the open plan or waits already.
-    pub fn is_known(&self, origin: Origin) -> bool {
+    /// Returns whether this request submitted the open plan or is waiting already.
+    pub fn is_duplicate(&self, origin: Origin) -> bool {
         self.plan.as_ref().is_some_and(|plan| plan.origin == origin)
             || self.waiting.iter().any(|waiting| waiting.origin == origin)
     }
@@ -52,7 +53,7 @@
         self.waiting.push_back(WaitingRequest { origin, request, since_ms: now_ms });
     }
 
-    /// The request that has waited longest, once no transaction is open.
+    /// Removes and returns the request that has waited longest; `None` while a transaction is open.
     pub fn next_waiting(&mut self, now_ms: u64) -> Option<WaitingRequest> {
         if self.is_open() {
             return None;
@@ -62,7 +63,7 @@
         Some(next)
     }
 
-    /// The longest wait so far, in milliseconds.
+    /// Returns the longest time that a request has waited so far, in milliseconds.
     pub fn longest_stall_ms(&self) -> u64 {
         self.longest_stall_ms
     }
--- a/crates/controller/src/leader_state/reply.rs
+++ b/crates/controller/src/leader_state/reply.rs
@@ -1,42 +1,42 @@
-//! A leader's reply: when it may be sent, and what is sent once it may not.
+//! A leader's pending reply: when it may be sent, and what is sent instead when it may not.
 
 use crate::origin::Origin;
 use postbarrow_messages::Response;
 
-/// What makes a response true at the moment it is sent.
+/// The condition that a response must meet when it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Cover {
-    /// The entry was written for this very request, so that its commit in this term proves that
-    /// nobody else led in between.
+pub(crate) enum Precondition {
+    /// The entry that was written for this request is committed. Its commit in this term proves
+    /// that no other node led in between.
     OwnEntry,
-    /// The response rests on older entries: another leader may have changed them since, unless the
-    /// lease lasts when it is sent.
+    /// This leader has its lease. The response depends on older entries, whose effect another
+    /// leader may have changed unless the lease lasts when the response is sent.
     Lease,
 }
 
-/// A response that waits until the log is committed up to an offset.
+/// A response that waits until the log is committed up to `offset`.
 pub(crate) struct Reply {
     pub origin: Origin,
     pub offset: u64,
-    pub cover: Cover,
+    pub condition: Precondition,
     pub response: Response,
 }
 
 impl Reply {
-    /// The response of a leader that is deposed: only what was written for the request may yet be
-    /// committed by another.
-    pub fn when_deposed(&self) -> Response {
-        match self.cover {
-            Cover::OwnEntry => Response::Lost,
-            Cover::Lease => Response::NotController { controller: None },
+    /// Returns the response to send when this leader is deposed: `Lost` if an entry was written for
+    /// the request, which another leader may still commit; otherwise `NotController`.
+    pub fn response_when_deposed(&self) -> Response {
+        match self.condition {
+            Precondition::OwnEntry => Response::Lost,
+            Precondition::Lease => Response::NotController { controller: None },
         }
     }
 
-    /// The response once its offset is committed.
-    pub fn when_committed(self, has_lease: bool) -> Response {
-        match self.cover {
-            Cover::Lease if !has_lease => self.when_deposed(),
-            Cover::OwnEntry | Cover::Lease => self.response,
+    /// Returns the response to send once the offset is committed.
+    pub fn response_when_committed(self, has_lease: bool) -> Response {
+        match self.condition {
+            Precondition::Lease if !has_lease => self.response_when_deposed(),
+            Precondition::OwnEntry | Precondition::Lease => self.response,
         }
     }
 }
--- a/crates/controller/src/leader_state/request_samples.rs
+++ b/crates/controller/src/leader_state/request_samples.rs
@@ -1,17 +1,19 @@
-//! Samples of client requests, for rehearsals of rules.
+//! Samples of client requests, which operators use to rehearse rules.
 
 use postbarrow_constants::plans::{SAMPLES, SAMPLES_RETENTION_MS};
 use postbarrow_messages::Response;
 use postbarrow_state::Sample;
 use std::collections::VecDeque;
 
-/// Recent requests as data nodes reported them since this node leads.
+/// Recent client requests that data nodes have reported since this node became the leader.
 #[derive(Default)]
 pub(crate) struct RequestSamples {
+    /// When the first report arrived, in milliseconds; `None` before it.
     since_ms: Option<u64>,
-    /// Each with when it was reported.
+    /// Sampled requests with the time of their report in milliseconds, oldest first.
     samples: VecDeque<(u64, Sample)>,
-    /// How many requests a report stands for, with when it was reported.
+    /// The time of each report in milliseconds and how many client requests it covers, oldest
+    /// first.
     request_counts: VecDeque<(u64, u64)>,
 }
 
--- a/crates/controller/src/leader_state/retention.rs
+++ b/crates/controller/src/leader_state/retention.rs
@@ -1,18 +1,19 @@
-//! What of the log's state is old enough to be removed.
+//! Selects the records of the state that are old enough to be removed.
 
 use postbarrow_constants::coordination::*;
 use postbarrow_state::{Name, Record, State};
 use std::collections::VecDeque;
 
-/// Old settled tickets, remembered results and events, removed by records in the log so that all
-/// replicas agree. Ages of tickets and results are counted in eras of the log.
+/// Tracks the age of settled tickets, stored results and events. They are removed by records in the
+/// log, so that all replicas agree. Ages of tickets and results are counted in eras, which records
+/// in the log advance; an era lasts `ERA_MS`.
 pub(crate) struct Retention {
     due_ms: u64,
-    /// Start of the present era by this leader's clock.
+    /// Start of the current era, in milliseconds of this leader's clock.
     era_start_ms: u64,
     /// Settled keys with the era of their settlement, oldest first.
     settled_keys: VecDeque<(u64, Name)>,
-    /// Revisions with when they were current, oldest first.
+    /// Times in milliseconds and the state's revision at each, oldest first.
     revisions: VecDeque<(u64, u64)>,
 }
 
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Takes over what an earlier leader left in the state.
+    /// Starts tracking the settled tickets and the revision of a state that earlier leaders wrote.
     pub fn restore(&mut self, now_ms: u64, state: &State) {
         let settled = state.tickets.iter().filter(|(_, ticket)| ticket.settlement.is_some());
         let mut settled: Vec<_> = settled.map(|(key, ticket)| (ticket.era, key.clone())).collect();
@@ -39,7 +40,8 @@
         self.settled_keys.push_back((era, key.clone()));
     }
 
-    /// The records due now. Events are retained for `history_ms`.
+    /// Returns the records that advance the era and remove what is due now. Events are retained for
+    /// `history_ms`.
     pub fn due_records(&mut self, now_ms: u64, history_ms: u64, state: &State) -> Vec<Record> {
         let eras = self.take_elapsed_eras(now_ms);
         let tickets = self.take_expired_tickets(state);
@@ -91,7 +93,7 @@
         expired
     }
 
-    /// The last revision whose events are removed.
+    /// Returns the revision up to which events are removed.
     fn history_floor(&mut self, now_ms: u64, history_ms: u64, state: &State) -> u64 {
         self.revisions.push_back((now_ms, state.revision));
         let mut floor = state.history_floor;
