--- a/crates/controller/tests/cluster/mod.rs
+++ b/crates/controller/tests/cluster/mod.rs
@@ -1,4 +1,5 @@
-//! A leader with two followers that answer only when the test lets them.
+//! A leader with two simulated followers, which respond only when the test delivers their
+//! responses.
 #![allow(dead_code)]
 use crate::harness::*;
 use postbarrow_consensus::{AppendResponse, Member, Message as LogMessage};
@@ -10,19 +11,21 @@
 }
 
 impl Cluster {
-    /// Leads with both followers, knows the list, and one node is registered.
+    /// Returns a cluster whose leader has its lease, the scanned endpoint list and one registered
+    /// data node.
     pub fn serving() -> Cluster {
         let mut cluster = Cluster { harness: Harness::new(recovered(&[1, 2, 3], Vec::new(), 0)) };
         for _ in 0..100 {
             cluster.step();
         }
-        assert!(cluster.harness.node.has_lease(cluster.harness.now_ms), "it leads");
+        assert!(cluster.harness.node.has_lease(cluster.harness.now_ms), "no lease");
         cluster.harness.renew_lease(5);
         cluster.run_until_idle();
         cluster
     }
 
-    /// One tick, a sync, and the responses of the followers.
+    /// Runs one tick of 20 ms and a sync, delivers the followers' responses, and answers requested
+    /// pages of the endpoint list.
     pub fn step(&mut self) {
         self.harness.tick(20);
         self.harness.sync();
@@ -43,7 +46,7 @@
         }
     }
 
-    /// The responses of the followers to everything sent so far.
+    /// Removes the sent messages and returns the followers' responses to them.
     pub fn follower_responses(&mut self) -> Vec<Message> {
         let sent = std::mem::take(&mut self.harness.sent);
         let responses = sent.into_iter().filter_map(|message| match message {
@@ -56,7 +59,7 @@
         responses.collect()
     }
 
-    /// The same, but renewing no lease.
+    /// Changes the responses so that they renew no lease: they confirm an append sent at time 0.
     pub fn without_lease_renewal(mut responses: Vec<Message>) -> Vec<Message> {
         for message in &mut responses {
             if let Message::Consensus { message: LogMessage::AppendResponse(response), .. } =
@@ -69,25 +72,27 @@
     }
 
     pub fn deliver(&mut self, messages: Vec<Message>) {
-        messages.into_iter().for_each(|message| self.harness.message(message));
+        messages.into_iter().for_each(|message| self.harness.receive(message));
     }
 
-    /// A follower reports a higher term.
+    /// Delivers a follower's response with a higher term, which deposes the leader.
     pub fn receive_higher_term(&mut self) {
         let term = self.harness.node.consensus().term() + 1;
         let response = AppendResponse { term, matched: None, hint: 0, sent_ms: 0 };
         let from: Member = member(2);
         let message = LogMessage::AppendResponse(response);
-        self.harness.message(Message::Consensus { from, to: 1, message });
+        self.harness.receive(Message::Consensus { from, to: 1, message });
     }
 
-    /// The open transaction's last entry is written, and not committed.
+    /// Runs until the End of the open transaction is written; checks that it is not committed.
     pub fn step_until_end_is_written(&mut self) {
         let version_in_force =
             |cluster: &Cluster| cluster.harness.node.committed().plan_version().map(str::to_string);
         let before = version_in_force(self);
-        while !matches!(self.harness.lines.last(), Some(postbarrow_transactions::BatchRecord::End))
-        {
+        while !matches!(
+            self.harness.records.last(),
+            Some(postbarrow_transactions::BatchRecord::End)
+        ) {
             self.step();
         }
         assert_eq!(version_in_force(self), before, "the End is not committed");
--- a/crates/controller/tests/contact.rs
+++ b/crates/controller/tests/contact.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the leader, for the client that forwards requests from it.
+//! Whether a node is in contact with a leader, which the client that forwards requests reads.
 
 mod cluster;
 mod harness;
@@ -9,13 +9,13 @@
 use postbarrow_controller::Contact;
 use postbarrow_messages::Message;
 
-const TICKS_OF_20_S: u64 = 1_000;
+const TICKS_IN_20_S: u64 = 1_000;
 
 fn contact(harness: &Harness) -> Contact {
     harness.node.contact(harness.now_ms)
 }
 
-/// A follower of member 2 in term 3.
+/// Returns a follower of member 2 in term 3.
 fn follower() -> Harness {
     let mut harness = Harness::new(recovered(&[1, 2, 3], Vec::new(), 3));
     receive_heartbeat(&mut harness);
@@ -32,7 +32,7 @@
         sent_ms: harness.now_ms,
     };
     let message = LogMessage::Append(append);
-    harness.message(Message::Consensus { from: member(2), to: 1, message });
+    harness.receive(Message::Consensus { from: member(2), to: 1, message });
 }
 
 #[test]
@@ -44,7 +44,7 @@
         harness.tick(20);
     }
     assert_eq!(contact(&harness), Contact::Silent { since_ms: contact_ms });
-    (0..TICKS_OF_20_S).for_each(|_| harness.tick(20));
+    (0..TICKS_IN_20_S).for_each(|_| harness.tick(20));
     assert_eq!(contact(&harness), Contact::Silent { since_ms: contact_ms });
     assert_eq!(harness.node.consensus().term(), 3, "pre-vote does not raise the term");
     receive_heartbeat(&mut harness);
@@ -55,8 +55,13 @@
 fn a_follower_that_was_suspended_does_not_count_that_time_as_lost_contact() {
     let mut harness = follower();
     harness.tick(20_000);
-    let Contact::Silent { since_ms } = contact(&harness) else { panic!("it has no leader") };
-    assert!(harness.now_ms < since_ms + CONTACT_LOST_MS, "messages may be queued");
+    let Contact::Silent { since_ms } = contact(&harness) else {
+        panic!("the node still has a leader")
+    };
+    assert!(
+        harness.now_ms < since_ms + CONTACT_LOST_MS,
+        "suspended time was counted, though messages may be queued"
+    );
     (0..CONTACT_LOST_MS / 20).for_each(|_| harness.tick(20));
     assert_eq!(contact(&harness), Contact::Silent { since_ms });
 }
@@ -67,7 +72,7 @@
     assert_eq!(contact(&cluster.harness), Contact::Leader(member(1).address));
     let partition_ms = cluster.harness.now_ms;
     let mut silent = Vec::new();
-    for _ in 0..TICKS_OF_20_S {
+    for _ in 0..TICKS_IN_20_S {
         cluster.harness.tick(20);
         cluster.harness.sync();
         let is_own_contact = contact(&cluster.harness) == Contact::Leader(member(1).address);
@@ -79,12 +84,12 @@
     assert!(silent.iter().all(|since_ms| *since_ms <= partition_ms + LEADER_LEASE_MS));
     assert!(
         silent.windows(2).all(|pair| pair[0] == pair[1]),
-        "deposed or not: one start of the loss"
+        "the start of the loss changed when the leader was deposed"
     );
 }
 
 #[test]
-fn a_member_restarted_in_a_partition_counts_from_its_start() {
+fn a_member_restarted_in_a_partition_reports_no_leader_since_its_start() {
     let mut harness = Harness::new(recovered(&[1, 2, 3], Vec::new(), 3));
     let start_ms = harness.now_ms;
     (0..100).for_each(|_| harness.tick(20));
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -1,4 +1,5 @@
-//! One control node driven by hand: time, disk, messages and pages of the endpoint list.
+//! A harness for one control node: the test controls its time, disk, messages and the pages of the
+//! endpoint list.
 
 #![allow(dead_code)]
 use postbarrow_consensus::{
@@ -13,20 +14,29 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// One control node that is its own majority; the test decides when its disk syncs.
+/// One control node with the effects that it returned. Most tests make it the log's only member, so
+/// that its own synced writes are committed; the test decides when its disk syncs.
 pub struct Harness {
     pub node: ControlNode,
     pub now_ms: u64,
-    pub lines: Vec<BatchRecord<Record>>,
+    /// All records that the node wrote to the log, in order.
+    pub records: Vec<BatchRecord<Record>>,
+    /// All entries that the node wrote to the log, in order.
     pub entries: Vec<Entry>,
+    /// Responses to requests, each with the request's key, in the order they were sent.
     pub responses: Vec<(u64, Response)>,
+    /// Sent messages other than responses.
     pub sent: Vec<Message>,
+    /// Number and cursor of the pages that were requested and not answered yet.
     pub fetches: VecDeque<(u64, Option<String>)>,
     pub pages: Vec<String>,
+    /// How many snapshots the node requested to be encoded.
     pub encoded: usize,
+    /// The last of those snapshots, encoded.
     pub snapshot: Option<Snapshot>,
     /// All writes that the node requested, in order.
     pub writes: Vec<Write>,
+    /// Sequence number of the last write that is not synced yet.
     unsynced: Option<u64>,
 }
 
@@ -50,7 +60,7 @@
         Harness {
             node: ControlNode::new(member(1), recovered, &[], 7, now_ms),
             now_ms,
-            lines: Vec::new(),
+            records: Vec::new(),
             entries: Vec::new(),
             responses: Vec::new(),
             sent: Vec::new(),
@@ -63,7 +73,8 @@
         }
     }
 
-    /// Leads, with a list of one target a service and one node.
+    /// Returns a harness whose node leads, with three targets of two services and one registered
+    /// data node.
     pub fn serving() -> Harness {
         let mut harness = Harness::new(recovered(&[1], Vec::new(), 0));
         harness.become_leader();
@@ -78,8 +89,9 @@
     }
 
     pub fn set_log_bound(&mut self, size_bytes: u64) {
-        let idle = ControlNode::new(member(1), RecoveredState::default(), &[], 7, self.now_ms);
-        self.node = std::mem::replace(&mut self.node, idle).with_log_bound(size_bytes);
+        let placeholder =
+            ControlNode::new(member(1), RecoveredState::default(), &[], 7, self.now_ms);
+        self.node = std::mem::replace(&mut self.node, placeholder).with_log_bound(size_bytes);
     }
 
     pub fn become_leader(&mut self) {
@@ -99,7 +111,7 @@
                     if let Write::Append(entries) = write {
                         for entry in entries {
                             if let Payload::Batch(bytes) = &entry.payload {
-                                self.lines.extend(decode::<Record>(bytes).unwrap());
+                                self.records.extend(decode::<Record>(bytes).unwrap());
                             }
                             self.entries.push(entry);
                         }
@@ -140,11 +152,12 @@
         }
     }
 
-    pub fn message(&mut self, message: Message) {
+    pub fn receive(&mut self, message: Message) {
         self.input(Input::Receive(Envelope { from: client(), message }));
     }
 
-    /// A leader of the next term commits this record where this node's committed log ends.
+    /// Deposes the node: a leader of the next term commits this record directly after the node's
+    /// last committed entry.
     pub fn depose_with(&mut self, record: Record) {
         let log = self.node.consensus();
         let (prev, term) = (log.commit_index(), log.term() + 1);
@@ -160,11 +173,11 @@
             sent_ms: 1,
         };
         let message = LogMessage::Append(append);
-        self.message(Message::Consensus { from: member(2), to: 1, message });
+        self.receive(Message::Consensus { from: member(2), to: 1, message });
     }
 
     pub fn request(&mut self, key: u64, request: Request) {
-        self.message(Message::Request { key, request });
+        self.receive(Message::Request { key, request });
     }
 
     pub fn response(&self, key: u64) -> Option<&Response> {
@@ -192,7 +205,7 @@
             samples: Vec::new(),
             request_count: 0,
         };
-        self.message(Message::LeaseRequest(request));
+        self.receive(Message::LeaseRequest(request));
         self.sync();
     }
 
@@ -220,7 +233,8 @@
             }
             self.tick(20);
         }
-        let (number, _) = self.fetches.pop_back().expect("a page is requested");
+        let (number, _) =
+            self.fetches.pop_back().expect("no page of the endpoint list was requested");
         self.fetches.clear();
         self.input(Input::Page(PageResult { number, fetched }));
         self.sync();
--- a/crates/controller/tests/plan_deltas.rs
+++ b/crates/controller/tests/plan_deltas.rs
@@ -1,4 +1,4 @@
-//! A change of a plan costs the log and the data nodes what it changes.
+//! A changed plan writes to the log, and sends to the data nodes, only its delta.
 
 mod harness;
 use harness::*;
@@ -9,18 +9,18 @@
 use postbarrow_state::Node;
 use std::sync::Arc;
 
-/// Routes of the plan that changes; each change is one route's new deadline.
+/// Number of routes of the plan; each change sets a new deadline of one route.
 const ROUTES: usize = 600;
-/// Changes of the users' run: 220 in 30 s.
+/// Number of changes, as in the users' run: 220 changes in 30 s.
 const CHANGES: usize = 220;
 
-fn text(version: usize, waits_ms: &[usize]) -> String {
-    let row = |(at, wait_ms): (usize, &usize)| {
+fn text(version: usize, deadlines_ms: &[usize]) -> String {
+    let row = |(at, deadline_ms): (usize, &usize)| {
         format!(
-            "{{\"path\":\"/service/area-{at}/*\",\"methods\":[\"GET\"],\"kind\":\"lookup\",\"service\":\"s\",\"limits\":{{\"bodyBytes\":65536,\"deadlineMs\":{wait_ms}}}}}"
+            "{{\"path\":\"/service/area-{at}/*\",\"methods\":[\"GET\"],\"kind\":\"lookup\",\"service\":\"s\",\"limits\":{{\"bodyBytes\":65536,\"deadlineMs\":{deadline_ms}}}}}"
         )
     };
-    let rows: Vec<String> = waits_ms.iter().enumerate().map(row).collect();
+    let rows: Vec<String> = deadlines_ms.iter().enumerate().map(row).collect();
     format!(
         "{{\"version\":\"v{version}\",\"base\":\"v{}\",\"services\":{{\"s\":{{\"labels\":{{\"service\":\"catalogue\"}}}}}},\"routes\":[{}]}}",
         version - 1,
@@ -28,10 +28,10 @@
     )
 }
 
-/// A controller with the first plan in force.
-fn with_first_plan(waits_ms: &[usize]) -> Harness {
+/// Returns a leader with the first plan in force.
+fn with_first_plan(deadlines_ms: &[usize]) -> Harness {
     let mut harness = Harness::serving();
-    let mut first = submission(&text(1, waits_ms));
+    let mut first = submission(&text(1, deadlines_ms));
     first.base = None;
     harness.request(1, Request::Submit(first));
     harness.run_until_idle();
@@ -48,17 +48,17 @@
 }
 
 #[test]
-fn small_changes_cost_the_log_and_a_node_only_their_delta() {
-    let mut waits_ms = vec![1_000; ROUTES];
-    let mut harness = with_first_plan(&waits_ms);
+fn a_small_plan_change_writes_and_sends_only_its_delta() {
+    let mut deadlines_ms = vec![1_000; ROUTES];
+    let mut harness = with_first_plan(&deadlines_ms);
     let mut node = DataNode::new(data_node(), vec![member(1).address], harness.now_ms);
-    harness.message(Message::Tail { after: 1 });
+    harness.receive(Message::Tail { after: 1 });
     let (mut images, mut update_bytes, mut tail_due_ms) = (0, 0, 0);
     let before = log_bytes(&harness);
     let encoded = harness.node.images_encoded();
     for version in 2..CHANGES + 2 {
-        waits_ms[version * 37 % ROUTES] += version;
-        harness.submit(version as u64, &text(version, &waits_ms));
+        deadlines_ms[version * 37 % ROUTES] += version;
+        harness.submit(version as u64, &text(version, &deadlines_ms));
         for _ in 0..34 {
             harness.tick(4);
             harness.sync();
@@ -75,57 +75,57 @@
             }
             if harness.now_ms >= tail_due_ms {
                 tail_due_ms = harness.now_ms + TAIL_RENEW_MS;
-                harness.message(Message::Tail { after: node.published() });
+                harness.receive(Message::Tail { after: node.published() });
             }
         }
         assert_eq!(harness.status(version as u64), Some(200), "version {version}");
     }
     let log_bytes = log_bytes(&harness) - before;
-    println!("changes {CHANGES}, routes {ROUTES}: log {log_bytes} B, news {update_bytes} B");
+    println!("changes {CHANGES}, routes {ROUTES}: log {log_bytes} B, updates {update_bytes} B");
     assert_eq!(
         (images, harness.node.images_encoded() - encoded),
         (1, 0),
-        "all were sent as updates"
+        "a change was sent as an image instead of an update"
     );
     assert!(log_bytes < CHANGES * 1_500, "{log_bytes} bytes in the log");
     assert!(update_bytes < CHANGES * 1_000, "{update_bytes} bytes of updates");
-    assert_eq!(harness.state().plan_text(), text(CHANGES + 1, &waits_ms).into_bytes());
-    assert_eq!(node.image().routes, harness.state().routes, "the node has the same routes");
+    assert_eq!(harness.state().plan_text(), text(CHANGES + 1, &deadlines_ms).into_bytes());
+    assert_eq!(node.image().routes, harness.state().routes, "the data node has other routes");
     assert_eq!(node.image().plan, harness.state().plan);
     assert!(node.image().plan_text.is_empty());
 }
 
 #[test]
 fn a_delta_is_restored_from_the_log_after_a_restart() {
-    let mut waits_ms = vec![1_000; ROUTES];
-    let mut harness = with_first_plan(&waits_ms);
+    let mut deadlines_ms = vec![1_000; ROUTES];
+    let mut harness = with_first_plan(&deadlines_ms);
     for version in 2..6 {
-        waits_ms[version * 100] += version;
-        harness.submit(version as u64, &text(version, &waits_ms));
+        deadlines_ms[version * 100] += version;
+        harness.submit(version as u64, &text(version, &deadlines_ms));
         harness.run_until_idle();
     }
     let mut restarted = Harness::new(recovered(&[1], harness.entries.clone(), 9));
     restarted.become_leader();
     let (state, original) = (restarted.state(), harness.state());
     assert!(state.has_plan_of(original), "{:?} after {:?}", state.plan, original.plan);
-    assert_eq!(state.plan_text(), text(5, &waits_ms).into_bytes());
+    assert_eq!(state.plan_text(), text(5, &deadlines_ms).into_bytes());
 }
 
 #[test]
 fn an_aborted_delta_leaves_the_plan_in_force_unchanged() {
-    let mut waits_ms = vec![1_000; ROUTES];
-    let mut harness = with_first_plan(&waits_ms);
+    let mut deadlines_ms = vec![1_000; ROUTES];
+    let mut harness = with_first_plan(&deadlines_ms);
     let before = harness.state().clone();
-    waits_ms[5] = 7;
-    let mut dry = submission(&text(2, &waits_ms));
+    deadlines_ms[5] = 7;
+    let mut dry = submission(&text(2, &deadlines_ms));
     dry.dry_run = true;
     harness.request(2, Request::Submit(dry));
     harness.run_until_idle();
     assert_eq!(harness.status(2), Some(200));
     assert!(harness.state().has_plan_of(&before));
-    harness.submit(3, &text(2, &waits_ms));
+    harness.submit(3, &text(2, &deadlines_ms));
     harness.run_until_idle();
-    assert_eq!(harness.state().plan_text(), text(2, &waits_ms).into_bytes());
+    assert_eq!(harness.state().plan_text(), text(2, &deadlines_ms).into_bytes());
     let shared = before.routes.iter().zip(&harness.state().routes);
     assert_eq!(shared.filter(|(old, new)| !Arc::ptr_eq(old, new)).count(), 1);
 }
--- a/crates/controller/tests/repeated_submissions.rs
+++ b/crates/controller/tests/repeated_submissions.rs
@@ -1,4 +1,5 @@
-//! A submission that is repeated, raced, aborted, or interrupted by a change of leader.
+//! Submissions that are repeated, compete with others, are aborted, or are interrupted by a change
+//! of leader.
 
 mod harness;
 use harness::*;
@@ -10,19 +11,22 @@
 use std::sync::Arc;
 
 fn body(harness: &Harness, key: u64) -> String {
-    let Some(Response::Operator { body, .. }) = harness.response(key) else { panic!("no answer") };
+    let Some(Response::Operator { body, .. }) = harness.response(key) else {
+        panic!("no response")
+    };
     String::from_utf8_lossy(body).into_owned()
 }
 
-/// How many plans were begun, and how many accepted.
+/// Returns how many plans were begun, and how many accepted.
 fn count_begun_and_accepted(harness: &Harness) -> (usize, usize) {
     let begun =
-        harness.lines.iter().filter(|line| matches!(line, BatchRecord::Begin { .. })).count();
-    let accepted = harness.lines.iter().filter(|line| matches!(line, BatchRecord::End)).count();
+        harness.records.iter().filter(|record| matches!(record, BatchRecord::Begin { .. })).count();
+    let accepted =
+        harness.records.iter().filter(|record| matches!(record, BatchRecord::End)).count();
     (begun, accepted)
 }
 
-/// v1 to `count`, each on the one before; keys from 1,000.
+/// Submits the plans v1 to v`count`, each on the one before, with request keys from 1,000.
 fn accept_plans(harness: &mut Harness, count: u64) {
     for number in 1..=count {
         let base = (number > 1).then(|| format!("v{}", number - 1));
@@ -32,7 +36,9 @@
     }
 }
 
-fn check_known(harness: &mut Harness, keys: u64) {
+/// Checks that v1 is known as accepted, with three request keys from `keys`: its repeat is
+/// acknowledged, and another text of it, or another plan on it, is refused without being begun.
+fn check_v1_is_known(harness: &mut Harness, keys: u64) {
     let before = count_begun_and_accepted(harness);
     harness.submit(keys, &plan("v1", None, 1, "catalogue"));
     harness.submit(keys + 1, &plan("v1", None, 2, "catalogue"));
@@ -81,7 +87,7 @@
     };
     assert_eq!(offsets(&again), offsets(&first));
     assert!(first.contains("\"inForce\":true") && again.contains("\"inForce\":false"), "{again}");
-    check_known(&mut harness, 10);
+    check_v1_is_known(&mut harness, 10);
 }
 
 #[test]
@@ -103,10 +109,10 @@
     let mut harness = Harness::serving();
     accept_plans(&mut harness, 3);
     let term = harness.node.consensus().term();
-    let mut next = Harness::new(recovered(&[1], harness.entries.clone(), term));
-    next.become_leader();
-    assert_eq!(next.state().plan_version(), Some("v3"));
-    check_known(&mut next, 1);
+    let mut restarted = Harness::new(recovered(&[1], harness.entries.clone(), term));
+    restarted.become_leader();
+    assert_eq!(restarted.state().plan_version(), Some("v3"));
+    check_v1_is_known(&mut restarted, 1);
 }
 
 #[test]
@@ -120,10 +126,10 @@
     let entries =
         harness.entries.iter().filter(|entry| entry.index > snapshot.index).cloned().collect();
     let snapshot = Some(Arc::new(snapshot));
-    let mut next = Harness::new(RecoveredState { term, voted_for: None, snapshot, entries });
-    next.become_leader();
-    assert_eq!(next.state().plan_version(), Some("v3"));
-    check_known(&mut next, 1);
+    let mut restarted = Harness::new(RecoveredState { term, voted_for: None, snapshot, entries });
+    restarted.become_leader();
+    assert_eq!(restarted.state().plan_version(), Some("v3"));
+    check_v1_is_known(&mut restarted, 1);
 }
 
 #[test]
@@ -143,7 +149,8 @@
     assert_eq!(harness.state().accepted_plans.len(), 2);
 }
 
-/// Every copy may still be accepted after an abort for want of time, so none is refused.
+/// After an abort because the transaction was open too long, every copy of the submission may still
+/// be accepted, so none may be refused.
 #[test]
 fn an_overdue_submission_is_not_refused_and_a_late_copy_is_accepted_once() {
     let mut harness = Harness::serving();
@@ -186,13 +193,13 @@
     harness.run_until_idle();
     assert_eq!(harness.status(1), Some(409), "a late copy took effect after its refusal");
     let term = harness.node.consensus().term();
-    let mut next = Harness::new(recovered(&[1], harness.entries.clone(), term));
-    next.become_leader();
-    next.answer_list(&[("catalogue-1", "catalogue")]);
-    next.submit(1, &text);
-    next.submit(2, &plan("v3", Some("v2"), 2, "catalogue"));
-    next.run_until_idle();
-    assert_eq!((next.status(1), next.status(2)), (Some(409), Some(200)));
+    let mut restarted = Harness::new(recovered(&[1], harness.entries.clone(), term));
+    restarted.become_leader();
+    restarted.answer_list(&[("catalogue-1", "catalogue")]);
+    restarted.submit(1, &text);
+    restarted.submit(2, &plan("v3", Some("v2"), 2, "catalogue"));
+    restarted.run_until_idle();
+    assert_eq!((restarted.status(1), restarted.status(2)), (Some(409), Some(200)));
 }
 
 #[test]
--- a/crates/controller/tests/transactions.rs
+++ b/crates/controller/tests/transactions.rs
@@ -1,4 +1,5 @@
-//! Transactions of plans: atomic visibility, bounds, aborts and changes of leader.
+//! Transactions that commit plans: atomic visibility, size and time limits, aborts and changes of
+//! leader.
 
 mod harness;
 use harness::*;
@@ -10,8 +11,8 @@
 
 fn markers(harness: &Harness) -> Vec<String> {
     let mut markers = Vec::new();
-    for line in &harness.lines {
-        match line {
+    for record in &harness.records {
+        match record {
             BatchRecord::Begin { name } => {
                 markers.push(format!("Begin {}", name.as_deref().unwrap_or("")))
             }
@@ -31,11 +32,11 @@
     harness.submit(1, &plan("v1", None, 6_000, "catalogue"));
     let mut steps = 0;
     while harness.response(1).is_none() {
-        assert_eq!(harness.state().plan_version(), None, "visible before its End");
+        assert_eq!(harness.state().plan_version(), None, "the plan is visible before its End");
         harness.sync();
         steps += 1;
     }
-    assert!(steps > 1, "one sync committed everything: nothing was tested");
+    assert!(steps > 1, "one sync committed all batches, so visibility was not tested");
     assert_eq!(harness.status(1), Some(200));
     assert_eq!(harness.state().plan_version(), Some("v1"));
     assert_eq!(harness.state().routes.len(), 6_000);
@@ -48,11 +49,11 @@
     let mut harness = Harness::serving();
     harness.submit(1, &plan("v1", None, 6_000, "catalogue"));
     harness.request(2, Request::Ticket(ticket("k", 1)));
-    let before = harness.lines.len();
+    let before = harness.records.len();
     for _ in 0..TRANSACTION_OPEN_MS / 20 - 1 {
         harness.tick(20);
     }
-    assert_eq!(harness.lines.len(), before, "a ticket was interleaved");
+    assert_eq!(harness.records.len(), before, "a ticket was interleaved with the open transaction");
     harness.tick(20);
     harness.tick(20);
     assert_eq!(markers(&harness), ["Begin plan v1", "Abort the transaction was open too long"]);
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn a_delta_over_its_bound_is_aborted() {
+fn a_plan_over_the_delta_size_limit_is_aborted() {
     let mut harness = Harness::serving();
     let mut huge = submission(&plan("v1", None, 1, "catalogue"));
     huge.records.extend((0..600).map(|_| Record::PlanText(vec![32; 16 * 1024])));
@@ -85,16 +86,16 @@
 }
 
 fn unfinished_plan_entries() -> Vec<Entry> {
-    let lines = [
+    let records = [
         BatchRecord::begin("plan v9"),
         BatchRecord::Data(Record::PlanStart { version: "v9".into(), base: None }),
     ];
-    let batch = |index, lines: &[BatchRecord<Record>]| Entry {
+    let batch = |index, records: &[BatchRecord<Record>]| Entry {
         term: 1,
         index,
-        payload: Payload::Batch(encode(lines)),
+        payload: Payload::Batch(encode(records)),
     };
-    vec![batch(1, &lines), batch(2, &[BatchRecord::Data(Record::PlanText(vec![65]))])]
+    vec![batch(1, &records), batch(2, &[BatchRecord::Data(Record::PlanText(vec![65]))])]
 }
 
 #[test]
@@ -134,7 +135,7 @@
     harness.submit(4, &plan("v1", None, 2, "catalogue"));
     harness.run_until_idle();
     assert_eq!((harness.status(3), harness.status(4)), (Some(200), Some(409)));
-    let Some(Response::Operator { body, .. }) = harness.response(4) else { panic!("no answer") };
+    let Some(Response::Operator { body, .. }) = harness.response(4) else { panic!("no response") };
     assert!(String::from_utf8_lossy(body).contains("\"versionInForce\":\"v1\""));
     assert_eq!(harness.state().routes.len(), 1);
 }
@@ -148,7 +149,7 @@
     harness.request(2, Request::Submit(dry));
     harness.run_until_idle();
     assert_eq!((harness.status(1), harness.status(2)), (Some(422), Some(200)));
-    let Some(Response::Operator { body, .. }) = harness.response(2) else { panic!("no answer") };
+    let Some(Response::Operator { body, .. }) = harness.response(2) else { panic!("no response") };
     let body = String::from_utf8_lossy(body).into_owned();
     assert!(body.contains("\"routesAdded\":[\"GET /r0\"]"), "{body}");
     assert!(body.contains("\"liveBefore\":0,\"liveAfter\":1"), "{body}");
@@ -168,7 +169,7 @@
     let next = || Request::Call { id: None, call: Call::Next { name: "n".into(), by: 1 } };
     harness.submit(1, &text);
     harness.request(2, next());
-    assert_eq!(harness.response(2), None, "it waits for the open plan");
+    assert_eq!(harness.response(2), None, "the call did not wait for the open plan");
     harness.request(2, next());
     assert_eq!(harness.response(2), Some(&Response::Duplicate));
     harness.submit(1, &text);
