--- a/crates/controller/tests/compaction.rs
+++ b/crates/controller/tests/compaction.rs
@@ -1,10 +1,10 @@
-//! When a control node takes a snapshot.
+//! When a control node requests that a snapshot is encoded.
 
 mod harness;
 use harness::*;
 use postbarrow_constants::consensus::SNAPSHOT_ENCODE_MAX_MS;
 
-/// Below what one plan writes.
+/// A bound of the log in bytes that the records of one plan exceed.
 const SMALL_BYTES: u64 = 200;
 
 #[test]
@@ -13,16 +13,16 @@
     harness.submit(1, &plan("v1", None, 20, "ledger"));
     harness.run_until_idle();
     let entries = harness.entries.clone();
-    let mut next = Harness::new(recovered(&[1], entries, 2));
-    next.set_log_bound(SMALL_BYTES);
-    next.tick(1);
+    let mut restarted = Harness::new(recovered(&[1], entries, 2));
+    restarted.set_log_bound(SMALL_BYTES);
+    restarted.tick(1);
     assert_eq!(
-        (next.node.consensus().commit_index(), next.encoded),
+        (restarted.node.consensus().commit_index(), restarted.encoded),
         (0, 0),
-        "nothing is applied yet"
+        "a snapshot was taken before an entry was applied"
     );
-    next.become_leader();
-    assert!(next.encoded > 0, "the restored log counts");
+    restarted.become_leader();
+    assert!(restarted.encoded > 0, "the restored log does not count towards the bound");
 }
 
 #[test]
@@ -35,7 +35,10 @@
         harness.sync();
     }
     assert_eq!(harness.state().plan_version(), Some("v1"));
-    assert!(harness.encoded > before, "a transaction may be open at every tick");
+    assert!(
+        harness.encoded > before,
+        "no snapshot without a tick, though a transaction may be open at every tick"
+    );
 }
 
 #[test]
--- a/crates/controller/tests/endpoint_list.rs
+++ b/crates/controller/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list with shifted rows, failures and cycles, page by page.
+//! Scans of the endpoint list with shifted rows, failures and cursor cycles.
 
 mod harness;
 use harness::*;
@@ -7,19 +7,19 @@
 use postbarrow_controller::{Fetched, Input, PageResult};
 use postbarrow_messages::{Request, Response};
 
-/// Answers the pending fetches of this cursor, in whatever order they were sent.
+/// Answers all pending fetches of this cursor. A row that ends in `!` is draining.
 fn answer_cursor(harness: &mut Harness, cursor: Option<&str>, rows: &[&str], next: Option<&str>) {
-    let wanted = |fetch: &(u64, Option<String>)| fetch.1.as_deref() == cursor;
+    let has_cursor = |fetch: &(u64, Option<String>)| fetch.1.as_deref() == cursor;
     for _ in 0..200 {
-        if harness.fetches.iter().any(wanted) {
+        if harness.fetches.iter().any(has_cursor) {
             break;
         }
         harness.tick(20);
     }
-    assert!(harness.fetches.iter().any(wanted), "page {cursor:?} is requested");
+    assert!(harness.fetches.iter().any(has_cursor), "page {cursor:?} was not requested");
     let requested: Vec<u64> =
-        harness.fetches.iter().filter(|one| wanted(one)).map(|one| one.0).collect();
-    harness.fetches.retain(|fetch| !wanted(fetch));
+        harness.fetches.iter().filter(|fetch| has_cursor(fetch)).map(|fetch| fetch.0).collect();
+    harness.fetches.retain(|fetch| !has_cursor(fetch));
     let rows: Vec<String> = rows
         .iter()
         .map(|row| Harness::row(row.trim_end_matches('!'), "ledger", row.ends_with('!')))
@@ -33,6 +33,7 @@
     }
 }
 
+/// Answers one scan of the list; the cursor of a page is its position.
 fn scan(harness: &mut Harness, pages: &[&[&str]]) {
     for (at, rows) in pages.iter().enumerate() {
         let cursor = (at > 0).then(|| at.to_string());
@@ -63,7 +64,7 @@
     let mut harness = harness_with_list();
     scan(&mut harness, &[&["l1", "l2"], &["l4", "l5"], &["l6"]]);
     assert_eq!(known(&harness), 6, "l3 may be at the end of the first page");
-    assert_eq!(live(&harness).len(), 5, "but is draining while others are live");
+    assert_eq!(live(&harness).len(), 5, "l3 is draining while others are live");
     scan(&mut harness, &[&["l2", "l3"], &["l4", "l5"], &["l6"]]);
     assert_eq!(known(&harness), 5, "l1 is removed");
     assert!(live(&harness).contains(&"l3".to_string()));
@@ -82,8 +83,8 @@
     let mut harness = harness_with_list();
     for count in 1..=LIST_MISSES {
         scan(&mut harness, &[&["l1", "l2"], &["l4"], &["l5", "l6"]]);
-        let gone = count == LIST_MISSES;
-        assert_eq!(known(&harness), if gone { 5 } else { 6 }, "scan {count}");
+        let is_removed = count == LIST_MISSES;
+        assert_eq!(known(&harness), if is_removed { 5 } else { 6 }, "scan {count}");
     }
 }
 
@@ -95,9 +96,9 @@
         assert_eq!(known(&harness), 6, "one scan is not enough");
         scan(&mut harness, &[&["l1", "l2"], &["l3", "l4"], &["l5", "l6"]]);
         scan(&mut harness, &[rows]);
-        assert_eq!(known(&harness), 6, "nor are two with a complete scan between them");
+        assert_eq!(known(&harness), 6, "two scans with a complete one between them are not enough");
         scan(&mut harness, &[rows]);
-        assert_eq!(known(&harness), 6, "nor two consecutive ones");
+        assert_eq!(known(&harness), 6, "two consecutive scans are not enough");
         scan(&mut harness, &[rows]);
         let remaining = known(&harness);
         scan(&mut harness, &[rows]);
@@ -105,12 +106,12 @@
     }
 }
 
-/// How the list fails between two shrunk scans.
+/// The kind of failure of the list between two scans that find far fewer rows.
 #[derive(Clone, Copy, Debug)]
 enum ScanFailure {
     CursorCycle,
     EveryPageFails,
-    /// The second fetch succeeds and the scan continues.
+    /// One fetch fails; its retry succeeds and the scan continues.
     OnePageFails,
     PageTimeout,
 }
@@ -130,7 +131,10 @@
                 while harness.fetches.is_empty() {
                     harness.tick(20);
                 }
-                let (number, _) = harness.fetches.pop_front().expect("a page is requested");
+                let (number, _) = harness
+                    .fetches
+                    .pop_front()
+                    .expect("no page of the endpoint list was requested");
                 let fetched = Fetched::Failed("the list is not there".into());
                 harness.input(Input::Page(PageResult { number, fetched }));
             }
@@ -145,7 +149,9 @@
     harness.fetches.clear();
 }
 
-/// Found by `simulate --seed 3008795`: truncated, unreachable, a cursor cycle, truncated again.
+/// Guards against counting shrunk scans as consecutive across a failure. `simulate --seed 3008795`
+/// found it with a list that was truncated, unreachable, had a cursor cycle, and was truncated
+/// again.
 #[test]
 fn shrunk_scans_with_a_failure_between_them_are_not_consecutive() {
     for failure in [
@@ -170,7 +176,7 @@
 }
 
 #[test]
-fn pages_are_fetched_concurrently_and_a_changed_cursor_discards_a_guessed_page() {
+fn pages_are_fetched_concurrently_and_a_changed_cursor_discards_a_page_fetched_ahead() {
     let mut harness = harness_with_list();
     harness.fetches.clear();
     while harness.fetches.len() < 3 {
@@ -182,7 +188,11 @@
     answer_cursor(&mut harness, Some("2"), &["x9"], None);
     answer_cursor(&mut harness, None, &["l1", "l2"], Some("9"));
     answer_cursor(&mut harness, Some("9"), &["l3", "l4!", "l5", "l6"], None);
-    assert_eq!(live(&harness), ["l1", "l2", "l3", "l5", "l6"], "a guessed page is discarded");
+    assert_eq!(
+        live(&harness),
+        ["l1", "l2", "l3", "l5", "l6"],
+        "the page fetched ahead was not discarded"
+    );
 }
 
 #[test]
@@ -206,7 +216,9 @@
     }
     assert_eq!(known(&harness), 6);
     harness.request(1, Request::Targets);
-    let Some(Response::Operator { body, .. }) = harness.response(1) else { panic!("no targets") };
+    let Some(Response::Operator { body, .. }) = harness.response(1) else {
+        panic!("no response to the targets request")
+    };
     assert!(String::from_utf8_lossy(body).contains("its cursors go round"));
 }
 
@@ -215,15 +227,15 @@
     let mut harness = harness_with_list();
     scan(&mut harness, &[&["l1", "l2"], &["l3", "l4"], &["l5", "l6"]]);
     harness.request(1, Request::Targets);
-    let bound = |harness: &Harness, key| {
+    let leave_bound_ms = |harness: &Harness, key| {
         let Some(Response::Operator { body, .. }) = harness.response(key) else {
-            panic!("no targets")
+            panic!("no response to the targets request")
         };
         let text = String::from_utf8_lossy(body).into_owned();
         let tail = text.split("\"leaveBoundMs\":").nth(1).unwrap();
         tail.split([',', '}']).next().unwrap().parse::<u64>().unwrap()
     };
-    assert!(bound(&harness, 1) <= DRAIN_BOUND_MS);
+    assert!(leave_bound_ms(&harness, 1) <= DRAIN_BOUND_MS);
     for _ in 0..8 {
         while harness.fetches.is_empty() {
             harness.tick(20);
@@ -235,7 +247,7 @@
         harness.fetches.clear();
     }
     harness.request(2, Request::Targets);
-    assert!(bound(&harness, 2) > DRAIN_BOUND_MS);
+    assert!(leave_bound_ms(&harness, 2) > DRAIN_BOUND_MS);
 }
 
 #[test]
@@ -247,7 +259,8 @@
     while harness.fetches.is_empty() {
         harness.tick(20);
     }
-    let (number, _) = harness.fetches.pop_back().expect("a page is requested");
+    let (number, _) =
+        harness.fetches.pop_back().expect("no page of the endpoint list was requested");
     harness.submit(1, &plan("v1", None, 8_000, "ledger"));
     let rows: Vec<String> = ["l1", "l2", "l3", "l4", "l5"]
         .iter()
--- a/crates/controller/tests/leader_work.rs
+++ b/crates/controller/tests/leader_work.rs
@@ -1,4 +1,4 @@
-//! What only the leader does: tickets, leases, the endpoint list, locks, calls and watches.
+//! Work of the leader: tickets, leases, the endpoint list, locks, calls, watches and compaction.
 
 mod harness;
 use harness::*;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_key_is_granted_to_one_attempt_and_again_only_after_a_committed_unsent() {
+fn a_key_is_granted_to_another_attempt_only_after_a_committed_unsent_settlement() {
     let mut harness = Harness::serving();
     harness.request(1, Request::Ticket(ticket("k", 1)));
     harness.request(2, Request::Ticket(ticket("k", 2)));
@@ -47,7 +47,7 @@
     harness.run_until_idle();
     assert!(
         matches!(harness.response(7), Some(Response::Known(_))),
-        "the former attempt came late"
+        "the former attempt is not granted again"
     );
 }
 
@@ -78,7 +78,7 @@
     harness.run_until_idle();
     harness.request(3, Request::Ticket(ticket("k", 3)));
     harness.run_until_idle();
-    let Some(Response::Known(known)) = harness.response(3) else { panic!("not known") };
+    let Some(Response::Known(known)) = harness.response(3) else { panic!("the key is not known") };
     assert_eq!(known.response.as_deref(), Some(&stored));
     harness.tick(TICKET_RETENTION_MS + 2 * ERA_MS);
     harness.sync();
@@ -101,7 +101,7 @@
     harness.request(2, Request::Ticket(ticket("k2", 2)));
     assert!(
         matches!(harness.response(2), Some(Response::Refused(_))),
-        "an unregistered node gets none"
+        "an unregistered node gets no ticket"
     );
 }
 
@@ -121,7 +121,7 @@
     assert_eq!(
         known_targets(&harness).len(),
         3,
-        "a row may only have shifted over a page read before"
+        "a missing row may only have shifted to a page read before"
     );
     for _ in 1..LIST_MISSES {
         harness.answer_page(&[Harness::row("ledger-1", "ledger", true)], Some("1"));
@@ -153,7 +153,7 @@
     };
     let mut harness = new_leader();
     harness.tick(20);
-    assert!(!harness.lease_is_granted(), "nothing is known of the list");
+    assert!(!harness.lease_is_granted(), "the list was not scanned yet");
     harness.answer_list(&[("ledger-1", "ledger")]);
     assert!(harness.lease_is_granted());
     let mut without_list = new_leader();
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_lock_has_one_owner_a_rising_fencing_token_and_its_full_time() {
+fn a_lock_has_one_owner_an_increasing_fencing_token_and_its_full_ttl() {
     let mut harness = Harness::serving();
     let lock = |holder: &str| Call::Lock { name: "l".into(), holder: holder.into(), ttl_ms: 1_000 };
     let first = call(&mut harness, 1, lock("a"));
@@ -184,31 +184,31 @@
         harness.tick(20);
         harness.sync();
     }
-    assert!(harness.state().locks.contains_key("l"), "the renewal counts");
+    assert!(harness.state().locks.contains_key("l"), "the renewal extends the lock");
     for _ in 0..10 {
         harness.tick(20);
         harness.sync();
     }
-    assert!(!harness.state().locks.contains_key("l"), "its time is up");
+    assert!(!harness.state().locks.contains_key("l"), "the lock has expired");
     assert_eq!(call(&mut harness, 4, renew), Response::Outcome(Outcome::NotOwner));
     let second = call(&mut harness, 5, lock("b"));
     assert_eq!(second, Response::Outcome(Outcome::Locked { fence: 2, ttl_ms: 1_000 }));
 }
 
 #[test]
-fn a_new_leader_gives_a_lock_its_full_time_again() {
+fn a_new_leader_restarts_the_full_ttl_of_a_lock() {
     let mut harness = Harness::serving();
     call(&mut harness, 1, Call::Lock { name: "l".into(), holder: "a".into(), ttl_ms: 60_000 });
     let entries = harness.entries.clone();
-    let mut next = Harness::new(recovered(&[1], entries, harness.node.consensus().term()));
-    next.now_ms = 9_000_000;
-    next.become_leader();
-    let elected_ms = next.now_ms;
-    while next.state().locks.contains_key("l") {
-        next.tick(20);
-        next.sync();
+    let mut restarted = Harness::new(recovered(&[1], entries, harness.node.consensus().term()));
+    restarted.now_ms = 9_000_000;
+    restarted.become_leader();
+    let elected_ms = restarted.now_ms;
+    while restarted.state().locks.contains_key("l") {
+        restarted.tick(20);
+        restarted.sync();
     }
-    let owned_ms = next.now_ms - elected_ms;
+    let owned_ms = restarted.now_ms - elected_ms;
     assert!((57_000..=60_100).contains(&owned_ms), "{owned_ms}");
 }
 
@@ -239,13 +239,13 @@
         let name = if key == 4 { "other" } else { "k" };
         call(&mut harness, key, Call::Put { name: name.into(), value: vec![1], revision: None });
     }
-    let revisions = |answer: Option<&Response>| match answer {
+    let revisions = |response: Option<&Response>| match response {
         Some(Response::Outcome(Outcome::Events { events, .. })) => {
             events.iter().map(|event| event.revision).collect::<Vec<_>>()
         }
         other => panic!("{other:?}"),
     };
-    assert_eq!(revisions(harness.response(1)), [1], "it is answered with the first commit");
+    assert_eq!(revisions(harness.response(1)), [1], "the watch is answered with the first commit");
     for _ in 0..20 {
         harness.tick(1_000);
         harness.sync();
@@ -267,10 +267,10 @@
     }
     let entries = harness.entries.clone();
     let bytes: usize = entries.iter().map(|entry| entry.size()).sum();
-    let mut next = Harness::new(recovered(&[1], entries, harness.node.consensus().term()));
-    next.set_log_bound(bytes as u64);
-    next.become_leader();
-    assert_eq!(next.encoded, 1);
+    let mut restarted = Harness::new(recovered(&[1], entries, harness.node.consensus().term()));
+    restarted.set_log_bound(bytes as u64);
+    restarted.become_leader();
+    assert_eq!(restarted.encoded, 1);
 }
 
 #[test]
@@ -294,7 +294,11 @@
         ttl_ms: Some(ttl_ms),
     };
     assert_eq!(call_lock(1, lock("a", 1_000), 20).1, Some(1_000));
-    assert_eq!(call_lock(2, renew(5_000), 20).1, Some(5_000), "a new leader must know");
+    assert_eq!(
+        call_lock(2, renew(5_000), 20).1,
+        Some(5_000),
+        "a new leader must know the longer time"
+    );
     assert_eq!(call_lock(3, renew(600), 20).1, Some(5_000));
     let locked_by_other = Some(Response::Outcome(Outcome::LockedByOther { fence: 1 }));
     assert_eq!(call_lock(4, lock("b", 1_000), 3_000).0, locked_by_other, "the longer time applies");
--- a/crates/controller/tests/node_without_log.rs
+++ b/crates/controller/tests/node_without_log.rs
@@ -1,4 +1,4 @@
-//! Nodes without a log: a member that lost its disk, and an observer.
+//! Nodes without a log: a member whose disk was lost, and an observer.
 
 mod harness;
 use harness::*;
@@ -26,7 +26,7 @@
         } => Some((from.id, *round, *not_leading)),
         _ => None,
     });
-    assert_eq!(response, Some((77, 9, true)), "its former incarnation has ended");
+    assert_eq!(response, Some((77, 9, true)), "no response that the former member does not lead");
     harness.sent.clear();
     let vote = LogMessage::Vote(postbarrow_consensus::VoteRequest {
         term: 4,
@@ -37,7 +37,7 @@
     });
     let message = Message::Consensus { from: member(2), to: 77, message: vote };
     harness.input(Input::Receive(Envelope { from: member(2).address, message }));
-    assert!(harness.sent.is_empty(), "it never votes for its former id");
+    assert!(harness.sent.is_empty(), "the node voted for its former id");
 }
 
 #[test]
@@ -75,7 +75,7 @@
                 _ => None,
             }
         });
-    let (control, formed) = introduction.expect("an introduction");
+    let (control, formed) = introduction.expect("no introduction was sent");
     assert!(control.contains(&member(3).address));
     assert!(formed, "a node that knows only observers must learn of the log from them");
 }
--- a/crates/controller/tests/space_bounds.rs
+++ b/crates/controller/tests/space_bounds.rs
@@ -1,4 +1,4 @@
-//! Retention times of the log, and what is shed at its bounds of space.
+//! Retention times of records, and the requests that are shed at the storage limits.
 
 mod harness;
 use harness::*;
@@ -8,7 +8,7 @@
 use postbarrow_state::*;
 use std::sync::Arc;
 
-fn from_state(state: State) -> Harness {
+fn harness_with_state(state: State) -> Harness {
     let state = rmp_serde::to_vec(&(state, 0u64)).unwrap();
     let snapshot = Snapshot { index: 0, term: 0, members: vec![member(1)], state };
     let snapshot = Some(Arc::new(snapshot));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_settled_key_is_retained_for_its_time_across_changes_of_leader() {
+fn a_settled_key_is_retained_for_its_retention_time_across_changes_of_leader() {
     let mut harness = Harness::serving();
     harness.request(1, Request::Ticket(ticket("k", 1)));
     harness.run_until_idle();
@@ -38,7 +38,7 @@
     let mut elapsed_ms = 0;
     let mut term = 1;
     while !harness.state().tickets.is_empty() {
-        assert!(elapsed_ms < TICKET_RETENTION_MS + 12 * ERA_MS, "retained for ever");
+        assert!(elapsed_ms < TICKET_RETENTION_MS + 12 * ERA_MS, "the key is never removed");
         for _ in 0..100 {
             harness.tick(2_000);
             harness.sync();
@@ -48,39 +48,48 @@
         }
         term += 1;
         let entries = harness.entries.clone();
-        let mut next = Harness::new(recovered(&[1], entries.clone(), term));
-        next.entries = entries;
-        next.now_ms = harness.now_ms;
-        harness = next;
+        let mut restarted = Harness::new(recovered(&[1], entries.clone(), term));
+        restarted.entries = entries;
+        restarted.now_ms = harness.now_ms;
+        harness = restarted;
         harness.become_leader();
         elapsed_ms += 2_000;
     }
 }
 
 #[test]
-fn new_keys_are_shed_and_old_ones_retained_at_the_ticket_bound() {
+fn at_the_ticket_limit_new_keys_are_shed_and_old_ones_retained() {
     let mut state = State::default();
     for at in 0..TICKETS {
         let key = Name::from(format!("old-{at}"));
         let known = Ticket { settlement: Some(Settlement::Ran), ..ticket(&key, 1) };
         state.tickets.insert(key, Arc::new(known));
     }
-    let mut harness = from_state(state);
+    let mut harness = harness_with_state(state);
     harness.request(1, Request::Ticket(ticket("new", 1)));
     harness.request(2, Request::Ticket(ticket("old-7", 3)));
     harness.run_until_idle();
     assert_eq!(harness.response(1), Some(&Response::Full));
     assert!(matches!(harness.response(2), Some(Response::Known(_))), "{:?}", harness.response(2));
-    assert_eq!(harness.state().tickets.len(), TICKETS, "none was removed before its time");
+    assert_eq!(
+        harness.state().tickets.len(),
+        TICKETS,
+        "a ticket was removed before its retention ended"
+    );
     harness.request(3, Request::Status);
-    let Some(Response::Operator { body, .. }) = harness.response(3) else { panic!("no status") };
-    assert!(String::from_utf8_lossy(body).contains("\"shed\":1"), "status reports it");
+    let Some(Response::Operator { body, .. }) = harness.response(3) else {
+        panic!("no status response")
+    };
+    assert!(
+        String::from_utf8_lossy(body).contains("\"shed\":1"),
+        "the status does not report the shed request"
+    );
 }
 
 #[test]
-fn over_the_bound_of_stored_responses_a_key_is_settled_without_its_response() {
+fn over_the_limit_of_stored_response_bytes_a_key_is_settled_without_its_response() {
     let state = State { stored_response_bytes: STORED_RESPONSES_BYTES - 1_500, ..State::default() };
-    let mut harness = from_state(state);
+    let mut harness = harness_with_state(state);
     for (at, key) in ["a", "b"].into_iter().enumerate() {
         harness.request(at as u64, Request::Ticket(ticket(key, 1)));
         harness.run_until_idle();
@@ -94,7 +103,7 @@
 }
 
 #[test]
-fn removed_responses_release_their_bytes() {
+fn removed_responses_no_longer_count_towards_the_stored_bytes() {
     let mut harness = Harness::serving();
     harness.request(1, Request::Ticket(ticket("k", 1)));
     harness.request(2, settled_as_ran("k", Some(stored(700))));
@@ -109,12 +118,12 @@
 }
 
 #[test]
-fn writing_calls_are_shed_at_the_bound_of_remembered_calls() {
+fn writing_calls_are_shed_at_the_limit_of_stored_results() {
     let mut state = State::default();
     for at in 0..STORED_RESULTS {
         state.repeats.insert(Name::from(format!("r{at}")), Arc::new(Outcome::Freed));
     }
-    let mut harness = from_state(state);
+    let mut harness = harness_with_state(state);
     let next = Call::Next { name: "n".into(), by: 1 };
     harness.request(1, Request::Call { id: Some("new".into()), call: next.clone() });
     harness.request(2, Request::Call { id: Some("r3".into()), call: next });
@@ -124,29 +133,32 @@
     assert_eq!(
         harness.response(2),
         Some(&Response::Outcome(Outcome::Freed)),
-        "known calls are answered"
+        "a repeat gets its stored result"
     );
     assert_eq!(harness.response(3), Some(&Response::Outcome(Outcome::Number(0))));
 }
 
 #[test]
-fn a_remembered_call_is_removed_in_time_across_changes_of_leader() {
+fn a_stored_result_is_removed_after_its_retention_across_changes_of_leader() {
     let mut harness = Harness::serving();
     let call = Call::Next { name: "n".into(), by: 1 };
     harness.request(1, Request::Call { id: Some("once".into()), call });
     harness.run_until_idle();
     let mut elapsed_ms = 0;
     while harness.state().repeats.contains_key("once") {
-        assert!(elapsed_ms < STORED_RESULT_RETENTION_MS + 12 * ERA_MS, "remembered for ever");
+        assert!(
+            elapsed_ms < STORED_RESULT_RETENTION_MS + 12 * ERA_MS,
+            "the result is never removed"
+        );
         for _ in 0..22 {
             harness.tick(2_000);
             harness.sync();
             elapsed_ms += 2_000;
         }
         let (entries, term) = (harness.entries.clone(), elapsed_ms / 1_000);
-        let mut next = Harness::new(recovered(&[1], entries.clone(), term));
-        (next.entries, next.now_ms) = (entries, harness.now_ms);
-        harness = next;
+        let mut restarted = Harness::new(recovered(&[1], entries.clone(), term));
+        (restarted.entries, restarted.now_ms) = (entries, harness.now_ms);
+        harness = restarted;
         harness.become_leader();
         elapsed_ms += 2_000;
     }
