--- a/crates/controller/tests/golden_folder.rs
+++ b/crates/controller/tests/golden_folder.rs
@@ -1,7 +1,9 @@
-//! A control node on a data folder that commit dfb0489 wrote: all its acknowledged records are known.
+//! A control node started on a data folder that commit dfb0489 wrote knows all records acknowledged
+//! then.
 //!
-//! With POSTBARROW_WRITE_FIXTURES set, the folder is written anew by the present code. Then it no
-//! longer shows that an older release's folder is read, so that is for a further folder only.
+//! With POSTBARROW_WRITE_FIXTURES set, the present code rewrites the folder. The test then no
+//! longer checks that a folder of an older release can be read, so set it only to add another
+//! folder.
 
 mod harness;
 use harness::*;
@@ -14,11 +16,12 @@
 use std::path::{Path, PathBuf};
 use std::sync::Once;
 
-/// Below what one plan writes.
+/// A bound of the log in bytes that the records of one plan exceed.
 const SNAPSHOT_DUE_BYTES: u64 = 200;
 const LONG_MS: u64 = 60_000;
 
-/// The committed folder; written before the first test looks, if fixtures are to be written.
+/// Returns the folder in the repository. If POSTBARROW_WRITE_FIXTURES is set, the folder is
+/// rewritten before its first use.
 fn fixture() -> PathBuf {
     static WRITTEN: Once = Once::new();
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/folder");
@@ -71,10 +74,11 @@
 fn request(harness: &mut Harness, key: u64, request: Request) -> Response {
     harness.request(key, request);
     harness.run_until_idle();
-    harness.response(key).cloned().expect("it is answered")
+    harness.response(key).cloned().expect("the request got no response")
 }
 
-/// One of each kind of record, with a name that ends in `name_suffix`.
+/// Writes one record of each kind, with names that end in `name_suffix` and request keys from
+/// `keys`.
 fn write_records(harness: &mut Harness, name_suffix: &str, keys: u64, status: u16) {
     harness.renew_lease(5);
     let ticket = ticket(&format!("order-{name_suffix}"), keys);
@@ -85,7 +89,7 @@
     request(harness, keys + 4, lock(&format!("lock-{name_suffix}")));
 }
 
-/// The first records go into a snapshot, and the second ones stay in the log behind it.
+/// Writes the folder: the first records are in its snapshot, the second ones in the log after it.
 fn write_folder(folder: &Path) {
     let mut harness = Harness::serving();
     write_records(&mut harness, "old", 100, 201);
@@ -115,18 +119,19 @@
     storage.apply(harness.writes).expect("it is written");
 }
 
-/// What a start finds in a copy of the committed folder.
-fn recovered_from_copy(copy: &str) -> (u64, RecoveredState) {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(copy);
+/// Opens a copy of the folder in the repository. Returns the member id and the recovered state.
+fn recovered_from_copy(copy_name: &str) -> (u64, RecoveredState) {
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(copy_name);
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
     for file in SLOTS.into_iter().chain(LOGS) {
-        std::fs::copy(fixture().join(file), folder.join(file)).expect("the fixture is committed");
+        std::fs::copy(fixture().join(file), folder.join(file))
+            .expect("the fixture is missing in the repository");
     }
     match open(FolderDisk::new(folder).expect("a folder")).expect("it is read") {
         Opened::Recovered { storage, recovered } => (storage.id(), recovered),
         Opened::Damaged { damage, .. } => panic!("damaged: {damage}"),
-        Opened::Empty(_) => panic!("no slot was read"),
+        Opened::Empty(_) => panic!("the folder has no slot"),
     }
 }
 
@@ -147,17 +152,20 @@
 }
 
 #[test]
-fn a_leader_started_on_the_folder_knows_all_its_records() {
+fn a_leader_started_on_the_older_folder_knows_all_its_records() {
     let (id, recovered) = recovered_from_copy("golden-promises");
     assert_eq!(id, 1);
     let snapshot = recovered.snapshot.clone().expect("a snapshot");
-    assert!(snapshot.index > 0 && !recovered.entries.is_empty(), "a snapshot, and a log behind it");
+    assert!(snapshot.index > 0 && !recovered.entries.is_empty(), "no snapshot with a log after it");
 
     let mut harness = Harness::new(recovered);
     let restored = harness.state();
     assert_eq!(restored.plan_version(), Some("v1"), "the snapshot's plan");
     check_records(restored, "old", 201, 1);
-    assert!(!restored.numbers.contains_key("number-new"), "the log's are not committed yet");
+    assert!(
+        !restored.numbers.contains_key("number-new"),
+        "the log's records were applied before they were committed"
+    );
 
     harness.become_leader();
     let state = harness.state();
@@ -183,22 +191,27 @@
     let shown = request(&mut harness, 3, Request::Show);
     assert!(matches!(shown, Response::Plan { text, .. } if text == second_plan().into_bytes()));
     let number = request(&mut harness, 4, next_number("number-old", 1));
-    assert_eq!(number, Response::Outcome(Outcome::Number(8)), "the number goes on");
+    assert_eq!(
+        number,
+        Response::Outcome(Outcome::Number(8)),
+        "the number does not continue from its stored value"
+    );
     let fence = request(&mut harness, 5, lock("lock-third"));
     let next = Outcome::Locked { fence: 3, ttl_ms: LONG_MS };
-    assert_eq!(fence, Response::Outcome(next), "no fence is given twice");
+    assert_eq!(fence, Response::Outcome(next), "a fencing token was used twice");
     let read = request(&mut harness, 6, call(Call::ReadKey { name: name("key-old") }));
     assert!(
         matches!(&read, Response::Outcome(Outcome::Key(Key { value, .. })) if value == b"on\x00")
     );
 }
 
-/// A snapshot's content is an array of the state and the offset of the last update.
+/// The content of a snapshot is an array of the state and the log offset of the last routing
+/// update.
 #[test]
-fn the_snapshot_is_read_and_written_byte_for_byte() {
+fn the_snapshot_of_the_older_folder_is_read_and_written_byte_for_byte() {
     let (_, recovered) = recovered_from_copy("golden-snapshot");
     let committed = &recovered.snapshot.expect("a snapshot").state;
     let content: (State, u64) = rmp_serde::from_slice(committed).expect("it is read");
-    assert!(content.1 > 0, "the offset of the last update");
+    assert!(content.1 > 0, "the offset of the last update is missing");
     assert_eq!(&rmp_serde::to_vec(&content).expect("it is written"), committed);
 }
--- a/crates/controller/tests/operator_json.rs
+++ b/crates/controller/tests/operator_json.rs
@@ -1,4 +1,4 @@
-//! The bodies that operators read, byte for byte.
+//! The JSON bodies of responses to operators, byte for byte.
 
 mod harness;
 use harness::*;
@@ -7,12 +7,14 @@
 fn body(harness: &mut Harness, key: u64, request: Request) -> String {
     harness.request(key, request);
     harness.run_until_idle();
-    let Some(Response::Operator { body, .. }) = harness.response(key) else { panic!("no answer") };
+    let Some(Response::Operator { body, .. }) = harness.response(key) else {
+        panic!("no response")
+    };
     String::from_utf8_lossy(body).into_owned()
 }
 
 #[test]
-fn bodies_for_operators_are_pinned_byte_for_byte() {
+fn operator_response_bodies_are_unchanged_byte_for_byte() {
     let mut harness = Harness::serving();
     let bodies = [
         body(&mut harness, 1, Request::Submit(submission(&plan("v1", None, 1, "catalogue")))),
--- a/crates/controller/tests/submission_check.rs
+++ b/crates/controller/tests/submission_check.rs
@@ -1,4 +1,4 @@
-//! Every decision on a submission, by the accepted plans on record.
+//! Decisions on a submission, which depend on the accepted and refused plans in the state.
 
 use postbarrow_constants::plans::ACCEPTED_PLANS;
 use postbarrow_controller::{RefusalReason, SubmissionDecision, decide_submission};
@@ -9,7 +9,8 @@
 const TEXT: Digest = [1; 32];
 const OTHER_TEXT: Digest = [2; 32];
 
-fn chain(count: usize) -> State {
+/// Returns a state in which this many plans were accepted, each on the one before.
+fn plan_chain(count: usize) -> State {
     let mut state = State::default();
     for at in 0..count {
         let (version, offset) = (Name::from(format!("v{at}")), 10 * at as u64);
@@ -43,14 +44,14 @@
         SubmissionDecision::Proceed
     );
     assert_eq!(
-        decide_submission(&chain(3), &submission("v3", Some("v2")), &TEXT),
+        decide_submission(&plan_chain(3), &submission("v3", Some("v2")), &TEXT),
         SubmissionDecision::Proceed
     );
 }
 
 #[test]
 fn an_accepted_plan_is_known_while_in_force_and_when_built_upon() {
-    let state = chain(5);
+    let state = plan_chain(5);
     assert_eq!(decide_submission(&state, &submission("v4", Some("v3")), &TEXT), accepted(40));
     assert_eq!(decide_submission(&state, &submission("v1", Some("v0")), &TEXT), accepted(10));
     assert_eq!(decide_submission(&state, &submission("v0", None), &TEXT), accepted(0));
@@ -58,7 +59,7 @@
 
 #[test]
 fn an_accepted_version_with_another_text_or_base_is_refused() {
-    let state = chain(5);
+    let state = plan_chain(5);
     let other = refused(RefusalReason::OtherText);
     assert_eq!(decide_submission(&state, &submission("v4", Some("v3")), &OTHER_TEXT), other);
     assert_eq!(decide_submission(&state, &submission("v1", Some("v0")), &OTHER_TEXT), other);
@@ -67,7 +68,7 @@
 
 #[test]
 fn a_base_that_was_built_upon_is_refused() {
-    let state = chain(5);
+    let state = plan_chain(5);
     let decision = refused(RefusalReason::BaseBuiltUpon);
     assert_eq!(decide_submission(&state, &submission("x", Some("v2")), &TEXT), decision);
     assert_eq!(decide_submission(&state, &submission("x", None), &TEXT), decision);
@@ -75,7 +76,7 @@
 
 #[test]
 fn a_plan_on_an_unknown_base_stays_refused_once_the_base_is_accepted() {
-    let mut state = chain(2);
+    let mut state = plan_chain(2);
     let decision = refused(RefusalReason::BaseNeverAccepted);
     assert_eq!(decide_submission(&state, &submission("v3", Some("v2")), &TEXT), decision);
     let refusal = RefusedPlan { version: "v3".into(), digest: TEXT };
@@ -91,7 +92,7 @@
 
 #[test]
 fn a_plan_that_may_precede_the_record_of_accepted_plans_is_unknown() {
-    let state = chain(ACCEPTED_PLANS + 3);
+    let state = plan_chain(ACCEPTED_PLANS + 3);
     let (first, second) = (submission("v0", None), submission("v1", Some("v0")));
     assert_eq!(decide_submission(&state, &first, &TEXT), SubmissionDecision::Unknown);
     assert_eq!(decide_submission(&state, &second, &TEXT), SubmissionDecision::Unknown);
@@ -118,13 +119,13 @@
 
 #[test]
 fn a_dry_run_proceeds_only_on_the_plan_in_force_or_its_own_version() {
-    let state = chain(5);
+    let state = plan_chain(5);
     let dry = |version, base| Submission { dry_run: true, ..submission(version, base) };
     let proceed = SubmissionDecision::Proceed;
     assert_eq!(decide_submission(&state, &dry("v5", Some("v4")), &TEXT), proceed);
     assert_eq!(decide_submission(&state, &dry("v4", Some("v3")), &TEXT), proceed);
     let decision = refused(RefusalReason::BaseBuiltUpon);
     assert_eq!(decide_submission(&state, &dry("v3", Some("v2")), &TEXT), decision);
-    let state = chain(ACCEPTED_PLANS + 3);
+    let state = plan_chain(ACCEPTED_PLANS + 3);
     assert_eq!(decide_submission(&state, &dry("v1", Some("v0")), &TEXT), decision);
 }
--- a/crates/controller/tests/surface.rs
+++ b/crates/controller/tests/surface.rs
@@ -1,4 +1,4 @@
-//! The keys of the JSON that a controller answers to operators, with a row of each kind.
+//! The JSON keys of a controller's responses to operators, with at least one row of each kind.
 
 mod cluster;
 mod harness;
