--- a/crates/controller/src/control_node/discovery.rs
+++ b/crates/controller/src/control_node/discovery.rs
@@ -99,8 +99,8 @@
     }
 
     /// Sends the members' addresses to the seeds that are not members. Such a seed may have
-    /// restarted and know only other nodes without a log, while data nodes have no other source of
-    /// addresses.
+    /// restarted and know only other nodes without a log; data nodes that know only such seeds
+    /// would find no member.
     fn introduce_to_seeds(&mut self, now_ms: u64) {
         if !self.directory.take_due_introduction(now_ms) {
             return;
--- a/crates/controller/src/control_node/lease.rs
+++ b/crates/controller/src/control_node/lease.rs
@@ -3,9 +3,10 @@
 use crate::ControlNode;
 
 impl ControlNode {
-    /// Records whether the leader has its lease. When it is gained, also after a loss, two things
-    /// are unknown and start afresh: the endpoint list may have changed meanwhile, and data nodes
-    /// may have requested leases that were refused.
+    /// Records when the leader's lease is gained or lost. Without the lease, the endpoint list may
+    /// have changed unseen and data nodes' lease requests were refused. So whenever the lease is
+    /// gained, the scan of the list starts anew, unless a former leader sent its scan state, and
+    /// so does the time since each node's last report.
     pub(super) fn lease_tick(&mut self, now_ms: u64) {
         let has_lease = self.has_lease(now_ms);
         let had_none = self.leader.as_ref().is_some_and(|leader| leader.lease_since_ms.is_none());
--- a/crates/controller/tests/golden_folder.rs
+++ b/crates/controller/tests/golden_folder.rs
@@ -97,7 +97,7 @@
     harness.run_until_idle();
     harness.set_log_bound(SNAPSHOT_DUE_BYTES);
     request(&mut harness, 2, put("last-of-the-snapshot"));
-    let snapshot = harness.snapshot.clone().expect("a snapshot is due");
+    let snapshot = harness.snapshot.clone().expect("no snapshot was taken");
     harness.set_log_bound(u64::MAX);
     harness.input(Input::Encoded { index: snapshot.index, state: snapshot.state });
     harness.run_until_idle();
@@ -109,14 +109,14 @@
 
     let RecoveredState { snapshot, .. } = recovered(&[1], Vec::new(), 0);
     let first = Write::Slot {
-        snapshot: snapshot.expect("the members"),
+        snapshot: snapshot.expect("a snapshot with the members"),
         hard: Default::default(),
         entries: Vec::new(),
     };
     let disk = FolderDisk::new(folder.to_path_buf()).expect("a folder");
-    let mut storage = Storage::create(disk, 1).expect("it is new");
-    storage.apply(vec![first]).expect("it is written");
-    storage.apply(harness.writes).expect("it is written");
+    let mut storage = Storage::create(disk, 1).expect("the storage is created");
+    storage.apply(vec![first]).expect("the slot is written");
+    storage.apply(harness.writes).expect("the node's writes are written");
 }
 
 /// Opens a copy of the folder in the repository. Returns the member id and the recovered state.
@@ -128,7 +128,7 @@
         std::fs::copy(fixture().join(file), folder.join(file))
             .expect("the fixture is missing in the repository");
     }
-    match open(FolderDisk::new(folder).expect("a folder")).expect("it is read") {
+    match open(FolderDisk::new(folder).expect("a folder")).expect("the folder opens") {
         Opened::Recovered { storage, recovered } => (storage.id(), recovered),
         Opened::Damaged { damage, .. } => panic!("damaged: {damage}"),
         Opened::Empty(_) => panic!("the folder has no slot"),
@@ -160,7 +160,7 @@
 
     let mut harness = Harness::new(recovered);
     let restored = harness.state();
-    assert_eq!(restored.plan_version(), Some("v1"), "the snapshot's plan");
+    assert_eq!(restored.plan_version(), Some("v1"), "the plan of the snapshot is in force");
     check_records(restored, "old", 201, 1);
     assert!(
         !restored.numbers.contains_key("number-new"),
@@ -169,7 +169,7 @@
 
     harness.become_leader();
     let state = harness.state();
-    assert_eq!(state.plan_version(), Some("v2"), "the log's plan");
+    assert_eq!(state.plan_version(), Some("v2"), "the plan of the log is in force");
     assert_eq!(state.plan_text(), second_plan().into_bytes());
     assert_eq!((state.routes.len(), state.services.len()), (3, 1));
     assert_eq!((state.targets.len(), state.nodes.len()), (3, 1));
@@ -211,7 +211,7 @@
 fn the_snapshot_of_the_older_folder_is_read_and_written_byte_for_byte() {
     let (_, recovered) = recovered_from_copy("golden-snapshot");
     let committed = &recovered.snapshot.expect("a snapshot").state;
-    let content: (State, u64) = rmp_serde::from_slice(committed).expect("it is read");
+    let content: (State, u64) = rmp_serde::from_slice(committed).expect("the snapshot decodes");
     assert!(content.1 > 0, "the offset of the last update is missing");
-    assert_eq!(&rmp_serde::to_vec(&content).expect("it is written"), committed);
+    assert_eq!(&rmp_serde::to_vec(&content).expect("it encodes"), committed);
 }
--- a/crates/controller/tests/lease_lost.rs
+++ b/crates/controller/tests/lease_lost.rs
@@ -65,7 +65,7 @@
 
 /// Returns one request of each kind whose response depends on entries committed before it, with a
 /// description.
-fn requests_resting_on_committed_state() -> Vec<(&'static str, Request)> {
+fn requests_depending_on_committed_state() -> Vec<(&'static str, Request)> {
     let fence = 1;
     let (name, holder) = (Name::from("l"), Name::from("b"));
     let renew_by_other =
@@ -118,7 +118,7 @@
 /// it.
 fn check_responses_need_the_lease(condition: &str, lose_lease: impl Fn(&mut Cluster)) {
     let mut cluster = cluster_with_state();
-    for (at, (name, request)) in requests_resting_on_committed_state().into_iter().enumerate() {
+    for (at, (name, request)) in requests_depending_on_committed_state().into_iter().enumerate() {
         let key = at as u64;
         cluster.harness.request(key, request.clone());
         cluster.run_until_idle();
