--- a/crates/node/src/data_node.rs
+++ b/crates/node/src/data_node.rs
@@ -1,4 +1,4 @@
-//! The data node: its inputs, and the effects that its parts lead to.
+//! The data node: passes its inputs to its parts and collects their effects.
 
 use crate::image_tail::{ImageEvent, ImageTail};
 use crate::lease::{GrantedLease, NodeLease};
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A node of the data plane: its lease, its image, and its requests to the controller.
+/// A node of the data plane, with its lease, its image and its requests to the controller.
 pub struct DataNode {
     own: Node,
     seeds: Vec<SocketAddr>,
@@ -23,13 +23,14 @@
     probe_failures: ProbeFailures,
     samples: RequestSamples,
     is_stopping: bool,
-    /// Whether the log says last that this node serves.
-    logged_serving: bool,
+    /// Whether the last log line about serving said that this node serves.
+    last_logged_serving: bool,
     effects: Vec<Effect>,
 }
 
 impl DataNode {
-    /// A node that knows nothing but who may introduce it.
+    /// Creates a node without a lease or an image, which knows only its seeds: addresses of
+    /// processes that may introduce it to control nodes.
     pub fn new(own: Node, seeds: Vec<SocketAddr>, now_ms: u64) -> Self {
         DataNode {
             seeds,
@@ -40,19 +41,19 @@
             probe_failures: ProbeFailures::default(),
             samples: RequestSamples::default(),
             is_stopping: false,
-            logged_serving: false,
+            last_logged_serving: false,
             effects: Vec::new(),
             own,
         }
     }
 
-    /// Sets how long a granted lease is valid, instead of `NODE_LEASE_MS`.
+    /// Sets how long a granted lease is valid; the default is `NODE_LEASE_MS`.
     pub fn with_lease(mut self, lease_ms: u64) -> Self {
         self.lease.set_duration_ms(lease_ms);
         self
     }
 
-    /// Takes an input in; returns the effects that it leads to, in their order.
+    /// Handles an input; returns the resulting effects in the order in which to carry them out.
     pub fn handle(&mut self, now_ms: u64, input: Input) -> Vec<Effect> {
         match input {
             Input::Tick => self.tick(now_ms),
@@ -88,7 +89,7 @@
                 let formed = !control.is_empty();
                 self.send(from, Message::Introduction { control, formed });
             }
-            Message::Tail { after } => self.image_tail.on_child(now_ms, from, after),
+            Message::Tail { after } => self.image_tail.on_child_tail(now_ms, from, after),
             Message::Updates { entries } => {
                 let events = self.image_tail.on_updates(now_ms, entries);
                 events.into_iter().for_each(|event| self.on_image_event(event));
@@ -164,7 +165,7 @@
                     return;
                 };
                 if is_new_controller {
-                    self.image_tail.request_at_next_tick(now_ms);
+                    self.image_tail.request_updates_at_next_tick(now_ms);
                 }
                 self.controller_client.on_members(now_ms, Some(from), self.lease.members());
                 self.announce_lease(self.published());
@@ -192,13 +193,13 @@
         }
     }
 
-    /// A line whenever this node starts or stops to serve.
+    /// Logs a line whenever this node starts or stops serving.
     fn log_serving(&mut self, now_ms: u64) {
         let serves = self.serves(now_ms);
-        if serves == self.logged_serving {
+        if serves == self.last_logged_serving {
             return;
         }
-        self.logged_serving = serves;
+        self.last_logged_serving = serves;
         let version = self.image().plan_version().unwrap_or_default().to_string();
         self.effects.push(Effect::Log(match serves {
             true => format!("serving version={version}"),
@@ -229,37 +230,37 @@
         self.effects.push(Effect::Send { to, message });
     }
 
-    /// When its lease ends, on its own boot-time clock; 0 without one.
+    /// Returns when the node's lease ends, on its own boot-time clock; 0 without a lease.
     pub fn lease_until_ms(&self) -> u64 {
         self.lease.until_ms(self.published())
     }
 
-    /// Whether it may serve requests: it has a lease and a plan.
+    /// Returns whether the node may serve requests: it has a lease and a plan.
     fn serves(&self, now_ms: u64) -> bool {
         now_ms < self.lease_until_ms() && self.image().plan.is_some()
     }
 
-    /// Whether clients may be sent here.
+    /// Returns whether clients may be routed to this node: it serves and is not stopping.
     pub fn is_ready(&self, now_ms: u64) -> bool {
         !self.is_stopping && self.serves(now_ms)
     }
 
-    /// Up to where in the log its published image reaches.
+    /// Returns the log offset that the published image has reached.
     pub fn published(&self) -> u64 {
         self.image_tail.published()
     }
 
-    /// The newest image.
+    /// Returns the newest image; the empty state before the first one.
     pub fn image(&self) -> &Arc<State> {
         self.image_tail.image()
     }
 
-    /// This node, as it registers.
+    /// Returns the description under which this node registers with the controller.
     pub fn own(&self) -> &Node {
         &self.own
     }
 
-    /// Requests to the controller that await their response.
+    /// Returns the number of requests to the controller that await a response.
     pub fn pending_requests(&self) -> usize {
         self.controller_client.pending_count()
     }
--- a/crates/node/src/image_tail.rs
+++ b/crates/node/src/image_tail.rs
@@ -1,8 +1,8 @@
-//! The node's image: read from updates or a complete image, published, and relayed to children.
+//! The node's image: built from updates or a complete image, published, and relayed to children.
 //!
 //! Updates come from the parent in the relay tree. A node that stays behind the watermark of its
-//! lease for [`RELAY_LAG_MS`] (250 ms) tails the controller for [`DIRECT_TAIL_MS`] (5 s) instead, and so
-//! does one that needs a complete image.
+//! lease for [`RELAY_LAG_MS`] (250 ms) tails the controller for [`DIRECT_TAIL_MS`] (5 s) instead. A
+//! node that needs a complete image also tails the controller.
 
 use crate::Effect;
 use postbarrow_constants::nodes::{DIRECT_TAIL_MS, RELAY_LAG_MS, TAIL_RENEW_MS, TAIL_RETRY_MS};
@@ -13,21 +13,21 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What came of updates or an image.
+/// The result of applying updates or an image.
 pub(crate) enum ImageEvent {
-    /// A newer image is to be swapped in.
+    /// A newer image replaces the published one; `offset` is the log offset that it has reached.
     Published { state: Arc<State>, offset: u64 },
     /// A line for the log.
     Log(String),
 }
 
-/// Where the updates come from, and when they are requested again.
+/// The source of the updates, and when they are requested again.
 #[derive(Default)]
 struct Subscription {
     source: Option<SocketAddr>,
     due_ms: u64,
-    /// Until then the controller is tailed and not the parent.
-    direct_until_ms: u64,
+    /// The node tails the controller and not its parent until this time.
+    direct_tail_until_ms: u64,
     behind_since_ms: Option<u64>,
 }
 
@@ -37,7 +37,7 @@
     tail: Tail<State>,
     published: u64,
     has_image: bool,
-    /// Updates could not be read: a complete image is needed.
+    /// Whether updates could not be applied, so that a complete image is needed.
     needs_image: bool,
     relay: Relay,
     encoded: EncodedImage,
@@ -58,29 +58,30 @@
         }
     }
 
-    /// The newest image.
+    /// Returns the newest image.
     pub fn image(&self) -> &Arc<State> {
         self.tail.image()
     }
 
-    /// Up to where in the log the published image reaches.
+    /// Returns the log offset that the published image has reached.
     pub fn published(&self) -> u64 {
         self.published
     }
 
-    /// Updates are requested at the next tick.
-    pub fn request_at_next_tick(&mut self, now_ms: u64) {
+    /// Makes the next tick request updates.
+    pub fn request_updates_at_next_tick(&mut self, now_ms: u64) {
         self.subscription.due_ms = now_ms;
     }
 
-    /// A child says up to where it has the log; ignored until there is an image to relay.
-    pub fn on_child(&mut self, now_ms: u64, child: SocketAddr, after: u64) {
+    /// Handles the tail request of a child that has reached the log offset `after`; ignored until
+    /// there is an image to relay.
+    pub fn on_child_tail(&mut self, now_ms: u64, child: SocketAddr, after: u64) {
         if self.has_image {
             self.relay.on_tail(now_ms, child, after);
         }
     }
 
-    /// Renews the subscription if that is due, and changes its source if the present one lags.
+    /// Renews the subscription if that is due, and changes its source if the current one lags.
     pub fn tick(
         &mut self,
         now_ms: u64,
@@ -89,7 +90,7 @@
     ) -> Vec<Effect> {
         let mut effects = Vec::new();
         let is_behind = !self.has_image || self.published < watermark;
-        if self.leaves_parent(now_ms, is_behind) {
+        if self.should_leave_parent(now_ms, is_behind) {
             effects.push(Effect::Log("relay bypassed reason=\"behind the watermark\"".into()));
         }
         let source = controller.map(|controller| self.source(now_ms, controller));
@@ -108,8 +109,9 @@
         effects
     }
 
-    /// Whether the node was behind for too long and tails the controller from now on.
-    fn leaves_parent(&mut self, now_ms: u64, is_behind: bool) -> bool {
+    /// Returns whether the node has been behind for `RELAY_LAG_MS` and now leaves its parent to
+    /// tail the controller.
+    fn should_leave_parent(&mut self, now_ms: u64, is_behind: bool) -> bool {
         let subscription = &mut self.subscription;
         if !is_behind {
             subscription.behind_since_ms = None;
@@ -119,18 +121,20 @@
             subscription.behind_since_ms = Some(now_ms);
             return false;
         };
-        let leaves = now_ms > since_ms + RELAY_LAG_MS && now_ms >= subscription.direct_until_ms;
-        if leaves {
-            subscription.direct_until_ms = now_ms + DIRECT_TAIL_MS;
+        let must_leave =
+            now_ms > since_ms + RELAY_LAG_MS && now_ms >= subscription.direct_tail_until_ms;
+        if must_leave {
+            subscription.direct_tail_until_ms = now_ms + DIRECT_TAIL_MS;
             subscription.due_ms = now_ms;
         }
-        leaves
+        must_leave
     }
 
-    /// The parent in the relay tree, or the controller while the tree fails this node.
+    /// Returns the parent in the relay tree, or the controller while the node tails it directly,
+    /// needs a complete image or has no parent.
     fn source(&self, now_ms: u64, controller: SocketAddr) -> SocketAddr {
-        let is_direct = now_ms < self.subscription.direct_until_ms;
-        if is_direct || !self.has_image || self.needs_image {
+        let tails_controller = now_ms < self.subscription.direct_tail_until_ms;
+        if tails_controller || !self.has_image || self.needs_image {
             return controller;
         }
         let state = self.tail.image();
@@ -139,7 +143,7 @@
         parent.map_or(controller, |node| node.address)
     }
 
-    /// Applies updates in their order, up to the first gap.
+    /// Applies updates in order, up to the first gap or the first one that can't be applied.
     pub fn on_updates(&mut self, now_ms: u64, entries: Vec<UpdateEntry>) -> Vec<ImageEvent> {
         let mut events = Vec::new();
         for entry in entries {
@@ -160,7 +164,9 @@
                     events.extend(self.publish());
                 }
                 Err(error) => {
-                    events.push(ImageEvent::Log(format!("updates: {error}; fetches an image")));
+                    events.push(ImageEvent::Log(format!(
+                        "updates: not applied, requesting a complete image error={error}"
+                    )));
                     self.tail = Tail::new(0, State::default());
                     self.needs_image = true;
                     self.subscription.due_ms = now_ms;
@@ -171,10 +177,10 @@
         events
     }
 
-    /// Takes a complete image over, unless it is older than what is there.
+    /// Publishes a complete image, unless the node already has this image or a newer one.
     pub fn on_image(&mut self, now_ms: u64, frame: ImageFrame) -> Option<ImageEvent> {
-        let is_known = frame.offset <= self.tail.offset() && self.has_image;
-        if frame.offset < self.published || is_known {
+        let is_current = frame.offset <= self.tail.offset() && self.has_image;
+        if frame.offset < self.published || is_current {
             return None;
         }
         match rmp_serde::from_slice::<State>(&frame.state) {
@@ -185,12 +191,13 @@
             }
             Err(error) => {
                 self.subscription.due_ms = now_ms + TAIL_RETRY_MS;
-                Some(ImageEvent::Log(format!("image: {error}")))
+                Some(ImageEvent::Log(format!("image: not decoded error={error}")))
             }
         }
     }
 
-    /// Never an older image than the last: a lease granted for that one must not count for it.
+    /// Publishes the tail's image unless it is older than the last published one: a lease granted
+    /// for the newer image must not cover an older one.
     fn publish(&mut self) -> Option<ImageEvent> {
         if self.has_image && self.tail.offset() < self.published {
             return None;
@@ -201,7 +208,7 @@
         Some(ImageEvent::Published { state: self.tail.image().clone(), offset: self.published })
     }
 
-    /// What the children lack.
+    /// Returns the messages that bring the children up to date.
     pub fn relay_to_children(&mut self, now_ms: u64) -> Vec<Effect> {
         if !self.has_image || self.needs_image {
             return Vec::new();
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -1,18 +1,19 @@
-//! The node's lease: until when it may serve requests by its image.
+//! The node's lease: until when the node may serve requests from its image.
 //!
-//! A node serves only while it is sure that no newer plan is in force elsewhere. It renews its lease
-//! at the controller every [`LEASE_RENEW_MS`] (150 ms); the controller grants with a watermark, the
-//! offset that the image must reach.
+//! A node serves only while it is sure that no newer plan is in force elsewhere. It renews its
+//! lease with the controller every [`LEASE_RENEW_MS`] (150 ms). Each grant names a watermark: the
+//! log offset that the published image must reach.
 //!
 //! - The lease ends `NODE_LEASE_MS` (1 s) after the node *sent* the granted request, not after the
-//!   response arrived: the controller may have decided any time between.
+//!   response arrived: the controller may have granted it at any time between the two.
 //! - A grant counts only once the published image reaches its watermark.
 //! - Grants of a controller with an older term are ignored.
-//! - Numbers of requests start at the incarnation, which is random, so that a grant to an earlier
-//!   incarnation at this address counts for nobody.
+//! - Request numbers start at the incarnation, which is random, so that a grant to an earlier
+//!   incarnation at this address matches no request and is ignored.
 //!
-//! Without a response for [`CONTROLLER_WAIT_MS`] (300 ms) the node requests leases of all control
-//! nodes it knows, every [`CONTROLLER_SEARCH_MS`] (50 ms), until one of them grants.
+//! If the controller grants nothing for [`CONTROLLER_WAIT_MS`] (300 ms), the node sends lease
+//! requests to all control nodes that it knows, every [`CONTROLLER_SEARCH_MS`] (50 ms), until one
+//! grants a lease.
 
 use postbarrow_constants::nodes::{
     CONTROLLER_SEARCH_MS, CONTROLLER_WAIT_MS, INTRODUCTIONS, LEASE_RENEW_MS, NODE_LEASE_MS,
@@ -21,47 +22,49 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// One grant of the controller, valid from when its request was sent.
+/// A grant of the controller, valid from the time at which its request was sent.
 struct Grant {
     sent_ms: u64,
     watermark: u64,
 }
 
-/// What the controller grants with a lease.
+/// The content of a grant: the controller's term, the watermark and the control nodes.
 pub(crate) struct GrantedLease {
     pub term: u64,
     pub watermark: u64,
     pub members: Vec<SocketAddr>,
 }
 
-/// Lease requests that are due, with one number for all.
+/// Lease requests that are due; all of them have the same number.
 pub(crate) struct Renewal {
     pub number: u64,
-    /// The controller, or all that may know one.
+    /// The controller, or all known control nodes and seeds while no controller is known.
     pub to: Vec<SocketAddr>,
-    /// No controller is known: each gets a request for an introduction too.
+    /// Whether no controller is known: each receiver is then also sent a request for an
+    /// introduction.
     pub is_search: bool,
 }
 
-/// Lease requests on their way, and the leases that were granted.
+/// Lease requests in flight, and the leases that were granted.
 pub(crate) struct NodeLease {
-    /// Of the newest request.
+    /// Number of the newest lease request.
     number: u64,
     sent_ms: BTreeMap<u64, u64>,
     grants: VecDeque<Grant>,
     term: u64,
     controller: Option<SocketAddr>,
     members: Vec<SocketAddr>,
-    /// Named by others since the last grant; requests go there, and nothing else relies on them.
+    /// Control nodes that introductions named since the last grant. Only lease requests are sent to
+    /// them; they do not count as members.
     introduced: Vec<SocketAddr>,
-    due_ms: u64,
-    granted_ms: u64,
-    announced_until_ms: u64,
+    renewal_due_ms: u64,
+    last_granted_ms: u64,
+    last_announced_end_ms: u64,
     duration_ms: u64,
 }
 
 impl NodeLease {
-    /// No lease yet; the first renewal is due at once.
+    /// Creates the state of a node without a lease, whose first renewal is due at once.
     pub fn new(now_ms: u64, incarnation: Incarnation) -> Self {
         NodeLease {
             number: incarnation,
@@ -71,14 +74,14 @@
             controller: None,
             members: Vec::new(),
             introduced: Vec::new(),
-            due_ms: now_ms,
-            granted_ms: 0,
-            announced_until_ms: 0,
+            renewal_due_ms: now_ms,
+            last_granted_ms: 0,
+            last_announced_end_ms: 0,
             duration_ms: NODE_LEASE_MS,
         }
     }
 
-    /// Sets how long a grant is valid, instead of `NODE_LEASE_MS`.
+    /// Sets how long a grant is valid; the default is `NODE_LEASE_MS`.
     pub fn set_duration_ms(&mut self, duration_ms: u64) {
         self.duration_ms = duration_ms;
     }
@@ -91,57 +94,59 @@
         self.controller
     }
 
-    /// Up to where in the log the newest grant needs the image.
+    /// Returns the log offset that the image must reach for the newest grant; 0 without a grant.
     pub fn watermark(&self) -> u64 {
         self.grants.back().map_or(0, |grant| grant.watermark)
     }
 
-    /// When the lease ends for an image published up to this offset; 0 without a lease.
+    /// Returns when the lease ends for an image published up to this offset; 0 without a lease.
     pub fn until_ms(&self, published: u64) -> u64 {
         let covered = self.grants.iter().rev().find(|grant| grant.watermark <= published);
         covered.map_or(0, |grant| grant.sent_ms + self.duration_ms)
     }
 
-    /// The lease's end, if it is later than the last one that was announced.
+    /// Returns the lease's end if it is later than the last one announced, which it replaces.
     pub fn announce(&mut self, published: u64) -> Option<u64> {
         let until_ms = self.until_ms(published);
-        (until_ms > self.announced_until_ms).then(|| {
-            self.announced_until_ms = until_ms;
+        (until_ms > self.last_announced_end_ms).then(|| {
+            self.last_announced_end_ms = until_ms;
             until_ms
         })
     }
 
-    /// Whether lease requests are due.
+    /// Returns whether lease requests are due.
     pub fn is_due(&self, now_ms: u64) -> bool {
-        now_ms >= self.due_ms
+        now_ms >= self.renewal_due_ms
     }
 
-    /// Forgets a controller that has granted nothing for too long; whether it did.
+    /// Forgets the controller if nothing was granted for `CONTROLLER_WAIT_MS`; returns whether that
+    /// is so.
     pub fn drop_unresponsive_controller(&mut self, now_ms: u64) -> bool {
-        let is_unresponsive = now_ms > self.granted_ms + CONTROLLER_WAIT_MS;
+        let is_unresponsive = now_ms > self.last_granted_ms + CONTROLLER_WAIT_MS;
         if is_unresponsive {
             self.controller = None;
         }
         is_unresponsive
     }
 
-    /// The requests that are due now; forgets requests and grants that are too old to count.
+    /// Returns the requests that are due now, and discards expired requests and grants.
     pub fn renew(&mut self, now_ms: u64, seeds: &[SocketAddr]) -> Renewal {
         let is_search = self.controller.is_none();
-        self.due_ms = now_ms + if is_search { CONTROLLER_SEARCH_MS } else { LEASE_RENEW_MS };
+        self.renewal_due_ms =
+            now_ms + if is_search { CONTROLLER_SEARCH_MS } else { LEASE_RENEW_MS };
         let duration_ms = self.duration_ms;
         self.sent_ms.retain(|_, sent_ms| now_ms < *sent_ms + duration_ms);
         self.grants.retain(|grant| now_ms < grant.sent_ms + duration_ms);
         let to = match self.controller {
             Some(controller) => vec![controller],
-            None => self.all_known(seeds),
+            None => self.known_control_nodes(seeds),
         };
         self.number = self.number.wrapping_add(1);
         self.sent_ms.insert(self.number, now_ms);
         Renewal { number: self.number, to, is_search }
     }
 
-    fn all_known(&self, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
+    fn known_control_nodes(&self, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
         let mut known = self.members.clone();
         known.extend(&self.introduced);
         known.extend(seeds);
@@ -150,7 +155,7 @@
         known
     }
 
-    /// Another process named control nodes.
+    /// Stores control nodes that another process named, up to `INTRODUCTIONS` of them.
     pub fn on_introduction(&mut self, control: &[SocketAddr]) {
         for address in control {
             let is_known = self.members.contains(address) || self.introduced.contains(address);
@@ -160,7 +165,8 @@
         }
     }
 
-    /// A grant arrived; whether it is of a new controller or term, or none if it doesn't count.
+    /// Handles a grant. Returns whether it is from a new controller or term, and none if it is
+    /// ignored: its term is older, or its number belongs to no pending request.
     pub fn on_granted(
         &mut self,
         now_ms: u64,
@@ -178,14 +184,14 @@
         self.controller = Some(from);
         self.members = members;
         self.introduced.clear();
-        self.granted_ms = now_ms;
+        self.last_granted_ms = now_ms;
         if self.grants.back().is_none_or(|last| last.sent_ms <= sent_ms) {
             self.grants.push_back(Grant { sent_ms, watermark });
         }
         Some(is_new_controller)
     }
 
-    /// A control node answered that it is not the controller.
+    /// Handles the response of a control node that is not the controller.
     pub fn on_not_controller(
         &mut self,
         from: SocketAddr,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -2,16 +2,16 @@
 //!
 //! | question | module |
 //! | --- | --- |
-//! | how the node's inputs lead to effects | [`data_node`], with [`input`] and [`effect`] |
+//! | which effects the node returns for its inputs | [`data_node`], with [`input`] and [`effect`] |
 //! | when the node's lease ends | `lease` |
-//! | which image is published, and from whom its updates come | `image_tail` |
+//! | which image is published, and which process sends its updates | `image_tail` |
 //! | which phases a request goes through | [`request_flow`] |
-//! | how a request ends, and what that says of its execution | [`completion`] |
-//! | which HTTP response its client gets | `response` |
+//! | how a request ends, and what the node knows about its execution | [`completion`] |
+//! | which HTTP response the client of a request gets | `response` |
 //!
 //! The owner of a [`DataNode`] feeds it [`Input`]s and carries out its [`Effect`]s; the driver of a
 //! [`RequestFlow`] feeds it [`Event`]s and carries out its [`Step`]s. Neither reads a clock, so the
-//! simulator runs both as they are.
+//! simulator runs the same code as production.
 
 #![deny(missing_docs)]
 
--- a/crates/node/src/request_samples.rs
+++ b/crates/node/src/request_samples.rs
@@ -1,14 +1,14 @@
-//! Client requests that the node reports for rehearsals.
+//! Samples of client requests that the node reports to the controller, for plan rehearsals.
 
 use postbarrow_constants::plans::SAMPLES_PER_REPORT;
 use postbarrow_state::Sample;
 
-/// Requests since the last report.
+/// Client requests since the last report.
 #[derive(Default)]
 pub(crate) struct RequestSamples {
-    /// At most `SAMPLES_PER_REPORT`.
+    /// Samples of these requests, at most `SAMPLES_PER_REPORT`.
     pub samples: Vec<Sample>,
-    /// How many requests there were.
+    /// Number of all requests, sampled or not.
     pub observed: u64,
 }
 
