--- a/crates/node/src/completion.rs
+++ b/crates/node/src/completion.rs
@@ -1,69 +1,72 @@
-//! How requests end, and what that says of their execution.
+//! How requests end, and what is known about their execution.
 
 use crate::TargetResponse;
 use postbarrow_state::{Name, Ticket};
 
-/// How a request ended, before it is put into HTTP.
+/// How a request ended, independent of the HTTP response that its client gets.
 #[derive(Debug)]
 pub enum RequestOutcome {
-    /// The target's own, complete response.
+    /// The target gave this complete response.
     Complete(TargetResponse),
-    /// Its key is known: the ticket as the log has it.
+    /// The log already has this ticket under the request's key.
     Known(Box<Ticket>),
-    /// Its key belongs to another request.
+    /// The request's key belongs to a request with another digest.
     OtherDigest,
-    /// No route takes its path.
+    /// No route matches the request.
     NoRoute,
-    /// Routes take its path with these methods only.
+    /// Routes match the request but for its method; they have these methods.
     OtherMethods(Vec<Name>),
-    /// Its body is larger than the route's limit of so many bytes.
+    /// The request's body is larger than the route's limit, given in bytes.
     BodyTooLarge(u64),
-    /// Over the route's requests a second.
+    /// The request exceeds the route's rate.
     OverRate,
-    /// Over the route's requests in flight.
+    /// The request exceeds the route's concurrency.
     OverConcurrency,
-    /// The node is over its capacity.
+    /// The node has no capacity for the request.
     Overloaded,
     /// The node has no lease, or no plan.
     Unready,
-    /// No target remains to try; how the last attempt failed.
+    /// No target remains to try. The text says why the last attempt failed; empty if there was
+    /// none.
     NoTarget(String),
-    /// No further attempt is allowed; how the last one failed.
+    /// No further attempt is allowed. The text says why the last one failed.
     GaveUp(String),
-    /// The log gives it no ticket, for this reason.
+    /// The log refused a ticket, for this reason.
     NoTicket(String),
-    /// Its deadline passed before it was sent.
+    /// The request's deadline passed before the next attempt started.
     DeadlinePassed,
-    /// The client departed before the request had an end.
+    /// The client departed before the request ended.
     ClientDeparted,
-    /// No response about the ticket: it may yet be granted, though it will not be used.
+    /// The controller gave no definite response about the ticket: the log may still grant it, but
+    /// no request will use it.
     TicketUnknown,
-    /// The target gave no complete response; what it gave.
+    /// The target gave no complete response. The text says what was observed.
     TargetFailed(String),
-    /// The target did not respond in time; what was observed.
+    /// The target did not respond in time. The text says what was observed.
     TargetTimedOut(String),
 }
 
-/// How a request ended, and how sure that is.
+/// How a request ended, and what is known about its execution.
 #[derive(Debug)]
 pub struct Completion {
-    /// Its end.
+    /// How the request ended.
     pub outcome: RequestOutcome,
-    /// What can be promised of its execution.
+    /// The facts that limit what the node may say about the request's execution.
     pub evidence: ExecutionEvidence,
-    /// The key that was generated for a request without one.
+    /// The key generated for a one-time request without a client key; none for other requests.
     pub key: Option<Name>,
 }
 
-/// What decides whether a node may say that a request did not run.
+/// The facts that decide whether a node may report that a request did not run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ExecutionEvidence {
-    /// It may run at most once.
+    /// Whether the request may run at most once.
     pub one_time: bool,
-    /// Its client sent a key.
+    /// Whether the client sent an idempotency key.
     pub keyed: bool,
-    /// The log granted this request a ticket, so nothing ran under its key before.
+    /// Whether the log granted this request a ticket, or refused it only for lack of space; either
+    /// way, no request under its key ran before.
     pub ticketed: bool,
-    /// A target may have run it.
+    /// Whether a target may have run the request.
     pub may_have_run: bool,
 }
--- a/crates/node/src/effect.rs
+++ b/crates/node/src/effect.rs
@@ -1,38 +1,38 @@
-//! What a node wants done.
+//! The effects of a node, which its owner carries out.
 
 use postbarrow_messages::{Message, Response};
 use postbarrow_state::State;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What a node wants done, in this order.
+/// An effect that the owner of a node carries out; effects are carried out in their order.
 pub enum Effect {
-    /// A message is sent.
+    /// Sends a message.
     Send {
-        /// To this process.
+        /// The address of the receiving process.
         to: SocketAddr,
-        /// It may be lost.
+        /// The message, which may be lost.
         message: Message,
     },
-    /// A request to the controller has its end.
+    /// Ends a request to the controller.
     Answer {
-        /// Of the request.
+        /// The key of the request.
         key: u64,
-        /// The controller's response, or what the client concludes.
+        /// The controller's response, or the one that the controller client concludes without it.
         response: Response,
     },
-    /// A complete image is to be swapped in.
+    /// Replaces the image that requests are served from.
     Publish {
-        /// The image.
+        /// The new image.
         state: Arc<State>,
-        /// Up to where in the log it reaches.
+        /// The log offset that the image has reached.
         offset: u64,
     },
-    /// The node may serve until then, and no longer.
+    /// Extends the node's lease: the node may serve until this time and no longer.
     Lease {
-        /// On the node's boot-time clock.
+        /// The end of the lease, on the node's boot-time clock.
         until_ms: u64,
     },
-    /// A line for the log.
+    /// Writes a line to the process's log.
     Log(String),
 }
--- a/crates/node/src/flow_step.rs
+++ b/crates/node/src/flow_step.rs
@@ -1,4 +1,5 @@
-//! What the flow of a request and its driver exchange: events in, steps out.
+//! The interface between the flow of a request and its driver: the driver passes events, the flow
+//! returns steps.
 
 use crate::{Completion, TargetResponse};
 use postbarrow_messages::{Request, Response};
@@ -6,129 +7,134 @@
 use postbarrow_state::{Digest, Incarnation, Name, Settlement, StoredResponse, Target, Ticket};
 use std::sync::Arc;
 
-/// What one request is, beyond its bytes.
+/// The properties of a request that its flow needs, apart from the request's bytes.
 #[derive(Clone)]
 pub struct RequestContext {
-    /// The ticket's key: the client's, or one generated here.
+    /// The key of the request's ticket: the client's key, or one that this node generated; empty if
+    /// the request has neither.
     pub key: Name,
-    /// The key is the client's.
+    /// Whether the client sent the key.
     pub keyed: bool,
-    /// Two requests under one key are the same if their digests are.
+    /// Digest of the request; requests under one key are the same request if their digests are
+    /// equal.
     pub digest: Digest,
-    /// This incarnation of this node.
+    /// The incarnation of this node.
     pub node: Incarnation,
-    /// Targets of this zone are preferred.
+    /// The node's zone, whose targets are preferred.
     pub zone: Name,
-    /// One-time requests get a ticket from the log; otherwise none, and the lease alone covers them.
+    /// Whether one-time requests need a ticket from the log; if not, the node's lease alone permits
+    /// them.
     pub uses_ticket_log: bool,
-    /// When its client has no more use for a response, on the boot-time clock.
+    /// The request's deadline, on the boot-time clock.
     pub deadline_ms: u64,
-    /// Draws its targets.
+    /// Seed of the pseudo-random draws of targets.
     pub seed: u64,
 }
 
 /// How one attempt at a target ended.
 #[derive(Debug)]
 pub enum AttemptOutcome {
-    /// The target's own, complete response.
+    /// The target gave this complete response.
     Complete(TargetResponse),
-    /// Provably not a byte reached the target; the reason.
+    /// Provably no byte of the request reached the target, for this reason.
     Unsent(String),
-    /// The target itself says that it did not run the request, nor will; its reason.
+    /// The target states that it did not and will not run the request, for this reason.
     NotRun(String),
-    /// The target may have run it.
+    /// The target may have run the request.
     Unknown {
-        /// The time for its response was over.
+        /// Whether the time for the response had passed.
         late: bool,
-        /// What was observed.
+        /// The failure that was observed.
         reason: String,
     },
 }
 
-/// What the driver reports to the flow.
+/// An event that the driver reports to the flow.
 pub enum Event {
-    /// The request has found its route and was admitted.
+    /// The request was admitted; its route was found before.
     Start,
-    /// The connection is there, and its target is the one that was selected.
+    /// A connection is open, and its peer is the selected target.
     Connected,
-    /// There is no connection, for this reason.
+    /// No connection to the selected target could be opened, for this reason.
     ConnectFailed(String),
-    /// The controller's response to the last request.
+    /// The controller responded to the last ticket request or settlement.
     ControllerResponded(Response),
-    /// The end of the last attempt.
+    /// The last attempt ended.
     AttemptEnded(AttemptOutcome),
 }
 
-/// The end of a ticket, for the log.
+/// The settlement of a ticket, as it is reported to the log.
 #[derive(Clone, Debug)]
 pub struct TicketSettlement {
-    /// The ticket that ends.
+    /// The ticket that is settled.
     pub ticket: Ticket,
-    /// How its request ended.
+    /// How the ticket's request ended.
     pub settlement: Settlement,
-    /// What a repeat under its key is answered with.
+    /// The response that later requests under the same key get; none if no response is stored.
     pub response: Option<StoredResponse>,
 }
 
 impl From<TicketSettlement> for Request {
-    fn from(settled: TicketSettlement) -> Request {
-        let TicketSettlement { ticket, settlement, response } = settled;
+    fn from(ticket_settlement: TicketSettlement) -> Request {
+        let TicketSettlement { ticket, settlement, response } = ticket_settlement;
         Request::Settle { ticket, settlement, response }
     }
 }
 
-/// What the driver does next; it reports each step but `Done` by one event.
+/// The driver's next step. The driver reports the result of each step but `Done` by one event.
 pub enum Step {
-    /// Opens a connection to this target, or takes an idle one; then `Connected` or `ConnectFailed`.
+    /// Opens a connection to a target or reuses an idle one; reported by `Connected` or
+    /// `ConnectFailed`.
     Connect {
         /// The selected target.
         target: Arc<Target>,
-        /// Its load.
+        /// The target's load.
         load: Arc<Load>,
         /// The time until the request's deadline.
         wait_ms: u64,
     },
-    /// Requests a ticket of the controller; then `ControllerResponded`.
+    /// Requests a ticket from the controller; reported by `ControllerResponded`.
     RequestTicket {
-        /// As it is to stand in the log.
+        /// The ticket as the log should store it.
         ticket: Ticket,
-        /// For so long.
+        /// How long to wait for the response.
         wait_ms: u64,
     },
-    /// Forwards the request and reads its response; then `AttemptEnded`. The first byte is sent
-    /// before `until_ms` and within the lease, or none is.
+    /// Forwards the request and reads the response; reported by `AttemptEnded`. If the first byte
+    /// can't be sent before `until_ms` and within the lease, none is sent.
     Forward {
-        /// For the complete response.
+        /// How long to wait for the complete response.
         wait_ms: u64,
-        /// On the boot-time clock.
+        /// The latest time for the first byte, on the boot-time clock; `u64::MAX` without a ticket.
         until_ms: u64,
     },
-    /// Has a ticket settled before anything else; then `ControllerResponded`.
+    /// Settles a ticket before any further attempt; reported by `ControllerResponded`.
     SettleTicket {
-        /// Its end.
+        /// The ticket and how it is settled.
         settlement: TicketSettlement,
-        /// For so long.
+        /// How long to wait for the response.
         wait_ms: u64,
     },
-    /// The request has its end.
+    /// Ends the request; the flow expects no further event.
     Done {
-        /// For the client.
+        /// The result for the client.
         completion: Completion,
-        /// For the log: requested until it is acknowledged, though nobody awaits that.
+        /// The settlement for the log, if a ticket remains to be settled: it is resent until it is
+        /// acknowledged, and the client's response does not wait for it.
         settlement: Option<TicketSettlement>,
     },
 }
 
-/// What the driver knows at the moment of an event.
+/// The driver's state at the time of an event.
 pub struct FlowContext<'a> {
-    /// On the boot-time clock.
+    /// The time of the event, on the boot-time clock.
     pub now_ms: u64,
-    /// The table of the image in force.
+    /// The routing table of the current image.
     pub table: &'a Table,
-    /// The node has its lease.
+    /// Whether the node has a lease.
     pub serves: bool,
-    /// A ticket's number that this node never gave before.
+    /// A ticket number that this incarnation of the node has not used before.
     pub number: u64,
-    /// The client of the request has departed: nothing more is started for it.
+    /// Whether the client of the request has departed; no further attempt is started then.
     pub client_departed: bool,
 }
--- a/crates/node/src/input.rs
+++ b/crates/node/src/input.rs
@@ -1,45 +1,46 @@
-//! What happens to a node.
+//! The inputs of a node.
 
 use postbarrow_messages::{Envelope, Request};
 use postbarrow_state::{Name, Sample};
 use std::net::SocketAddr;
 
-/// What happens to a node.
+/// An input of a node: the passage of time, a message, or an instruction of the node's owner.
 pub enum Input {
-    /// Time passes: every `TICK_MS`.
+    /// Time passed; given every `TICK_MS`.
     Tick,
-    /// A message of another process.
+    /// A message from another process arrived.
     Receive(Envelope),
-    /// A request to the controller.
+    /// Sends a request to the controller.
     Request {
-        /// Names its response; used once.
+        /// Identifies the request in its response; never used for a second request.
         key: u64,
-        /// What is requested.
+        /// The request.
         request: Request,
-        /// It is sent again for so long.
+        /// How long the request is resent without a response.
         wait_ms: u64,
     },
-    /// Nobody awaits the response to a request any more: it is not sent again.
+    /// Stops resending a request whose response is no longer awaited.
     Withdraw {
-        /// Of the request.
+        /// The key of the request.
         key: u64,
     },
     /// A probe of a target ended.
     Probed {
-        /// Which target.
+        /// The target's instance.
         instance: Name,
-        /// It proved its identity.
+        /// Whether the target proved its identity.
         sound: bool,
     },
-    /// Client requests that arrived since the last such input.
+    /// Reports the client requests that arrived since the last `Sampled` input.
     Sampled {
-        /// A few of them.
+        /// Samples of these requests.
         samples: Vec<Sample>,
-        /// How many there were.
+        /// Number of all these requests.
         observed: u64,
     },
-    /// Other addresses that introduce this node.
+    /// Replaces the seeds: the addresses of processes that may introduce this node to control
+    /// nodes.
     Seeds(Vec<SocketAddr>),
-    /// This process is to stop: the node is unready from now on.
+    /// The process is stopping: the node is not ready from now on.
     Stop,
 }
--- a/crates/node/src/target_response.rs
+++ b/crates/node/src/target_response.rs
@@ -1,21 +1,22 @@
-//! A complete HTTP response.
+//! A complete HTTP response of a target or of this node.
 
 use postbarrow_constants::coordination::STORED_RESPONSE_BYTES;
 use postbarrow_state::StoredResponse;
 
-/// A complete response, of a target or of this node.
+/// A complete HTTP response of a target or of this node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetResponse {
-    /// HTTP's status code.
+    /// HTTP status code.
     pub status: u16,
-    /// Names and values in their order.
+    /// Header names and values, in the order in which they are sent.
     pub headers: Vec<(String, String)>,
-    /// Without the framing of chunks.
+    /// The body, without chunked framing.
     pub body: Vec<u8>,
 }
 
 impl TargetResponse {
-    /// What is stored with a ticket, if it is small enough.
+    /// Returns the response to store with a ticket; none if it is larger than
+    /// `STORED_RESPONSE_BYTES`.
     pub(crate) fn stored(&self) -> Option<StoredResponse> {
         let stored = StoredResponse {
             status: self.status,
