--- a/crates/node/src/request_flow.rs
+++ b/crates/node/src/request_flow.rs
@@ -1,21 +1,21 @@
 //! The flow of one request, as a state machine without I/O.
 //!
-//! A request goes through these phases; each stands in a module of its own:
+//! A request goes through these phases, each in its own module:
 //!
-//! | phase | what happens | next | module |
+//! | phase | action | next | module |
 //! | --- | --- | --- | --- |
-//! | admit | the request is counted for the retry budget; limits were checked by the driver | select target | `admit` |
-//! | select target | a target that was not tried yet, by the rules of `postbarrow_routing::selection` | connect, or finish | `select_target` |
-//! | connect | the driver opens a connection, or takes an idle one | request ticket, forward, or retry | `connect` |
-//! | request ticket | a one-time request gets a ticket for this target from the log | forward, settle, or finish | `ticket` |
+//! | admit | the retry budget counts the request; the driver has checked the limits before | select target | `admit` |
+//! | select target | the flow selects an untried target by the rules of `postbarrow_routing::selection` | connect, or finish | `select_target` |
+//! | connect | the driver opens a connection or reuses an idle one | request ticket, forward, or retry | `connect` |
+//! | request ticket | a one-time request requests a ticket for this target from the log | forward, settle, or finish | `ticket` |
 //! | forward, read response | the driver sends the request and reads the response | finish, settle, or retry | `read_response` |
-//! | settle | the log records that the target did not run the request, before another may | retry, or finish | `ticket` |
-//! | retry | if attempts and the service's retry budget allow one | select target, or finish | `retry` |
-//! | finish | the completion for the client, and the ticket's end for the log | | `finish` |
+//! | settle | the log records that the target did not run the request, before another target may run it | retry, or finish | `ticket` |
+//! | retry | the flow checks whether the maximum of attempts and the service's retry budget allow another attempt | select target, or finish | `retry` |
+//! | finish | the flow returns the completion for the client and the ticket's settlement for the log | | `finish` |
 //!
-//! Two rules hold in every phase. Once its client has departed, the request starts nothing more; what
-//! a target may be running goes on to its settlement. And what a target may have run is never
-//! reported as not run.
+//! Two rules hold in every phase. Once the client has departed, the flow starts no further attempt,
+//! but an attempt that a target may be running still leads to the settlement of its ticket. A
+//! request that a target may have run is never reported as not run.
 
 mod admit;
 mod connect;
@@ -31,55 +31,56 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// The flow of one request: which step follows which event.
+/// The flow of one request: decides the next step after each event.
 pub struct RequestFlow {
-    context: RequestContext,
+    request_context: RequestContext,
     entry: Arc<Entry>,
     phase: Phase,
-    /// Targets that were selected, in their order.
+    /// Instances of the targets selected so far, in order.
     tried: Vec<Name>,
-    /// The log granted a ticket to this request, or refused it for lack of space alone.
+    /// Whether the log granted this request a ticket, or refused it only for lack of space.
     was_ticketed: bool,
-    /// A target of an earlier attempt may have run the request.
+    /// Whether the target of an earlier attempt may have run the request.
     may_have_run: bool,
-    /// What the last attempt failed of, for the client.
+    /// Why the last attempt failed, for the client; empty before the first failure.
     last_failure: String,
 }
 
-/// What the flow awaits. Selection of a target and retries are decided within one event, so the
-/// flow never rests in them.
+/// The event that the flow awaits. Target selection and retries are decided within one event, so
+/// they have no phase.
 enum Phase {
-    /// The request's start.
+    /// Awaits the start of the request.
     Admit,
-    /// A connection to the target.
+    /// Awaits a connection to the target.
     Connect(Selected),
-    /// The ticket for the target.
+    /// Awaits the ticket for the target.
     RequestTicket(Selected, TicketRequest),
-    /// The end of the attempt: the request is forwarded, and its response read.
+    /// Awaits the end of the attempt, in which the driver forwards the request and reads the
+    /// response.
     Forward(Selected, Option<Ticket>),
-    /// The acknowledgement that the ticket is settled as unsent.
+    /// Awaits the acknowledgement that the ticket is settled as unsent.
     SettleTicket(Ticket),
-    /// Nothing: the request has its end.
+    /// Awaits nothing: the request has ended.
     Finish,
 }
 
-/// The target of the present attempt.
+/// The target of the current attempt.
 struct Selected {
     target: Arc<Target>,
     load: Arc<Load>,
 }
 
-/// A ticket on its way, and when it was requested.
+/// A requested ticket, and when it was requested.
 struct TicketRequest {
     ticket: Ticket,
     requested_ms: u64,
 }
 
 impl RequestFlow {
-    /// The flow of a request that has found its route.
-    pub fn new(context: RequestContext, entry: Arc<Entry>) -> Self {
+    /// Creates the flow of a request whose route was found.
+    pub fn new(request_context: RequestContext, entry: Arc<Entry>) -> Self {
         RequestFlow {
-            context,
+            request_context,
             entry,
             phase: Phase::Admit,
             tried: Vec::new(),
@@ -89,23 +90,23 @@
         }
     }
 
-    /// What to do next, after this event.
-    pub fn handle(&mut self, now: &FlowContext<'_>, event: Event) -> Step {
+    /// Handles an event; returns the driver's next step.
+    pub fn handle(&mut self, context: &FlowContext<'_>, event: Event) -> Step {
         let phase = std::mem::replace(&mut self.phase, Phase::Finish);
         match (phase, event) {
-            (Phase::Admit, Event::Start) => self.admit(now),
-            (Phase::Connect(selected), Event::Connected) => self.on_connected(now, selected),
+            (Phase::Admit, Event::Start) => self.admit(context),
+            (Phase::Connect(selected), Event::Connected) => self.on_connected(context, selected),
             (Phase::Connect(selected), Event::ConnectFailed(reason)) => {
-                self.on_connect_failed(now, &selected, reason)
+                self.on_connect_failed(context, &selected, reason)
             }
             (Phase::RequestTicket(selected, request), Event::ControllerResponded(response)) => {
-                self.on_ticket_response(now, selected, request, response)
+                self.on_ticket_response(context, selected, request, response)
             }
             (Phase::SettleTicket(ticket), Event::ControllerResponded(response)) => {
-                self.on_settlement_response(now, ticket, response)
+                self.on_settlement_response(context, ticket, response)
             }
             (Phase::Forward(selected, ticket), Event::AttemptEnded(outcome)) => {
-                self.on_attempt_ended(now, &selected, ticket, outcome)
+                self.on_attempt_ended(context, &selected, ticket, outcome)
             }
             (phase, _) => self.on_unexpected_event(phase),
         }
@@ -115,12 +116,12 @@
         self.entry.route().kind == RouteKind::OneTime
     }
 
-    fn remaining_ms(&self, now: &FlowContext<'_>) -> u64 {
-        self.context.deadline_ms.saturating_sub(now.now_ms)
+    fn remaining_ms(&self, context: &FlowContext<'_>) -> u64 {
+        self.request_context.deadline_ms.saturating_sub(context.now_ms)
     }
 }
 
-/// All that decides what the flow does next, but for its entry's own counters.
+/// Shows the state that decides the flow's next step, except for its entry's counters.
 impl fmt::Debug for RequestFlow {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.debug_struct("RequestFlow")
--- a/crates/node/src/request_flow/connect.rs
+++ b/crates/node/src/request_flow/connect.rs
@@ -1,4 +1,4 @@
-//! Connect: the connection to the selected target is there, or is not.
+//! Connect: handles the result of the connection to the selected target.
 
 use super::{Phase, RequestFlow, Selected, TicketRequest};
 use crate::{FlowContext, RequestOutcome, Step};
@@ -6,51 +6,54 @@
 use postbarrow_state::{Target, Ticket};
 
 impl RequestFlow {
-    /// A one-time request needs a ticket before it is forwarded; any other is forwarded at once.
-    pub(super) fn on_connected(&mut self, now: &FlowContext<'_>, selected: Selected) -> Step {
-        if !self.is_one_time() || !self.context.uses_ticket_log {
-            if !self.may_forward(now, &selected.target) {
-                return self.select_target(now);
+    /// Requests a ticket for a one-time request if it needs one from the log; forwards any other
+    /// request at once.
+    pub(super) fn on_connected(&mut self, context: &FlowContext<'_>, selected: Selected) -> Step {
+        if !self.is_one_time() || !self.request_context.uses_ticket_log {
+            if !self.may_forward(context, &selected.target) {
+                return self.select_target(context);
             }
             self.phase = Phase::Forward(selected, None);
-            return Step::Forward { wait_ms: self.remaining_ms(now), until_ms: u64::MAX };
+            return Step::Forward { wait_ms: self.remaining_ms(context), until_ms: u64::MAX };
         }
-        if now.client_departed {
+        if context.client_departed {
             return self.finish(RequestOutcome::ClientDeparted, None);
         }
-        let ticket = self.ticket_for(&selected.target, now.number);
-        let request = TicketRequest { ticket: ticket.clone(), requested_ms: now.now_ms };
+        let ticket = self.ticket_for(&selected.target, context.number);
+        let request = TicketRequest { ticket: ticket.clone(), requested_ms: context.now_ms };
         self.phase = Phase::RequestTicket(selected, request);
-        Step::RequestTicket { ticket, wait_ms: self.remaining_ms(now).min(TICKET_USE_MS) }
+        Step::RequestTicket { ticket, wait_ms: self.remaining_ms(context).min(TICKET_USE_MS) }
     }
 
-    /// The target is ejected, unless the attempt ended because the client departed.
+    /// Ejects the target, unless the attempt ended because the client departed, then retries if allowed.
     pub(super) fn on_connect_failed(
         &mut self,
-        now: &FlowContext<'_>,
+        context: &FlowContext<'_>,
         selected: &Selected,
         reason: String,
     ) -> Step {
-        if !now.client_departed {
-            selected.load.on_failure(now.now_ms);
+        if !context.client_departed {
+            selected.load.on_failure(context.now_ms);
         }
         self.last_failure = reason;
-        self.retry(now)
+        self.retry(context)
     }
 
-    /// Whether lease, image, deadline and client still allow a request to this target.
-    pub(super) fn may_forward(&self, now: &FlowContext<'_>, target: &Target) -> bool {
-        let is_allowed = now.table.allows(&self.entry.route().service, &target.instance);
-        now.serves && is_allowed && self.remaining_ms(now) > 0 && !now.client_departed
+    /// Returns whether the request may still be forwarded to this target: the node has its lease,
+    /// the current image allows the target, the deadline has not passed and the client has not
+    /// departed.
+    pub(super) fn may_forward(&self, context: &FlowContext<'_>, target: &Target) -> bool {
+        let is_allowed = context.table.allows(&self.entry.route().service, &target.instance);
+        context.serves && is_allowed && self.remaining_ms(context) > 0 && !context.client_departed
     }
 
     fn ticket_for(&self, target: &Target, number: u64) -> Ticket {
         Ticket {
-            key: self.context.key.clone(),
-            digest: self.context.digest,
+            key: self.request_context.key.clone(),
+            digest: self.request_context.digest,
             service: self.entry.route().service.clone(),
             instance: target.instance.clone(),
-            node: self.context.node,
+            node: self.request_context.node,
             number,
             settlement: None,
             response: None,
--- a/crates/node/src/request_flow/finish.rs
+++ b/crates/node/src/request_flow/finish.rs
@@ -1,12 +1,13 @@
-//! Finish: the completion for the client, and the ticket's end for the log.
+//! Finish: returns the completion for the client and the ticket's settlement for the log.
 
-use super::ticket::settlement_of;
+use super::ticket::settlement_without_response;
 use super::{Phase, RequestFlow, TicketRequest};
 use crate::{Completion, ExecutionEvidence, RequestOutcome, Step, TicketSettlement};
 use postbarrow_state::Settlement;
 
 impl RequestFlow {
-    /// Ends the request. What may have run is never reported as not run, whatever ended it.
+    /// Ends the request. A request that may have run is never reported as not run, whatever ended
+    /// it.
     pub(super) fn finish(
         &mut self,
         outcome: RequestOutcome,
@@ -23,8 +24,8 @@
         Step::Done { completion: self.completion(outcome), settlement }
     }
 
-    /// An event that does not belong to the phase, which no driver gives: nothing is promised of the
-    /// request's execution, and its ticket ends as unknown.
+    /// Ends the request after an event that does not belong to its phase, which a correct driver
+    /// never reports: the request counts as possibly run, and its ticket is settled as unknown.
     pub(super) fn on_unexpected_event(&mut self, phase: Phase) -> Step {
         let ticket = match phase {
             Phase::RequestTicket(_, TicketRequest { ticket, .. })
@@ -33,19 +34,23 @@
             Phase::Admit | Phase::Connect(_) | Phase::Forward(_, None) | Phase::Finish => None,
         };
         self.may_have_run = true;
-        let unknown = ticket.map(|ticket| settlement_of(ticket, Settlement::Unknown));
-        self.finish(RequestOutcome::TargetFailed("the event is of another phase".into()), unknown)
+        let settlement =
+            ticket.map(|ticket| settlement_without_response(ticket, Settlement::Unknown));
+        self.finish(
+            RequestOutcome::TargetFailed("the event is of another phase".into()),
+            settlement,
+        )
     }
 
     fn completion(&self, outcome: RequestOutcome) -> Completion {
         let evidence = ExecutionEvidence {
             one_time: self.is_one_time(),
-            keyed: self.context.keyed,
+            keyed: self.request_context.keyed,
             ticketed: self.was_ticketed,
             may_have_run: self.may_have_run,
         };
         let is_generated = evidence.one_time && !evidence.keyed;
-        let key = is_generated.then(|| self.context.key.clone());
+        let key = is_generated.then(|| self.request_context.key.clone());
         Completion { outcome, evidence, key }
     }
 }
--- a/crates/node/src/request_flow/read_response.rs
+++ b/crates/node/src/request_flow/read_response.rs
@@ -1,16 +1,17 @@
-//! Read response: how the attempt ended, and what that means for target, ticket and request.
+//! Read response: handles the end of an attempt for the target, the ticket and the request.
 
-use super::ticket::settlement_of;
+use super::ticket::settlement_without_response;
 use super::{RequestFlow, Selected};
 use crate::{AttemptOutcome, FlowContext, RequestOutcome, Step, TicketSettlement};
 use postbarrow_state::{Settlement, Ticket};
 
 impl RequestFlow {
-    /// A complete response ends the request and an ejection; a rejection passes over the target
-    /// briefly; whatever may have run ejects it, and is tried again only where it may run twice.
+    /// Handles the end of an attempt. A complete response ends the request and any ejection of the
+    /// target. A rejection makes selection pass over the target briefly. An attempt that may have
+    /// run ejects the target and is retried only if the request may run more than once.
     pub(super) fn on_attempt_ended(
         &mut self,
-        now: &FlowContext<'_>,
+        context: &FlowContext<'_>,
         selected: &Selected,
         ticket: Option<Ticket>,
         outcome: AttemptOutcome,
@@ -18,28 +19,28 @@
         match outcome {
             AttemptOutcome::Complete(response) => {
                 selected.load.on_success();
-                let settled = ticket.map(|ticket| TicketSettlement {
+                let settlement = ticket.map(|ticket| TicketSettlement {
                     ticket,
                     settlement: Settlement::Ran,
                     response: response.stored(),
                 });
-                self.finish(RequestOutcome::Complete(response), settled)
+                self.finish(RequestOutcome::Complete(response), settlement)
             }
             AttemptOutcome::NotRun(reason) => {
-                selected.load.on_rejection(now.now_ms);
+                selected.load.on_rejection(context.now_ms);
                 self.last_failure = reason;
-                self.settle_unsent(now, ticket)
+                self.settle_unsent(context, ticket)
             }
             AttemptOutcome::Unsent(reason) => {
                 self.last_failure = reason;
-                self.settle_unsent(now, ticket)
+                self.settle_unsent(context, ticket)
             }
             AttemptOutcome::Unknown { late, reason } => {
                 self.may_have_run = true;
-                if now.client_departed {
+                if context.client_departed {
                     return self.finish_unknown(RequestOutcome::ClientDeparted, ticket);
                 }
-                selected.load.on_failure(now.now_ms);
+                selected.load.on_failure(context.now_ms);
                 if late {
                     return self.finish_unknown(RequestOutcome::TargetTimedOut(reason), ticket);
                 }
@@ -47,13 +48,14 @@
                     return self.finish_unknown(RequestOutcome::TargetFailed(reason), ticket);
                 }
                 self.last_failure = reason;
-                self.retry(now)
+                self.retry(context)
             }
         }
     }
 
     fn finish_unknown(&mut self, outcome: RequestOutcome, ticket: Option<Ticket>) -> Step {
-        let unknown = ticket.map(|ticket| settlement_of(ticket, Settlement::Unknown));
-        self.finish(outcome, unknown)
+        let settlement =
+            ticket.map(|ticket| settlement_without_response(ticket, Settlement::Unknown));
+        self.finish(outcome, settlement)
     }
 }
--- a/crates/node/src/request_flow/retry.rs
+++ b/crates/node/src/request_flow/retry.rs
@@ -1,25 +1,26 @@
-//! Retry: whether a further attempt is allowed.
+//! Retry: decides whether another attempt is allowed.
 //!
-//! A request has at most its route's `tries` attempts, else [`ATTEMPTS`], or [`TICKETED_ATTEMPTS`] for
-//! a one-time request. Within them, each retry takes one of the service's retry budget
-//! (`postbarrow_routing::retry_budget`), and none follows a client's departure.
+//! A request has at most as many attempts as its route's `tries`. Without `tries` the maximum is
+//! [`ATTEMPTS`], or [`TICKETED_ATTEMPTS`] for a one-time request. Each retry takes one retry from
+//! the service's retry budget (`postbarrow_routing::retry_budget`). There is no retry after the
+//! client has departed.
 
 use super::RequestFlow;
 use crate::{FlowContext, RequestOutcome, Step};
 use postbarrow_constants::traffic::{ATTEMPTS, TICKETED_ATTEMPTS};
 
 impl RequestFlow {
-    pub(super) fn retry(&mut self, now: &FlowContext<'_>) -> Step {
-        if now.client_departed {
+    pub(super) fn retry(&mut self, context: &FlowContext<'_>) -> Step {
+        if context.client_departed {
             return self.finish(RequestOutcome::ClientDeparted, None);
         }
-        let nodes = now.table.nodes();
+        let nodes = context.table.nodes();
         let is_last = self.tried.len() >= self.max_attempts();
-        if is_last || !self.entry.retry_budget.take(now.now_ms, nodes) {
+        if is_last || !self.entry.retry_budget.take(context.now_ms, nodes) {
             let reason = std::mem::take(&mut self.last_failure);
             return self.finish(RequestOutcome::GaveUp(reason), None);
         }
-        self.select_target(now)
+        self.select_target(context)
     }
 
     fn max_attempts(&self) -> usize {
--- a/crates/node/src/response.rs
+++ b/crates/node/src/response.rs
@@ -1,19 +1,20 @@
-//! The HTTP response to a completion, in the product's own dialect.
+//! The HTTP response to a completion, with the headers of the product's own HTTP dialect.
 //!
-//! `Postbarrow-Outcome` says whether the request ran. A node that the log did not answer can't say
-//! what a client's key did before, so a rejected one-time request with a key is `unknown` and never
-//! `not-run`, whatever it was rejected for.
+//! `Postbarrow-Outcome` says whether the request ran. Without an answer from the log, a node can't
+//! know whether an earlier request under the client's key ran. A one-time request with a client key
+//! that is rejected without such an answer is therefore reported as `unknown` and never as
+//! `not-run`, whatever the reason of the rejection.
 
 use crate::{Completion, ExecutionEvidence, RequestOutcome, TargetResponse};
 use facet::Facet;
 use postbarrow_constants::traffic::RETRY_AFTER_S;
 use postbarrow_state::{Settlement, Ticket};
 
-/// Whether it ran: ran, not-run, unknown or pending.
+/// Name of the header that says whether the request ran: `ran`, `not-run`, `unknown` or `pending`.
 pub const OUTCOME: &str = "Postbarrow-Outcome";
-/// Under which key a repeat of this request is safe.
+/// Name of the header with the generated key under which the client can safely repeat the request.
 pub const KEY: &str = "Postbarrow-Key";
-/// The response is one that was stored with the ticket.
+/// Name of the header that marks a response which was stored with an earlier request's ticket.
 pub const REPLAYED: &str = "Postbarrow-Replayed";
 
 const RAN: &str = "ran";
@@ -24,18 +25,18 @@
 #[derive(Facet)]
 struct ErrorBody {
     error: String,
-    /// ran, not-run, unknown or pending
+    /// The value of the `Postbarrow-Outcome` header.
     outcome: String,
     detail: Option<String>,
 }
 
 impl Completion {
-    /// The response for its client.
+    /// Returns the HTTP response for the client.
     pub fn into_response(self) -> TargetResponse {
         let (evidence, one_time) = (self.evidence, self.evidence.one_time);
         let (status, outcome, error, detail) = match self.outcome {
-            RequestOutcome::Complete(response) => return ran(response),
-            RequestOutcome::Known(ticket) => return of_known_ticket(*ticket),
+            RequestOutcome::Complete(response) => return mark_as_ran(response),
+            RequestOutcome::Known(ticket) => return response_of_known_ticket(*ticket),
             RequestOutcome::OtherMethods(methods) => {
                 let error = "the route takes other methods";
                 let mut response = evidence.error_response(405, NOT_RUN, error, None);
@@ -80,7 +81,8 @@
 }
 
 impl ExecutionEvidence {
-    /// A response of this node, which says no more of the execution than the evidence allows.
+    /// Returns a response of this node that claims no more about the execution than the evidence
+    /// supports.
     fn error_response(
         &self,
         status: u16,
@@ -88,9 +90,9 @@
         error: &str,
         detail: Option<String>,
     ) -> TargetResponse {
-        let is_unsure =
+        let may_have_run_before =
             self.one_time && self.keyed && !self.ticketed && outcome == NOT_RUN && status != 422;
-        let (status, outcome) = match (is_unsure, status) {
+        let (status, outcome) = match (may_have_run_before, status) {
             (true, 503) => (504, UNKNOWN),
             (true, status) => (status, UNKNOWN),
             (false, status) => (status, outcome),
@@ -117,17 +119,18 @@
     }
 }
 
-/// The target's response, with the node's own headers in place of any that the target set.
-fn ran(mut response: TargetResponse) -> TargetResponse {
+/// Returns the target's response marked as `ran`; headers of the target under the product's own
+/// names are removed.
+fn mark_as_ran(mut response: TargetResponse) -> TargetResponse {
     response.headers.retain(|(name, _)| !is_own_header(name));
     response.headers.push((OUTCOME.into(), RAN.into()));
     response
 }
 
-fn of_known_ticket(ticket: Ticket) -> TargetResponse {
+fn response_of_known_ticket(ticket: Ticket) -> TargetResponse {
     match (ticket.settlement, ticket.response) {
         (Some(Settlement::Ran), Some(stored)) => {
-            let mut response = ran(TargetResponse {
+            let mut response = mark_as_ran(TargetResponse {
                 status: stored.status,
                 headers: stored.headers.clone(),
                 body: stored.body.clone(),
