--- a/crates/node/tests/surface.rs
+++ b/crates/node/tests/surface.rs
@@ -1,10 +1,10 @@
-//! The names of the product's own headers and paths.
+//! The names of the product's own headers and paths, which clients and targets rely on.
 
 use postbarrow_constants::traffic::PROOF_PATH;
 use postbarrow_node::{KEY, OUTCOME, REPLAYED};
 
 #[test]
-fn own_headers_and_paths() {
+fn own_headers_and_paths_keep_their_names() {
     let names = [OUTCOME, KEY, REPLAYED, PROOF_PATH].join("\n");
     insta::assert_snapshot!(names, @r"
     Postbarrow-Outcome
