--- a/crates/routing/src/ejection.rs
+++ b/crates/routing/src/ejection.rs
@@ -1,50 +1,53 @@
-//! Ejection: which targets are passed over for a while, and for how long.
+//! Ejection: which targets selection skips for a while, and for how long.
 //!
-//! | event | pause |
+//! | event | duration of the ejection |
 //! | --- | --- |
-//! | a failure: no connection, or no complete response | [`EJECTION_MS`] (1 s), doubled by each failure in a row, at most [`EJECTION_MAX_MS`] (8 s) |
-//! | a rejection: the target says that it did not run the request | [`REJECTION_PAUSE_MS`] (200 ms), never shortening a longer pause |
-//! | a complete response | ends the pause and the row of failures |
+//! | a failure: no connection, or no complete response | [`EJECTION_MS`] (1 s), doubled by each consecutive failure, at most [`EJECTION_MAX_MS`] (8 s) |
+//! | a rejection: the target says that it did not run the request | [`REJECTION_PAUSE_MS`] (200 ms); never shortens a longer ejection |
+//! | a complete response | ends the ejection and resets the count of consecutive failures |
 //!
-//! A target that fails again soon after its pause is unlikely to be back, hence the doubling; the
-//! maximum bounds how long a target that recovered goes unused. A rejecting target is full and not
-//! unhealthy, hence the short pause. Selection ignores ejections where all untried targets are
-//! ejected: an attempt at an ejected target is better than none.
+//! The duration doubles because a target that fails again soon after its ejection has probably not
+//! recovered; the maximum bounds how long a recovered target gets no requests. The ejection after a
+//! rejection is short because a rejecting target is full, not unhealthy. Selection ignores
+//! ejections if all untried targets are ejected: an attempt at an ejected target is better than
+//! none.
 
 use postbarrow_constants::traffic::{EJECTION_MAX_MS, EJECTION_MS, REJECTION_PAUSE_MS};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Doublings beyond this would overflow, and are far above the maximum.
+/// Largest number of doublings: more would overflow, and this many already exceed the maximum by
+/// far.
 const DOUBLINGS_MAX: u64 = 16;
 
-/// Whether one target is passed over, as this node observed its attempts there.
+/// The ejection of one target, by the results of this node's attempts at it.
 #[derive(Debug, Default)]
 pub struct Ejection {
     until_ms: AtomicU64,
-    failures_in_a_row: AtomicU64,
+    consecutive_failures: AtomicU64,
 }
 
 impl Ejection {
-    /// Ejects the target after a failed attempt, twice as long as after the failure before.
+    /// Ejects the target after a failed attempt, for twice as long as after the previous
+    /// consecutive failure.
     pub fn on_failure(&self, now_ms: u64) {
-        let earlier = self.failures_in_a_row.fetch_add(1, Relaxed).min(DOUBLINGS_MAX);
-        let pause_ms = (EJECTION_MS << earlier).min(EJECTION_MAX_MS);
-        self.until_ms.store(now_ms + pause_ms, Relaxed);
+        let earlier = self.consecutive_failures.fetch_add(1, Relaxed).min(DOUBLINGS_MAX);
+        let duration_ms = (EJECTION_MS << earlier).min(EJECTION_MAX_MS);
+        self.until_ms.store(now_ms + duration_ms, Relaxed);
     }
 
-    /// Passes over the target briefly after it rejected a request for lack of capacity.
+    /// Ejects the target briefly after it rejected a request for lack of capacity.
     pub fn on_rejection(&self, now_ms: u64) {
         let until_ms = now_ms + REJECTION_PAUSE_MS;
         self.until_ms.fetch_max(until_ms, Relaxed);
     }
 
-    /// Ends the pause and the row of failures after a complete response.
+    /// Ends the ejection and resets the count of consecutive failures, after a complete response.
     pub fn on_success(&self) {
-        self.failures_in_a_row.store(0, Relaxed);
+        self.consecutive_failures.store(0, Relaxed);
         self.until_ms.store(0, Relaxed);
     }
 
-    /// Whether the target is passed over now.
+    /// Returns whether selection skips the target now.
     pub fn is_ejected(&self, now_ms: u64) -> bool {
         now_ms < self.until_ms.load(Relaxed)
     }
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -1,31 +1,34 @@
-//! Limits: whether a route's concurrency and rate admit a request at this node.
+//! Limits: whether a route's concurrency and rate limits admit a request at this node.
 //!
-//! A plan's limits are for the whole fleet; each of `n` nodes enforces its part without consulting
-//! the others, which would cost more than the request:
+//! A plan's limits apply to the whole fleet. Each of `n` nodes enforces its part without consulting
+//! the others, which would cost more than the request itself:
 //!
-//! - concurrency: at most `ceil(limit / n)` requests in flight here, so that each node admits one;
-//! - rate: a token bucket that fills with `rate / n` a second and holds one second's tokens, at
-//!   least one. It starts with one second's tokens, and a refill counts one second at most, however
-//!   long ago the last was. A request over the rate gives its concurrency back.
+//! - concurrency: at most `ceil(limit / n)` requests in flight at this node; rounded up, so that
+//!   each node admits at least one;
+//! - rate: a token bucket that is refilled with `rate / n` tokens per second. Its capacity is one
+//!   second's tokens, but at least one token. It starts with one second's tokens, and a refill adds
+//!   at most one second's tokens, however long ago the last refill was. A request that exceeds the
+//!   rate does not count for the concurrency.
 
 use postbarrow_state::Route;
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering::Relaxed};
 
-/// Tokens are counted in thousandths, so that a slow rate's refills are not rounded away.
+/// One token in thousandths; tokens are counted in thousandths so that the small refills of a low
+/// rate are not lost by rounding.
 const TOKEN: i64 = 1_000;
-/// The bucket holds what the rate gives in this time.
+/// Capacity of the bucket, as the time in which the rate fills it.
 const BUCKET_MS: u64 = 1_000;
 
-/// Which limit of its route a request is over.
+/// The limit of its route that a request exceeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitExceeded {
-    /// The route's requests a second.
+    /// The limit of requests per second.
     Rate,
-    /// The route's requests in flight.
+    /// The limit of requests in flight.
     Concurrency,
 }
 
-/// This node's part of a route's rate and concurrency.
+/// This node's part of a route's rate and concurrency limits, with the current counts.
 #[derive(Debug)]
 pub struct RouteLimits {
     concurrency: Option<u64>,
@@ -34,7 +37,7 @@
 }
 
 impl RouteLimits {
-    /// The limits of a route, with nothing in flight and a full bucket.
+    /// Creates the limits of a route, without requests in flight and with a full bucket.
     pub fn new(route: &Route) -> Self {
         RouteLimits {
             concurrency: route.concurrency,
@@ -43,17 +46,18 @@
         }
     }
 
-    /// Admits a request among so many nodes; `leave` gives its place back.
+    /// Admits a request if this node's part of the limits, divided among `nodes`, allows it. Each
+    /// admitted request must be ended by `leave`.
     ///
     /// # Errors
-    /// The limit that the request is over; nothing is counted then.
+    /// Returns the limit that the request exceeds; the request is not counted then.
     pub fn enter(&self, now_ms: u64, nodes: u64) -> Result<(), LimitExceeded> {
         let nodes = nodes.max(1);
         if let Some(limit) = self.concurrency {
-            let own_limit = limit.div_ceil(nodes);
+            let node_limit = limit.div_ceil(nodes);
             let admitted = self
                 .in_flight
-                .fetch_update(Relaxed, Relaxed, |count| (count < own_limit).then_some(count + 1));
+                .fetch_update(Relaxed, Relaxed, |count| (count < node_limit).then_some(count + 1));
             admitted.map_err(|_| LimitExceeded::Concurrency)?;
         } else {
             self.in_flight.fetch_add(1, Relaxed);
@@ -67,23 +71,23 @@
         Ok(())
     }
 
-    /// Requests of the route in flight at this node.
+    /// Returns the number of the route's requests in flight at this node.
     pub fn in_flight(&self) -> u64 {
         self.in_flight.load(Relaxed)
     }
 
-    /// Gives back what `enter` admitted.
+    /// Ends a request that `enter` admitted.
     pub fn leave(&self) {
         self.in_flight.fetch_sub(1, Relaxed);
     }
 }
 
-/// A rate of the whole fleet, of which this node takes its part.
+/// Token bucket for this node's part of a rate; `rate_per_s` is the rate of the whole fleet.
 #[derive(Debug)]
 struct TokenBucket {
     rate_per_s: u64,
     milli_tokens: AtomicI64,
-    /// When it was last filled; 0 before the first request.
+    /// Time of the last refill; 0 before the first request.
     refilled_ms: AtomicU64,
 }
 
@@ -92,14 +96,15 @@
         TokenBucket { rate_per_s, milli_tokens: AtomicI64::new(0), refilled_ms: AtomicU64::new(0) }
     }
 
-    /// Fills the bucket for the time since the last request, then takes a token if it has one.
+    /// Refills the bucket for the time since the last refill, then takes a token; returns whether
+    /// one was available.
     fn take(&self, now_ms: u64, nodes: u64) -> bool {
         let rate = self.rate_per_s;
         let capacity = (rate * BUCKET_MS / nodes).max(TOKEN as u64) as i64;
         let since_ms = self.refilled_ms.load(Relaxed);
         let elapsed_ms = if since_ms == 0 { BUCKET_MS } else { now_ms.saturating_sub(since_ms) };
         let added = (rate * elapsed_ms.min(BUCKET_MS) / nodes) as i64;
-        // Of several threads only the one that sets the time adds the tokens.
+        // If several threads refill at once, only the one that sets the time adds the tokens.
         let is_due = added > 0;
         if is_due && self.refilled_ms.compare_exchange(since_ms, now_ms, Relaxed, Relaxed).is_ok() {
             let _ = self
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -1,8 +1,9 @@
-//! What one node knows of the requests in flight at one target.
+//! The load of a target: the requests in flight there, as far as one node knows them.
 //!
-//! A node counts its own requests exactly. Those of other nodes it learns from the target's reports
-//! in responses and probes, which grow old: a report's weight falls to a third in
-//! [`LOAD_REPORT_DECAY_MS`] (400 ms, about one request's time), and the estimate drifts towards the mean of what is reported.
+//! A node counts its own requests exactly. It learns the number of the other nodes' requests from
+//! the target's reports in responses and probes. As a report ages, its weight falls to a third in
+//! [`LOAD_REPORT_DECAY_MS`] (400 ms, about the duration of one request), and the estimate
+//! approaches the mean of the reports of all candidates.
 
 use crate::Ejection;
 use postbarrow_constants::traffic::LOAD_REPORT_DECAY_MS;
@@ -11,39 +12,40 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// One target's load and health, as this node knows them.
+/// The load and the ejection of one target, as this node knows them.
 #[derive(Debug, Default)]
 pub struct Load {
     in_flight: AtomicU64,
-    /// Requests of other nodes there, by the target's last report.
+    /// Requests of other nodes in flight at the target, by its last report.
     reported: AtomicU64,
-    /// When a target with known slots sent that report; 0 before the first.
+    /// When the last report of a target with known slots was stored; 0 before the first.
     reported_ms: AtomicU64,
     ejection: Ejection,
 }
 
 impl Load {
-    /// Counts a request of this node from its selection on.
+    /// Counts a request of this node at the target, from the target's selection on.
     pub fn enter(&self) {
         self.in_flight.fetch_add(1, Relaxed);
     }
 
-    /// Gives back what `enter` counted.
+    /// Ends a request that `enter` counted.
     pub fn leave(&self) {
         self.in_flight.fetch_sub(1, Relaxed);
     }
 
-    /// Requests of this node in flight there.
+    /// Returns the number of this node's requests in flight at the target.
     pub fn in_flight(&self) -> u64 {
         self.in_flight.load(Relaxed)
     }
 
-    /// Stores the requests of other nodes that a target without known slots reported.
+    /// Stores the number of other nodes' requests that a target without known slots reported.
     pub fn report(&self, in_flight: u64) {
         self.reported.store(in_flight, Relaxed);
     }
 
-    /// Stores the same from a target with known slots, whose reports fade.
+    /// Stores the number of other nodes' requests that a target with known slots reported; the
+    /// weight of this report decreases with its age.
     pub fn report_slots_used(&self, now_ms: u64, in_flight: u64) {
         self.reported.store(in_flight, Relaxed);
         self.reported_ms.store(now_ms, Relaxed);
@@ -54,7 +56,7 @@
         self.ejection.on_failure(now_ms);
     }
 
-    /// Passes over the target after a rejection; see [`Ejection::on_rejection`].
+    /// Skips the target briefly after a rejection; see [`Ejection::on_rejection`].
     pub fn on_rejection(&self, now_ms: u64) {
         self.ejection.on_rejection(now_ms);
     }
@@ -64,17 +66,18 @@
         self.ejection.on_success();
     }
 
-    /// Whether the target is passed over now.
+    /// Returns whether selection skips the target now.
     pub(crate) fn is_ejected(&self, now_ms: u64) -> bool {
         self.ejection.is_ejected(now_ms)
     }
 
-    /// The last report of a target with known slots; none before the first.
+    /// Returns the last report of a target with known slots; none before the first.
     pub(crate) fn last_report(&self) -> Option<u64> {
         (self.reported_ms.load(Relaxed) > 0).then(|| self.reported.load(Relaxed))
     }
 
-    /// Requests of other nodes there, as an estimate: the last report, faded towards the mean.
+    /// Returns an estimate of the other nodes' requests in flight at the target: the last report,
+    /// which decays towards `mean`.
     pub(crate) fn others_in_flight(&self, now_ms: u64, mean: f64) -> f64 {
         let reported_ms = self.reported_ms.load(Relaxed);
         if reported_ms == 0 {
@@ -84,16 +87,18 @@
         mean + (self.reported.load(Relaxed) as f64 - mean) * (-age).exp()
     }
 
-    /// All requests there: this node's, and those last reported of others.
+    /// Returns the number of all requests in flight at the target: this node's, and the other
+    /// nodes' by the last report.
     pub(crate) fn total_in_flight(&self) -> u64 {
         self.in_flight.load(Relaxed) + self.reported.load(Relaxed)
     }
 }
 
-/// The loads of all known targets, by instance.
+/// The loads of all targets of an image, by instance.
 pub type Loads = HashMap<Name, Arc<Load>>;
 
-/// The loads for a new image: loads outlive the plan, so targets that remain keep theirs.
+/// Returns the loads for a new image. Targets that remain keep their loads; others start without
+/// load.
 pub(crate) fn carry_over(old: &Loads, state: &State) -> Loads {
     let load = |instance: &Name| old.get(instance).cloned().unwrap_or_default();
     state.targets.keys().map(|instance| (instance.clone(), load(instance))).collect()
--- a/crates/routing/src/mix.rs
+++ b/crates/routing/src/mix.rs
@@ -1,7 +1,7 @@
-//! The generator of the draws: SplitMix64's step.
+//! The pseudo-random generator of all draws: one step of SplitMix64.
 
-/// A pseudo-random number of a seed: SplitMix64's increment and finalizer. Draws of targets need an
-/// even spread and a short path, not unpredictability.
+/// Returns the pseudo-random number of a seed, by SplitMix64's increment and finalizer. Draws of
+/// targets need a uniform distribution and little computation, not unpredictability.
 pub fn mix(seed: u64) -> u64 {
     let mut mixed = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -1,40 +1,42 @@
-//! Retry budget: whether a further attempt at a service is allowed.
+//! Retry budget: whether another attempt at a service is allowed.
 //!
-//! Retries of the whole fleet to one service may be [`RETRY_PERCENT`] (20 %) of its requests, and
-//! [`RETRIES_PER_S`] (1) a second beside; up to [`RETRY_BURST`] (10) are saved up. Each of `n` nodes
-//! has an `n`th of it, and can always save one retry. The percentage bounds what a failing service
-//! gets on top of its requests, so that retries do not keep it from recovering; the retries by time
-//! let quiet services retry at all.
+//! The whole fleet may retry [`RETRY_PERCENT`] (20 %) of a service's requests, plus
+//! [`RETRIES_PER_S`] (1) retry a second; up to [`RETRY_BURST`] (10) unused retries are saved. A
+//! node adds the percentage of its own requests. Of the rate and the saved retries, each of `n`
+//! nodes has an `n`th, but can always save one retry. The percentage bounds the additional load on
+//! a failing service, so that retries do not keep it from recovering. The rate allows retries at
+//! services with few requests.
 
 use postbarrow_constants::traffic::{RETRIES_PER_S, RETRY_BURST, RETRY_PERCENT};
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering::Relaxed};
 
-/// One retry in the units that are saved, fine enough for a per cent of a node's part.
+/// One retry in the unit in which retries are saved: small enough to count one per cent of a retry,
+/// and a node's part of the rate.
 const ONE_RETRY: i64 = 100_000;
-/// The allowance by time is added at most so often.
+/// Shortest interval between two refills by time.
 const REFILL_MS: u64 = 100;
-/// The first refill counts as so much time.
+/// The time for which the first refill adds retries.
 const FIRST_REFILL_MS: u64 = 1_000;
-/// A refill counts no more time than this.
+/// The longest time for which one refill adds retries.
 const REFILL_MAX_MS: u64 = 60_000;
 
-/// This node's part of the fleet's retries at one service.
+/// This node's part of the fleet's retry allowance for one service.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
     allowance: RetryAllowance,
-    /// In parts of [`ONE_RETRY`].
+    /// Saved retries, in a unit of which [`ONE_RETRY`] make one retry.
     saved: AtomicI64,
     refilled_ms: AtomicU64,
 }
 
-/// Retries that the whole fleet may make at one service.
+/// The retries that the whole fleet may make at one service.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryAllowance {
-    /// Per cent of the service's requests.
+    /// Retries in per cent of the service's requests.
     pub percent: u64,
-    /// Retries a second, whatever the requests.
+    /// Additional retries per second, independent of the requests.
     pub per_s: u64,
-    /// Retries that can be saved up.
+    /// Largest number of unused retries that are saved.
     pub saved: u64,
 }
 
@@ -45,17 +47,17 @@
 }
 
 impl RetryBudget {
-    /// A budget with nothing saved.
+    /// Creates a budget without saved retries.
     pub fn new(allowance: RetryAllowance) -> RetryBudget {
         RetryBudget { allowance, ..RetryBudget::default() }
     }
 
-    /// Adds a request's per cent; each request counts once, whatever its attempts.
+    /// Adds the percentage of one request; called once per request, however many attempts it has.
     pub fn on_request(&self, nodes: u64) {
         self.add((self.allowance.percent as i64) * ONE_RETRY / 100, nodes);
     }
 
-    /// Takes one retry if the budget has it.
+    /// Takes one retry from the budget; returns whether one was available.
     pub fn take(&self, now_ms: u64, nodes: u64) -> bool {
         self.refill(now_ms, nodes);
         self.saved
@@ -63,7 +65,8 @@
             .is_ok()
     }
 
-    /// Adds this node's part of the allowance by time; of several threads one does so.
+    /// Adds this node's part of the rate for the time since the last refill. If several threads
+    /// refill at once, only one of them adds it.
     fn refill(&self, now_ms: u64, nodes: u64) {
         let since_ms = self.refilled_ms.load(Relaxed);
         let elapsed_ms = now_ms.saturating_sub(since_ms);
