--- a/crates/routing/src/compiled_route.rs
+++ b/crates/routing/src/compiled_route.rs
@@ -1,4 +1,4 @@
-//! A route compiled: its pattern, rule and limits.
+//! A compiled route: its pattern, rule and limits.
 
 use crate::RouteLimits;
 use crate::rule_headers::header_names;
@@ -7,21 +7,21 @@
 use postbarrow_state::{Name, Route};
 use std::sync::Arc;
 
-/// What a route needs that only its plan decides; retained while the route stays.
+/// The parts of a route that depend on the plan alone; reused while the route is unchanged.
 pub struct CompiledRoute {
-    /// As the plan has it.
+    /// The route as the plan defines it.
     pub route: Arc<Route>,
-    /// Shared by the route's weighted services.
+    /// The route's limits, shared by its weighted services.
     pub limits: Arc<RouteLimits>,
     pub(crate) pattern: Pattern,
     pub(crate) rule: Option<Rule>,
-    /// Names of the headers that the rule reads.
+    /// Names of the headers that the rule reads, in lower case.
     pub(crate) rule_headers: Vec<String>,
 }
 
 impl CompiledRoute {
-    /// The route compiled; none if its rule or pattern does not compile, which the check of the plan
-    /// rules out.
+    /// Compiles a route; none if its rule or pattern does not compile, which the checks of the plan
+    /// rule out.
     pub(crate) fn new(route: &Arc<Route>) -> Option<CompiledRoute> {
         let rule = route.when.as_deref().map(Rule::compile).transpose().ok()?;
         let pattern = Pattern::read(&route.path).ok()?;
@@ -30,8 +30,9 @@
         Some(CompiledRoute { route: route.clone(), limits, pattern, rule, rule_headers })
     }
 
-    /// The same route, all of it on one service.
-    pub(crate) fn on_service(&self, service: &Name) -> CompiledRoute {
+    /// Returns the same route with this service as its only one, and without its rule: the rule has
+    /// matched before a service is drawn.
+    pub(crate) fn for_service(&self, service: &Name) -> CompiledRoute {
         let route = Route { service: service.clone(), ..self.route.as_ref().clone() };
         CompiledRoute {
             route: Arc::new(route),
@@ -42,7 +43,8 @@
         }
     }
 
-    /// Routes are tried by rising rank; see [`crate::route_match`].
+    /// Returns the route's rank. Routes are tried in ascending order of rank; see
+    /// [`crate::route_match`].
     pub(crate) fn rank(&self) -> (bool, &Pattern, bool) {
         (self.route.host.is_none(), &self.pattern, self.rule.is_none())
     }
--- a/crates/routing/src/entry.rs
+++ b/crates/routing/src/entry.rs
@@ -1,7 +1,9 @@
-//! One route with all that its requests need, and the draw among its weighted services.
+//! A routing entry: one route with the data that its requests need, and the draw among its weighted
+//! services.
 //!
-//! A route with several weighted services draws one for each request, in proportion to the weights;
-//! services of weight 0 get none. A retry goes to the service that its request drew.
+//! A route with several weighted services draws one of them for each request, with probabilities in
+//! proportion to the weights; services of weight 0 get no requests. A retry goes to the service
+//! that was drawn for its request.
 
 use crate::compiled_route::CompiledRoute;
 use crate::resolved_services::ResolvedServices;
@@ -10,14 +12,15 @@
 use postbarrow_state::{Name, Route};
 use std::sync::Arc;
 
-/// One route with all that its requests need.
+/// One route with the data that its requests need.
 pub struct Entry {
     /// The route, its pattern, rule and limits.
     pub compiled: Arc<CompiledRoute>,
-    /// The retries of its service, shared with the service's other routes.
+    /// The retry budget of the route's service, shared with the service's other routes.
     pub retry_budget: Arc<RetryBudget>,
     targets: Arc<Vec<Candidate>>,
-    /// Of a route with weighted services: the same route on one service each, by weight.
+    /// Weights and entries of the weighted services; each entry is the same route with only that
+    /// service. Empty for a route without weighted services.
     weighted: Vec<(u64, Arc<Entry>)>,
 }
 
@@ -26,15 +29,16 @@
         let route = compiled.route.clone();
         let services = route.weighted_services.iter().filter(|service| service.weight > 0);
         let weighted = services.map(|weighted| {
-            let on_one = Arc::new(compiled.on_service(&weighted.service));
-            let entry = Entry::on_service(on_one, &weighted.service, Vec::new(), resolved);
+            let compiled_for_service = Arc::new(compiled.for_service(&weighted.service));
+            let entry =
+                Entry::for_service(compiled_for_service, &weighted.service, Vec::new(), resolved);
             (weighted.weight, Arc::new(entry))
         });
         let weighted = weighted.collect();
-        Entry::on_service(compiled, &route.service, weighted, resolved)
+        Entry::for_service(compiled, &route.service, weighted, resolved)
     }
 
-    fn on_service(
+    fn for_service(
         compiled: Arc<CompiledRoute>,
         service: &Name,
         weighted: Vec<(u64, Arc<Entry>)>,
@@ -48,7 +52,8 @@
         }
     }
 
-    /// Whether it has the very targets and retry budgets that its services have now.
+    /// Returns whether this entry shares the targets and retry budgets that its services have now,
+    /// so that it can be reused.
     pub(crate) fn is_resolved_by(&self, resolved: &ResolvedServices) -> bool {
         let service = &self.route().service;
         let targets = resolved.candidates(service);
@@ -58,12 +63,13 @@
             && self.weighted.iter().all(|(_, entry)| entry.is_resolved_by(resolved))
     }
 
-    /// The route itself.
+    /// Returns the route as the plan defines it.
     pub fn route(&self) -> &Route {
         &self.compiled.route
     }
 
-    /// The entry itself, or of a route with weighted services the one that this seed draws.
+    /// Returns the entry of the weighted service that this seed draws; the entry itself if its
+    /// route has no weighted services.
     pub fn draw_service(self: &Arc<Self>, seed: u64) -> Arc<Entry> {
         let total: u64 = self.weighted.iter().map(|(weight, _)| weight).sum();
         if total == 0 {
@@ -79,7 +85,8 @@
         self.clone()
     }
 
-    /// The target for the next attempt of a request, by the rules of [`crate::selection`].
+    /// Selects the target for the next attempt of a request, by the rules of [`crate::selection`];
+    /// none if all were tried.
     pub fn select_target(
         &self,
         zone: &str,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,20 +1,21 @@
-//! From a request to a target, without I/O.
+//! Routing: finds the route of a request and selects its target, without I/O.
 //!
-//! Each decision on the way of a request stands in a module of its own, in the order in which a
-//! request meets them:
+//! Each decision about a request has its own module, listed here in the order in which the
+//! decisions are made:
 //!
 //! | decision | module |
 //! | --- | --- |
-//! | which route takes the request | [`route_match`] |
+//! | which route matches the request | [`route_match`] |
 //! | whether the route's rate and concurrency admit it | [`limits`] |
-//! | which of a route's weighted services gets it | [`entry`] |
+//! | which of a route's weighted services gets the request | [`entry`] |
 //! | which target gets an attempt | [`selection`] |
-//! | which targets are passed over after failures or rejections | [`ejection`] |
+//! | which targets are skipped after failures or rejections | [`ejection`] |
 //! | whether a further attempt is allowed | [`retry_budget`] |
 //!
-//! A [`Table`] holds all of them for one image of the state; it is built from what the image does
-//! not share with the last one and swapped in as a whole. Counters ([`Load`], [`RouteLimits`],
-//! [`RetryBudget`]) are atomics that outlive the table, so that a new plan does not reset them.
+//! A [`Table`] holds the data of all these decisions for one image of the state. A new table reuses
+//! what its image shares with the previous image, and replaces the old table as a whole. Counters
+//! ([`Load`], [`RouteLimits`], [`RetryBudget`]) are atomics that outlive the table, so that a new
+//! plan does not reset them.
 
 #![deny(missing_docs)]
 
--- a/crates/routing/src/resolved_services.rs
+++ b/crates/routing/src/resolved_services.rs
@@ -1,4 +1,4 @@
-//! Services resolved to their live targets, loads and retry budgets.
+//! Services of an image, resolved to their live targets, loads and retry budgets.
 
 use crate::load::{Loads, carry_over};
 use crate::selection::Candidate;
@@ -7,35 +7,42 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The services of one image, with all that their requests share.
+/// The services of one image, with the loads and retry budgets that their requests share.
 #[derive(Default)]
 pub(crate) struct ResolvedServices {
     pub loads: Loads,
     candidates: HashMap<Name, Arc<Vec<Candidate>>>,
     retry_budgets: HashMap<Name, Arc<RetryBudget>>,
-    /// Services whose targets were looked for anew.
-    pub rebuilt: usize,
+    /// Number of services whose targets were determined again and not reused.
+    pub rebuilt_count: usize,
 }
 
 impl ResolvedServices {
-    /// Resolves an image's services; while no target changed, unchanged services keep theirs.
+    /// Resolves an image's services. If no target has changed, unchanged services keep their
+    /// targets.
     pub fn new(state: &State, old: &Table) -> ResolvedServices {
-        let before = old.resolved();
+        let old_resolved = old.resolved();
         let same_targets = state.targets.ptr_eq(&old.state.targets);
-        let loads =
-            if same_targets { before.loads.clone() } else { carry_over(&before.loads, state) };
+        let loads = if same_targets {
+            old_resolved.loads.clone()
+        } else {
+            carry_over(&old_resolved.loads, state)
+        };
         let mut resolved = ResolvedServices { loads, ..ResolvedServices::default() };
         for (name, service) in &state.services {
             let is_unchanged =
                 || old.state.services.get(name).is_some_and(|known| known == service);
-            let known =
-                before.candidates.get(name).filter(|_| same_targets && is_unchanged()).cloned();
-            let candidates = known.unwrap_or_else(|| {
-                resolved.rebuilt += 1;
+            let reused = old_resolved
+                .candidates
+                .get(name)
+                .filter(|_| same_targets && is_unchanged())
+                .cloned();
+            let candidates = reused.unwrap_or_else(|| {
+                resolved.rebuilt_count += 1;
                 Arc::new(candidates(state, service, &resolved.loads))
             });
             resolved.candidates.insert(name.clone(), candidates);
-            let budget = before.retry_budgets.get(name).cloned();
+            let budget = old_resolved.retry_budgets.get(name).cloned();
             let budget =
                 budget.unwrap_or_else(|| Arc::new(RetryBudget::new(old.retry_allowance())));
             resolved.retry_budgets.insert(name.clone(), budget);
@@ -43,12 +50,12 @@
         resolved
     }
 
-    /// The service's live targets; none of an unknown service.
+    /// Returns the service's live targets; none for an unknown service.
     pub fn candidates(&self, service: &Name) -> Option<&Arc<Vec<Candidate>>> {
         self.candidates.get(service)
     }
 
-    /// The service's retry budget; none of an unknown service.
+    /// Returns the service's retry budget; none for an unknown service.
     pub fn retry_budget(&self, service: &Name) -> Option<&Arc<RetryBudget>> {
         self.retry_budgets.get(service)
     }
--- a/crates/routing/src/rule_headers.rs
+++ b/crates/routing/src/rule_headers.rs
@@ -1,6 +1,7 @@
-//! Which headers a rule reads, from its text.
+//! Finds the headers that a rule reads, from the rule's text.
 
-/// Names of the headers in `headers['x']`, `'x' in headers` and `headers.x`, in lower case.
+/// Returns the names of the headers that a rule reads as `headers['x']`, `'x' in headers` or
+/// `headers.x`, in lower case.
 pub(crate) fn header_names(rule: &str) -> Vec<String> {
     let pieces: Vec<&str> = rule.split(['\'', '"']).collect();
     let quoted = pieces.windows(3).step_by(2).filter(|window| {
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,4 +1,4 @@
-//! The routing table of one image, built from what the image does not share with the last one.
+//! The routing table of one image, which reuses what the image shares with the previous one.
 
 use crate::compiled_route::CompiledRoute;
 use crate::load::Loads;
@@ -9,11 +9,11 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// An image made ready for requests; replaced as a whole by one swap.
+/// An image prepared for routing requests; replaced as a whole by an atomic swap.
 pub struct Table {
-    /// The image.
+    /// The image that the table was built from.
     pub state: Arc<State>,
-    /// Up to where in the log the image reaches.
+    /// The log offset that the image has reached.
     pub offset: u64,
     routes: RouteIndex,
     resolved: ResolvedServices,
@@ -22,19 +22,19 @@
     statistics: BuildStatistics,
 }
 
-/// How much of a table was built anew and not taken from the one before.
+/// How much of a table was built anew and not reused from the previous one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BuildStatistics {
-    /// Services whose targets were looked for.
+    /// Number of services whose targets were determined again.
     pub services_resolved: usize,
-    /// Routes whose pattern and rule were compiled.
+    /// Number of routes whose pattern and rule were compiled.
     pub routes_compiled: usize,
-    /// Entries that were built, of compiled or known routes.
+    /// Number of entries that were built, whether their routes were compiled or reused.
     pub entries_built: usize,
 }
 
 impl Table {
-    /// The table before the first image: no route takes any request.
+    /// Returns the table before the first image, which matches no request.
     pub fn empty() -> Self {
         Table {
             state: Arc::new(State::default()),
@@ -47,19 +47,21 @@
         }
     }
 
-    /// Sets the retries per cent of requests, a second and saved up; tables built from this one
-    /// inherit them.
+    /// Sets the retry allowance: retries in per cent of the requests, retries per second, and the
+    /// largest number of saved retries. Tables built from this one inherit it.
     pub fn with_retry_allowance(mut self, (percent, per_s, saved): (u64, u64, u64)) -> Self {
         self.retry_allowance = RetryAllowance { percent, per_s, saved };
         self
     }
 
-    /// Builds the table of a new image. What it shares with the old one is taken over: the work is
-    /// that of what changed, and one pass over the routes.
+    /// Builds the table of a new image. It reuses what the image shares with that of the old table,
+    /// so the cost is one pass over the routes plus the work for what changed.
     pub fn new(state: Arc<State>, offset: u64, old: &Table) -> Self {
         let resolved = ResolvedServices::new(&state, old);
-        let mut statistics =
-            BuildStatistics { services_resolved: resolved.rebuilt, ..BuildStatistics::default() };
+        let mut statistics = BuildStatistics {
+            services_resolved: resolved.rebuilt_count,
+            ..BuildStatistics::default()
+        };
         let routes = RouteIndex::new(build_entries(&state, &resolved, old, &mut statistics));
         let compiled = routes.entries().iter().map(|entry| &entry.compiled);
         let rule_headers = compiled.flat_map(|route| route.rule_headers.iter().cloned()).collect();
@@ -74,22 +76,22 @@
         }
     }
 
-    /// The route that takes a request, by the rules of [`crate::route_match`].
+    /// Finds the route that matches a request, by the rules of [`crate::route_match`].
     pub fn find(&self, method: &str, path: &str, headers: &[(String, String)]) -> RouteMatch {
         self.routes.find(method, path, headers)
     }
 
-    /// Names of the headers that rules read.
+    /// Returns the names of the headers that the routes' rules read, in lower case.
     pub fn rule_headers(&self) -> &BTreeSet<String> {
         &self.rule_headers
     }
 
-    /// The loads of all known targets.
+    /// Returns the loads of all targets of the image, by instance.
     pub fn loads(&self) -> &Loads {
         &self.resolved.loads
     }
 
-    /// How much of it was built anew.
+    /// Returns how much of the table was built anew.
     pub fn statistics(&self) -> BuildStatistics {
         self.statistics
     }
@@ -102,12 +104,13 @@
         &self.resolved
     }
 
-    /// Nodes among which limits and retries of the fleet are divided; at least one.
+    /// Returns the number of nodes among which the fleet's limits and retries are divided; at least
+    /// 1.
     pub fn nodes(&self) -> u64 {
         self.state.nodes.len().max(1) as u64
     }
 
-    /// Whether a target may still get a request of this service under the present image.
+    /// Returns whether a target may get a request of this service under the table's image.
     pub fn allows(&self, service: &Name, instance: &Name) -> bool {
         let service = self.state.services.get(service);
         let target = self.state.targets.get(instance);
@@ -115,7 +118,8 @@
     }
 }
 
-/// The image's routes as entries, in its order. A route that does not compile is left out.
+/// Builds or reuses an entry for each of the image's routes, in the image's order. Omits routes
+/// that do not compile.
 fn build_entries(
     state: &State,
     resolved: &ResolvedServices,
@@ -123,11 +127,11 @@
     statistics: &mut BuildStatistics,
 ) -> Vec<Arc<Entry>> {
     let old_entries = old.routes.entries().iter();
-    let known: HashMap<*const Route, &Arc<Entry>> =
+    let old_by_route: HashMap<*const Route, &Arc<Entry>> =
         old_entries.map(|entry| (Arc::as_ptr(&entry.compiled.route), entry)).collect();
     let mut entries: Vec<Arc<Entry>> = Vec::with_capacity(state.routes.len());
     for route in &state.routes {
-        let compiled = match known.get(&Arc::as_ptr(route)) {
+        let compiled = match old_by_route.get(&Arc::as_ptr(route)) {
             Some(entry) if entry.is_resolved_by(resolved) => {
                 entries.push(Arc::clone(entry));
                 continue;
