--- a/crates/routing/src/traffic_rehearsal.rs
+++ b/crates/routing/src/traffic_rehearsal.rs
@@ -1,6 +1,7 @@
-//! The rehearsal of a plan by recent requests: which of them would be routed or limited otherwise.
+//! The rehearsal of a plan with recent requests: which of them would be routed or limited
+//! differently.
 //!
-//! Operators read the result as JSON; the names of its fields are fixed.
+//! Operators read the result as JSON, so the JSON names of its fields are fixed.
 
 use crate::{Entry, RouteMatch, Table};
 use facet::Facet;
@@ -12,73 +13,76 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// What would become of recent requests of one route of the plan in force.
+/// Counts of the sampled requests of one route of the plan in force, by how the new plan would
+/// treat them.
 #[derive(Clone, Debug, Default, PartialEq, Facet)]
 #[facet(rename_all = "camelCase")]
 pub struct RouteTraffic {
-    /// The route's methods and path.
+    /// The route's methods, separated by commas, and its path.
     pub route: String,
-    /// Requests of the sample that the route takes.
+    /// Sampled requests that the route matches.
     #[facet(rename = "asks")]
     pub requests: u64,
-    /// Those that no route of the new plan takes.
+    /// Requests of the route that no route of the new plan matches.
     pub lose_route: u64,
-    /// Those that would go to another service.
+    /// Requests of the route that would go to another service.
     pub change_service: u64,
-    /// Those whose service is chosen by other labels.
+    /// Requests of the route whose service would select its targets by other labels.
     pub change_targets: u64,
-    /// Those whose route would be of another kind.
+    /// Requests of the route whose new route would be of another kind.
     pub change_kind: u64,
-    /// Those whose body the new route does not take, and the old one does.
+    /// Requests of the route whose body exceeds the limit of the new route but not of the old one.
     pub break_body_limit: u64,
-    /// Those of a route that would get more requests a second than its new limit allows.
+    /// Requests of the route whose new route would get more requests per second than its limit
+    /// allows.
     pub break_rate_limit: u64,
 }
 
-/// Recent requests, run through the plan in force and the one that would replace it.
+/// The result of running recent requests through the plan in force and the one that would replace
+/// it.
 #[derive(Clone, Debug, Default, PartialEq, Facet)]
 #[facet(rename_all = "camelCase")]
 pub struct Traffic {
-    /// Requests of the sample that were compared.
+    /// Number of sampled requests that were compared.
     pub compared: u64,
-    /// All requests that nodes observed in that time.
+    /// Number of all requests that nodes observed in the sampled period, sampled or not.
     #[facet(rename = "seen")]
     pub observed: u64,
-    /// Length of that time.
+    /// Length of the sampled period, in seconds.
     pub seconds: u64,
-    /// Requests that only the new plan routes.
+    /// Number of sampled requests that only the new plan routes.
     pub gain_route: u64,
-    /// Requests that only the plan in force routes.
+    /// Number of sampled requests that only the plan in force routes.
     pub lose_route: u64,
-    /// Changes of service, targets and kind, over all routes.
+    /// Sum of `change_service`, `change_targets` and `change_kind` over all routes.
     pub changed: u64,
-    /// Requests over a new limit of body or rate.
+    /// Sum of `break_body_limit` and `break_rate_limit` over all routes.
     pub limited: u64,
-    /// One row for each route of the plan in force that the sample meets.
+    /// One row for each route of the plan in force that matches a sampled request.
     pub routes: Vec<RouteTraffic>,
-    /// What the sample can't show, and the reason; empty if it shows all.
+    /// What the rehearsal can't show, and why; empty if nothing is missing.
     pub missing: Vec<String>,
 }
 
-/// The requests that nodes reported lately.
+/// The requests that nodes reported in a recent period.
 pub struct RecentRequests {
-    /// A few of them.
+    /// Samples of these requests.
     pub samples: Vec<Sample>,
-    /// How many there were.
+    /// Number of all these requests.
     pub observed: u64,
-    /// In this time.
+    /// Length of the period, in seconds.
     pub seconds: u64,
 }
 
 impl Traffic {
-    /// A rehearsal that compared nothing, for this reason.
+    /// Returns the result of a rehearsal that could compare nothing, for this reason.
     pub fn unknown(reason: &str) -> Traffic {
         Traffic { missing: vec![reason.into()], ..Traffic::default() }
     }
 
-    /// Runs recent requests through both plans, for [`REHEARSAL_MS`] at most.
+    /// Runs recent requests through both plans; stops after [`REHEARSAL_MS`].
     pub fn of(before: &Plan, after: &Plan, recent: &RecentRequests) -> Traffic {
-        let mut comparison = Comparison::new(table(before), table(after));
+        let mut comparison = Comparison::new(build_table(before), build_table(after));
         let mut traffic =
             Traffic { observed: recent.observed, seconds: recent.seconds, ..Traffic::default() };
         if recent.samples.is_empty() {
@@ -112,7 +116,7 @@
     }
 }
 
-/// Which of the two plans route a request.
+/// Which of the two plans routes a request.
 enum RoutedBy {
     Neither,
     OldOnly,
@@ -126,23 +130,23 @@
     }
 }
 
-/// Both plans as tables, and what was counted so far.
+/// The routing tables of both plans, and the counts so far.
 struct Comparison {
     old: Table,
     new: Table,
-    /// By the name of the old route.
+    /// Counts by the name of the old route.
     rows: BTreeMap<String, RouteTraffic>,
-    /// By the name of the new route: the old route's name of each of its requests.
-    old_names: BTreeMap<String, Vec<String>>,
+    /// For each new route's name, the old route's name for each request that both plans route.
+    old_routes_by_new_route: BTreeMap<String, Vec<String>>,
 }
 
 impl Comparison {
     fn new(old: Table, new: Table) -> Comparison {
-        Comparison { old, new, rows: BTreeMap::new(), old_names: BTreeMap::new() }
+        Comparison { old, new, rows: BTreeMap::new(), old_routes_by_new_route: BTreeMap::new() }
     }
 
     fn compare(&mut self, sample: &Sample) -> RoutedBy {
-        let (before, after) = (find(&self.old, sample), find(&self.new, sample));
+        let (before, after) = (find_entry(&self.old, sample), find_entry(&self.new, sample));
         let Some(before) = before else {
             return if after.is_some() { RoutedBy::NewOnly } else { RoutedBy::Neither };
         };
@@ -153,11 +157,11 @@
             row.lose_route += 1;
             return RoutedBy::OldOnly;
         };
-        self.old_names.entry(route_name(&after)).or_default().push(name);
+        self.old_routes_by_new_route.entry(route_name(&after)).or_default().push(name);
         let (before, after) = (before.route(), after.route());
         row.change_service += u64::from(before.service != after.service);
-        let other_labels = labels(&self.old, &before.service) != labels(&self.new, &after.service);
-        row.change_targets += u64::from(other_labels);
+        let labels_differ = labels(&self.old, &before.service) != labels(&self.new, &after.service);
+        row.change_targets += u64::from(labels_differ);
         row.change_kind += u64::from(before.kind != after.kind);
         let body_bytes = sample.body_bytes;
         row.break_body_limit +=
@@ -165,15 +169,16 @@
         RoutedBy::Both
     }
 
-    /// The sample stands for all that was observed: a route's part of it is its part of that.
+    /// Counts the requests of new routes that exceed their rate. The sample represents all observed
+    /// requests: a route's fraction of the sample is taken as its fraction of them.
     fn count_over_rate(&mut self, recent: &RecentRequests, compared: u64) {
         for route in &self.new.state.routes {
             let Some(rate_per_s) = route.rate_per_s else { continue };
             let name = format!("{} {}", route.methods.join(","), route.path);
-            let old_names = self.old_names.get(&name).map_or(&[][..], Vec::as_slice);
-            let observed = old_names.len() as u64 * recent.observed / compared.max(1);
+            let old_routes = self.old_routes_by_new_route.get(&name).map_or(&[][..], Vec::as_slice);
+            let observed = old_routes.len() as u64 * recent.observed / compared.max(1);
             if observed > rate_per_s * recent.seconds.max(1) {
-                for name in old_names {
+                for name in old_routes {
                     self.rows.entry(name.clone()).or_default().break_rate_limit += 1;
                 }
             }
@@ -185,7 +190,7 @@
     table.state.services.get(service).map(|service| service.labels.clone())
 }
 
-fn table(plan: &Plan) -> Table {
+fn build_table(plan: &Plan) -> Table {
     let mut state = State::default();
     for record in plan.records() {
         state.apply(1, &record);
@@ -193,7 +198,7 @@
     Table::new(Arc::new(state), 1, &Table::empty())
 }
 
-fn find(table: &Table, sample: &Sample) -> Option<Arc<Entry>> {
+fn find_entry(table: &Table, sample: &Sample) -> Option<Arc<Entry>> {
     match table.find(&sample.method, &sample.path, &sample.headers) {
         RouteMatch::Route(entry) => Some(entry),
         RouteMatch::NoRoute | RouteMatch::OtherMethods(_) => None,
