--- a/crates/routing/tests/balancing/limits.rs
+++ b/crates/routing/tests/balancing/limits.rs
@@ -1,4 +1,4 @@
-//! Which requests a route's rate and concurrency admit at one of several nodes.
+//! Which requests a route's rate and concurrency limits admit at one of several nodes.
 
 use postbarrow_routing::{LimitExceeded, RouteLimits};
 use postbarrow_state::{Route, RouteKind};
@@ -36,20 +36,20 @@
 }
 
 #[test]
-fn a_rate_admits_one_second_at_once_and_refills_by_time() {
+fn a_rate_admits_one_seconds_requests_at_once_and_refills_by_time() {
     let limits = limits(Some(20), None);
-    assert_eq!(admitted(&limits, 1_000, 2), 10, "one second is there from the start");
+    assert_eq!(admitted(&limits, 1_000, 2), 10, "the bucket starts with one second's tokens");
     assert_eq!(limits.enter(1_000, 2), Err(LimitExceeded::Rate));
-    assert_eq!(limits.in_flight(), 10, "a rejected request gives its concurrency back");
+    assert_eq!(limits.in_flight(), 10, "a request rejected by the rate is not in flight");
     assert_eq!(admitted(&limits, 1_300, 2), 3);
-    assert_eq!(admitted(&limits, 9_000, 2), 10, "no more than a second is saved up");
+    assert_eq!(admitted(&limits, 9_000, 2), 10, "the bucket holds at most one second's tokens");
 }
 
 #[test]
-fn a_rate_below_the_number_of_nodes_refills_by_one_second_a_request_at_most() {
+fn a_refill_adds_at_most_one_seconds_tokens_for_a_rate_below_the_number_of_nodes() {
     let limits = limits(Some(1), None);
-    assert_eq!(admitted(&limits, 1_000, 4), 0, "a quarter of a token");
-    assert_eq!(admitted(&limits, 4_000, 4), 0, "three seconds count as one");
+    assert_eq!(admitted(&limits, 1_000, 4), 0, "the bucket has a quarter of a token");
+    assert_eq!(admitted(&limits, 4_000, 4), 0, "a refill counts three seconds as one");
     assert_eq!(admitted(&limits, 5_000, 4), 0);
     assert_eq!(admitted(&limits, 6_000, 4), 1);
 }
--- a/crates/routing/tests/balancing/main.rs
+++ b/crates/routing/tests/balancing/main.rs
@@ -1,4 +1,4 @@
-//! From a request to a target: route match, limits, selection and ejection.
+//! Route match, limits, selection and ejection, tested on tables of one route.
 
 mod ejection;
 mod limits;
--- a/crates/routing/tests/balancing/route_match.rs
+++ b/crates/routing/tests/balancing/route_match.rs
@@ -1,4 +1,4 @@
-//! Which route takes a request.
+//! Which requests a route with a host matches.
 
 use crate::support::table;
 use postbarrow_routing::RouteMatch;
--- a/crates/routing/tests/balancing/support.rs
+++ b/crates/routing/tests/balancing/support.rs
@@ -1,11 +1,12 @@
-//! A table of one route and a few targets with slots.
+//! Support for the balancing tests: a table of one route and a few targets.
 
 use postbarrow_routing::{Load, RouteMatch, Table};
 use postbarrow_state::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// One service on any path of `h.example`, of targets by name, zone, slots and whether they warm up.
+/// A table whose only route matches any path of the host `h.example`, for one service with targets
+/// given by name, zone, slots and whether they are warming up.
 pub fn table(targets: &[(&str, &str, u64, bool)]) -> Table {
     let mut state = State::default();
     let labels = Labels::from([("service".into(), "s".into())]);
@@ -43,13 +44,14 @@
     Table::new(Arc::new(state), 1, &Table::empty())
 }
 
-/// The load of a target by its name.
+/// Returns the load of a target, by the target's name.
 pub fn load<'t>(table: &'t Table, name: &str) -> &'t Arc<Load> {
     &table.loads()[name]
 }
 
-/// How often each target is selected in a hundred draws at this time.
-pub fn selections(table: &Table, now_ms: u64) -> BTreeMap<String, u32> {
+/// Returns how often each target is selected with a hundred different seeds at this time, in zone
+/// `a`.
+pub fn selection_counts(table: &Table, now_ms: u64) -> BTreeMap<String, u32> {
     let host = [("Host".to_string(), "H.example:8080".to_string())];
     let RouteMatch::Route(entry) = table.find("POST", "/a", &host) else { panic!("no route") };
     let mut counts = BTreeMap::new();
--- a/crates/routing/tests/table_reuse.rs
+++ b/crates/routing/tests/table_reuse.rs
@@ -1,4 +1,4 @@
-//! A new table is built from what its image does not share with the last.
+//! A new table reuses what its image shares with the previous one, and rebuilds the rest.
 
 use postbarrow_constants::plans::ROUTE_DEADLINE_MS;
 use postbarrow_routing::{BuildStatistics, RouteMatch, Table};
@@ -50,7 +50,8 @@
     state
 }
 
-/// Two services of one target each, and so many routes; each tenth is weighted between both.
+/// A state with two services of one target each and this many routes, alternating between the
+/// services; every tenth route is weighted between both.
 fn initial_state(routes: usize) -> State {
     let mut records = vec![
         Record::PlanStart { version: "v1".into(), base: None },
@@ -107,7 +108,10 @@
         BuildStatistics { services_resolved: 0, routes_compiled: 1, entries_built: 1 }
     );
     assert!(matches!(new.find("GET", "/r900", &headers), RouteMatch::Route(_)));
-    assert!(matches!(new.find("GET", "/r11", &[]), RouteMatch::NoRoute), "a removed route");
+    assert!(
+        matches!(new.find("GET", "/r11", &[]), RouteMatch::NoRoute),
+        "a removed route still matches"
+    );
 }
 
 #[test]
@@ -117,7 +121,11 @@
     let state = applied(&state, &change("v2", vec![service("t", "one")]));
     let new = table(&state, &old);
     let expected = BuildStatistics { services_resolved: 1, routes_compiled: 0, entries_built: 50 };
-    assert_eq!(new.statistics(), expected, "odd routes use it, and the weighted ones are odd");
+    assert_eq!(
+        new.statistics(),
+        expected,
+        "the odd routes use the service, and all weighted routes are odd"
+    );
     let RouteMatch::Route(entry) = new.find("GET", "/r1", &[]) else { panic!("no route") };
     assert_eq!(entry.select_target("a", &[], 0, 1).unwrap().0.instance, "one-1");
 }
@@ -129,11 +137,18 @@
     let state = applied(&state, &change("v2", vec![service("s", "two")]));
     let new = table(&state, &old);
     let expected = BuildStatistics { services_resolved: 1, routes_compiled: 0, entries_built: 60 };
-    assert_eq!(new.statistics(), expected, "even routes use it, and ten weighted odd ones");
+    assert_eq!(
+        new.statistics(),
+        expected,
+        "the even routes and ten weighted odd routes use the service"
+    );
     for seed in 0..20 {
         let RouteMatch::Route(entry) = new.find("GET", "/r99", &[]) else { panic!("no route") };
         let target = entry.draw_service(seed).select_target("a", &[], 0, seed).unwrap().0;
-        assert_eq!(target.instance, "two-1", "a weighted route retained a service as it was");
+        assert_eq!(
+            target.instance, "two-1",
+            "a weighted route retained the targets of the old service"
+        );
     }
 }
 
--- a/crates/routing/tests/traffic_rehearsal.rs
+++ b/crates/routing/tests/traffic_rehearsal.rs
@@ -1,4 +1,4 @@
-//! Recent requests run through two plans.
+//! A traffic rehearsal runs recent requests through two plans and counts the differences.
 
 use postbarrow_plan::Plan;
 use postbarrow_routing::{RecentRequests, RouteTraffic, Traffic};
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn each_recent_request_that_a_plan_changes_is_counted_at_its_route() {
+fn each_recent_request_that_a_plan_treats_differently_is_counted_for_its_route() {
     let samples = vec![
         sample("GET", "/stock/1", 0),
         sample("GET", "/old", 0),
@@ -52,7 +52,11 @@
     assert_eq!((row("GET /old").requests, row("GET /old").lose_route), (2, 2));
     let prices = row("GET /prices");
     assert_eq!((prices.change_service, prices.change_targets, prices.change_kind), (1, 1, 1));
-    assert_eq!(row("GET /stock/*").change_targets, 1, "other labels choose its targets");
+    assert_eq!(
+        row("GET /stock/*").change_targets,
+        1,
+        "the service selects its targets by other labels"
+    );
     assert_eq!((row("POST /transfers").requests, row("POST /transfers").break_body_limit), (2, 1));
     assert_eq!(traffic.changed, 4);
     assert!(traffic.missing[0].contains("x-store"), "{:?}", traffic.missing);
@@ -64,17 +68,17 @@
     let limited = |observed| {
         Traffic::of(&plan(BEFORE), &plan(AFTER), &recent(samples(), observed, 10)).limited
     };
-    assert_eq!((limited(30), limited(60)), (0, 1), "half of 60 in 10 s is over 2 a second");
+    assert_eq!((limited(30), limited(60)), (0, 1), "half of 60 requests in 10 s exceed 2 a second");
 }
 
 #[test]
-fn a_plan_against_itself_changes_nothing_and_an_empty_sample_is_reported_as_missing() {
+fn an_identical_plan_changes_nothing_and_an_empty_sample_is_reported_as_missing() {
     let same =
         Traffic::of(&plan(BEFORE), &plan(BEFORE), &recent(vec![sample("GET", "/old", 0)], 1, 1));
     assert_eq!((same.lose_route, same.changed, same.limited), (0, 0, 0));
     assert!(same.missing.is_empty(), "{:?}", same.missing);
-    let none = Traffic::of(&plan(BEFORE), &plan(AFTER), &recent(Vec::new(), 0, 0));
-    assert!(none.missing.iter().any(|reason| reason.contains("no node")), "{:?}", none.missing);
+    let empty = Traffic::of(&plan(BEFORE), &plan(AFTER), &recent(Vec::new(), 0, 0));
+    assert!(empty.missing.iter().any(|reason| reason.contains("no node")), "{:?}", empty.missing);
 }
 
 #[test]
@@ -86,13 +90,13 @@
     let text = AFTER.replace(r#""routes":["#, &format!(r#""routes":[{route},"#));
     let traffic =
         Traffic::of(&plan(BEFORE), &plan(&text), &recent(vec![sample("GET", "/old", 0)], 1, 1));
-    let named: Vec<&str> =
+    let missing_headers: Vec<&str> =
         traffic.missing.iter().filter_map(|reason| reason.split('"').nth(1)).collect();
-    assert_eq!(named, ["host", "x-a", "x-c", "x-store"]);
+    assert_eq!(missing_headers, ["host", "x-a", "x-c", "x-store"]);
 }
 
 #[test]
-fn the_json_of_a_rehearsal_has_the_names_that_operators_read() {
+fn the_json_of_a_traffic_rehearsal_keeps_its_field_names() {
     let row = RouteTraffic {
         route: "GET /a".into(),
         requests: 1,
