--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,14 +1,15 @@
-//! Route plans: reading and checks, records, deltas, and the rehearsal against the plan in force.
+//! Route plans: reading and checking, log records, deltas, and the rehearsal against the plan in
+//! force.
 //!
 //! | question | module |
 //! | --- | --- |
-//! | what a plan's text must be | `plan_reader`, `route_reader`, `route_options`, `weighted_services`, `limits_reader` |
+//! | how a plan's text is read and checked | `plan_reader`, `route_reader`, `route_options`, `weighted_services`, `limits_reader` |
 //! | which paths a pattern matches | `pattern` |
-//! | which records a plan is in the log | `plan` |
-//! | which records make it from the plan in force | `delta`, by `patience_diff` and `splices` |
-//! | what changes for routes and targets | `rehearsal` |
+//! | which log records represent a plan | `plan` |
+//! | which records turn the plan in force into a new plan | `delta`, with `patience_diff` and `splices` |
+//! | what a new plan changes for routes and targets | `rehearsal` |
 //!
-//! Names of fields and texts of findings are the operators' and stay as they are.
+//! Operators rely on the names of JSON fields and the texts of findings, so these must not change.
 
 #![deny(missing_docs)]
 
@@ -31,5 +32,5 @@
 pub use rehearsal::{Rehearsal, ServiceRehearsal};
 pub use weighted_services::{NoWeight, weights};
 
-/// A route with this method takes every method.
+/// The method name in a plan that matches every method.
 pub const ANY_METHOD: &str = "*";
--- a/crates/plan/src/limits_reader.rs
+++ b/crates/plan/src/limits_reader.rs
@@ -1,13 +1,13 @@
-//! Reads the limits of a route, and those of every client.
+//! Reads the limits of a route, and the limits that apply to every client.
 
 use postbarrow_constants::plans::*;
 use postbarrow_reading::{Fields, Reading};
 use postbarrow_state::ClientLimits;
 
-/// Largest rate and concurrency of a route.
+/// Largest rate (in requests per second) and concurrency of a route.
 const ROUTE_LIMIT_MAX: u64 = 1_000_000;
 
-/// The limits of a route, for the whole fleet.
+/// The limits of a route; rate and concurrency apply to the whole fleet.
 pub(crate) struct Limits {
     pub body_bytes: u64,
     pub rate_per_s: Option<u64>,
@@ -15,7 +15,7 @@
     pub deadline_ms: u64,
 }
 
-/// Reads `limits` of a route; absent ones have their defaults.
+/// Reads the field `limits` of a route; absent limits have their defaults.
 pub(crate) fn read_route_limits(route: &mut Fields<'_>, reading: &mut Reading) -> Limits {
     let mut limits = Limits {
         body_bytes: ROUTE_BODY_BYTES,
@@ -38,7 +38,7 @@
     limits
 }
 
-/// Reads `callers` of a plan: what every client is limited to.
+/// Reads the field `callers` of a plan: the limits that apply to every client.
 pub(crate) fn read_client_limits(plan: &mut Fields<'_>, reading: &mut Reading) -> ClientLimits {
     let json_path = plan.path_of("callers");
     let Some(value) = plan.get("callers") else { return ClientLimits::default() };
--- a/crates/plan/src/pattern.rs
+++ b/crates/plan/src/pattern.rs
@@ -1,47 +1,48 @@
-//! Patterns of paths, compared by raw segments.
+//! Path patterns, which are matched against the raw segments of a path.
 
 use compact_str::CompactString;
 
-/// One segment of a pattern. Their order is the order in which routes are tried.
+/// One segment of a pattern. The order of the variants decides the order in which routes are tried.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Segment {
-    /// This very segment.
+    /// Matches exactly this segment.
     Literal(CompactString),
-    /// Any one segment but an empty one, `.` and `..`; written `{name}`.
+    /// Matches any one segment except an empty one, `.` and `..`; written `{name}`.
     One,
-    /// All that remains, at least an empty segment; written `*`, and last.
+    /// Matches all remaining segments, of which there must be at least one, if only an empty one;
+    /// written `*`, and only allowed as the last segment.
     Rest,
 }
 
-/// A pattern of paths such as `/loans/{id}/notes` or `/photos/*`.
+/// A path pattern such as `/loans/{id}/notes` or `/photos/*`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Pattern {
-    /// In their order.
+    /// The segments in the order of the path.
     pub segments: Vec<Segment>,
 }
 
-/// Why a text is no pattern; operators read the texts.
+/// Why a text is not a valid pattern; the error texts are shown to operators as findings.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PatternError {
-    /// It does not begin with `/`.
+    /// The text does not begin with `/`.
     #[error("must begin with /")]
     NoSlash,
-    /// It has a query, a fragment, spaces or bytes outside ASCII.
+    /// The text has a query, a fragment, spaces, control characters or bytes outside ASCII.
     #[error("must be a raw path without query, fragment or spaces")]
     NotRaw,
-    /// It has a segment that clients and targets resolve differently.
+    /// The text has a segment `.` or `..`, which clients and targets resolve differently.
     #[error("must not hold . or .. as a segment")]
     DotSegment,
-    /// A segment has a wildcard in the wrong place.
+    /// This segment has `*`, `{` or `}` in a place where it is not allowed.
     #[error("{0:?} is neither a name, {{name}} nor a last *")]
     Wildcard(String),
 }
 
 impl Pattern {
-    /// Reads a pattern.
+    /// Parses a pattern.
     ///
     /// # Errors
-    /// What of it is not allowed.
+    /// Returns the first rule that the text breaks.
     pub fn read(text: &str) -> Result<Pattern, PatternError> {
         let Some(rest) = text.strip_prefix('/') else { return Err(PatternError::NoSlash) };
         if !text.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'?' && byte != b'#') {
@@ -64,12 +65,12 @@
         Ok(Pattern { segments })
     }
 
-    /// Equal for patterns that match the same paths.
+    /// Returns a key that is equal for patterns that match the same paths.
     pub fn shape(&self) -> Vec<Segment> {
         self.segments.clone()
     }
 
-    /// Whether it matches a raw path, without its query.
+    /// Returns whether the pattern matches a raw path, given without its query.
     pub fn matches(&self, path: &str) -> bool {
         let Some(rest) = path.strip_prefix('/') else { return false };
         let mut texts = rest.split('/');
--- a/crates/plan/src/plan.rs
+++ b/crates/plan/src/plan.rs
@@ -1,4 +1,4 @@
-//! A plan as it was submitted, and its records.
+//! A submitted plan, and the log records that represent it.
 
 use crate::plan_reader::read_plan;
 use compact_str::CompactString;
@@ -9,17 +9,17 @@
 /// A plan that was read and checked.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its own version.
+    /// The plan's version.
     pub version: String,
-    /// The version that it replaces; none of a first plan.
+    /// The version of the plan that this one replaces; none for a first plan.
     pub base: Option<String>,
-    /// In the order of their names.
+    /// The services, ordered by name.
     pub services: Vec<Service>,
-    /// In the plan's order.
+    /// The routes in the plan's order.
     pub routes: Vec<Route>,
-    /// What every client is limited to.
+    /// The limits that apply to every client.
     pub callers: ClientLimits,
-    /// Byte for byte as it was submitted.
+    /// The plan's text, byte for byte as it was submitted.
     pub text: String,
 }
 
@@ -27,24 +27,25 @@
     /// Reads and checks a plan.
     ///
     /// # Errors
-    /// All that is wrong with it, with JSON paths and lines.
-    pub fn read(given: &[u8]) -> Result<Plan, Findings> {
-        if given.len() > PLAN_TEXT_BYTES {
+    /// Returns everything that is wrong with the plan, with JSON paths and lines.
+    pub fn read(submitted: &[u8]) -> Result<Plan, Findings> {
+        if submitted.len() > PLAN_TEXT_BYTES {
             let message = format!("is larger than {PLAN_TEXT_BYTES} bytes");
             return Err(Findings::without_position("$", message));
         }
-        let given = std::str::from_utf8(given).map_err(|error| {
+        let submitted = std::str::from_utf8(submitted).map_err(|error| {
             Findings::without_position("$", format!("is not UTF-8 at byte {}", error.valid_up_to()))
         })?;
-        let (value, mut reading) = Reading::parse(given)?;
-        let plan = read_plan(&value, given, &mut reading);
+        let (value, mut reading) = Reading::parse(submitted)?;
+        let plan = read_plan(&value, submitted, &mut reading);
         match plan {
             Some(plan) => reading.finish(plan),
             None => Err(reading.finish(()).expect_err("a plan that can't be read has findings")),
         }
     }
 
-    /// The plan as records; its text goes along so that it reads back byte for byte.
+    /// Returns the log records that represent the plan. They include its text, so that the plan can
+    /// be read back byte for byte.
     pub fn records(&self) -> Vec<Record> {
         let mut records = vec![Record::PlanStart {
             version: CompactString::from(&self.version),
--- a/crates/plan/src/plan_reader.rs
+++ b/crates/plan/src/plan_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a plan's JSON: versions, services and routes.
+//! Reads a plan's JSON: versions, services, routes and the limits of clients.
 
 use crate::route_reader::read_route;
 use crate::{Pattern, Plan, Segment, limits_reader};
@@ -8,8 +8,8 @@
 use postbarrow_state::{Labels, Name, Route, Service};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The plan; none if a part that it needs can't be read, which is a finding then.
-pub(crate) fn read_plan(value: &Value, given: &str, reading: &mut Reading) -> Option<Plan> {
+/// Reads a plan; none if a required part can't be read, which is then reported as a finding.
+pub(crate) fn read_plan(value: &Value, submitted: &str, reading: &mut Reading) -> Option<Plan> {
     let mut fields = Fields::of(value, "$", reading)?;
     let (version, base) = read_versions(&mut fields, reading);
     let mut services = BTreeMap::new();
@@ -19,16 +19,16 @@
         }
     }
     let mut routes = Vec::new();
-    let mut known = BTreeSet::new();
+    let mut earlier_keys = BTreeSet::new();
     for (json_path, value) in fields.array("routes", reading) {
         let Some(route) = read_route(&json_path, value, &services, reading) else { continue };
-        check_is_first(&route, &mut known, &json_path, reading);
+        check_is_unique(&route, &mut earlier_keys, &json_path, reading);
         routes.push(route);
     }
     let callers = limits_reader::read_client_limits(&mut fields, reading);
     fields.finish(reading);
     let services = services.into_values().collect();
-    Some(Plan { version: version?, base, services, routes, callers, text: given.to_string() })
+    Some(Plan { version: version?, base, services, routes, callers, text: submitted.to_string() })
 }
 
 fn read_versions(
@@ -70,19 +70,19 @@
     Some(Service { name: CompactString::from(name), labels })
 }
 
-/// What two routes must not share: pattern, method, rule and host.
+/// Pattern, method, rule and host of a route: no two routes may have the same.
 type RouteKey = (Option<Vec<Segment>>, Name, Option<String>, Option<Name>);
 
-fn check_is_first(
+fn check_is_unique(
     route: &Route,
-    known: &mut BTreeSet<RouteKey>,
+    earlier_keys: &mut BTreeSet<RouteKey>,
     json_path: &str,
     reading: &mut Reading,
 ) {
     for method in &route.methods {
         let shape = Pattern::read(&route.path).map(|pattern| pattern.shape());
         let key = (shape.ok(), method.clone(), route.when.clone(), route.host.clone());
-        if !known.insert(key) {
+        if !earlier_keys.insert(key) {
             let message = format!("has {method} {} a second time", route.path);
             reading.find(json_path, message);
         }
--- a/crates/plan/src/route_options.rs
+++ b/crates/plan/src/route_options.rs
@@ -5,7 +5,7 @@
 use postbarrow_reading::{Fields, Reading};
 use postbarrow_state::Name;
 
-/// The options of a route that its requests' balancing follows.
+/// The optional fields of a route that concern the balancing of its requests.
 pub(crate) struct RouteOptions {
     pub host: Option<Name>,
     pub max_attempts: Option<u64>,
@@ -13,7 +13,7 @@
     pub priority: u64,
 }
 
-/// Reads `host`, `tries`, `goalMs` and `precedence`.
+/// Reads the fields `host`, `tries`, `goalMs` and `precedence` of a route.
 pub(crate) fn read(route: &mut Fields<'_>, reading: &mut Reading) -> RouteOptions {
     let host = route.text_or_none("host", reading).map(str::to_ascii_lowercase);
     if host.as_ref().is_some_and(|host| !is_host(host)) {
--- a/crates/plan/src/route_reader.rs
+++ b/crates/plan/src/route_reader.rs
@@ -7,7 +7,8 @@
 use postbarrow_state::{Name, Route, RouteKind, Service};
 use std::collections::BTreeMap;
 
-/// The route; none if a part that it needs can't be read. Findings are in the order of this text.
+/// Reads a route; none if a required part can't be read. Findings are reported in the order in
+/// which this function reads the fields.
 pub(crate) fn read_route(
     json_path: &str,
     value: &Value,
@@ -18,8 +19,8 @@
     let path = read_path(&mut fields, reading);
     let methods = read_methods(&mut fields, reading);
     let kind = read_kind(&mut fields, &methods, reading);
-    let is_known = |name: &str| services.contains_key(name);
-    let (service, weighted) = weighted_services::read(&mut fields, &is_known, reading);
+    let is_service = |name: &str| services.contains_key(name);
+    let (service, weighted) = weighted_services::read(&mut fields, &is_service, reading);
     let when = read_rule(&mut fields, reading);
     let limits = limits_reader::read_route_limits(&mut fields, reading);
     let options = route_options::read(&mut fields, reading);
@@ -70,8 +71,8 @@
     methods
 }
 
-/// A `repeatable` route is a lookup that takes any method; a `lookup` takes safe ones only (RFC 9110,
-/// 9.2.1).
+/// Reads the kind of a route. A `repeatable` route is a lookup that allows any method; a `lookup`
+/// allows only safe methods (RFC 9110, 9.2.1).
 fn read_kind(
     fields: &mut Fields<'_>,
     methods: &[Name],
