--- a/crates/plan/src/delta.rs
+++ b/crates/plan/src/delta.rs
@@ -1,22 +1,23 @@
-//! A submitted plan as a delta of the plan in force: records in proportion to what differs.
+//! The delta from the plan in force to a submitted plan: records whose size is in proportion to the
+//! difference.
 
 use crate::patience_diff::{Change, changes, trim};
-use crate::splices::group;
+use crate::splices::group_splices;
 use postbarrow_constants::plans::{ROUTES_PER_PATCH, TEXT_CHUNK_BYTES};
 use postbarrow_state::{PlanHead, Record, Route, Splice, State};
 use postbarrow_transactions::Image as _;
 
-/// Records that make the submitted plan from the one in force. None if there is no plan in force,
-/// or if they would be no fewer bytes than the submitted ones, or if they would not make the very
-/// same state: then the submitted records go into the log.
+/// Returns the records that turn the plan in force into the submitted one. None if there is no plan
+/// in force, if these records would have no fewer bytes than the submitted ones, or if they would
+/// not produce exactly the same state: the submitted records are then written to the log instead.
 pub fn delta(in_force: &State, submitted: &[Record]) -> Option<Vec<Record>> {
     in_force.plan.as_ref()?;
-    let wanted = applied(State::default(), submitted);
-    let records = difference(in_force, &wanted, wanted.plan.as_deref()?);
+    let submitted_state = applied(State::default(), submitted);
+    let records = delta_records(in_force, &submitted_state, submitted_state.plan.as_deref()?);
     if encoded_bytes(&records) >= encoded_bytes(submitted) {
         return None;
     }
-    applied(in_force.clone(), &records).has_plan_of(&wanted).then_some(records)
+    applied(in_force.clone(), &records).has_plan_of(&submitted_state).then_some(records)
 }
 
 fn applied(mut state: State, records: &[Record]) -> State {
@@ -28,7 +29,7 @@
     records.iter().map(|record| rmp_serde::to_vec(record).map_or(0, |bytes| bytes.len())).sum()
 }
 
-fn difference(old: &State, new: &State, head: &PlanHead) -> Vec<Record> {
+fn delta_records(old: &State, new: &State, head: &PlanHead) -> Vec<Record> {
     let (version, base) = (head.version.clone(), head.base.clone());
     let mut records = vec![Record::PlanDelta { version, base }];
     if old.client_limits != new.client_limits {
@@ -54,20 +55,20 @@
         routes.iter().map(bytes).collect()
     };
     let (old, new) = (&old[middle.old.clone()], &new[middle.new]);
-    let found = changes(&encoded(old), &encoded(new));
-    let splices = found.into_iter().map(|change| Splice {
+    let route_changes = changes(&encoded(old), &encoded(new));
+    let splices = route_changes.into_iter().map(|change| Splice {
         at: (middle.old.start + change.old.start) as u64,
         removed: change.old.len() as u64,
         inserted: new[change.new].iter().map(|route| (*route).clone()).collect(),
     });
-    group(splices, ROUTES_PER_PATCH).into_iter().map(Record::RoutesPatch).collect()
+    group_splices(splices, ROUTES_PER_PATCH).into_iter().map(Record::RoutesPatch).collect()
 }
 
 fn text_patches(old: &[u8], new: &[u8]) -> Vec<Record> {
     let (old_tokens, new_tokens) = (tokens(old), tokens(new));
-    let found = changes(&old_tokens, &new_tokens);
+    let token_changes = changes(&old_tokens, &new_tokens);
     let (old_offsets, new_offsets) = (offsets(&old_tokens), offsets(&new_tokens));
-    let splices = found.into_iter().filter_map(|change| {
+    let splices = token_changes.into_iter().filter_map(|change| {
         let change = Change {
             old: old_offsets[change.old.start]..old_offsets[change.old.end],
             new: new_offsets[change.new.start]..new_offsets[change.new.end],
@@ -81,21 +82,21 @@
         removed: splice.removed,
         inserted: splice.inserted.into(),
     };
-    let groups = group(splices, TEXT_CHUNK_BYTES).into_iter();
+    let groups = group_splices(splices, TEXT_CHUNK_BYTES).into_iter();
     groups.map(|splices| Record::TextPatch(splices.into_iter().map(bytes).collect())).collect()
 }
 
-/// The text split after lines and objects, so that one route is about one token.
+/// Splits the text after each line and each `}`, so that a route is about one token.
 fn tokens(text: &[u8]) -> Vec<&[u8]> {
     text.split_inclusive(|byte| matches!(byte, b'}' | b'\n')).collect()
 }
 
-/// Where each token starts, and last the text's end.
+/// Returns the offset at which each token starts, followed by the length of the text.
 fn offsets(tokens: &[&[u8]]) -> Vec<usize> {
     let mut end = 0;
-    let each = tokens.iter().map(|token| {
+    let ends = tokens.iter().map(|token| {
         end += token.len();
         end
     });
-    std::iter::once(0).chain(each).collect()
+    std::iter::once(0).chain(ends).collect()
 }
--- a/crates/plan/src/patience_diff.rs
+++ b/crates/plan/src/patience_diff.rs
@@ -1,35 +1,37 @@
-//! The difference of two sequences: patience diff (Cohen), by the items that occur once in both.
+//! The difference of two sequences by patience diff (Cohen), which aligns them at the items that
+//! occur exactly once in each.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 use std::ops::Range;
 
-/// A run of the old sequence that a run of the new one replaces; either may be empty.
+/// A range of the old sequence that is replaced by a range of the new one; either may be empty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Positions in the old sequence.
+    /// The replaced positions in the old sequence.
     pub old: Range<usize>,
-    /// Positions in the new sequence.
+    /// The replacing positions in the new sequence.
     pub new: Range<usize>,
 }
 
-/// What differs, in order; all between the changes is the same.
+/// Returns the changes from the old to the new sequence, in order; the items between them are
+/// equal.
 pub fn changes<T: Eq + Hash>(old: &[T], new: &[T]) -> Vec<Change> {
     let all = Change { old: 0..old.len(), new: 0..new.len() };
     let Some(middle) = trim(old, new, all) else { return Vec::new() };
-    let mut found = Vec::new();
+    let mut differences = Vec::new();
     let (mut old_from, mut new_from) = (middle.old.start, middle.new.start);
     for (old_at, new_at) in anchors(old, new, &middle) {
         let gap = Change { old: old_from..old_at, new: new_from..new_at };
-        found.extend(trim(old, new, gap));
+        differences.extend(trim(old, new, gap));
         (old_from, new_from) = (old_at + 1, new_at + 1);
     }
     let gap = Change { old: old_from..middle.old.end, new: new_from..middle.new.end };
-    found.extend(trim(old, new, gap));
-    found
+    differences.extend(trim(old, new, gap));
+    differences
 }
 
-/// The change without the items that both runs start and end with; none if nothing remains.
+/// Removes from a change the items that both ranges start and end with; none if nothing remains.
 pub(crate) fn trim<T: PartialEq>(old: &[T], new: &[T], change: Change) -> Option<Change> {
     let (old_run, new_run) = (&old[change.old.clone()], &new[change.new.clone()]);
     let is_same = |(one, other): &(&T, &T)| one == other;
@@ -41,14 +43,15 @@
     (!old.is_empty() || !new.is_empty()).then_some(Change { old, new })
 }
 
-/// Where one item occurs.
+/// The positions of one item in both sequences.
 #[derive(Default)]
 struct Occurrences {
     old: Vec<usize>,
     new: Vec<usize>,
 }
 
-/// The longest run of items, unique on both sides, that stand in the same order.
+/// Returns the positions, in the old and the new sequence, of the longest series of items that
+/// occur exactly once in each sequence and are in the same order in both.
 fn anchors<T: Eq + Hash>(old: &[T], new: &[T], middle: &Change) -> Vec<(usize, usize)> {
     let mut occurrences: HashMap<&T, Occurrences> = HashMap::new();
     for at in middle.old.clone() {
@@ -63,12 +66,12 @@
     });
     let mut pairs: Vec<(usize, usize)> = unique.collect();
     pairs.sort_unstable_by_key(|(_, new_at)| *new_at);
-    longest_rising(&pairs)
+    longest_increasing(&pairs)
 }
 
-/// The longest subsequence whose first numbers rise, by patience sorting.
-fn longest_rising(pairs: &[(usize, usize)]) -> Vec<(usize, usize)> {
-    // By length less one: the pair with the smallest number that ends a subsequence of this length.
+/// Returns the longest subsequence whose first numbers increase, by patience sorting.
+fn longest_increasing(pairs: &[(usize, usize)]) -> Vec<(usize, usize)> {
+    // At index n: the pair with the smallest first number that ends a subsequence of length n + 1.
     let mut last_pairs: Vec<usize> = Vec::new();
     let mut previous: Vec<Option<usize>> = Vec::with_capacity(pairs.len());
     for (at, (old_at, _)) in pairs.iter().enumerate() {
--- a/crates/plan/src/rehearsal.rs
+++ b/crates/plan/src/rehearsal.rs
@@ -1,21 +1,21 @@
-//! The rehearsal of a plan against the one it replaces: what changes for routes and targets.
+//! The rehearsal of a plan against the plan in force: what it would change for routes and targets.
 //!
-//! Operators read the result as JSON; the names of its fields are fixed.
+//! Operators read the result as JSON, so the JSON names of its fields are fixed.
 
 use facet::Facet;
 use postbarrow_state::{Name, Route, Service, State};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::sync::Arc;
 
-/// How many live targets a service of the staged plan has.
+/// The number of live targets of a service of the staged plan, before and after.
 #[derive(Clone, Debug, PartialEq, Facet)]
 #[facet(rename_all = "camelCase")]
 pub struct ServiceRehearsal {
-    /// Its name.
+    /// The service's name.
     pub service: String,
-    /// Under the plan in force; 0 of a new service.
+    /// Number of live targets under the plan in force; 0 for a new service.
     pub live_before: u64,
-    /// Under the staged plan.
+    /// Number of live targets under the staged plan.
     pub live_after: u64,
 }
 
@@ -23,29 +23,30 @@
 #[derive(Clone, Debug, PartialEq, Facet)]
 #[facet(rename_all = "camelCase")]
 pub struct Rehearsal {
-    /// By method and path, as all routes here.
+    /// Routes of the staged plan alone, by method and path.
     pub routes_added: Vec<String>,
-    /// Routes of the plan in force alone.
+    /// Routes of the plan in force alone, by method and path.
     pub routes_removed: Vec<String>,
-    /// Routes that differ in anything else.
+    /// Routes of both plans that differ in anything else, by method and path.
     pub routes_changed: Vec<String>,
     /// Services of the staged plan alone.
     pub services_added: Vec<String>,
     /// Services of the plan in force alone.
     pub services_removed: Vec<String>,
-    /// Services that are chosen by other labels.
+    /// Services of both plans that select their targets by other labels.
     pub services_changed: Vec<String>,
     /// One row for each service of the staged plan.
     pub live_targets: Vec<ServiceRehearsal>,
-    /// Routed services that would have no live target.
+    /// Services that get requests from a route of the staged plan and would have no live target.
     pub without_target: Vec<String>,
 }
 
 impl Rehearsal {
-    /// Looks closely only at what the two states don't share.
+    /// Compares the states of the plan in force and the staged plan. Routes that both states share
+    /// are not compared in detail.
     pub fn of(before: &State, staged: &State) -> Rehearsal {
         let (old, new) = changed_routes(before, staged);
-        let (routes_added, routes_removed, routes_changed) = differ(&old, &new);
+        let (routes_added, routes_removed, routes_changed) = compare_by_name(&old, &new);
         let services = |state: &State| -> BTreeMap<String, _> {
             state
                 .services
@@ -54,7 +55,7 @@
                 .collect()
         };
         let (old, new) = (services(before), services(staged));
-        let (services_added, services_removed, services_changed) = differ(&old, &new);
+        let (services_added, services_removed, services_changed) = compare_by_name(&old, &new);
         let live_targets = live_targets(before, staged);
         let empty = live_targets.iter().filter(|row| row.live_after == 0);
         let empty: BTreeSet<&str> = empty.map(|row| row.service.as_str()).collect();
@@ -95,16 +96,18 @@
 
 type NamedRoutes = BTreeMap<String, Vec<Route>>;
 
-/// Routes of both states by method and path; paths all of whose routes are shared are left out.
+/// Returns the routes of both states by method and path, without the paths whose routes are all
+/// shared.
 fn changed_routes(before: &State, staged: &State) -> (NamedRoutes, NamedRoutes) {
     let shared = shared_routes(before, staged);
-    let own = |route: &&Arc<Route>| !shared.contains(&Arc::as_ptr(route));
-    let either = before.routes.iter().chain(&staged.routes);
-    let paths: HashSet<&Name> = either.filter(own).map(|route| &route.path).collect();
-    (routes(before, &paths), routes(staged, &paths))
+    let is_not_shared = |route: &&Arc<Route>| !shared.contains(&Arc::as_ptr(route));
+    let all_routes = before.routes.iter().chain(&staged.routes);
+    let paths: HashSet<&Name> = all_routes.filter(is_not_shared).map(|route| &route.path).collect();
+    (routes_by_name(before, &paths), routes_by_name(staged, &paths))
 }
 
-/// Routes that both states share, if they stand in the same order; routes of one path depend on it.
+/// Returns the routes that both states share, or none if their order differs: the order decides
+/// between routes of one path.
 fn shared_routes(before: &State, staged: &State) -> HashSet<*const Route> {
     let pointers =
         |state: &State| -> Vec<*const Route> { state.routes.iter().map(Arc::as_ptr).collect() };
@@ -116,7 +119,7 @@
     if same_order { in_old.intersection(&in_new).copied().collect() } else { HashSet::new() }
 }
 
-fn routes(state: &State, paths: &HashSet<&Name>) -> NamedRoutes {
+fn routes_by_name(state: &State, paths: &HashSet<&Name>) -> NamedRoutes {
     let mut named = NamedRoutes::new();
     for route in state.routes.iter().filter(|route| paths.contains(&route.path)) {
         for method in &route.methods {
@@ -127,7 +130,7 @@
     named
 }
 
-fn differ<V: PartialEq>(
+fn compare_by_name<V: PartialEq>(
     old: &BTreeMap<String, V>,
     new: &BTreeMap<String, V>,
 ) -> (Vec<String>, Vec<String>, Vec<String>) {
@@ -135,7 +138,7 @@
     let removed = old.keys().filter(|name| !new.contains_key(*name)).cloned().collect();
     let changed = new
         .iter()
-        .filter(|(name, value)| old.get(*name).is_some_and(|known| known != *value))
+        .filter(|(name, value)| old.get(*name).is_some_and(|old_value| old_value != *value))
         .map(|(name, _)| name.clone())
         .collect();
     (added, removed, changed)
