--- a/crates/plan/tests/delta.rs
+++ b/crates/plan/tests/delta.rs
@@ -1,4 +1,4 @@
-//! A plan's delta makes the very state that the submitted plan makes, from what differs alone.
+//! A plan's delta produces the same state as the submitted plan, and contains only the differences.
 
 use postbarrow_constants::plans::{BATCH_BYTES, TEXT_CHUNK_BYTES};
 use postbarrow_plan::{Change, Plan, changes, delta};
@@ -7,17 +7,17 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-/// A fixed sequence of numbers for each seed.
-struct Numbers(u64);
+/// A pseudo-random sequence of numbers that depends only on the seed.
+struct RandomNumbers(u64);
 
-impl Numbers {
+impl RandomNumbers {
     fn below(&mut self, bound: usize) -> usize {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963);
         (self.0 >> 33) as usize % bound.max(1)
     }
 }
 
-/// What a plan's text is written from.
+/// The content from which a plan's text is generated.
 #[derive(Clone)]
 struct Draft {
     services: Vec<(String, String)>,
@@ -60,8 +60,9 @@
         )
     }
 
-    /// One edit; routes moved, repeated, removed and added, services and limits of clients.
-    fn edit(&mut self, numbers: &mut Numbers, unused: usize) {
+    /// Makes one random edit: removes, adds, moves or changes routes, services or the limits of
+    /// clients. Paths and names of new items are derived from `unused`.
+    fn edit(&mut self, numbers: &mut RandomNumbers, unused: usize) {
         let at = numbers.below(self.routes.len());
         match numbers.below(9) {
             0 if self.routes.len() > 3 => drop(self.routes.remove(at)),
@@ -104,10 +105,10 @@
 }
 
 #[test]
-fn deltas_of_random_changes_make_the_state_of_the_submitted_plans() {
-    let (mut steps, mut submitted_forms) = (0, 0);
+fn deltas_of_random_changes_produce_the_states_of_the_submitted_plans() {
+    let (mut steps, mut without_delta) = (0, 0);
     for seed in 0..12 {
-        let mut numbers = Numbers(seed);
+        let mut numbers = RandomNumbers(seed);
         let between = ["", "\n  "][seed as usize % 2];
         let mut draft = Draft::new(40 + numbers.below(100), between);
         let mut state = applied(&State::default(), 1, &records(&draft.text(1)));
@@ -117,40 +118,42 @@
             }
             let text = draft.text(version);
             let submitted = records(&text);
-            let wanted = applied(&state, version as u64, &submitted);
+            let expected = applied(&state, version as u64, &submitted);
             let delta_records = delta(&state, &submitted);
             steps += 1;
-            submitted_forms += usize::from(delta_records.is_none());
+            without_delta += usize::from(delta_records.is_none());
             let delta_records = delta_records.unwrap_or(submitted);
             state = applied(&state, version as u64, &delta_records);
-            assert_eq!(state, wanted, "seed {seed}, version {version}");
+            assert_eq!(state, expected, "seed {seed}, version {version}");
             assert_eq!(state.plan_text(), text.into_bytes(), "seed {seed}, version {version}");
         }
     }
-    assert!(
-        submitted_forms * 50 < steps,
-        "{submitted_forms} of {steps} changes were submitted forms"
-    );
+    assert!(without_delta * 50 < steps, "{without_delta} of {steps} changes had no delta");
 }
 
 #[test]
 fn a_delta_grows_with_its_change_and_not_with_the_number_of_routes() {
-    let cost = |routes: usize| {
+    let delta_size = |routes: usize| {
         let mut draft = Draft::new(routes, "");
         let state = applied(&State::default(), 1, &records(&draft.text(1)));
         draft.routes[routes / 2].1 = 2_000;
         let delta_records = delta(&state, &records(&draft.text(2))).expect("a delta");
         let after = applied(&state, 2, &delta_records);
         let shared = |at: usize| Arc::ptr_eq(&state.routes[at], &after.routes[at]);
-        assert_eq!((0..routes).filter(|at| !shared(*at)).count(), 1, "routes built anew");
+        assert_eq!(
+            (0..routes).filter(|at| !shared(*at)).count(),
+            1,
+            "routes that the delta replaced"
+        );
         size(&delta_records)
     };
-    let (few, many) = (cost(600), cost(6_000));
-    assert!(few < 512 && many < few + 16, "{few} bytes of 600 routes, {many} of 6000");
+    let (few, many) = (delta_size(600), delta_size(6_000));
+    assert!(few < 512 && many < few + 16, "{few} bytes for 600 routes, {many} bytes for 6000");
 }
 
-/// A plan whose text is the routes' paths, built without reading.
-fn unread_plan(version: usize, routes: &[Route]) -> Vec<Record> {
+/// The records of a plan with these routes, built without parsing a plan; the plan's text is made
+/// of the routes' paths and deadlines.
+fn plan_records(version: usize, routes: &[Route]) -> Vec<Record> {
     let mut records =
         vec![Record::PlanStart { version: format!("v{version}").into(), base: Some("v".into()) }];
     let row = |route: &Route| format!("{{{} {}}}", route.path, route.deadline_ms).repeat(10);
@@ -169,12 +172,12 @@
         .iter()
         .map(|route| route.as_ref().clone())
         .collect();
-    let mut numbers = Numbers(7);
-    let mut state = applied(&State::default(), 1, &unread_plan(1, &routes));
+    let mut numbers = RandomNumbers(7);
+    let mut state = applied(&State::default(), 1, &plan_records(1, &routes));
     for version in 2..1_002 {
         routes.rotate_left(1);
         routes[numbers.below(300)].deadline_ms += 10;
-        let submitted = unread_plan(version, &routes);
+        let submitted = plan_records(version, &routes);
         let delta_records = delta(&state, &submitted).expect("a delta");
         let before = state.clone();
         state = applied(&state, version as u64, &delta_records);
@@ -183,9 +186,12 @@
         let retained = state.routes.iter().filter(|route| known.contains(&Arc::as_ptr(route)));
         assert!(retained.count() >= 298, "version {version}");
     }
-    assert!(state.plan_text.len() > 3, "too little text for several chunks");
-    assert_eq!(state.plan, applied(&state, 1_001, &unread_plan(1_001, &routes)).plan);
-    assert_eq!(state.plan_text(), applied(&state, 1_001, &unread_plan(1_001, &routes)).plan_text());
+    assert!(state.plan_text.len() > 3, "the text is too short for several chunks");
+    assert_eq!(state.plan, applied(&state, 1_001, &plan_records(1_001, &routes)).plan);
+    assert_eq!(
+        state.plan_text(),
+        applied(&state, 1_001, &plan_records(1_001, &routes)).plan_text()
+    );
 }
 
 #[test]
@@ -199,14 +205,17 @@
     let submitted = records(&draft.text(2));
     let delta_records = delta(&state, &submitted).expect("a delta");
     for record in &delta_records {
-        assert!(size(std::slice::from_ref(record)) < BATCH_BYTES / 2, "one record fills a batch");
+        assert!(
+            size(std::slice::from_ref(record)) < BATCH_BYTES / 2,
+            "one record takes half a batch or more"
+        );
     }
     assert!(split(delta_records.clone()).len() > 1);
     assert_eq!(applied(&state, 2, &delta_records), applied(&state, 2, &submitted));
 }
 
 #[test]
-fn a_first_plan_and_one_with_uneven_text_chunks_have_no_delta() {
+fn a_first_plan_and_a_plan_with_uneven_text_chunks_have_no_delta() {
     let first = records(&Draft::new(30, "").text(1));
     assert_eq!(delta(&State::default(), &first), None);
     let state = applied(&State::default(), 1, &first);
@@ -214,11 +223,15 @@
     assert!(delta(&state, &second).is_some());
     let Some(Record::PlanText(text)) = second.pop() else { panic!("a plan ends with its text") };
     second.extend(text.chunks(100).map(|chunk| Record::PlanText(chunk.to_vec())));
-    assert_eq!(delta(&state, &second), None, "another state than the submitted plan's");
+    assert_eq!(
+        delta(&state, &second),
+        None,
+        "a delta would not produce the state of the submitted plan"
+    );
 }
 
 #[test]
-fn changes_of_text_are_no_routing_updates() {
+fn text_changes_are_not_routing_updates() {
     let mut draft = Draft::new(30, "");
     let state = applied(&State::default(), 1, &records(&draft.text(1)));
     draft.routes[4].1 = 3;
--- a/crates/plan/tests/findings.rs
+++ b/crates/plan/tests/findings.rs
@@ -1,8 +1,8 @@
-//! What reading a plan finds wrong, and what patterns match.
+//! Which findings the checks of a plan report, and which paths patterns match.
 
 use postbarrow_plan::{Pattern, Plan};
 
-const BAD: &str = r#"{
+const INVALID_PLAN: &str = r#"{
   "version": "",
   "bsae": "v0",
   "services": {
@@ -23,18 +23,20 @@
 
 #[test]
 fn every_finding_is_reported_with_its_json_path_and_line() {
-    let findings = Plan::read(BAD.as_bytes()).unwrap_err();
+    let findings = Plan::read(INVALID_PLAN.as_bytes()).unwrap_err();
     insta::assert_snapshot!(findings.to_string());
 }
 
 #[test]
-fn malformed_json_is_one_finding_with_its_line() {
+fn malformed_json_is_reported_as_one_finding_with_its_line() {
     let findings = Plan::read(b"{\n \"version\": \"v1\",\n oops\n}").unwrap_err();
     assert_eq!(findings.findings.len(), 1);
     assert_eq!(findings.findings[0].line, Some(3));
     assert!(Plan::read(&[0xff, 0xfe]).is_err());
-    let doubled = "{\"version\":\"a\",\"version\":\"b\",\"services\":{},\"routes\":[]}";
-    assert!(Plan::read(doubled.as_bytes()).unwrap_err().to_string().contains("stands twice"));
+    let duplicate_field = "{\"version\":\"a\",\"version\":\"b\",\"services\":{},\"routes\":[]}";
+    assert!(
+        Plan::read(duplicate_field.as_bytes()).unwrap_err().to_string().contains("stands twice")
+    );
 }
 
 #[test]
@@ -50,16 +52,16 @@
 }
 
 #[test]
-fn the_text_of_a_refused_pattern_says_what_is_not_allowed() {
-    let refusal = |pattern: &str| Pattern::read(pattern).unwrap_err().to_string();
-    assert_eq!(refusal("a"), "must begin with /");
-    assert_eq!(refusal("/a?b"), "must be a raw path without query, fragment or spaces");
-    assert_eq!(refusal("/a/../b"), "must not hold . or .. as a segment");
-    assert_eq!(refusal("/a/*/b"), "\"*\" is neither a name, {name} nor a last *");
+fn the_error_text_of_an_invalid_pattern_says_what_is_not_allowed() {
+    let error_text = |pattern: &str| Pattern::read(pattern).unwrap_err().to_string();
+    assert_eq!(error_text("a"), "must begin with /");
+    assert_eq!(error_text("/a?b"), "must be a raw path without query, fragment or spaces");
+    assert_eq!(error_text("/a/../b"), "must not hold . or .. as a segment");
+    assert_eq!(error_text("/a/*/b"), "\"*\" is neither a name, {name} nor a last *");
 }
 
 #[test]
-fn weights_that_are_all_zero_are_one_finding() {
+fn weights_that_are_all_zero_are_reported_as_one_finding() {
     let plan = r#"{"version":"v1","services":{"s":{"labels":{"service":"s"}}},"routes":[
         {"path":"/a","methods":["GET"],"kind":"lookup","shares":[{"service":"s","share":0}]}]}"#;
     let findings = Plan::read(plan.as_bytes()).unwrap_err();
--- a/crates/plan/tests/rehearsal.rs
+++ b/crates/plan/tests/rehearsal.rs
@@ -1,4 +1,4 @@
-//! A rehearsal compares only what is not shared, with the same result as one that compares all.
+//! A rehearsal that skips what the two states share has the same result as one that compares all.
 
 use postbarrow_plan::{Rehearsal, ServiceRehearsal};
 use postbarrow_state::*;
@@ -56,7 +56,7 @@
     applied(&State::default(), &records)
 }
 
-/// The same plan with nothing shared, as a submitted plan makes it.
+/// The same state without shared routes and targets, as if its plan had been submitted in full.
 fn unshared(state: &State) -> State {
     let mut unshared = state.clone();
     unshared.routes = state.routes.iter().map(|route| route.as_ref().clone().into()).collect();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn shared_routes_do_not_change_the_rehearsal() {
+fn sharing_routes_does_not_change_the_result_of_a_rehearsal() {
     let before = plan_in_force();
     let splice = |at, removed, inserted: Vec<Route>| RouteSplice { at, removed, inserted };
     let changes: Vec<Vec<RouteSplice>> = vec![
@@ -96,18 +96,22 @@
 }
 
 #[test]
-fn shared_routes_in_another_order_are_reported() {
+fn shared_routes_in_another_order_are_reported_as_changed() {
     let before = plan_in_force();
     let mut staged = before.clone();
     let first = staged.routes.remove(0);
     staged.routes.insert(1, first);
     let rehearsal = Rehearsal::of(&before, &staged);
-    assert_eq!(rehearsal.routes_changed, ["GET /r0", "PUT /r0"], "a rule first, or none");
+    assert_eq!(
+        rehearsal.routes_changed,
+        ["GET /r0", "PUT /r0"],
+        "the order of a route with a rule and one without changed"
+    );
     assert_eq!(rehearsal, Rehearsal::of(&unshared(&before), &staged));
 }
 
 #[test]
-fn the_json_of_a_rehearsal_has_the_names_that_operators_read() {
+fn the_json_of_a_rehearsal_keeps_its_field_names() {
     let row = ServiceRehearsal { service: "s".into(), live_before: 1, live_after: 2 };
     let rehearsal = Rehearsal {
         routes_added: vec!["a".into()],
