--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -48,8 +48,9 @@
 /// Lease requests in flight, and the leases that were granted.
 pub(crate) struct NodeLease {
     /// Number of the newest lease request.
-    number: u64,
-    sent_ms: BTreeMap<u64, u64>,
+    last_number: u64,
+    /// When each pending lease request was sent, by its number.
+    sent_ms_by_number: BTreeMap<u64, u64>,
     grants: VecDeque<Grant>,
     term: u64,
     controller: Option<SocketAddr>,
@@ -67,8 +68,8 @@
     /// Creates the state of a node without a lease, whose first renewal is due at once.
     pub fn new(now_ms: u64, incarnation: Incarnation) -> Self {
         NodeLease {
-            number: incarnation,
-            sent_ms: BTreeMap::new(),
+            last_number: incarnation,
+            sent_ms_by_number: BTreeMap::new(),
             grants: VecDeque::new(),
             term: 0,
             controller: None,
@@ -135,15 +136,15 @@
         self.renewal_due_ms =
             now_ms + if is_search { CONTROLLER_SEARCH_MS } else { LEASE_RENEW_MS };
         let duration_ms = self.duration_ms;
-        self.sent_ms.retain(|_, sent_ms| now_ms < *sent_ms + duration_ms);
+        self.sent_ms_by_number.retain(|_, sent_ms| now_ms < *sent_ms + duration_ms);
         self.grants.retain(|grant| now_ms < grant.sent_ms + duration_ms);
         let to = match self.controller {
             Some(controller) => vec![controller],
             None => self.known_control_nodes(seeds),
         };
-        self.number = self.number.wrapping_add(1);
-        self.sent_ms.insert(self.number, now_ms);
-        Renewal { number: self.number, to, is_search }
+        self.last_number = self.last_number.wrapping_add(1);
+        self.sent_ms_by_number.insert(self.last_number, now_ms);
+        Renewal { number: self.last_number, to, is_search }
     }
 
     fn known_control_nodes(&self, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
@@ -178,7 +179,7 @@
         if term < self.term {
             return None;
         }
-        let sent_ms = self.sent_ms.get(&number).copied()?;
+        let sent_ms = self.sent_ms_by_number.get(&number).copied()?;
         let is_new_controller = term > self.term || self.controller != Some(from);
         self.term = term;
         self.controller = Some(from);
--- a/crates/node/src/request_flow.rs
+++ b/crates/node/src/request_flow.rs
@@ -7,7 +7,7 @@
 //! | admit | the retry budget counts the request; the driver has checked the limits before | select target | `admit` |
 //! | select target | the flow selects an untried target by the rules of `postbarrow_routing::selection` | connect, or finish | `select_target` |
 //! | connect | the driver opens a connection or reuses an idle one | request ticket, forward, or retry | `connect` |
-//! | request ticket | a one-time request requests a ticket for this target from the log | forward, settle, or finish | `ticket` |
+//! | request ticket | the driver requests a ticket for this target from the log, for one-time requests only | forward, settle, or finish | `ticket` |
 //! | forward, read response | the driver sends the request and reads the response | finish, settle, or retry | `read_response` |
 //! | settle | the log records that the target did not run the request, before another target may run it | retry, or finish | `ticket` |
 //! | retry | the flow checks whether the maximum of attempts and the service's retry budget allow another attempt | select target, or finish | `retry` |
--- a/crates/node/src/request_flow/connect.rs
+++ b/crates/node/src/request_flow/connect.rs
@@ -25,7 +25,8 @@
         Step::RequestTicket { ticket, wait_ms: self.remaining_ms(context).min(TICKET_USE_MS) }
     }
 
-    /// Ejects the target, unless the attempt ended because the client departed, then retries if allowed.
+    /// Ejects the target, unless the attempt ended because the client departed, then retries if
+    /// allowed.
     pub(super) fn on_connect_failed(
         &mut self,
         context: &FlowContext<'_>,
--- a/crates/node/src/request_flow/read_response.rs
+++ b/crates/node/src/request_flow/read_response.rs
@@ -7,8 +7,9 @@
 
 impl RequestFlow {
     /// Handles the end of an attempt. A complete response ends the request and any ejection of the
-    /// target. A rejection makes selection pass over the target briefly. An attempt that may have
-    /// run ejects the target and is retried only if the request may run more than once.
+    /// target. A rejection ejects the target briefly. If the target may have run the request, the
+    /// target is ejected, and the request is retried only if it may run more than once and the time
+    /// for the response has not passed.
     pub(super) fn on_attempt_ended(
         &mut self,
         context: &FlowContext<'_>,
--- a/crates/node/tests/lease.rs
+++ b/crates/node/tests/lease.rs
@@ -16,7 +16,7 @@
 struct TestNode {
     node: DataNode,
     now_ms: u64,
-    requests: Vec<(u64, u64)>,
+    lease_requests: Vec<(u64, u64)>,
     tail_requests: Vec<(SocketAddr, u64)>,
     lease_request_receivers: Vec<SocketAddr>,
 }
@@ -39,7 +39,7 @@
         TestNode {
             node,
             now_ms: 10_000,
-            requests: Vec::new(),
+            lease_requests: Vec::new(),
             tail_requests: Vec::new(),
             lease_request_receivers: Vec::new(),
         }
@@ -49,7 +49,7 @@
         for effect in self.node.handle(self.now_ms, input) {
             match effect {
                 Effect::Send { to, message: Message::LeaseRequest(request) } => {
-                    self.requests.push((request.number, self.now_ms));
+                    self.lease_requests.push((request.number, self.now_ms));
                     self.lease_request_receivers.push(to);
                 }
                 Effect::Send { to, message: Message::Tail { after } } => {
@@ -88,7 +88,7 @@
 fn a_lease_starts_when_its_request_is_sent_and_not_when_the_response_arrives() {
     let mut test_node = TestNode::new();
     test_node.tick(20);
-    let (number, sent_ms) = test_node.requests[0];
+    let (number, sent_ms) = test_node.lease_requests[0];
     test_node.receive_updates(0, 4, &[plan("v1")]);
     test_node.now_ms += NODE_LEASE_MS - 10;
     test_node.receive_grant(number, 1, 4);
@@ -104,7 +104,7 @@
 fn a_grant_counts_only_once_its_watermark_is_published() {
     let mut test_node = TestNode::new();
     test_node.tick(20);
-    test_node.receive_grant(test_node.requests[0].0, 1, 6);
+    test_node.receive_grant(test_node.lease_requests[0].0, 1, 6);
     test_node.receive_updates(0, 4, &[plan("v1")]);
     assert!(!test_node.node.is_ready(test_node.now_ms), "published offset 4, watermark 6");
     test_node.receive_updates(4, 6, &[BatchRecord::begin("v2"), plan("v2")]);
@@ -119,10 +119,10 @@
     let mut test_node = TestNode::new();
     test_node.tick(20);
     test_node.receive_updates(0, 4, &[plan("v1")]);
-    test_node.receive_grant(test_node.requests[0].0, 3, 4);
+    test_node.receive_grant(test_node.lease_requests[0].0, 3, 4);
     let first_end_ms = test_node.node.lease_until_ms();
     test_node.tick(LEASE_RENEW_MS);
-    let number = test_node.requests.last().unwrap().0;
+    let number = test_node.lease_requests.last().unwrap().0;
     test_node.receive_grant(number, 2, 4);
     assert_eq!(test_node.node.lease_until_ms(), first_end_ms);
     test_node.receive_grant(number, 3, 4);
@@ -138,7 +138,7 @@
 fn missing_updates_are_requested_and_an_older_image_is_ignored() {
     let mut test_node = TestNode::new();
     test_node.tick(20);
-    test_node.receive_grant(test_node.requests[0].0, 1, 4);
+    test_node.receive_grant(test_node.lease_requests[0].0, 1, 4);
     test_node.receive_updates(0, 4, &[plan("v1")]);
     test_node.receive_updates(6, 8, &[plan("v3")]);
     assert_eq!(test_node.node.image().plan_version(), Some("v1"));
@@ -162,18 +162,18 @@
     let mut test_node = TestNode::new();
     test_node.tick(20);
     test_node.receive_updates(0, 4, &[plan("v1")]);
-    test_node.receive_grant(test_node.requests[0].0, 1, 4);
+    test_node.receive_grant(test_node.lease_requests[0].0, 1, 4);
     test_node.input(Input::Stop);
     assert!(!test_node.node.is_ready(test_node.now_ms));
     assert!(test_node.node.lease_until_ms() > test_node.now_ms);
 }
 
 #[test]
-fn a_partitioned_node_requests_leases_of_introduced_control_nodes() {
+fn a_partitioned_node_requests_leases_from_introduced_control_nodes() {
     let mut test_node = TestNode::new();
     test_node.tick(20);
     test_node.receive_updates(0, 4, &[plan("v1")]);
-    test_node.receive_grant(test_node.requests[0].0, 1, 4);
+    test_node.receive_grant(test_node.lease_requests[0].0, 1, 4);
     test_node.tick(5 * NODE_LEASE_MS);
     test_node.receive(Message::Introduction { control: vec![address(44)], formed: true });
     test_node.lease_request_receivers.clear();
@@ -193,14 +193,14 @@
     earlier.tick(0);
     later.tick(0);
     later.receive_updates(0, 4, &[plan("v1")]);
-    let (number, _) = *earlier.requests.last().expect("a lease request");
+    let (number, _) = *earlier.lease_requests.last().expect("a lease request");
     later.receive_grant(number, 1, 4);
     assert_eq!(
         later.node.lease_until_ms(),
         0,
         "the grant answers a request of another incarnation"
     );
-    let (number, sent_ms) = *later.requests.last().expect("a lease request");
+    let (number, sent_ms) = *later.lease_requests.last().expect("a lease request");
     later.receive_grant(number, 1, 4);
     assert!(later.node.lease_until_ms() > sent_ms);
 }
--- a/crates/plan/src/rehearsal.rs
+++ b/crates/plan/src/rehearsal.rs
@@ -60,7 +60,10 @@
         let empty = live_targets.iter().filter(|row| row.live_after == 0);
         let empty: BTreeSet<&str> = empty.map(|row| row.service.as_str()).collect();
         let is_routed = |name: &str| {
-            staged.routes.iter().any(|route| route.services().iter().any(|known| **known == name))
+            staged
+                .routes
+                .iter()
+                .any(|route| route.services().iter().any(|service| **service == name))
         };
         let without_target =
             empty.into_iter().filter(|name| is_routed(name)).map(str::to_string).collect();
--- a/crates/plan/tests/delta.rs
+++ b/crates/plan/tests/delta.rs
@@ -23,28 +23,28 @@
     services: Vec<(String, String)>,
     routes: Vec<(usize, usize)>,
     head_bytes: Option<usize>,
-    between: &'static str,
+    whitespace: &'static str,
 }
 
 impl Draft {
-    fn new(routes: usize, between: &'static str) -> Draft {
+    fn new(routes: usize, whitespace: &'static str) -> Draft {
         Draft {
             services: vec![("s".into(), "catalogue".into())],
             routes: (0..routes).map(|at| (at, 1_000)).collect(),
             head_bytes: None,
-            between,
+            whitespace,
         }
     }
 
     fn text(&self, version: usize) -> String {
-        let between = self.between;
+        let whitespace = self.whitespace;
         let named = |(name, label): &(String, String)| {
             format!("\"{name}\":{{\"labels\":{{\"service\":\"{label}\"}}}}")
         };
         let services: Vec<String> = self.services.iter().map(named).collect();
         let row = |(path, deadline_ms): &(usize, usize)| {
             format!(
-                "{between}{{\"path\":\"/käse{path}\",{between}\"methods\":[\"GET\"],\"kind\":\"lookup\",\"service\":\"s\",{between}\"limits\":{{\"deadlineMs\":{deadline_ms}}}}}"
+                "{whitespace}{{\"path\":\"/käse{path}\",{whitespace}\"methods\":[\"GET\"],\"kind\":\"lookup\",\"service\":\"s\",{whitespace}\"limits\":{{\"deadlineMs\":{deadline_ms}}}}}"
             )
         };
         let routes: Vec<String> =
@@ -53,7 +53,7 @@
             format!(",\"callers\":{{\"headBytes\":{}}}", bytes + 256)
         });
         format!(
-            "{{\"version\":\"v{version}\",\"base\":\"v{}\",\"services\":{{{}}}{client_limits},{between}\"routes\":[{}]}}",
+            "{{\"version\":\"v{version}\",\"base\":\"v{}\",\"services\":{{{}}}{client_limits},{whitespace}\"routes\":[{}]}}",
             version - 1,
             services.join(","),
             routes.join(",")
@@ -62,30 +62,30 @@
 
     /// Makes one random edit: removes, adds, moves or changes routes, services or the limits of
     /// clients. Paths and names of new items are derived from `unused`.
-    fn edit(&mut self, numbers: &mut RandomNumbers, unused: usize) {
-        let at = numbers.below(self.routes.len());
-        match numbers.below(9) {
+    fn edit(&mut self, random: &mut RandomNumbers, unused: usize) {
+        let at = random.below(self.routes.len());
+        match random.below(9) {
             0 if self.routes.len() > 3 => drop(self.routes.remove(at)),
-            1 => self.routes.insert(at, (unused, numbers.below(5_000) + 1)),
+            1 => self.routes.insert(at, (unused, random.below(5_000) + 1)),
             2 => {
                 let moved = self.routes.remove(at);
-                self.routes.insert(numbers.below(self.routes.len() + 1), moved);
+                self.routes.insert(random.below(self.routes.len() + 1), moved);
             }
             3 => {
-                let more = numbers.below(40);
+                let more = random.below(40);
                 let rows = (0..more).map(|step| (unused + 1_000 * (step + 1), 1 + step));
                 self.routes.splice(at..at, rows);
             }
             4 => {
-                let end = (at + numbers.below(20)).min(self.routes.len());
+                let end = (at + random.below(20)).min(self.routes.len());
                 if self.routes.len() > end - at + 3 {
                     self.routes.drain(at..end);
                 }
             }
             5 => self.services.push((format!("t{unused}"), "ledger".into())),
             6 if self.services.len() > 1 => drop(self.services.pop()),
-            7 => self.head_bytes = numbers.below(2).checked_sub(1).map(|_| numbers.below(9_000)),
-            _ => self.routes[at].1 = numbers.below(5_000) + 1,
+            7 => self.head_bytes = random.below(2).checked_sub(1).map(|_| random.below(9_000)),
+            _ => self.routes[at].1 = random.below(5_000) + 1,
         }
     }
 }
@@ -108,13 +108,13 @@
 fn deltas_of_random_changes_produce_the_states_of_the_submitted_plans() {
     let (mut steps, mut without_delta) = (0, 0);
     for seed in 0..12 {
-        let mut numbers = RandomNumbers(seed);
-        let between = ["", "\n  "][seed as usize % 2];
-        let mut draft = Draft::new(40 + numbers.below(100), between);
+        let mut random = RandomNumbers(seed);
+        let whitespace = ["", "\n  "][seed as usize % 2];
+        let mut draft = Draft::new(40 + random.below(100), whitespace);
         let mut state = applied(&State::default(), 1, &records(&draft.text(1)));
         for version in 2..12 {
-            for edit in 0..1 + numbers.below(6) {
-                draft.edit(&mut numbers, version * 100_000 + edit * 100);
+            for edit in 0..1 + random.below(6) {
+                draft.edit(&mut random, version * 100_000 + edit * 100);
             }
             let text = draft.text(version);
             let submitted = records(&text);
@@ -172,11 +172,11 @@
         .iter()
         .map(|route| route.as_ref().clone())
         .collect();
-    let mut numbers = RandomNumbers(7);
+    let mut random = RandomNumbers(7);
     let mut state = applied(&State::default(), 1, &plan_records(1, &routes));
     for version in 2..1_002 {
         routes.rotate_left(1);
-        routes[numbers.below(300)].deadline_ms += 10;
+        routes[random.below(300)].deadline_ms += 10;
         let submitted = plan_records(version, &routes);
         let delta_records = delta(&state, &submitted).expect("a delta");
         let before = state.clone();
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Admits a request if this node's part of the limits, divided among `nodes`, allows it. Each
-    /// admitted request must be ended by `leave`.
+    /// Admits a request if this node's part of the limits, which are divided among `nodes` nodes,
+    /// allows it. Each admitted request must be ended by `leave`.
     ///
     /// # Errors
     /// Returns the limit that the request exceeds; the request is not counted then.
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -56,7 +56,7 @@
         self.ejection.on_failure(now_ms);
     }
 
-    /// Skips the target briefly after a rejection; see [`Ejection::on_rejection`].
+    /// Ejects the target briefly after a rejection; see [`Ejection::on_rejection`].
     pub fn on_rejection(&self, now_ms: u64) {
         self.ejection.on_rejection(now_ms);
     }
--- a/crates/routing/src/resolved_services.rs
+++ b/crates/routing/src/resolved_services.rs
@@ -31,7 +31,7 @@
         let mut resolved = ResolvedServices { loads, ..ResolvedServices::default() };
         for (name, service) in &state.services {
             let is_unchanged =
-                || old.state.services.get(name).is_some_and(|known| known == service);
+                || old.state.services.get(name).is_some_and(|old_service| old_service == service);
             let reused = old_resolved
                 .candidates
                 .get(name)
--- a/crates/routing/src/route_match.rs
+++ b/crates/routing/src/route_match.rs
@@ -74,7 +74,8 @@
             {
                 continue;
             }
-            let allows_method = |known: &Name| known == method || known == ANY_METHOD;
+            let allows_method =
+                |route_method: &Name| route_method == method || route_method == ANY_METHOD;
             if !entry.route().methods.iter().any(allows_method) {
                 other_methods.extend(entry.route().methods.iter().cloned());
                 continue;
