--- a/crates/node/src/image_tail.rs
+++ b/crates/node/src/image_tail.rs
@@ -17,7 +17,7 @@
 pub(crate) enum ImageEvent {
     /// A newer image replaces the published one; `offset` is the log offset that it has reached.
     Published { state: Arc<State>, offset: u64 },
-    /// A line for the log.
+    /// A line for the process's log.
     Log(String),
 }
 
@@ -31,7 +31,7 @@
     behind_since_ms: Option<u64>,
 }
 
-/// The image of this node, its source and its children.
+/// The image of this node, with the source of its updates and the children it is relayed to.
 pub(crate) struct ImageTail {
     own: Incarnation,
     tail: Tail<State>,
--- a/crates/plan/src/pattern.rs
+++ b/crates/plan/src/pattern.rs
@@ -8,7 +8,7 @@
     /// Matches exactly this segment.
     Literal(CompactString),
     /// Matches any one segment except an empty one, `.` and `..`; written `{name}`.
-    One,
+    Any,
     /// Matches all remaining segments, of which there must be at least one, if only an empty one;
     /// written `*`, and only allowed as the last segment.
     Rest,
@@ -55,7 +55,7 @@
             segments.push(match *text {
                 "*" if is_last => Segment::Rest,
                 "." | ".." => return Err(PatternError::DotSegment),
-                one if one.starts_with('{') && one.ends_with('}') && one.len() > 2 => Segment::One,
+                one if one.starts_with('{') && one.ends_with('}') && one.len() > 2 => Segment::Any,
                 other if other.contains(['*', '{', '}']) => {
                     return Err(PatternError::Wildcard(other.to_string()));
                 }
@@ -77,7 +77,7 @@
         for segment in &self.segments {
             match segment {
                 Segment::Rest => return texts.next().is_some(),
-                Segment::One => match texts.next() {
+                Segment::Any => match texts.next() {
                     Some(text) if !text.is_empty() && text != "." && text != ".." => {}
                     _ => return false,
                 },
--- a/crates/plan/src/rehearsal.rs
+++ b/crates/plan/src/rehearsal.rs
@@ -23,15 +23,15 @@
 #[derive(Clone, Debug, PartialEq, Facet)]
 #[facet(rename_all = "camelCase")]
 pub struct Rehearsal {
-    /// Routes of the staged plan alone, by method and path.
+    /// Routes that only the staged plan has, by method and path.
     pub routes_added: Vec<String>,
-    /// Routes of the plan in force alone, by method and path.
+    /// Routes that only the plan in force has, by method and path.
     pub routes_removed: Vec<String>,
-    /// Routes of both plans that differ in anything else, by method and path.
+    /// Routes that both plans have with different contents, by method and path.
     pub routes_changed: Vec<String>,
-    /// Services of the staged plan alone.
+    /// Services that only the staged plan has.
     pub services_added: Vec<String>,
-    /// Services of the plan in force alone.
+    /// Services that only the plan in force has.
     pub services_removed: Vec<String>,
     /// Services of both plans that select their targets by other labels.
     pub services_changed: Vec<String>,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -6,11 +6,11 @@
 //! | decision | module |
 //! | --- | --- |
 //! | which route matches the request | [`route_match`] |
-//! | whether the route's rate and concurrency admit it | [`limits`] |
+//! | whether the route's rate and concurrency limits admit the request | [`limits`] |
 //! | which of a route's weighted services gets the request | [`entry`] |
-//! | which target gets an attempt | [`selection`] |
+//! | which target gets the next attempt | [`selection`] |
 //! | which targets are skipped after failures or rejections | [`ejection`] |
-//! | whether a further attempt is allowed | [`retry_budget`] |
+//! | whether another attempt is allowed | [`retry_budget`] |
 //!
 //! A [`Table`] holds the data of all these decisions for one image of the state. A new table reuses
 //! what its image shares with the previous image, and replaces the old table as a whole. Counters
