--- a/crates/storage/src/append_log.rs
+++ b/crates/storage/src/append_log.rs
@@ -1,12 +1,13 @@
-//! Appends pending writes to the log of the present generation.
+//! Appends pending writes to the log of the current generation.
 
 use crate::log_record::{LogRecord, encode_record};
 use crate::{Disk, LOGS, Storage, WriteError};
 use postbarrow_consensus::Write;
 
 impl<D: Disk> Storage<D> {
-    /// Writes and syncs all log records before the next slot. The position in the log advances
-    /// after the sync only, so that a refused write is repeated at the same offset.
+    /// Writes and syncs the pending log records before the next pending slot. The position in the
+    /// log advances only after the sync, so that a write refused by a full disk is repeated at the
+    /// same offset.
     pub(crate) fn append_log(&mut self) -> Result<(), WriteError> {
         let mut bytes = Vec::new();
         let mut sequence = self.sequence;
--- a/crates/storage/src/damage.rs
+++ b/crates/storage/src/damage.rs
@@ -1,31 +1,32 @@
-//! Synced bytes that a disk no longer has.
+//! Losses of synced data that are found when a disk is opened.
 
-/// Why a disk may not vote as the member that was on it: something that had been synced is missing.
+/// A loss of data that had been synced, after which a process on this disk must not vote as the
+/// member that the disk belonged to.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Damage {
-    /// A log was written past its start, and neither slot is intact.
-    #[error("no slot is sound, yet a log is")]
+    /// Neither slot is intact, but a log has a second record, which follows a synced slot only.
+    #[error("neither slot is intact, but a log shows that one was synced")]
     NoIntactSlot,
-    /// A log follows a slot that is newer than any intact one.
-    #[error("{slot}: its log is newer than any sound slot")]
+    /// A log follows a synced slot that is newer than any intact slot.
+    #[error("{slot}: the log that follows it is newer than any intact slot")]
     LostSlot {
-        /// The damaged slot's file.
+        /// Name of the damaged slot's file.
         slot: &'static str,
     },
-    /// The log of the newest slot does not begin with its first record.
-    #[error("{log}: its start is missing")]
+    /// The log of the newest slot does not begin with an intact first record of its generation.
+    #[error("{log}: the first record is missing")]
     LostLogStart {
-        /// The log's file.
+        /// Name of the log's file.
         log: &'static str,
     },
     /// A record is not intact, and a later one shows that it had been synced.
-    #[error("{log}: byte {offset}: record {sequence} was synced and is not sound")]
+    #[error("{log}: record {sequence} at byte {offset} was synced but is not intact")]
     LostRecord {
-        /// The log's file.
+        /// Name of the log's file.
         log: &'static str,
-        /// Where the record should begin, in bytes.
+        /// Offset in the file at which the record should begin, in bytes.
         offset: usize,
-        /// The record's number within its log.
+        /// The record's number within its log, from 1.
         sequence: u64,
     },
 }
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,22 +1,22 @@
-//! Why a write was not done, and what its caller may do next.
+//! Errors of writes to the disk, and how the caller may proceed after each.
 
 use std::io;
 
-/// A write that was not done.
+/// The error of a write that was not completed.
 #[derive(Debug, thiserror::Error)]
 pub enum WriteError {
-    /// There was no space for a write. Nothing was synced and nothing acknowledged since the last
-    /// success: `Storage::resume` writes the same bytes at the same offsets again.
-    #[error("no space on the disk: {0}")]
+    /// The disk had no space for a write. The write was not synced, and nothing was acknowledged
+    /// since the last success: `Storage::resume` writes the same bytes at the same offsets again.
+    #[error("disk has no space for a write: {0}")]
     Full(io::Error),
-    /// The disk failed, perhaps in a sync. A second sync could succeed without having written
-    /// anything, so nothing more may be written through this storage.
-    #[error("the disk failed: {0}")]
+    /// A write failed, or a sync failed for any reason. A second sync could succeed without having
+    /// written anything, so nothing more may be written through this storage.
+    #[error("disk write or sync failed: {0}")]
     Failed(io::Error),
 }
 
 impl WriteError {
-    /// Classifies the failure of a write that no sync has followed yet.
+    /// Classifies the error of a write before any sync of that write.
     pub(crate) fn before_sync(error: io::Error) -> Self {
         if is_full(&error) { WriteError::Full(error) } else { WriteError::Failed(error) }
     }
@@ -30,7 +30,8 @@
     }
 }
 
-/// Whether a write was refused for lack of space: the disk's, a quota's or a file limit's.
+/// Returns whether a write was refused for lack of space: the disk is full, or a quota or the limit
+/// on a file's size is reached.
 pub fn is_full(error: &io::Error) -> bool {
     use io::ErrorKind::{FileTooLarge, QuotaExceeded, StorageFull};
     matches!(error.kind(), StorageFull | QuotaExceeded | FileTooLarge)
--- a/crates/storage/src/folder_disk.rs
+++ b/crates/storage/src/folder_disk.rs
@@ -1,4 +1,4 @@
-//! The disk that is a folder of files.
+//! A disk whose files are stored in one folder of a file system.
 
 use crate::Disk;
 use std::collections::HashMap;
@@ -8,18 +8,19 @@
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// A disk that is a folder of files.
+/// A disk whose files are stored in one folder of a file system.
 pub struct FolderDisk {
     folder: PathBuf,
     open_files: HashMap<String, File>,
 }
 
 impl FolderDisk {
-    /// The disk in this folder, which is created if it does not exist; its name is durable then.
+    /// Opens the disk in this folder. The folder and its parents are created if they do not exist,
+    /// and the names of the created folders are synced.
     ///
     /// # Errors
     ///
-    /// Those of the file system.
+    /// Errors of the file system.
     pub fn new(folder: PathBuf) -> io::Result<Self> {
         let existed = folder.is_dir();
         let missing: Vec<&Path> = folder
@@ -31,7 +32,7 @@
             sync_parent(created)?;
         }
         if existed {
-            // A process that ended between creating the folder and syncing its name omitted this.
+            // An earlier process may have ended after creating the folder and before this sync.
             match sync_parent(&folder) {
                 Err(error) if error.kind() == io::ErrorKind::PermissionDenied => {}
                 other => other?,
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -23,12 +23,12 @@
 pub use reserve::Reservation;
 pub use storage::Storage;
 
-/// The files of the two slots; generation `n` is in the one at `n % 2`.
+/// Names of the two slot files; the slot of generation `n` is in the file at index `n % 2`.
 pub const SLOTS: [&str; 2] = ["slot-a", "slot-b"];
-/// The files of the two logs; each follows the slot of its generation.
+/// Names of the two log files; each log follows the slot of its generation, at the same index.
 pub const LOGS: [&str; 2] = ["log-a", "log-b"];
 
-/// The index in `SLOTS` and `LOGS` of a generation's files.
+/// Returns the index in `SLOTS` and `LOGS` of a generation's files.
 fn file_index(generation: u64) -> usize {
     (generation % 2) as usize
 }
--- a/crates/storage/src/log_record.rs
+++ b/crates/storage/src/log_record.rs
@@ -1,4 +1,5 @@
-//! The format of a log record: magic, length, CRC-32 and a MessagePack body, integers little-endian.
+//! The format of a log record: magic, length, CRC-32 and a MessagePack body, integers
+//! little-endian.
 
 use postbarrow_consensus::{Entry, HardState};
 use postbarrow_constants::consensus::LOG_RECORD_BYTES;
@@ -8,7 +9,7 @@
 const MAGIC: [u8; 4] = *b"PBR1";
 const HEADER_BYTES: usize = 12;
 
-/// One change since the slot.
+/// A change of the member's state after the slot that the log follows.
 #[derive(Serialize, Deserialize)]
 pub(crate) enum LogRecord {
     /// The first record of a log: the entries after the slot's snapshot.
@@ -18,19 +19,21 @@
     #[serde(rename = "Hard")]
     HardState(HardState),
     Append(Vec<Entry>),
-    /// Removes the entries from this index on.
+    /// Removes the entries whose index is `from` or higher.
     Truncate {
         from: u64,
     },
 }
 
-/// A record with its position, so that a record of another generation or order is recognised.
+/// A log record with its position, which shows whether the record is of another generation or out
+/// of order.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Framed<R> {
     pub generation: u64,
     /// Number of the record within its log, from 1.
     pub sequence: u64,
-    /// The highest sequence known synced when this one was written.
+    /// Number of the newest record in this log that was known to be synced when this one was
+    /// written; 0 if there was none.
     pub synced: u64,
     pub record: R,
 }
@@ -51,8 +54,8 @@
     Ok(bytes)
 }
 
-/// The record at the start of `bytes` and its length in bytes; None unless it is complete and
-/// intact.
+/// Returns the record at the start of `bytes` and its length in bytes, or `None` unless the record
+/// is complete and intact.
 pub(crate) fn decode_record(bytes: &[u8]) -> Option<(Framed<LogRecord>, usize)> {
     if bytes.get(..4)? != MAGIC {
         return None;
--- a/crates/storage/src/open.rs
+++ b/crates/storage/src/open.rs
@@ -1,4 +1,4 @@
-//! Reads a disk back at the start of a process.
+//! Recovers a member's state from its disk at the start of a process.
 
 use crate::create::create_files;
 use crate::slot::{SlotBody, decode_slot};
@@ -7,37 +7,39 @@
 use postbarrow_consensus::RecoveredState;
 use std::io;
 
-/// What a disk contains when a process starts.
+/// The result of reading a disk at the start of a process.
 pub enum Opened<D> {
-    /// Nothing was ever acknowledged from this disk.
+    /// No write to this disk was ever acknowledged.
     Empty(D),
-    /// Synced bytes are missing: this disk may not vote as the member that was on it.
+    /// Synced data is missing: a process on this disk must not vote as the member that the disk
+    /// belonged to.
     Damaged {
         /// The disk, which `Storage::create` may erase for a new member.
         disk: D,
-        /// What is missing.
+        /// The synced data that is missing.
         damage: Damage,
     },
-    /// Everything that was acknowledged.
+    /// All acknowledged writes were read.
     Recovered {
         /// The storage for the member's next writes.
         storage: Storage<D>,
-        /// The member's state.
+        /// The member's state, from all acknowledged writes.
         recovered: RecoveredState,
     },
 }
 
-/// Both pairs of files as they were read.
+/// The content of both slot files and both log files, as read from the disk.
 struct Files {
     slots: [Vec<u8>; 2],
     logs: [Vec<u8>; 2],
 }
 
-/// Reads a disk back and makes sure that what was read is durable.
+/// Reads a disk and makes sure that the recovered state is durable.
 ///
 /// # Errors
 ///
-/// Those of the disk; `is_full` tells whether it only lacks space and may be opened again later.
+/// Errors of the disk. If `is_full` returns true for the error, the disk only lacks space and may
+/// be opened again later.
 pub fn open<D: Disk>(mut disk: D) -> io::Result<Opened<D>> {
     let files = Files {
         slots: [disk.read(SLOTS[0])?, disk.read(SLOTS[1])?],
@@ -58,12 +60,12 @@
     }
     match replay(&slot, &files.logs[index]) {
         Err(damage) => Ok(Opened::Damaged { disk, damage }),
-        Ok(replayed) => resume_at(disk, &slot, &files, replayed),
+        Ok(replayed) => recover_storage(disk, &slot, &files, replayed),
     }
 }
 
-/// The storage whose next record follows the replayed ones.
-fn resume_at<D: Disk>(
+/// Makes the replayed records durable and returns the storage whose next record follows them.
+fn recover_storage<D: Disk>(
     disk: D,
     slot: &SlotBody,
     files: &Files,
@@ -74,7 +76,7 @@
         log_bytes: replayed.log_bytes,
         sequence: replayed.sequence,
         synced: replayed.sequence,
-        ..Storage::unwritten(disk, slot.id)
+        ..Storage::uninitialized(disk, slot.id)
     };
     let index = storage.file_index();
     let disk = &mut storage.disk;
@@ -85,8 +87,8 @@
     Ok(Opened::Recovered { storage, recovered: replayed.recovered })
 }
 
-/// What reads back may be in the page cache only, after a sync that failed: the same bytes are
-/// written and synced again before anything builds on them.
+/// Writes and syncs bytes that were read from the file. After a failed sync they may be in the page
+/// cache only, so they must be durable before later writes depend on them.
 fn rewrite<D: Disk>(disk: &mut D, file: &str, bytes: &[u8]) -> io::Result<()> {
     disk.write(file, 0, bytes)?;
     disk.sync(file)
--- a/crates/storage/src/reserve.rs
+++ b/crates/storage/src/reserve.rs
@@ -1,23 +1,23 @@
-//! Space that is allocated before it is needed.
+//! Allocation of disk space before it is needed.
 
 use crate::{Disk, LOGS, SLOTS, Storage, WriteError};
 
 /// Bytes to allocate for each of the two logs and each of the two slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reservation {
-    /// Bytes of each log.
+    /// Bytes to allocate for each log.
     pub log_bytes: u64,
-    /// Bytes of each slot.
+    /// Bytes to allocate for each slot.
     pub slot_bytes: u64,
 }
 
 impl<D: Disk> Storage<D> {
-    /// Allocates the space of both slots and both logs, so that a write within these bounds can't
-    /// fail for lack of space.
+    /// Allocates space for both slots and both logs, so that a write within these bounds can't fail
+    /// for lack of space.
     ///
     /// # Errors
     ///
-    /// Nothing is lost after `WriteError::Full`: the call may be repeated.
+    /// After `WriteError::Full` the stored data is unchanged, and the call may be repeated.
     pub fn reserve(&mut self, reservation: Reservation) -> Result<(), WriteError> {
         let logs = LOGS.map(|file| (file, reservation.log_bytes));
         let slots = SLOTS.map(|file| (file, reservation.slot_bytes));
--- a/crates/storage/src/slot.rs
+++ b/crates/storage/src/slot.rs
@@ -8,7 +8,7 @@
 const MAGIC: &[u8; 8] = b"PBSLOT01";
 const HEADER_BYTES: usize = 20;
 
-/// What a slot stores: the member, and its state when the slot was written.
+/// The body of a slot: the member's id, and its state when the slot was written.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct SlotBody {
     pub generation: u64,
@@ -18,7 +18,7 @@
 }
 
 impl SlotBody {
-    /// The member's state before any record of the log that follows.
+    /// Returns the member's state before any record of the log that follows this slot.
     pub fn recovered(&self) -> RecoveredState {
         RecoveredState {
             term: self.hard_state.term,
@@ -39,7 +39,7 @@
     Ok(bytes)
 }
 
-/// The slot's content; None unless it is complete and intact.
+/// Returns the body of a slot, or `None` unless the slot is complete and intact.
 pub(crate) fn decode_slot(bytes: &[u8]) -> Option<SlotBody> {
     if bytes.get(..8)? != MAGIC {
         return None;
--- a/crates/storage/src/storage.rs
+++ b/crates/storage/src/storage.rs
@@ -1,4 +1,4 @@
-//! The storage of one member: which writes are pending, and the position of the next one.
+//! The storage of one member: its pending writes, and the position of the next one.
 
 use crate::{Disk, WriteError, file_index};
 use postbarrow_consensus::{MemberId, Write};
@@ -10,39 +10,40 @@
     pub(crate) id: MemberId,
     /// The generation of the newest slot and of the log that follows it.
     pub(crate) generation: u64,
-    /// Length of that log's intact records.
+    /// Length of the records in that log, in bytes; 0 before the first slot is written.
     pub(crate) log_bytes: u64,
-    /// Number of the newest record in that log, from 1.
+    /// Number of the newest record in that log, from 1; 0 before the first slot is written.
     pub(crate) sequence: u64,
-    /// The newest record that is known to be synced.
+    /// Number of the newest record in that log that is known to be synced.
     pub(crate) synced: u64,
     /// Requested writes that are not synced yet.
     pub(crate) pending: VecDeque<Write>,
 }
 
 impl<D: Disk> Storage<D> {
-    pub(crate) fn unwritten(disk: D, id: MemberId) -> Self {
+    /// Returns the storage of a member before its first slot is written.
+    pub(crate) fn uninitialized(disk: D, id: MemberId) -> Self {
         let pending = VecDeque::new();
         Storage { disk, id, generation: 0, log_bytes: 0, sequence: 0, synced: 0, pending }
     }
 
-    /// Carries out writes in order and syncs each run of log records once; on return all of them
-    /// are durable.
+    /// Performs writes in order, with one sync for each run of consecutive log records; on return
+    /// all of them are durable.
     ///
     /// # Errors
     ///
     /// After `WriteError::Full` the writes stay pending for `resume`; after `WriteError::Failed`
-    /// this storage may not be used any more.
+    /// this storage must not be used any more.
     pub fn apply(&mut self, writes: Vec<Write>) -> Result<(), WriteError> {
         self.pending.extend(writes);
         self.resume()
     }
 
-    /// Continues with the writes that a full disk stopped; on return all of them are durable.
+    /// Performs the writes that stayed pending on a full disk; on return all of them are durable.
     ///
     /// # Errors
     ///
-    /// As `apply`.
+    /// The same as those of `apply`.
     pub fn resume(&mut self) -> Result<(), WriteError> {
         while let Some(first) = self.pending.front() {
             if let Write::Slot { snapshot, hard, entries } = first {
@@ -60,22 +61,22 @@
         file_index(self.generation)
     }
 
-    /// The member that this disk belongs to.
+    /// Returns the id of the member that this disk belongs to.
     pub fn id(&self) -> MemberId {
         self.id
     }
 
-    /// Bytes of the present log's records.
+    /// Returns the length of the records in the current generation's log, in bytes.
     pub fn log_bytes(&self) -> u64 {
         self.log_bytes
     }
 
-    /// Gives the disk back; pending writes are dropped.
+    /// Returns the disk; pending writes are dropped.
     pub fn into_disk(self) -> D {
         self.disk
     }
 
-    /// The disk, for its owner's own operations on it.
+    /// Returns the disk, for operations on it that are not the storage's.
     pub fn disk_mut(&mut self) -> &mut D {
         &mut self.disk
     }
--- a/crates/storage/src/torn_tail.rs
+++ b/crates/storage/src/torn_tail.rs
@@ -1,25 +1,26 @@
-//! Replays a log and discards its torn tail: records that a loss of power truncated before their
-//! sync, which therefore were never acknowledged.
+//! Replays a log and discards its torn tail: records that a power loss left incomplete before they
+//! were synced, and which therefore were never acknowledged.
 
 use crate::log_record::{LogRecord, decode_record};
 use crate::slot::SlotBody;
 use crate::{Damage, LOGS, file_index};
 use postbarrow_consensus::RecoveredState;
 
-/// A log's intact records, applied to the state of its slot.
+/// The result of applying a log's intact records to the state of its slot.
 pub(crate) struct Replayed {
     pub recovered: RecoveredState,
-    /// Where the torn tail begins, if there is one.
+    /// Length of the intact records in bytes; a torn tail begins at this offset.
     pub log_bytes: u64,
-    /// Number of the last intact record.
+    /// Number of the last intact record, from 1.
     pub sequence: u64,
 }
 
-/// Applies the log's records in order up to the first that is torn or of another generation.
+/// Applies the log's records to the state of its slot, in order, up to the first record that is
+/// torn or of another generation.
 ///
 /// # Errors
 ///
-/// A record that is missing although it had been synced.
+/// `Damage` if a record is missing that had been synced.
 pub(crate) fn replay(slot: &SlotBody, log: &[u8]) -> Result<Replayed, Damage> {
     let mut recovered = slot.recovered();
     let mut offset = 0;
@@ -55,7 +56,8 @@
     }
 }
 
-/// Whether a later record of this generation, at any offset, says that this one had been synced.
+/// Returns whether a record of this generation, at any offset in `later`, shows that the record
+/// with this sequence number had been synced.
 fn was_synced(sequence: u64, generation: u64, later: &[u8]) -> bool {
     (0..later.len()).any(|at| {
         decode_record(&later[at..])
@@ -63,9 +65,9 @@
     })
 }
 
-/// The log's intact records. Where a complete record of this generation follows a torn one,
-/// everything after the intact ones becomes zero: a record written next could end exactly where
-/// the later one begins, which would then be read as its successor.
+/// Returns the log's intact records. If a complete record of this generation follows a torn one,
+/// all bytes after the intact records are set to zero: otherwise the next record written could end
+/// exactly where the complete one begins, which would then be read as its successor.
 pub(crate) fn without_torn_tail(log: &[u8], replayed: &Replayed, generation: u64) -> Vec<u8> {
     let end = replayed.log_bytes as usize;
     let is_record_at = |at: usize| {
@@ -78,8 +80,8 @@
     intact
 }
 
-/// Whether a log newer than `generation` has a second record. A log only grows past its start
-/// once its slot was synced.
+/// Returns whether a log is newer than `generation` and has a second record, which shows that its
+/// slot was synced: a log grows past its first record only after that.
 pub(crate) fn continues_newer_slot(log: &[u8], generation: u64) -> bool {
     let Some((start, length)) = decode_record(log) else { return false };
     start.generation > generation
--- a/crates/storage/src/write_slot.rs
+++ b/crates/storage/src/write_slot.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 
 impl<D: Disk> Storage<D> {
-    /// Overwrites the other pair of files, log before slot; the present pair stays intact until
-    /// the new slot is synced. Nothing is truncated, for that would release reserved space: bytes
-    /// of an older generation beyond the new end are never read, by their generation in a log and
-    /// by the length in a slot.
+    /// Writes the next generation over the older pair of files, the log before the slot; the
+    /// current pair stays intact until the new slot is synced. Files are not truncated, since that
+    /// would release reserved space. Bytes of an older generation beyond the new end are never
+    /// read: each log record states its generation, and a slot states its length.
     pub(crate) fn write_slot(
         &mut self,
         snapshot: Option<Arc<Snapshot>>,
