--- a/crates/transactions/src/batch.rs
+++ b/crates/transactions/src/batch.rs
@@ -4,25 +4,27 @@
 use postbarrow_constants::plans::{BATCH_BYTES, MARKER_TEXT_BYTES};
 use serde::{Serialize, de::DeserializeOwned};
 
-/// The first byte of a batch: a reader of another format stops instead of guessing.
+/// The format number, the first byte of each batch: a reader that does not know the format rejects
+/// the batch instead of misreading it.
 const FORMAT: u8 = 1;
 
-/// A batch as it stands in the log: a byte for the format and a MessagePack array of records.
+/// Encodes a batch as it is stored in the log: a byte for the format, then a MessagePack array of
+/// the records.
 ///
 /// # Panics
 ///
-/// If a record can't be encoded, which no type with derived serialization does.
+/// If a record can't be encoded, which does not happen to types with derived serialization.
 pub fn encode<R: Serialize>(records: &[BatchRecord<R>]) -> Vec<u8> {
     let mut bytes = vec![FORMAT];
-    rmp_serde::encode::write(&mut bytes, records).expect("records encode into memory");
+    rmp_serde::encode::write(&mut bytes, records).expect("encoding records into memory succeeds");
     bytes
 }
 
-/// The records of a batch.
+/// Decodes the records of a batch.
 ///
 /// # Errors
 ///
-/// `UnknownFormat`, `Malformed` or `MarkerTextTooLong`.
+/// `UnknownFormat`, `Malformed` or `MarkerTextTooLong` of `TransactionError`.
 pub fn decode<R: DeserializeOwned>(bytes: &[u8]) -> Result<Vec<BatchRecord<R>>, TransactionError> {
     let Some((&FORMAT, body)) = bytes.split_first() else {
         return Err(TransactionError::UnknownFormat(bytes.first().copied()));
@@ -37,7 +39,8 @@
     Ok(records)
 }
 
-/// Groups records in order into batches of at most `BATCH_BYTES`; a longer record is a batch alone.
+/// Groups records in order into batches of at most `BATCH_BYTES` bytes; a longer record forms a
+/// batch by itself.
 pub fn split<R: Serialize>(records: Vec<R>) -> Vec<Vec<R>> {
     let mut batches = Vec::new();
     let mut batch = Vec::new();
--- a/crates/transactions/src/batch_record.rs
+++ b/crates/transactions/src/batch_record.rs
@@ -9,7 +9,7 @@
 pub enum BatchRecord<R> {
     /// Starts a transaction.
     Begin {
-        /// For operators; at most 255 bytes.
+        /// Name of the transaction, for operators, if it has one; at most 255 bytes.
         name: Option<String>,
     },
     /// A change of the state.
@@ -18,22 +18,23 @@
     End,
     /// Discards the transaction.
     Abort {
-        /// For operators; at most 255 bytes.
+        /// Reason of the abort, for operators, if there is one; at most 255 bytes.
         reason: Option<String>,
     },
 }
 
 impl<R> BatchRecord<R> {
-    /// A Begin marker; its name is truncated if it is too long.
+    /// Creates a Begin marker; a name of more than 255 bytes is truncated.
     pub fn begin(name: &str) -> Self {
         BatchRecord::Begin { name: Some(truncate_marker_text(name)) }
     }
 
-    /// An Abort marker; its reason is truncated if it is too long.
+    /// Creates an Abort marker; a reason of more than 255 bytes is truncated.
     pub fn abort(reason: &str) -> Self {
         BatchRecord::Abort { reason: Some(truncate_marker_text(reason)) }
     }
 
+    /// Returns the name in a Begin marker or the reason in an Abort marker, if there is one.
     pub(crate) fn marker_text(&self) -> Option<&str> {
         match self {
             BatchRecord::Begin { name } => name.as_deref(),
@@ -43,7 +44,7 @@
     }
 }
 
-/// The first 255 bytes of a text at most, truncated between characters.
+/// Returns a text truncated to at most 255 bytes, between two characters.
 pub fn truncate_marker_text(text: &str) -> String {
     let mut end = text.len().min(MARKER_TEXT_BYTES);
     while !text.is_char_boundary(end) {
--- a/crates/transactions/src/error.rs
+++ b/crates/transactions/src/error.rs
@@ -1,47 +1,47 @@
-//! Why a batch or a step of a transaction was not accepted.
+//! Errors of batches and of the steps of a transaction.
 
 use postbarrow_constants::plans::{DELTA_BYTES, MARKER_TEXT_BYTES};
 
-/// A batch or a step of a transaction that was not accepted.
+/// The reason for which a batch or a step of a transaction was rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum TransactionError {
-    /// A writer has a transaction in progress already.
-    #[error("a transaction is open")]
+    /// The writer already has a transaction in progress.
+    #[error("a transaction is already open")]
     AlreadyOpen,
-    /// A writer has no transaction in progress.
+    /// The writer has no transaction in progress.
     #[error("no transaction is open")]
     NotOpen,
-    /// A writer's transaction is over the bound of a delta.
-    #[error("the transaction is over {DELTA_BYTES} bytes")]
+    /// The batches of the writer's transaction exceed `DELTA_BYTES`.
+    #[error("the transaction exceeds {DELTA_BYTES} bytes")]
     OverDelta,
-    /// A batch is of a format that this release doesn't read.
+    /// A batch has a format that this release doesn't read.
     #[error("batch of unknown format {0:?}")]
     UnknownFormat(
-        /// The batch's first byte; none if the batch is empty.
+        /// The batch's first byte; `None` if the batch is empty.
         Option<u8>,
     ),
     /// A batch can't be decoded.
-    #[error("batch: {0}")]
+    #[error("batch can't be decoded: {0}")]
     Malformed(
         /// The decoder's message.
         String,
     ),
-    /// A marker in a batch has a longer text than any writer writes.
-    #[error("batch line {position}: marker text over {MARKER_TEXT_BYTES} bytes")]
+    /// The text of a marker in a batch exceeds `MARKER_TEXT_BYTES`, to which writers truncate it.
+    #[error("batch record {position}: marker text over {MARKER_TEXT_BYTES} bytes")]
     MarkerTextTooLong {
         /// Index of the marker in its batch, from 0.
         position: usize,
     },
-    /// A batch was applied before.
-    #[error("offset {offset} is not after {last}")]
+    /// A batch's offset is not after that of the last batch applied, so it was applied before.
+    #[error("batch at offset {offset} is not after the last applied offset {last}")]
     OffsetNotAfter {
         /// The batch's log offset.
         offset: u64,
         /// The offset of the last batch applied.
         last: u64,
     },
-    /// A transaction starts within another.
-    #[error("offset {offset} line {position}: Begin within {name:?}")]
+    /// A Begin marker within a transaction.
+    #[error("offset {offset} record {position}: Begin within transaction {name:?}")]
     BeginWithinTransaction {
         /// The batch's log offset.
         offset: u64,
@@ -50,15 +50,15 @@
         /// Name of the transaction in progress; empty if it has none.
         name: String,
     },
-    /// An End or Abort outside a transaction.
-    #[error("offset {offset} line {position}: a close without Begin")]
+    /// An End or Abort marker outside a transaction.
+    #[error("offset {offset} record {position}: End or Abort without Begin")]
     CloseWithoutBegin {
         /// The batch's log offset.
         offset: u64,
         /// Index of the marker in its batch, from 0.
         position: usize,
     },
-    /// The pending delta of a tail is over its bound.
+    /// The batches in a tail's pending delta exceed `DELTA_BYTES`.
     #[error("offset {offset}: pending delta over {DELTA_BYTES} bytes")]
     PendingDeltaTooLarge {
         /// The batch's log offset.
--- a/crates/transactions/src/lib.rs
+++ b/crates/transactions/src/lib.rs
@@ -13,10 +13,10 @@
 pub use tail::{BatchOutcome, Tail};
 pub use writer::Writer;
 
-/// State that records change. A clone must be cheap, for clones are the published image, the
-/// pending delta and the rollback image.
+/// A state that records change. Clones must be cheap, since the published image, the pending delta
+/// and the rollback image are clones.
 pub trait Image: Clone {
-    /// One change.
+    /// The type of one change of the state.
     type Record;
     /// Applies a record of the batch at this log offset.
     fn apply(&mut self, offset: u64, record: &Self::Record);
--- a/crates/transactions/src/tail.rs
+++ b/crates/transactions/src/tail.rs
@@ -4,21 +4,21 @@
 use postbarrow_constants::plans::DELTA_BYTES;
 use std::sync::Arc;
 
-/// What a batch did to the published image.
+/// The effect of a batch on the published image.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BatchOutcome {
     /// A new image is published.
     Published,
-    /// The image is as before; a transaction is in progress.
+    /// The published image is unchanged; a transaction is in progress.
     Pending,
-    /// The image is as before; a transaction was discarded.
+    /// The published image is unchanged; a transaction was discarded.
     Aborted {
-        /// As the Abort marker states it.
+        /// The reason in the Abort marker, if there is one.
         reason: Option<String>,
     },
 }
 
-/// A transaction in progress.
+/// The state within a transaction in progress, and the size of its batches so far.
 #[derive(Clone)]
 struct PendingDelta<I> {
     image: I,
@@ -26,7 +26,8 @@
     name: Option<String>,
 }
 
-/// A reader of the log: applies records to a pending delta and publishes an image at End only.
+/// A reader of the log: applies a transaction's records to a pending delta, and publishes an image
+/// with them at End only.
 #[derive(Clone)]
 pub struct Tail<I> {
     image: Arc<I>,
@@ -34,7 +35,8 @@
     pending: Option<PendingDelta<I>>,
 }
 
-/// What a batch leads to, so that a malformed one changes nothing of the tail.
+/// The tail's state after a batch, built separately so that a malformed batch leaves the tail
+/// unchanged.
 struct NextState<I> {
     image: Option<I>,
     pending: Option<PendingDelta<I>>,
@@ -42,17 +44,17 @@
 }
 
 impl<I: Image> Tail<I> {
-    /// A reader that continues after `offset`, with the image published there.
+    /// Creates a reader that continues after `offset`, starting from the image published there.
     pub fn new(offset: u64, image: I) -> Self {
         Tail { image: Arc::new(image), offset, pending: None }
     }
 
-    /// Applies one atomic batch of `size_bytes` encoded bytes.
+    /// Applies one atomic batch, which has `size_bytes` bytes when encoded.
     ///
     /// # Errors
     ///
     /// Misplaced markers, an offset that is not after the last one, or a pending delta over its
-    /// bound. The tail is then as it was, and its owner must fetch an image.
+    /// bound. The tail is then unchanged, and its owner must fetch an image.
     pub fn apply(
         &mut self,
         offset: u64,
@@ -125,32 +127,32 @@
         Ok(NextState { image, pending, outcome })
     }
 
-    /// The published image.
+    /// Returns the published image.
     pub fn image(&self) -> &Arc<I> {
         &self.image
     }
 
-    /// The log offset of the last batch applied or skipped.
+    /// Returns the log offset of the last batch applied or skipped.
     pub fn offset(&self) -> u64 {
         self.offset
     }
 
-    /// Skips offsets that carry nothing for this reader.
+    /// Advances to `offset` past log entries that have no records for this reader.
     pub fn skip_to(&mut self, offset: u64) {
         self.offset = self.offset.max(offset);
     }
 
-    /// Whether a transaction is in progress.
+    /// Returns whether a transaction is in progress.
     pub fn is_open(&self) -> bool {
         self.pending.is_some()
     }
 
-    /// The name of the transaction in progress, if it has one.
+    /// Returns the name of the transaction in progress, if there is one and it has a name.
     pub fn open_transaction_name(&self) -> Option<&str> {
         self.pending.as_ref().and_then(|delta| delta.name.as_deref())
     }
 
-    /// The state within the transaction in progress.
+    /// Returns the state with the records of the transaction in progress; `None` outside one.
     pub fn staged(&self) -> Option<&I> {
         self.pending.as_ref().map(|delta| &delta.image)
     }
--- a/crates/transactions/src/writer.rs
+++ b/crates/transactions/src/writer.rs
@@ -1,17 +1,17 @@
-//! The single writer's side of a transaction.
+//! The writer's part of a transaction; a log has a single writer, the leader.
 
 use crate::{BatchRecord, Image, TransactionError, truncate_marker_text};
 use postbarrow_constants::plans::{DELTA_BYTES, TRANSACTION_OPEN_MS};
 
-/// The writer's transaction in progress.
+/// The writer's transaction in progress: its start, its size, and the state to return to.
 struct OpenTransaction<I> {
     since_ms: u64,
     size_bytes: usize,
     rollback: I,
 }
 
-/// The single writer: its state with records that are not committed yet, and the image at Begin to
-/// return to.
+/// The log's single writer. It has the state with all records proposed so far, committed or not,
+/// and during a transaction also the state at Begin, to which an abort returns.
 pub struct Writer<I> {
     term: u64,
     current: I,
@@ -19,16 +19,16 @@
 }
 
 impl<I: Image> Writer<I> {
-    /// The writer of a leader's term, which starts from the committed state.
+    /// Creates the writer of a leader's term, which starts from the committed state.
     pub fn new(term: u64, committed: I) -> Self {
         Writer { term, current: committed, open: None }
     }
 
-    /// Starts a transaction; returns its marker for the log.
+    /// Starts a transaction and returns its Begin marker for the log.
     ///
     /// # Errors
     ///
-    /// `AlreadyOpen`.
+    /// `AlreadyOpen` if a transaction is in progress.
     pub fn begin(
         &mut self,
         now_ms: u64,
@@ -42,68 +42,69 @@
         Ok(BatchRecord::begin(&truncate_marker_text(name)))
     }
 
-    /// Counts a batch of the open transaction against the delta's bound.
+    /// Adds the size of a batch to that of the open transaction, which `DELTA_BYTES` bounds.
     ///
     /// # Errors
     ///
-    /// `NotOpen`, or `OverDelta`, after which the transaction must be aborted.
+    /// `NotOpen` if no transaction is open; `OverDelta` if it exceeds the bound, after which it
+    /// must be aborted.
     pub fn grow(&mut self, size_bytes: usize) -> Result<(), TransactionError> {
         let open = self.open.as_mut().ok_or(TransactionError::NotOpen)?;
         open.size_bytes += size_bytes;
         if open.size_bytes > DELTA_BYTES { Err(TransactionError::OverDelta) } else { Ok(()) }
     }
 
-    /// Applies a record that is proposed at this offset.
+    /// Applies a record that is proposed at this log offset.
     pub fn apply(&mut self, offset: u64, record: &I::Record) {
         self.current.apply(offset, record);
     }
 
-    /// Commits the open transaction; returns its marker for the log.
+    /// Commits the open transaction and returns its End marker for the log.
     ///
     /// # Errors
     ///
-    /// `NotOpen`.
+    /// `NotOpen` if no transaction is open.
     pub fn end(&mut self) -> Result<BatchRecord<I::Record>, TransactionError> {
         self.open.take().map(|_| BatchRecord::End).ok_or(TransactionError::NotOpen)
     }
 
-    /// Returns to the state at Begin; returns the marker for the log.
+    /// Restores the state at Begin and returns the Abort marker for the log.
     ///
     /// # Errors
     ///
-    /// `NotOpen`.
+    /// `NotOpen` if no transaction is open.
     pub fn abort(&mut self, reason: &str) -> Result<BatchRecord<I::Record>, TransactionError> {
         let open = self.open.take().ok_or(TransactionError::NotOpen)?;
         self.current = open.rollback;
         Ok(BatchRecord::abort(reason))
     }
 
-    /// Whether the open transaction has lasted for longer than it may.
+    /// Returns whether a transaction has been open for `TRANSACTION_OPEN_MS` or longer.
     pub fn is_overdue(&self, now_ms: u64) -> bool {
         self.open.as_ref().is_some_and(|open| now_ms >= open.since_ms + TRANSACTION_OPEN_MS)
     }
 
-    /// How long the open transaction has lasted.
+    /// Returns how long the transaction has been open, in milliseconds; `None` if none is open.
     pub fn open_duration_ms(&self, now_ms: u64) -> Option<u64> {
         self.open.as_ref().map(|open| now_ms.saturating_sub(open.since_ms))
     }
 
-    /// The state with every record proposed so far.
+    /// Returns the state with every record proposed so far.
     pub fn current(&self) -> &I {
         &self.current
     }
 
-    /// The state that an abort returns to.
+    /// Returns the state to which an abort returns; `None` if no transaction is open.
     pub fn rollback(&self) -> Option<&I> {
         self.open.as_ref().map(|open| &open.rollback)
     }
 
-    /// Whether a transaction is in progress.
+    /// Returns whether a transaction is in progress.
     pub fn is_open(&self) -> bool {
         self.open.is_some()
     }
 
-    /// The leader's term that this writer belongs to.
+    /// Returns the leader's term that this writer belongs to.
     pub fn term(&self) -> u64 {
         self.term
     }
--- a/crates/transactions/tests/framing.rs
+++ b/crates/transactions/tests/framing.rs
@@ -1,4 +1,4 @@
-//! The framing of transactions, and what a reader and the writer do with it.
+//! The markers that frame a transaction in the log, and how readers and the writer handle them.
 
 use postbarrow_constants::plans::{
     BATCH_BYTES, DELTA_BYTES, MARKER_TEXT_BYTES, TRANSACTION_OPEN_MS,
@@ -6,9 +6,9 @@
 use postbarrow_transactions::*;
 
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Sum(Vec<u64>);
+struct Values(Vec<u64>);
 
-impl Image for Sum {
+impl Image for Values {
     type Record = u64;
     fn apply(&mut self, _offset: u64, record: &u64) {
         self.0.push(*record);
@@ -21,7 +21,7 @@
 
 #[test]
 fn image_is_published_at_end_only_and_is_unchanged_by_an_abort() {
-    let mut tail = Tail::new(0, Sum::default());
+    let mut tail = Tail::new(0, Values::default());
     assert_eq!(tail.apply(1, 1, &[data(1)]), Ok(BatchOutcome::Published));
     assert_eq!(tail.apply(2, 1, &[BatchRecord::begin("plan"), data(2)]), Ok(BatchOutcome::Pending));
     assert_eq!(tail.apply(3, 1, &[data(3)]), Ok(BatchOutcome::Pending));
@@ -39,7 +39,7 @@
 
 #[test]
 fn misplaced_markers_are_errors_and_leave_the_tail_unchanged() {
-    let mut tail = Tail::new(0, Sum::default());
+    let mut tail = Tail::new(0, Values::default());
     assert!(
         tail.apply(1, 1, &[BatchRecord::End]).unwrap_err().to_string().contains("without Begin")
     );
@@ -50,7 +50,7 @@
         tail.apply(2, 1, &[BatchRecord::begin("two")])
             .unwrap_err()
             .to_string()
-            .contains("within \"one\"")
+            .contains("within transaction \"one\"")
     );
     assert_eq!(tail.open_transaction_name(), Some("one"));
     assert!(tail.apply(1, 1, &[data(1)]).unwrap_err().to_string().contains("not after"));
@@ -58,7 +58,7 @@
 
 #[test]
 fn pending_delta_over_its_bound_is_an_error() {
-    let mut tail = Tail::new(0, Sum::default());
+    let mut tail = Tail::new(0, Values::default());
     tail.apply(1, 10, &[BatchRecord::begin("big")]).unwrap();
     tail.apply(2, DELTA_BYTES - 20, &[data(1)]).unwrap();
     assert!(tail.apply(3, 20, &[data(2)]).unwrap_err().to_string().contains("over"));
@@ -66,7 +66,7 @@
 
 #[test]
 fn abort_returns_the_writer_to_its_state_at_begin() {
-    let mut writer = Writer::new(3, Sum(vec![1]));
+    let mut writer = Writer::new(3, Values(vec![1]));
     assert_eq!(writer.begin(100, "plan"), Ok(BatchRecord::begin("plan")));
     assert_eq!(writer.begin(100, "other"), Err(TransactionError::AlreadyOpen));
     writer.apply(2, &2);
@@ -84,13 +84,13 @@
 
 #[test]
 fn marker_texts_are_truncated_when_written_and_rejected_over_the_bound_when_read() {
-    let long = "ü".repeat(200);
-    let BatchRecord::<u64>::Begin { name: Some(name) } = BatchRecord::begin(&long) else {
-        panic!("a name")
+    let long_text = "ü".repeat(200);
+    let BatchRecord::<u64>::Begin { name: Some(name) } = BatchRecord::begin(&long_text) else {
+        panic!("the Begin marker has no name")
     };
     assert!(name.len() <= MARKER_TEXT_BYTES && name.len() > MARKER_TEXT_BYTES - 2);
-    let over = [BatchRecord::<u64>::Abort { reason: Some("r".repeat(MARKER_TEXT_BYTES + 1)) }];
-    assert!(decode::<u64>(&encode(&over)).unwrap_err().to_string().contains("over 255"));
+    let too_long = [BatchRecord::<u64>::Abort { reason: Some("r".repeat(MARKER_TEXT_BYTES + 1)) }];
+    assert!(decode::<u64>(&encode(&too_long)).unwrap_err().to_string().contains("over 255"));
     let complete = vec![BatchRecord::begin("a"), data(1), BatchRecord::End];
     assert_eq!(decode::<u64>(&encode(&complete)), Ok(complete));
     assert!(decode::<u64>(&[9, 1, 2]).unwrap_err().to_string().contains("unknown format"));
