--- a/crates/consensus/tests/golden/values.rs
+++ b/crates/consensus/tests/golden/values.rs
@@ -1,5 +1,5 @@
-//! One value of each stored and sent type of this crate. No field has its default, and no two
-//! fields of one struct are equal, so that a field that moves shows in the bytes.
+//! One value of each type of this crate that is stored or sent. No field has its default, and no
+//! two fields of one struct are equal, so that the bytes change if a field moves.
 #![allow(dead_code)]
 
 use postbarrow_consensus::*;
@@ -22,13 +22,13 @@
     ]
 }
 
-/// An entry of every payload, in an unbroken row.
+/// Returns an entry of every payload, with consecutive indexes from `first`.
 pub fn entries(first: u64) -> Vec<Entry> {
     let payloads = payloads().into_iter().map(|(_, payload)| payload);
     (first..).zip(payloads).map(|(index, payload)| Entry { term: 3, index, payload }).collect()
 }
 
-pub fn hard(term: u64) -> HardState {
+pub fn hard_state(term: u64) -> HardState {
     HardState { term, voted_for: Some(2) }
 }
 
@@ -39,10 +39,10 @@
 pub fn writes() -> Vec<(&'static str, Write)> {
     let (snapshot, entries) = (Arc::new(snapshot()), entries(41));
     vec![
-        ("Hard", Write::HardState(hard(3))),
+        ("Hard", Write::HardState(hard_state(3))),
         ("Append", Write::Append(entries.clone())),
         ("Truncate", Write::Truncate { from: 43 }),
-        ("Slot", Write::Slot { snapshot, hard: hard(4), entries }),
+        ("Slot", Write::Slot { snapshot, hard: hard_state(4), entries }),
     ]
 }
 
@@ -84,7 +84,8 @@
     AppendRequest { term: 5, prev_index: 40, prev_term: 2, entries, commit: 39, sent_ms: 123_456 }
 }
 
-/// Every message, by its sent name.
+/// Returns every message with the name of its variant on the wire, and a further word if a variant
+/// is there twice.
 pub fn messages() -> Vec<(&'static str, Message)> {
     let response = AppendResponse { term: 5, matched: Some(43), hint: 44, sent_ms: 123_456 };
     let timeout_now =
--- a/crates/storage/tests/every_power_loss.rs
+++ b/crates/storage/tests/every_power_loss.rs
@@ -1,4 +1,4 @@
-//! Power is lost at every operation of a script, with every choice of the unsynced names and
+//! Cuts the power at every operation of a script, with every combination of unsynced names and
 //! writes that survive, each independently.
 
 use postbarrow_consensus::{Entry, HardState, Member, Payload, RecoveredState, Snapshot, Write};
@@ -7,13 +7,13 @@
 use std::sync::Arc;
 
 const MEMBER: u64 = 9;
-const NEXT_MEMBER: u64 = 10;
+const NEW_MEMBER: u64 = 10;
 
 fn hard(term: u64) -> Write {
     Write::HardState(HardState { term, voted_for: Some(term) })
 }
 
-/// Entries differ in size, so that records of two attempts seldom end at the same offset.
+/// Entries differ in size, so that records of two attempts rarely end at the same offset.
 fn append(term: u64, index: u64) -> Write {
     let payload = Payload::Batch(vec![index as u8; 10 + 7 * index as usize]);
     Write::Append(vec![Entry { term, index, payload }])
@@ -42,48 +42,58 @@
     ]
 }
 
-/// What a member may not fall behind: its term, its vote in it, and its last entry.
+/// The part of a member's state that must not regress: its term, its vote in that term, and the
+/// index of its last entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Acknowledged {
+struct MemberState {
     term: u64,
-    voted: Option<u64>,
-    last: u64,
+    voted_for: Option<u64>,
+    last_index: u64,
 }
 
-const NONE: Acknowledged = Acknowledged { term: 0, voted: None, last: 0 };
+const INITIAL_STATE: MemberState = MemberState { term: 0, voted_for: None, last_index: 0 };
 
-impl Acknowledged {
-    fn after(mut self, write: &Write) -> Acknowledged {
+impl MemberState {
+    /// Returns the state after a write.
+    fn after(mut self, write: &Write) -> MemberState {
         match write {
             Write::HardState(hard) | Write::Slot { hard, .. } => {
-                (self.term, self.voted) = (hard.term, hard.voted_for);
+                (self.term, self.voted_for) = (hard.term, hard.voted_for);
             }
-            Write::Append(entries) => self.last = entries.last().unwrap().index,
+            Write::Append(entries) => self.last_index = entries.last().unwrap().index,
             Write::Truncate { .. } => unreachable!("the script truncates nothing"),
         }
         self
     }
 
-    fn covers(&self, other: &Acknowledged) -> bool {
-        let votes = self.term > other.term || (self.term, self.voted) == (other.term, other.voted);
-        votes && self.last >= other.last
+    /// Returns whether this state has no older term, no other vote in the same term and no fewer
+    /// entries than the other.
+    fn covers(&self, other: &MemberState) -> bool {
+        let votes =
+            self.term > other.term || (self.term, self.voted_for) == (other.term, other.voted_for);
+        votes && self.last_index >= other.last_index
     }
 
-    fn of(recovered: &RecoveredState) -> Acknowledged {
+    fn of(recovered: &RecoveredState) -> MemberState {
         let snapshot_index = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-        let last = recovered.entries.last().map_or(snapshot_index, |entry| entry.index);
-        Acknowledged { term: recovered.term, voted: recovered.voted_for, last }
+        let last_index = recovered.entries.last().map_or(snapshot_index, |entry| entry.index);
+        MemberState { term: recovered.term, voted_for: recovered.voted_for, last_index }
     }
 }
 
-/// Runs the script on a disk that loses power after so many operations.
-fn run(disk: &SimDisk, fuse: u64) -> Run {
+/// Runs the script on a disk that loses power after `fuse` operations.
+fn run_script(disk: &SimDisk, fuse: u64) -> ScriptRun {
     disk.set_fuse(fuse);
-    let mut run = Run { created: false, acknowledged: NONE, requested: NONE, complete: false };
+    let mut run = ScriptRun {
+        created: false,
+        acknowledged: INITIAL_STATE,
+        requested: INITIAL_STATE,
+        complete: false,
+    };
     let Ok(mut storage) = Storage::create(disk.clone(), MEMBER) else { return run };
     run.created = true;
     for group in script() {
-        run.requested = group.iter().fold(run.acknowledged, Acknowledged::after);
+        run.requested = group.iter().fold(run.acknowledged, MemberState::after);
         if storage.apply(group).is_err() {
             return run;
         }
@@ -93,54 +103,61 @@
     run
 }
 
-struct Run {
+struct ScriptRun {
     created: bool,
-    acknowledged: Acknowledged,
-    requested: Acknowledged,
+    acknowledged: MemberState,
+    requested: MemberState,
     /// The script ended before the power was lost.
     complete: bool,
 }
 
-/// Every choice of what survives a loss of power, each as a disk of its own.
-fn choices(disk: &SimDisk) -> impl Iterator<Item = (u64, SimDisk)> {
+/// Returns a copy of the disk after a loss of power for every combination of what survives, with
+/// the combination as a bit mask.
+fn power_loss_survivors(disk: &SimDisk) -> impl Iterator<Item = (u64, SimDisk)> {
     let unsynced = disk.unsynced();
     assert!(
         unsynced <= 12,
-        "{unsynced} unsynced writes and names are too many to test all choices"
+        "{unsynced} unsynced writes and names are too many to test all combinations"
     );
     let disk = disk.clone();
-    (0..1u64 << unsynced).map(move |choice| {
+    (0..1u64 << unsynced).map(move |mask| {
         let survivor = disk.copy();
-        survivor.lose_power_keeping(|at| choice >> at & 1 == 1);
-        (choice, survivor)
+        survivor.lose_power_keeping(|at| mask >> at & 1 == 1);
+        (mask, survivor)
     })
 }
 
-fn start(disk: &SimDisk, context: &str) -> (Storage<SimDisk>, Acknowledged) {
+/// Opens the disk, which must recover a contiguous log of the member.
+fn recover(disk: &SimDisk, context: &str) -> (Storage<SimDisk>, MemberState) {
     match open(disk.clone()).unwrap() {
         Opened::Recovered { storage, recovered } => {
             assert_eq!(storage.id(), MEMBER, "{context}");
             let indexes: Vec<u64> = recovered.entries.iter().map(|entry| entry.index).collect();
             let first = indexes.first().copied().unwrap_or(1);
             let in_order = (first..).take(indexes.len()).collect::<Vec<_>>();
-            assert_eq!(indexes, in_order, "{context}: entries are missing or doubled");
-            (storage, Acknowledged::of(&recovered))
+            assert_eq!(indexes, in_order, "{context}: entries are missing or repeated");
+            (storage, MemberState::of(&recovered))
         }
         Opened::Empty(_) => panic!("{context}: opened as empty"),
         Opened::Damaged { damage, .. } => panic!("{context}: {damage}"),
     }
 }
 
-/// A start votes; whatever survives the next loss of power, the start after it recovers the vote.
+/// Recovers the member and stores a vote. The vote must be recovered whatever survives the next
+/// loss of power.
 fn vote_and_lose_power(disk: &SimDisk, context: &str) {
-    let (mut storage, found) = start(disk, context);
-    let vote = Acknowledged { term: found.term + 1, voted: Some(77), last: found.last };
+    let (mut storage, recovered_state) = recover(disk, context);
+    let vote = MemberState {
+        term: recovered_state.term + 1,
+        voted_for: Some(77),
+        last_index: recovered_state.last_index,
+    };
     storage
-        .apply(vec![Write::HardState(HardState { term: vote.term, voted_for: vote.voted })])
+        .apply(vec![Write::HardState(HardState { term: vote.term, voted_for: vote.voted_for })])
         .unwrap();
-    for (choice, after) in choices(disk) {
-        let (_, again) = start(&after, context);
-        assert_eq!(again, vote, "{context}, then {choice:b}: the vote is lost");
+    for (mask, after) in power_loss_survivors(disk) {
+        let (_, recovered_vote) = recover(&after, context);
+        assert_eq!(recovered_vote, vote, "{context}, surviving {mask:b}: the vote is lost");
     }
 }
 
@@ -149,47 +166,51 @@
     let mut cases = 0;
     for fuse in 0.. {
         let disk = SimDisk::default();
-        let run = run(&disk, fuse);
-        for (choice, survivor) in choices(&disk) {
+        let run = run_script(&disk, fuse);
+        for (mask, survivor) in power_loss_survivors(&disk) {
             cases += 1;
-            let context = format!("power lost after {fuse} operations, surviving {choice:b}");
+            let context = format!("power lost after {fuse} operations, surviving {mask:b}");
             if !run.created && !matches!(open(survivor.copy()).unwrap(), Opened::Recovered { .. }) {
                 continue;
             }
-            let (_, found) = start(&survivor.copy(), &context);
+            let (_, recovered_state) = recover(&survivor.copy(), &context);
             assert!(
-                found.covers(&run.acknowledged),
-                "{context}: {found:?} for {:?}",
+                recovered_state.covers(&run.acknowledged),
+                "{context}: {recovered_state:?} for {:?}",
                 run.acknowledged
             );
-            assert!(run.requested.covers(&found), "{context}: {found:?} was never requested");
+            assert!(
+                run.requested.covers(&recovered_state),
+                "{context}: {recovered_state:?} was never requested"
+            );
             vote_and_lose_power(&survivor, &context);
         }
         if run.complete {
             break;
         }
     }
-    assert!(cases > 100, "{cases} losses of power were tested");
+    assert!(cases > 100, "only {cases} losses of power were tested");
 }
 
-/// Recovery after a loss of power loses power too, at each of its own operations.
+/// A second loss of power hits the recovery from the first, at each operation of the recovery.
 #[test]
 fn power_loss_during_recovery_retains_acknowledged_writes() {
     for fuse in 0.. {
         let disk = SimDisk::default();
-        let run = run(&disk, fuse);
-        for (choice, survivor) in choices(&disk).filter(|_| run.created) {
-            for second in 0..8 {
-                let again = survivor.copy();
-                again.set_fuse(second);
-                let opened = open(again.clone()).is_ok();
-                for (later, after) in choices(&again) {
-                    let context =
-                        format!("{fuse}, surviving {choice:b}, then {second}, surviving {later:b}");
-                    let (_, found) = start(&after, &context);
+        let run = run_script(&disk, fuse);
+        for (mask, survivor) in power_loss_survivors(&disk).filter(|_| run.created) {
+            for second_fuse in 0..8 {
+                let recovering = survivor.copy();
+                recovering.set_fuse(second_fuse);
+                let opened = open(recovering.clone()).is_ok();
+                for (second_mask, after) in power_loss_survivors(&recovering) {
+                    let context = format!(
+                        "{fuse}, surviving {mask:b}, then {second_fuse}, surviving {second_mask:b}"
+                    );
+                    let (_, recovered_state) = recover(&after, &context);
                     assert!(
-                        found.covers(&run.acknowledged),
-                        "{context}: {found:?} for {:?}",
+                        recovered_state.covers(&run.acknowledged),
+                        "{context}: {recovered_state:?} for {:?}",
                         run.acknowledged
                     );
                 }
@@ -210,17 +231,17 @@
     for damaged in LOGS.iter().chain(&SLOTS) {
         for fuse in 0.. {
             let disk = SimDisk::default();
-            assert!(run(&disk, u64::MAX).complete);
+            assert!(run_script(&disk, u64::MAX).complete);
             disk.lose_power_keeping(|_| true);
             disk.damage(damaged, 30);
             let Opened::Damaged { disk: old, .. } = open(disk.clone()).unwrap() else { break };
             disk.set_fuse(fuse);
-            let created = Storage::create(old, NEXT_MEMBER).is_ok();
-            for (choice, survivor) in choices(&disk) {
-                let context = format!("{damaged}, {fuse} operations, surviving {choice:b}");
+            let created = Storage::create(old, NEW_MEMBER).is_ok();
+            for (mask, survivor) in power_loss_survivors(&disk) {
+                let context = format!("{damaged}, {fuse} operations, surviving {mask:b}");
                 match open(survivor).unwrap() {
                     Opened::Recovered { storage, .. } => {
-                        assert_eq!(storage.id(), NEXT_MEMBER, "{context}")
+                        assert_eq!(storage.id(), NEW_MEMBER, "{context}")
                     }
                     _ => assert!(!created, "{context}: the new member is lost"),
                 }
@@ -232,7 +253,8 @@
     }
 }
 
-/// A torn record before a complete one: the next start's record ends exactly where that begins.
+/// Guards against replaying a record that was never acknowledged: a torn record precedes a complete
+/// one, and the record written after the next start ends exactly where the complete one begins.
 #[test]
 fn complete_record_after_a_torn_one_is_never_replayed() {
     let mut disk = SimDisk::default();
@@ -246,11 +268,15 @@
     disk.write(LOGS[1], torn, &group).unwrap();
     disk.sync(LOGS[1]).unwrap();
 
-    let (mut storage, found) = start(&disk, "after the loss of power");
-    assert_eq!(found, NONE, "nothing of the torn group was acknowledged");
+    let (mut storage, recovered_state) = recover(&disk, "after the loss of power");
+    assert_eq!(recovered_state, INITIAL_STATE, "nothing of the torn group was acknowledged");
     storage.apply(vec![append(1, 1), append(1, 2)]).unwrap();
-    let (_, found) = start(&disk, "after the torn group");
-    assert_eq!(found, Acknowledged { last: 2, ..NONE }, "a vote of the torn group was recovered");
+    let (_, recovered_state) = recover(&disk, "after the torn group");
+    assert_eq!(
+        recovered_state,
+        MemberState { last_index: 2, ..INITIAL_STATE },
+        "a vote of the torn group was recovered"
+    );
 }
 
 #[test]
@@ -261,6 +287,6 @@
     for group in script() {
         storage.apply(group).unwrap();
     }
-    let last = script().iter().flatten().fold(NONE, Acknowledged::after);
-    assert_eq!(start(&disk, "reserved").1, last);
+    let last = script().iter().flatten().fold(INITIAL_STATE, MemberState::after);
+    assert_eq!(recover(&disk, "reserved").1, last);
 }
--- a/crates/storage/tests/full.rs
+++ b/crates/storage/tests/full.rs
@@ -1,4 +1,5 @@
-//! A full disk: reserved space, writes that are repeated, and failed syncs, which are not.
+//! Writes to a full disk: those within reserved space succeed, refused ones are repeated, and
+//! failed syncs are not.
 
 use postbarrow_consensus::{Entry, HardState, Member, Payload, RecoveredState, Snapshot, Write};
 use postbarrow_simulation::{DiskFault, Random, SimDisk};
@@ -11,7 +12,7 @@
 use std::sync::Arc;
 
 const MEMBER: u64 = 9;
-/// `st_blocks` counts in these, whatever a file system's own block is.
+/// Bytes of the blocks that `st_blocks` counts, whatever the block size of the file system.
 const STAT_BLOCK_BYTES: u64 = 512;
 
 fn append(index: u64) -> Write {
@@ -25,7 +26,7 @@
     Write::Slot { snapshot, hard: HardState { term: 1, voted_for: Some(1) }, entries: Vec::new() }
 }
 
-/// One group with two slots among log records: each file is written.
+/// A group of log records and two slots, which together write every file.
 fn group() -> Vec<Write> {
     vec![append(1), slot(1), append(2), append(3), slot(3), append(4)]
 }
@@ -38,14 +39,14 @@
     }
 }
 
-fn last(found: &RecoveredState) -> u64 {
-    let snapshot_index = found.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-    found.entries.last().map_or(snapshot_index, |entry| entry.index)
+fn last_index(recovered_state: &RecoveredState) -> u64 {
+    let snapshot_index = recovered_state.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+    recovered_state.entries.last().map_or(snapshot_index, |entry| entry.index)
 }
 
 #[test]
 fn full_disk_at_any_operation_suspends_writes_until_space_is_free() {
-    let mut stopped = 0;
+    let mut full_count = 0;
     for operations in 0.. {
         let disk = SimDisk::default();
         let mut storage = Storage::create(disk.clone(), MEMBER).unwrap();
@@ -53,19 +54,26 @@
         match storage.apply(group()) {
             Ok(()) => break,
             Err(WriteError::Failed(error)) => panic!("operation {operations}: {error}"),
-            Err(WriteError::Full(_)) => stopped += 1,
+            Err(WriteError::Full(_)) => full_count += 1,
         }
-        let again = storage.resume();
-        assert!(matches!(again, Err(WriteError::Full(_))), "operation {operations}: {again:?}");
+        let repeated = storage.resume();
+        assert!(
+            matches!(repeated, Err(WriteError::Full(_))),
+            "operation {operations}: {repeated:?}"
+        );
         disk.set_fault(None);
         storage.resume().unwrap();
         storage.apply(vec![append(5)]).unwrap();
         disk.lose_power(&mut Random::new(operations));
-        let (_, found) = reopen(&disk);
-        let indexes: Vec<u64> = found.entries.iter().map(|entry| entry.index).collect();
-        assert_eq!((indexes, last(&found)), (vec![4, 5], 5), "operation {operations}");
+        let (_, recovered_state) = reopen(&disk);
+        let indexes: Vec<u64> = recovered_state.entries.iter().map(|entry| entry.index).collect();
+        assert_eq!(
+            (indexes, last_index(&recovered_state)),
+            (vec![4, 5], 5),
+            "operation {operations}"
+        );
     }
-    assert!(stopped > 10, "{stopped} operations met a full disk");
+    assert!(full_count > 10, "only {full_count} operations met a full disk");
 }
 
 #[test]
@@ -77,7 +85,7 @@
     let Err(error) = open(disk.clone()) else { panic!("a full disk was not reported") };
     assert!(is_full(&error), "{error}");
     disk.set_fault(None);
-    assert_eq!(last(&reopen(&disk).1), 1);
+    assert_eq!(last_index(&reopen(&disk).1), 1);
 }
 
 #[test]
@@ -90,8 +98,8 @@
         storage.apply(group()).unwrap();
     }
     drop(storage);
-    let (mut storage, found) = reopen(&disk);
-    assert_eq!(last(&found), 4);
+    let (mut storage, recovered_state) = reopen(&disk);
+    assert_eq!(last_index(&recovered_state), 4);
     storage.apply(group()).unwrap();
 }
 
@@ -107,13 +115,13 @@
     storage.apply(group()).unwrap();
 }
 
-/// A disk whose syncs fail for want of space, as some file systems do.
-struct LateRefusal {
+/// A disk whose syncs fail for lack of space, as those of some file systems do.
+struct FullOnSyncDisk {
     disk: SimDisk,
-    refuses: Rc<Cell<bool>>,
+    is_sync_refused: Rc<Cell<bool>>,
 }
 
-impl Disk for LateRefusal {
+impl Disk for FullOnSyncDisk {
     fn read(&mut self, file: &str) -> io::Result<Vec<u8>> {
         self.disk.read(file)
     }
@@ -130,7 +138,7 @@
         self.disk.truncate(file, length)
     }
     fn sync(&mut self, file: &str) -> io::Result<()> {
-        if self.refuses.get() {
+        if self.is_sync_refused.get() {
             Err(io::ErrorKind::StorageFull.into())
         } else {
             self.disk.sync(file)
@@ -144,17 +152,18 @@
 #[test]
 fn sync_refused_for_lack_of_space_is_a_failed_disk() {
     for write in [append(1), slot(1)] {
-        let refuses = Rc::new(Cell::new(false));
-        let disk = LateRefusal { disk: SimDisk::default(), refuses: refuses.clone() };
+        let is_sync_refused = Rc::new(Cell::new(false));
+        let disk =
+            FullOnSyncDisk { disk: SimDisk::default(), is_sync_refused: is_sync_refused.clone() };
         let mut storage = Storage::create(disk, MEMBER).unwrap();
         storage.apply(vec![append(1)]).unwrap();
-        refuses.set(true);
+        is_sync_refused.set(true);
         let outcome = storage.apply(vec![write]);
         assert!(matches!(outcome, Err(WriteError::Failed(_))), "{outcome:?}");
     }
 }
 
-fn folder(name: &str) -> PathBuf {
+fn unused_folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&folder);
     folder
@@ -162,7 +171,7 @@
 
 #[test]
 fn folder_disk_allocates_and_retains_reserved_blocks() {
-    let folder = folder("reserved-blocks");
+    let folder = unused_folder("reserved-blocks");
     let disk = FolderDisk::new(folder.clone()).unwrap();
     let mut storage = Storage::create(disk, MEMBER).unwrap();
     let reservation = Reservation { log_bytes: 1 << 20, slot_bytes: 1 << 19 };
@@ -177,7 +186,7 @@
                 allocated >= min_bytes,
                 "group {group_number}: {file} has {allocated} of {min_bytes} bytes"
             );
-            assert!(metadata.len() < 4_096, "group {group_number}: {file} got longer");
+            assert!(metadata.len() < 4_096, "group {group_number}: the length of {file} has grown");
         }
         storage.apply(group()).unwrap();
     }
@@ -186,7 +195,7 @@
 
 #[test]
 fn folder_disk_creates_missing_parent_folders() {
-    let top = folder("levels");
+    let top = unused_folder("levels");
     let inner = top.join("one/two");
     drop(Storage::create(FolderDisk::new(inner.clone()).unwrap(), MEMBER).unwrap());
     let opened = open(FolderDisk::new(inner).unwrap()).unwrap();
--- a/crates/storage/tests/power.rs
+++ b/crates/storage/tests/power.rs
@@ -1,4 +1,4 @@
-//! What survives a loss of power, and damage that is no torn tail.
+//! Recovery after a loss of power, and damage that is not a torn tail.
 
 use postbarrow_consensus::{Entry, HardState, Member, Payload, RecoveredState, Snapshot, Write};
 use postbarrow_simulation::{DiskFault, Random, SimDisk};
@@ -23,13 +23,13 @@
     Write::Slot { snapshot, hard: HardState { term, voted_for: Some(1) }, entries }
 }
 
-/// What a member has written, as far as the next write depends on it.
+/// The part of a member's written state on which its next random write depends.
 struct Model {
     /// Index of the last entry.
-    last: u64,
+    last_index: u64,
     term: u64,
     snapshot_index: u64,
-    /// The term of the last write that stores one.
+    /// The term in the last write that stores a term.
     durable_term: u64,
 }
 
@@ -41,16 +41,17 @@
                 self.durable_term = self.term;
                 Write::HardState(HardState { term: self.term, voted_for: Some(2) })
             }
-            1 if self.last > self.snapshot_index => {
-                self.snapshot_index = self.last - random.below(self.last - self.snapshot_index);
+            1 if self.last_index > self.snapshot_index => {
+                self.snapshot_index =
+                    self.last_index - random.below(self.last_index - self.snapshot_index);
                 self.durable_term = self.term;
-                let rest = self.snapshot_index + 1..=self.last;
+                let rest = self.snapshot_index + 1..=self.last_index;
                 let entries = rest.map(|index| entry(self.term, index)).collect();
                 slot(self.snapshot_index, self.term, entries)
             }
             _ => {
-                self.last += 1;
-                Write::Append(vec![entry(self.term, self.last)])
+                self.last_index += 1;
+                Write::Append(vec![entry(self.term, self.last_index)])
             }
         }
     }
@@ -62,25 +63,29 @@
         let mut random = Random::new(seed);
         let disk = SimDisk::default();
         let mut storage = Storage::create(disk.clone(), 9).unwrap();
-        let mut model = Model { last: 0, term: 1, snapshot_index: 0, durable_term: 0 };
+        let mut model = Model { last_index: 0, term: 1, snapshot_index: 0, durable_term: 0 };
         let steps = random.below(30);
         for _ in 0..steps {
             storage.apply(vec![model.next_write(&mut random)]).unwrap();
         }
-        let Model { last, term, durable_term, .. } = model;
+        let Model { last_index, term, durable_term, .. } = model;
         disk.set_fuse(random.below(5));
         let outcome = storage.apply(vec![
-            Write::Append(vec![entry(term, last + 1)]),
-            slot(last, term, vec![entry(term, last + 1)]),
+            Write::Append(vec![entry(term, last_index + 1)]),
+            slot(last_index, term, vec![entry(term, last_index + 1)]),
         ]);
         disk.lose_power(&mut random);
         let (storage, recovered) = reopen(&disk);
         assert_eq!(storage.id(), 9, "seed {seed}");
         assert!(recovered.term >= durable_term, "seed {seed}: the term is lost");
-        let found = recovered.entries.last().map_or(0, |entry| entry.index);
-        let found = found.max(recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index));
-        assert!(found >= last, "seed {seed}: {found} of {last} entries, {outcome:?}");
-        assert!(found <= last + 1, "seed {seed}: an entry that was never requested");
+        let found_index = recovered.entries.last().map_or(0, |entry| entry.index);
+        let found_index =
+            found_index.max(recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index));
+        assert!(
+            found_index >= last_index,
+            "seed {seed}: {found_index} of {last_index} entries, {outcome:?}"
+        );
+        assert!(found_index <= last_index + 1, "seed {seed}: an entry that was never requested");
     }
 }
 
@@ -104,13 +109,13 @@
         for index in 1..=5 {
             storage.apply(vec![Write::Append(vec![entry(1, index)])]).unwrap();
         }
-        let is_live = disk.length(file) > 0 && (*file == LOGS[0] || *file == SLOTS[0]);
+        let is_current = disk.length(file) > 0 && (*file == LOGS[0] || *file == SLOTS[0]);
         let at = if file.starts_with("log") { 150 } else { 30 };
         disk.damage(file, at);
         match open(disk.clone()).unwrap() {
-            Opened::Damaged { damage, .. } => assert!(is_live, "{file}: {damage}"),
+            Opened::Damaged { damage, .. } => assert!(is_current, "{file}: {damage}"),
             Opened::Recovered { recovered, .. } => {
-                assert!(!is_live, "{file}: damage went unnoticed");
+                assert!(!is_current, "{file}: the damage was not detected");
                 assert_eq!(recovered.entries.len(), 5);
             }
             Opened::Empty(_) => panic!("{file}: opened as empty"),
@@ -125,8 +130,8 @@
     assert!(matches!(open(disk).unwrap(), Opened::Empty(_)));
 }
 
-/// After a failed sync the system may treat dirty pages as written: they read back until power is
-/// lost. A start on such a disk must not build on them.
+/// After a failed sync the operating system may treat dirty pages as written: reads return them
+/// until power is lost. Recovery on such a disk must not depend on them.
 #[test]
 fn writes_of_a_failed_sync_are_rewritten_on_open_or_not_recovered() {
     for fault in [DiskFault::SyncFails, DiskFault::WriteFails, DiskFault::Full] {
@@ -139,17 +144,17 @@
                 true => slot(1, 1, vec![entry(1, 2)]),
                 false => Write::Append(vec![entry(1, 2)]),
             };
-            assert!(storage.apply(vec![write]).is_err(), "{fault:?} is reported");
+            assert!(storage.apply(vec![write]).is_err(), "{fault:?} is not reported");
             disk.set_fault(None);
-            let (mut storage, found) = reopen(&disk);
-            let next = found.entries.last().unwrap().index + 1;
-            storage.apply(vec![Write::Append(vec![entry(1, next)])]).unwrap();
+            let (mut storage, recovered) = reopen(&disk);
+            let next_index = recovered.entries.last().unwrap().index + 1;
+            storage.apply(vec![Write::Append(vec![entry(1, next_index)])]).unwrap();
             disk.lose_power(&mut Random::new(7));
             let (_, durable) = reopen(&disk);
             let indexes = |state: &RecoveredState| {
                 state.entries.iter().map(|entry| entry.index).collect::<Vec<_>>()
             };
-            let expected: Vec<u64> = (1..=next).collect();
+            let expected: Vec<u64> = (1..=next_index).collect();
             assert_eq!(indexes(&durable), expected, "{fault:?}, slot {with_slot}");
         }
     }
