--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -1,4 +1,5 @@
-//! Searches every order of events, within bounds, for one that breaks a safety property of the log.
+//! Model checking: searches all orders of events, within bounds, for one that violates a safety
+//! property of the log.
 
 #[path = "exhaustive/actions.rs"]
 mod actions;
@@ -18,9 +19,12 @@
 use search::Model;
 use world::{Bounds, Isolation};
 
+/// Number of states after which a search stops.
 const STATES: usize = 120_000;
-/// For models whose bounds are too wide for a complete search.
+/// Number of states after which a search stops that is not expected to complete, since its bounds
+/// are wide.
 const WIDE_STATES: usize = 40_000;
+/// Largest number of choices on one path.
 const CHOICES: usize = 30;
 
 fn model(name: &'static str, rules: Rules) -> Model {
@@ -31,62 +35,64 @@
     Model { states: WIDE_STATES, ..model(name, rules) }
 }
 
-/// After the start of all members: leader probe rounds, and elections that follow.
+/// All members have just started: leader probe rounds, and the elections that follow.
 #[test]
-fn leader_probe_rounds() {
+fn leader_probe_rounds_are_safe() {
     let remaining = Bounds { ticks: 3, delays: 2, ..Bounds::default() };
-    model("rounds", rules()).search(Prepared::started().with_bounds(remaining));
+    model("leader probe rounds", rules()).search(Prepared::started().with_bounds(remaining));
 }
 
 #[test]
-fn leader_probe_rounds_with_restarts() {
+fn leader_probe_rounds_with_restarts_are_safe() {
     let remaining = Bounds { ticks: 3, delays: 1, crashes: 1, pauses: 1, ..Bounds::default() };
-    capped_model("rounds, restart, freeze", rules())
+    capped_model("leader probe rounds, restart, pause", rules())
         .search(Prepared::started().with_bounds(remaining));
 }
 
 /// Machine 2 is a candidate whose votes are in flight; a voter restarts and probes for a leader.
 #[test]
-fn leader_probe_rounds_during_an_election() {
+fn leader_probe_rounds_during_an_election_are_safe() {
     let mut prepared = Prepared::started();
     prepared.perform(Action::Tick(2));
     prepared.deliver_except(|message| matches!(message, Message::VoteResponse { .. }));
     let remaining = Bounds { ticks: 1, delays: 1, crashes: 1, pauses: 1, ..Bounds::default() };
-    capped_model("rounds during an election", rules()).search(prepared.with_bounds(remaining));
+    capped_model("leader probe rounds during an election", rules())
+        .search(prepared.with_bounds(remaining));
 }
 
 /// Machine 2 restarts while the probe responses to its earlier incarnation are in flight; the
-/// others sent them before machine 0 came to lead.
+/// others sent them before machine 0 became leader.
 #[test]
-fn leader_probe_responses_to_an_earlier_incarnation() {
+fn leader_probe_responses_to_an_earlier_incarnation_are_harmless() {
     let mut prepared = Prepared::started();
     prepared.perform(Action::Tick(2));
     prepared.deliver_except(|message| matches!(message, Message::LeaderProbeResponse { .. }));
     prepared.perform(Action::Tick(0)).deliver_all().perform(Action::Crash(2));
     let remaining = Bounds { ticks: 2, delays: 1, crashes: 1, pauses: 1, ..Bounds::default() };
-    model("earlier incarnation", rules()).search(prepared.with_bounds(remaining));
+    model("responses to an earlier incarnation", rules()).search(prepared.with_bounds(remaining));
 }
 
-/// A leader with a renewed lease; others restart or lose a disk.
+/// Machine 0 leads and its lease was just renewed; machines restart or lose a disk.
 #[test]
-fn leader_probe_rounds_under_a_lease() {
+fn leader_probe_rounds_under_a_lease_are_safe() {
     let remaining =
         Bounds { ticks: 3, delays: 2, crashes: 2, lost_disks: 1, pauses: 1, ..Bounds::default() };
-    capped_model("rounds under a lease", rules())
+    capped_model("leader probe rounds under a lease", rules())
         .search(Prepared::with_leader().with_bounds(remaining));
 }
 
 #[test]
-fn elections_under_a_lease() {
+fn elections_under_a_lease_are_safe() {
     let remaining =
         Bounds { ticks: 4, advances: 3, partitions: 1, delays: 2, crashes: 1, ..Bounds::default() };
     let steps_ms = vec![LEADER_LEASE_MS, ELECTION_MIN_MS - LEADER_LEASE_MS, ELECTION_SPREAD_MS];
     let rules = Rules { steps_ms, ..rules() };
-    capped_model("cuts and leases", rules).search(Prepared::with_leader().with_bounds(remaining));
+    capped_model("partitions and leases", rules)
+        .search(Prepared::with_leader().with_bounds(remaining));
 }
 
 #[test]
-fn proposals_and_truncation() {
+fn proposals_and_truncation_are_safe() {
     let remaining = Bounds {
         ticks: 3,
         advances: 1,
@@ -103,15 +109,15 @@
 }
 
 #[test]
-fn votes_and_syncs() {
+fn elections_with_slow_syncs_and_restarts_are_safe() {
     let remaining = Bounds { ticks: 3, crashes: 1, delays: 1, slow_disks: 1, ..Bounds::default() };
     let mut prepared = Prepared::started();
     prepared.perform(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
     capped_model("votes and syncs", rules()).search(prepared.with_bounds(remaining));
 }
 
-/// Machine 1 is paused, and the pre-votes that let it campaign in term 1 are in flight; machine 2 may
-/// campaign in the same term.
+/// Machine 1 is paused, and the pre-votes that let it campaign in term 1 are in flight; machine 2
+/// may campaign in the same term.
 fn two_candidates() -> Prepared {
     let mut prepared = Prepared::started();
     prepared
@@ -124,21 +130,22 @@
 }
 
 #[test]
-fn two_candidates_and_a_restart() {
+fn two_candidates_and_a_restart_are_safe() {
     let remaining = Bounds { ticks: 1, advances: 1, delays: 1, crashes: 1, ..Bounds::default() };
     model("two candidates, restart", rules()).search(two_candidates().with_bounds(remaining));
 }
 
 #[test]
-fn two_candidates_and_a_slow_disk() {
+fn two_candidates_and_a_slow_disk_are_safe() {
     let remaining =
         Bounds { ticks: 1, advances: 1, slow_disks: 1, crashes: 1, ..Bounds::default() };
     model("two candidates, slow disk", rules()).search(two_candidates().with_bounds(remaining));
 }
 
-/// A leader was paused while responses to it were in flight, until the others may elect.
+/// The leader, machine 0, was paused while responses to it were in flight, until the election
+/// timeouts of the others have passed.
 #[test]
-fn late_responses_to_a_leader_that_was_paused() {
+fn late_responses_to_a_leader_that_was_paused_are_harmless() {
     let mut prepared = Prepared::with_leader();
     prepared.perform(Action::Advance(HEARTBEAT_MS)).perform(Action::Tick(0));
     prepared.deliver_except(|message| matches!(message, Message::AppendResponse(_)));
@@ -146,10 +153,11 @@
     prepared.perform(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
     let remaining = Bounds { ticks: 2, advances: 1, crashes: 1, proposals: 1, ..Bounds::default() };
     let rules = Rules { steps_ms: vec![HEARTBEAT_MS], ..rules() };
-    model("late answers", rules).search(prepared.with_bounds(remaining));
+    model("late responses", rules).search(prepared.with_bounds(remaining));
 }
 
-/// Machine 2 was partitioned until its election is due; the other follower just had leader contact.
+/// Machine 2 was partitioned until its election timeout passed; the other follower was just
+/// contacted by the leader.
 #[test]
 fn a_voter_in_contact_with_its_leader_is_bound() {
     let mut prepared = Prepared::with_leader();
@@ -159,12 +167,12 @@
         .perform(Action::Tick(0));
     prepared.deliver_all().perform(Action::Rejoin);
     let remaining = Bounds { ticks: 2, crashes: 2, pauses: 1, delays: 1, ..Bounds::default() };
-    model("promise", rules()).search(prepared.with_bounds(remaining));
+    model("bound voter", rules()).search(prepared.with_bounds(remaining));
 }
 
-/// Machine 0 has an entry of its own that the next leader, machine 1, overwrites.
+/// Machine 0 has an uncommitted entry that the next leader, machine 1, overwrites.
 #[test]
-fn an_entry_of_an_old_term_is_overwritten() {
+fn an_entry_of_an_old_term_is_overwritten_safely() {
     let mut prepared = Prepared::with_leader();
     prepared
         .perform(Action::Isolate(Isolation { at: 0, paused: false }))
@@ -199,7 +207,7 @@
         .perform(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS))
         .perform(Action::Tick(2));
     prepared.deliver_except(|message| matches!(message, Message::Append(_)));
-    prepared.world.out_of_turn.clear();
+    prepared.world.out_of_order.clear();
     prepared.perform(Action::Rejoin).perform(Action::Isolate(Isolation { at: 2, paused: false }));
     prepared.perform(Action::Crash(0)).perform(Action::Crash(2));
     for _ in 0..2 {
@@ -214,11 +222,11 @@
     let remaining = Bounds { ticks: 2, advances: 2, crashes: 1, ..Bounds::default() };
     let steps_ms = vec![ELECTION_MIN_MS + ELECTION_SPREAD_MS];
     let rules = Rules { steps_ms, ..rules() };
-    model("old term", rules).search(prepared.with_bounds(remaining));
+    model("entry of an old term", rules).search(prepared.with_bounds(remaining));
 }
 
 #[test]
-fn a_leadership_transfer() {
+fn a_leadership_transfer_is_safe() {
     let remaining = Bounds {
         ticks: 2,
         leadership_transfers: 1,
@@ -228,12 +236,12 @@
         delays: 2,
         ..Bounds::default()
     };
-    model("handover", rules()).search(Prepared::with_leader().with_bounds(remaining));
+    model("leadership transfer", rules()).search(Prepared::with_leader().with_bounds(remaining));
 }
 
 /// Machine 2 was partitioned while the others committed and compacted.
 #[test]
-fn a_snapshot_for_a_lagging_follower() {
+fn a_snapshot_for_a_lagging_follower_is_safe() {
     let mut prepared = Prepared::with_leader();
     prepared
         .perform(Action::Isolate(Isolation { at: 2, paused: false }))
@@ -259,9 +267,9 @@
     model("snapshot", rules).search(prepared.with_bounds(remaining));
 }
 
-/// Machine 2 lost its disk long ago, and is a caught-up learner.
+/// Machine 2 lost its disk longer ago than the dead-voter timeout, and is a caught-up learner.
 #[test]
-fn a_learner_replaces_a_member_with_a_lost_disk() {
+fn a_learner_replaces_a_member_with_a_lost_disk_safely() {
     let mut prepared = Prepared::with_leader();
     prepared.perform(Action::LoseDisk(2));
     for _ in 0..VOTER_DEAD_MS / HEARTBEAT_MS {
--- a/crates/consensus/tests/exhaustive/actions.rs
+++ b/crates/consensus/tests/exhaustive/actions.rs
@@ -1,4 +1,4 @@
-//! Every event that may come next at a state, and the state it leads to.
+//! The events that may occur next at a state, and the state to which each of them leads.
 
 use crate::world::*;
 use postbarrow_consensus::*;
@@ -7,64 +7,72 @@
 
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// The message that was sent first arrives.
+    /// The oldest message in flight arrives.
     Deliver,
-    /// It arrives, and will arrive again out of order.
+    /// The oldest message in flight arrives, and a copy of it may arrive later, out of order.
     Duplicate,
-    /// It arrives out of order.
+    /// The oldest message in flight is delayed: it may arrive later, out of order.
     Delay,
+    /// The message at this index of those out of order arrives.
     DeliverLate(usize),
     Isolate(Isolation),
     Rejoin,
     Tick(usize),
+    /// The machine's disk becomes slow: its writes stay unsynced until `Sync`.
     SlowDisk(usize),
+    /// The oldest unsynced write of the machine is synced.
     Sync(usize),
     Crash(usize),
     LoseDisk(usize),
     Propose(usize),
     TransferLeadership(usize),
     Compact(usize),
-    /// The leader, the first machine, receives the second machine's request to follow the log.
+    /// The first machine, the leader, receives the request of the second to become a learner.
     Learner(usize, usize),
+    /// The clock advances by so many milliseconds.
     Advance(u64),
 }
 
 impl Action {
-    /// Whether it is no choice of the search: messages arrive in order.
+    /// Returns whether the search does not count the action as a choice, which is so for the
+    /// arrival of messages in order.
     pub fn is_expected(&self) -> bool {
         matches!(self, Action::Deliver)
     }
 }
 
-/// What a model permits beside the bounds of its world.
+/// The rules of a model beside the bounds of its world.
 #[derive(Clone)]
 pub struct Rules {
-    /// The clock advances by one of these.
+    /// The steps by which the clock may advance, in milliseconds.
     pub steps_ms: Vec<u64>,
-    /// Machines restart, pause and are partitioned only while no message is in flight in order.
-    pub faults_when_quiet: bool,
+    /// Whether machines restart, pause and are partitioned only while no message is in flight,
+    /// apart from those that arrive out of order.
+    pub faults_only_when_idle: bool,
+    /// Age from which times no longer distinguish states, in milliseconds.
     pub horizon_ms: u64,
 }
 
 impl World {
+    /// Returns the actions that are possible at this state.
     pub fn actions(&self, rules: &Rules) -> Vec<Action> {
         let mut out = Vec::new();
         let remaining = &self.remaining;
-        let quiet = self.in_flight.is_empty();
+        let is_idle = self.in_flight.is_empty();
         let mut offer = |allowed: bool, action: Action| {
             if allowed {
                 out.push(action);
             }
         };
-        offer(!quiet, Action::Deliver);
-        offer(!quiet && remaining.duplicates > 0, Action::Duplicate);
-        offer(!quiet && remaining.delays > 0, Action::Delay);
-        offer(quiet && self.isolation.is_some(), Action::Rejoin);
-        for at in 0..self.out_of_turn.len() {
-            offer(!self.is_isolated(&self.out_of_turn[at]), Action::DeliverLate(at));
+        offer(!is_idle, Action::Deliver);
+        offer(!is_idle && remaining.duplicates > 0, Action::Duplicate);
+        offer(!is_idle && remaining.delays > 0, Action::Delay);
+        offer(is_idle && self.isolation.is_some(), Action::Rejoin);
+        for at in 0..self.out_of_order.len() {
+            offer(!self.is_isolated(&self.out_of_order[at]), Action::DeliverLate(at));
         }
         for at in 0..self.machines.len() {
-            let can_isolate = self.isolation.is_none() && (quiet || !rules.faults_when_quiet);
+            let can_isolate = self.isolation.is_none() && (is_idle || !rules.faults_only_when_idle);
             offer(
                 can_isolate && remaining.partitions > 0,
                 Action::Isolate(Isolation { at, paused: false }),
@@ -73,18 +81,18 @@
                 can_isolate && remaining.pauses > 0,
                 Action::Isolate(Isolation { at, paused: true }),
             );
-            self.machine_actions(at, quiet || !rules.faults_when_quiet, &mut offer);
+            self.machine_actions(at, is_idle || !rules.faults_only_when_idle, &mut offer);
         }
-        if quiet && remaining.advances > 0 {
+        if is_idle && remaining.advances > 0 {
             out.extend(rules.steps_ms.iter().map(|step_ms| Action::Advance(*step_ms)));
         }
         out
     }
 
-    fn is_isolated(&self, flight: &Flight) -> bool {
+    fn is_isolated(&self, sent_message: &SentMessage) -> bool {
         self.isolation.is_some_and(|isolation| {
             let id = self.machines[isolation.at].node.id();
-            flight.to.id == id || (flight.from.id == id && !isolation.paused)
+            sent_message.to.id == id || (sent_message.from.id == id && !isolation.paused)
         })
     }
 
@@ -92,7 +100,8 @@
         self.isolation == Some(Isolation { at, paused: true })
     }
 
-    /// The clock, timers and operators act once nothing is in flight but what arrives out of order.
+    /// Offers the actions of one machine. Ticks, proposals, transfers, compactions and learners are
+    /// offered only while no message is in flight, apart from those that arrive out of order.
     fn machine_actions(&self, at: usize, faults: bool, offer: &mut impl FnMut(bool, Action)) {
         let (machine, remaining) = (&self.machines[at], &self.remaining);
         if self.is_paused(at) {
@@ -120,6 +129,7 @@
         }
     }
 
+    /// Returns the state after an action, or the property that the action violates.
     pub fn after(&self, action: &Action) -> Result<World, String> {
         let mut next = self.clone();
         next.perform(action)?;
@@ -151,23 +161,23 @@
     }
 
     fn perform_delivery(&mut self, action: &Action) -> Result<(), String> {
-        let flight = match *action {
-            Action::DeliverLate(at) => self.out_of_turn.remove(at),
+        let sent_message = match *action {
+            Action::DeliverLate(at) => self.out_of_order.remove(at),
             _ => self.in_flight.remove(0),
         };
         match *action {
             Action::Duplicate => {
                 self.remaining.duplicates -= 1;
-                self.out_of_turn.push(flight.clone());
+                self.out_of_order.push(sent_message.clone());
             }
             Action::Delay => {
                 self.remaining.delays -= 1;
-                self.out_of_turn.push(flight);
+                self.out_of_order.push(sent_message);
                 return Ok(());
             }
             _ => {}
         }
-        self.arrive(flight)
+        self.receive(sent_message)
     }
 
     fn perform_fault(&mut self, action: &Action) {
@@ -193,7 +203,7 @@
                 remaining.lost_disks -= 1;
                 self.restart(at, true);
             }
-            _ => unreachable!("{action:?} is no fault"),
+            _ => unreachable!("{action:?} is not a fault"),
         }
     }
 
@@ -202,59 +212,61 @@
         match *action {
             Action::Tick(at) => {
                 remaining.ticks -= 1;
-                self.give(at, Input::Tick)
+                self.handle_input(at, Input::Tick)
             }
             Action::Propose(at) => {
                 remaining.proposals -= 1;
                 let batch = vec![remaining.proposals, self.machines[at].node.id() as u8];
-                self.give(at, Input::Propose(vec![batch]))
+                self.handle_input(at, Input::Propose(vec![batch]))
             }
             Action::TransferLeadership(at) => {
                 remaining.leadership_transfers -= 1;
-                self.give(at, Input::TransferLeadership(Vec::new()))
+                self.handle_input(at, Input::TransferLeadership(Vec::new()))
             }
             Action::Compact(at) => {
                 remaining.compactions -= 1;
                 let index = self.machines[at].node.commit_index();
-                self.give(at, Input::Compact { index, state: vec![index as u8] })
+                self.handle_input(at, Input::Compact { index, state: vec![index as u8] })
             }
             Action::Learner(at, other) => {
                 remaining.learners -= 1;
                 let learner = member(self.machines[other].node.id());
-                self.give(at, Input::AddLearner(learner))
+                self.handle_input(at, Input::AddLearner(learner))
             }
-            _ => unreachable!("{action:?} is no input"),
+            _ => unreachable!("{action:?} is not an input"),
         }
     }
 
-    fn arrive(&mut self, flight: Arc<Flight>) -> Result<(), String> {
-        if self.is_isolated(&flight) {
+    fn receive(&mut self, sent_message: Arc<SentMessage>) -> Result<(), String> {
+        if self.is_isolated(&sent_message) {
             if self.isolation.is_some_and(|isolation| isolation.paused) {
-                self.out_of_turn.push(flight);
+                self.out_of_order.push(sent_message);
             }
             return Ok(());
         }
-        let is_recipient = |machine: &Arc<Machine>| machine.node.id() == flight.to.id;
+        let is_recipient = |machine: &Arc<Machine>| machine.node.id() == sent_message.to.id;
         if let Some(at) = self.machines.iter().position(is_recipient) {
-            let input = Input::Receive { from: flight.from, message: flight.message.clone() };
-            return self.give(at, input);
+            let input =
+                Input::Receive { from: sent_message.from, message: sent_message.message.clone() };
+            return self.handle_input(at, input);
         }
-        let lost_its_disk = |machine: &Arc<Machine>| machine.replaced_id == Some(flight.to.id);
+        let lost_its_disk =
+            |machine: &Arc<Machine>| machine.replaced_id == Some(sent_message.to.id);
         if let (true, Message::LeaderProbe { round, .. }) =
-            (self.machines.iter().any(lost_its_disk), &flight.message)
+            (self.machines.iter().any(lost_its_disk), &sent_message.message)
         {
             let message =
                 Message::LeaderProbeResponse { term: 0, round: *round, not_leading: true };
-            self.send(Flight { from: flight.to, to: flight.from, message });
+            self.send(SentMessage { from: sent_message.to, to: sent_message.from, message });
         }
         Ok(())
     }
 
-    fn give(&mut self, at: usize, input: Input) -> Result<(), String> {
+    fn handle_input(&mut self, at: usize, input: Input) -> Result<(), String> {
         let now_ms = self.now_ms;
         let effects = Arc::make_mut(&mut self.machines[at]).node.handle(now_ms, input);
         for effect in effects {
-            self.carry_out(at, effect)?;
+            self.handle_effect(at, effect)?;
         }
         while !self.machines[at].slow && !self.machines[at].unsynced.is_empty() {
             self.sync(at)?;
@@ -262,7 +274,7 @@
         Ok(())
     }
 
-    fn carry_out(&mut self, at: usize, effect: Effect) -> Result<(), String> {
+    fn handle_effect(&mut self, at: usize, effect: Effect) -> Result<(), String> {
         let ledger = Arc::make_mut(&mut self.ledger);
         let machine = Arc::make_mut(&mut self.machines[at]);
         let id = machine.node.id();
@@ -275,7 +287,7 @@
                     Message::Vote(request) => ledger.on_vote(request.term, id, id)?,
                     _ => {}
                 }
-                self.send(Flight { from: member(id), to, message });
+                self.send(SentMessage { from: member(id), to, message });
             }
             Effect::Write { sequence, write } => machine.unsynced.push_back((sequence, write)),
             Effect::Commit(entries) => ledger.on_commit(machine, &entries)?,
@@ -286,21 +298,22 @@
         Ok(())
     }
 
-    fn send(&mut self, flight: Flight) {
-        self.in_flight.push(Arc::new(flight));
+    fn send(&mut self, sent_message: SentMessage) {
+        self.in_flight.push(Arc::new(sent_message));
     }
 
-    /// The oldest write is on disk now, and the member is notified.
+    /// Stores the oldest unsynced write on the disk and notifies the member.
     fn sync(&mut self, at: usize) -> Result<(), String> {
         let machine = Arc::make_mut(&mut self.machines[at]);
         let Some((sequence, write)) = machine.unsynced.pop_front() else { return Ok(()) };
         machine.disk.apply(write);
         let now_ms = self.now_ms;
         let effects = machine.node.handle(now_ms, Input::Synced(sequence));
-        effects.into_iter().try_for_each(|effect| self.carry_out(at, effect))
+        effects.into_iter().try_for_each(|effect| self.handle_effect(at, effect))
     }
 
-    /// The process starts again from what is synced, or from an empty disk under a new identity.
+    /// Restarts the process from its synced state or, if the disk is lost, from an empty disk under
+    /// a new identity.
     fn restart(&mut self, at: usize, disk_lost: bool) {
         let now_ms = self.now_ms;
         let machine = Arc::make_mut(&mut self.machines[at]);
--- a/crates/consensus/tests/exhaustive/ledger.rs
+++ b/crates/consensus/tests/exhaustive/ledger.rs
@@ -1,4 +1,4 @@
-//! History of one path, and the properties that must hold at every state.
+//! The history of one path, and the safety properties that must hold at every state.
 
 use crate::world::{Machine, World};
 use postbarrow_consensus::*;
@@ -6,9 +6,12 @@
 
 #[derive(Clone, Default, Hash)]
 pub struct Ledger {
+    /// The leader of each term.
     leaders: BTreeMap<u64, MemberId>,
+    /// The candidate that each voter voted for, by term and voter.
     votes: BTreeMap<(u64, MemberId), MemberId>,
-    /// Each entry known to be committed, and the term of the member that first committed it.
+    /// Each entry known to be committed, by its index, and the term of the member that first
+    /// committed it.
     committed: BTreeMap<u64, (Entry, u64)>,
 }
 
@@ -45,13 +48,19 @@
     pub fn on_commit(&mut self, machine: &mut Machine, entries: &[Entry]) -> Result<(), String> {
         for entry in entries {
             if entry.index != machine.applied + 1 {
-                return Err(format!("applied {} after {}", entry.index, machine.applied));
+                return Err(format!(
+                    "applied entry {} after entry {}",
+                    entry.index, machine.applied
+                ));
             }
             machine.applied = entry.index;
             let known = || (entry.clone(), machine.node.term());
             let (first, _) = self.committed.entry(entry.index).or_insert_with(known);
             if first != entry {
-                return Err(format!("state machine safety: two entries at {}", entry.index));
+                return Err(format!(
+                    "state machine safety: two different entries committed at {}",
+                    entry.index
+                ));
             }
         }
         Ok(())
@@ -59,11 +68,17 @@
 
     pub fn on_restore(&self, machine: &mut Machine, snapshot: &Snapshot) -> Result<(), String> {
         if snapshot.index < machine.applied {
-            return Err(format!("restored {} after applying {}", snapshot.index, machine.applied));
+            return Err(format!(
+                "restored snapshot {} after applying entry {}",
+                snapshot.index, machine.applied
+            ));
         }
         if self.committed.get(&snapshot.index).is_some_and(|(entry, _)| entry.term != snapshot.term)
         {
-            return Err(format!("snapshot {} is not of the committed term", snapshot.index));
+            return Err(format!(
+                "the term of snapshot {} is not that of the committed entry",
+                snapshot.index
+            ));
         }
         machine.applied = snapshot.index;
         Ok(())
@@ -71,6 +86,7 @@
 }
 
 impl World {
+    /// Checks all properties of this state; an error describes the one that is violated.
     pub fn check(&self) -> Result<(), String> {
         self.check_leases()?;
         self.check_commit_in_log()?;
@@ -78,7 +94,8 @@
         self.check_durable()
     }
 
-    /// A member with a lease serves reads: two at once may contradict each other.
+    /// Checks that at most one member has a lease: a member with a lease serves reads, and two at
+    /// once may return contradictory results.
     fn check_leases(&self) -> Result<(), String> {
         let has_lease = |node: &Consensus| node.is_ready() && self.now_ms < node.lease_until();
         let nodes = self.machines.iter().map(|machine| &machine.node);
@@ -101,14 +118,15 @@
     fn check_log_matching(&self) -> Result<(), String> {
         for (at, one) in self.machines.iter().enumerate() {
             for other in &self.machines[at + 1..] {
-                check_pair(one.node.log(), other.node.log())?;
+                check_log_pair(one.node.log(), other.node.log())?;
             }
         }
         Ok(())
     }
 
-    /// A power loss of everything at this state must leave each committed entry on a majority. One
-    /// disk that was lost permanently may be among those that had it.
+    /// Checks that each committed entry would be on a majority of the disks after a power loss of
+    /// all machines at this state. A disk that was lost permanently counts as one that had the
+    /// entry.
     fn check_durable(&self) -> Result<(), String> {
         let majority = self.machines.len() / 2 + 1;
         for (entry, _) in self.ledger.committed.values() {
@@ -123,15 +141,17 @@
     }
 }
 
-/// Logs that agree on the term at one index agree on everything before.
-fn check_pair(one: &RaftLog, other: &RaftLog) -> Result<(), String> {
+/// Checks that two logs with the same term at one index have equal entries up to that index.
+fn check_log_pair(one: &RaftLog, other: &RaftLog) -> Result<(), String> {
     let first = one.base().max(other.base()) + 1;
     let mut agreed = false;
     for index in (first..=one.last_index().min(other.last_index())).rev() {
         let (Some(entry), Some(other_entry)) = (one.get(index), other.get(index)) else { continue };
         agreed |= entry.term == other_entry.term;
         if agreed && entry != other_entry {
-            return Err(format!("log matching: entries {index} differ below a common one"));
+            return Err(format!(
+                "log matching: entries {index} differ at or below an entry with equal terms"
+            ));
         }
     }
     Ok(())
--- a/crates/consensus/tests/exhaustive/prepare.rs
+++ b/crates/consensus/tests/exhaustive/prepare.rs
@@ -1,19 +1,20 @@
-//! States that searches begin from, reached by events in a fixed order.
+//! The initial states of the searches, reached by events in a fixed order.
 
 use crate::actions::{Action, Rules};
 use crate::world::*;
 use postbarrow_consensus::{Message, Role};
 use postbarrow_constants::consensus::*;
 
+/// Returns the rules of a model unless its test changes them.
 pub fn rules() -> Rules {
     Rules {
         steps_ms: vec![ELECTION_MIN_MS],
-        faults_when_quiet: true,
+        faults_only_when_idle: true,
         horizon_ms: ELECTION_MIN_MS + LEADER_LEASE_MS + ELECTION_SPREAD_MS,
     }
 }
 
-/// Bounds wide enough for a preparation.
+/// Bounds wide enough to prepare any initial state.
 const AMPLE: Bounds = Bounds {
     crashes: 9,
     lost_disks: 9,
@@ -52,11 +53,11 @@
     }
 
     pub fn perform(&mut self, action: Action) -> &mut Self {
-        self.world.perform(&action).expect("a preparation breaks nothing");
+        self.world.perform(&action).expect("a preparation violates no property");
         self
     }
 
-    /// Delivers everything in flight, in the order it was sent.
+    /// Delivers all messages in flight, in the order in which they were sent.
     pub fn deliver_all(&mut self) -> &mut Self {
         while !self.world.in_flight.is_empty() {
             self.perform(Action::Deliver);
@@ -64,10 +65,11 @@
         self
     }
 
-    /// Delivers everything but what the test names; that arrives later, or never.
+    /// Delivers all messages in flight except those for which `is_deferred` returns true, which
+    /// arrive later, out of order, or never.
     pub fn deliver_except(&mut self, is_deferred: impl Fn(&Message) -> bool) -> &mut Self {
-        while let Some(flight) = self.world.in_flight.first() {
-            match is_deferred(&flight.message) {
+        while let Some(sent_message) = self.world.in_flight.first() {
+            match is_deferred(&sent_message.message) {
                 true => self.perform(Action::Delay),
                 false => self.perform(Action::Deliver),
             };
@@ -75,7 +77,7 @@
         self
     }
 
-    /// One heartbeat of machine 0, which the unreachable machines don't receive.
+    /// Runs one heartbeat interval of machine 0. Messages to the unreachable machines are lost.
     pub fn heartbeat(&mut self, unreachable: &[usize]) -> &mut Self {
         self.perform(Action::Advance(HEARTBEAT_MS)).perform(Action::Tick(0));
         while !self.world.in_flight.is_empty() {
@@ -90,6 +92,7 @@
         self
     }
 
+    /// Returns the prepared state with these bounds for the search.
     pub fn with_bounds(&self, remaining: Bounds) -> World {
         World { remaining, ..self.world.clone() }
     }
--- a/crates/consensus/tests/exhaustive/search.rs
+++ b/crates/consensus/tests/exhaustive/search.rs
@@ -1,31 +1,38 @@
-//! Search by the number of choices: a message that arrives in order is none, all else is one.
-//! All states of so many choices come before any of one more, so the first path that breaks a
-//! property is one of the fewest choices.
+//! Breadth-first search by the number of choices on a path. The arrival of a message in order is
+//! not a choice; every other action is one. All states that take a number of choices are explored
+//! before those that take one more, so the first path found that violates a property has the fewest
+//! choices.
 
 use crate::actions::{Action, Rules};
-use crate::world::{Flight, Isolation, World};
+use crate::world::{Isolation, SentMessage, World};
 use std::collections::HashSet;
 
 pub struct Model {
     pub name: &'static str,
     pub rules: Rules,
-    /// Choices on one path.
+    /// Largest number of choices on one path.
     pub choices: usize,
-    /// The search stops at so many states, and reports that it did.
+    /// Number of states after which the search stops and reports that it is incomplete.
     pub states: usize,
 }
 
-/// Raised by hand for a search that takes longer: multiplies the bound on states.
+/// Factor of each model's bound on states, raised by hand for a search that takes longer.
 pub const LARGER_STATES: usize = 1;
-const START: usize = usize::MAX;
+/// The parent of the first step, which has none.
+const NO_STEP: usize = usize::MAX;
 
+/// An action on a path.
 struct Step {
+    /// Index of the step before.
     parent: usize,
     description: String,
 }
 
+/// A state that the search has reached.
 struct Reached {
+    /// Index of the last step of the path to the state.
     at: usize,
+    /// Number of steps on that path.
     steps: usize,
     world: World,
 }
@@ -33,6 +40,7 @@
 struct Search {
     fingerprints: HashSet<u64>,
     steps: Vec<Step>,
+    /// Number of steps on the longest path.
     longest: usize,
     max_states: usize,
 }
@@ -42,31 +50,32 @@
         let fingerprints = HashSet::from([start.fingerprint(self.rules.horizon_ms)]);
         let max_states = self.states * LARGER_STATES;
         let mut search = Search { fingerprints, steps: Vec::new(), longest: 0, max_states };
-        let mut frontier = vec![Reached { at: START, steps: 0, world: start }];
+        let mut frontier = vec![Reached { at: NO_STEP, steps: 0, world: start }];
         let mut complete_choices = None;
         for choices in 0..=self.choices {
-            frontier = self.one_more_choice(frontier, &mut search);
+            frontier = self.explore_choice(frontier, &mut search);
             if search.is_full() || frontier.is_empty() {
                 break;
             }
             complete_choices = Some(choices);
         }
         let end = match (search.is_full(), frontier.is_empty()) {
-            (true, _) => "cut short",
+            (true, _) => "stopped at the bound on states",
             (_, true) => "all states within the bounds",
-            _ => "all states of so many choices",
+            _ => "all states within the bound on choices",
         };
         let Search { fingerprints, longest, .. } = search;
         let complete_choices = complete_choices.map_or(0, |choices| choices);
         println!(
-            "{}: {} states, {complete_choices} choices whole, longest path {longest} steps, {end}",
+            "{}: {} states, {complete_choices} choices complete, {longest} steps at most, {end}",
             self.name,
             fingerprints.len()
         );
     }
 
-    /// Explores what needs no choice from these states, and returns the states one more choice away.
-    fn one_more_choice(&self, mut pending: Vec<Reached>, search: &mut Search) -> Vec<Reached> {
+    /// Explores the states that these lead to without a choice, and returns those that take one
+    /// more choice.
+    fn explore_choice(&self, mut pending: Vec<Reached>, search: &mut Search) -> Vec<Reached> {
         let mut next = Vec::new();
         while let Some(reached) = pending.pop() {
             for action in reached.world.actions(&self.rules) {
@@ -83,10 +92,11 @@
         next
     }
 
+    /// Returns the state after an action, or `None` if the search has reached it before.
     fn step(&self, from: &Reached, action: &Action, search: &mut Search) -> Option<Reached> {
         let world = match from.world.after(action) {
             Ok(world) => world,
-            Err(fault) => self.fail(&fault, from, action, &search.steps),
+            Err(violation) => self.fail(&violation, from, action, &search.steps),
         };
         if !search.fingerprints.insert(world.fingerprint(self.rules.horizon_ms)) {
             return None;
@@ -97,7 +107,8 @@
         Some(Reached { at: search.steps.len() - 1, steps, world })
     }
 
-    fn fail(&self, fault: &str, from: &Reached, action: &Action, steps: &[Step]) -> ! {
+    /// Panics with the violated property and the path to the state.
+    fn fail(&self, violation: &str, from: &Reached, action: &Action, steps: &[Step]) -> ! {
         let mut path = vec![describe(&from.world, action)];
         let mut at = from.at;
         while let Some(step) = steps.get(at) {
@@ -105,7 +116,7 @@
             at = step.parent;
         }
         path.reverse();
-        panic!("{}: {fault}, after {} steps:\n{}", self.name, path.len(), path.join("\n"));
+        panic!("{}: {violation}, after {} steps:\n{}", self.name, path.len(), path.join("\n"));
     }
 }
 
@@ -117,18 +128,23 @@
 
 fn describe(world: &World, action: &Action) -> String {
     let id = |at: usize| world.machines[at].node.id();
-    let flight = |one: &Flight| format!("{} to {}: {:?}", one.from.id, one.to.id, one.message);
+    let text =
+        |sent: &SentMessage| format!("{} to {}: {:?}", sent.from.id, sent.to.id, sent.message);
     let now_ms = world.now_ms;
     match *action {
-        Action::Deliver => format!("{now_ms} deliver {}", flight(&world.in_flight[0])),
-        Action::Duplicate => format!("{now_ms} deliver and repeat {}", flight(&world.in_flight[0])),
-        Action::Delay => format!("{now_ms} delay {}", flight(&world.in_flight[0])),
+        Action::Deliver => format!("{now_ms} deliver {}", text(&world.in_flight[0])),
+        Action::Duplicate => {
+            format!("{now_ms} deliver and duplicate {}", text(&world.in_flight[0]))
+        }
+        Action::Delay => format!("{now_ms} delay {}", text(&world.in_flight[0])),
         Action::DeliverLate(at) => {
-            format!("{now_ms} deliver late {}", flight(&world.out_of_turn[at]))
+            format!("{now_ms} deliver late {}", text(&world.out_of_order[at]))
         }
         Action::Isolate(Isolation { at, paused: true }) => format!("{now_ms} pause {}", id(at)),
-        Action::Isolate(Isolation { at, paused: false }) => format!("{now_ms} cut off {}", id(at)),
-        Action::Rejoin => format!("{now_ms} all reach each other again"),
+        Action::Isolate(Isolation { at, paused: false }) => {
+            format!("{now_ms} partition {}", id(at))
+        }
+        Action::Rejoin => format!("{now_ms} end the isolation"),
         Action::Advance(step_ms) => format!("{now_ms} advance by {step_ms}"),
         Action::Tick(at)
         | Action::Sync(at)
--- a/crates/consensus/tests/exhaustive/world.rs
+++ b/crates/consensus/tests/exhaustive/world.rs
@@ -8,14 +8,17 @@
 use std::sync::Arc;
 
 pub fn member(id: MemberId) -> Member {
-    Member { id, address: format!("10.0.0.{}:1", id % LOST_DISK_STEP).parse().expect("an address") }
+    Member {
+        id,
+        address: format!("10.0.0.{}:1", id % LOST_DISK_STEP).parse().expect("the address is valid"),
+    }
 }
 
-/// A disk that replaces a lost one has the old identity plus this.
+/// Added to the identity of a member that lost its disk, for its identity on the new disk.
 pub const LOST_DISK_STEP: MemberId = 10;
 pub const START_MS: u64 = 100_000;
 
-/// How often each kind of event may still happen.
+/// Number of events of each kind that may still occur on a path.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Bounds {
     pub crashes: u8,
@@ -23,22 +26,22 @@
     pub duplicates: u8,
     /// Messages that arrive out of order: at any later time, or never.
     pub delays: u8,
-    /// Times that a machine is partitioned, so that messages from and to it are lost meanwhile.
+    /// Times that a machine is partitioned; meanwhile messages from and to it are lost.
     pub partitions: u8,
-    /// Times that a machine is paused; messages to it meanwhile may arrive afterwards.
+    /// Times that a machine is paused; messages sent to it meanwhile may arrive afterwards.
     pub pauses: u8,
     pub proposals: u8,
     pub leadership_transfers: u8,
     pub compactions: u8,
     pub learners: u8,
     pub advances: u8,
-    /// Times that a disk becomes slow: from then on each of its syncs comes late, or never.
+    /// Times that a disk becomes slow; from then on each of its syncs ends late or never.
     pub slow_disks: u8,
-    /// Ticks of members, so that probe rounds and elections don't continue for ever.
+    /// Ticks of members; the bound on them also bounds the probe rounds and elections.
     pub ticks: u8,
 }
 
-/// What a disk has stored up to its last sync.
+/// The content of a disk up to its last sync.
 #[derive(Clone, Default, Hash)]
 pub struct Disk {
     pub hard: HardState,
@@ -73,41 +76,46 @@
     }
 }
 
-/// One machine: a member, its disk, and writes that no sync has covered.
+/// One machine: a member, its disk, and its unsynced writes.
 #[derive(Clone)]
 pub struct Machine {
     pub node: Consensus,
     pub disk: Disk,
     pub unsynced: VecDeque<(u64, Write)>,
+    /// Whether writes stay unsynced until `Action::Sync`.
     pub slow: bool,
+    /// Index of the last entry applied, by itself or in a snapshot.
     pub applied: u64,
-    /// Identity of the member that lost its disk on this machine.
+    /// Identity of the former member whose disk was lost on this machine; `None` if none was lost.
     pub replaced_id: Option<MemberId>,
     pub incarnation: u64,
 }
 
+/// A message that was sent and may still arrive.
 #[derive(Clone, Debug)]
-pub struct Flight {
+pub struct SentMessage {
     pub from: Member,
     pub to: Member,
     pub message: Message,
 }
 
-/// A machine that no message reaches.
+/// A machine that no message reaches, since it is partitioned or paused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Isolation {
     pub at: usize,
+    /// Whether the machine is paused; it is partitioned otherwise.
     pub paused: bool,
 }
 
+/// One state of the searched system.
 #[derive(Clone)]
 pub struct World {
     pub now_ms: u64,
     pub machines: Vec<Arc<Machine>>,
-    /// In the order they were sent.
-    pub in_flight: Vec<Arc<Flight>>,
+    /// Messages that arrive in the order in which they were sent.
+    pub in_flight: Vec<Arc<SentMessage>>,
     /// Messages that arrive out of order.
-    pub out_of_turn: Vec<Arc<Flight>>,
+    pub out_of_order: Vec<Arc<SentMessage>>,
     pub isolation: Option<Isolation>,
     pub remaining: Bounds,
     pub ledger: Arc<Ledger>,
@@ -134,13 +142,15 @@
             now_ms: START_MS,
             machines: (1..=3).map(machine).collect(),
             in_flight: Vec::new(),
-            out_of_turn: Vec::new(),
+            out_of_order: Vec::new(),
             isolation: None,
             remaining,
             ledger: Arc::default(),
         }
     }
 
+    /// Returns a hash of the state, by which the search recognises states that it has reached
+    /// before.
     pub fn fingerprint(&self, horizon_ms: u64) -> u64 {
         use std::hash::Hash;
         let time = FingerprintTime { now_ms: self.now_ms, horizon_ms };
@@ -152,19 +162,19 @@
                 .hash(&mut hasher);
             machine.unsynced.iter().for_each(|(_, write)| write.hash(&mut hasher));
         }
-        for flight in &self.in_flight {
-            flight.fingerprint(time).hash(&mut hasher);
+        for sent_message in &self.in_flight {
+            sent_message.fingerprint(time).hash(&mut hasher);
         }
-        let mut late = 0u64;
-        for flight in &self.out_of_turn {
-            late = late.wrapping_add(flight.fingerprint(time));
+        let mut out_of_order_sum = 0u64;
+        for sent_message in &self.out_of_order {
+            out_of_order_sum = out_of_order_sum.wrapping_add(sent_message.fingerprint(time));
         }
-        (late, self.isolation, self.remaining, &*self.ledger).hash(&mut hasher);
+        (out_of_order_sum, self.isolation, self.remaining, &*self.ledger).hash(&mut hasher);
         hasher.finish()
     }
 }
 
-impl Flight {
+impl SentMessage {
     pub fn fingerprint(&self, time: FingerprintTime) -> u64 {
         use std::hash::Hash;
         let mut hasher = DefaultHasher::new();
@@ -174,7 +184,8 @@
     }
 }
 
-/// Each incarnation of each member has a seed of its own, as processes draw theirs at random.
+/// Returns a different seed for each incarnation of each member; real processes draw theirs at
+/// random.
 pub fn seed(id: MemberId, incarnation: u64) -> u64 {
     0x9e37_79b9_7f4a_7c15u64.wrapping_mul(2 * (id + 100 * incarnation) + 1)
 }
