--- a/crates/consensus/tests/replacement/main.rs
+++ b/crates/consensus/tests/replacement/main.rs
@@ -1,4 +1,5 @@
-//! A voter is replaced, planned or not, and the next loss follows right after the catch-up time.
+//! Replacement of voters, planned or not, where the next loss follows right after the catch-up
+//! time.
 
 mod cluster;
 mod disk;
@@ -8,16 +9,20 @@
 
 use cluster::Cluster;
 
-/// Catch-up time and the dead-voter timeout that follows from it, of a small and a grown deployment.
+/// The catch-up time and the dead-voter timeout that follows from it, in milliseconds, of a small
+/// deployment.
 const SMALL: (u64, u64) = (4_000, 2_000);
+/// The catch-up time and the dead-voter timeout, in milliseconds, of a grown deployment.
 const GROWN: (u64, u64) = (6_000, 3_000);
-/// An uninitialized process starts so long after the loss.
+/// Time from the loss of voters to the start of the uninitialized processes that replace them.
 const REPLACEMENT_START_MS: u64 = 1_000;
-/// Service is back within this after a loss: the timeout, two elections and a replacement.
+/// Longest time from a loss until there is a leader again: the timeout, two elections and a
+/// replacement.
 const SERVICE_MS: u64 = 3_000;
-/// Voters, and their deployment's times.
+/// Numbers of voters, each with the catch-up time and the dead-voter timeout of its deployment.
 const SIZES: [(u64, (u64, u64)); 3] = [(3, SMALL), (5, GROWN), (7, GROWN)];
 
+/// Returns `count` voters, the leader first if `with_leader`, and without it otherwise.
 fn voters_to_lose(cluster: &Cluster, count: u64, with_leader: bool) -> Vec<u64> {
     let leader = cluster.leader().unwrap();
     let mut ids = cluster.voters();
@@ -29,7 +34,8 @@
     ids
 }
 
-/// Loses these at once and starts as many new members; milliseconds from their start until all vote.
+/// Kills these voters at once and starts as many new members. Returns the milliseconds from the
+/// start of the new members until all of them are voters.
 fn replace_voters(cluster: &mut Cluster, lost_ids: &[u64], catch_up_ms: u64, when: &str) -> u64 {
     lost_ids.iter().for_each(|id| cluster.kill(*id));
     cluster.run_ms(REPLACEMENT_START_MS);
@@ -42,7 +48,8 @@
             && lost_ids.iter().all(|id| !voters.contains(id))
     };
     let vote_ms = cluster.run_until(catch_up_ms * 3 / 4, all_vote);
-    let vote_ms = vote_ms.unwrap_or_else(|| panic!("{when}: {:?}", cluster.voters()));
+    let vote_ms = vote_ms
+        .unwrap_or_else(|| panic!("{when}: the voters were not replaced: {:?}", cluster.voters()));
     cluster.run_ms(catch_up_ms - vote_ms);
     vote_ms
 }
--- a/crates/consensus/tests/replacement/planned.rs
+++ b/crates/consensus/tests/replacement/planned.rs
@@ -1,4 +1,4 @@
-//! A voter departs, with or without a learner to take its seat.
+//! Planned departures of a voter, with or without a learner that takes its seat.
 
 use crate::cluster::Cluster;
 use crate::*;
@@ -22,12 +22,15 @@
                     !cluster.is_running(departing)
                 };
                 let end_ms = cluster.run_until(2_000, has_ended);
-                let end_ms = end_ms.unwrap_or_else(|| panic!("{when}: it doesn't end"));
-                assert_eq!(without_margin_ms.get(), 0, "{when}: no margin for so long");
+                let end_ms =
+                    end_ms.unwrap_or_else(|| panic!("{when}: the departing process does not end"));
+                assert_eq!(without_margin_ms.get(), 0, "{when}: milliseconds without a margin");
                 let voters = cluster.voters();
                 assert!(voters.contains(&learner) && !voters.contains(&departing), "{when}");
-                assert!(cluster.has_margin(), "{when}: no margin at its end");
-                println!("planned: {when}: seat taken and stopped {end_ms} ms after the request");
+                assert!(cluster.has_margin(), "{when}: no margin after the departure");
+                println!(
+                    "planned: {when}: seat taken and process ended {end_ms} ms after the request"
+                );
                 cluster.run_ms(catch_up_ms - 1_000 - end_ms);
                 let next = cluster.leader().unwrap();
                 cluster.kill(next);
@@ -39,8 +42,8 @@
     }
 }
 
-/// The departing member is granted its departure before the learner is known, and counts as dead
-/// without the dead-voter timeout.
+/// The departing member is granted its departure before the learner is known, and is replaced
+/// without waiting for the dead-voter timeout.
 #[test]
 fn a_learner_started_with_the_departure_is_seated_before_the_dead_voter_timeout() {
     for with_leader in [false, true] {
@@ -54,7 +57,9 @@
             voters.contains(&30) && !voters.contains(&departing)
         };
         let vote_ms = cluster.run_until(1_500, has_seat);
-        println!("stop and start at once: leader {with_leader}: vote {vote_ms:?} ms after");
+        println!(
+            "stop and start at once: leader {with_leader}: learner is a voter after {vote_ms:?} ms"
+        );
         assert!(vote_ms.is_some(), "leader {with_leader}: {:?}", cluster.voters());
     }
 }
@@ -65,40 +70,47 @@
         let mut cluster = Cluster::running(3, SMALL.1);
         for _ in 0..4 {
             let before = cluster.voters();
-            let one = voters_to_lose(&cluster, 1, with_leader)[0];
-            cluster.stop(one);
-            let end_ms = cluster.run_until(1_500, |cluster| !cluster.is_running(one));
+            let restarted = voters_to_lose(&cluster, 1, with_leader)[0];
+            cluster.stop(restarted);
+            let end_ms = cluster.run_until(1_500, |cluster| !cluster.is_running(restarted));
             println!("restart: leader {with_leader}: stopped {:?} ms after the request", end_ms);
-            assert!(end_ms.is_some(), "a restart waits for no learner");
+            assert!(end_ms.is_some(), "the restart waits for a learner");
             cluster.run_ms(300);
-            cluster.start(one);
+            cluster.start(restarted);
             cluster.run_ms(2_000);
             assert_eq!(cluster.voters(), before);
         }
     }
 }
 
-/// B is partitioned while A and C acknowledge; then A departs.
+/// A follower is partitioned while the leader and the other follower acknowledge changes; then the
+/// leader departs.
 #[test]
 fn a_departing_member_stays_until_a_majority_of_the_others_has_its_entries() {
     let mut cluster = Cluster::running(3, 60_000);
     let leader = cluster.leader().unwrap();
     let mut others = voters_to_lose(&cluster, 2, false);
-    let (behind, other) = (others.remove(0), others.remove(0));
-    cluster.partition(behind);
+    let (partitioned, other) = (others.remove(0), others.remove(0));
+    cluster.partition(partitioned);
     cluster.run_ms(1_000);
     let acknowledged_changes = cluster.acknowledged.clone();
-    assert!(cluster.missing_at(behind, &acknowledged_changes) > 50, "entries that only two have");
+    assert!(
+        cluster.missing_at(partitioned, &acknowledged_changes) > 50,
+        "too few changes are missing at the partitioned member"
+    );
     cluster.stop(leader);
     cluster.run_ms(1_500);
-    assert!(cluster.is_running(leader), "only one other has what it acknowledged");
+    assert!(
+        cluster.is_running(leader),
+        "only one other member has the changes that it acknowledged"
+    );
     let acknowledged_changes = cluster.acknowledged.clone();
     cluster.heal();
     let end_ms = cluster.run_until(1_400, |cluster| !cluster.is_running(leader));
-    assert!(end_ms.is_some(), "both others have it");
-    assert_eq!(cluster.missing_at(behind, &acknowledged_changes), 0);
+    assert!(end_ms.is_some(), "both others have the changes, but the leader does not end");
+    assert_eq!(cluster.missing_at(partitioned, &acknowledged_changes), 0);
     assert_eq!(cluster.missing_at(other, &acknowledged_changes), 0);
-    cluster.assert_serves(SERVICE_MS, "after it ended");
+    cluster.assert_serves(SERVICE_MS, "after the departure");
 }
 
 #[test]
@@ -109,20 +121,25 @@
         cluster.run_ms(700);
         let departing = voters_to_lose(&cluster, 1, with_leader)[0];
         cluster.stop(departing);
-        cluster.run_until(3_000, |cluster| !cluster.is_running(departing)).expect("it ends");
+        cluster
+            .run_until(3_000, |cluster| !cluster.is_running(departing))
+            .expect("the departing process ends");
         let acknowledged_changes = cluster.acknowledged.clone();
         let next = cluster.leader().unwrap();
         cluster.kill(next);
         for id in [1, 2, 3, 30].into_iter().filter(|id| *id != departing && *id != next) {
-            assert!(cluster.missing_at(id, &acknowledged_changes) <= 1, "{id} lacks {}", {
-                cluster.missing_at(id, &acknowledged_changes)
-            });
+            assert!(
+                cluster.missing_at(id, &acknowledged_changes) <= 1,
+                "member {id} lacks changes: {}",
+                { cluster.missing_at(id, &acknowledged_changes) }
+            );
         }
         cluster.assert_serves(SERVICE_MS, "after the next loss");
     }
 }
 
-/// A loss beside the planned departure: the log must not depend on the departing member's seat.
+/// The leader is lost during a planned departure: the log must not depend on the departing member's
+/// seat.
 #[test]
 fn a_leader_lost_at_any_time_of_a_departure_costs_no_service() {
     for after_ms in (0..=120).step_by(10) {
@@ -137,7 +154,7 @@
         cluster.kill(leader);
         cluster.assert_serves(SERVICE_MS, &when);
         let end_ms = cluster.run_until(1_000, |cluster| !cluster.is_running(departing));
-        assert!(end_ms.is_some(), "{when}: the departure waits for the dead voter's timeout");
+        assert!(end_ms.is_some(), "{when}: the departure waits for the dead-voter timeout");
         cluster.run_ms(SMALL.0);
         cluster.assert_serves(1, &format!("{when}, after the departure"));
         cluster.start(31);
@@ -156,31 +173,31 @@
             for offset_ms in 0..8 {
                 cluster.run_ms(1_000 + offset_ms);
                 let others = voters_to_lose(&cluster, 2, false);
-                let (one, slow) = (others[0], others[1]);
-                cluster.slow = Some(slow);
+                let (departing, slow) = (others[0], others[1]);
+                cluster.slow_member = Some(slow);
                 cluster.run_ms(200);
-                cluster.stop(one);
-                let end_ms = cluster.run_until(1_000, |cluster| !cluster.is_running(one));
+                cluster.stop(departing);
+                let end_ms = cluster.run_until(1_000, |cluster| !cluster.is_running(departing));
                 let when =
                     format!("{voters} voters, a change each {change_ms} ms, offset {offset_ms}");
-                assert!(end_ms.is_some(), "{when}: it doesn't end");
-                let (acknowledged, _) = cluster.acknowledged_and_durable_index(one);
-                for other in cluster.voters().into_iter().filter(|other| *other != one) {
+                assert!(end_ms.is_some(), "{when}: the departing process does not end");
+                let (acknowledged, _) = cluster.acknowledged_and_durable_index(departing);
+                for other in cluster.voters().into_iter().filter(|other| *other != departing) {
                     let (_, durable) = cluster.acknowledged_and_durable_index(other);
                     assert!(
                         durable >= acknowledged,
-                        "{when}: {other} has {durable} of {acknowledged}"
+                        "{when}: member {other} has entries up to {durable} of {acknowledged}"
                     );
                 }
-                cluster.slow = None;
-                cluster.start(one);
+                cluster.slow_member = None;
+                cluster.start(departing);
             }
         }
     }
 }
 
 #[test]
-fn learners_that_are_lost_during_a_departure_cost_no_service() {
+fn learners_lost_during_a_departure_cost_no_service() {
     for voters in [3, 5] {
         for after_ms in [20, 250, 500, 620, 650, 700, 2_100, 2_200] {
             let mut cluster = Cluster::running(voters, SMALL.1);
--- a/crates/consensus/tests/replacement/unplanned.rs
+++ b/crates/consensus/tests/replacement/unplanned.rs
@@ -1,4 +1,4 @@
-//! A voter is lost without warning, and an uninitialized process replaces it.
+//! Unplanned losses of voters, which uninitialized processes replace.
 
 use crate::cluster::Cluster;
 use crate::*;
@@ -14,7 +14,7 @@
                     format!("{voters} voters, {count} lost, leader {with_leader}, turn {turn}");
                 let lost_ids = voters_to_lose(&cluster, count, with_leader);
                 let vote_ms = replace_voters(&mut cluster, &lost_ids, catch_up_ms, &when);
-                println!("unplanned: {when}: vote {vote_ms} ms after the learner's start");
+                println!("unplanned: {when}: replaced {vote_ms} ms after the learners' start");
                 cluster.assert_serves(1, &when);
             }
         }
@@ -28,19 +28,22 @@
         let lost_ids = voters_to_lose(&cluster, voters / 2, false);
         lost_ids.iter().for_each(|id| cluster.kill(*id));
         (0..lost_ids.len() as u64).for_each(|at| cluster.start(40 + at));
-        let silent_ms = cluster.run_until(dead_ms + 500, Cluster::has_margin);
-        let silent_ms = silent_ms.expect("a margin comes back");
-        println!("margin: {voters} voters, {} lost: back {silent_ms} ms after", lost_ids.len());
-        assert!(silent_ms <= dead_ms + 200, "{voters} voters: {silent_ms} ms");
+        let without_margin_ms = cluster.run_until(dead_ms + 500, Cluster::has_margin);
+        let without_margin_ms = without_margin_ms.expect("the margin returns");
+        println!(
+            "margin: {voters} voters, {} lost: returned after {without_margin_ms} ms",
+            lost_ids.len()
+        );
+        assert!(without_margin_ms <= dead_ms + 200, "{voters} voters: {without_margin_ms} ms");
     }
 }
 
-/// Four voters, of which the replaced one is dead, would have no majority without the learner (seed
-/// 511).
+/// Guards against a replacement that adds the learner before it removes the dead voter: of these
+/// four voters, no majority would be left if the learner were lost too (seed 511).
 #[test]
 fn a_learner_lost_at_any_time_of_a_replacement_costs_no_majority() {
     let has_seat = |cluster: &Cluster| cluster.voters().contains(&30);
-    let run_until_lost = |max_ms: u64| {
+    let run_until_seated = |max_ms: u64| {
         let mut cluster = Cluster::running(3, SMALL.1);
         let lost_id = voters_to_lose(&cluster, 1, false)[0];
         cluster.kill(lost_id);
@@ -48,11 +51,11 @@
         let seated_ms = cluster.run_until(max_ms, has_seat);
         (cluster, seated_ms)
     };
-    let seated_ms = run_until_lost(SMALL.0).1.expect("the seat is taken");
+    let seated_ms = run_until_seated(SMALL.0).1.expect("the learner takes the seat");
     for before_ms in 0..40 {
-        let (mut cluster, _) = run_until_lost(seated_ms - before_ms);
+        let (mut cluster, _) = run_until_seated(seated_ms - before_ms);
         cluster.kill(30);
-        let when = format!("learner lost {before_ms} ms before it would have its seat");
+        let when = format!("learner lost {before_ms} ms before it would be seated");
         cluster.assert_serves(SERVICE_MS, &when);
         cluster.start(31);
         cluster.run_ms(SMALL.0);
@@ -69,8 +72,8 @@
             cluster.run_ms(1_000);
         }
         let before = cluster.voters();
-        let one = voters_to_lose(&cluster, 1, false)[0];
-        cluster.partition(one);
+        let partitioned = voters_to_lose(&cluster, 1, false)[0];
+        cluster.partition(partitioned);
         cluster.run_ms(3_000);
         cluster.heal();
         cluster.run_ms(3_000);
@@ -82,7 +85,10 @@
         cluster.run_ms(SMALL.0);
         cluster.assert_serves(SERVICE_MS, "after the next loss");
         if learner_is_waiting {
-            assert!(cluster.voters().contains(&one), "the removed voter has its seat again");
+            assert!(
+                cluster.voters().contains(&partitioned),
+                "the removed voter did not get a seat again"
+            );
         }
     }
 }
