--- a/crates/consensus/tests/cluster/mod.rs
+++ b/crates/consensus/tests/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! Three members with disks and links of chosen speed, all driven by one clock.
+//! Three simulated members on one clock; tests set the speeds of their disks and links.
 #![allow(dead_code)]
 
 mod machine_parts;
@@ -17,7 +17,8 @@
     Member { id, address: format!("10.0.0.{id}:1").parse().unwrap() }
 }
 
-/// Whether the frame from one member to another is lost.
+/// A function of the sender's id, the recipient's id and the message, which returns whether the
+/// frame is lost.
 pub type DropsFrame = Box<dyn FnMut(u64, u64, &Message) -> bool>;
 
 enum Event {
@@ -30,17 +31,19 @@
 pub struct Machine {
     pub node: Option<Consensus>,
     pub applied: Applied,
-    /// Over all its incarnations.
+    /// Highest index that the member applied in any incarnation.
     max_applied: u64,
     pub durable: RecoveredState,
     pub restores: u64,
-    /// The newest term in which it served.
+    /// Newest term in which the member was ready to serve as leader.
     max_served_term: u64,
+    /// Longest time in this incarnation between two contacts by a leader, in microseconds.
     pub max_contact_gap_us: u64,
     incarnation: u64,
     last_contact_us: u64,
     unsynced: VecDeque<(u64, Write)>,
     syncing: bool,
+    /// Bytes appended to the log since the last snapshot.
     log_bytes: u64,
 }
 
@@ -50,16 +53,24 @@
     pub speeds: BTreeMap<u64, Speed>,
     /// Frames for which this returns true are lost.
     pub drops_frame: DropsFrame,
+    /// Log bytes after which a member takes a snapshot.
     pub compact_bytes: u64,
+    /// Smallest size of a snapshot's state, in bytes.
     pub state_bytes: usize,
     pub snapshot_bytes_sent: u64,
+    /// Time at which the link from one member to another has sent all its frames, in microseconds.
     link_idle_us: BTreeMap<(u64, u64), u64>,
+    /// Bytes of the frames that have not arrived, on the link from one member to another.
     queued_bytes: BTreeMap<(u64, u64), u64>,
     pub max_queued_bytes: BTreeMap<(u64, u64), u64>,
-    history: BTreeMap<u64, u64>,
+    /// Digest of the state at each committed index.
+    digests: BTreeMap<u64, u64>,
+    /// Number of batches proposed so far.
     proposed: u64,
+    /// Pending events by time and number.
     queue: BTreeMap<(u64, u64), Event>,
-    order: u64,
+    /// Number of the newest event, which orders events of the same time.
+    event_number: u64,
 }
 
 impl Cluster {
@@ -79,36 +90,39 @@
             link_idle_us: BTreeMap::new(),
             queued_bytes: BTreeMap::new(),
             max_queued_bytes: BTreeMap::new(),
-            history: BTreeMap::new(),
+            digests: BTreeMap::new(),
             proposed: 0,
             queue: BTreeMap::new(),
-            order: 0,
+            event_number: 0,
         };
         (1..=MEMBERS).for_each(|id| cluster.start(id));
         cluster.run_ms(3_000);
-        assert!(cluster.leader().is_some(), "a leader is elected");
+        assert!(cluster.leader().is_some(), "no leader was elected");
         cluster
     }
 
     pub fn node(&self, id: u64) -> &Consensus {
-        self.machines[&id].node.as_ref().expect("it runs")
+        self.machines[&id].node.as_ref().expect("the member runs")
     }
 
+    /// Returns the leader that is ready, of the newest term if there are two.
     pub fn leader(&self) -> Option<u64> {
-        let leads = |machine: &Machine| machine.node.as_ref().is_some_and(Consensus::is_ready);
-        let found = self.machines.iter().filter(|(_, machine)| leads(machine));
+        let is_ready_leader =
+            |machine: &Machine| machine.node.as_ref().is_some_and(Consensus::is_ready);
+        let found = self.machines.iter().filter(|(_, machine)| is_ready_leader(machine));
         found.max_by_key(|(id, _)| self.node(**id).term()).map(|(id, _)| *id)
     }
 
+    /// Returns a member that is not the leader.
     pub fn follower(&self) -> u64 {
         let leader = self.leader().expect("there is a leader");
-        (1..=MEMBERS).rev().find(|id| *id != leader).expect("there are three")
+        (1..=MEMBERS).rev().find(|id| *id != leader).expect("there are three members")
     }
 
-    /// From its disk alone.
+    /// Starts a member from its durable state.
     pub fn start(&mut self, id: u64) {
         let now_ms = self.now_us / 1_000;
-        let machine = self.machines.get_mut(&id).expect("a member");
+        let machine = self.machines.get_mut(&id).expect("the id is a member's");
         let durable = machine.durable.clone();
         machine.incarnation += 1;
         machine.syncing = false;
@@ -119,19 +133,19 @@
         machine.applied = Applied::decode(&state);
         machine.node = Some(Consensus::new(id, durable, id, now_ms));
         let incarnation = machine.incarnation;
-        self.after(0, Event::Tick { at: id, incarnation });
+        self.schedule(0, Event::Tick { at: id, incarnation });
     }
 
-    /// Ends its process; what was not synced is lost.
+    /// Ends a member's process; its unsynced writes are lost.
     pub fn stop(&mut self, id: u64) {
-        let machine = self.machines.get_mut(&id).expect("a member");
+        let machine = self.machines.get_mut(&id).expect("the id is a member's");
         machine.node = None;
         machine.incarnation += 1;
     }
 
-    fn after(&mut self, delay_us: u64, event: Event) {
-        self.order += 1;
-        self.queue.insert((self.now_us + delay_us, self.order), event);
+    fn schedule(&mut self, delay_us: u64, event: Event) {
+        self.event_number += 1;
+        self.queue.insert((self.now_us + delay_us, self.event_number), event);
     }
 
     pub fn run_ms(&mut self, for_ms: u64) {
@@ -139,12 +153,13 @@
         while let Some(next) = self.queue.first_entry().filter(|next| next.key().0 <= end_us) {
             self.now_us = next.key().0;
             let event = next.remove();
-            self.step(event);
+            self.handle_event(event);
         }
         self.now_us = end_us;
     }
 
-    /// So many batches a second of so many bytes, in steps of 10 ms.
+    /// Runs for `for_ms` and proposes `rate` batches of `batch_bytes` bytes per second, in steps of
+    /// 10 ms.
     pub fn run_with_changes(&mut self, for_ms: u64, rate: u64, batch_bytes: usize) {
         for step in 0..for_ms / 10 {
             let due = (step + 1) * rate / 100 - step * rate / 100;
@@ -158,41 +173,42 @@
         self.proposed += 1;
         let mut bytes = self.proposed.to_le_bytes().to_vec();
         bytes.resize(batch_bytes.max(8), 7);
-        self.give(leader, Input::Propose(vec![bytes]));
+        self.handle_input(leader, Input::Propose(vec![bytes]));
     }
 
+    /// Checks that after 5 s all members have the same state.
     pub fn assert_all_converge(&mut self) {
         self.run_ms(5_000);
         let all: Vec<Applied> = self.machines.values().map(|machine| machine.applied).collect();
-        assert!(all.iter().all(|one| *one == all[0]), "{all:?}");
+        assert!(all.iter().all(|applied| *applied == all[0]), "{all:?}");
     }
 
-    fn step(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Tick { at, incarnation } if self.machines[&at].incarnation == incarnation => {
-                self.give(at, Input::Tick);
-                self.after(TICK_US, Event::Tick { at, incarnation });
+                self.handle_input(at, Input::Tick);
+                self.schedule(TICK_US, Event::Tick { at, incarnation });
             }
             Event::Synced { at, incarnation, sequence, writes }
                 if self.machines[&at].incarnation == incarnation =>
             {
-                let machine = self.machines.get_mut(&at).expect("a member");
+                let machine = self.machines.get_mut(&at).expect("the id is a member's");
                 machine.syncing = false;
                 writes.into_iter().for_each(|write| apply_write(&mut machine.durable, write));
-                self.give(at, Input::Synced(sequence));
+                self.handle_input(at, Input::Synced(sequence));
                 self.sync(at);
             }
             Event::Deliver { from, to, message } => {
                 *self.queued_bytes.entry((from, to)).or_default() -= size_bytes(&message);
                 self.record_contact(to, &message);
-                self.give(to, Input::Receive { from: member(from), message });
+                self.handle_input(to, Input::Receive { from: member(from), message });
             }
             Event::Tick { .. } | Event::Synced { .. } => {}
         }
     }
 
     fn record_contact(&mut self, to: u64, message: &Message) {
-        let machine = self.machines.get_mut(&to).expect("a member");
+        let machine = self.machines.get_mut(&to).expect("the id is a member's");
         if matches!(message, Message::Append(_) | Message::Snapshot(_)) {
             let contact_gap_us = self.now_us - machine.last_contact_us;
             machine.max_contact_gap_us = machine.max_contact_gap_us.max(contact_gap_us);
@@ -200,7 +216,7 @@
         }
     }
 
-    pub fn give(&mut self, to: u64, input: Input) {
+    pub fn handle_input(&mut self, to: u64, input: Input) {
         let now_ms = self.now_us / 1_000;
         let Some(node) = self.machines.get_mut(&to).and_then(|machine| machine.node.as_mut())
         else {
@@ -210,7 +226,7 @@
             match effect {
                 Effect::Send { to: other, message } => self.transmit(to, other.id, message),
                 Effect::Write { sequence, write } => {
-                    let machine = self.machines.get_mut(&to).expect("a member");
+                    let machine = self.machines.get_mut(&to).expect("the id is a member's");
                     if matches!(write, Write::Append(_)) {
                         machine.log_bytes += write_bytes(&write);
                     }
@@ -219,7 +235,7 @@
                 }
                 Effect::Commit(entries) => self.commit(to, entries),
                 Effect::Restore(snapshot) => {
-                    let machine = self.machines.get_mut(&to).expect("a member");
+                    let machine = self.machines.get_mut(&to).expect("the id is a member's");
                     machine.applied = Applied::decode(&snapshot.state);
                     machine.restores += 1;
                 }
@@ -230,44 +246,51 @@
         self.compact(to);
     }
 
-    /// A member that begins to serve has applied all that any member ever committed.
+    /// Checks that a leader that becomes ready has applied every entry that any member ever
+    /// applied.
     fn check_serving(&mut self, at: u64) {
         let newest = self.machines.values().map(|machine| machine.max_applied).max();
-        let machine = self.machines.get_mut(&at).expect("a member");
+        let machine = self.machines.get_mut(&at).expect("the id is a member's");
         let Some(node) = machine.node.as_ref().filter(|node| node.is_ready()) else { return };
         if machine.max_served_term < node.term() {
             machine.max_served_term = node.term();
-            assert!(Some(machine.applied.index) >= newest, "member {at} serves with old state");
+            assert!(
+                Some(machine.applied.index) >= newest,
+                "member {at} serves with outdated state"
+            );
         }
     }
 
     fn commit(&mut self, at: u64, entries: Vec<Entry>) {
-        let machine = self.machines.get_mut(&at).expect("a member");
+        let machine = self.machines.get_mut(&at).expect("the id is a member's");
         for entry in entries {
-            assert_eq!(entry.index, machine.applied.index + 1, "nothing is left out");
+            assert_eq!(entry.index, machine.applied.index + 1, "member {at} skipped entries");
             machine.applied.index = entry.index;
             machine.max_applied = machine.max_applied.max(entry.index);
             if let Payload::Batch(bytes) = &entry.payload {
-                machine.applied.batch(bytes);
+                machine.applied.apply_batch(bytes);
             }
-            let known = self.history.entry(entry.index).or_insert(machine.applied.digest);
-            assert_eq!(*known, machine.applied.digest, "member {at} has another state");
+            let expected_digest = self.digests.entry(entry.index).or_insert(machine.applied.digest);
+            assert_eq!(
+                *expected_digest, machine.applied.digest,
+                "member {at} has a different state"
+            );
         }
     }
 
     fn compact(&mut self, at: u64) {
-        let machine = self.machines.get_mut(&at).expect("a member");
+        let machine = self.machines.get_mut(&at).expect("the id is a member's");
         if machine.log_bytes >= self.compact_bytes {
             machine.log_bytes = 0;
             let index = machine.applied.index;
             let state = machine.applied.encode(at, self.state_bytes);
-            self.give(at, Input::Compact { index, state });
+            self.handle_input(at, Input::Compact { index, state });
         }
     }
 
     fn sync(&mut self, at: u64) {
         let speed = self.speeds[&at];
-        let machine = self.machines.get_mut(&at).expect("a member");
+        let machine = self.machines.get_mut(&at).expect("the id is a member's");
         let Some((sequence, _)) = machine.unsynced.back().filter(|_| !machine.syncing) else {
             return;
         };
@@ -277,7 +300,7 @@
         let bytes: u64 = writes.iter().map(write_bytes).sum();
         let incarnation = machine.incarnation;
         let duration_us = speed.sync_us + bytes * 1_000_000 / speed.disk;
-        self.after(duration_us, Event::Synced { at, incarnation, sequence, writes });
+        self.schedule(duration_us, Event::Synced { at, incarnation, sequence, writes });
     }
 
     fn transmit(&mut self, from: u64, to: u64, message: Message) {
@@ -296,6 +319,6 @@
         *queued += bytes;
         let max_queued = self.max_queued_bytes.entry((from, to)).or_default();
         *max_queued = (*max_queued).max(*queued);
-        self.after(delay_us, Event::Deliver { from, to, message });
+        self.schedule(delay_us, Event::Deliver { from, to, message });
     }
 }
--- a/crates/consensus/tests/flow.rs
+++ b/crates/consensus/tests/flow.rs
@@ -1,4 +1,5 @@
-//! Entries in flight to one follower: how many at once, and how many are resent.
+//! The bound on the entries in flight to one follower, when they are first sent and when they are
+//! resent.
 
 mod cluster;
 use cluster::*;
@@ -24,7 +25,7 @@
         to == unresponsive
     });
     cluster.run_with_changes(2_000, 2_000, BATCH_BYTES);
-    assert!(cluster.node(leader).commit_index() > 3_000, "the majority continues to commit");
+    assert!(cluster.node(leader).commit_index() > 3_000, "the majority does not commit");
     assert!(sent_bytes.get() > 0 && sent_bytes.get() <= FOLLOWER_IN_FLIGHT_BYTES, "{sent_bytes:?}");
     cluster.drops_frame = Box::new(|_, _, _| false);
     cluster.assert_all_converge();
@@ -50,8 +51,8 @@
     });
     cluster.run_with_changes(1_000, 1_200, BATCH_BYTES);
     cluster.assert_all_converge();
-    let due_bytes = 1_200 * (BATCH_BYTES as u64 + 32);
-    let again_bytes = sent_bytes.get() - due_bytes;
-    println!("{again_bytes} bytes resent for one lost frame");
-    assert!(again_bytes > 0 && again_bytes <= 2 * FOLLOWER_IN_FLIGHT_BYTES, "{again_bytes}");
+    let proposed_bytes = 1_200 * (BATCH_BYTES as u64 + 32);
+    let resent_bytes = sent_bytes.get() - proposed_bytes;
+    println!("{resent_bytes} bytes resent for one lost frame");
+    assert!(resent_bytes > 0 && resent_bytes <= 2 * FOLLOWER_IN_FLIGHT_BYTES, "{resent_bytes}");
 }
--- a/crates/consensus/tests/snapshots.rs
+++ b/crates/consensus/tests/snapshots.rs
@@ -1,4 +1,5 @@
-//! A lagging member catches up under load, through faults of links, leaders and processes.
+//! Snapshot transfer: a lagging member catches up under load, despite faults of links, leaders and
+//! processes.
 
 mod cluster;
 use cluster::*;
@@ -7,13 +8,15 @@
 use std::sync::Arc;
 
 const STATE_BYTES: usize = 1_000_000;
-/// The leader takes a snapshot after so much log: at `RATE`, more often than one is transferred.
+/// Log bytes after which a member takes a snapshot: at `RATE`, it does so more often than one is
+/// transferred.
 const COMPACT_BYTES: u64 = 400_000;
-/// Batches a second, half of what the slow link carries.
+/// Batches per second, half of what the slow link carries.
 const RATE: u64 = 220;
 const BATCH_BYTES: usize = 1_000;
 
-/// One follower was down for so long that it needs a snapshot, and restarts with a slow link and disk.
+/// Returns a cluster, and a follower in it that was down for so long that it needs a snapshot, and
+/// that restarted with a slow link and disk.
 fn cluster_with_lagging_member() -> (Cluster, u64) {
     let mut cluster = Cluster::new(COMPACT_BYTES, STATE_BYTES);
     let lagging = cluster.follower();
@@ -25,12 +28,14 @@
     (cluster, lagging)
 }
 
+/// Returns the number of committed entries by which a member is behind the leader.
 fn lag(cluster: &Cluster, id: u64) -> u64 {
     let leader = cluster.leader().expect("there is a leader");
     cluster.node(leader).commit_index() - cluster.node(id).commit_index()
 }
 
-/// Milliseconds under load until the member is less than a second of entries behind.
+/// Runs the cluster under load until the member is less than a second of entries behind; returns
+/// the milliseconds that this took, and panics after `within_ms`.
 fn assert_catches_up(cluster: &mut Cluster, lagging: u64, within_ms: u64) -> u64 {
     for elapsed_ms in (0..within_ms).step_by(500) {
         cluster.run_with_changes(500, RATE, BATCH_BYTES);
@@ -38,7 +43,7 @@
             return elapsed_ms + 500;
         }
     }
-    panic!("{} entries behind after {within_ms} ms", lag(cluster, lagging));
+    panic!("member {lagging} is {} entries behind after {within_ms} ms", lag(cluster, lagging));
 }
 
 #[test]
@@ -48,10 +53,10 @@
     let term = cluster.node(leader).term();
     let duration_ms = assert_catches_up(&mut cluster, lagging, 30_000);
     println!("caught up after {duration_ms} ms, {} bytes", cluster.snapshot_bytes_sent);
-    assert_eq!(cluster.machines[&lagging].restores, 1, "one snapshot was enough");
+    assert_eq!(cluster.machines[&lagging].restores, 1, "number of snapshots installed");
     let max_bytes = STATE_BYTES as u64 + FOLLOWER_IN_FLIGHT_BYTES;
-    assert!(cluster.snapshot_bytes_sent <= max_bytes, "and went once");
-    assert_eq!(cluster.node(leader).term(), term, "there was no election");
+    assert!(cluster.snapshot_bytes_sent <= max_bytes, "the snapshot was sent more than once");
+    assert_eq!(cluster.node(leader).term(), term, "there was an election");
     let contact_gap_ms = cluster.machines[&lagging].max_contact_gap_us / 1_000;
     assert!(contact_gap_ms < ELECTION_MIN_MS, "no leader contact for {contact_gap_ms} ms");
     cluster.assert_all_converge();
@@ -66,8 +71,8 @@
     cluster.speeds.insert(lagging, Speed { disk: 30_000_000, ..SLOW });
     cluster.start(lagging);
     let duration_ms = assert_catches_up(&mut cluster, lagging, 60_000);
-    println!("six times the state: caught up after {duration_ms} ms");
-    assert_eq!(cluster.machines[&lagging].restores, 1, "one snapshot was enough");
+    println!("state of six times the size: caught up after {duration_ms} ms");
+    assert_eq!(cluster.machines[&lagging].restores, 1, "number of snapshots installed");
     cluster.assert_all_converge();
 }
 
@@ -75,14 +80,17 @@
 fn a_restarted_member_never_leads_with_outdated_state() {
     let mut cluster = Cluster::new(COMPACT_BYTES / 4, STATE_BYTES / 10);
     for _ in 0..8 {
-        let old = cluster.follower();
-        cluster.stop(old);
+        let outdated = cluster.follower();
+        cluster.stop(outdated);
         cluster.run_with_changes(1_000, RATE, BATCH_BYTES);
         let leader = cluster.leader().expect("two are a majority");
         cluster.stop(leader);
-        cluster.start(old);
+        cluster.start(outdated);
         cluster.run_with_changes(3_000, RATE, BATCH_BYTES);
-        assert!(cluster.leader().is_some_and(|next| next != old), "only the other has all");
+        assert!(
+            cluster.leader().is_some_and(|next| next != outdated),
+            "only the third member has all entries"
+        );
         cluster.start(leader);
         cluster.run_with_changes(2_000, RATE, BATCH_BYTES);
     }
@@ -97,7 +105,7 @@
     cluster.run_with_changes(3_000, 4 * RATE, BATCH_BYTES);
     let queued_bytes = cluster.max_queued_bytes[&(leader, lagging)];
     let max_bytes = FOLLOWER_IN_FLIGHT_BYTES + FOLLOWER_IN_FLIGHT_BYTES / 4;
-    assert!(queued_bytes <= max_bytes, "{queued_bytes} bytes wait for the link");
+    assert!(queued_bytes <= max_bytes, "{queued_bytes} bytes queued on the link");
     cluster.run_ms(10_000);
     cluster.assert_all_converge();
 }
@@ -105,17 +113,20 @@
 #[test]
 fn only_lost_chunks_are_resent() {
     let (mut cluster, lagging) = cluster_with_lagging_member();
-    let mut number = 0;
+    let mut chunk_count = 0;
     cluster.drops_frame = Box::new(move |_, _, message| {
-        number += u64::from(matches!(message, Message::Snapshot(_)));
-        matches!(message, Message::Snapshot(_)) && number.is_multiple_of(20)
+        chunk_count += u64::from(matches!(message, Message::Snapshot(_)));
+        matches!(message, Message::Snapshot(_)) && chunk_count.is_multiple_of(20)
     });
     let duration_ms = assert_catches_up(&mut cluster, lagging, 60_000);
     assert_eq!(cluster.machines[&lagging].restores, 1);
     let sent_bytes = cluster.snapshot_bytes_sent;
     println!("with one lost chunk in twenty, {sent_bytes} bytes in {duration_ms} ms");
     assert!(sent_bytes < 2 * STATE_BYTES as u64, "{sent_bytes} bytes for one lost chunk in twenty");
-    assert!(duration_ms <= 12_000, "{duration_ms} ms: each gap is reported at once");
+    assert!(
+        duration_ms <= 12_000,
+        "catching up took {duration_ms} ms, although each gap is reported at once"
+    );
     cluster.assert_all_converge();
 }
 
@@ -137,10 +148,10 @@
 fn a_leader_change_during_a_transfer_restarts_it_with_the_new_leaders_snapshot() {
     let (mut cluster, lagging) = cluster_with_lagging_member();
     cluster.run_with_changes(1_000, RATE, BATCH_BYTES);
-    let old = cluster.leader().unwrap();
-    cluster.stop(old);
+    let old_leader = cluster.leader().unwrap();
+    cluster.stop(old_leader);
     cluster.run_ms(300);
-    cluster.start(old);
+    cluster.start(old_leader);
     cluster.run_ms(4_000);
     assert_catches_up(&mut cluster, lagging, 60_000);
     cluster.assert_all_converge();
@@ -160,15 +171,15 @@
     cluster.assert_all_converge();
 }
 
-fn chunk(sender: &Snapshot, term: u64, bytes: std::ops::Range<usize>, checksum: u32) -> Message {
+fn chunk(source: &Snapshot, term: u64, bytes: std::ops::Range<usize>, checksum: u32) -> Message {
     Message::Snapshot(SnapshotChunk {
         term,
-        index: sender.index,
-        snapshot_term: sender.term,
-        members: sender.members.clone(),
+        index: source.index,
+        snapshot_term: source.term,
+        members: source.members.clone(),
         offset: bytes.start as u64,
-        total: sender.state.len() as u64,
-        bytes: sender.state[bytes].to_vec(),
+        total: source.state.len() as u64,
+        bytes: source.state[bytes].to_vec(),
         sent_ms: 5,
         checksum,
     })
@@ -216,13 +227,13 @@
 }
 
 #[test]
-fn a_state_without_its_checksum_is_not_installed() {
+fn a_state_that_does_not_match_its_checksum_is_not_installed() {
     let (old, new) = (snapshot(1), snapshot(2));
     let checksums = (crc32fast::hash(&old.state), crc32fast::hash(&new.state));
     let mut node = Consensus::new(9, RecoveredState::default(), 9, 0);
     receive(&mut node, 10, chunk(&old, 1, 0..100, checksums.0));
     let effects = receive(&mut node, 20, chunk(&new, 1, 100..200, checksums.0));
-    assert!(restored(&effects).is_none(), "a mixed snapshot");
+    assert!(restored(&effects).is_none(), "a mixture of two snapshots was installed");
     assert_eq!(
         snapshot_response(&effects).map(|response| (response.received, response.done)),
         Some((0, false))
@@ -240,7 +251,7 @@
     let effects = receive(&mut node, 10, chunk(&sent_snapshot, 1, 0..200, checksum));
     assert!(restored(&effects).is_some() && snapshot_response(&effects).is_none());
     let repeated = receive(&mut node, 20, chunk(&sent_snapshot, 1, 0..200, checksum));
-    assert!(snapshot_response(&repeated).is_none(), "its slot may still be lost with the power");
+    assert!(snapshot_response(&repeated).is_none(), "a power loss may still lose the slot");
     let synced = node.handle(30, Input::Synced(u64::MAX));
     assert_eq!(snapshot_response(&synced).map(|response| response.done), Some(true));
 }
