--- a/crates/consensus/tests/disk_health.rs
+++ b/crates/consensus/tests/disk_health.rs
@@ -1,4 +1,4 @@
-//! A member whose disk is stalled: no vote, no candidacy, and no leadership for long.
+//! A member with a stalled disk neither votes nor campaigns, and soon gives up leadership.
 
 use postbarrow_consensus::*;
 use postbarrow_constants::consensus::*;
@@ -8,34 +8,37 @@
     Member { id, address: format!("10.0.0.{id}:1").parse().unwrap() }
 }
 
-/// Three voters whose frames arrive at once; the writes of a stalled disk are pending.
-struct ThreeMembers {
+/// Three voters with immediate delivery of frames and immediate syncs, except that the writes of a
+/// stalled disk stay pending.
+struct ThreeVoters {
     nodes: Vec<Consensus>,
     now_ms: u64,
+    /// The member whose disk is stalled, if any.
     stalled: Option<u64>,
+    /// Sequences of the stalled member's unsynced writes.
     unsynced: Vec<u64>,
     /// Votes requested or granted by the stalled member since its disk stalled.
     vote_messages: usize,
-    /// Messages that the newest input led to by itself.
-    messages: usize,
+    /// Number of messages that the newest input of a test caused directly.
+    direct_messages: usize,
 }
 
-impl ThreeMembers {
-    fn led_by_one() -> ThreeMembers {
+impl ThreeVoters {
+    fn led_by_member_1() -> ThreeVoters {
         let members: Vec<Member> = (1..=3).map(member).collect();
         let snapshot = Arc::new(Snapshot { index: 0, term: 0, members, state: Vec::new() });
         let recovered = RecoveredState { snapshot: Some(snapshot), ..RecoveredState::default() };
         let consensus = |id| Consensus::new(id, recovered.clone(), 7 + id, 1_000);
         let nodes = (1..=3).map(consensus).collect();
-        let mut cluster = ThreeMembers {
+        let mut cluster = ThreeVoters {
             nodes,
             now_ms: 10_000,
             stalled: None,
             unsynced: vec![],
             vote_messages: 0,
-            messages: 0,
+            direct_messages: 0,
         };
-        cluster.give(1, Input::Tick);
+        cluster.handle_input(1, Input::Tick);
         cluster.tick(100);
         assert_eq!(cluster.node(1).role(), Role::Leader);
         cluster
@@ -45,26 +48,27 @@
         &self.nodes[id as usize - 1]
     }
 
-    fn give(&mut self, to: u64, input: Input) {
+    fn handle_input(&mut self, to: u64, input: Input) {
         let mut queue = vec![(to, input)];
         let mut is_first = true;
         while let Some((to, input)) = queue.pop() {
             let effects = self.nodes[to as usize - 1].handle(self.now_ms, input);
             if std::mem::take(&mut is_first) {
                 let is_message = |effect: &&Effect| matches!(effect, Effect::Send { .. });
-                self.messages = effects.iter().filter(is_message).count();
+                self.direct_messages = effects.iter().filter(is_message).count();
             }
             for effect in effects {
                 match effect {
                     Effect::Send { to: other, message } => {
-                        let is_grant = matches!(
+                        let is_vote_message = matches!(
                             message,
                             Message::PreVoteResponse { granted: true, .. }
                                 | Message::VoteResponse { granted: true, .. }
                                 | Message::PreVote(_)
                                 | Message::Vote(_)
                         );
-                        self.vote_messages += usize::from(is_grant && self.stalled == Some(to));
+                        self.vote_messages +=
+                            usize::from(is_vote_message && self.stalled == Some(to));
                         queue.insert(0, (other.id, Input::Receive { from: member(to), message }));
                     }
                     Effect::Write { sequence, .. } if self.stalled == Some(to) => {
@@ -82,20 +86,20 @@
     fn tick(&mut self, for_ms: u64) {
         for _ in 0..for_ms / TICK_MS {
             self.now_ms += TICK_MS;
-            (1..=3).for_each(|id| self.give(id, Input::Tick));
+            (1..=3).for_each(|id| self.handle_input(id, Input::Tick));
         }
     }
 
-    /// The disk stalls, and there is something to write on it.
+    /// Stalls a member's disk and proposes a batch, so that the disk has a pending write.
     fn stall(&mut self, id: u64) {
         self.stalled = Some(id);
-        self.give(1, Input::Propose(vec![b"one".to_vec()]));
+        self.handle_input(1, Input::Propose(vec![b"one".to_vec()]));
     }
 
-    fn heal(&mut self) {
+    fn end_stall(&mut self) {
         let id = self.stalled.take().expect("a disk is stalled");
-        let last = self.unsynced.pop().expect("a write waits");
-        self.give(id, Input::Synced(last));
+        let last = self.unsynced.pop().expect("a write is pending");
+        self.handle_input(id, Input::Synced(last));
     }
 
     fn leader(&self) -> Option<u64> {
@@ -106,64 +110,64 @@
 
 #[test]
 fn a_disk_that_syncs_within_the_bound_is_not_stalled() {
-    let mut cluster = ThreeMembers::led_by_one();
+    let mut cluster = ThreeVoters::led_by_member_1();
     cluster.stall(1);
     cluster.tick(DISK_STALL_MS - TICK_MS);
     assert!(!cluster.node(1).is_disk_stalled());
-    cluster.heal();
+    cluster.end_stall();
     cluster.stall(1);
     cluster.tick(DISK_STALL_MS - TICK_MS);
-    assert!(!cluster.node(1).is_disk_stalled(), "the age of a synced write counts no longer");
+    assert!(!cluster.node(1).is_disk_stalled(), "the age of a synced write is still counted");
     cluster.tick(3 * TICK_MS);
     assert!(cluster.node(1).is_disk_stalled() && cluster.node(1).should_transfer_leadership());
-    cluster.heal();
+    cluster.end_stall();
     assert!(!cluster.node(1).is_disk_stalled());
 }
 
 #[test]
 fn a_paused_process_does_not_report_a_stalled_disk() {
-    let mut cluster = ThreeMembers::led_by_one();
+    let mut cluster = ThreeVoters::led_by_member_1();
     cluster.stall(1);
     cluster.now_ms += 10 * DISK_STALL_MS;
-    cluster.give(1, Input::Tick);
+    cluster.handle_input(1, Input::Tick);
     assert!(!cluster.node(1).is_disk_stalled());
 }
 
 #[test]
 fn a_leader_with_a_stalled_disk_commits_and_steps_down() {
-    let mut cluster = ThreeMembers::led_by_one();
+    let mut cluster = ThreeVoters::led_by_member_1();
     cluster.stall(1);
     let last = cluster.node(1).last_index();
     cluster.tick(DISK_STALL_MS + DISK_STEP_DOWN_MS + ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS);
-    assert!(cluster.node(1).commit_index() >= last, "the two others are a majority");
+    assert!(cluster.node(1).commit_index() >= last, "the two others are a majority and commit");
     let leader = cluster.leader();
     assert!(matches!(leader, Some(2 | 3)), "{leader:?} leads");
-    assert_eq!(cluster.vote_messages, 0, "the stalled one took part in an election");
-    cluster.heal();
+    assert_eq!(cluster.vote_messages, 0, "the stalled member took part in an election");
+    cluster.end_stall();
     cluster.tick(2 * ELECTION_MIN_MS);
-    assert_eq!(cluster.leader(), leader, "a disk that recovers deposes no leader");
+    assert_eq!(cluster.leader(), leader, "a disk that recovers must not depose the leader");
     assert_eq!(cluster.node(1).role(), Role::Follower);
     assert_eq!(cluster.node(1).commit_index(), cluster.node(leader.unwrap()).commit_index());
 }
 
 #[test]
 fn a_leader_with_a_stalled_disk_transfers_leadership_at_once() {
-    let mut cluster = ThreeMembers::led_by_one();
+    let mut cluster = ThreeVoters::led_by_member_1();
     cluster.stall(1);
     cluster.tick(DISK_STALL_MS + 2 * TICK_MS);
     assert!(cluster.node(1).should_transfer_leadership());
-    cluster.give(1, Input::TransferLeadership(Vec::new()));
+    cluster.handle_input(1, Input::TransferLeadership(Vec::new()));
     assert!(matches!(cluster.leader(), Some(2 | 3)));
     assert_eq!(cluster.node(1).role(), Role::Follower);
 }
 
 #[test]
 fn a_lost_leadership_transfer_ends_in_an_election() {
-    let mut cluster = ThreeMembers::led_by_one();
+    let mut cluster = ThreeVoters::led_by_member_1();
     cluster.stall(1);
     cluster.tick(DISK_STALL_MS + 2 * TICK_MS);
     let _lost = cluster.nodes[0].handle(cluster.now_ms, Input::TransferLeadership(Vec::new()));
-    cluster.heal();
+    cluster.end_stall();
     cluster.tick(DISK_STEP_DOWN_MS + ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS);
     let leader = cluster.leader().expect("there is a leader");
     assert!(
@@ -174,11 +178,11 @@
 
 #[test]
 fn a_follower_with_a_stalled_disk_neither_votes_nor_campaigns() {
-    let mut cluster = ThreeMembers::led_by_one();
+    let mut cluster = ThreeVoters::led_by_member_1();
     cluster.stall(3);
     cluster.tick(DISK_STALL_MS + 2 * TICK_MS);
     assert!(cluster.node(3).is_disk_stalled());
-    assert_eq!(cluster.leader(), Some(1), "the other members are not affected");
+    assert_eq!(cluster.leader(), Some(1), "the other members are affected");
     let (term, last) = (cluster.node(3).term() + 5, cluster.node(3).last_index() + 5);
     for leadership_transfer in [false, true] {
         let request = VoteRequest {
@@ -207,25 +211,26 @@
     for _ in 0..2 * ELECTION_MIN_MS / TICK_MS {
         cluster.now_ms += TICK_MS;
         let effects = cluster.nodes[2].handle(cluster.now_ms, Input::Tick);
-        assert!(effects.is_empty(), "it campaigns: {effects:?}");
+        assert!(effects.is_empty(), "member 3 campaigns: {effects:?}");
     }
 }
 
 #[test]
 fn a_follower_with_a_stalled_disk_ignores_a_leadership_transfer() {
-    let mut cluster = ThreeMembers::led_by_one();
+    let mut cluster = ThreeVoters::led_by_member_1();
     cluster.stall(3);
     cluster.tick(DISK_STALL_MS + 2 * TICK_MS);
     let term = cluster.node(1).term();
     let request = TimeoutNow { term, sent_ms: cluster.now_ms, handover_state: Vec::new() };
-    cluster.give(3, Input::Receive { from: member(1), message: Message::TimeoutNow(request) });
+    cluster
+        .handle_input(3, Input::Receive { from: member(1), message: Message::TimeoutNow(request) });
     assert_eq!((cluster.node(3).role(), cluster.node(3).term()), (Role::Follower, term));
-    assert_eq!(cluster.vote_messages, 0, "it campaigned");
+    assert_eq!(cluster.vote_messages, 0, "member 3 campaigned");
 }
 
 #[test]
 fn a_leader_with_a_stalled_disk_stays_while_no_follower_responds() {
-    let mut cluster = ThreeMembers::led_by_one();
+    let mut cluster = ThreeVoters::led_by_member_1();
     cluster.stall(1);
     for _ in 0..(DISK_STALL_MS + 2 * TICK_MS) / TICK_MS {
         cluster.now_ms += TICK_MS;
@@ -237,18 +242,26 @@
 #[test]
 fn a_follower_with_a_stalled_disk_retains_a_bounded_amount_in_memory() {
     const ENTRY_BYTES: usize = 4 * 1024;
-    let mut cluster = ThreeMembers::led_by_one();
+    let mut cluster = ThreeVoters::led_by_member_1();
     cluster.stall(3);
     for _ in 0..2_000 {
-        cluster.give(1, Input::Propose(vec![vec![7; ENTRY_BYTES]]));
+        cluster.handle_input(1, Input::Propose(vec![vec![7; ENTRY_BYTES]]));
         cluster.tick(2 * HEARTBEAT_MS);
     }
     let unsynced_bytes = cluster.node(3).log().bytes_after(1);
     assert!(unsynced_bytes <= FOLLOWER_IN_FLIGHT_BYTES, "{unsynced_bytes} bytes of entries");
-    assert!(cluster.node(1).commit_index() > 2_000, "the others continue to commit");
-    cluster.heal();
+    assert!(cluster.node(1).commit_index() > 2_000, "the others do not continue to commit");
+    cluster.end_stall();
     let max_entries = FOLLOWER_IN_FLIGHT_BYTES as usize / ENTRY_BYTES;
-    assert!(cluster.messages <= 2 * max_entries, "{} responses were retained", cluster.messages);
+    assert!(
+        cluster.direct_messages <= 2 * max_entries,
+        "{} responses were retained",
+        cluster.direct_messages
+    );
     cluster.tick(2 * ELECTION_MIN_MS);
-    assert_eq!(cluster.node(3).commit_index(), cluster.node(1).commit_index(), "it caught up");
+    assert_eq!(
+        cluster.node(3).commit_index(),
+        cluster.node(1).commit_index(),
+        "member 3 did not catch up"
+    );
 }
--- a/crates/consensus/tests/durable.rs
+++ b/crates/consensus/tests/durable.rs
@@ -1,4 +1,4 @@
-//! A member acknowledges what is on its disk, and nothing before.
+//! A member acknowledges a snapshot or an entry only once it is on the member's disk.
 
 use postbarrow_consensus::*;
 
@@ -28,7 +28,7 @@
     for delay_ms in [0, 500] {
         let message = Message::Snapshot(chunk.clone());
         let effects = learner.handle(1_000 + delay_ms, Input::Receive { from: member(1), message });
-        assert_eq!(sent_count(&effects), 0, "nothing is synced yet");
+        assert_eq!(sent_count(&effects), 0, "the chunk is acknowledged before the sync");
         for effect in effects {
             if let Effect::Write { sequence, .. } = effect {
                 write_sequence = sequence;
@@ -36,7 +36,7 @@
         }
     }
     let effects = learner.handle(1_600, Input::Synced(write_sequence));
-    assert_eq!(sent_count(&effects), 2, "both answers, after the sync");
+    assert_eq!(sent_count(&effects), 2, "both chunks are acknowledged after the sync");
 }
 
 #[test]
@@ -75,6 +75,6 @@
         let message = Message::Append(append);
         let effects = learner.handle(1_010, Input::Receive { from: member(1), message });
         let response_count = sent_count(&effects);
-        assert_eq!(response_count, 0, "no answer counts an entry that is not synced: {effects:?}");
+        assert_eq!(response_count, 0, "an unsynced entry is acknowledged: {effects:?}");
     }
 }
--- a/crates/consensus/tests/leadership_transfer.rs
+++ b/crates/consensus/tests/leadership_transfer.rs
@@ -1,4 +1,4 @@
-//! Leadership transfer by TimeoutNow.
+//! Leadership transfer by a TimeoutNow message.
 
 use postbarrow_consensus::*;
 use std::sync::Arc;
@@ -7,26 +7,27 @@
     Member { id, address: format!("10.0.0.{id}:1").parse().unwrap() }
 }
 
-/// Three voters whose frames arrive at once and whose disks sync at once.
-struct ThreeMembers {
+/// Three voters with immediate delivery of frames and immediate syncs.
+struct ThreeVoters {
     nodes: Vec<Consensus>,
     now_ms: u64,
+    /// The handover states received, each with the id of the member that received it.
     received_handover: Vec<(u64, Vec<u8>)>,
 }
 
-impl ThreeMembers {
-    fn led_by_one() -> ThreeMembers {
+impl ThreeVoters {
+    fn led_by_member_1() -> ThreeVoters {
         let members: Vec<Member> = (1..=3).map(member).collect();
         let snapshot = Arc::new(Snapshot { index: 0, term: 0, members, state: Vec::new() });
         let recovered = RecoveredState { snapshot: Some(snapshot), ..RecoveredState::default() };
         let consensus = |id| Consensus::new(id, recovered.clone(), 7, 1_000);
-        let mut cluster = ThreeMembers {
+        let mut cluster = ThreeVoters {
             nodes: (1..=3).map(consensus).collect(),
             now_ms: 10_000,
             received_handover: vec![],
         };
-        cluster.give(1, Input::Tick);
-        cluster.give(1, Input::Tick);
+        cluster.handle_input(1, Input::Tick);
+        cluster.handle_input(1, Input::Tick);
         assert_eq!(cluster.node(1).role(), Role::Leader);
         cluster
     }
@@ -35,7 +36,7 @@
         &self.nodes[id as usize - 1]
     }
 
-    fn give(&mut self, to: u64, input: Input) {
+    fn handle_input(&mut self, to: u64, input: Input) {
         let mut queue = vec![(to, input)];
         while let Some((to, input)) = queue.pop() {
             let effects = self.nodes[to as usize - 1].handle(self.now_ms, input);
@@ -59,17 +60,21 @@
 
 #[test]
 fn a_leadership_transfer_ends_the_old_lease_before_the_new_leader_is_elected() {
-    let mut cluster = ThreeMembers::led_by_one();
+    let mut cluster = ThreeVoters::led_by_member_1();
     cluster.now_ms += 100;
-    cluster.give(1, Input::Tick);
+    cluster.handle_input(1, Input::Tick);
     assert!(cluster.node(1).lease_until() > cluster.now_ms);
     let effects = cluster.nodes[0].handle(cluster.now_ms, Input::TransferLeadership(vec![9]));
     assert_eq!(cluster.node(1).lease_until(), 0, "no lease while leadership is being transferred");
     let Some(Effect::Send { to, message }) = effects.into_iter().next() else {
-        panic!("no transferee")
+        panic!("the leader sent no message")
     };
-    cluster.give(to.id, Input::Receive { from: member(1), message });
-    assert_eq!(cluster.node(to.id).role(), Role::Leader, "without waiting for any promise to end");
+    cluster.handle_input(to.id, Input::Receive { from: member(1), message });
+    assert_eq!(
+        cluster.node(to.id).role(),
+        Role::Leader,
+        "the transferee did not become leader at once"
+    );
     assert!(cluster.node(to.id).lease_until() > cluster.now_ms);
     assert_eq!(cluster.node(1).role(), Role::Follower);
     assert_eq!(cluster.received_handover, [(to.id, vec![9])]);
@@ -77,18 +82,18 @@
 
 #[test]
 fn a_relinquished_lease_is_not_renewed_in_the_same_term() {
-    let mut cluster = ThreeMembers::led_by_one();
+    let mut cluster = ThreeVoters::led_by_member_1();
     let _lost = cluster.nodes[0].handle(cluster.now_ms, Input::TransferLeadership(Vec::new()));
     for _ in 0..5 {
         cluster.now_ms += 100;
-        cluster.give(1, Input::Tick);
+        cluster.handle_input(1, Input::Tick);
         assert_eq!(cluster.node(1).lease_until(), 0);
     }
 }
 
 #[test]
 fn only_the_leader_of_the_current_term_can_transfer_leadership() {
-    let mut cluster = ThreeMembers::led_by_one();
+    let mut cluster = ThreeVoters::led_by_member_1();
     for (from, term) in [(3, 1), (1, 0), (1, 2)] {
         let request = TimeoutNow { term, sent_ms: 0, handover_state: Vec::new() };
         let effects = cluster.nodes[1].handle(
@@ -107,12 +112,15 @@
     let message = Message::Vote(vote);
     let effects =
         cluster.nodes[1].handle(cluster.now_ms, Input::Receive { from: member(3), message });
-    assert!(effects.is_empty(), "a promise to a leader binds unless that leader gave up");
+    assert!(
+        effects.is_empty(),
+        "a voter is bound to its leader unless that leader transfers leadership"
+    );
 }
 
 #[test]
 fn a_delayed_handover_state_reports_its_delay() {
-    let mut cluster = ThreeMembers::led_by_one();
+    let mut cluster = ThreeVoters::led_by_member_1();
     let request = TimeoutNow {
         term: cluster.node(1).term(),
         sent_ms: cluster.now_ms,
--- a/crates/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -1,4 +1,4 @@
-//! Changes of the membership: learners, seats and their order.
+//! Membership changes: when a learner takes the seat of an unresponsive voter.
 
 use postbarrow_consensus::*;
 use postbarrow_constants::consensus::*;
@@ -8,32 +8,34 @@
     Member { id, address: format!("10.0.0.{id}:1").parse().unwrap() }
 }
 
-/// A leader of three whose second member has long been unresponsive, and whose third responds.
-struct Bench {
+/// Member 1 of three voters, which leads. Member 2 has been unresponsive for longer than the
+/// dead-voter timeout, and member 3 responds.
+struct LeaderHarness {
     node: Consensus,
     now_ms: u64,
 }
 
-impl Bench {
-    fn new() -> Bench {
+impl LeaderHarness {
+    fn new() -> LeaderHarness {
         let members = (1..=3).map(member).collect();
         let snapshot = Snapshot { index: 0, term: 0, members, state: Vec::new() };
         let recovered =
             RecoveredState { snapshot: Some(Arc::new(snapshot)), ..RecoveredState::default() };
-        let mut bench = Bench { node: Consensus::new(1, recovered, 7, 10_000), now_ms: 10_000 };
-        while bench.node.role() != Role::Leader {
-            bench.tick(&[3]);
-            assert!(bench.now_ms < 20_000, "it never led");
+        let mut harness =
+            LeaderHarness { node: Consensus::new(1, recovered, 7, 10_000), now_ms: 10_000 };
+        while harness.node.role() != Role::Leader {
+            harness.tick(&[3]);
+            assert!(harness.now_ms < 20_000, "member 1 was not elected");
         }
-        let until_ms = bench.now_ms + VOTER_DEAD_MS + 500;
-        while bench.now_ms < until_ms {
-            bench.tick(&[3]);
+        let until_ms = harness.now_ms + VOTER_DEAD_MS + 500;
+        while harness.now_ms < until_ms {
+            harness.tick(&[3]);
         }
-        bench
+        harness
     }
 
-    /// One tick, in which these members answer every message and all writes are synced.
-    fn tick(&mut self, answering: &[u64]) {
+    /// Runs one tick, in which these members respond to every message and all writes are synced.
+    fn tick(&mut self, responsive: &[u64]) {
         self.now_ms += 20;
         let mut effects: Vec<Effect> = self.node.handle(self.now_ms, Input::Tick);
         while !effects.is_empty() {
@@ -41,7 +43,7 @@
             for effect in effects {
                 match effect {
                     Effect::Write { sequence, .. } => inputs.push(Input::Synced(sequence)),
-                    Effect::Send { to, message } if answering.contains(&to.id) => {
+                    Effect::Send { to, message } if responsive.contains(&to.id) => {
                         let response = response_to(message);
                         inputs.extend(response.map(|message| Input::Receive { from: to, message }));
                     }
@@ -49,15 +51,17 @@
                 }
             }
             effects =
-                inputs.into_iter().flat_map(|one| self.node.handle(self.now_ms, one)).collect();
+                inputs.into_iter().flat_map(|input| self.node.handle(self.now_ms, input)).collect();
         }
     }
 
-    fn ids(&self) -> Vec<u64> {
+    /// Returns the ids of the members in the leader's configuration.
+    fn member_ids(&self) -> Vec<u64> {
         self.node.members().iter().map(|member| member.id).collect()
     }
 }
 
+/// Returns the response of a member that grants and accepts everything.
 fn response_to(message: Message) -> Option<Message> {
     match message {
         Message::PreVote(request) => {
@@ -83,30 +87,34 @@
 }
 
 #[test]
-fn no_responsive_voter_is_removed_while_another_is_unresponsive() {
-    let mut bench = Bench::new();
-    bench.node.handle(bench.now_ms, Input::AddLearner(member(9)));
+fn no_voter_is_replaced_while_two_of_three_are_unresponsive() {
+    let mut harness = LeaderHarness::new();
+    harness.node.handle(harness.now_ms, Input::AddLearner(member(9)));
     for _ in 0..400 {
-        bench.tick(&[9]);
+        harness.tick(&[9]);
     }
-    assert_eq!(bench.ids(), [1, 2, 3], "the second may only be partitioned; the third may be lost");
-    bench.tick(&[2, 9]);
+    assert_eq!(
+        harness.member_ids(),
+        [1, 2, 3],
+        "member 2 may only be partitioned, and member 3 may be lost"
+    );
+    harness.tick(&[2, 9]);
     for _ in 0..400 {
-        bench.tick(&[2, 9]);
+        harness.tick(&[2, 9]);
     }
-    let mut ids = bench.ids();
+    let mut ids = harness.member_ids();
     ids.sort_unstable();
-    assert_eq!(ids, [1, 2, 9], "once the second responds again the third is replaced");
+    assert_eq!(ids, [1, 2, 9], "member 3 is not replaced although member 2 responds again");
 }
 
 #[test]
 fn a_caught_up_learner_replaces_an_unresponsive_voter() {
-    let mut bench = Bench::new();
-    bench.node.handle(bench.now_ms, Input::AddLearner(member(9)));
+    let mut harness = LeaderHarness::new();
+    harness.node.handle(harness.now_ms, Input::AddLearner(member(9)));
     for _ in 0..200 {
-        bench.tick(&[3, 9]);
+        harness.tick(&[3, 9]);
     }
-    let mut ids = bench.ids();
+    let mut ids = harness.member_ids();
     ids.sort_unstable();
     assert_eq!(ids, [1, 3, 9]);
 }
--- a/crates/consensus/tests/votes.rs
+++ b/crates/consensus/tests/votes.rs
@@ -1,4 +1,4 @@
-//! Votes: who grants one, who refuses, and who is bound to a leader.
+//! Votes: when a voter grants or refuses one, and when it is bound to a leader.
 
 use postbarrow_consensus::*;
 use postbarrow_constants::consensus::{ELECTION_MIN_MS, LEADER_LEASE_MS};
@@ -40,6 +40,7 @@
     })
 }
 
+/// Returns whether the response among these effects grants the vote; `None` without a response.
 fn granted(effects: &[Effect]) -> Option<bool> {
     effects.iter().find_map(|effect| match effect {
         Effect::Send { message: Message::PreVoteResponse { granted, .. }, .. }
@@ -48,12 +49,13 @@
     })
 }
 
+/// Notifies the node that the last write of these effects is synced.
 fn sync(node: &mut Consensus, now_ms: u64, effects: &[Effect]) -> Vec<Effect> {
     let last = effects.iter().rev().find_map(|effect| match effect {
         Effect::Write { sequence, .. } => Some(*sequence),
         _ => None,
     });
-    node.handle(now_ms, Input::Synced(last.expect("something is written")))
+    node.handle(now_ms, Input::Synced(last.expect("a write is requested")))
 }
 
 const START_MS: u64 = 10_000;
@@ -63,24 +65,27 @@
     let mut node = voter(START_MS, HardState::default());
     let last_contact_ms = START_MS + 5_000;
     receive(&mut node, last_contact_ms, 2, append(1));
-    let bound_ms = last_contact_ms + ELECTION_MIN_MS - 1;
-    assert!(bound_ms > last_contact_ms + LEADER_LEASE_MS, "the lease ends for the leader first");
-    let early = receive(&mut node, bound_ms, 3, Message::PreVote(vote_request(2)));
+    let last_bound_ms = last_contact_ms + ELECTION_MIN_MS - 1;
+    assert!(
+        last_bound_ms > last_contact_ms + LEADER_LEASE_MS,
+        "the leader's lease must end before the voter is free to vote"
+    );
+    let early = receive(&mut node, last_bound_ms, 3, Message::PreVote(vote_request(2)));
     assert_eq!(granted(&early), Some(false));
-    let early = receive(&mut node, bound_ms, 3, Message::Vote(vote_request(2)));
-    assert!(early.is_empty(), "not even the term is taken up");
-    let due = receive(&mut node, bound_ms + 1, 3, Message::PreVote(vote_request(2)));
+    let early = receive(&mut node, last_bound_ms, 3, Message::Vote(vote_request(2)));
+    assert!(early.is_empty(), "the voter responds or adopts the term");
+    let due = receive(&mut node, last_bound_ms + 1, 3, Message::PreVote(vote_request(2)));
     assert_eq!(granted(&due), Some(true));
 }
 
 #[test]
 fn a_restarted_voter_grants_no_vote_before_the_election_timeout() {
     let mut node = voter(START_MS, HardState::default());
-    let bound_ms = START_MS + ELECTION_MIN_MS - 1;
-    assert!(receive(&mut node, bound_ms, 3, Message::Vote(vote_request(2))).is_empty());
-    let due = receive(&mut node, bound_ms + 1, 3, Message::Vote(vote_request(2)));
+    let last_bound_ms = START_MS + ELECTION_MIN_MS - 1;
+    assert!(receive(&mut node, last_bound_ms, 3, Message::Vote(vote_request(2))).is_empty());
+    let due = receive(&mut node, last_bound_ms + 1, 3, Message::Vote(vote_request(2)));
     assert_eq!(granted(&due), None, "no response before the vote is on disk");
-    assert_eq!(granted(&sync(&mut node, bound_ms + 2, &due)), Some(true));
+    assert_eq!(granted(&sync(&mut node, last_bound_ms + 2, &due)), Some(true));
 }
 
 #[test]
@@ -88,7 +93,7 @@
     let now_ms = START_MS + ELECTION_MIN_MS;
     let mut node = voter(START_MS, HardState { term: 4, voted_for: Some(2) });
     let other = receive(&mut node, now_ms, 3, Message::Vote(vote_request(4)));
-    assert_eq!(granted(&other), Some(false), "it voted for 2 in this term");
+    assert_eq!(granted(&other), Some(false), "the voter voted for member 2 in this term");
     let again = receive(&mut node, now_ms, 2, Message::Vote(vote_request(4)));
     assert_eq!(granted(&sync(&mut node, now_ms, &again)), Some(true));
 }
@@ -111,7 +116,7 @@
             matches!(effect, Effect::Send { message: Message::AppendResponse(_), .. })
         })
     };
-    assert!(!has_acknowledged(&effects), "no yes before the sync");
+    assert!(!has_acknowledged(&effects), "the entry is acknowledged before the sync");
     let now_ms = START_MS + 2 * ELECTION_MIN_MS;
     assert!(has_acknowledged(&sync(&mut node, START_MS, &effects)));
     let shorter = receive(&mut node, now_ms, 3, Message::Vote(vote_request(5)));
@@ -131,6 +136,7 @@
     VoteRequest { leaderless: true, ..vote_request(term) }
 }
 
+/// Returns the round of the leader probe among these effects.
 fn probe_round(effects: &[Effect]) -> Option<u64> {
     effects.iter().find_map(|effect| match effect {
         Effect::Send { message: Message::LeaderProbe { round, .. }, .. } => Some(*round),
@@ -141,19 +147,32 @@
 #[test]
 fn a_complete_probe_round_without_a_leader_starts_an_election_at_once() {
     let mut node = voter(START_MS, HardState::default());
-    let round = probe_round(&node.handle(START_MS + 20, Input::Tick)).expect("it probes at once");
-    let not_leading = |round| Message::LeaderProbeResponse { term: 0, round, not_leading: true };
-    assert!(receive(&mut node, START_MS + 21, 2, not_leading(round)).is_empty(), "one is not all");
-    let campaign = receive(&mut node, START_MS + 22, 3, not_leading(round));
+    let round =
+        probe_round(&node.handle(START_MS + 20, Input::Tick)).expect("the voter probes at once");
+    let denial = |round| Message::LeaderProbeResponse { term: 0, round, not_leading: true };
+    assert!(
+        receive(&mut node, START_MS + 21, 2, denial(round)).is_empty(),
+        "only one of two others has denied"
+    );
+    let campaign = receive(&mut node, START_MS + 22, 3, denial(round));
     let is_leaderless_pre_vote = |effect: &Effect| matches!(effect, Effect::Send { message: Message::PreVote(request), .. } if request.leaderless);
-    assert!(campaign.iter().any(is_leaderless_pre_vote), "both others denied in one round");
+    assert!(
+        campaign.iter().any(is_leaderless_pre_vote),
+        "both others denied that they lead in one round"
+    );
     let mut node = voter(START_MS, HardState::default());
     let first = probe_round(&node.handle(START_MS + 20, Input::Tick)).unwrap();
     let second = probe_round(&node.handle(START_MS + 120, Input::Tick)).unwrap();
-    assert!(receive(&mut node, START_MS + 121, 2, not_leading(first)).is_empty());
-    assert!(receive(&mut node, START_MS + 122, 3, not_leading(second)).is_empty(), "two rounds");
-    let leads = Message::LeaderProbeResponse { term: 0, round: second, not_leading: false };
-    assert!(receive(&mut node, START_MS + 123, 2, leads).is_empty(), "one leads");
+    assert!(receive(&mut node, START_MS + 121, 2, denial(first)).is_empty());
+    assert!(
+        receive(&mut node, START_MS + 122, 3, denial(second)).is_empty(),
+        "the denials are of two rounds"
+    );
+    let may_lead = Message::LeaderProbeResponse { term: 0, round: second, not_leading: false };
+    assert!(
+        receive(&mut node, START_MS + 123, 2, may_lead).is_empty(),
+        "member 2 does not deny that it leads"
+    );
 }
 
 #[test]
@@ -183,40 +202,42 @@
     receive(&mut node, bound_ms + 4, 2, append(1));
     assert!(
         receive(&mut node, bound_ms + 5, 3, Message::Vote(leaderless_request(2))).is_empty(),
-        "contact since the denial"
+        "a leader contacted the voter after its denial"
     );
 }
 
 #[test]
 fn a_probe_response_to_an_earlier_incarnation_is_ignored() {
     let mut before = voter(START_MS, HardState::default());
-    let earlier = probe_round(&before.handle(START_MS, Input::Tick)).expect("it probes at once");
+    let earlier =
+        probe_round(&before.handle(START_MS, Input::Tick)).expect("the voter probes at once");
     let members = (1..=3).map(member).collect();
     let snapshot = Snapshot { index: 0, term: 0, members, state: Vec::new() };
     let recovered =
         RecoveredState { snapshot: Some(Arc::new(snapshot)), ..RecoveredState::default() };
     let mut node = Consensus::new(1, recovered, 8, START_MS + 1);
-    let round = probe_round(&node.handle(START_MS + 1, Input::Tick)).expect("it probes again");
-    let not_leading = |round| Message::LeaderProbeResponse { term: 0, round, not_leading: true };
-    assert!(receive(&mut node, START_MS + 2, 2, not_leading(round)).is_empty());
-    let late = receive(&mut node, START_MS + 3, 3, not_leading(earlier));
-    assert!(late.is_empty(), "3 may have become leader since");
-    let campaign = receive(&mut node, START_MS + 4, 3, not_leading(round));
+    let round =
+        probe_round(&node.handle(START_MS + 1, Input::Tick)).expect("the voter probes again");
+    let denial = |round| Message::LeaderProbeResponse { term: 0, round, not_leading: true };
+    assert!(receive(&mut node, START_MS + 2, 2, denial(round)).is_empty());
+    let late = receive(&mut node, START_MS + 3, 3, denial(earlier));
+    assert!(late.is_empty(), "member 3 may have become leader since its response");
+    let campaign = receive(&mut node, START_MS + 4, 3, denial(round));
     assert!(!campaign.is_empty(), "both others denied in one round of this incarnation");
 }
 
 #[test]
 fn a_probe_response_from_before_a_leader_contact_is_ignored() {
     let mut node = voter(START_MS, HardState::default());
-    let round = probe_round(&node.handle(START_MS, Input::Tick)).expect("it probes at once");
-    let not_leading = |term| Message::LeaderProbeResponse { term, round, not_leading: true };
-    assert!(receive(&mut node, START_MS + 1, 3, not_leading(0)).is_empty());
+    let round = probe_round(&node.handle(START_MS, Input::Tick)).expect("the voter probes at once");
+    let denial = |term| Message::LeaderProbeResponse { term, round, not_leading: true };
+    assert!(receive(&mut node, START_MS + 1, 3, denial(0)).is_empty());
     receive(&mut node, START_MS + 2, 3, append(1));
     let refused =
         Message::AppendResponse(AppendResponse { term: 2, matched: None, hint: 0, sent_ms: 0 });
     receive(&mut node, START_MS + 3, 2, refused);
     assert!(
-        receive(&mut node, START_MS + 4, 2, not_leading(1)).is_empty(),
-        "3 led since its answer"
+        receive(&mut node, START_MS + 4, 2, denial(1)).is_empty(),
+        "member 3 led after its response"
     );
 }
