--- a/crates/consensus/tests/cluster/mod.rs
+++ b/crates/consensus/tests/cluster/mod.rs
@@ -264,7 +264,7 @@
     fn commit(&mut self, at: u64, entries: Vec<Entry>) {
         let machine = self.machines.get_mut(&at).expect("the id is a member's");
         for entry in entries {
-            assert_eq!(entry.index, machine.applied.index + 1, "member {at} skipped entries");
+            assert_eq!(entry.index, machine.applied.index + 1, "the member skipped entries");
             machine.applied.index = entry.index;
             machine.max_applied = machine.max_applied.max(entry.index);
             if let Payload::Batch(bytes) = &entry.payload {
--- a/crates/consensus/tests/disk_health.rs
+++ b/crates/consensus/tests/disk_health.rs
@@ -139,7 +139,10 @@
     cluster.stall(1);
     let last = cluster.node(1).last_index();
     cluster.tick(DISK_STALL_MS + DISK_STEP_DOWN_MS + ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS);
-    assert!(cluster.node(1).commit_index() >= last, "the two others are a majority and commit");
+    assert!(
+        cluster.node(1).commit_index() >= last,
+        "the two others are a majority and must commit"
+    );
     let leader = cluster.leader();
     assert!(matches!(leader, Some(2 | 3)), "{leader:?} leads");
     assert_eq!(cluster.vote_messages, 0, "the stalled member took part in an election");
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -21,8 +21,7 @@
 
 /// Number of states after which a search stops.
 const STATES: usize = 120_000;
-/// Number of states after which a search stops that is not expected to complete, since its bounds
-/// are wide.
+/// Number of states after which a search stops whose bounds are too wide for it to complete.
 const WIDE_STATES: usize = 40_000;
 /// Largest number of choices on one path.
 const CHOICES: usize = 30;
--- a/crates/consensus/tests/exhaustive/prepare.rs
+++ b/crates/consensus/tests/exhaustive/prepare.rs
@@ -40,7 +40,8 @@
         Prepared { world: World::started(AMPLE) }
     }
 
-    /// Machine 0 leads, all follow it, and its lease was just renewed.
+    /// Returns a state in which machine 0 leads, all others follow it, and its lease was just
+    /// renewed.
     pub fn with_leader() -> Prepared {
         let mut prepared = Prepared::started();
         prepared.perform(Action::Advance(ELECTION_MIN_MS + ELECTION_SPREAD_MS));
--- a/crates/consensus/tests/exhaustive/search.rs
+++ b/crates/consensus/tests/exhaustive/search.rs
@@ -133,17 +133,13 @@
     let now_ms = world.now_ms;
     match *action {
         Action::Deliver => format!("{now_ms} deliver {}", text(&world.in_flight[0])),
-        Action::Duplicate => {
-            format!("{now_ms} deliver and duplicate {}", text(&world.in_flight[0]))
-        }
+        Action::Duplicate => format!("{now_ms} deliver twice {}", text(&world.in_flight[0])),
         Action::Delay => format!("{now_ms} delay {}", text(&world.in_flight[0])),
         Action::DeliverLate(at) => {
             format!("{now_ms} deliver late {}", text(&world.out_of_order[at]))
         }
         Action::Isolate(Isolation { at, paused: true }) => format!("{now_ms} pause {}", id(at)),
-        Action::Isolate(Isolation { at, paused: false }) => {
-            format!("{now_ms} partition {}", id(at))
-        }
+        Action::Isolate(Isolation { at, paused: false }) => format!("{now_ms} isolate {}", id(at)),
         Action::Rejoin => format!("{now_ms} end the isolation"),
         Action::Advance(step_ms) => format!("{now_ms} advance by {step_ms}"),
         Action::Tick(at)
--- a/crates/consensus/tests/exhaustive/world.rs
+++ b/crates/consensus/tests/exhaustive/world.rs
@@ -122,7 +122,7 @@
 }
 
 impl World {
-    /// Three members that have bootstrapped a log and start now.
+    /// Returns three members that have bootstrapped a log and start now.
     pub fn started(remaining: Bounds) -> World {
         let members = (1..=3).map(member).collect();
         let snapshot = Arc::new(Snapshot { index: 0, term: 0, members, state: Vec::new() });
--- a/crates/consensus/tests/golden/values.rs
+++ b/crates/consensus/tests/golden/values.rs
@@ -10,7 +10,10 @@
 }
 
 fn members() -> Vec<Member> {
-    let third = Member { id: u64::MAX, address: "[2001:db8::3]:7000".parse().expect("an address") };
+    let third = Member {
+        id: u64::MAX,
+        address: "[2001:db8::3]:7000".parse().expect("the address is valid"),
+    };
     vec![member(1), member(2), third]
 }
 
--- a/crates/consensus/tests/replacement/observation.rs
+++ b/crates/consensus/tests/replacement/observation.rs
@@ -44,7 +44,7 @@
 
     /// Returns whether the log would still have a majority if one more of its running voters were
     /// lost.
-    pub fn has_margin(&self) -> bool {
+    pub fn tolerates_another_loss(&self) -> bool {
         let Some(node) = self.leader().and_then(|id| self.node(id)) else { return false };
         let members = node.members();
         let running = members.iter().filter(|member| self.is_running(member.id)).count();
--- a/crates/consensus/tests/replacement/planned.rs
+++ b/crates/consensus/tests/replacement/planned.rs
@@ -5,7 +5,7 @@
 use std::cell::Cell;
 
 #[test]
-fn a_planned_departure_hands_its_seat_to_a_learner_without_losing_the_margin() {
+fn a_planned_departure_hands_its_seat_to_a_learner_without_losing_fault_tolerance() {
     for (voters, (catch_up_ms, dead_ms)) in SIZES {
         for with_leader in [false, true] {
             let mut cluster = Cluster::running(voters, dead_ms);
@@ -15,19 +15,23 @@
                 cluster.start(learner);
                 cluster.run_ms(1_000);
                 cluster.stop(departing);
-                let without_margin_ms = Cell::new(0);
+                let vulnerable_ms = Cell::new(0);
                 let has_ended = |cluster: &Cluster| {
-                    let lacks_margin = cluster.leader().is_some() && !cluster.has_margin();
-                    without_margin_ms.set(without_margin_ms.get() + u64::from(lacks_margin));
+                    let is_vulnerable =
+                        cluster.leader().is_some() && !cluster.tolerates_another_loss();
+                    vulnerable_ms.set(vulnerable_ms.get() + u64::from(is_vulnerable));
                     !cluster.is_running(departing)
                 };
                 let end_ms = cluster.run_until(2_000, has_ended);
                 let end_ms =
                     end_ms.unwrap_or_else(|| panic!("{when}: the departing process does not end"));
-                assert_eq!(without_margin_ms.get(), 0, "{when}: milliseconds without a margin");
+                assert_eq!(vulnerable_ms.get(), 0, "{when}: milliseconds without fault tolerance");
                 let voters = cluster.voters();
                 assert!(voters.contains(&learner) && !voters.contains(&departing), "{when}");
-                assert!(cluster.has_margin(), "{when}: no margin after the departure");
+                assert!(
+                    cluster.tolerates_another_loss(),
+                    "{when}: no fault tolerance after the departure"
+                );
                 println!(
                     "planned: {when}: seat taken and process ended {end_ms} ms after the request"
                 );
--- a/crates/consensus/tests/replacement/unplanned.rs
+++ b/crates/consensus/tests/replacement/unplanned.rs
@@ -22,19 +22,19 @@
 }
 
 #[test]
-fn the_margin_returns_within_the_dead_voter_timeout_and_one_replacement() {
+fn fault_tolerance_returns_within_the_dead_voter_timeout_and_one_replacement() {
     for (voters, (_, dead_ms)) in SIZES {
         let mut cluster = Cluster::running(voters, dead_ms);
         let lost_ids = voters_to_lose(&cluster, voters / 2, false);
         lost_ids.iter().for_each(|id| cluster.kill(*id));
         (0..lost_ids.len() as u64).for_each(|at| cluster.start(40 + at));
-        let without_margin_ms = cluster.run_until(dead_ms + 500, Cluster::has_margin);
-        let without_margin_ms = without_margin_ms.expect("the margin returns");
+        let vulnerable_ms = cluster.run_until(dead_ms + 500, Cluster::tolerates_another_loss);
+        let vulnerable_ms = vulnerable_ms.expect("fault tolerance returns");
         println!(
-            "margin: {voters} voters, {} lost: returned after {without_margin_ms} ms",
+            "fault tolerance: {voters} voters, {} lost: returned after {vulnerable_ms} ms",
             lost_ids.len()
         );
-        assert!(without_margin_ms <= dead_ms + 200, "{voters} voters: {without_margin_ms} ms");
+        assert!(vulnerable_ms <= dead_ms + 200, "{voters} voters: {vulnerable_ms} ms");
     }
 }
 
--- a/crates/consensus/tests/snapshots.rs
+++ b/crates/consensus/tests/snapshots.rs
@@ -43,7 +43,7 @@
             return elapsed_ms + 500;
         }
     }
-    panic!("member {lagging} is {} entries behind after {within_ms} ms", lag(cluster, lagging));
+    panic!("the member is {} entries behind after {within_ms} ms", lag(cluster, lagging));
 }
 
 #[test]
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -9,8 +9,9 @@
     /// since the last success: `Storage::resume` writes the same bytes at the same offsets again.
     #[error("disk has no space for a write: {0}")]
     Full(io::Error),
-    /// A write failed, or a sync failed for any reason. A second sync could succeed without having
-    /// written anything, so nothing more may be written through this storage.
+    /// A write failed for another reason, or a sync failed for any reason. A second sync could
+    /// succeed without having written anything, so nothing more may be written through this
+    /// storage.
     #[error("disk write or sync failed: {0}")]
     Failed(io::Error),
 }
--- a/crates/storage/tests/every_power_loss.rs
+++ b/crates/storage/tests/every_power_loss.rs
@@ -9,7 +9,7 @@
 const MEMBER: u64 = 9;
 const NEW_MEMBER: u64 = 10;
 
-fn hard(term: u64) -> Write {
+fn hard_state(term: u64) -> Write {
     Write::HardState(HardState { term, voted_for: Some(term) })
 }
 
@@ -30,15 +30,15 @@
 /// file, the later ones shorter.
 fn script() -> Vec<Vec<Write>> {
     vec![
-        vec![hard(1)],
+        vec![hard_state(1)],
         vec![append(1, 1), append(1, 2)],
-        vec![hard(2), append(2, 3)],
+        vec![hard_state(2), append(2, 3)],
         vec![slot(2, 3)],
-        vec![append(2, 4), append(2, 5), hard(3)],
+        vec![append(2, 4), append(2, 5), hard_state(3)],
         vec![append(3, 6), slot(3, 6)],
-        vec![hard(4)],
+        vec![hard_state(4)],
         vec![slot(4, 6), append(4, 7)],
-        vec![hard(5)],
+        vec![hard_state(5)],
     ]
 }
 
@@ -260,7 +260,7 @@
     let mut disk = SimDisk::default();
     let mut storage = Storage::create(disk.clone(), MEMBER).unwrap();
     let torn = storage.log_bytes();
-    storage.apply(vec![append(1, 1), append(1, 2), hard(8)]).unwrap();
+    storage.apply(vec![append(1, 1), append(1, 2), hard_state(8)]).unwrap();
     let mut group = disk.read(LOGS[1]).unwrap().split_off(torn as usize);
     group[20] ^= 0x55;
     let mut disk = SimDisk::default();
