--- a/crates/consensus/tests/exhaustive/actions.rs
+++ b/crates/consensus/tests/exhaustive/actions.rs
@@ -34,9 +34,9 @@
 }
 
 impl Action {
-    /// Returns whether the search does not count the action as a choice, which is so for the
-    /// arrival of messages in order.
-    pub fn is_expected(&self) -> bool {
+    /// Returns whether the action is the arrival of a message in order, which the search does not
+    /// count as a choice.
+    pub fn is_in_order_delivery(&self) -> bool {
         matches!(self, Action::Deliver)
     }
 }
@@ -102,15 +102,20 @@
 
     /// Offers the actions of one machine. Ticks, proposals, transfers, compactions and learners are
     /// offered only while no message is in flight, apart from those that arrive out of order.
-    fn machine_actions(&self, at: usize, faults: bool, offer: &mut impl FnMut(bool, Action)) {
+    fn machine_actions(
+        &self,
+        at: usize,
+        faults_allowed: bool,
+        offer: &mut impl FnMut(bool, Action),
+    ) {
         let (machine, remaining) = (&self.machines[at], &self.remaining);
         if self.is_paused(at) {
             return;
         }
         offer(!machine.unsynced.is_empty(), Action::Sync(at));
-        offer(faults && !machine.slow && remaining.slow_disks > 0, Action::SlowDisk(at));
-        offer(faults && remaining.crashes > 0, Action::Crash(at));
-        offer(faults && remaining.lost_disks > 0, Action::LoseDisk(at));
+        offer(faults_allowed && !machine.slow && remaining.slow_disks > 0, Action::SlowDisk(at));
+        offer(faults_allowed && remaining.crashes > 0, Action::Crash(at));
+        offer(faults_allowed && remaining.lost_disks > 0, Action::LoseDisk(at));
         if !self.in_flight.is_empty() {
             return;
         }
@@ -324,7 +329,7 @@
         if disk_lost {
             machine.replaced_id = Some(id);
             machine.disk = Disk::default();
-            id += LOST_DISK_STEP;
+            id += LOST_DISK_ID_OFFSET;
         }
         machine.applied = machine.disk.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let recovered = machine.disk.recovered();
--- a/crates/consensus/tests/exhaustive/prepare.rs
+++ b/crates/consensus/tests/exhaustive/prepare.rs
@@ -15,7 +15,7 @@
 }
 
 /// Bounds wide enough to prepare any initial state.
-const AMPLE: Bounds = Bounds {
+const AMPLE_BOUNDS: Bounds = Bounds {
     crashes: 9,
     lost_disks: 9,
     duplicates: 0,
@@ -37,7 +37,7 @@
 
 impl Prepared {
     pub fn started() -> Prepared {
-        Prepared { world: World::started(AMPLE) }
+        Prepared { world: World::started(AMPLE_BOUNDS) }
     }
 
     /// Returns a state in which machine 0 leads, all others follow it, and its lease was just
--- a/crates/consensus/tests/exhaustive/search.rs
+++ b/crates/consensus/tests/exhaustive/search.rs
@@ -80,7 +80,7 @@
         while let Some(reached) = pending.pop() {
             for action in reached.world.actions(&self.rules) {
                 let Some(after) = self.step(&reached, &action, search) else { continue };
-                match action.is_expected() {
+                match action.is_in_order_delivery() {
                     true => pending.push(after),
                     false => next.push(after),
                 }
--- a/crates/consensus/tests/exhaustive/world.rs
+++ b/crates/consensus/tests/exhaustive/world.rs
@@ -10,12 +10,14 @@
 pub fn member(id: MemberId) -> Member {
     Member {
         id,
-        address: format!("10.0.0.{}:1", id % LOST_DISK_STEP).parse().expect("the address is valid"),
+        address: format!("10.0.0.{}:1", id % LOST_DISK_ID_OFFSET)
+            .parse()
+            .expect("the address is valid"),
     }
 }
 
 /// Added to the identity of a member that lost its disk, for its identity on the new disk.
-pub const LOST_DISK_STEP: MemberId = 10;
+pub const LOST_DISK_ID_OFFSET: MemberId = 10;
 pub const START_MS: u64 = 100_000;
 
 /// Number of events of each kind that may still occur on a path.
--- a/crates/storage/src/log_record.rs
+++ b/crates/storage/src/log_record.rs
@@ -29,6 +29,7 @@
 /// of order.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Framed<R> {
+    /// Generation of the log that the record belongs to.
     pub generation: u64,
     /// Number of the record within its log, from 1.
     pub sequence: u64,
