--- a/crates/state/src/apply_record.rs
+++ b/crates/state/src/apply_record.rs
@@ -1,4 +1,4 @@
-//! Applies a record of the log to the state. Each record has a method in one of the modules here.
+//! Applies a record of the log to the state. Each kind of record has a method in a submodule.
 
 mod coordination;
 mod endpoints;
--- a/crates/state/src/apply_record/coordination.rs
+++ b/crates/state/src/apply_record/coordination.rs
@@ -1,4 +1,4 @@
-//! Records of locks, numbers and keys, of their events, and of the outcomes of calls.
+//! Applies records of locks, numbers, keys, their events, and the outcomes of calls.
 
 use crate::{Change, Event, Key, Lock, Name, Outcome, State};
 use std::sync::Arc;
--- a/crates/state/src/apply_record/endpoints.rs
+++ b/crates/state/src/apply_record/endpoints.rs
@@ -1,4 +1,4 @@
-//! Records of targets and data nodes.
+//! Applies records of targets and data nodes.
 
 use crate::{Incarnation, Name, Node, State, Target};
 use std::sync::Arc;
--- a/crates/state/src/apply_record/plan.rs
+++ b/crates/state/src/apply_record/plan.rs
@@ -1,4 +1,4 @@
-//! Records of the plan.
+//! Applies records of the plan.
 
 use crate::splice::{patch_routes, patch_text};
 use crate::{
--- a/crates/state/src/apply_record/tickets.rs
+++ b/crates/state/src/apply_record/tickets.rs
@@ -1,12 +1,12 @@
-//! Records of one-time requests' tickets.
+//! Applies records of the tickets of one-time requests.
 
 use crate::{Name, Settlement, State, StoredResponse, Ticket};
 use std::sync::Arc;
 
 impl State {
     pub(super) fn grant_ticket(&mut self, ticket: &Ticket) {
-        let former = self.tickets.insert(ticket.key.clone(), Arc::new(ticket.clone()));
-        self.stored_response_bytes -= former.map_or(0, |ticket| ticket.response_bytes());
+        let replaced = self.tickets.insert(ticket.key.clone(), Arc::new(ticket.clone()));
+        self.stored_response_bytes -= replaced.map_or(0, |ticket| ticket.response_bytes());
     }
 
     pub(super) fn settle_ticket(
--- a/crates/state/src/call.rs
+++ b/crates/state/src/call.rs
@@ -1,138 +1,141 @@
-//! An application's call for a lock, number or key, and its outcome.
+//! Applications' calls on locks, numbers and keys, and their outcomes.
 
 use crate::{Event, Key, Name, ResourceKind};
 use serde::{Deserialize, Serialize};
 
-/// What an application requests; `holder` is its own token for itself.
+/// A call by an application. `holder` is the token by which the application identifies itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Call {
     /// Acquires a lock, or extends it for its owner.
     Lock {
-        /// The lock.
+        /// Name of the lock.
         name: Name,
-        /// The application.
+        /// Token of the calling application.
         holder: Name,
-        /// How long the lock lasts without a renewal.
+        /// How long the lock lasts without a renewal, in milliseconds.
         ttl_ms: u64,
     },
     /// Extends a lock.
     Renew {
-        /// The lock.
+        /// Name of the lock.
         name: Name,
-        /// The application.
+        /// Token of the calling application.
         holder: Name,
-        /// The fencing token of its grant.
+        /// Fencing token of the lock's grant.
         fence: u64,
-        /// How long it lasts from now on; none: as long as at its grant.
+        /// How long the lock lasts without a further renewal, in milliseconds; `None` for the time
+        /// to live that is recorded for it.
         ttl_ms: Option<u64>,
     },
     /// Releases a lock.
     Free {
-        /// The lock.
+        /// Name of the lock.
         name: Name,
-        /// The application.
+        /// Token of the calling application.
         holder: Name,
-        /// The fencing token of its grant.
+        /// Fencing token of the lock's grant.
         fence: u64,
     },
     /// Reads whether a lock has an owner.
     ReadLock {
-        /// The lock.
+        /// Name of the lock.
         name: Name,
     },
     /// Increments a counter.
     Next {
-        /// The counter.
+        /// Name of the counter.
         name: Name,
-        /// By how much.
+        /// Amount that is added to the counter.
         by: u64,
     },
     /// Reads a counter.
     ReadNumber {
-        /// The counter.
+        /// Name of the counter.
         name: Name,
     },
-    /// Sets a key's value.
+    /// Sets a key's value, and creates the key if it doesn't exist.
     Put {
-        /// The key.
+        /// Name of the key.
         name: Name,
-        /// Its new value.
+        /// New value of the key.
         value: Vec<u8>,
-        /// Only if this is the key's revision, 0 for a key that doesn't exist; none: in any case.
+        /// Revision that the key must have, 0 if it must not exist; `None` for no condition.
         revision: Option<u64>,
     },
     /// Removes a key.
     Remove {
-        /// The key.
+        /// Name of the key.
         name: Name,
-        /// Only if this is the key's revision; none: in any case.
+        /// Revision that the key must have; `None` for no condition.
         revision: Option<u64>,
     },
     /// Reads a key.
     ReadKey {
-        /// The key.
+        /// Name of the key.
         name: Name,
     },
-    /// Reads events, or waits for the next.
+    /// Reads events, or waits for the next one.
     Watch {
-        /// Of locks, numbers or keys.
+        /// Kind of the resources whose events are read.
         sort: ResourceKind,
-        /// What the names begin with.
+        /// Prefix of the resources' names.
         prefix: Name,
-        /// Events after this revision; none: those from now on.
+        /// Revision after which events are read; `None` for events from now on.
         after: Option<u64>,
     },
 }
 
-/// What a call led to.
+/// The outcome of a call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The lock is the application's.
+    /// The calling application owns the lock.
     Locked {
-        /// The fencing token of the grant.
+        /// Fencing token of the grant.
         fence: u64,
-        /// How long it lasts without a renewal.
+        /// How long the lock lasts without a renewal, in milliseconds.
         ttl_ms: u64,
     },
-    /// Another application owns the lock.
+    /// Another application owns the lock; for `ReadLock`, any application does.
     #[serde(rename = "Held")]
     LockedByOther {
-        /// The fencing token of the owner's grant.
+        /// Fencing token of the owner's grant.
         fence: u64,
     },
     /// The lock was released.
     Freed,
-    /// The application doesn't own the lock, or no longer under this fencing token.
+    /// The calling application doesn't own the lock, or owns it under another fencing token.
     #[serde(rename = "NotHeld")]
     NotOwner,
     /// The lock that was read has no owner.
     NoLock,
-    /// The counter's value.
+    /// The counter's value after the call.
     Number(u64),
-    /// The key's value.
+    /// The key's value and revision after the call.
     Key(Key),
     /// The key doesn't exist.
     NoKey,
-    /// The key's revision is another than the call requires, or the counter would overflow.
+    /// The key's revision differs from the one that the call requires, or the counter would
+    /// overflow.
     Conflict {
-        /// The key's revision, or the counter's value.
+        /// Current revision of the key (0 if it doesn't exist), or current value of the counter.
         revision: u64,
     },
     /// The key was removed.
     Removed {
-        /// The revision of the removal.
+        /// Revision of the removal.
         revision: u64,
     },
-    /// Events, or none within the time that a watch waits.
+    /// Events that a watch returns; none if the wait ended without an event.
     Events {
-        /// In the order of their revisions.
+        /// The events in ascending order of their revisions.
         events: Vec<Event>,
-        /// The revision to watch after next.
+        /// Revision to pass as `after` in the next watch.
         next: u64,
     },
-    /// The events that a watch requests are no longer retained.
+    /// The events that a watch requested are not available: no longer retained, or after a revision
+    /// that has not been reached.
     TooOld {
-        /// Events after this revision are available.
+        /// Revision after which events are available.
         floor: u64,
     },
 }
--- a/crates/state/src/coordination.rs
+++ b/crates/state/src/coordination.rs
@@ -1,4 +1,4 @@
-//! Locks, numbers and keys, and the events of their changes.
+//! Locks, numbers (counters) and keys, and the events that report their changes.
 
 use crate::Name;
 use serde::{Deserialize, Serialize};
@@ -7,32 +7,32 @@
 /// A lock that has an owner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Lock {
-    /// The owner's own token for itself.
+    /// The token by which the owner identifies itself.
     pub holder: Name,
-    /// The fencing token of the grant.
+    /// Fencing token of the grant.
     pub fence: u64,
-    /// How long it lasts without a renewal.
+    /// How long the lock lasts without a renewal, in milliseconds.
     pub ttl_ms: u64,
 }
 
 /// The value of a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Key {
-    /// As the application stored it.
+    /// The bytes that the application stored.
     #[serde(with = "serde_bytes")]
     pub value: Vec<u8>,
-    /// The revision of its newest change.
+    /// Revision of the key's newest change.
     pub revision: u64,
 }
 
-/// What a name stands for; each kind has names of its own.
+/// The kind of a named resource. Each kind has a namespace of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ResourceKind {
-    /// A lock.
+    /// A lock with a time to live and a fencing token.
     Lock,
-    /// A counter.
+    /// A counter that only grows.
     Number,
-    /// A key.
+    /// A key with a value and a revision.
     Key,
 }
 
@@ -41,14 +41,14 @@
 pub enum Change {
     /// The lock was granted or extended.
     Locked {
-        /// The fencing token of the grant.
+        /// Fencing token of the grant.
         fence: u64,
     },
-    /// The lock was released, or it ran out.
+    /// The lock was released, or it expired.
     Freed,
-    /// The counter has this value.
+    /// The counter changed to this value.
     Number(u64),
-    /// The key has this value.
+    /// The key was set to this value.
     Key(Key),
     /// The key was removed.
     KeyGone,
@@ -57,19 +57,19 @@
 /// One change of a lock, number or key, as watches report it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Event {
-    /// Grows by one with each event.
+    /// The event's revision: one more than the previous event's.
     pub revision: u64,
-    /// Which lock, number or key.
+    /// Name of the lock, number or key that changed.
     pub name: Name,
-    /// How it changed.
+    /// The change.
     pub change: Change,
 }
 
-/// Events in the order of their revisions.
+/// Events in ascending order of their revisions.
 pub type Events = Vec<Arc<Event>>;
 
 impl Event {
-    /// What its name stands for.
+    /// Returns the kind of the resource that changed.
     pub fn resource_kind(&self) -> ResourceKind {
         match self.change {
             Change::Locked { .. } | Change::Freed => ResourceKind::Lock,
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,19 +1,20 @@
 //! The replicated state: plans, targets, nodes, tickets, locks, numbers and keys.
 //!
-//! The log contains `Record`s; `State` is their result, in persistent maps whose clones share
-//! their content, so that a clone is a cheap image (see `postbarrow_transactions::Image`). Both are
-//! stored: fields of structs by position, variants of enums by name.
+//! The log contains `Record`s, and `State` is the result of applying them. It consists of
+//! persistent maps whose clones share their content, so a clone is a cheap image (see
+//! `postbarrow_transactions::Image`). Both types are stored: fields of structs by position,
+//! variants of enums by name.
 //!
 //! | file | what it does |
 //! | --- | --- |
 //! | `record.rs` | the records |
-//! | `apply_record.rs` | applies a record; `apply_record/` has a method a record, by concern |
-//! | `state.rs` | the state, and what is read from it |
-//! | `splice.rs` | how a plan's delta edits routes and text |
-//! | `accepted_plans.rs` | which plans were accepted and refused |
+//! | `apply_record.rs` | applies a record; `apply_record/` has one method per kind of record |
+//! | `state.rs` | the state, and queries on it |
+//! | `splice.rs` | the edits of routes and text in a plan's delta |
+//! | `accepted_plans.rs` | the plans that were accepted or refused |
 //! | `plan.rs`, `target.rs`, `node.rs`, `ticket.rs`, `coordination.rs` | the values within the state |
-//! | `call.rs` | an application's call, and its outcome |
-//! | `request_sample.rs` | a client request as it is reported for rehearsals |
+//! | `call.rs` | applications' calls, and their outcomes |
+//! | `request_sample.rs` | samples of client requests, reported for rehearsals |
 #![deny(missing_docs)]
 
 mod accepted_plans;
@@ -44,11 +45,11 @@
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 
-/// A short text: a name, version, instance or key.
+/// A short text: a name, version, instance or idempotency key.
 pub type Name = CompactString;
-/// One run of one process, from start to end; a number that no other run has.
+/// A number that identifies one run of one process, from start to end.
 pub type Incarnation = u64;
-/// Labels of a target, or those that a service requires of its targets.
+/// Labels of a target, or the labels that a service requires of its targets, by label name.
 pub type Labels = BTreeMap<Name, Name>;
 /// A SHA-256 digest.
 pub type Digest = [u8; 32];
--- a/crates/state/src/node.rs
+++ b/crates/state/src/node.rs
@@ -1,20 +1,20 @@
-//! A data node.
+//! The data nodes' entries in the state.
 
 use crate::{Incarnation, Name};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A data node with a lease.
+/// A data node that was granted a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Node {
-    /// Which run of the process.
+    /// Identifies the run of the node's process.
     pub incarnation: Incarnation,
-    /// The node's name in its settings.
+    /// Name from the node's settings.
     pub name: Name,
-    /// Where it listens for other nodes.
+    /// Address at which the node listens for messages of other processes.
     pub address: SocketAddr,
-    /// Where it listens for clients.
+    /// Address at which the node listens for clients' HTTP requests.
     pub http: SocketAddr,
-    /// Where it runs.
+    /// Zone in which the node runs.
     pub zone: Name,
 }
--- a/crates/state/src/plan.rs
+++ b/crates/state/src/plan.rs
@@ -1,77 +1,79 @@
-//! What a plan consists of: services, routes and limits.
+//! The parts of a plan: services, routes and limits.
 
 use crate::{Labels, Name};
 use serde::{Deserialize, Serialize};
 
-/// Which plan is in force.
+/// Identifies the plan in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlanHead {
     /// The plan's version.
     pub version: Name,
-    /// The version that it was made from; none for the first plan.
+    /// Version of the plan that this one was made from; `None` for the first plan.
     pub base: Option<Name>,
-    /// Log offset of the batch that began this plan.
+    /// Log offset of the batch with which this plan's transaction began.
     pub offset: u64,
 }
 
-/// A service: the targets that have its labels.
+/// A service. Its targets are those that have all its labels.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// The service's name within the plan.
     pub name: Name,
-    /// Labels that a target must have; `service` and `zone` mean the target's fields of that name.
+    /// Labels that a target must have. The labels `service` and `zone` are compared with the
+    /// target's fields of the same names.
     pub labels: Labels,
 }
 
-/// Whether a request may run more than once.
+/// Whether a request may run more than once on targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// May be attempted again, also after an unknown outcome.
+    /// The request may be attempted again, even if the outcome of an attempt is unknown.
     Lookup,
-    /// Runs once at most; a ticket in the log says where.
+    /// The request runs at most once; a ticket in the log names the target that it is granted for.
     OneTime,
 }
 
-/// Which requests a service gets, and their limits.
+/// Selects requests for a service, and sets their limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Path pattern.
+    /// Pattern that the request's path must match.
     pub path: Name,
-    /// Methods (RFC 9110, section 9).
+    /// Methods that the route accepts (RFC 9110, section 9).
     pub methods: Vec<Name>,
-    /// Whether its requests may run more than once.
+    /// Whether the route's requests may run more than once.
     pub kind: RouteKind,
-    /// The service, unless `weighted_services` names several.
+    /// Service that gets the route's requests, unless `weighted_services` names several.
     pub service: Name,
-    /// A condition on the request, in CEL; none matches each request.
+    /// Condition on the request, in CEL; `None` matches every request.
     pub when: Option<String>,
-    /// The longest body of a request.
+    /// Largest body of a request, in bytes.
     pub body_bytes: u64,
-    /// Requests per second; none: no limit.
+    /// Limit of requests per second; `None` for no limit.
     pub rate_per_s: Option<u64>,
-    /// Requests in flight; none: no limit.
+    /// Limit of concurrent requests; `None` for no limit.
     pub concurrency: Option<u64>,
-    /// How long a request may take.
+    /// Deadline of a request, in milliseconds.
     pub deadline_ms: u64,
-    /// Only requests for this host; none: for any.
+    /// Host that a request must be for; `None` matches any host.
     #[serde(default)]
     pub host: Option<Name>,
-    /// Services that share the route's requests by weight; empty: `service` gets all.
+    /// Services that share the route's requests by weight. If empty, `service` gets all requests.
     #[serde(default)]
     pub weighted_services: Vec<WeightedService>,
-    /// Attempts of one request at most; none: the node's own bound.
+    /// Largest number of attempts of one request; `None` for the data node's own bound.
     #[serde(default)]
     pub max_attempts: Option<u64>,
-    /// Within this time a response has its full value.
+    /// Time within which a response has its full value to the client, in milliseconds; `None` if
+    /// the plan sets no target.
     #[serde(default)]
     pub latency_target_ms: Option<u64>,
-    /// 0 is served first where capacity runs short.
+    /// Priority when capacity is short: lower numbers are served first, 0 before all others.
     #[serde(default)]
     pub priority: u64,
 }
 
 impl Route {
-    /// Every service that may run a request of this route.
+    /// Returns the services that may run requests of this route.
     pub fn services(&self) -> Vec<&Name> {
         if self.weighted_services.is_empty() {
             return vec![&self.service];
@@ -86,17 +88,17 @@
 pub struct WeightedService {
     /// The service's name.
     pub service: Name,
-    /// Its weight relative to the others'; 0: it gets no requests.
+    /// Weight relative to the route's other services; a service of weight 0 gets no requests.
     pub weight: u64,
 }
 
-/// Limits for each client; what a plan leaves out is the node's own.
+/// Limits for each client connection. `None` stands for the data node's own limit.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClientLimits {
-    /// The longest head of a request.
+    /// Largest head of a request, in bytes.
     pub head_bytes: Option<u64>,
-    /// How long the head of a request may take to arrive.
+    /// How long the head of a request may take to arrive, in milliseconds.
     pub head_wait_ms: Option<u64>,
-    /// How long a connection may be idle between requests.
+    /// How long a connection may be idle between requests, in milliseconds.
     pub idle_ms: Option<u64>,
 }
--- a/crates/state/src/record.rs
+++ b/crates/state/src/record.rs
@@ -1,4 +1,4 @@
-//! The records of the log.
+//! The records that the log contains.
 
 use crate::{
     ClientLimits, Digest, Incarnation, Key, Name, Node, Outcome, RefusedPlan, Route, RouteSplice,
@@ -9,130 +9,135 @@
 /// One change of the state. Variants are stored by name, their fields by position.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// A plan replaces the one in force; its text, services, routes and limits follow.
+    /// A complete plan replaces the one in force. Its text, services, routes and limits follow in
+    /// later records of the same transaction.
     PlanStart {
         /// The plan's version.
         version: Name,
-        /// The version that it was made from.
+        /// Version of the plan that this one was made from; `None` for the first plan.
         base: Option<Name>,
     },
-    /// The next chunk of the plan's text.
+    /// The next chunk of the plan's text, appended to the earlier ones.
     PlanText(#[serde(with = "serde_bytes")] Vec<u8>),
     /// A service of the plan, new or changed.
     Service(Service),
-    /// The next route of the plan.
+    /// The next route of the plan, appended to the earlier ones.
     Route(Route),
     /// A target, new or changed.
     Target(Target),
-    /// A target that the endpoint list no longer has.
+    /// The endpoint list no longer contains the target of this instance.
     TargetGone(Name),
     /// Probes of a target began to fail, or to succeed again.
     TargetDown {
-        /// The target.
+        /// Instance of the target.
         instance: Name,
-        /// Whether they fail.
+        /// Whether the probes fail.
         down: bool,
     },
-    /// A data node that got its first lease.
+    /// A data node was granted its first lease.
     Node(Node),
-    /// A data node whose lease has ended.
+    /// A data node was removed because its lease has ended.
     NodeGone(Incarnation),
     /// A one-time request is granted for a target.
     Ticket(Ticket),
-    /// How a ticket ended.
+    /// A ticket was settled.
     Settled {
-        /// The ticket's idempotency key.
+        /// Idempotency key of the ticket.
         key: Name,
-        /// How it ended.
+        /// How the request ended.
         settlement: Settlement,
-        /// What repeats of the request get.
+        /// Response that repeats of the request get; `None` if none is stored.
         response: Option<StoredResponse>,
     },
-    /// Tickets whose retention has ended.
+    /// Tickets whose retention has ended are removed, by idempotency key.
     TicketsForgotten(Vec<Name>),
     /// A lock was granted or extended.
     Lock {
-        /// The lock.
+        /// Name of the lock.
         name: Name,
-        /// Its owner.
+        /// Token of the lock's owner.
         holder: Name,
-        /// The fencing token of the grant.
+        /// Fencing token of the grant.
         fence: u64,
-        /// How long it lasts without a renewal.
+        /// How long the lock lasts without a renewal, in milliseconds.
         ttl_ms: u64,
     },
-    /// A lock was released, or it ran out.
+    /// A lock was released, or it expired.
     LockFreed {
-        /// The lock.
+        /// Name of the lock.
         name: Name,
     },
     /// A counter has a new value.
     Number {
-        /// The counter.
+        /// Name of the counter.
         name: Name,
-        /// Its value.
+        /// New value of the counter.
         value: u64,
     },
-    /// A key has a new value.
+    /// A key has a new value, or was removed.
     Key {
-        /// The key.
+        /// Name of the key.
         name: Name,
-        /// Its value; none: it was removed.
+        /// New value of the key; `None` if the key was removed.
         key: Option<Key>,
     },
-    /// The outcome of a call, for repeats of it.
+    /// The outcome of a call is stored for repeats of the call.
     Repeat {
-        /// The call's id.
+        /// Id of the call.
         id: Name,
-        /// What its client was answered.
+        /// Outcome that the call's client received.
         outcome: Outcome,
     },
-    /// Outcomes of calls whose retention has ended, by the calls' ids.
+    /// Outcomes whose retention has ended are removed, by call id.
     RepeatsForgotten(Vec<Name>),
-    /// Events whose retention has ended.
+    /// Events whose retention has ended are removed.
     HistoryTrimmed {
-        /// The newest such event's revision.
+        /// Revision of the newest event that is removed.
         floor: u64,
     },
-    /// The limits for each client under this plan.
+    /// The plan's limits for each client connection.
     #[serde(rename = "Callers")]
     ClientLimits(ClientLimits),
-    /// The log's own time advances, by a time that its controllers' clocks never counted twice.
+    /// The time that the log itself records advances. A change of leader may lose one era, but no
+    /// time is counted twice by the clocks of successive controllers.
     Era {
-        /// In units of `ERA_MS`.
+        /// Number of eras, in units of `ERA_MS`.
         by: u64,
     },
-    /// The open transaction's plan is accepted; stands in the same batch as the End.
+    /// The plan of the open transaction is accepted. This record is in the same batch as the End.
     #[serde(rename = "PlanTaken")]
     PlanAccepted {
         /// The plan's version.
         version: Name,
-        /// The version that it was made from.
+        /// Version of the plan that this one was made from; `None` for the first plan.
         base: Option<Name>,
-        /// SHA-256 of the plan's text as it was submitted.
+        /// SHA-256 digest of the plan's text as it was submitted.
         digest: Digest,
-        /// Log offset of the batch that began the plan.
+        /// Log offset of the batch with which the plan's transaction began.
         began_at: u64,
     },
-    /// A plan was refused for a base that may still come; it stays refused when the base does.
+    /// A plan was refused because its base was never accepted. It stays refused even if that base
+    /// is accepted later.
     PlanRefused(RefusedPlan),
-    /// A plan made from the one in force: what no later record of its transaction names stays.
+    /// A plan replaces the one in force as a delta: whatever no later record of the same
+    /// transaction changes stays as it is.
     PlanDelta {
         /// The plan's version.
         version: Name,
-        /// The version that it was made from.
+        /// Version of the plan that this one was made from; `None` for the first plan.
         base: Option<Name>,
     },
-    /// A service that the plan no longer has.
+    /// The plan no longer contains the service of this name.
     ServiceGone(Name),
-    /// Changes of the plan's routes.
+    /// Splices of the plan's routes.
     RoutesPatch(Vec<RouteSplice>),
-    /// Changes of the plan's text.
+    /// Splices of the plan's text.
     TextPatch(Vec<TextSplice>),
 }
 
 impl Record {
-    /// Whether data nodes need it for routing; the rest stays with the control plane.
+    /// Returns whether data nodes need the record for routing. All other records stay within the
+    /// control plane.
     pub fn is_routing_update(&self) -> bool {
         matches!(
             self,
--- a/crates/state/src/request_sample.rs
+++ b/crates/state/src/request_sample.rs
@@ -1,17 +1,17 @@
-//! A client request as a node reports it.
+//! Samples of client requests that data nodes report.
 
 use crate::Name;
 use serde::{Deserialize, Serialize};
 
-/// What a node reports of one recent client request, for rehearsals.
+/// One recent client request as a data node reports it, for rehearsals of a plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
-    /// The method.
+    /// The request's method.
     pub method: Name,
-    /// The path, with its query.
+    /// The request's path, including its query.
     pub path: String,
-    /// Only the headers that rules name.
+    /// Names and values of the headers that routing rules refer to; others are left out.
     pub headers: Vec<(String, String)>,
-    /// Length of the body.
+    /// Length of the request's body, in bytes.
     pub body_bytes: u64,
 }
--- a/crates/state/src/splice.rs
+++ b/crates/state/src/splice.rs
@@ -1,4 +1,4 @@
-//! Splices: how a plan's delta edits the routes and the text of the plan in force.
+//! Splices: the edits by which a plan's delta changes the routes and the text of the plan in force.
 
 use crate::Route;
 use imbl::Vector;
@@ -6,24 +6,25 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Replaces a run of items. Positions are those before the record that contains the splice; the
-/// splices of one record are in ascending order without overlap.
+/// Replaces a run of consecutive items. Positions refer to the sequence as it is before the record
+/// that contains the splice is applied; the splices of one record are in ascending order and don't
+/// overlap.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Splice<I> {
-    /// Index of the first item replaced.
+    /// Index of the first item that is replaced.
     pub at: u64,
-    /// How many items are removed there.
+    /// Number of items that are removed, starting at `at`.
     pub removed: u64,
-    /// The items in their place.
+    /// Items that are inserted at `at` instead of the removed ones.
     pub inserted: I,
 }
 
-/// Replaces routes.
+/// A splice of the plan's routes; positions count routes.
 pub type RouteSplice = Splice<Vec<Route>>;
-/// Replaces bytes of the plan's text.
+/// A splice of the plan's text; positions count bytes.
 pub type TextSplice = Splice<serde_bytes::ByteBuf>;
 
-/// Routes that no splice replaces stay shared with the image before.
+/// Applies splices to the routes. Routes that no splice replaces stay shared with earlier images.
 pub(crate) fn patch_routes(routes: &mut Vector<Arc<Route>>, splices: &[RouteSplice]) {
     let keeps_length = |splice: &RouteSplice| {
         splice.removed == splice.inserted.len() as u64
@@ -31,8 +32,8 @@
     };
     if splices.iter().all(keeps_length) {
         for splice in splices {
-            for (step, route) in splice.inserted.iter().enumerate() {
-                routes.set(splice.at as usize + step, Arc::new(route.clone()));
+            for (index, route) in splice.inserted.iter().enumerate() {
+                routes.set(splice.at as usize + index, Arc::new(route.clone()));
             }
         }
         return;
@@ -51,8 +52,9 @@
     *routes = patched;
 }
 
-/// The patched text is divided into even chunks again, as a complete plan's is, so that their number
-/// doesn't grow with the changes; chunks that stayed the same stay shared.
+/// Applies splices to the text. The result is divided again into chunks of `TEXT_CHUNK_BYTES`, like
+/// the text of a complete plan, so that the number of chunks doesn't grow with each change. Chunks
+/// with unchanged content stay shared with earlier images.
 pub(crate) fn patch_text(chunks: &mut Vector<Arc<Vec<u8>>>, splices: &[TextSplice]) {
     let text: Vec<u8> = chunks.iter().flat_map(|chunk| chunk.iter().copied()).collect();
     let mut patched = Vec::with_capacity(text.len());
@@ -64,10 +66,10 @@
         position = at.saturating_add(splice.removed as usize).min(text.len());
     }
     patched.extend_from_slice(&text[position..]);
-    let mut former_chunks = chunks.iter();
-    let even_chunks = patched.chunks(TEXT_CHUNK_BYTES).map(|chunk| match former_chunks.next() {
-        Some(former) if former.as_slice() == chunk => former.clone(),
+    let mut old_chunks = chunks.iter();
+    let new_chunks = patched.chunks(TEXT_CHUNK_BYTES).map(|chunk| match old_chunks.next() {
+        Some(old) if old.as_slice() == chunk => old.clone(),
         _ => Arc::new(chunk.to_vec()),
     });
-    *chunks = even_chunks.collect();
+    *chunks = new_chunks.collect();
 }
--- a/crates/state/src/state.rs
+++ b/crates/state/src/state.rs
@@ -1,4 +1,4 @@
-//! The state, and what is read from it.
+//! The replicated state, and queries on it.
 
 use crate::{
     AcceptedPlan, ClientLimits, Event, Incarnation, Key, Lock, Name, Node, Outcome, PlanHead,
@@ -8,66 +8,67 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The result of all the log's records.
+/// The result of applying all records of the log in order.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
-    /// The plan in force; none before the first.
+    /// The plan in force; `None` before the first plan was accepted.
     pub plan: Option<Arc<PlanHead>>,
-    /// The text of the plan in force, in chunks.
+    /// The text of the plan in force, in chunks of bounded size.
     pub plan_text: Vector<Arc<Vec<u8>>>,
-    /// The plan's services by name.
+    /// Services of the plan in force, by name.
     pub services: OrdMap<Name, Arc<Service>>,
-    /// The plan's routes in their order.
+    /// Routes of the plan in force, in the plan's order.
     pub routes: Vector<Arc<Route>>,
-    /// The endpoint list's targets by instance.
+    /// Targets of the endpoint list, by instance.
     pub targets: OrdMap<Name, Arc<Target>>,
-    /// Data nodes that have a lease.
+    /// Data nodes that were granted a lease and have not been removed since, by incarnation.
     pub nodes: OrdMap<Incarnation, Arc<Node>>,
-    /// Tickets of one-time requests by idempotency key.
+    /// Tickets of one-time requests, by idempotency key.
     pub tickets: OrdMap<Name, Arc<Ticket>>,
-    /// Locks by name.
+    /// Locks that have an owner, by name.
     pub locks: OrdMap<Name, Lock>,
-    /// Counters by name.
+    /// Values of the counters, by name.
     pub numbers: OrdMap<Name, u64>,
-    /// Keys by name.
+    /// Values of the keys, by name.
     pub keys: OrdMap<Name, Arc<Key>>,
-    /// Outcomes of calls by the call's id, for calls that are repeated.
+    /// Stored outcomes of calls, by call id; a repeated call gets the stored outcome.
     pub repeats: OrdMap<Name, Arc<Outcome>>,
-    /// Events of locks, numbers and keys, oldest first.
+    /// Retained events of locks, numbers and keys, oldest first.
     pub history: Vector<Arc<Event>>,
-    /// Events up to this revision are no longer available.
+    /// Highest revision whose event is no longer available.
     pub history_floor: u64,
-    /// The newest event's revision.
+    /// Revision of the newest event; 0 before the first.
     pub revision: u64,
-    /// The newest fencing token.
+    /// The highest fencing token granted so far.
     pub fence: u64,
-    /// The log's own time, in units of `ERA_MS`.
+    /// The time that the log itself records, in units of `ERA_MS` since its start.
     #[serde(default)]
     pub era: u64,
-    /// Bytes of all stored responses.
+    /// Total size in bytes of the responses stored with tickets.
     #[serde(default)]
     pub stored_response_bytes: u64,
-    /// Ids of `repeats`, oldest first, each with the era of its outcome.
+    /// Call ids of `repeats`, oldest first, each with the era in which its outcome was stored.
     #[serde(default)]
     pub repeat_queue: Vector<(u64, Name)>,
-    /// The plan's limits for each client.
+    /// Limits of the plan in force for each client connection.
     #[serde(default)]
     pub client_limits: ClientLimits,
-    /// The plans accepted last, oldest first, each with the one before it as its base.
+    /// The most recently accepted plans, oldest first; the base of each is the plan before it.
     #[serde(default)]
     pub accepted_plans: Vector<Arc<AcceptedPlan>>,
-    /// The plans refused last because their base was never accepted, oldest first.
+    /// The plans most recently refused because their base was never accepted, oldest first.
     #[serde(default)]
     pub refused_plans: Vector<RefusedPlan>,
 }
 
 impl State {
-    /// The version of the plan in force.
+    /// Returns the version of the plan in force; `None` before the first plan.
     pub fn plan_version(&self) -> Option<&str> {
         self.plan.as_ref().map(|plan| plan.version.as_str())
     }
 
-    /// Whether both have the same plan, with its text and the batch that began it.
+    /// Returns whether both states have the same plan, including its text and the offset of the
+    /// batch that began it.
     pub fn has_plan_of(&self, other: &State) -> bool {
         self.plan == other.plan
             && self.client_limits == other.client_limits
@@ -76,7 +77,8 @@
             && self.plan_text == other.plan_text
     }
 
-    /// What data nodes need: all that a `Record::is_routing_update` can change.
+    /// Returns the part of the state that data nodes need: everything that a record for which
+    /// `Record::is_routing_update` is true can change, without the plan's text.
     pub fn routing_view(&self) -> State {
         State {
             plan: self.plan.clone(),
@@ -89,12 +91,12 @@
         }
     }
 
-    /// The text of the plan in force, byte for byte as submitted.
+    /// Returns the text of the plan in force, byte for byte as it was submitted.
     pub fn plan_text(&self) -> Vec<u8> {
         self.plan_text.iter().flat_map(|chunk| chunk.iter().copied()).collect()
     }
 
-    /// The targets that may run a service's requests, in the order of their instances.
+    /// Returns the targets that may run the service's requests, ordered by instance.
     pub fn live_targets(&self, service: &Service) -> Vec<Arc<Target>> {
         self.targets.values().filter(|target| target.is_live_for(service)).cloned().collect()
     }
--- a/crates/state/src/target.rs
+++ b/crates/state/src/target.rs
@@ -1,36 +1,36 @@
-//! A target of the endpoint list.
+//! The targets of the endpoint list.
 
 use crate::{Labels, Name, Service};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A process that runs requests.
+/// A back-end process that runs requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Target {
-    /// Names the process.
+    /// Name of the process, unique among targets.
     pub instance: Name,
-    /// The service that it says it runs.
+    /// Service that the endpoint list states for the target.
     pub service: Name,
-    /// Where it listens.
+    /// Address at which the target accepts requests.
     pub address: SocketAddr,
-    /// Where it runs.
+    /// Zone in which the target runs; empty if the list states none.
     pub zone: Name,
-    /// Further labels.
+    /// Labels besides `service` and `zone`.
     pub labels: Labels,
-    /// It takes no new requests and finishes what it has.
+    /// Whether the target gets no new requests and only finishes those in flight.
     pub draining: bool,
-    /// Data nodes' probes of it fail.
+    /// Whether data nodes' health probes of the target fail.
     pub down: bool,
-    /// Requests that it runs at the same time; 0: unknown.
+    /// Number of requests that the target can run concurrently; 0 if unknown.
     #[serde(default)]
     pub slots: u64,
-    /// It started a short while ago and is still slow.
+    /// Whether the target is in slow start: it started recently and gets fewer requests.
     #[serde(default)]
     pub warming_up: bool,
 }
 
 impl Target {
-    /// Whether it has all labels of a service.
+    /// Returns whether the target has all labels that the service requires.
     pub fn matches(&self, service: &Service) -> bool {
         service.labels.iter().all(|(label, value)| match label.as_str() {
             "service" => self.service == *value,
@@ -39,7 +39,8 @@
         })
     }
 
-    /// Whether it may run a service's requests: it matches, and is neither draining nor down.
+    /// Returns whether the target may run the service's requests: it matches, and is neither
+    /// draining nor down.
     pub fn is_live_for(&self, service: &Service) -> bool {
         !self.draining && !self.down && self.matches(service)
     }
--- a/crates/state/src/ticket.rs
+++ b/crates/state/src/ticket.rs
@@ -1,35 +1,35 @@
-//! The ticket of a one-time request, and how it was settled.
+//! Tickets of one-time requests, and their settlements.
 
 use crate::{Digest, Incarnation, Name};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The grant of a one-time request for one target.
+/// Grants a one-time request to one attempt on one target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ticket {
-    /// The request's idempotency key.
+    /// Idempotency key of the request.
     pub key: Name,
-    /// Digest of the request: another request under the same key is recognised by it.
+    /// Digest of the request, by which a different request under the same key is detected.
     pub digest: Digest,
-    /// The request's service.
+    /// Service that the request is for.
     pub service: Name,
-    /// The target that the request is granted for.
+    /// Instance of the target that the request is granted for.
     pub instance: Name,
-    /// The node that sends it.
+    /// Incarnation of the data node that sends the request.
     pub node: Incarnation,
-    /// The node's own number of this attempt; no two attempts share one.
+    /// Number that the data node gave this attempt; unique among the node's attempts.
     pub number: u64,
-    /// How it ended; none until it is settled.
+    /// How the attempt ended; `None` until the ticket is settled.
     pub settlement: Option<Settlement>,
-    /// What repeats of the request get.
+    /// Response that repeats of the request get; `None` if none was stored.
     pub response: Option<Arc<StoredResponse>>,
-    /// The log's own time when it was settled.
+    /// Era of the log (see `State::era`) in which the ticket was settled.
     #[serde(default)]
     pub era: u64,
 }
 
 impl Ticket {
-    /// Bytes of its stored response; 0 without one.
+    /// Returns the size of the stored response in bytes; 0 without one.
     pub(crate) fn response_bytes(&self) -> u64 {
         self.response.as_ref().map_or(0, |response| response.size() as u64)
     }
@@ -38,20 +38,20 @@
 /// How a one-time request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Settlement {
-    /// It ran.
+    /// The request ran.
     Ran,
-    /// It never reached its target and may be granted again.
+    /// The request never reached its target, and its key may be granted again.
     Unsent,
-    /// It may have run or not.
+    /// The request may or may not have run.
     Unknown,
 }
 
-/// The response that the log retains for repeats of a key.
+/// A response that the log retains for repeats of a one-time request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredResponse {
-    /// Status code.
+    /// HTTP status code.
     pub status: u16,
-    /// Headers in their order.
+    /// Names and values of the headers, in their original order.
     pub headers: Vec<(String, String)>,
     /// The complete body.
     #[serde(with = "serde_bytes")]
@@ -59,7 +59,7 @@
 }
 
 impl StoredResponse {
-    /// Bytes of headers and body.
+    /// Returns the size of headers and body in bytes.
     pub fn size(&self) -> usize {
         let headers = self.headers.iter().map(|(name, value)| name.len() + value.len());
         headers.sum::<usize>() + self.body.len()
