--- a/crates/state/tests/accepted_plans.rs
+++ b/crates/state/tests/accepted_plans.rs
@@ -1,5 +1,6 @@
-//! The retained accepted plans: added by their transaction's End only, bounded, an unbroken chain,
-//! and empty where an older state has none.
+//! Tests of the retained accepted plans: a plan is added only when its transaction ends, their
+//! number is bounded, each is the base of the next, and there are none in a state stored by an
+//! older release.
 
 use postbarrow_constants::plans::{ACCEPTED_PLANS, REFUSED_PLANS};
 use postbarrow_state::*;
@@ -17,7 +18,7 @@
 fn chain(count: usize) -> State {
     let mut state = State::default();
     for number in 0..count {
-        let base = number.checked_sub(1).map(|before| format!("v{before}"));
+        let base = number.checked_sub(1).map(|previous| format!("v{previous}"));
         state.apply(number as u64 + 1, &start(&format!("v{number}"), base.as_deref()));
         state.apply(number as u64 + 1, &accepted(&format!("v{number}"), base.as_deref()));
     }
@@ -27,7 +28,7 @@
 #[test]
 fn aborted_plan_is_neither_accepted_nor_in_force() {
     let mut tail = Tail::new(0, chain(1));
-    let before = tail.image().as_ref().clone();
+    let initial = tail.image().as_ref().clone();
     let batch = [
         BatchRecord::begin("plan"),
         BatchRecord::Data(start("v1", Some("v0"))),
@@ -36,7 +37,7 @@
     tail.apply(2, 10, &batch).unwrap();
     assert!(tail.staged().unwrap().accepted_plan("v1").is_some());
     tail.apply(3, 10, &[BatchRecord::abort("no")]).unwrap();
-    assert_eq!(*tail.image().as_ref(), before);
+    assert_eq!(*tail.image().as_ref(), initial);
 }
 
 #[test]
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn gap_in_the_chain_of_bases_removes_the_plans_before_it() {
+fn plan_on_an_unknown_base_removes_the_plans_before_it() {
     let mut state = chain(3);
     state.apply(9, &start("v9", Some("v8")));
     state.apply(9, &accepted("v9", Some("v8")));
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn plan_in_force_that_is_not_retained_makes_the_history_incomplete() {
+fn history_is_incomplete_while_the_plan_in_force_is_not_retained() {
     let mut state = State::default();
     assert!(state.remembers_every_plan());
     state.apply(1, &start("v1", None));
@@ -83,23 +84,23 @@
 }
 
 #[test]
-fn state_stored_without_accepted_plans_is_read_with_none() {
+fn state_stored_without_accepted_plans_is_decoded_with_none() {
     let mut state = chain(1);
     state.accepted_plans.clear();
-    let mut old = rmp_serde::to_vec(&state).unwrap();
-    assert_eq!(old[0], 0xdc, "an array with a length of two bytes");
-    assert_eq!(old[old.len() - 2..], [0x90, 0x90], "two empty arrays at the end");
-    old.truncate(old.len() - 2);
-    old[2] -= 2;
-    let read: State = rmp_serde::from_slice(&old).unwrap();
-    assert_eq!(read, state);
-    assert!(!read.remembers_every_plan());
+    let mut old_bytes = rmp_serde::to_vec(&state).unwrap();
+    assert_eq!(old_bytes[0], 0xdc, "an array with a length field of two bytes");
+    assert_eq!(old_bytes[old_bytes.len() - 2..], [0x90, 0x90], "two empty arrays at the end");
+    old_bytes.truncate(old_bytes.len() - 2);
+    old_bytes[2] -= 2;
+    let decoded: State = rmp_serde::from_slice(&old_bytes).unwrap();
+    assert_eq!(decoded, state);
+    assert!(!decoded.remembers_every_plan());
 }
 
 #[test]
-fn state_with_accepted_plans_is_read_as_stored() {
+fn state_with_accepted_plans_is_decoded_as_stored() {
     let mut state = chain(3);
     state.apply(9, &Record::PlanRefused(RefusedPlan { version: "x".into(), digest: [200; 32] }));
-    let read: State = rmp_serde::from_slice(&rmp_serde::to_vec(&state).unwrap()).unwrap();
-    assert_eq!(read, state);
+    let decoded: State = rmp_serde::from_slice(&rmp_serde::to_vec(&state).unwrap()).unwrap();
+    assert_eq!(decoded, state);
 }
--- a/crates/state/tests/golden/values.rs
+++ b/crates/state/tests/golden/values.rs
@@ -1,5 +1,5 @@
-//! One value of each stored and sent type of this crate. No field has its default, and no two
-//! fields of one struct are equal, so that a field that moves shows in the bytes.
+//! One value of each type of this crate that is stored or sent. No field has its default, and no
+//! two fields of one struct are equal, so that a changed order of fields changes the bytes.
 #![allow(dead_code)]
 
 use postbarrow_state::*;
@@ -126,10 +126,10 @@
     Splice { at: 2, removed: 3, inserted: b"text".to_vec().into() }
 }
 
-/// Every record, by its stored name.
+/// A value of every record, with its stored name.
 pub fn records() -> Vec<(&'static str, Record)> {
     let (version, base) = (name("v2"), Some(name("v1")));
-    let freed = name("leader");
+    let lock_name = name("leader");
     vec![
         ("PlanStart", Record::PlanStart { version: version.clone(), base: base.clone() }),
         ("PlanText", Record::PlanText(b"{\"version\"}".to_vec())),
@@ -154,9 +154,9 @@
         ("TicketsForgotten", Record::TicketsForgotten(vec![name("order-1"), name("order-2")])),
         (
             "Lock",
-            Record::Lock { name: freed.clone(), holder: name("me"), fence: 44, ttl_ms: 9_000 },
+            Record::Lock { name: lock_name.clone(), holder: name("me"), fence: 44, ttl_ms: 9_000 },
         ),
-        ("LockFreed", Record::LockFreed { name: freed }),
+        ("LockFreed", Record::LockFreed { name: lock_name }),
         ("Number", Record::Number { name: name("invoice"), value: 1_234 }),
         ("Key", Record::Key { name: name("flag"), key: Some(key()) }),
         ("Key gone", Record::Key { name: name("flag-2"), key: None }),
@@ -185,8 +185,8 @@
     ]
 }
 
-/// All records applied one after another, and a lock that stays. A ticket is put into the log open
-/// and settled by a record of its own, so the settled one is omitted.
+/// The state after all records are applied in order, and a lock that is not released. The settled
+/// ticket is left out: the log contains a ticket when it is open, and a separate record settles it.
 pub fn state() -> State {
     let mut state = State::default();
     let applied = records().into_iter().filter(|(name, _)| *name != "Ticket settled");
--- a/crates/state/tests/golden_bytes.rs
+++ b/crates/state/tests/golden_bytes.rs
@@ -1,9 +1,9 @@
-//! The bytes of what the log and its snapshots store of this crate's types.
+//! Tests of the bytes by which the log and its snapshots store this crate's types.
 //!
-//! MessagePack, as `rmp_serde::to_vec` writes it: structs, also those within variants, are arrays,
-//! so their fields are stored by position and their names are free to change, while their order is
-//! not. Variants of enums are stored by name: a variant that is renamed needs `#[serde(rename)]`
-//! with its stored name. So there is a value of every variant here.
+//! The format is MessagePack as `rmp_serde::to_vec` writes it. Structs, and variants with fields,
+//! are arrays: their fields are stored by position, so they may be renamed but not reordered.
+//! Variants of enums are stored by name: a renamed variant needs `#[serde(rename)]` with its stored
+//! name. Therefore the fixtures have a value of every variant.
 
 mod golden;
 #[path = "golden/values.rs"]
@@ -36,34 +36,34 @@
     check(CRATE, "state.hex", &cases);
 }
 
-/// A batch as the log contains it: a byte for the format, then its lines.
+/// A batch in the log consists of a byte that states the format, and its records.
 #[test]
 fn batches_have_the_committed_bytes() {
     let data = || values::records().into_iter().map(|(_, record)| BatchRecord::Data(record));
-    let line = |name: &str, line: BatchRecord<Record>| batch(name, &[line]);
+    let batch_of = |name: &str, record: BatchRecord<Record>| batch(name, &[record]);
     let cases = [
-        line("Begin", BatchRecord::begin("plan v2")),
-        line("Data", data().next().expect("a record")),
-        line("End", BatchRecord::End),
-        line("Abort", BatchRecord::abort("over the bound")),
+        batch_of("Begin", BatchRecord::begin("plan v2")),
+        batch_of("Data", data().next().expect("a record")),
+        batch_of("End", BatchRecord::End),
+        batch_of("Abort", BatchRecord::abort("over the bound")),
     ];
     golden::assert_covers::<BatchRecord<Record>>(&cases);
     let begin = std::iter::once(BatchRecord::begin("plan v2"));
     let complete: Vec<BatchRecord<Record>> =
         begin.chain(data()).chain([BatchRecord::End]).collect();
-    let more = [
+    let further_cases = [
         batch("Begin without a name", &[BatchRecord::Begin { name: None }]),
         batch("Abort without a reason", &[BatchRecord::Abort { reason: None }]),
         batch("every record", &complete),
         batch("empty", &[]),
     ];
-    check(CRATE, "batches.hex", &cases.into_iter().chain(more).collect::<Vec<Case>>());
+    check(CRATE, "batches.hex", &cases.into_iter().chain(further_cases).collect::<Vec<Case>>());
 }
 
-fn batch(name: &str, lines: &[BatchRecord<Record>]) -> Case {
-    case_of(name, postbarrow_transactions::encode(lines), |bytes| {
-        let lines: Vec<BatchRecord<Record>> =
+fn batch(name: &str, records: &[BatchRecord<Record>]) -> Case {
+    case_of(name, postbarrow_transactions::encode(records), |bytes| {
+        let decoded: Vec<BatchRecord<Record>> =
             postbarrow_transactions::decode(bytes).map_err(|error| error.to_string())?;
-        Ok(postbarrow_transactions::encode(&lines))
+        Ok(postbarrow_transactions::encode(&decoded))
     })
 }
