--- a/crates/membership/src/subscription.rs
+++ b/crates/membership/src/subscription.rs
@@ -1,45 +1,48 @@
-//! How far a child is, and when it is sent something again.
+//! A child's position in the log, and the time-outs after which updates are sent to it again.
 
 use postbarrow_constants::nodes::{SUBSCRIPTION_TIMEOUT_MS, TAIL_RESEND_MAX_MS, TAIL_RESEND_MS};
 
 /// One child's subscription to a relay's updates.
 pub(crate) struct Subscription {
-    /// The offset up to which the child was sent everything.
-    sent: u64,
-    /// The offset that the child itself reported.
-    acknowledged: u64,
+    /// Log offset up to which everything was sent to the child.
+    sent_offset: u64,
+    /// Log offset that the child last reported.
+    acknowledged_offset: u64,
     renewed_ms: u64,
-    /// Since when something is in flight and the child has reported no progress.
+    /// Time since which updates or an image are in flight without progress reported by the child;
+    /// `None` if nothing is in flight.
     unacknowledged_since_ms: Option<u64>,
-    /// How long something in flight may take before it is sent again.
+    /// How long updates or an image may be in flight before they are sent again.
     resend_ms: u64,
 }
 
 impl Subscription {
-    /// A child that has reached this offset.
-    pub fn new(now_ms: u64, acknowledged: u64) -> Subscription {
+    /// Creates the subscription of a child that has reached this log offset.
+    pub fn new(now_ms: u64, reported_offset: u64) -> Subscription {
         Subscription {
-            sent: acknowledged,
-            acknowledged,
+            sent_offset: reported_offset,
+            acknowledged_offset: reported_offset,
             renewed_ms: now_ms,
             unacknowledged_since_ms: None,
             resend_ms: TAIL_RESEND_MS,
         }
     }
 
-    /// The child reports the offset that it has reached. Updates in flight are not sent again
-    /// before `resend_ms` is over: on a slow link each further copy would only queue behind the
-    /// first. Without progress that time doubles.
-    pub fn renew(&mut self, now_ms: u64, acknowledged: u64) {
+    /// Renews the subscription with the log offset that the child reports. Updates in flight are
+    /// sent again only after `resend_ms`, since on a slow link another copy would only queue behind
+    /// the first. That time doubles on each resend, up to `TAIL_RESEND_MAX_MS`, and is reset when
+    /// the child reports progress. A child that reports a lower offset than before has restarted or
+    /// needs an image, and is sent everything from there.
+    pub fn renew(&mut self, now_ms: u64, reported_offset: u64) {
         self.renewed_ms = now_ms;
-        if acknowledged < self.acknowledged {
-            *self = Subscription::new(now_ms, acknowledged);
+        if reported_offset < self.acknowledged_offset {
+            *self = Subscription::new(now_ms, reported_offset);
             return;
         }
-        let has_progressed = acknowledged > self.acknowledged;
-        self.acknowledged = acknowledged;
-        if acknowledged >= self.sent {
-            self.sent = acknowledged;
+        let has_progressed = reported_offset > self.acknowledged_offset;
+        self.acknowledged_offset = reported_offset;
+        if reported_offset >= self.sent_offset {
+            self.sent_offset = reported_offset;
             self.unacknowledged_since_ms = None;
             self.resend_ms = TAIL_RESEND_MS;
         } else if has_progressed {
@@ -49,24 +52,24 @@
             .unacknowledged_since_ms
             .is_none_or(|since_ms| now_ms >= since_ms + self.resend_ms)
         {
-            self.sent = acknowledged;
+            self.sent_offset = reported_offset;
             self.unacknowledged_since_ms = None;
             self.resend_ms = (self.resend_ms * 2).min(TAIL_RESEND_MAX_MS);
         }
     }
 
-    /// Everything up to this offset was sent.
+    /// Records that everything up to this log offset was sent to the child.
     pub fn on_sent(&mut self, now_ms: u64, offset: u64) {
-        self.sent = offset;
+        self.sent_offset = offset;
         self.unacknowledged_since_ms.get_or_insert(now_ms);
     }
 
-    /// The offset up to which the child was sent everything.
-    pub fn sent(&self) -> u64 {
-        self.sent
+    /// Returns the log offset up to which everything was sent to the child.
+    pub fn sent_offset(&self) -> u64 {
+        self.sent_offset
     }
 
-    /// Whether the child has not renewed it for `SUBSCRIPTION_TIMEOUT_MS`.
+    /// Returns whether the child has not renewed the subscription for `SUBSCRIPTION_TIMEOUT_MS`.
     pub fn is_expired(&self, now_ms: u64) -> bool {
         now_ms >= self.renewed_ms + SUBSCRIPTION_TIMEOUT_MS
     }
--- a/crates/membership/src/update_log.rs
+++ b/crates/membership/src/update_log.rs
@@ -1,23 +1,23 @@
-//! The newest routing updates, within bounds.
+//! The newest routing updates, bounded in number and size.
 
 use postbarrow_constants::nodes::{UPDATE_FRAME_BYTES, UPDATES_RETAINED, UPDATES_RETAINED_BYTES};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// The routing updates of one batch of the log.
+/// The routing updates in one batch of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UpdateEntry {
-    /// Log offset of the batch with routing updates before this one.
+    /// Log offset of the previous batch that contains routing updates; 0 if there is none.
     pub prev: u64,
     /// Log offset of the batch.
     pub offset: u64,
-    /// The batch, encoded, with its routing updates only.
+    /// The encoded batch, reduced to its routing updates.
     #[serde(with = "serde_bytes")]
     pub bytes: Vec<u8>,
 }
 
-/// A chain of entries without a gap, the newest last.
+/// Consecutive entries without a gap, the newest last.
 #[derive(Default)]
 pub(crate) struct UpdateLog {
     entries: VecDeque<Arc<UpdateEntry>>,
@@ -25,8 +25,8 @@
 }
 
 impl UpdateLog {
-    /// Appends an entry and removes the oldest beyond the bounds of number and bytes. An entry that
-    /// doesn't continue the chain starts a new one.
+    /// Appends an entry, and removes the oldest beyond the bounds in number and size. If the entry
+    /// doesn't follow the last one, all earlier entries are removed first.
     pub fn push(&mut self, entry: UpdateEntry) {
         if self.entries.back().is_some_and(|last| last.offset != entry.prev) {
             self.clear();
@@ -49,8 +49,9 @@
         self.retained_bytes
     }
 
-    /// Every entry after this offset, grouped into frames of bounded size; None if the chain has no
-    /// entry that continues from it.
+    /// Returns all entries after this offset, grouped into frames of at most `UPDATE_FRAME_BYTES`;
+    /// a larger entry has a frame of its own. Returns `None` if no retained entry directly follows
+    /// the offset.
     pub fn frames_after(&self, offset: u64) -> Option<Vec<Vec<UpdateEntry>>> {
         let first = self.entries.iter().position(|entry| entry.prev == offset)?;
         let mut frames = Vec::new();
--- a/crates/membership/tests/relay.rs
+++ b/crates/membership/tests/relay.rs
@@ -1,4 +1,4 @@
-//! What a relay sends its children, and what it doesn't send twice.
+//! Tests of the updates and images that a relay sends to its children, and of its resends.
 
 use postbarrow_constants::nodes::*;
 use postbarrow_membership::{Delivery, Relay, UpdateEntry};
@@ -13,7 +13,7 @@
     UpdateEntry { prev: offset - 1, offset, bytes: vec![7; size_bytes] }
 }
 
-/// Offsets of the updates sent, and how many images.
+/// Returns the offsets of the updates that were sent, and the number of images.
 fn sent(deliveries: &[Delivery]) -> (Vec<u64>, usize) {
     let (mut offsets, mut images) = (Vec::new(), 0);
     for delivery in deliveries {
@@ -40,9 +40,9 @@
             resent_ms.push(now_ms);
         }
     }
-    let pauses: Vec<u64> = resent_ms.windows(2).map(|two| two[1] - two[0]).collect();
+    let intervals_ms: Vec<u64> = resent_ms.windows(2).map(|two| two[1] - two[0]).collect();
     assert_eq!(resent_ms[0], TAIL_RESEND_MS);
-    assert_eq!(pauses, [2 * TAIL_RESEND_MS, TAIL_RESEND_MAX_MS], "lost ones are resent");
+    assert_eq!(intervals_ms, [2 * TAIL_RESEND_MS, TAIL_RESEND_MAX_MS], "a lost update is resent");
 }
 
 #[test]
@@ -59,22 +59,22 @@
         assert_eq!(sent(&relay.deliver(now_ms, 5, 5)), (vec![], 0), "the image is in flight");
     }
     relay.push(entry(6, 10));
-    assert_eq!(sent(&relay.deliver(TAIL_RESEND_MS, 6, 6)), (vec![6], 0), "updates follow it");
+    assert_eq!(sent(&relay.deliver(TAIL_RESEND_MS, 6, 6)), (vec![6], 0), "updates follow");
 }
 
 #[test]
-fn child_within_a_transaction_too_long_to_retain_is_not_sent_the_image_it_has() {
+fn child_with_the_newest_image_is_not_sent_it_again_during_a_transaction_too_long_to_retain() {
     let mut relay = Relay::default();
     relay.on_tail(0, child(1), 4);
-    let batch = UPDATES_RETAINED_BYTES / 4;
+    let batch_bytes = UPDATES_RETAINED_BYTES / 4;
     for offset in 5..15 {
-        relay.push(entry(offset, batch));
+        relay.push(entry(offset, batch_bytes));
     }
     for now_ms in 0..100 {
         let delivered = sent(&relay.deliver(now_ms, 14, 4));
         assert_eq!(delivered, (vec![], 0), "the newest image is the one the child has");
     }
-    assert_eq!(sent(&relay.deliver(100, 14, 14)), (vec![], 1), "it needs the one after the end");
+    assert_eq!(sent(&relay.deliver(100, 14, 14)), (vec![], 1), "an image after the end");
 }
 
 #[test]
@@ -90,22 +90,22 @@
     }
     assert!(relay.retained_bytes() > UPDATES_RETAINED_BYTES / 2);
     relay.on_tail(0, child(1), 380);
-    assert_eq!(sent(&relay.deliver(0, 399, 399)).0.len(), 19, "a child a few changes behind");
+    assert_eq!(sent(&relay.deliver(0, 399, 399)).0.len(), 19, "updates since offset 380");
     relay.push(UpdateEntry { prev: 500, offset: 501, bytes: vec![1] });
-    assert_eq!(relay.retained_bytes(), 1, "a gap leaves nothing of what was before");
+    assert_eq!(relay.retained_bytes(), 1, "entries before a gap are removed");
 }
 
 const CHANGE_PERIOD_MS: u64 = 136;
-/// What changes for 30 s.
+/// Number of changes: they last for 30 s.
 const CHANGES: u64 = 220;
-/// What a link may send at once after a pause.
+/// Largest number of bytes that a link sends at once after a pause.
 const LINK_BURST_BYTES: usize = 64 * 1024;
 
-/// A link that sends so many bytes a millisecond, in order.
+/// A link with a limited rate that delivers frames in order.
 struct SlowLink {
     bytes_per_ms: usize,
     budget_bytes: usize,
-    /// Size and offset of what is not sent yet.
+    /// Size and offset of each frame that is not yet delivered.
     queue: VecDeque<(usize, u64)>,
     queued_bytes: usize,
 }
@@ -120,7 +120,7 @@
         self.queue.push_back((size_bytes, offset));
     }
 
-    /// One millisecond passes; returns the offsets that arrive.
+    /// Advances the time by one millisecond, and returns the offsets that arrive.
     fn tick(&mut self) -> Vec<u64> {
         let mut arrived = Vec::new();
         self.budget_bytes = (self.budget_bytes + self.bytes_per_ms).min(LINK_BURST_BYTES);
@@ -138,49 +138,50 @@
     }
 }
 
-/// A child on a slow link that renews its subscription as data nodes do, while a change comes every
-/// 136 ms: bytes sent on the link, and the longest lag.
+/// Runs a child on a slow link that renews its subscription as data nodes do, while a change is
+/// made every 136 ms. Returns the bytes that were sent on the link, and the longest lag in
+/// milliseconds.
 fn run_on_a_slow_link(
     link_bytes_per_ms: usize,
     change_bytes: usize,
     image_bytes: usize,
 ) -> (usize, u64) {
     let (mut relay, mut link) = (Relay::default(), SlowLink::new(link_bytes_per_ms));
-    let (mut reached, mut own, mut tail_due_ms, mut longest_ms) = (0, 0, 0, 0);
+    let (mut reached, mut newest, mut tail_due_ms, mut longest_lag_ms) = (0, 0, 0, 0);
     let mut changed_ms = vec![0];
     for now_ms in 0..35_000 {
-        if now_ms % CHANGE_PERIOD_MS == 0 && own < CHANGES {
-            own += 1;
-            relay.push(entry(own, change_bytes));
+        if now_ms % CHANGE_PERIOD_MS == 0 && newest < CHANGES {
+            newest += 1;
+            relay.push(entry(newest, change_bytes));
             changed_ms.push(now_ms);
         }
         reached = link.tick().into_iter().fold(reached, u64::max);
         if now_ms >= tail_due_ms {
-            tail_due_ms = now_ms + if reached < own { TAIL_RETRY_MS } else { TAIL_RENEW_MS };
+            tail_due_ms = now_ms + if reached < newest { TAIL_RETRY_MS } else { TAIL_RENEW_MS };
             relay.on_tail(now_ms, child(1), reached);
         }
-        for delivery in relay.deliver(now_ms, own, own) {
+        for delivery in relay.deliver(now_ms, newest, newest) {
             match delivery {
                 Delivery::Updates { entries, .. } => {
                     entries.iter().for_each(|entry| link.push(entry.bytes.len(), entry.offset));
                 }
                 Delivery::Image { to } => {
-                    link.push(image_bytes, own);
-                    relay.on_image_sent(now_ms, to, own);
+                    link.push(image_bytes, newest);
+                    relay.on_image_sent(now_ms, to, newest);
                 }
             }
         }
-        if reached < own {
-            longest_ms = longest_ms.max(now_ms - changed_ms[reached as usize + 1]);
+        if reached < newest {
+            longest_lag_ms = longest_lag_ms.max(now_ms - changed_ms[reached as usize + 1]);
         }
     }
-    assert_eq!(reached, CHANGES, "the child ends up to date");
-    (link.queued_bytes, longest_ms)
+    assert_eq!(reached, CHANGES, "the child receives every change");
+    (link.queued_bytes, longest_lag_ms)
 }
 
 #[test]
-fn slow_link_carries_each_change_once() {
-    let (bytes, longest_ms) = run_on_a_slow_link(60, 4_000, 60_000);
+fn each_change_is_sent_once_over_a_slow_link() {
+    let (bytes, longest_lag_ms) = run_on_a_slow_link(60, 4_000, 60_000);
     assert_eq!(bytes, 220 * 4_000, "bytes of 220 changes");
-    assert!(longest_ms < NODE_LEASE_MS, "a lag of {longest_ms} ms lets the node shed");
+    assert!(longest_lag_ms < NODE_LEASE_MS, "a lag of {longest_lag_ms} ms");
 }
