--- a/crates/controller/src/endpoint_list.rs
+++ b/crates/controller/src/endpoint_list.rs
@@ -1,8 +1,9 @@
-//! The platform's endpoint list: fetched page by page, scan after scan, by the leader alone.
+//! The platform's endpoint list. Only the leader fetches it, page by page, in repeated scans.
 //!
-//! `poller` is what the leader has of it. It fetches pages by `scan` at the speed of `poll_rate`,
-//! reads each by `page`, lets `absence` decide who is no longer listed, and stores what the pages
-//! change in `deferred_change` until no transaction is open. `handover` travels to the next leader.
+//! `poller` belongs to the leader's state. `scan` and `scan_timing` decide which page is fetched
+//! and when, `poll_rate` limits the rate of requests, `page` parses a page, `absence` decides which
+//! targets are no longer listed, and `deferred_change` holds the changes until no transaction is
+//! open. `handover` is sent to the next leader.
 
 mod absence;
 mod deferred_change;
--- a/crates/controller/src/endpoint_list/absence.rs
+++ b/crates/controller/src/endpoint_list/absence.rs
@@ -1,4 +1,4 @@
-//! Which targets are no longer listed, by a complete scan and those before it.
+//! Decides, from the last complete scan and earlier ones, which targets are no longer listed.
 
 use super::page::ListPage;
 use postbarrow_constants::nodes::{LIST_MISSES, LIST_SHRUNK_SCANS};
@@ -7,20 +7,22 @@
 
 /// Known targets that a complete scan did not find.
 pub(crate) struct Absence {
-    /// No longer listed, for certain.
-    pub gone: Vec<Name>,
-    /// Missing, but a row may only have shifted to a page that was read before.
-    pub doubtful: Vec<Name>,
+    /// Targets that are no longer listed.
+    pub removed: Vec<Name>,
+    /// Targets that were not found, but whose row may only have shifted to a page that had been
+    /// read already.
+    pub unconfirmed: Vec<Name>,
 }
 
-/// What earlier scans found.
+/// The results of earlier scans that the decision depends on.
 #[derive(Default)]
 pub(crate) struct AbsenceTracker {
-    /// Rows of the last complete scan, in their order.
+    /// Instances in the last complete scan, in the list's order; unconfirmed targets keep their
+    /// place among them.
     order: Vec<Name>,
-    /// Doubtful targets, with in how many consecutive scans each was missing.
+    /// Number of consecutive scans in which each unconfirmed target was missing.
     misses: BTreeMap<Name, u8>,
-    /// Consecutive complete scans that found less than half of the known targets.
+    /// Number of consecutive complete scans that found less than half of the known targets.
     shrunk_scans: u8,
 }
 
@@ -33,34 +35,39 @@
         self.order = order;
     }
 
-    /// A failing list says little: shrunk scans around a failure are not consecutive.
+    /// Records that a request to the list failed. Shrunk scans before and after a failure don't
+    /// count as consecutive, since the list may be at fault.
     pub fn on_failure(&mut self) {
         self.shrunk_scans = 0;
     }
 
-    /// Decides on the known targets that a complete scan of these pages did not find. A list that
-    /// shrank sharply may be the list's own fault: it needs further scans to be believed.
+    /// Decides on the known targets that a complete scan of these pages did not find. A target
+    /// counts as removed if its neighbours show that it has left the list, or after `LIST_MISSES`
+    /// scans without it. A scan that finds less than half of the known targets may be a fault of
+    /// the list itself: it removes targets only after `LIST_SHRUNK_SCANS` such scans in a row.
     pub fn on_scan(&mut self, pages: &[&ListPage], known: &[Name]) -> Absence {
         let rows = || pages.iter().flat_map(|page| &page.targets);
         let found: BTreeSet<&Name> = rows().map(|row| &row.instance).collect();
         let has_shrunk = found.len() * 2 < known.len();
         self.shrunk_scans = if has_shrunk { self.shrunk_scans.saturating_add(1) } else { 0 };
-        let is_believed = !has_shrunk || self.shrunk_scans >= LIST_SHRUNK_SCANS;
+        let is_trusted = !has_shrunk || self.shrunk_scans >= LIST_SHRUNK_SCANS;
         let earlier = std::mem::take(&mut self.misses);
         let misses = |name: &Name| earlier.get(name).copied().unwrap_or(0) + 1;
         let missing = known.iter().filter(|name| !found.contains(name));
-        let (gone, doubtful): (Vec<Name>, Vec<Name>) = missing.cloned().partition(|name| {
-            let is_certain = self.is_certain(name, &found, pages);
-            is_believed && (is_certain || misses(name) >= LIST_MISSES)
+        let (removed, unconfirmed): (Vec<Name>, Vec<Name>) = missing.cloned().partition(|name| {
+            let is_confirmed = self.has_left_list(name, &found, pages);
+            is_trusted && (is_confirmed || misses(name) >= LIST_MISSES)
         });
-        self.misses = doubtful.iter().map(|name| (name.clone(), misses(name))).collect();
-        self.order = self.next_order(rows().map(|row| row.instance.clone()).collect(), &doubtful);
-        Absence { gone, doubtful }
+        self.misses = unconfirmed.iter().map(|name| (name.clone(), misses(name))).collect();
+        self.order =
+            self.next_order(rows().map(|row| row.instance.clone()).collect(), &unconfirmed);
+        Absence { removed, unconfirmed }
     }
 
-    /// The listed rows in their order, with doubtful ones behind those that they followed before.
-    fn next_order(&self, mut order: Vec<Name>, doubtful: &[Name]) -> Vec<Name> {
-        for name in doubtful.iter().filter(|name| self.order.contains(name)) {
+    /// Returns the listed instances in their order. Each unconfirmed one is inserted behind the
+    /// last listed instance that preceded it in earlier scans.
+    fn next_order(&self, mut order: Vec<Name>, unconfirmed: &[Name]) -> Vec<Name> {
+        for name in unconfirmed.iter().filter(|name| self.order.contains(name)) {
             let before = self.order.iter().take_while(|known| *known != name);
             let last =
                 before.filter_map(|known| order.iter().position(|other| other == known)).max();
@@ -69,9 +76,10 @@
         order
     }
 
-    /// Its neighbours of the last scan stand side by side on one page, so it has not shifted to a
-    /// page that had been read already.
-    fn is_certain(&self, name: &Name, found: &BTreeSet<&Name>, pages: &[&ListPage]) -> bool {
+    /// Returns whether the target has certainly left the list: its neighbours in the last scan are
+    /// now adjacent on one page, so its row has not shifted to a page that had been read already.
+    /// At an end of the list, the only neighbour must now be the first or the last row.
+    fn has_left_list(&self, name: &Name, found: &BTreeSet<&Name>, pages: &[&ListPage]) -> bool {
         let Some(at) = self.order.iter().position(|known| known == name) else { return false };
         let is_found = |known: &&Name| found.contains(*known);
         let before = self.order[..at].iter().rev().find(is_found);
--- a/crates/controller/src/endpoint_list/page.rs
+++ b/crates/controller/src/endpoint_list/page.rs
@@ -1,4 +1,4 @@
-//! A page of the endpoint list, and how it is read.
+//! Pages of the endpoint list, and their parser.
 
 use compact_str::CompactString;
 use postbarrow_constants::nodes::LIST_PAGE_BYTES;
@@ -9,16 +9,17 @@
 /// One page of the endpoint list.
 #[derive(Debug)]
 pub struct ListPage {
-    /// Its rows.
+    /// Targets in the order of the page's rows.
     pub targets: Vec<Target>,
-    /// The cursor of the next page; none on the last one.
+    /// Cursor of the next page; `None` on the last page.
     pub next: Option<String>,
 }
 
-/// Reads a page completely or not at all.
+/// Parses a page. A page with any finding is rejected as a whole.
 ///
 /// # Errors
-/// All findings of a page that is too large, no UTF-8, no JSON, or has invalid fields.
+/// The findings, if the page is larger than `LIST_PAGE_BYTES`, is not UTF-8 or JSON, or has invalid
+/// fields.
 pub fn read_page(bytes: &[u8]) -> Result<ListPage, Findings> {
     if bytes.len() > LIST_PAGE_BYTES {
         return Err(Findings::without_position(
--- a/crates/controller/src/endpoint_list/poll_rate/tests.rs
+++ b/crates/controller/src/endpoint_list/poll_rate/tests.rs
@@ -2,8 +2,9 @@
 
 use super::*;
 
-/// Polls a list that serves `per_s` pages within a second; returns its refusals and pages served.
-fn refusals(per_s: usize, seconds: u64) -> (u64, u64) {
+/// Polls a list that serves at most `per_s` pages within a second. Returns the number of refusals
+/// and of pages served.
+fn poll_limited_list(per_s: usize, seconds: u64) -> (u64, u64) {
     let mut rate = PollRate::new(0, LIST_GAP_MS);
     let mut served: VecDeque<u64> = VecDeque::new();
     let (mut now_ms, mut pages) = (1_000, 0);
@@ -18,7 +19,7 @@
             served.push_back(now_ms);
             pages += 1;
         } else {
-            rate.refused(now_ms);
+            rate.on_refusal(now_ms);
             now_ms += 1_000;
         }
     }
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn a_configured_gap_is_used_and_never_exceeded() {
+fn request_rate_follows_the_configured_gap_also_after_a_handover() {
     let mut rate = PollRate::new(0, 26);
     let mut requested: VecDeque<u64> = VecDeque::new();
     let mut max = 0;
@@ -38,17 +39,17 @@
         requested.retain(|at_ms| now_ms < at_ms + 1_000);
         max = max.max(requested.len());
     }
-    assert!((35..=40).contains(&max), "{max} of 52 a second");
+    assert!((35..=40).contains(&max), "{max} requests of 52 a second");
     let successor = PollRate::from_handover(11_000, 26, 26, &[]);
-    assert_eq!((successor.gap_ms(), successor.min_gap_ms()), (26, 26), "a successor keeps it");
+    assert_eq!((successor.gap_ms(), successor.min_gap_ms()), (26, 26), "the successor's gap");
 }
 
 #[test]
-fn a_rate_limit_is_learnt_once_and_not_exceeded_again() {
+fn refusals_are_few_and_the_rate_stays_near_the_limit_of_the_list() {
     for per_s in [1, 2, 3, 5, 8, 20] {
-        let (refusals, pages) = refusals(per_s, 120);
-        assert!(refusals <= 4, "{refusals} refusals at {per_s} a second");
+        let (refusals, pages) = poll_limited_list(per_s, 120);
+        assert!(refusals <= 4, "{refusals} refusals at a limit of {per_s} pages a second");
         let min = 120 * per_s.min(7) as u64 * 3 / 4;
-        assert!(pages >= min, "{pages} pages at {per_s} a second");
+        assert!(pages >= min, "{pages} pages at a limit of {per_s} pages a second");
     }
 }
--- a/crates/controller/src/endpoint_list/poller.rs
+++ b/crates/controller/src/endpoint_list/poller.rs
@@ -1,4 +1,4 @@
-//! What the leader has of the endpoint list: its scan, deferred changes and findings.
+//! The leader's poller of the endpoint list: its scan, deferred changes and last finding.
 
 use super::deferred_change::DeferredChange;
 use super::handover::{ReceivedHandover, ScanHandover};
@@ -10,24 +10,25 @@
 use postbarrow_state::{Name, State};
 use std::collections::VecDeque;
 
-/// How far a fetched page brought the scan.
+/// The progress of the scan after a fetch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PollProgress {
-    /// The list refused a page that is not awaited: nothing follows.
+    /// The list refused a page that the scan no longer waits for; nothing is to be done.
     Ignored,
-    /// The next page may be requested.
+    /// The scan continues; the next page may be requested.
     Advanced,
-    /// A scan is complete.
+    /// The fetched page completed a scan.
     Completed,
 }
 
-/// Polls the endpoint list while this node leads.
+/// Polls the endpoint list while this node is the leader.
 pub(crate) struct EndpointListPoller {
     scan: EndpointListScan,
+    /// Changes that are not proposed yet, oldest first.
     changes: VecDeque<DeferredChange>,
-    /// Why the last scan failed, for operators; none once one is complete.
+    /// Text of the last failure, for operators; `None` if a scan was completed since.
     finding: Option<String>,
-    /// Whether the leave bound is over the users' bound, as last logged.
+    /// Whether `leave_bound_ms` exceeded the users' bound `DRAIN_BOUND_MS` when last checked.
     is_slow: bool,
 }
 
@@ -41,7 +42,8 @@
         }
     }
 
-    /// When the last complete scan ended, since the leader's lease was gained.
+    /// Returns when the last complete scan ended; `None` if none has ended since this node gained
+    /// the leader's lease.
     pub fn completed_ms(&self) -> Option<u64> {
         self.scan.completed_ms()
     }
@@ -54,7 +56,7 @@
         self.scan.leave_bound_ms()
     }
 
-    /// How often the list refused for its rate limit.
+    /// Returns the number of requests that the list refused because of its rate limit.
     pub fn refusals(&self) -> u64 {
         self.scan.poll_rate().refusals()
     }
@@ -63,30 +65,33 @@
         self.scan.handover_state(now_ms)
     }
 
-    /// What the list showed without the lease is unknown, unless the former leader sent it.
+    /// Continues from the former leader's handover. Without one, the list's content is unknown, and
+    /// the scan starts from the beginning.
     pub fn on_lease_gained(&mut self, now_ms: u64, handover: Option<ReceivedHandover>) {
         match handover {
             Some(handover) => self.scan.continue_from(handover),
-            None => self.scan.start_anew(now_ms),
+            None => self.scan.reset(now_ms),
         }
     }
 
+    /// Restarts the scan if a page has not arrived within its time-out.
+    ///
     /// # Errors
-    /// A page is overdue; the scan starts again.
+    /// A page is overdue.
     pub fn check_overdue_page(&mut self, now_ms: u64) -> Result<(), Error> {
         let is_overdue = self.scan.restart_if_page_overdue(now_ms);
         if is_overdue { Err(Error::PageTimeout) } else { Ok(()) }
     }
 
-    /// Number and cursor of the next page to request, if it is due.
+    /// Returns number and cursor of the next page to request; `None` if no request is due.
     pub fn next_fetch(&mut self, now_ms: u64) -> Option<(u64, Option<String>)> {
-        self.scan.next(now_ms)
+        self.scan.next_fetch(now_ms)
     }
 
-    /// Takes the result of a fetch; what it changes in this state is deferred.
+    /// Handles the result of a fetch. The changes that it makes to this state are deferred.
     ///
     /// # Errors
-    /// A failure that operators are to know of.
+    /// A failure to report to operators.
     pub fn on_fetched(
         &mut self,
         now_ms: u64,
@@ -103,8 +108,8 @@
         let page = match page {
             Ok(page) => page,
             Err(error) => {
-                let counts = self.scan.on_failed(now_ms, number);
-                return if counts { Err(error) } else { Ok(PollProgress::Advanced) };
+                let is_failure = self.scan.on_failed(now_ms, number);
+                return if is_failure { Err(error) } else { Ok(PollProgress::Advanced) };
             }
         };
         let known: Vec<Name> = state.targets.keys().cloned().collect();
@@ -114,9 +119,9 @@
                 self.changes.push_back(DeferredChange::of_rows(now_ms, state, rows));
                 Ok(PollProgress::Advanced)
             }
-            PageOutcome::Complete { rows, gone, doubtful } => {
+            PageOutcome::Complete { rows, removed, unconfirmed } => {
                 self.finding = None;
-                let change = DeferredChange::of_scan(now_ms, state, rows, gone, doubtful);
+                let change = DeferredChange::of_scan(now_ms, state, rows, removed, unconfirmed);
                 self.changes.push_back(change);
                 Ok(PollProgress::Completed)
             }
@@ -136,16 +141,17 @@
         }
     }
 
-    /// Whether a change has waited too long for the open transaction.
+    /// Returns whether a change has been deferred too long by the open transaction.
     pub fn has_overdue_change(&self, now_ms: u64) -> bool {
         self.changes.iter().any(|change| change.is_overdue(now_ms))
     }
 
+    /// Removes and returns the oldest deferred change.
     pub fn next_change(&mut self) -> Option<DeferredChange> {
         self.changes.pop_front()
     }
 
-    /// Returns the text of a finding that differs from the last one.
+    /// Stores the error's text as the finding. Returns the text if it differs from the last one.
     pub fn record_finding(&mut self, error: &Error) -> Option<String> {
         let text = error.to_string();
         if self.finding.as_ref() == Some(&text) {
@@ -155,8 +161,8 @@
         Some(text)
     }
 
-    /// Whether the list has become too slow for the users' bound, or quick again; none while that
-    /// has not changed.
+    /// Checks whether the list is too slow to keep the users' bound `DRAIN_BOUND_MS`. Returns
+    /// `None` if that has not changed since the last check.
     pub fn update_slowness(&mut self) -> Option<bool> {
         let is_slow = self.leave_bound_ms() > DRAIN_BOUND_MS;
         let has_changed = is_slow != self.is_slow;
--- a/crates/controller/src/endpoint_list/scan.rs
+++ b/crates/controller/src/endpoint_list/scan.rs
@@ -1,4 +1,4 @@
-//! One pass after another over the pages of the endpoint list.
+//! Repeated scans of all pages of the endpoint list.
 
 use super::absence::AbsenceTracker;
 use super::handover::{ReceivedHandover, ScanHandover};
@@ -9,35 +9,44 @@
 use postbarrow_constants::nodes::*;
 use postbarrow_state::{Name, Target};
 
-/// One page of the present scan: requested, then read.
+/// One requested page of the current scan.
 struct Page {
+    /// Number of the fetch.
     number: u64,
+    /// Cursor of the page; `None` for the first one.
     cursor: Option<String>,
     requested_ms: u64,
-    read: Option<ListPage>,
+    /// Content of the page; `None` until it has arrived.
+    content: Option<ListPage>,
 }
 
-/// What one page amounts to.
+/// The outcome of one page that was received.
 pub(crate) enum PageOutcome {
-    /// It belongs to no page that is awaited.
+    /// The scan no longer waits for this page.
     Stale,
-    /// Its rows, while the scan goes on.
+    /// Rows of the page; the scan is not complete yet.
     Incomplete(Vec<Target>),
-    /// The scan's last page: besides its rows, who is no longer listed, and who may not be.
-    Complete { rows: Vec<Target>, gone: Vec<Name>, doubtful: Vec<Name> },
+    /// Rows of the page that completed the scan, and the known targets that the scan did not find:
+    /// those that are no longer listed, and those that may still be.
+    Complete { rows: Vec<Target>, removed: Vec<Name>, unconfirmed: Vec<Name> },
 }
 
-/// Scans the endpoint list over and over. Pages whose cursors are known from the last scan are
-/// requested concurrently; the cursors on the pages then decide which of them count.
+/// Scans the endpoint list repeatedly. Pages whose cursors are known from the last scan are
+/// requested concurrently. When a page arrives, pages that were requested with another cursor than
+/// it names are dropped.
 pub(crate) struct EndpointListScan {
-    /// The number of the last fetch.
+    /// Number of the last fetch.
     number: u64,
+    /// Pages of the current scan that were requested, in the list's order.
     pages: Vec<Page>,
-    /// Cursors of the last complete scan, page by page.
+    /// Cursors of the pages of the last complete scan, in their order.
     cursors: Vec<Option<String>>,
+    /// Whether pages are requested by the last scan's cursors before the previous page has arrived.
     fetches_ahead: bool,
-    /// Failed pages of the present scan.
+    /// Number of failed pages of the current scan.
     failures: u32,
+    /// When the last complete scan without unconfirmed targets ended; `None` if none has ended
+    /// since this node gained the leader's lease.
     completed_ms: Option<u64>,
     poll_rate: PollRate,
     absences: AbsenceTracker,
@@ -59,7 +68,8 @@
         }
     }
 
-    /// When the last complete scan without doubtful rows ended, since the leader's lease was gained.
+    /// Returns when the last complete scan without unconfirmed targets ended; `None` if none has
+    /// ended since this node gained the leader's lease.
     pub fn completed_ms(&self) -> Option<u64> {
         self.completed_ms
     }
@@ -84,7 +94,7 @@
         }
     }
 
-    /// Continues where the former leader stopped.
+    /// Continues from the state that the former leader handed over.
     pub fn continue_from(&mut self, received: ReceivedHandover) {
         let ReceivedHandover { at_ms, scan: handover } = received;
         self.poll_rate = PollRate::from_handover(
@@ -99,22 +109,23 @@
         self.restart(at_ms);
     }
 
-    /// Starts as if nothing were known of the list.
-    pub fn start_anew(&mut self, now_ms: u64) {
+    /// Starts a scan as if none had been completed.
+    pub fn reset(&mut self, now_ms: u64) {
         self.restart(now_ms);
         self.completed_ms = None;
     }
 
-    /// An incomplete scan removes no target: its pages are dropped.
+    /// Drops the pages of the current scan and starts another at `due_ms`. An incomplete scan
+    /// removes no target.
     fn restart(&mut self, due_ms: u64) {
         self.timing.schedule(due_ms);
         self.failures = 0;
         self.pages.clear();
     }
 
-    /// Number and cursor of the next page to request, if it is due.
-    pub fn next(&mut self, now_ms: u64) -> Option<(u64, Option<String>)> {
-        let in_flight = self.pages.iter().filter(|page| page.read.is_none()).count();
+    /// Returns number and cursor of the next page to request; `None` if no request is due.
+    pub fn next_fetch(&mut self, now_ms: u64) -> Option<(u64, Option<String>)> {
+        let in_flight = self.pages.iter().filter(|page| page.content.is_none()).count();
         if !self.timing.is_due(now_ms)
             || in_flight >= LIST_IN_FLIGHT
             || !self.poll_rate.permits(now_ms, self.completed_ms.is_none())
@@ -123,7 +134,7 @@
         }
         let cursor = match self.pages.last() {
             None => None,
-            Some(Page { read: Some(read), .. }) => Some(read.next.clone()?),
+            Some(Page { content: Some(content), .. }) => Some(content.next.clone()?),
             Some(_) if !self.fetches_ahead => return None,
             Some(_) => Some(self.cursors.get(self.pages.len())?.clone()?),
         };
@@ -132,20 +143,23 @@
         }
         self.number += 1;
         self.poll_rate.on_request(now_ms);
-        let page = Page { number: self.number, cursor, requested_ms: now_ms, read: None };
+        let page = Page { number: self.number, cursor, requested_ms: now_ms, content: None };
         let request = (page.number, page.cursor.clone());
         self.pages.push(page);
         Some(request)
     }
 
-    fn position(&self, number: u64) -> Option<usize> {
-        self.pages.iter().position(|page| page.number == number && page.read.is_none())
+    /// Returns the position in the scan of the page that was requested by this fetch and has not
+    /// arrived yet.
+    fn pending_position(&self, number: u64) -> Option<usize> {
+        self.pages.iter().position(|page| page.number == number && page.content.is_none())
     }
 
-    /// A page that takes far longer than others did restarts the scan. Returns whether one did.
+    /// Restarts the scan if a page has not arrived within its time-out, which depends on the
+    /// slowest page of the last scan. Returns whether it did.
     pub fn restart_if_page_overdue(&mut self, now_ms: u64) -> bool {
         let is_overdue = |page: &Page| {
-            page.read.is_none() && self.timing.is_page_overdue(now_ms, page.requested_ms)
+            page.content.is_none() && self.timing.is_page_overdue(now_ms, page.requested_ms)
         };
         let has_overdue_page = self.pages.iter().any(is_overdue);
         if has_overdue_page {
@@ -156,21 +170,23 @@
         has_overdue_page
     }
 
-    /// The list refused a page: it is requested again when the list permits, and pages more slowly
-    /// from then on. Returns whether the page was awaited.
+    /// Handles a page that the list refused because of its rate limit: it is requested again after
+    /// the list's `wait_ms` (within bounds), and pages are requested at a lower rate from then on.
+    /// Returns whether the scan was waiting for the page.
     pub fn on_limited(&mut self, now_ms: u64, number: u64, wait_ms: u64) -> bool {
-        let Some(at) = self.position(number) else { return false };
+        let Some(at) = self.pending_position(number) else { return false };
         self.pages.truncate(at);
-        self.poll_rate.refused(now_ms);
+        self.poll_rate.on_refusal(now_ms);
         self.timing.schedule(now_ms + wait_ms.clamp(LIST_PAUSE_MS, LIST_RETRY_MAX_MS));
         true
     }
 
-    /// A failed page is requested again, a few times a scan. Returns whether it counts as a failure:
-    /// one that was fetched ahead, by a cursor of an earlier scan, says nothing of this one.
+    /// Requests a failed page again, up to `LIST_PAGE_RETRIES` times in a scan. Returns whether it
+    /// counts as a failure: one that was fetched ahead by a cursor of an earlier scan doesn't,
+    /// since that cursor may be outdated.
     pub fn on_failed(&mut self, now_ms: u64, number: u64) -> bool {
-        let Some(at) = self.position(number) else { return false };
-        if at > 0 && self.pages[at - 1].read.is_none() {
+        let Some(at) = self.pending_position(number) else { return false };
+        if at > 0 && self.pages[at - 1].content.is_none() {
             self.pages.truncate(at);
             self.fetches_ahead = false;
             return false;
@@ -178,23 +194,25 @@
         self.absences.on_failure();
         self.failures += 1;
         if self.failures > LIST_PAGE_RETRIES {
-            self.fail(now_ms);
+            self.abandon_scan(now_ms);
         } else {
             self.pages.truncate(at);
         }
         true
     }
 
-    fn fail(&mut self, now_ms: u64) {
+    /// Abandons the scan; the next one starts after a pause.
+    fn abandon_scan(&mut self, now_ms: u64) {
         self.absences.on_failure();
         self.fetches_ahead = true;
         self.restart(now_ms + LIST_RETRY_MS);
     }
 
-    /// Takes a page that was read. `known` are the targets in the state.
+    /// Adds a page that has arrived to the scan. `known` are the instances of the targets in the
+    /// state.
     ///
     /// # Errors
-    /// The pages have no end; the scan starts again after a pause.
+    /// The pages have no end. The scan starts again after a pause.
     pub fn on_page(
         &mut self,
         now_ms: u64,
@@ -202,44 +220,47 @@
         page: ListPage,
         known: &[Name],
     ) -> Result<PageOutcome, Error> {
-        let Some(at) = self.position(number) else { return Ok(PageOutcome::Stale) };
-        let rows = self.with_draining_rows(&page);
+        let Some(at) = self.pending_position(number) else { return Ok(PageOutcome::Stale) };
+        let rows = self.rows_with_draining_marks(&page);
         self.store_page(now_ms, at, page);
-        if let Some(error) = self.endless_pages(at) {
-            self.fail(now_ms);
+        if let Some(error) = self.pagination_error(at) {
+            self.abandon_scan(now_ms);
             return Err(error);
         }
         if !self.is_complete() {
             return Ok(PageOutcome::Incomplete(rows));
         }
-        let (gone, doubtful) = self.complete(now_ms, known);
-        Ok(PageOutcome::Complete { rows, gone, doubtful })
+        let (removed, unconfirmed) = self.end_complete_scan(now_ms, known);
+        Ok(PageOutcome::Complete { rows, removed, unconfirmed })
     }
 
-    /// The page's rows; a target that any page of this scan lists as draining is draining.
-    fn with_draining_rows(&self, page: &ListPage) -> Vec<Target> {
+    /// Returns the page's rows. A target that any page of this scan lists as draining is marked as
+    /// draining.
+    fn rows_with_draining_marks(&self, page: &ListPage) -> Vec<Target> {
         let is_draining = |row: &Target| row.draining || self.is_listed_as_draining(&row.instance);
         let rows = page.targets.iter();
         rows.map(|row| Target { draining: is_draining(row), ..row.clone() }).collect()
     }
 
     fn is_listed_as_draining(&self, instance: &Name) -> bool {
-        let read = self.pages.iter().filter_map(|page| page.read.as_ref());
-        read.flat_map(|page| &page.targets).any(|row| row.draining && row.instance == *instance)
+        let pages = self.pages.iter().filter_map(|page| page.content.as_ref());
+        pages.flat_map(|page| &page.targets).any(|row| row.draining && row.instance == *instance)
     }
 
-    /// Pages that were fetched ahead by another cursor than this page names are dropped.
+    /// Stores a page that has arrived, and drops the following pages if they were fetched ahead by
+    /// another cursor than this page names.
     fn store_page(&mut self, now_ms: u64, at: usize, page: ListPage) {
         self.timing.on_page(now_ms.saturating_sub(self.pages[at].requested_ms));
         if self.pages.get(at + 1).is_some_and(|after| after.cursor != page.next) {
             self.pages.truncate(at + 1);
         }
-        self.pages[at].read = Some(page);
+        self.pages[at].content = Some(page);
     }
 
-    /// Why the scan would never end, if so, once the page at this position is read.
-    fn endless_pages(&self, at: usize) -> Option<Error> {
-        let next = self.pages[at].read.as_ref().and_then(|page| page.next.as_ref());
+    /// Returns why the scan would not end, after the page at this position was stored; `None` if
+    /// nothing shows that.
+    fn pagination_error(&self, at: usize) -> Option<Error> {
+        let next = self.pages[at].content.as_ref().and_then(|page| page.next.as_ref());
         if next.is_some() && self.pages[..=at].iter().any(|page| page.cursor.as_ref() == next) {
             return Some(Error::CursorCycle);
         }
@@ -247,29 +268,29 @@
     }
 
     fn is_complete(&self) -> bool {
-        let last = self.pages.last().and_then(|page| page.read.as_ref());
-        last.is_some_and(|read| read.next.is_none())
-            && self.pages.iter().all(|page| page.read.is_some())
+        let last = self.pages.last().and_then(|page| page.content.as_ref());
+        last.is_some_and(|content| content.next.is_none())
+            && self.pages.iter().all(|page| page.content.is_some())
     }
 
-    /// Returns who is no longer listed, and who may not be. Doubtful targets need another scan,
-    /// which starts at once.
-    fn complete(&mut self, now_ms: u64, known: &[Name]) -> (Vec<Name>, Vec<Name>) {
-        let read: Vec<&ListPage> =
-            self.pages.iter().filter_map(|page| page.read.as_ref()).collect();
-        let absence = self.absences.on_scan(&read, known);
+    /// Ends a complete scan. Returns the targets that are no longer listed, and those whose removal
+    /// is unconfirmed. The latter need another scan, which starts at once.
+    fn end_complete_scan(&mut self, now_ms: u64, known: &[Name]) -> (Vec<Name>, Vec<Name>) {
+        let pages: Vec<&ListPage> =
+            self.pages.iter().filter_map(|page| page.content.as_ref()).collect();
+        let absence = self.absences.on_scan(&pages, known);
         self.cursors = self.pages.iter().map(|page| page.cursor.clone()).collect();
         self.fetches_ahead = true;
         self.timing.on_scan_completed(now_ms, self.pages.len(), self.poll_rate.gap_ms());
-        if absence.doubtful.is_empty() {
+        if absence.unconfirmed.is_empty() {
             self.completed_ms = Some(now_ms);
             self.restart(self.timing.next_start_ms(now_ms));
         } else {
             self.restart(now_ms);
         }
         if self.leave_bound_ms() > DRAIN_BOUND_MS {
-            self.poll_rate.relax(now_ms);
+            self.poll_rate.decrease_gap(now_ms);
         }
-        (absence.gone, absence.doubtful)
+        (absence.removed, absence.unconfirmed)
     }
 }
--- a/crates/controller/src/endpoint_list/scan_timing.rs
+++ b/crates/controller/src/endpoint_list/scan_timing.rs
@@ -1,20 +1,22 @@
-//! When a scan starts and how long its pages may take, learnt from the scans before it.
+//! The start times of scans and the time-out of their pages, adapted to the duration of earlier
+//! scans.
 
 use postbarrow_constants::nodes::*;
 use postbarrow_constants::plans::DRAIN_TRANSACTION_WAIT_MS;
 
-/// Times of the endpoint-list scan, in milliseconds.
+/// Times and durations of the endpoint-list scan, in milliseconds.
 pub(crate) struct ScanTiming {
-    /// When the next page may be requested.
+    /// Time from which the next page may be requested.
     due_ms: u64,
-    /// When the present scan started.
+    /// Start of the current scan.
     start_ms: u64,
-    /// How long a page may take.
+    /// Time-out of a page.
     page_wait_ms: u64,
-    /// From the start of one scan to that of the next.
+    /// Time from the start of one scan to the start of the next; 0 before the first complete scan.
     cycle_ms: u64,
-    /// The slowest page of the present scan, and of the last complete one.
+    /// Duration of the slowest page of the current scan so far.
     slowest_page_ms: u64,
+    /// Duration of the slowest page of the last complete scan.
     last_slowest_page_ms: u64,
 }
 
@@ -46,7 +48,7 @@
         now_ms > requested_ms + self.page_wait_ms
     }
 
-    /// A slow list gets more time for its pages.
+    /// Doubles the time-out of a page, up to `LIST_PAGE_WAIT_MS`, to adapt to a slow list.
     pub fn on_page_overdue(&mut self) {
         self.page_wait_ms = (2 * self.page_wait_ms).min(LIST_PAGE_WAIT_MS);
     }
@@ -55,7 +57,8 @@
         self.slowest_page_ms = self.slowest_page_ms.max(duration_ms);
     }
 
-    /// A scan of so many pages is complete, at this gap between requests.
+    /// Records that a scan is complete. `page_count` is the number of its pages, and `gap_ms` the
+    /// minimum time between two requests.
     pub fn on_scan_completed(&mut self, now_ms: u64, page_count: usize, gap_ms: u64) {
         let duration_ms = now_ms.saturating_sub(self.start_ms);
         self.cycle_ms =
@@ -65,13 +68,13 @@
             (4 * self.last_slowest_page_ms).clamp(LIST_PAGE_FIRST_WAIT_MS, LIST_PAGE_WAIT_MS);
     }
 
-    /// When the scan after the present one starts.
+    /// Returns the start time of the scan after the current one.
     pub fn next_start_ms(&self, now_ms: u64) -> u64 {
         (now_ms + LIST_PAUSE_MS).max(self.start_ms + LIST_SCAN_INTERVAL_MS)
     }
 
-    /// The longest time from a draining row in the list to the last request at that target, with
-    /// the list as it is.
+    /// Returns the longest time from when the list shows a target as draining to the last request
+    /// sent to that target, given the present speed of the list.
     pub fn leave_bound_ms(&self) -> u64 {
         self.cycle_ms
             + self.last_slowest_page_ms
