--- a/crates/controller/src/call_check.rs
+++ b/crates/controller/src/call_check.rs
@@ -1,11 +1,14 @@
-//! Whether an application's call is valid, before any state is read.
+//! Validates applications' calls before any state is read.
 
 use crate::error::Error;
 use postbarrow_constants::coordination::*;
 use postbarrow_state::Call;
 
+/// Checks the bounds of a call's fields.
+///
 /// # Errors
-/// A text out of bounds, a lock's time out of bounds, or a number that would not increase.
+/// A text whose length is out of bounds, a lock's time to live that is out of bounds, or an
+/// increment of 0.
 pub(crate) fn check_call(call: &Call) -> Result<(), Error> {
     let (name, holder) = match call {
         Call::Lock { name, holder, .. }
--- a/crates/controller/src/call_decision.rs
+++ b/crates/controller/src/call_decision.rs
@@ -1,8 +1,8 @@
-//! What an application's call comes to: locks, numbers and keys.
+//! Decides the outcomes of applications' calls on locks, numbers and keys.
 
 use postbarrow_state::{Call, Key, Lock, Name, Outcome, Record, State};
 
-/// The outcome of a call that only reads.
+/// Returns the outcome of a call that only reads.
 pub(crate) fn read(state: &State, call: &Call) -> Outcome {
     match call {
         Call::ReadLock { name } => match state.locks.get(name) {
@@ -18,22 +18,22 @@
     }
 }
 
-/// Extends a lock for its owner. A later leader knows only the recorded time, so that is never less
-/// than any time that was granted.
-fn extend(name: &Name, lock: &Lock, ttl_ms: u64) -> (Outcome, Vec<Record>) {
+/// Extends a lock for its owner. A later leader knows only the recorded time to live, so a record
+/// is written if the granted time is longer. The recorded time is never less than a granted one.
+fn extend_lock(name: &Name, lock: &Lock, ttl_ms: u64) -> (Outcome, Vec<Record>) {
     let outcome = Outcome::Locked { fence: lock.fence, ttl_ms };
-    let longer = ttl_ms > lock.ttl_ms;
+    let is_longer = ttl_ms > lock.ttl_ms;
     let (name, holder, fence) = (name.clone(), lock.holder.clone(), lock.fence);
     let record = Record::Lock { name, holder, fence, ttl_ms };
-    (outcome, if longer { vec![record] } else { Vec::new() })
+    (outcome, if is_longer { vec![record] } else { Vec::new() })
 }
 
-/// The outcome of a call in a state, and the records that bring it about; none where the call changes
-/// nothing.
+/// Returns the outcome of a call in this state, and the records that apply its change; no records
+/// if the call changes nothing.
 pub fn decide(state: &State, call: &Call) -> (Outcome, Vec<Record>) {
     match call {
         Call::Lock { name, holder, ttl_ms } => match state.locks.get(name) {
-            Some(lock) if lock.holder == *holder => extend(name, lock, *ttl_ms),
+            Some(lock) if lock.holder == *holder => extend_lock(name, lock, *ttl_ms),
             Some(lock) => (Outcome::LockedByOther { fence: lock.fence }, Vec::new()),
             None => {
                 let (fence, ttl_ms) = (state.fence + 1, *ttl_ms);
@@ -44,7 +44,7 @@
         },
         Call::Renew { name, holder, fence, ttl_ms } => match state.locks.get(name) {
             Some(lock) if lock.holder == *holder && lock.fence == *fence => {
-                extend(name, lock, ttl_ms.unwrap_or(lock.ttl_ms))
+                extend_lock(name, lock, ttl_ms.unwrap_or(lock.ttl_ms))
             }
             _ => (Outcome::NotOwner, Vec::new()),
         },
--- a/crates/controller/src/operator_body.rs
+++ b/crates/controller/src/operator_body.rs
@@ -1,25 +1,27 @@
-//! JSON bodies that operators read. Field names are their interface.
+//! JSON bodies of responses to operators. The names of the fields are part of the interface.
 
 use facet::Facet;
 use postbarrow_messages::Response;
 use postbarrow_plan::Rehearsal;
 use postbarrow_state::State;
 
-/// The body for a plan that was accepted, or that was a dry run.
+/// The response body for a plan that was accepted, or for a dry run.
 #[derive(Facet)]
 #[facet(rename_all = "camelCase")]
 pub(crate) struct Submitted {
     version: String,
     in_force: bool,
     dry_run: bool,
-    /// Log offsets of the Begin, and of the End where that is remembered.
+    /// Log offset of the batch with which the plan's transaction began; `None` for a dry run.
     began_at: Option<u64>,
+    /// Log offset of the batch that ended the transaction; `None` for a dry run, or if it is no
+    /// longer retained.
     ended_at: Option<u64>,
     rehearsal: Option<Rehearsal>,
 }
 
 impl Submitted {
-    /// Of a plan that was accepted now.
+    /// Creates the body for a plan that was accepted now.
     pub fn new(version: &str, began: u64, ended: u64, rehearsal: Rehearsal) -> Self {
         Submitted {
             version: version.into(),
@@ -31,7 +33,7 @@
         }
     }
 
-    /// Of a plan that was accepted before, and may have been replaced since.
+    /// Creates the body for a plan that was accepted before, and may have been replaced since.
     pub fn again(state: &State, version: &str, began_at: u64, ended_at: Option<u64>) -> Self {
         Submitted {
             version: version.into(),
@@ -43,6 +45,7 @@
         }
     }
 
+    /// Creates the body for a dry run.
     pub fn dry(version: &str, rehearsal: Rehearsal) -> Self {
         Submitted {
             version: version.into(),
@@ -55,7 +58,7 @@
     }
 }
 
-/// The body for a plan that was refused.
+/// The response body for a plan that was refused.
 #[derive(Facet)]
 #[facet(rename_all = "camelCase")]
 pub(crate) struct Refused {
@@ -69,7 +72,7 @@
     }
 }
 
-/// A response with this HTTP status and JSON body.
+/// Returns a response with this HTTP status, and with the value as its JSON body.
 pub(crate) fn json<'f, T: Facet<'f>>(status: u16, value: &T) -> Response {
     let body = facet_json::to_vec(value).unwrap_or_else(|error| {
         format!("{{\"error\":\"a response could not be written: {error}\"}}").into_bytes()
--- a/crates/controller/src/origin.rs
+++ b/crates/controller/src/origin.rs
@@ -1,8 +1,8 @@
-//! Where a request came from.
+//! The origin of a request.
 
 use std::net::SocketAddr;
 
-/// The sender of a request and its key: what a response is addressed to.
+/// The sender's address and the request's key, to which the response is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Origin {
     pub to: SocketAddr,
--- a/crates/controller/src/submission_check.rs
+++ b/crates/controller/src/submission_check.rs
@@ -1,36 +1,37 @@
-//! Whether a submitted plan proceeds, was accepted before, is refused, or is unknown.
+//! Decides whether a submitted plan proceeds, was accepted before, is refused, or has an unknown
+//! outcome.
 
 use postbarrow_messages::Submission;
 use postbarrow_state::{Digest, State};
 use sha2::{Digest as _, Sha256};
 use std::fmt;
 
-/// The decision on a submission, by the plans accepted so far.
+/// The decision on a submission, based on the plans accepted and refused so far.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubmissionDecision {
-    /// Its base is in force and its version is new.
+    /// The plan's base is in force and its version is new.
     Proceed,
-    /// This very plan was accepted, whether or not others were built on it since.
+    /// The same plan was accepted before, whether or not other plans have replaced it since.
     AlreadyAccepted {
-        /// Log offset of its Begin.
+        /// Log offset of the batch with which the plan's transaction began.
         began_at: u64,
-        /// Log offset of its End, where that is remembered.
+        /// Log offset of the batch that ended the transaction; `None` if it is no longer retained.
         ended_at: Option<u64>,
     },
-    /// It was not accepted and never will be.
+    /// The plan was not accepted and never will be.
     Refused(RefusalReason),
-    /// It may be older than what is remembered, so it may have been accepted.
+    /// The plan may be older than the retained plans, so it is unknown whether it was accepted.
     Unknown,
 }
 
 /// Why a plan is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// Its version was accepted with another text or on another base.
+    /// A plan of the same version was accepted with another text or on another base.
     OtherText,
-    /// Another plan was accepted on its base.
+    /// Another plan was accepted on the same base.
     BaseBuiltUpon,
-    /// Its base was never accepted. It may be later, so this refusal is recorded.
+    /// The plan's base was never accepted. It may be accepted later, so this refusal is recorded.
     BaseNeverAccepted,
     /// The same plan was refused before its base was accepted.
     RefusedBefore,
@@ -49,12 +50,13 @@
     }
 }
 
-/// SHA-256 of a plan's text.
+/// Returns the SHA-256 digest of a plan's text.
 pub fn text_digest(text: &[u8]) -> Digest {
     Sha256::digest(text).into()
 }
 
-/// Decides on a submission whose text has this digest, by the plans accepted so far.
+/// Decides on a submission whose text has this digest, based on the plans accepted and refused so
+/// far.
 pub fn decide_submission(
     state: &State,
     submission: &Submission,
@@ -77,7 +79,8 @@
     if submission.dry_run { decide_dry_run(state, submission, decision) } else { decision }
 }
 
-/// A version that was accepted can't be accepted again.
+/// Decides on a version that was accepted before or is in force; it can't be accepted again.
+/// Returns `None` for any other version.
 fn decide_known_version(
     state: &State,
     submission: &Submission,
@@ -99,7 +102,8 @@
     })
 }
 
-/// A dry run is never accepted: it runs on the plan in force, or on itself when that is in force.
+/// Adapts the decision to a dry run, which is never accepted. A dry run proceeds on the plan in
+/// force, also if that is the submitted plan itself.
 fn decide_dry_run(
     state: &State,
     submission: &Submission,
