--- a/crates/controller/src/effect.rs
+++ b/crates/controller/src/effect.rs
@@ -1,36 +1,37 @@
-//! What a control node wants done.
+//! Actions that a control node requests from its caller.
 
 use crate::PendingSnapshot;
 use postbarrow_consensus::Write;
 use postbarrow_messages::Message;
 use std::net::SocketAddr;
 
-/// One action for the caller of `ControlNode::handle`, to be carried out in the order given.
+/// One action for the caller of `ControlNode::handle`. Effects are carried out in the order in
+/// which they are returned.
 #[derive(Debug)]
 pub enum Effect {
     /// Send a message.
     Send {
-        /// The receiver's address.
+        /// Address of the receiver.
         to: SocketAddr,
-        /// The message.
+        /// The message to send.
         message: Message,
     },
     /// Write to the disk, then return `Input::Synced`.
     Write {
-        /// The number that `Input::Synced` names once the write is durable.
+        /// Sequence number that `Input::Synced` names once the write is durable.
         sequence: u64,
-        /// What is written.
+        /// The content of the write.
         write: Write,
     },
     /// Fetch a page of the endpoint list, then return `Input::Page`.
     Fetch {
-        /// The number that the result names.
+        /// Number of the fetch, which `PageResult::number` repeats.
         number: u64,
-        /// The page's cursor; the first page has none.
+        /// Cursor of the page; `None` for the first page.
         cursor: Option<String>,
     },
-    /// Encode a snapshot beside the control loop, then return `Input::Encoded`.
+    /// Encode a snapshot outside the control loop, then return `Input::Encoded`.
     Encode(PendingSnapshot),
-    /// A line for the process's log.
+    /// Write a line to the process's log.
     Log(String),
 }
--- a/crates/controller/src/input.rs
+++ b/crates/controller/src/input.rs
@@ -1,51 +1,51 @@
-//! What a control node reacts to.
+//! Input events of a control node.
 
 use crate::ListPage;
 use postbarrow_messages::Envelope;
 use std::net::SocketAddr;
 
-/// One event for a control node.
+/// One event for `ControlNode::handle`.
 pub enum Input {
-    /// A moment has passed; sent every few milliseconds.
+    /// A tick of the clock; the caller sends one every few milliseconds.
     Tick,
-    /// The process is to end: a leader transfers its leadership first.
+    /// The process is about to stop. A leader transfers its leadership first.
     Stop,
-    /// Other addresses that introduce this node.
+    /// Seed addresses that replace those of the settings so far.
     Seeds(Vec<SocketAddr>),
-    /// A message has arrived.
+    /// A message arrived from another process.
     Receive(Envelope),
-    /// All writes up to this sequence number are durable.
+    /// All `Effect::Write`s up to this sequence number are durable.
     Synced(u64),
-    /// A fetch that `Effect::Fetch` requested has ended.
+    /// The result of a fetch that `Effect::Fetch` requested.
     Page(PageResult),
-    /// A snapshot that `Effect::Encode` requested.
+    /// The encoded snapshot that `Effect::Encode` requested.
     Encoded {
-        /// The log index of the snapshot.
+        /// Log index of the snapshot: that of `PendingSnapshot::index`.
         index: u64,
-        /// Its bytes.
+        /// The encoded state, as `PendingSnapshot::encode` returned it.
         state: Vec<u8>,
     },
 }
 
-/// The result of one fetch from the platform's endpoint list.
+/// The result of one fetch of a page of the platform's endpoint list.
 pub struct PageResult {
-    /// The number of the `Effect::Fetch`.
+    /// Number of the `Effect::Fetch` that requested the page.
     pub number: u64,
-    /// What was fetched.
+    /// The page, or why there is none.
     pub fetched: Fetched,
 }
 
-/// What one fetch from the endpoint list returned.
+/// The outcome of one fetch from the endpoint list.
 pub enum Fetched {
-    /// The bytes of a page, to be read by `read_page`.
+    /// A page that was received but not parsed yet; `read_page` parses it.
     Page(Vec<u8>),
-    /// A page that was read already.
+    /// A page that the caller has parsed already.
     Listed(ListPage),
-    /// The list refused for its rate limit.
+    /// The list refused the request because of its rate limit.
     Limited {
-        /// How long the list wants no request, in milliseconds.
+        /// How long the list asks to wait before the next request, in milliseconds.
         wait_ms: u64,
     },
-    /// No page, and the reason.
+    /// The fetch failed. Contains the reason.
     Failed(String),
 }
--- a/crates/controller/src/leader_contact.rs
+++ b/crates/controller/src/leader_contact.rs
@@ -1,26 +1,28 @@
-//! Whether this node has contact with a leader, for the client that forwards requests from it.
+//! This node's contact with the leader, for the client that forwards requests from this node.
 
 use postbarrow_constants::consensus::HEARTBEAT_MS;
 use std::net::SocketAddr;
 
-/// What a node knows of the leader.
+/// What this node knows about the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Contact {
-    /// No member: it learns of no leader from the log, while any member may know one.
+    /// The node is no member: the log doesn't tell it the leader, but any member may know it.
     Outside,
-    /// The leader's address, from a recent contact. It may be this node, while its lease lasts.
+    /// Address of the leader, from a recent contact. The leader may be this node, while its lease
+    /// lasts.
     Leader(SocketAddr),
-    /// A member without contact to a leader.
+    /// The node is a member without contact to a leader.
     Silent {
-        /// When the last contact was, by this node's clock, in milliseconds.
+        /// Time of the last contact by this node's clock, in milliseconds.
         since_ms: u64,
     },
 }
 
-/// When this node last had contact with a leader.
+/// Tracks when this node last had contact with a leader.
 pub(crate) struct LeaderContact {
     last_tick_ms: u64,
-    /// This node itself included, while it has the lease.
+    /// Time of the last contact with a leader. While this node has the leader's lease, it counts as
+    /// in contact with itself.
     last_contact_ms: u64,
 }
 
@@ -48,8 +50,9 @@
         self.last_contact_ms = self.last_contact_ms.max(contact_ms);
     }
 
-    /// Time in which this node itself was suspended does not count: what it was sent meanwhile may
-    /// be the next thing it reads.
+    /// Excludes the time in which this node itself was suspended from the time without contact:
+    /// messages that were sent to it meanwhile may be the next that it reads. `gap_ms` is the time
+    /// since the last tick.
     pub fn on_no_contact(&mut self, now_ms: u64, gap_ms: u64) {
         if gap_ms > HEARTBEAT_MS {
             self.last_contact_ms = (self.last_contact_ms + gap_ms).min(now_ms);
--- a/crates/controller/src/leader_settings.rs
+++ b/crates/controller/src/leader_settings.rs
@@ -1,13 +1,13 @@
-//! Settings that a leader reads.
+//! Settings of the leader's work.
 
 use postbarrow_constants::coordination::HISTORY_RETENTION_MS;
 use postbarrow_constants::nodes::LIST_GAP_MS;
 
-/// What a deployment sets for the leader's work, in milliseconds.
+/// The deployment's settings of the leader's work, in milliseconds.
 pub(crate) struct LeaderSettings {
-    /// The smallest gap between two requests for pages of the endpoint list.
+    /// Minimum time between two requests for pages of the endpoint list.
     pub list_gap_ms: u64,
-    /// How long events are retained.
+    /// How long events of locks, numbers and keys are retained.
     pub history_ms: u64,
 }
 
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,29 +1,32 @@
-//! A control-plane node without I/O: a member of the log, and its single writer while it leads.
+//! A control-plane node without I/O: a member of the replicated log, and the log's single writer
+//! while it is the leader.
 //!
 //! # Use
 //!
-//! [`ControlNode::handle`] takes one [`Input`] and the time, and returns [`Effect`]s to be carried
-//! out in their order. The node reads no clock, opens no file and draws no random number beyond its
-//! seed, so the same inputs give the same effects: the simulator and the process run the same code.
+//! [`ControlNode::handle`] takes one [`Input`] and the time, and returns [`Effect`]s that the
+//! caller carries out in their order. The node reads no clock, opens no file, and draws random
+//! numbers only from its seed, so the same inputs give the same effects: the simulator and the
+//! process run the same code.
 //!
-//! # Where to look
+//! # Files
 //!
-//! | question | file |
+//! | concern | file |
 //! | --- | --- |
-//! | where is a request accepted, redirected or made to wait? | `control_node/requests.rs` |
-//! | where is a submission checked? | `submission_check.rs` |
-//! | where is a plan committed, or aborted? | `control_node/plan_commit.rs`, `plan_abort.rs` |
-//! | where is a lease granted to a data node? | `control_node/node_lease.rs` |
-//! | where does a data node expire? | `control_node/node_expiry.rs` |
-//! | where does a lock expire? | `control_node/lock_expiry.rs` |
-//! | where is a call decided? | `call_check.rs`, `call_decision.rs` |
-//! | where is the endpoint list read? | `endpoint_list/` |
-//! | where are old records removed? | `control_node/retention.rs` |
-//! | what does only the leader have? | `leader_state.rs`, one owner a file beside it |
+//! | requests that are accepted, redirected or queued | `control_node/requests.rs` |
+//! | the check of a submitted plan | `submission_check.rs` |
+//! | the commit or abort of a plan | `control_node/plan_commit.rs`, `plan_abort.rs` |
+//! | leases of data nodes | `control_node/node_lease.rs` |
+//! | expiry of data nodes | `control_node/node_expiry.rs` |
+//! | expiry of locks | `control_node/lock_expiry.rs` |
+//! | validation and outcomes of calls | `call_check.rs`, `call_decision.rs` |
+//! | the endpoint list | `endpoint_list/` |
+//! | removal of old records | `control_node/retention.rs` |
+//! | state that only the leader has | `leader_state.rs`, one file per part in `leader_state/` |
 //!
-//! Files in `control_node/` react to inputs; all others hold state or decide, and know nothing of
-//! the node. A commit is final in this term only: until then the leader works on the optimistic
-//! state of its [`postbarrow_transactions::Writer`], which is lost with the term.
+//! Files in `control_node/` handle inputs. All others hold state or make decisions, and don't
+//! depend on the node. A change is final only once it is committed in the leader's term. Until
+//! then the leader works on the optimistic state of its [`postbarrow_transactions::Writer`], which
+//! includes entries that are not committed yet and is discarded when the term ends.
 
 #![deny(missing_docs)]
 
--- a/crates/controller/src/peer_directory.rs
+++ b/crates/controller/src/peer_directory.rs
@@ -1,4 +1,5 @@
-//! The control nodes that this node knows of before a log names its members.
+//! The control nodes that this node knows independently of the log's list of members: from its
+//! settings, introductions and announcements.
 
 use postbarrow_consensus::{Member, MemberId};
 use postbarrow_constants::consensus::{
@@ -8,30 +9,37 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// A control node without a log that announced itself.
+/// An uninitialized control node that announced itself to this node.
 pub(crate) struct DiscoveredPeer {
     pub member: Member,
-    /// Whom it had discovered itself.
+    /// Ids of the uninitialized nodes that the peer had discovered, including itself.
     pub known_peers: BTreeSet<MemberId>,
+    /// When the peer's last announcement arrived.
     pub at_ms: u64,
 }
 
-/// Addresses that may lead to other control nodes; they are trusted with nothing more.
+/// Addresses and announcements of other control nodes. The addresses are only hints where control
+/// nodes may be found; nothing else depends on their being right.
 pub(crate) struct PeerDirectory {
     own: SocketAddr,
+    /// Addresses to contact in search of other control nodes, without this node's own.
     addresses: BTreeSet<SocketAddr>,
-    /// The seeds of the settings as they are now.
+    /// Seed addresses in the current settings.
     seeds: Vec<SocketAddr>,
     discovered: BTreeMap<MemberId, DiscoveredPeer>,
+    /// Whether a log is known to exist, so that this node must not bootstrap another.
     is_log_known: bool,
-    /// Without a lasting disk: only finds the others and forwards requests.
+    /// Whether this node has no durable disk: it is never a member, and only finds other control
+    /// nodes and forwards requests to them.
     is_observer: bool,
-    /// Addresses of those that bootstrap the log together; none: any three empty disks may.
+    /// Addresses of the nodes that bootstrap the log together; `None` if any three nodes with
+    /// uninitialized disks may.
     founders: Option<BTreeSet<SocketAddr>>,
+    /// When this node next announces itself.
     announcement_due_ms: u64,
-    /// When this member next names the members to its seeds.
+    /// When this node, as a member, next sends the list of members to its seeds.
     introduction_due_ms: u64,
-    /// When a leader was last known.
+    /// When this node last knew a leader.
     leader_known_ms: u64,
 }
 
@@ -96,7 +104,7 @@
         self.leader_known_ms = now_ms;
     }
 
-    /// Without a leader for longer than elections take.
+    /// Returns whether no leader has been known for longer than elections take.
     pub fn is_leaderless(&self, now_ms: u64) -> bool {
         now_ms > self.leader_known_ms + 3 * ELECTION_MIN_MS
     }
@@ -109,7 +117,8 @@
         self.announcement_due_ms = now_ms + DISCOVERY_MS;
     }
 
-    /// Whether the members are to be named to the seeds; true once in each interval.
+    /// Returns whether the list of members is to be sent to the seeds now, and schedules the next
+    /// time if so.
     pub fn take_due_introduction(&mut self, now_ms: u64) -> bool {
         let is_due = now_ms >= self.introduction_due_ms;
         if is_due {
@@ -122,22 +131,23 @@
         self.discovered.insert(peer.member.id, peer);
     }
 
-    /// Drops the peers that have not announced themselves for long.
+    /// Removes the peers that have not announced themselves for `DISCOVERED_RETENTION_MS`.
     pub fn expire(&mut self, now_ms: u64) {
         self.discovered.retain(|_, peer| now_ms < peer.at_ms + DISCOVERED_RETENTION_MS);
     }
 
-    /// This node and all that it has discovered.
+    /// Returns the ids of this node and of all peers that it has discovered.
     pub fn known_peers(&self, own: MemberId) -> BTreeSet<MemberId> {
         self.discovered.keys().copied().chain([own]).collect()
     }
 
-    /// The members of a new log, in their order, if this node is to bootstrap it: the one with the
-    /// lowest id does, once all founders discovered each other and nobody reached knows of a log.
-    /// Without founders, any three empty disks that discovered the same three are.
+    /// Returns the sorted members of a new log if this node is to bootstrap it. The founder with
+    /// the lowest id does so once all founders have discovered each other and none of the nodes
+    /// reached knows of a log. Without configured founders, any three uninitialized nodes that have
+    /// discovered exactly these three are the founders.
     pub fn bootstrap_members(&self, own: Member) -> Option<Vec<Member>> {
         let peers = self.discovered.values();
-        let (ids, wanted): (BTreeSet<MemberId>, usize) = match &self.founders {
+        let (ids, required_count): (BTreeSet<MemberId>, usize) = match &self.founders {
             None => (self.known_peers(own.id), VOTERS),
             Some(founders) if !founders.contains(&own.address) => return None,
             Some(founders) => {
@@ -147,12 +157,12 @@
             }
         };
         let mut others = peers.clone().filter(|peer| ids.contains(&peer.member.id));
-        let agree = match self.founders {
+        let all_agree = match self.founders {
             None => others.all(|peer| peer.known_peers == ids),
             Some(_) => others.all(|peer| peer.known_peers.is_superset(&ids)),
         };
-        let is_lowest = ids.first() == Some(&own.id);
-        if self.is_log_known || ids.len() != wanted || !agree || !is_lowest {
+        let has_lowest_id = ids.first() == Some(&own.id);
+        if self.is_log_known || ids.len() != required_count || !all_agree || !has_lowest_id {
             return None;
         }
         let members = peers.map(|peer| peer.member).filter(|member| ids.contains(&member.id));
--- a/crates/controller/src/routing_updates.rs
+++ b/crates/controller/src/routing_updates.rs
@@ -1,4 +1,4 @@
-//! What data nodes get of the log: routing updates, or an image where they are too far behind.
+//! Sends data nodes the routing updates of the log, or an image if they are too far behind.
 
 use postbarrow_membership::{Delivery, Relay, UpdateEntry};
 use postbarrow_messages::{EncodedImage, Message};
@@ -6,15 +6,15 @@
 use postbarrow_transactions::{BatchRecord, encode};
 use std::net::SocketAddr;
 
-/// The newest routing updates, those who subscribe to them, and the newest image.
+/// The newest routing updates, their subscribers, and the newest encoded image.
 #[derive(Default)]
 pub(crate) struct RoutingUpdates {
-    /// Log offset of the last update.
+    /// Log offset of the last routing update.
     update_offset: u64,
-    /// Log offset of the last update outside an open transaction: that of the image.
+    /// Log offset of the image: that of the last update outside an open transaction.
     image_offset: u64,
     relay: Relay,
-    encoded: EncodedImage,
+    encoded_image: EncodedImage,
 }
 
 impl RoutingUpdates {
@@ -26,23 +26,24 @@
         self.image_offset
     }
 
+    /// Returns the number of images that were encoded so far.
     pub fn images_encoded(&self) -> u64 {
-        self.encoded.encodings()
+        self.encoded_image.encodings()
     }
 
-    /// Starts again from a snapshot whose last update has this offset.
+    /// Restarts from a snapshot whose last update has this log offset.
     pub fn restore(&mut self, update_offset: u64) {
         self.update_offset = update_offset;
         self.image_offset = update_offset;
         self.clear();
     }
 
-    /// Drops updates and subscriptions: another leads.
+    /// Drops updates and subscriptions, because another node is the leader.
     pub fn clear(&mut self) {
         self.relay.clear();
     }
 
-    /// Takes from a committed batch what data nodes need.
+    /// Retains those records of a committed batch that data nodes need.
     pub fn on_batch(
         &mut self,
         offset: u64,
@@ -65,10 +66,11 @@
         self.relay.on_tail(now_ms, from, after);
     }
 
-    /// What the subscribers lack, given the committed state.
+    /// Returns the messages that bring the subscribers up to date with the committed state, each
+    /// with the subscriber's address.
     pub fn messages(&mut self, now_ms: u64, committed: &State) -> Vec<(SocketAddr, Message)> {
         let offset = self.image_offset;
-        self.encoded.forget_before(offset);
+        self.encoded_image.forget_before(offset);
         let deliveries = self.relay.deliver(now_ms, self.update_offset, offset);
         let mut messages = Vec::with_capacity(deliveries.len());
         for delivery in deliveries {
@@ -77,7 +79,7 @@
                     messages.push((to, Message::Updates { entries }));
                 }
                 Delivery::Image { to } => {
-                    let frame = self.encoded.frame(offset, || committed.routing_view());
+                    let frame = self.encoded_image.frame(offset, || committed.routing_view());
                     messages.push((to, Message::Image(frame)));
                     self.relay.on_image_sent(now_ms, to, offset);
                 }
@@ -87,6 +89,7 @@
     }
 }
 
+/// Returns whether data nodes need the record: a routing update, or a marker of a transaction.
 fn is_update(record: &BatchRecord<Record>) -> bool {
     match record {
         BatchRecord::Data(record) => record.is_routing_update(),
--- a/crates/controller/src/snapshot.rs
+++ b/crates/controller/src/snapshot.rs
@@ -1,43 +1,44 @@
-//! The content of a snapshot, and a snapshot that waits to be encoded.
+//! The content of snapshots, and snapshots that are still to be encoded.
 
 use postbarrow_consensus::Snapshot;
 use postbarrow_state::State;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What a slot stores: MessagePack, fields by position.
+/// The content of a snapshot as a slot stores it: MessagePack, fields by position.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct SnapshotContent {
     pub state: Arc<State>,
-    /// Log offset of the last routing update within the state.
+    /// Log offset of the last routing update that the state includes.
     pub update_offset: u64,
 }
 
 impl SnapshotContent {
-    /// The content of a recovered or received snapshot.
+    /// Decodes a recovered or received snapshot. One without bytes gives an empty state.
     ///
     /// # Panics
-    /// On bytes that are no snapshot: their checksums were right, so they are of another format.
+    /// Panics if the bytes can't be decoded. Their checksums were right, so they have another
+    /// format.
     pub fn decode(snapshot: &Snapshot) -> Self {
         if snapshot.state.is_empty() {
             return SnapshotContent::default();
         }
         rmp_serde::from_slice(&snapshot.state)
-            .unwrap_or_else(|error| panic!("snapshot {}: {error}", snapshot.index))
+            .unwrap_or_else(|error| panic!("can't decode snapshot {}: {error}", snapshot.index))
     }
 }
 
-/// A committed state taken out to be encoded beside the control loop.
+/// A committed state that is to be encoded outside the control loop.
 #[derive(Debug)]
 pub struct PendingSnapshot {
-    /// The log index up to which the state holds every entry.
+    /// Log index of the last entry that the state includes.
     pub index: u64,
     pub(crate) content: SnapshotContent,
 }
 
 impl PendingSnapshot {
-    /// The bytes for `Input::Encoded`.
+    /// Returns the encoded state for `Input::Encoded`.
     pub fn encode(&self) -> Vec<u8> {
-        rmp_serde::to_vec(&self.content).expect("a state encodes into memory")
+        rmp_serde::to_vec(&self.content).expect("encoding a state into memory succeeds")
     }
 }
--- a/crates/controller/src/snapshot_schedule.rs
+++ b/crates/controller/src/snapshot_schedule.rs
@@ -1,26 +1,27 @@
-//! When the next snapshot is due.
+//! Decides when the next snapshot is due.
 
 use postbarrow_consensus::MemberId;
 use postbarrow_constants::consensus::{LOG_BYTES, LOG_SPREAD, SNAPSHOT_ENCODE_MAX_MS};
 
-/// Counts the log since the last snapshot, and whether one is being encoded.
+/// Counts the bytes of log since the last snapshot, and tracks whether a snapshot is being encoded.
 pub(crate) struct SnapshotSchedule {
-    /// Bytes of log after the last snapshot.
+    /// Bytes of log since the last snapshot.
     log_bytes: u64,
-    /// So many bytes make the next snapshot due.
+    /// Bytes of log that make the next snapshot due.
     bound_bytes: u64,
+    /// When the encoding in progress started; `None` if there is none.
     encoding_since_ms: Option<u64>,
 }
 
 impl SnapshotSchedule {
-    /// For a member that read so many bytes of log at its start.
+    /// Creates the schedule of a member that read `log_bytes` bytes of log at its start.
     pub fn new(own: MemberId, log_bytes: u64) -> Self {
-        let bound_bytes = spread(own, LOG_BYTES);
+        let bound_bytes = spread_bound(own, LOG_BYTES);
         SnapshotSchedule { log_bytes, bound_bytes, encoding_since_ms: None }
     }
 
     pub fn set_spread_bound(&mut self, own: MemberId, bound_bytes: u64) {
-        self.bound_bytes = spread(own, bound_bytes);
+        self.bound_bytes = spread_bound(own, bound_bytes);
     }
 
     pub fn set_bound(&mut self, bound_bytes: u64) {
@@ -35,7 +36,8 @@
         self.log_bytes += size_bytes;
     }
 
-    /// Enough log, and no encoding that may still end.
+    /// Returns whether there is enough log and no encoding in progress. An encoding without a
+    /// result for `SNAPSHOT_ENCODE_MAX_MS` counts as ended.
     pub fn is_due(&self, now_ms: u64) -> bool {
         let is_encoding =
             self.encoding_since_ms.is_some_and(|ms| now_ms < ms + SNAPSHOT_ENCODE_MAX_MS);
@@ -51,7 +53,8 @@
     }
 }
 
-/// The bound differs among members, so that they don't all write a slot at once.
-fn spread(own: MemberId, bound_bytes: u64) -> u64 {
+/// Returns a bound that differs among members, so that they don't all write a slot at the same
+/// time.
+fn spread_bound(own: MemberId, bound_bytes: u64) -> u64 {
     bound_bytes + own % LOG_SPREAD * (bound_bytes / LOG_SPREAD)
 }
