--- a/crates/messages/tests/golden_bytes.rs
+++ b/crates/messages/tests/golden_bytes.rs
@@ -50,7 +50,7 @@
 }
 
 /// Wraps each inner value in the variant of this name.
-fn within<I: AsRef<str>, T, U>(
+fn wrapped_in<I: AsRef<str>, T, U>(
     name: &str,
     inner: Vec<(I, T)>,
     wrap: impl Fn(T) -> U,
@@ -77,7 +77,7 @@
         ("Recent", Request::RequestSamples),
     ]);
     let call = |call| Request::Call { id: Some(name("call-1")), call };
-    requests.extend(within("Call", state_values::calls(), call));
+    requests.extend(wrapped_in("Call", state_values::calls(), call));
     requests
 }
 
@@ -99,7 +99,7 @@
         ("TimedOut", Response::TimedOut),
         ("Unavailable", Response::Unavailable),
     ]);
-    responses.extend(within("Outcome", state_values::outcomes(), Response::Outcome));
+    responses.extend(wrapped_in("Outcome", state_values::outcomes(), Response::Outcome));
     responses
 }
 
@@ -152,13 +152,13 @@
         ("Beat", Message::Heartbeat { node: 5 }),
     ]);
     let consensus = |message| Message::Consensus { from: member(1), to: 2, message };
-    messages.extend(within("Consensus", consensus_values::messages(), consensus));
-    let granted = |response| Message::LeaseResponse { number: 17, response };
-    messages.extend(within("FreshResponse", lease_responses(), granted));
+    messages.extend(wrapped_in("Consensus", consensus_values::messages(), consensus));
+    let lease_response = |response| Message::LeaseResponse { number: 17, response };
+    messages.extend(wrapped_in("FreshResponse", lease_responses(), lease_response));
     let request = |request| Message::Request { key: 21, request };
-    messages.extend(within("Ask", requests(), request));
-    let responded = |response| Message::Response { key: 22, response };
-    messages.extend(within("Response", responses(), responded));
+    messages.extend(wrapped_in("Ask", requests(), request));
+    let response_message = |response| Message::Response { key: 22, response };
+    messages.extend(wrapped_in("Response", responses(), response_message));
     messages
 }
 
