--- a/crates/controller/src/endpoint_list/poller.rs
+++ b/crates/controller/src/endpoint_list/poller.rs
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Returns when the last complete scan ended; `None` if none has ended since this node gained
-    /// the leader's lease.
+    /// Returns when the last complete scan without unconfirmed targets ended, here or by the former
+    /// leader's handover; `None` if none is known since this node gained the leader's lease.
     pub fn completed_ms(&self) -> Option<u64> {
         self.scan.completed_ms()
     }
--- a/crates/controller/src/endpoint_list/scan.rs
+++ b/crates/controller/src/endpoint_list/scan.rs
@@ -45,8 +45,8 @@
     fetches_ahead: bool,
     /// Number of failed pages of the current scan.
     failures: u32,
-    /// When the last complete scan without unconfirmed targets ended; `None` if none has ended
-    /// since this node gained the leader's lease.
+    /// When the last complete scan without unconfirmed targets ended, here or by the former
+    /// leader's handover; `None` if none is known since this node gained the leader's lease.
     completed_ms: Option<u64>,
     poll_rate: PollRate,
     absences: AbsenceTracker,
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Returns when the last complete scan without unconfirmed targets ended; `None` if none has
-    /// ended since this node gained the leader's lease.
+    /// Returns when the last complete scan without unconfirmed targets ended, here or by the former
+    /// leader's handover; `None` if none is known since this node gained the leader's lease.
     pub fn completed_ms(&self) -> Option<u64> {
         self.completed_ms
     }
--- a/crates/controller/src/peer_directory.rs
+++ b/crates/controller/src/peer_directory.rs
@@ -18,10 +18,10 @@
     pub at_ms: u64,
 }
 
-/// Addresses and announcements of other control nodes. The addresses are only hints where control
-/// nodes may be found; nothing else depends on their being right.
+/// Addresses and announcements of other control nodes. The addresses serve only to find
+/// other control nodes, and are not trusted otherwise.
 pub(crate) struct PeerDirectory {
-    own: SocketAddr,
+    own_address: SocketAddr,
     /// Addresses to contact in search of other control nodes, without this node's own.
     addresses: BTreeSet<SocketAddr>,
     /// Seed addresses in the current settings.
@@ -44,10 +44,10 @@
 }
 
 impl PeerDirectory {
-    pub fn new(seeds: &[SocketAddr], own: SocketAddr) -> Self {
-        let addresses = seeds.iter().copied().filter(|seed| *seed != own).collect();
+    pub fn new(seeds: &[SocketAddr], own_address: SocketAddr) -> Self {
+        let addresses = seeds.iter().copied().filter(|seed| *seed != own_address).collect();
         PeerDirectory {
-            own,
+            own_address,
             addresses,
             seeds: seeds.to_vec(),
             discovered: BTreeMap::new(),
@@ -95,7 +95,7 @@
     }
 
     pub fn add(&mut self, address: SocketAddr) {
-        if address != self.own && self.addresses.len() < INTRODUCTIONS {
+        if address != self.own_address && self.addresses.len() < INTRODUCTIONS {
             self.addresses.insert(address);
         }
     }
