--- a/crates/messages/src/message.rs
+++ b/crates/messages/src/message.rs
@@ -134,7 +134,7 @@
 /// The response to a `LeaseRequest`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum LeaseResponse {
-    /// The lease is renewed.
+    /// The lease is granted or renewed.
     Granted {
         /// Raft term of the leader that granted the lease.
         term: u64,
@@ -143,7 +143,8 @@
         /// Addresses of the members of the log.
         members: Vec<SocketAddr>,
     },
-    /// The receiver is not the controller.
+    /// The receiver can't grant the lease: it is not the controller, or it is but has not completed
+    /// its first scan of the endpoint list yet.
     NotController {
         /// Address of the controller; `None` if the receiver doesn't know it.
         controller: Option<SocketAddr>,
