--- a/crates/downstream/src/body.rs
+++ b/crates/downstream/src/body.rs
@@ -1,25 +1,27 @@
-//! Bodies of requests, read completely within bounds (RFC 9112, sections 6 and 7.1).
+//! Reads request bodies completely, within size, memory and time limits (RFC 9112, sections 6 and
+//! 7.1).
 
 use crate::connection::Connection;
 use crate::head::Length;
-use crate::memory_budget::{MemoryBudget, Reserved};
+use crate::memory_budget::{MemoryBudget, Reservation};
 use crate::reject::BAD_CHUNK;
-pub use crate::reject::{CLIENT_DEPARTED, FULL, Reject, TOO_LARGE};
+pub use crate::reject::{CLIENT_DEPARTED, OUT_OF_MEMORY, Reject, TOO_LARGE};
 use postbarrow_constants::traffic::CHUNK_LINE_BYTES;
 use std::sync::Arc;
 
-/// A complete body, with the memory that it reserves until it is dropped.
+/// A complete request body; its memory reservation is released when it is dropped.
 pub struct Body {
-    /// The content, without the framing of chunks.
+    /// The content, with any chunk framing removed.
     pub bytes: Vec<u8>,
-    _reserved: Reserved,
+    _reservation: Reservation,
 }
 
-/// Reads the complete body, within `max_bytes` of its route and the node's memory, until a moment of
-/// the boot-time clock. A body that ends early is an error, never a shorter body.
+/// Reads the complete body of a request. The body may have at most `max_bytes`, must fit into the
+/// memory budget, and must be complete by `deadline_ms` of the boot-time clock. A body that ends
+/// early is an error; it is never returned as a shorter body.
 ///
 /// # Errors
-/// How to reject the request, or `CLIENT_DEPARTED`.
+/// Returns the status and reason to reject the request with, or `CLIENT_DEPARTED`.
 pub fn read(
     connection: &mut Connection,
     length: Length,
@@ -27,32 +29,33 @@
     memory: &Arc<MemoryBudget>,
     deadline_ms: u64,
 ) -> Result<Body, Reject> {
-    let reserved = memory.reserve(0).ok_or(FULL)?;
-    let mut reader = BodyReader { connection, max_bytes, reserved, bytes: Vec::new(), deadline_ms };
+    let reservation = memory.reserve(0).ok_or(OUT_OF_MEMORY)?;
+    let mut reader =
+        BodyReader { connection, max_bytes, reservation, bytes: Vec::new(), deadline_ms };
     match length {
         Length::None => {}
         Length::Sized(size_bytes) => reader.read_bytes(size_bytes)?,
         Length::Chunked => reader.read_chunks()?,
     }
-    Ok(Body { bytes: reader.bytes, _reserved: reader.reserved })
+    Ok(Body { bytes: reader.bytes, _reservation: reader.reservation })
 }
 
 struct BodyReader<'c> {
     connection: &'c mut Connection,
     max_bytes: u64,
-    reserved: Reserved,
+    reservation: Reservation,
     bytes: Vec<u8>,
     deadline_ms: u64,
 }
 
 impl BodyReader<'_> {
-    /// Appends so many bytes of content.
+    /// Reads `size_bytes` bytes of content and appends them to the body.
     fn read_bytes(&mut self, size_bytes: u64) -> Result<(), Reject> {
         if size_bytes > self.max_bytes.saturating_sub(self.bytes.len() as u64) {
             return Err(TOO_LARGE);
         }
-        if !self.reserved.grow(size_bytes) {
-            return Err(FULL);
+        if !self.reservation.grow(size_bytes) {
+            return Err(OUT_OF_MEMORY);
         }
         self.connection.read_exact(size_bytes as usize, &mut self.bytes, self.deadline_ms)
     }
@@ -88,7 +91,7 @@
         }
     }
 
-    /// Trailer fields are dropped, as RFC 9112, 7.1.2 permits.
+    /// Reads and discards the trailer fields, as RFC 9112, 7.1.2 permits.
     fn skip_trailers(&mut self) -> Result<(), Reject> {
         let mut skipped_bytes = 0;
         loop {
--- a/crates/downstream/src/client_watch.rs
+++ b/crates/downstream/src/client_watch.rs
@@ -1,4 +1,4 @@
-//! Whether the client of a request still waits for its response.
+//! Detects that the client of a request has departed while the request is being processed.
 
 use postbarrow_constants::traffic::CLIENT_CLOSED_CHECK_MS;
 use postbarrow_transport::{Interest, Readiness, clock_ms, poll};
@@ -7,45 +7,46 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::Duration;
 
-/// Observes whether the client of one request has departed: it closed its side of the connection, or
-/// the connection broke. A client that closes only its sending side counts as departed as well,
-/// since nothing on the wire distinguishes the two before bytes are sent to it.
+/// Observes whether the client of one request has departed, that is, has closed its side of the
+/// connection or lost the connection. A client that closes only its sending side counts as departed
+/// as well, since nothing on the wire distinguishes the two cases before bytes are sent to it.
 #[derive(Debug)]
 pub struct ClientWatch<'a> {
-    /// None: there is no client that could depart.
+    /// The client's connection; `None` for work that has no client.
     stream: Option<&'a TcpStream>,
     departed: Cell<bool>,
-    /// Bytes of the client's next request are unread, so that readability has no more to say.
+    /// Whether bytes of the client's next request are unread. The socket then stays readable, so
+    /// that readability no longer indicates an end of file.
     has_unread: Cell<bool>,
 }
 
-/// What ended a wait.
+/// The result of waiting for a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitOutcome {
-    /// The other socket is ready.
+    /// The socket that was waited for is ready.
     Ready,
-    /// The client has departed, whether or not the socket is ready as well.
+    /// The client has departed; the socket that was waited for may be ready as well.
     ClientDeparted,
-    /// The deadline has passed.
+    /// The deadline passed before the socket was ready.
     TimedOut,
 }
 
-/// Why nothing was received on a channel.
+/// The reason why no message was received from a channel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReceiveError {
-    /// The client departed meanwhile.
-    #[error("the client departed")]
+    /// The client departed before a message was received.
+    #[error("the client departed before a message was received")]
     ClientDeparted,
-    /// The deadline has passed.
-    #[error("the deadline has passed")]
+    /// The deadline passed before a message was received.
+    #[error("no message was received before the deadline")]
     TimedOut,
-    /// All senders are gone.
-    #[error("all senders are gone")]
+    /// All senders of the channel were dropped.
+    #[error("all senders of the channel were dropped")]
     Disconnected,
 }
 
 impl<'a> ClientWatch<'a> {
-    /// Watches the connection that the request was received on.
+    /// Returns a watch of the connection that the request was received on.
     pub fn new(stream: &'a TcpStream) -> ClientWatch<'a> {
         ClientWatch {
             stream: Some(stream),
@@ -54,17 +55,18 @@
         }
     }
 
-    /// For work that no client's departure ends.
+    /// Returns a watch without a client, for work that no client's departure may cancel; it never
+    /// reports a departure.
     pub fn nobody() -> ClientWatch<'static> {
         ClientWatch { stream: None, departed: Cell::new(false), has_unread: Cell::new(false) }
     }
 
-    /// Whether an earlier check observed the departure.
+    /// Returns whether an earlier check observed the departure; does not check again.
     pub fn is_known_departed(&self) -> bool {
         self.departed.get()
     }
 
-    /// Checks whether the client has departed by now.
+    /// Checks the connection now and returns whether the client has departed.
     pub fn has_departed(&self) -> bool {
         if let Some(stream) = self.stream.filter(|_| !self.departed.get()) {
             let found = poll([(stream, self.interest())], 0);
@@ -74,10 +76,11 @@
         self.departed.get()
     }
 
-    /// Waits for another socket until a moment of the boot-time clock, or until the client departs.
+    /// Waits until the socket `other` is ready, `until_ms` of the boot-time clock has passed, or
+    /// the client departs.
     ///
     /// # Errors
-    /// The system refuses to wait.
+    /// Returns the error of poll(2).
     pub fn wait_for(
         &self,
         other: &TcpStream,
@@ -110,11 +113,11 @@
         }
     }
 
-    /// Waits for a message of another thread until a moment of the boot-time clock, or until a check,
-    /// one every `CLIENT_CLOSED_CHECK_MS`, observes the client's departure.
+    /// Waits for a message from another thread until `until_ms` of the boot-time clock. Checks
+    /// every `CLIENT_CLOSED_CHECK_MS` whether the client has departed, and returns early if so.
     ///
     /// # Errors
-    /// Why no message was received.
+    /// Returns the reason why no message was received.
     pub fn receive<T>(&self, messages: &Receiver<T>, until_ms: u64) -> Result<T, ReceiveError> {
         loop {
             let remaining_ms = until_ms.saturating_sub(clock_ms());
@@ -137,12 +140,15 @@
         }
     }
 
-    /// Includes readability until there are unread bytes: a system that does not report a hangup by
-    /// itself reports an end of file that can be read.
+    /// Returns what to poll the client's socket for. Polls for readability until there are unread
+    /// bytes, because a system that does not report a hangup reports a readable end of file
+    /// instead.
     fn interest(&self) -> Interest {
         if self.has_unread.get() { Interest::Hangup } else { Interest::Read }
     }
 
+    /// Returns whether the client closed its side or lost the connection, by the result of a poll
+    /// and, if the socket is readable, by a peek.
     fn is_hung_up(&self, stream: &TcpStream, client: Readiness) -> bool {
         if client.is_hung_up() {
             return true;
--- a/crates/downstream/src/client_watch/tests.rs
+++ b/crates/downstream/src/client_watch/tests.rs
@@ -4,23 +4,24 @@
 use std::io::Write;
 use std::net::{Shutdown, TcpListener};
 
-/// Far longer than any event here takes; reached only if a wait hangs.
-const HANG_MS: u64 = 60_000;
+/// Timeout in milliseconds, far longer than any event in these tests takes; only a wait that hangs
+/// reaches it.
+const HANG_TIMEOUT_MS: u64 = 60_000;
 
-fn pair() -> (TcpStream, TcpStream) {
+fn connected_pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let near = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (far, _) = listener.accept().unwrap();
     (near, far)
 }
 
-fn reset(stream: TcpStream) {
+fn reset_connection(stream: TcpStream) {
     socket2::SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO)).unwrap();
 }
 
 #[test]
-fn a_waiting_client_has_not_departed() {
-    let (near, _client) = pair();
+fn an_open_connection_is_not_a_departure() {
+    let (near, _client) = connected_pair();
     let watch = ClientWatch::new(&near);
     assert!(!watch.has_departed() && !watch.is_known_departed());
 }
@@ -28,9 +29,9 @@
 #[test]
 fn a_close_a_half_close_and_a_reset_are_departures() {
     let closes: [fn(TcpStream); 3] =
-        [drop, |client| client.shutdown(Shutdown::Write).unwrap(), reset];
+        [drop, |client| client.shutdown(Shutdown::Write).unwrap(), reset_connection];
     for close in closes {
-        let (near, client) = pair();
+        let (near, client) = connected_pair();
         let watch = ClientWatch::new(&near);
         close(client);
         assert!(watch.has_departed());
@@ -40,11 +41,11 @@
 
 #[test]
 fn a_close_behind_unread_bytes_is_a_departure() {
-    let (near, mut client) = pair();
+    let (near, mut client) = connected_pair();
     let watch = ClientWatch::new(&near);
     client.write_all(b"GET /next HTTP/1.1\r\n\r\n").unwrap();
     while !watch.has_unread.get() {
-        assert!(!watch.has_departed(), "bytes are no hangup");
+        assert!(!watch.has_departed(), "unread bytes are not a hangup");
     }
     assert!(!watch.has_departed());
     drop(client);
@@ -52,26 +53,26 @@
 }
 
 #[test]
-fn bytes_of_a_next_request_do_not_end_a_wait() {
-    let (near, mut client) = pair();
-    let (other, mut far) = pair();
+fn bytes_of_the_next_request_do_not_end_a_wait() {
+    let (near, mut client) = connected_pair();
+    let (other, mut far) = connected_pair();
     client.write_all(b"GET /next HTTP/1.1\r\n\r\n").unwrap();
     let watch = ClientWatch::new(&near);
     let waited = watch.wait_for(&other, Interest::Read, clock_ms()).unwrap();
     assert_eq!(waited, WaitOutcome::TimedOut);
     far.write_all(b"a").unwrap();
-    let waited = watch.wait_for(&other, Interest::Read, clock_ms() + HANG_MS).unwrap();
+    let waited = watch.wait_for(&other, Interest::Read, clock_ms() + HANG_TIMEOUT_MS).unwrap();
     assert_eq!(waited, WaitOutcome::Ready);
 }
 
 #[test]
-fn a_departure_ends_a_wait_and_precedes_readiness() {
-    let (near, client) = pair();
-    let (other, mut far) = pair();
+fn a_departure_ends_a_wait_even_if_the_other_socket_is_ready() {
+    let (near, client) = connected_pair();
+    let (other, mut far) = connected_pair();
     far.write_all(b"a").unwrap();
     drop(client);
     let watch = ClientWatch::new(&near);
-    let until_ms = clock_ms() + HANG_MS;
+    let until_ms = clock_ms() + HANG_TIMEOUT_MS;
     assert_eq!(
         watch.wait_for(&other, Interest::Read, until_ms).unwrap(),
         WaitOutcome::ClientDeparted
@@ -79,22 +80,22 @@
 }
 
 #[test]
-fn nobody_never_departs() {
-    let (other, mut far) = pair();
+fn a_watch_without_a_client_never_reports_a_departure() {
+    let (other, mut far) = connected_pair();
     let watch = ClientWatch::nobody();
     assert!(!watch.has_departed());
     far.write_all(b"a").unwrap();
-    let until_ms = clock_ms() + HANG_MS;
+    let until_ms = clock_ms() + HANG_TIMEOUT_MS;
     assert_eq!(watch.wait_for(&other, Interest::Read, until_ms).unwrap(), WaitOutcome::Ready);
     assert!(!watch.has_departed());
 }
 
 #[test]
 fn a_message_is_received_and_a_departure_ends_the_wait_for_one() {
-    let (near, client) = pair();
+    let (near, client) = connected_pair();
     let watch = ClientWatch::new(&near);
     let (sender, messages) = std::sync::mpsc::channel();
-    let until_ms = clock_ms() + HANG_MS;
+    let until_ms = clock_ms() + HANG_TIMEOUT_MS;
     sender.send(7).unwrap();
     assert_eq!(watch.receive(&messages, until_ms), Ok(7));
     assert_eq!(watch.receive(&messages, clock_ms()), Err(ReceiveError::TimedOut));
--- a/crates/downstream/src/connection.rs
+++ b/crates/downstream/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client: its requests in, its responses out.
+//! One client connection: reads its requests and writes the responses.
 
 use crate::client_watch::ClientWatch;
 use crate::head::{self, Head};
@@ -11,22 +11,23 @@
 use std::net::{IpAddr, TcpStream};
 use std::time::Duration;
 
-/// One client connection, read with deadlines so that none occupies its thread for ever.
+/// One client connection. Reads have deadlines, so that no client occupies its thread forever.
 pub struct Connection {
     stream: TcpStream,
     buffer: Vec<u8>,
+    /// Number of bytes at the start of `buffer` that are already consumed.
     start: usize,
     client: IpAddr,
 }
 
-/// Bounds of reading a request's head.
+/// Limits for reading the head of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadLimits {
-    /// The largest head, in bytes.
+    /// Largest head, in bytes.
     pub head_bytes: usize,
-    /// From a head's first byte to its last, in milliseconds.
+    /// Longest time from the first byte of a head to its last, in milliseconds.
     pub head_wait_ms: u64,
-    /// Between two requests, in milliseconds.
+    /// Longest time that the connection may stay idle before a request, in milliseconds.
     pub idle_ms: u64,
 }
 
@@ -40,21 +41,22 @@
     }
 }
 
-/// What comes next on a connection.
+/// The next input on a client connection.
 pub enum NextRequest {
-    /// A request, whose body is not read yet.
+    /// The head of a request whose body is not read yet.
     Head(Head),
-    /// Something that is no request; the connection can't be used any longer.
+    /// The bytes are not a valid request, or arrived too late; the connection can't be reused.
     Reject(Reject),
-    /// No request follows: either side closed the connection.
+    /// No request follows: the client closed the connection, or the node closes it because it is
+    /// idle or the node stops.
     Closed,
 }
 
 impl Connection {
-    /// Prepares a connection that was just accepted.
+    /// Sets timeouts and options on a connection that was just accepted.
     ///
     /// # Errors
-    /// The socket refuses an option, or is closed already.
+    /// Returns the system's error if an option can't be set or the client has already disconnected.
     pub fn new(stream: TcpStream) -> std::io::Result<Self> {
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(Duration::from_millis(PEER_CLOSED_CHECK_MS)))?;
@@ -64,7 +66,8 @@
         Ok(Connection { stream, buffer: Vec::new(), start: 0, client })
     }
 
-    /// Waits for the next request; an idle connection is closed when the node stops.
+    /// Waits for the next request and reads its head. Returns [`NextRequest::Closed`] for an idle
+    /// connection once `stopping` returns true.
     pub fn next_request(&mut self, limits: ReadLimits, stopping: impl Fn() -> bool) -> NextRequest {
         let idle_until_ms = clock_ms() + limits.idle_ms;
         while self.buffered().is_empty() {
@@ -98,17 +101,17 @@
         }
     }
 
-    /// The client's address.
+    /// Returns the client's IP address, as accepted.
     pub fn client(&self) -> IpAddr {
         self.client
     }
 
-    /// The bytes that were read and not consumed yet.
+    /// Returns the bytes that were read but are not consumed yet.
     pub fn buffered(&self) -> &[u8] {
         &self.buffer[self.start..]
     }
 
-    /// Drops so many of the buffered bytes.
+    /// Removes the first `length` buffered bytes.
     pub fn consume(&mut self, length: usize) {
         self.start += length;
         if self.start == self.buffer.len() {
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Reads once: true if bytes arrived, false if none did within the read timeout.
+    /// Reads once. Returns true if bytes arrived, and false if none did within the read timeout.
     fn fill(&mut self) -> std::io::Result<bool> {
         let mut received = [0; READ_BYTES];
         match self.stream.read(&mut received) {
@@ -136,10 +139,10 @@
         }
     }
 
-    /// Reads at least one byte more, until a moment of the boot-time clock.
+    /// Reads at least one more byte, by `deadline_ms` of the boot-time clock.
     ///
     /// # Errors
-    /// The deadline has passed, or the client departed.
+    /// Fails if the deadline has passed or the client has departed.
     pub fn read_more(&mut self, deadline_ms: u64) -> Result<(), Reject> {
         loop {
             if clock_ms() >= deadline_ms {
@@ -153,10 +156,10 @@
         }
     }
 
-    /// Moves exactly so many bytes to the end of `into`, until a moment of the boot-time clock.
+    /// Appends exactly `length` bytes to `into`, by `deadline_ms` of the boot-time clock.
     ///
     /// # Errors
-    /// The deadline has passed, or the client departed.
+    /// Fails if the deadline has passed or the client has departed.
     pub fn read_exact(
         &mut self,
         length: usize,
@@ -176,24 +179,25 @@
         }
     }
 
-    /// Observes whether the client departs, without reading a byte.
+    /// Returns a watch that detects the client's departure without consuming bytes.
     pub fn watch(&self) -> ClientWatch<'_> {
         ClientWatch::new(&self.stream)
     }
 
-    /// Lets a client that waits for it send its body (RFC 9110, 10.1.1).
+    /// Sends `100 Continue` to a client that waits for it before it sends its body (RFC 9110,
+    /// 10.1.1).
     ///
     /// # Errors
-    /// The client departed.
+    /// Fails if the client has departed.
     pub fn send_continue(&mut self) -> std::io::Result<()> {
         self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
     }
 
-    /// Writes a complete response. Its length is always named, so a truncated one never looks
-    /// complete.
+    /// Writes a complete response. The length of the body is always stated, so that a truncated
+    /// response never looks complete.
     ///
     /// # Errors
-    /// The client departed, or reads its response too slowly.
+    /// Fails if the client has departed or reads the response too slowly.
     pub fn write(
         &mut self,
         response: &TargetResponse,
@@ -212,8 +216,8 @@
         self.stream.write_all(&bytes)
     }
 
-    /// Writes with a deadline for the response, so that a client that reads too slowly does not
-    /// occupy its memory.
+    /// Writes `bytes` in chunks with a deadline that grows with `body_bytes`, so that a client that
+    /// reads too slowly does not occupy the response's memory.
     fn write_chunks(&mut self, bytes: &[u8], body_bytes: usize) -> std::io::Result<()> {
         let until_ms =
             clock_ms() + DOWNSTREAM_WRITE_MS + body_bytes as u64 / DOWNSTREAM_BYTES_PER_MS;
@@ -226,8 +230,9 @@
         Ok(())
     }
 
-    /// Lets a client that still sends read its rejection: a close with unread bytes would reset the
-    /// connection (RFC 9112, 9.6).
+    /// Closes the sending side, then discards what the client still sends for a short time, so that
+    /// the client can read its rejection: a close with unread bytes would reset the connection
+    /// (RFC 9112, 9.6).
     pub fn linger(&mut self) {
         let _ = self.stream.shutdown(std::net::Shutdown::Write);
         let until_ms = clock_ms() + 2 * PEER_CLOSED_CHECK_MS;
--- a/crates/downstream/src/head.rs
+++ b/crates/downstream/src/head.rs
@@ -1,53 +1,55 @@
-//! Heads of requests (RFC 9112, sections 2 to 6).
+//! Parses request heads (RFC 9112, sections 2 to 6).
 
 pub use crate::reject::Reject;
 use postbarrow_constants::traffic::HEADERS;
 
-/// How the end of a request's body is known (RFC 9112, 6.3).
+/// The framing of a request body, which determines where the body ends (RFC 9112, 6.3).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Length {
-    /// There is no body.
+    /// The request has no body.
     None,
-    /// By its number of bytes, from Content-Length.
+    /// The body has this number of bytes, from Content-Length.
     Sized(u64),
-    /// By an empty chunk, with Transfer-Encoding.
+    /// The body ends with an empty chunk (`Transfer-Encoding: chunked`).
     Chunked,
 }
 
-/// The head of one request.
+/// The head of one request: the request line and the headers.
 #[derive(Clone, Debug)]
 pub struct Head {
-    /// The method as received; its case is not checked.
+    /// The method as received, without a check of its case.
     pub method: String,
-    /// Path and query as received.
+    /// The path and query as received.
     pub target: String,
-    /// Names and values in the order received.
+    /// The names and values of the headers, in the order received.
     pub headers: Vec<(String, String)>,
-    /// How its body ends.
+    /// The framing of the request's body.
     pub length: Length,
-    /// The connection is closed after its response.
+    /// Whether the connection is closed after the response to this request.
     pub close: bool,
-    /// The client waits for 100 Continue before it sends its body (RFC 9110, 10.1.1).
+    /// Whether the client waits for `100 Continue` before it sends the body (RFC 9110, 10.1.1).
     pub expects_continue: bool,
 }
 
 impl Head {
-    /// The target up to its query.
+    /// Returns the path: the request target up to the first question mark.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or("")
     }
 
-    /// What follows the first question mark.
+    /// Returns the query: the part after the first question mark, empty without one.
     pub fn query(&self) -> &str {
         self.target.split_once('?').map_or("", |(_, query)| query)
     }
 
-    /// The first value of a header; names are case-insensitive.
+    /// Returns the first value of a header, or `None` without such a header; `name` is compared
+    /// case-insensitively.
     pub fn header(&self, name: &str) -> Option<&str> {
         values(&self.headers, name).next()
     }
 }
 
+/// Returns the values of all headers with this name, which is compared case-insensitively.
 pub(crate) fn values<'h>(
     headers: &'h [(String, String)],
     name: &str,
@@ -55,14 +57,15 @@
     let name = name.to_string();
     headers
         .iter()
-        .filter(move |(known, _)| known.eq_ignore_ascii_case(&name))
+        .filter(move |(header, _)| header.eq_ignore_ascii_case(&name))
         .map(|(_, value)| value.as_str())
 }
 
-/// Parses a head if it is complete; the second value is its length in bytes.
+/// Parses a head at the start of `bytes` and returns it with its length in bytes, or `None` if it
+/// is incomplete.
 ///
 /// # Errors
-/// The bytes are no valid head, or two recipients could interpret them differently.
+/// Fails if the bytes are not a valid head, or if two recipients could interpret them differently.
 pub fn parse(bytes: &[u8]) -> Result<Option<(Head, usize)>, Reject> {
     let mut fields = [httparse::EMPTY_HEADER; HEADERS];
     let mut parsed = httparse::Request::new(&mut fields);
@@ -81,7 +84,7 @@
     if hosts > 1 || (hosts == 0 && !is_http_1_0) {
         return Err(Reject::new(400, "exactly one Host is needed"));
     }
-    let body = body_length(&headers, is_http_1_0)?;
+    let body_framing = body_length(&headers, is_http_1_0)?;
     let connection = values(&headers, "connection").collect::<Vec<_>>().join(",");
     let has_option =
         |name: &str| connection.split(',').any(|option| option.trim().eq_ignore_ascii_case(name));
@@ -91,7 +94,7 @@
         method: parsed.method.unwrap_or_default().to_string(),
         target,
         close: has_option("close") || (is_http_1_0 && !has_option("keep-alive")),
-        length: body,
+        length: body_framing,
         headers,
         expects_continue,
     };
@@ -108,7 +111,7 @@
     Ok(owned)
 }
 
-/// Only the origin form is served (RFC 9112, 3.2.1).
+/// Rejects a request target that is not in origin form (RFC 9112, 3.2.1) or has a fragment.
 fn check_target(target: &str) -> Result<(), Reject> {
     if !target.starts_with('/') {
         return Err(Reject::new(400, "the target must begin with /"));
@@ -119,8 +122,8 @@
     Ok(())
 }
 
-/// One unambiguous length or none, since a request that two recipients frame differently can be
-/// smuggled (RFC 9112, 6.3 and 11.2).
+/// Returns the framing of the body. Rejects an ambiguous length, because a request that two
+/// recipients frame differently allows request smuggling (RFC 9112, 6.3 and 11.2).
 fn body_length(headers: &[(String, String)], is_http_1_0: bool) -> Result<Length, Reject> {
     let lengths: Vec<&str> = values(headers, "content-length").collect();
     let codings: Vec<&str> = values(headers, "transfer-encoding").collect();
@@ -146,7 +149,7 @@
     }
 }
 
-/// Fields of one connection, which a proxy must not forward (RFC 9110, 7.6.1).
+/// Headers that apply to a single connection, which a proxy must not forward (RFC 9110, 7.6.1).
 const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -159,10 +162,10 @@
     "upgrade",
 ];
 
-/// The headers that are forwarded: all but those of one connection (RFC 9110, 7.6.1), the length,
+/// Returns the headers to forward: all except hop-by-hop headers (RFC 9110, 7.6.1), Content-Length,
 /// which is computed again, and Expect.
 pub fn end_to_end_headers(headers: &[(String, String)]) -> Vec<(String, String)> {
-    let named: Vec<String> = values(headers, "connection")
+    let connection_options: Vec<String> = values(headers, "connection")
         .flat_map(|value| value.split(','))
         .map(|token| token.trim().to_ascii_lowercase())
         .collect();
@@ -171,7 +174,7 @@
         .filter(|(name, _)| {
             let name = name.to_ascii_lowercase();
             !HOP_BY_HOP_HEADERS.contains(&name.as_str())
-                && !named.contains(&name)
+                && !connection_options.contains(&name)
                 && name != "content-length"
                 && name != "expect"
         })
--- a/crates/downstream/src/head/tests.rs
+++ b/crates/downstream/src/head/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn status(text: &str) -> u16 {
+fn parse_status(text: &str) -> u16 {
     match parse(text.as_bytes()) {
         Ok(Some(_)) => 200,
         Ok(None) => 0,
@@ -11,20 +11,21 @@
 }
 
 #[test]
-fn an_ambiguous_head_is_rejected() {
-    let with = |lines: &str| status(&format!("POST /a HTTP/1.1\r\nHost: h\r\n{lines}\r\n"));
-    assert_eq!(with("Content-Length: 3\r\n"), 200);
-    assert_eq!(with("Content-Length: 3\r\nContent-Length: 4\r\n"), 400);
-    assert_eq!(with("Content-Length: 3\r\nContent-Length: 3\r\n"), 400);
-    assert_eq!(with("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n"), 400);
-    assert_eq!(with("Content-Length: +3\r\n"), 400);
-    assert_eq!(with("Content-Length: 99999999999999999999999\r\n"), 400);
-    assert_eq!(with("Transfer-Encoding: gzip, chunked\r\n"), 501);
-    assert_eq!(with("Transfer-Encoding : chunked\r\n"), 400);
-    assert_eq!(with("X: a\r\n b\r\n"), 400);
-    assert_eq!(status("GET /a HTTP/1.1\r\n\r\n"), 400);
-    assert_eq!(status("GET http://h/a HTTP/1.1\r\nHost: h\r\n\r\n"), 400);
-    assert_eq!(status("GET /a HTTP/1.1\r\nHost: h\r\n"), 0);
+fn an_invalid_or_ambiguous_head_is_rejected() {
+    let post_status =
+        |lines: &str| parse_status(&format!("POST /a HTTP/1.1\r\nHost: h\r\n{lines}\r\n"));
+    assert_eq!(post_status("Content-Length: 3\r\n"), 200);
+    assert_eq!(post_status("Content-Length: 3\r\nContent-Length: 4\r\n"), 400);
+    assert_eq!(post_status("Content-Length: 3\r\nContent-Length: 3\r\n"), 400);
+    assert_eq!(post_status("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n"), 400);
+    assert_eq!(post_status("Content-Length: +3\r\n"), 400);
+    assert_eq!(post_status("Content-Length: 99999999999999999999999\r\n"), 400);
+    assert_eq!(post_status("Transfer-Encoding: gzip, chunked\r\n"), 501);
+    assert_eq!(post_status("Transfer-Encoding : chunked\r\n"), 400);
+    assert_eq!(post_status("X: a\r\n b\r\n"), 400);
+    assert_eq!(parse_status("GET /a HTTP/1.1\r\n\r\n"), 400);
+    assert_eq!(parse_status("GET http://h/a HTTP/1.1\r\nHost: h\r\n\r\n"), 400);
+    assert_eq!(parse_status("GET /a HTTP/1.1\r\nHost: h\r\n"), 0);
 }
 
 #[test]
--- a/crates/downstream/src/lib.rs
+++ b/crates/downstream/src/lib.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1 connections of clients: heads and bodies are read with deadlines and bounds, and
-//! responses are written with their length, so that a truncated one never looks complete.
+//! HTTP/1.1 connections of clients. Heads and bodies are read with deadlines and size limits, and
+//! responses are written with their length, so that a truncated response never looks complete.
 //!
-//! A [`connection::Connection`] yields the [`head`] of the next request; [`body::read`] reads its
-//! body within a [`memory_budget`]; a [`client_watch`] observes whether the client still waits.
-//! What can't be read is a [`reject::Reject`].
+//! A [`connection::Connection`] returns the [`head`] of the next request; [`body::read`] reads its
+//! body within a [`memory_budget`]; a [`client_watch`] detects that the client has departed. A
+//! request that can't be read results in a [`reject::Reject`].
 
 #![deny(missing_docs)]
 
--- a/crates/downstream/src/response.rs
+++ b/crates/downstream/src/response.rs
@@ -1,19 +1,21 @@
-//! The head of a response (RFC 9112, section 4).
+//! Encodes the head of a response (RFC 9112, section 4).
 
 use crate::head::{end_to_end_headers, values};
 use postbarrow_node::TargetResponse;
 
-/// A response's head as it is written, and whether its body follows.
+/// The encoded head of a response, and whether a body follows it.
 pub struct ResponseHead {
-    /// Status line and headers, with the blank line at their end.
+    /// The status line and the headers, including the blank line at their end.
     pub bytes: Vec<u8>,
-    /// A response to HEAD, and one with status 1xx, 204 or 304, has no body (RFC 9112, 6.3).
+    /// Whether a body follows: a response to HEAD, and one with status 1xx, 204 or 304, has none
+    /// (RFC 9112, 6.3).
     pub has_body: bool,
 }
 
 impl ResponseHead {
-    /// The head of a response to a request with this method. Its Content-Length is the body's; to
-    /// HEAD, or with status 304, it is the one that the target named (RFC 9110, 8.6).
+    /// Returns the head of a response to a request with this method. Content-Length is the length
+    /// of the body; for HEAD or with status 304 it is the value that the target sent (RFC 9110,
+    /// 8.6). `close` adds `Connection: close`.
     pub fn new(response: &TargetResponse, method: &str, close: bool) -> ResponseHead {
         let status = response.status;
         let mut bytes = Vec::with_capacity(1_024);
--- a/programs/data-plane/src/phases/forward.rs
+++ b/programs/data-plane/src/phases/forward.rs
@@ -4,7 +4,7 @@
 use crate::balancing::LoadPermit;
 use crate::dialect::target_headers;
 use crate::target_connection::{OutgoingRequest, TargetConnection};
-use postbarrow_downstream::memory_budget::Reserved;
+use postbarrow_downstream::memory_budget::Reservation;
 use postbarrow_node::AttemptOutcome;
 use postbarrow_state::Name;
 use postbarrow_transport::clock_ms;
@@ -16,7 +16,7 @@
     /// Counts it at its target.
     pub load: LoadPermit,
     /// Covers the body of the response.
-    pub memory: Reserved,
+    pub memory: Reservation,
     /// Its response must be complete by then, in milliseconds of the boot-time clock.
     pub until_ms: u64,
 }
--- a/programs/data-plane/src/phases/read_body.rs
+++ b/programs/data-plane/src/phases/read_body.rs
@@ -26,7 +26,7 @@
     read(connection, shared, head, max_bytes, until_ms).map_err(|reject| {
         let outcome = if reject == body::TOO_LARGE {
             RequestOutcome::BodyTooLarge(max_bytes)
-        } else if reject == body::FULL {
+        } else if reject == body::OUT_OF_MEMORY {
             RequestOutcome::Overloaded
         } else {
             return unreadable(shared, head, reject);
--- a/programs/data-plane/src/phases/request_state.rs
+++ b/programs/data-plane/src/phases/request_state.rs
@@ -5,7 +5,7 @@
 use crate::target_connection::{CancelScope, Cancellation, TargetConnection};
 use postbarrow_downstream::client_watch::ClientWatch;
 use postbarrow_downstream::head::Head;
-use postbarrow_downstream::memory_budget::Reserved;
+use postbarrow_downstream::memory_budget::Reservation;
 use postbarrow_node::TargetResponse;
 use postbarrow_routing::Entry;
 use postbarrow_state::{Name, RouteKind, Target};
@@ -30,7 +30,7 @@
 /// How a request ended here.
 pub enum RequestEnd {
     /// Its client gets this response; the reservation covers the response's body.
-    Respond(TargetResponse, Option<Reserved>),
+    Respond(TargetResponse, Option<Reservation>),
     /// The client departed before.
     ClientDeparted,
 }
@@ -50,7 +50,7 @@
     /// The attempt in progress.
     pub attempt: Attempt,
     /// Covers the body of the response.
-    pub response_memory: Option<Reserved>,
+    pub response_memory: Option<Reservation>,
 }
 
 /// What an attempt has in hand between its phases.
--- a/programs/data-plane/src/target_connection.rs
+++ b/programs/data-plane/src/target_connection.rs
@@ -14,7 +14,7 @@
 use crate::dialect::ResponseJudgement;
 use crate::error::{Result, UpstreamError};
 use postbarrow_downstream::client_watch::{ClientWatch, WaitOutcome};
-use postbarrow_downstream::memory_budget::Reserved;
+use postbarrow_downstream::memory_budget::Reservation;
 use postbarrow_node::{AttemptOutcome, TargetResponse};
 use postbarrow_transport::{Interest, clock_ms};
 use std::io::ErrorKind;
@@ -104,7 +104,7 @@
         &mut self,
         request: &OutgoingRequest<'_>,
         terms: &ExchangeTerms<'_>,
-        memory: &mut Reserved,
+        memory: &mut Reservation,
     ) -> (AttemptOutcome, bool) {
         if let Err(outcome) = self.send(request, terms.may_send, &terms.cancellation) {
             return (outcome, false);
--- a/programs/data-plane/src/target_connection/receive.rs
+++ b/programs/data-plane/src/target_connection/receive.rs
@@ -6,7 +6,7 @@
 use crate::response_parser::{BodyFraming, ResponseHead, parse_chunk, parse_head};
 use postbarrow_constants::traffic::*;
 use postbarrow_downstream::client_watch::ClientWatch;
-use postbarrow_downstream::memory_budget::Reserved;
+use postbarrow_downstream::memory_budget::Reservation;
 use postbarrow_node::{AttemptOutcome, TargetResponse};
 use postbarrow_transport::{Interest, clock_ms};
 use std::io::{ErrorKind, Read};
@@ -28,7 +28,7 @@
         &mut self,
         expected: &ExpectedResponse<'_>,
         cancellation: &Cancellation<'_>,
-        memory: &mut Reserved,
+        memory: &mut Reservation,
     ) -> (AttemptOutcome, bool) {
         let client = cancellation.while_receiving();
         loop {
@@ -70,7 +70,7 @@
         &mut self,
         expected: &ExpectedResponse<'_>,
         client: &ClientWatch,
-        memory: &mut Reserved,
+        memory: &mut Reservation,
     ) -> Result<(TargetResponse, bool)> {
         let head = self.receive_head(expected, client)?;
         let mut response = head.response;
@@ -110,7 +110,7 @@
         size: usize,
         until_ms: u64,
         client: &ClientWatch,
-        memory: &mut Reserved,
+        memory: &mut Reservation,
     ) -> Result<Vec<u8>> {
         if size > RESPONSE_BYTES || !memory.grow(size as u64) {
             return Err(UpstreamError::OutOfMemory);
@@ -128,7 +128,7 @@
         &mut self,
         until_ms: u64,
         client: &ClientWatch,
-        memory: &mut Reserved,
+        memory: &mut Reservation,
     ) -> Result<Vec<u8>> {
         let mut body = Vec::new();
         loop {
--- a/programs/data-plane/src/tests/execution_evidence.rs
+++ b/programs/data-plane/src/tests/execution_evidence.rs
@@ -4,7 +4,7 @@
     CancelScope, Cancellation, ExchangeTerms, OutgoingRequest, TargetConnection,
 };
 use postbarrow_downstream::client_watch::ClientWatch;
-use postbarrow_downstream::memory_budget::{MemoryBudget, Reserved};
+use postbarrow_downstream::memory_budget::{MemoryBudget, Reservation};
 use postbarrow_messages::{Request, Response};
 use postbarrow_node::AttemptOutcome;
 use postbarrow_state::{Call, Change, Event, Outcome, Target};
@@ -13,7 +13,7 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-fn space() -> Reserved {
+fn space() -> Reservation {
     MemoryBudget::new(1 << 20).reserve(0).unwrap()
 }
 
