--- a/programs/data-plane/src/admission.rs
+++ b/programs/data-plane/src/admission.rs
@@ -1,7 +1,8 @@
-//! The decision whether a connection, a request or a call may enter.
+//! Admission control for client connections, requests and coordination calls.
 //!
-//! While capacity is plenty anybody may use it. Once half is in use, no client and no route may have
-//! more than its share: what exceeds it is shed, so that the rest remains for others.
+//! While at most half of the capacity is in use, shares are not enforced. Beyond that, a request or
+//! connection that exceeds its client's or route's share is shed, so that the remaining capacity
+//! stays available to other clients and routes.
 
 use crate::shared::AdmissionCounters;
 use postbarrow_constants::traffic::*;
@@ -11,17 +12,17 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering::*};
 
-/// A counted admission, given back when dropped.
+/// One unit of a counter, released when dropped.
 pub struct Permit<'a>(&'a AtomicUsize);
 
 impl<'a> Permit<'a> {
-    /// Counts one more, whatever the count.
+    /// Increments the counter without a limit.
     pub fn acquire(count: &'a AtomicUsize) -> Self {
         count.fetch_add(1, Relaxed);
         Permit(count)
     }
 
-    /// Counts one more if the count is below `max`.
+    /// Increments the counter if it is below `max`; otherwise returns `None`.
     pub fn acquire_below(count: &'a AtomicUsize, max: usize) -> Option<Self> {
         let before =
             count.fetch_update(Relaxed, Relaxed, |count| (count < max).then_some(count + 1));
@@ -35,7 +36,7 @@
     }
 }
 
-/// A route's counted admission, given back when dropped.
+/// One request counted by the limits of its route, released when dropped.
 struct RoutePermit(Arc<Entry>);
 
 impl RoutePermit {
@@ -51,28 +52,31 @@
     }
 }
 
-/// Why a request is rejected.
+/// The limit for which a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejected {
-    /// The node has no capacity, or the client or route exceeds its share: the request is shed.
+    /// The node has no capacity left, or the client or route exceeds its share; the request is
+    /// shed.
     Overloaded,
-    /// The route's requests a second are exceeded.
+    /// The route's limit of requests per second is exceeded.
     OverRate,
-    /// The route's requests in flight are exceeded.
+    /// The route's limit of requests in flight is exceeded.
     OverConcurrency,
 }
 
-/// The permits of an admitted request; the fields are given back in this order.
+/// The permits of an admitted request, released in the order of the fields when dropped.
 pub struct RequestPermits<'a> {
     _route: RoutePermit,
     _client: Permit<'a>,
     _node: Permit<'a>,
 }
 
-/// Decides by the node's capacity, the client's and the route's share, and the route's limits.
+/// Admits a request if the node has capacity, neither the client nor the route exceeds its share,
+/// and the route's limits allow it. `nodes` is the number of nodes among which the route's limits
+/// are divided.
 ///
 /// # Errors
-/// Which limit is exceeded.
+/// Returns the limit that is exceeded.
 pub fn admit_request<'a>(
     counters: &'a AdmissionCounters,
     client: IpAddr,
@@ -81,11 +85,12 @@
 ) -> Result<RequestPermits<'a>, Rejected> {
     let node = Permit::acquire_below(&counters.requests, REQUESTS_IN_FLIGHT);
     let node = node.ok_or(Rejected::Overloaded)?;
-    let client = counters.requests_by_client.of(client);
+    let client = counters.requests_by_client.for_client(client);
     let in_flight = counters.requests.load(Relaxed);
-    let (of_client, of_route) = (client.load(Relaxed), entry.compiled.limits.in_flight() as usize);
-    if is_over_share(in_flight, of_client + 1, REQUESTS_IN_FLIGHT, CLIENT_SHARE_PERCENT)
-        || is_over_share(in_flight, of_route + 1, REQUESTS_IN_FLIGHT, ROUTE_SHARE_PERCENT)
+    let (client_requests, route_requests) =
+        (client.load(Relaxed), entry.compiled.limits.in_flight() as usize);
+    if is_over_share(in_flight, client_requests + 1, REQUESTS_IN_FLIGHT, CLIENT_SHARE_PERCENT)
+        || is_over_share(in_flight, route_requests + 1, REQUESTS_IN_FLIGHT, ROUTE_SHARE_PERCENT)
     {
         return Err(Rejected::Overloaded);
     }
@@ -97,25 +102,27 @@
     }
 }
 
-/// Counts a new client connection, unless the node or the client has too many; an admitted one is
-/// given back by [`release_connection`].
+/// Counts a new client connection and returns whether it is admitted: the node must be below its
+/// limit and the client within its share. The caller must release an admitted connection with
+/// [`release_connection`].
 pub fn admit_connection(counters: &AdmissionCounters, client: IpAddr) -> bool {
-    let others = counters.connections.fetch_add(1, SeqCst);
-    let of_client = counters.connections_by_client.of(client).load(SeqCst) + 1;
-    let is_admitted = others < DOWNSTREAMS
-        && !is_over_share(others, of_client, DOWNSTREAMS, CLIENT_SHARE_PERCENT);
+    let previous = counters.connections.fetch_add(1, SeqCst);
+    let client_connections = counters.connections_by_client.for_client(client).load(SeqCst) + 1;
+    let is_admitted = previous < DOWNSTREAMS
+        && !is_over_share(previous, client_connections, DOWNSTREAMS, CLIENT_SHARE_PERCENT);
     if !is_admitted {
         release_connection(counters);
     }
     is_admitted
 }
 
-/// Gives back the count of one client connection.
+/// Releases one client connection that [`admit_connection`] admitted.
 pub fn release_connection(counters: &AdmissionCounters) {
     counters.connections.fetch_sub(1, SeqCst);
 }
 
-/// Whether one of many exceeds its share, `share_percent` of `max`, while more than half is in use.
+/// Returns whether a client or route that uses `own` exceeds its share, which is `share_percent` of
+/// `max`. A share is enforced only while more than half of `max` is in use.
 pub fn is_over_share(in_use: usize, own: usize, max: usize, share_percent: usize) -> bool {
     in_use * 2 > max && own * 100 > max * share_percent
 }
--- a/programs/data-plane/src/phases/accept.rs
+++ b/programs/data-plane/src/phases/accept.rs
@@ -1,4 +1,4 @@
-//! Phase: accepts client connections, each on a small thread, up to a limit.
+//! Phase: accepts client connections up to a limit, and serves each on a thread with a small stack.
 
 use super::client_connection;
 use crate::admission::{Permit, admit_connection, release_connection};
@@ -12,15 +12,17 @@
 use std::thread;
 use std::time::Duration;
 
-/// The response over capacity. The request is not read, so it may be the repeat of one that ran.
+/// The response to a connection that is not admitted. The outcome is unknown because the request is
+/// not read: it may repeat a request that ran.
 const OVERLOADED: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nPostbarrow-Outcome: unknown\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-/// Pause after a failed accept, so that a lack of file descriptors doesn't spin.
+/// Pause after a failed accept, so that the loop does not spin while file descriptors are
+/// exhausted.
 const ACCEPT_RETRY: Duration = Duration::from_millis(10);
 
-/// Accepts connections on a thread of its own until the node is closed.
+/// Accepts connections on a new thread until the node's lifecycle is closed.
 ///
 /// # Errors
-/// The thread can't be started.
+/// Fails if the thread can't be started.
 pub fn listen(listener: TcpListener, shared: Arc<Shared>) -> io::Result<()> {
     thread::Builder::new().name("downstream".into()).spawn(move || {
         for stream in listener.incoming() {
@@ -46,20 +48,21 @@
     Ok(())
 }
 
+/// Sends [`OVERLOADED`] without blocking and closes the connection.
 fn shed(mut stream: TcpStream) {
     let _ = stream.set_nonblocking(true);
     let _ = stream.write_all(OVERLOADED);
 }
 
-/// Serves an admitted connection on a thread of its own.
+/// Serves an admitted connection on a new thread, and releases it afterwards.
 fn spawn(stream: TcpStream, client: IpAddr, shared: &Arc<Shared>) {
-    let served = shared.clone();
+    let connection_shared = shared.clone();
     let spawned =
         thread::Builder::new().name("client".into()).stack_size(4 * STACK_BYTES).spawn(move || {
-            let counters = &served.admission;
-            let _client = Permit::acquire(counters.connections_by_client.of(client));
+            let counters = &connection_shared.admission;
+            let _permit = Permit::acquire(counters.connections_by_client.for_client(client));
             if let Ok(connection) = Connection::new(stream) {
-                client_connection::serve(connection, &served);
+                client_connection::serve(connection, &connection_shared);
             }
             release_connection(counters);
         });
--- a/programs/data-plane/src/shared/admission_counters.rs
+++ b/programs/data-plane/src/shared/admission_counters.rs
@@ -1,28 +1,28 @@
-//! What is in flight at this node.
+//! Counters of connections, requests, calls and watches at this node.
 
 use postbarrow_constants::traffic::CLIENT_BUCKETS;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::IpAddr;
 use std::sync::atomic::AtomicUsize;
 
-/// The counters that admission decides by.
+/// The counters by which admission is decided.
 #[derive(Default)]
 pub struct AdmissionCounters {
-    /// Client requests in flight.
+    /// Client requests in flight, over all clients.
     pub requests: AtomicUsize,
-    /// Client requests in flight by client.
+    /// Client requests in flight for each client address.
     pub requests_by_client: ClientCounters,
-    /// Coordination calls in flight.
+    /// Coordination calls in flight, other than watches.
     pub calls: AtomicUsize,
     /// Watches in flight.
     pub watches: AtomicUsize,
-    /// Client connections.
+    /// Open client connections, over all clients.
     pub connections: AtomicUsize,
-    /// Client connections by client.
+    /// Open client connections for each client address.
     pub connections_by_client: ClientCounters,
 }
 
-/// A count for each client address; addresses that hash to one bucket share its count.
+/// Counters by client address; addresses that hash to the same bucket share one counter.
 pub struct ClientCounters(Vec<AtomicUsize>);
 
 impl Default for ClientCounters {
@@ -32,8 +32,8 @@
 }
 
 impl ClientCounters {
-    /// The count of a client's bucket.
-    pub fn of(&self, client: IpAddr) -> &AtomicUsize {
+    /// Returns the counter of the bucket that a client's address hashes to.
+    pub fn for_client(&self, client: IpAddr) -> &AtomicUsize {
         let mut hash = DefaultHasher::new();
         client.hash(&mut hash);
         &self.0[hash.finish() as usize % self.0.len()]
--- a/programs/data-plane/src/tests/client_departure.rs
+++ b/programs/data-plane/src/tests/client_departure.rs
@@ -4,7 +4,7 @@
 mod one_time;
 mod repeatable;
 
-use super::named_targets::{IdentifiedDialect, response};
+use super::named_targets::{RequestIdDialect, response};
 use super::rig::*;
 use postbarrow_messages::Request;
 use postbarrow_state::{Settlement, Target};
@@ -16,10 +16,12 @@
 use std::thread;
 use std::time::Duration;
 
-/// Longer than any wait here that an event ends; only a wait that hangs reaches it.
-const HANG: Duration = Duration::from_secs(12);
-/// The route's deadline in these tests: a wait that ends by it is one that hangs.
-const LONG_MS: u64 = 60_000;
+/// Timeout that is longer than any wait in these tests which an event ends; only a wait that hangs
+/// reaches it.
+const HANG_TIMEOUT: Duration = Duration::from_secs(12);
+/// Deadline of the routes in these tests, in milliseconds: longer than `HANG_TIMEOUT`, so that no
+/// wait ends by the deadline.
+const LONG_DEADLINE_MS: u64 = 60_000;
 
 /// How a client ends its connection.
 #[derive(Clone, Copy, Debug)]
@@ -28,28 +30,30 @@
     Reset,
 }
 
-/// Bytes of a response that no socket buffers completely.
-const LARGE: usize = 24 << 20;
+/// Size of a response that no socket buffers completely, in bytes.
+const LARGE_RESPONSE_BYTES: usize = 24 << 20;
 const DEPARTURES: [Departure; 2] = [Departure::Close, Departure::Reset];
 
+/// Ends a client's connection in this way.
 fn depart(stream: TcpStream, departure: Departure) {
     if matches!(departure, Departure::Reset) {
         socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
     }
 }
 
+/// Connects a client and sends these bytes.
 fn client(rig: &Rig, bytes: &[u8]) -> TcpStream {
     let mut stream = TcpStream::connect(rig.http).unwrap();
     stream.write_all(bytes).unwrap();
     stream
 }
 
-const LOOK: &[u8] = b"GET /look/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: p\r\n\r\n";
-const POST: &[u8] =
+const LOOKUP: &[u8] = b"GET /look/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: p\r\n\r\n";
+const ONE_TIME_POST: &[u8] =
     b"POST /post/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: p\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\nx";
 
 fn await_signal(from: &Receiver<()>, message: &str) {
-    from.recv_timeout(HANG).unwrap_or_else(|_| panic!("{message}"));
+    from.recv_timeout(HANG_TIMEOUT).unwrap_or_else(|_| panic!("{message}"));
 }
 
 /// Waits until a target has received a request.
@@ -59,53 +63,53 @@
     }
 }
 
-/// Waits until the node has nothing in flight.
+/// Waits until the node has no request, call or watch in flight.
 fn await_idle(rig: &Rig) {
-    let count = |of: &AtomicUsize| of.load(Relaxed);
+    let count = |counter: &AtomicUsize| counter.load(Relaxed);
     let shared = &rig.shared;
     let in_flight = || {
         count(&shared.admission.requests)
             + count(&shared.admission.calls)
             + count(&shared.admission.watches)
     };
-    let attempts = HANG.as_millis();
+    let attempts = HANG_TIMEOUT.as_millis();
     for _ in 0..attempts {
         if in_flight() == 0 {
             return;
         }
         thread::sleep(Duration::from_millis(1));
     }
-    panic!("{} requests are in flight for departed clients", in_flight());
+    panic!("{} requests are still in flight for departed clients", in_flight());
 }
 
-/// Asserts that every counter that a request raised is back at 0.
+/// Waits until the node is idle, and asserts that all counters of requests are 0 again.
 fn assert_all_released(rig: &Rig) {
     await_idle(rig);
-    let own = std::net::IpAddr::from([127, 0, 0, 1]);
+    let client_address = std::net::IpAddr::from([127, 0, 0, 1]);
     assert_eq!(
-        rig.shared.admission.requests_by_client.of(own).load(Relaxed),
+        rig.shared.admission.requests_by_client.for_client(client_address).load(Relaxed),
         0,
-        "requests of the client"
+        "requests counted for the client"
     );
     let table = rig.shared.routing.load_full();
     for load in table.loads().values() {
-        assert_eq!(load.in_flight(), 0, "load of its target");
+        assert_eq!(load.in_flight(), 0, "requests counted in the load of a target");
     }
     let postbarrow_routing::RouteMatch::Route(entry) = table.find("GET", "/look/1", &[]) else {
         panic!("no route")
     };
-    assert_eq!(entry.compiled.limits.in_flight(), 0, "concurrency of its route");
+    assert_eq!(entry.compiled.limits.in_flight(), 0, "requests counted for the route");
 }
 
 fn target_of(scripted: &ScriptedTarget, instance: &str) -> Target {
     Target { slots: 2, ..target(instance, "s", scripted.address) }
 }
 
-/// A node with these targets, of which the first is selected first; the targets identify themselves,
-/// or each request names its target.
-fn node(named: bool, targets: &[(&str, &ScriptedTarget)]) -> Rig {
+/// Returns a node with these targets, of which the first is selected first. If `named`, each
+/// request names its target; otherwise the targets identify themselves.
+fn start_node(named: bool, targets: &[(&str, &ScriptedTarget)]) -> Rig {
     let rig = match named {
-        true => Rig::with_dialect(Arc::new(IdentifiedDialect), Vec::new(), grant_all),
+        true => Rig::with_dialect(Arc::new(RequestIdDialect), Vec::new(), grant_all),
         false => Rig::new(Vec::new(), grant_all),
     };
     publish(&rig, targets);
@@ -113,19 +117,20 @@
 }
 
 fn publish(rig: &Rig, targets: &[(&str, &ScriptedTarget)]) {
-    let warming_up = |at: usize| at > 0;
-    let targets = targets.iter().enumerate().map(|(at, (instance, scripted))| Target {
-        warming_up: warming_up(at),
+    let warming_up = |index: usize| index > 0;
+    let targets = targets.iter().enumerate().map(|(index, (instance, scripted))| Target {
+        warming_up: warming_up(index),
         ..target_of(scripted, instance)
     });
-    rig.publish_with(targets.collect(), LONG_MS);
+    rig.publish_with(targets.collect(), LONG_DEADLINE_MS);
 }
 
-fn answers() -> Vec<Script> {
+fn done_script() -> Vec<Script> {
     vec![Script::Reply(response("p", "", "done"))]
 }
 
-/// A controller that answers ticket and call requests only once the test allows it.
+/// Returns a node whose controller answers ticket and call requests only when the test allows it, a
+/// receiver of one message for each such request, and a function that allows one answer.
 fn unresponsive_controller(
     targets: &[(&str, &ScriptedTarget)],
 ) -> (Rig, Receiver<()>, impl Fn() + use<>) {
--- a/programs/data-plane/src/tests/client_departure/one_time.rs
+++ b/programs/data-plane/src/tests/client_departure/one_time.rs
@@ -1,51 +1,52 @@
-//! Tickets, one-time requests and coordination calls whose client departs.
+//! Departures of clients during ticket requests, one-time requests and coordination calls.
 
 use super::*;
 
 #[test]
-fn target_identified_late_gets_no_request_of_a_departed_client() {
-    for request in [LOOK, POST] {
+fn target_that_does_not_identify_itself_gets_no_request_of_a_departed_client() {
+    for request in [LOOKUP, ONE_TIME_POST] {
         let (observed, observer) = observations();
         let one = ScriptedTarget::unidentified("s-1", "s", observer);
-        let other = ScriptedTarget::start("s-2", "s", answers());
-        let rig = node(false, &[("s-1", &one), ("s-2", &other)]);
+        let other = ScriptedTarget::start("s-2", "s", done_script());
+        let rig = start_node(false, &[("s-1", &one), ("s-2", &other)]);
         let stream = client(&rig, request);
-        await_signal(&observed.began, "the target got no identity request");
+        await_signal(&observed.began, "the target received no identity request");
         depart(stream, Departure::Close);
-        await_signal(&observed.ended, "the identity request is still pending");
+        await_signal(&observed.ended, "the identity request was not cancelled");
         assert_all_released(&rig);
         assert_eq!((one.runs(), other.runs()), (0, 0));
-        assert!(rig.settlements().is_empty(), "no ticket was requested");
+        assert!(rig.settlements().is_empty(), "no ticket may be requested");
     }
 }
 
-/// A one-time request whose client departs while its ticket is requested.
-fn departed_awaiting_ticket(departure: Departure) -> (ScriptedTarget, Rig, impl Fn()) {
+/// Sends a one-time request whose client departs while its ticket request is pending. Returns the
+/// target, the node, and a function that lets the controller answer.
+fn depart_while_awaiting_ticket(departure: Departure) -> (ScriptedTarget, Rig, impl Fn()) {
     let one = ScriptedTarget::start("s-1", "s", vec![Script::Complete("x")]);
-    let (rig, requested, respond) = unresponsive_controller(&[("s-1", &one)]);
-    let stream = client(&rig, POST);
+    let (rig, requested, allow_answer) = unresponsive_controller(&[("s-1", &one)]);
+    let stream = client(&rig, ONE_TIME_POST);
     await_signal(&requested, "no ticket was requested");
     depart(stream, departure);
-    (one, rig, respond)
+    (one, rig, allow_answer)
 }
 
 #[test]
 fn ticket_granted_after_its_client_departed_is_settled_unsent_and_never_used() {
     for departure in DEPARTURES {
-        let (one, rig, respond) = departed_awaiting_ticket(departure);
+        let (one, rig, allow_answer) = depart_while_awaiting_ticket(departure);
         assert_all_released(&rig);
-        respond();
+        allow_answer();
         assert_eq!(rig.settlements(), [Settlement::Unsent], "{departure:?}");
         assert_eq!(one.runs(), 0, "{departure:?}");
-        assert_eq!(rig.withdrawn(), 1, "its ticket request is not sent again");
+        assert_eq!(rig.withdrawn(), 1, "its ticket request must be withdrawn");
     }
 }
 
 #[test]
-fn ticket_granted_just_after_its_client_departed_is_never_used() {
+fn ticket_granted_while_its_client_departs_is_never_used() {
     for departure in DEPARTURES {
-        let (one, rig, respond) = departed_awaiting_ticket(departure);
-        respond();
+        let (one, rig, allow_answer) = depart_while_awaiting_ticket(departure);
+        allow_answer();
         assert_all_released(&rig);
         assert_eq!(one.runs(), 0, "{departure:?}");
         assert_eq!(rig.settlements(), [Settlement::Unsent], "{departure:?}");
@@ -55,69 +56,74 @@
 #[test]
 fn one_time_request_at_its_target_continues_after_departure_and_is_settled() {
     for departure in DEPARTURES {
-        let (end, cue) = trigger();
-        let complete = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone".to_vec();
+        let (response_trigger, signal) = trigger();
+        let reply = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone".to_vec();
         let one =
-            ScriptedTarget::start("s-1", "s", vec![Script::Delayed(Vec::new(), cue, complete)]);
-        let rig = node(false, &[("s-1", &one)]);
-        let stream = client(&rig, POST);
+            ScriptedTarget::start("s-1", "s", vec![Script::Delayed(Vec::new(), signal, reply)]);
+        let rig = start_node(false, &[("s-1", &one)]);
+        let stream = client(&rig, ONE_TIME_POST);
         await_request(&one);
         depart(stream, departure);
-        end.fire();
+        response_trigger.fire();
         await_idle(&rig);
         assert_eq!(rig.settlements(), [Settlement::Ran], "{departure:?}");
         let is_stored = rig.requested.lock().unwrap().iter().any(|request| {
             matches!(request, Request::Settle { response: Some(stored), .. } if stored.body == b"done")
         });
-        assert!(is_stored, "the response is stored for a repeat under its key");
+        assert!(is_stored, "the response must be stored for a repeat with the same key");
     }
 }
 
-/// A large one-time request whose client departs after the target read only its first bytes.
-fn departed_while_sending(key: &str) -> (UnreadingTarget, Rig) {
-    let unreading = UnreadingTarget::start("s-1", "s");
+/// Sends a large one-time request whose client departs after the target read only its first bytes.
+fn depart_while_sending(key: &str) -> (UnreadingTarget, Rig) {
+    let paused_target = UnreadingTarget::start("s-1", "s");
     let rig = Rig::new(Vec::new(), grant_all);
-    rig.publish_with(vec![target("s-1", "s", unreading.address)], LONG_MS);
+    rig.publish_with(vec![target("s-1", "s", paused_target.address)], LONG_DEADLINE_MS);
     let head =
         format!("POST /large/1 HTTP/1.1\r\nHost: h\r\n{key}Content-Length: {LARGE_BYTES}\r\n\r\n");
     let mut stream = client(&rig, head.as_bytes());
     stream.write_all(&vec![7; LARGE_BYTES as usize]).unwrap();
-    await_signal(&unreading.began, "the target never got the requests first bytes");
+    await_signal(&paused_target.began, "the target did not receive the first bytes of the request");
     depart(stream, Departure::Close);
-    (unreading, rig)
+    (paused_target, rig)
 }
 
 #[test]
 fn unkeyed_one_time_request_stops_sending_when_its_client_departs() {
-    let (unreading, rig) = departed_while_sending("");
+    let (paused_target, rig) = depart_while_sending("");
     assert_all_released(&rig);
-    assert_eq!(rig.settlements(), [Settlement::Unknown], "its target may have started it");
-    assert_eq!(unreading.reads_on(), None, "unsent bytes are discarded");
+    assert_eq!(
+        rig.settlements(),
+        [Settlement::Unknown],
+        "the target may have started to run the request"
+    );
+    assert_eq!(paused_target.resume_reading(), None, "unsent bytes must be discarded");
 }
 
 #[test]
 fn keyed_one_time_request_is_sent_completely_after_departure() {
-    let (unreading, rig) = departed_while_sending("Idempotency-Key: k\r\n");
-    assert_eq!(unreading.reads_on(), Some(LARGE_BYTES as usize));
+    let (paused_target, rig) = depart_while_sending("Idempotency-Key: k\r\n");
+    assert_eq!(paused_target.resume_reading(), Some(LARGE_BYTES as usize));
     await_idle(&rig);
     assert_eq!(
         rig.settlements(),
         [Settlement::Ran],
-        "a repeat under its key gets the stored response"
+        "a repeat with the same key gets the stored response"
     );
 }
 
 #[test]
 fn one_time_request_rejected_by_its_target_is_not_retried_after_departure() {
-    let (end, cue) = trigger();
+    let (response_trigger, signal) = trigger();
     let rejection = response("p", "Not-Run: full\r\n", "");
-    let one = ScriptedTarget::start("s-1", "s", vec![Script::Delayed(Vec::new(), cue, rejection)]);
-    let other = ScriptedTarget::start("s-2", "s", answers());
-    let rig = node(true, &[("s-1", &one), ("s-2", &other)]);
-    let stream = client(&rig, POST);
+    let one =
+        ScriptedTarget::start("s-1", "s", vec![Script::Delayed(Vec::new(), signal, rejection)]);
+    let other = ScriptedTarget::start("s-2", "s", done_script());
+    let rig = start_node(true, &[("s-1", &one), ("s-2", &other)]);
+    let stream = client(&rig, ONE_TIME_POST);
     await_request(&one);
     depart(stream, Departure::Close);
-    end.fire();
+    response_trigger.fire();
     await_idle(&rig);
     assert_eq!((one.runs(), other.runs()), (1, 0));
 }
@@ -126,13 +132,13 @@
 fn call_or_watch_of_a_departed_client_releases_its_permit_and_is_withdrawn() {
     let calls = ["POST /coordination/numbers/n", "GET /coordination/watch/numbers?after=3"];
     for call in calls {
-        let (rig, requested, respond) = unresponsive_controller(&[]);
+        let (rig, requested, allow_answer) = unresponsive_controller(&[]);
         let head = format!("{call} HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
         let stream = client(&rig, head.as_bytes());
-        await_signal(&requested, "the controller got no request");
+        await_signal(&requested, "the controller received no request");
         depart(stream, Departure::Close);
         await_idle(&rig);
-        respond();
+        allow_answer();
         assert_eq!(rig.withdrawn(), 1, "{call}");
         let requested = rig.requested.lock().unwrap();
         let calls = requested.iter().filter(|request| matches!(request, Request::Call { .. }));
--- a/programs/data-plane/src/tests/client_departure/repeatable.rs
+++ b/programs/data-plane/src/tests/client_departure/repeatable.rs
@@ -1,4 +1,4 @@
-//! Lookups, and bodies and responses in transfer, whose client departs.
+//! Departures of clients during lookups, and while a body or response is transferred.
 
 use super::*;
 use std::io::Read;
@@ -10,9 +10,9 @@
     {
         let (observed, observer) = observations();
         let one = ScriptedTarget::start("s-1", "s", vec![Script::Hang(observer)]);
-        let other = ScriptedTarget::start("s-2", "s", answers());
-        let rig = node(named, &[("s-1", &one), ("s-2", &other)]);
-        let stream = client(&rig, LOOK);
+        let other = ScriptedTarget::start("s-2", "s", done_script());
+        let rig = start_node(named, &[("s-1", &one), ("s-2", &other)]);
+        let stream = client(&rig, LOOKUP);
         await_signal(&observed.began, "the target never got the request");
         depart(stream, departure);
         await_signal(&observed.ended, "the target still runs a departed client's request");
@@ -25,26 +25,26 @@
 fn lookup_is_cancelled_when_its_client_departs_with_a_pipelined_request_unread() {
     let (observed, observer) = observations();
     let one = ScriptedTarget::start("s-1", "s", vec![Script::Hang(observer)]);
-    let rig = node(true, &[("s-1", &one)]);
-    let stream = client(&rig, &[LOOK, LOOK].concat());
+    let rig = start_node(true, &[("s-1", &one)]);
+    let stream = client(&rig, &[LOOKUP, LOOKUP].concat());
     await_signal(&observed.began, "the target never got the request");
     depart(stream, Departure::Close);
     await_signal(&observed.ended, "the target still runs a departed client's request");
     assert_all_released(&rig);
-    assert_eq!(one.runs(), 1, "its next request is not started");
+    assert_eq!(one.runs(), 1, "the pipelined request must not be started");
 }
 
 #[test]
 fn lookup_whose_target_fails_after_its_client_departed_is_not_retried() {
     for departure in DEPARTURES {
-        let (breaks, cue) = trigger();
-        let one = ScriptedTarget::start("s-1", "s", vec![Script::DelayedReset(Vec::new(), cue)]);
-        let other = ScriptedTarget::start("s-2", "s", answers());
-        let rig = node(true, &[("s-1", &one), ("s-2", &other)]);
-        let stream = client(&rig, LOOK);
+        let (reset_trigger, signal) = trigger();
+        let one = ScriptedTarget::start("s-1", "s", vec![Script::DelayedReset(Vec::new(), signal)]);
+        let other = ScriptedTarget::start("s-2", "s", done_script());
+        let rig = start_node(true, &[("s-1", &one), ("s-2", &other)]);
+        let stream = client(&rig, LOOKUP);
         await_request(&one);
         depart(stream, departure);
-        breaks.fire();
+        reset_trigger.fire();
         assert_all_released(&rig);
         assert_eq!((one.runs(), other.runs()), (1, 0), "{departure:?}");
     }
@@ -53,9 +53,9 @@
 #[test]
 fn body_sent_to_a_target_that_does_not_read_stops_when_its_client_departs() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let rig = Rig::with_dialect(Arc::new(IdentifiedDialect), Vec::new(), grant_all);
-    let unreading = target("s-1", "s", listener.local_addr().unwrap());
-    rig.publish_with(vec![unreading], LONG_MS);
+    let rig = Rig::with_dialect(Arc::new(RequestIdDialect), Vec::new(), grant_all);
+    let non_reading_target = target("s-1", "s", listener.local_addr().unwrap());
+    rig.publish_with(vec![non_reading_target], LONG_DEADLINE_MS);
     let body = vec![7; LARGE_BYTES as usize];
     let head = format!(
         "PUT /large/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: p\r\nContent-Length: {LARGE_BYTES}\r\n\r\n"
@@ -70,27 +70,29 @@
     assert_all_released(&rig);
     let mut rest = Vec::new();
     let _ = target.read_to_end(&mut rest);
-    assert!(rest.len() < LARGE_BYTES as usize, "the complete body was sent nonetheless");
+    assert!(rest.len() < LARGE_BYTES as usize, "the complete body was sent to the target");
     assert!(
         rig.shared.memory.request_bodies.reserve(LARGE_BYTES).is_some(),
-        "its memory is released"
+        "the memory of the body was not released"
     );
 }
 
 #[test]
 fn client_that_departs_during_its_body_or_response_releases_all_resources() {
-    let mut large = format!("HTTP/1.1 200 OK\r\nRequest-Id: p\r\nContent-Length: {LARGE}\r\n\r\n");
-    large.push_str(&"a".repeat(LARGE));
+    let mut large = format!(
+        "HTTP/1.1 200 OK\r\nRequest-Id: p\r\nContent-Length: {LARGE_RESPONSE_BYTES}\r\n\r\n"
+    );
+    large.push_str(&"a".repeat(LARGE_RESPONSE_BYTES));
     let one = ScriptedTarget::start("s-1", "s", vec![Script::Reply(large.into_bytes())]);
-    let rig = node(true, &[("s-1", &one)]);
-    let mut stream = client(&rig, LOOK);
+    let rig = start_node(true, &[("s-1", &one)]);
+    let mut stream = client(&rig, LOOKUP);
     let mut first = [0; 1];
     stream.read_exact(&mut first).unwrap();
     depart(stream, Departure::Close);
-    let half = b"POST /post/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc";
-    depart(client(&rig, half), Departure::Close);
+    let incomplete_post = b"POST /post/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc";
+    depart(client(&rig, incomplete_post), Departure::Close);
     assert_all_released(&rig);
-    for _ in 0..HANG.as_millis() {
+    for _ in 0..HANG_TIMEOUT.as_millis() {
         if rig.shared.admission.connections.load(Relaxed) == 0 {
             break;
         }
@@ -99,26 +101,28 @@
     assert_eq!(
         rig.shared.admission.connections.load(Relaxed),
         0,
-        "connections of departed clients"
+        "connections of departed clients are still counted"
     );
-    let free = |memory: &Arc<postbarrow_downstream::memory_budget::MemoryBudget>| {
+    let is_unused = |memory: &Arc<postbarrow_downstream::memory_budget::MemoryBudget>| {
         memory.reserve(postbarrow_constants::traffic::BODIES_BYTES as u64).is_some()
     };
     assert!(
-        free(&rig.shared.memory.response_bodies) && free(&rig.shared.memory.request_bodies),
-        "memory of request and response bodies"
+        is_unused(&rig.shared.memory.response_bodies)
+            && is_unused(&rig.shared.memory.request_bodies),
+        "memory of request and response bodies was not released"
     );
 }
 
 #[test]
 fn body_is_awaited_no_longer_than_its_clients_timeout() {
-    let one = ScriptedTarget::start("s-1", "s", answers());
-    let rig = node(true, &[("s-1", &one)]);
-    let half = b"POST /post/1 HTTP/1.1\r\nHost: h\r\nWait-Ms: 1\r\nContent-Length: 9\r\n\r\nabc";
-    let mut stream = client(&rig, half);
-    stream.set_read_timeout(Some(HANG)).unwrap();
+    let one = ScriptedTarget::start("s-1", "s", done_script());
+    let rig = start_node(true, &[("s-1", &one)]);
+    let incomplete_post =
+        b"POST /post/1 HTTP/1.1\r\nHost: h\r\nWait-Ms: 1\r\nContent-Length: 9\r\n\r\nabc";
+    let mut stream = client(&rig, incomplete_post);
+    stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
     let mut reply = String::new();
-    stream.read_to_string(&mut reply).expect("it is answered without the rest of its body");
+    stream.read_to_string(&mut reply).expect("the node responds without the rest of the body");
     assert!(reply.starts_with("HTTP/1.1 408"), "{reply}");
     assert_all_released(&rig);
     assert_eq!(one.runs(), 0);
--- a/programs/data-plane/src/tests/execution_evidence.rs
+++ b/programs/data-plane/src/tests/execution_evidence.rs
@@ -1,3 +1,5 @@
+//! Tests of what a node may state about the execution of a request, and of the evidence for it.
+
 use super::rig::*;
 use crate::dialect::ResponseJudgement;
 use crate::target_connection::{
@@ -13,7 +15,7 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-fn space() -> Reservation {
+fn reserve_response_memory() -> Reservation {
     MemoryBudget::new(1 << 20).reserve(0).unwrap()
 }
 
@@ -22,13 +24,13 @@
     Some(line.split_once(": ")?.1.to_string())
 }
 
-fn keys(rig: &Rig) -> Vec<String> {
+fn ticket_keys(rig: &Rig) -> Vec<String> {
     let requested = rig.requested.lock().unwrap();
-    let keys = requested.iter().filter_map(|request| match request {
+    let ticket_keys = requested.iter().filter_map(|request| match request {
         Request::Ticket(ticket) => Some(ticket.key.to_string()),
         _ => None,
     });
-    keys.collect()
+    ticket_keys.collect()
 }
 
 #[test]
@@ -39,34 +41,40 @@
     assert!(reply.contains("Postbarrow-Outcome: unknown"), "{reply}");
     let key = header(&reply, "postbarrow-key:").expect("the synthesized key is in the response");
     assert_eq!(header(&reply, "retry-after:"), None, "a repeat without the key is not safe");
-    assert_eq!(keys(&rig), [key.as_str()]);
+    assert_eq!(ticket_keys(&rig), [key.as_str()]);
     rig.post(&format!("Idempotency-Key: {key}\r\n"), "a");
-    assert_eq!(keys(&rig), [key.as_str(), key.as_str()], "a repeat requests the same ticket");
-    let other = header(&rig.post("", "a"), "postbarrow-key:").unwrap();
-    assert_ne!(other, key);
-    let common = other.bytes().zip(key.bytes()).rev().take_while(|(a, b)| a == b).count();
-    assert!(common < 6, "a key can't be guessed from another: {key} {other}");
+    assert_eq!(
+        ticket_keys(&rig),
+        [key.as_str(), key.as_str()],
+        "a repeat must request the ticket of the same key"
+    );
+    let other_key = header(&rig.post("", "a"), "postbarrow-key:").unwrap();
+    assert_ne!(other_key, key);
+    let common_suffix_length =
+        other_key.bytes().zip(key.bytes()).rev().take_while(|(a, b)| a == b).count();
+    assert!(common_suffix_length < 6, "a key can't be guessed from another: {key} {other_key}");
     let keyed = rig.post("Idempotency-Key: mine\r\n", "a");
     assert_eq!(header(&keyed, "postbarrow-key:"), None);
-    assert!(header(&keyed, "retry-after:").is_some(), "its own key makes a repeat safe");
+    assert!(header(&keyed, "retry-after:").is_some(), "the client's own key makes a repeat safe");
 }
 
 #[test]
 fn keyed_request_rejected_unread_is_unknown_and_never_not_run() {
     let scripted = ScriptedTarget::start("s-1", "s", vec![Script::Complete("fine")]);
     let rig = Rig::new(vec![target("s-1", "s", scripted.address)], grant_all);
-    let failing = |key: &str| {
+    let post_invalid_chunk = |key: &str| {
         let head = format!("POST /post/1 HTTP/1.1\r\nHost: h\r\n{key}Transfer-Encoding: chunked");
         rig.raw(format!("{head}\r\n\r\nzz\r\n").as_bytes())
     };
-    assert!(failing("").contains("Postbarrow-Outcome: not-run"));
-    let keyed = failing("Idempotency-Key: k\r\n");
+    assert!(post_invalid_chunk("").contains("Postbarrow-Outcome: not-run"));
+    let keyed = post_invalid_chunk("Idempotency-Key: k\r\n");
     assert!(keyed.starts_with("HTTP/1.1 400"), "{keyed}");
     assert!(keyed.contains("Postbarrow-Outcome: unknown"), "{keyed}");
     assert_eq!(scripted.runs(), 0);
 }
 
-/// Forwards a one-time request over a new connection to an identified target.
+/// Sends a one-time request to a target over a new connection on which the target identified
+/// itself.
 fn exchange(to: &Target, body: &[u8], may_send: &dyn Fn() -> bool) -> (AttemptOutcome, bool) {
     let nobody = ClientWatch::nobody();
     let until_ms = clock_ms() + 60_000;
@@ -85,7 +93,7 @@
         cancellation: Cancellation::new(&nobody, CancelScope::Never),
         judge: &|_, _| ResponseJudgement::Complete,
     };
-    connection.exchange(&request, &terms, &mut space())
+    connection.exchange(&request, &terms, &mut reserve_response_memory())
 }
 
 #[test]
@@ -100,7 +108,11 @@
     let (outcome, is_reusable) =
         exchange(&to, &body, &|| requested.replace(requested.get() + 1) == 0);
     assert!(matches!(outcome, AttemptOutcome::Complete(_)) && is_reusable, "{outcome:?}");
-    assert_eq!(requested.get(), 1, "the identity request does not evaluate the check");
+    assert_eq!(
+        requested.get(),
+        1,
+        "the check must be evaluated once, and not for the identity request"
+    );
     assert_eq!(scripted.observed.lock().unwrap().bodies[0].len(), body.len());
 }
 
@@ -121,7 +133,8 @@
     assert_eq!(scripted.runs(), 0);
 }
 
-/// Events that do not match a watch still advance it, or the history it needs would be trimmed.
+/// Guards against a watch that stays at its first revision while no events match it: the history
+/// that it needs would be trimmed.
 #[test]
 fn watch_without_matching_events_advances_with_the_log() {
     let answer = |request: &Request| match request {
--- a/programs/data-plane/src/tests/mod.rs
+++ b/programs/data-plane/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of a node on real sockets, before scripted targets and a scripted controller.
+//! Tests of a node on real sockets, with scripted targets and a scripted controller.
 
 mod admission;
 mod client_departure;
--- a/programs/data-plane/src/tests/named_targets.rs
+++ b/programs/data-plane/src/tests/named_targets.rs
@@ -1,18 +1,21 @@
+//! Tests of a dialect in which each request names its target.
+
 use super::rig::*;
 use crate::{Dialect, NodeEndpoint, ResponseJudgement, TargetIdentification};
 use postbarrow_downstream::head::Head;
 use postbarrow_node::{Completion, RequestOutcome, TargetResponse};
 use std::sync::Arc;
 
-/// A dialect whose targets send no identity, but name the request in each response.
-pub struct IdentifiedDialect;
+/// A dialect whose targets do not identify themselves: each request names its target in the header
+/// `For`, and each response names its request in `Request-Id`.
+pub struct RequestIdDialect;
 
 fn header<'h>(response: &'h TargetResponse, name: &str) -> Option<&'h str> {
     let mut all = response.headers.iter();
     all.find(|(known, _)| known.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
 }
 
-impl Dialect for IdentifiedDialect {
+impl Dialect for RequestIdDialect {
     fn node_endpoint(&self, _head: &Head) -> Option<NodeEndpoint> {
         None
     }
@@ -38,7 +41,7 @@
     }
 }
 
-impl TargetIdentification for IdentifiedDialect {
+impl TargetIdentification for RequestIdDialect {
     fn headers(&self, _head: &Head, instance: &str, _remaining_ms: u64) -> Vec<(String, String)> {
         vec![("For".into(), instance.into())]
     }
@@ -51,7 +54,7 @@
         match (header(response, "Request-Id"), head.header("Request-Id")) {
             (Some(reply), Some(requested)) if reply != requested => ResponseJudgement::Misdirected,
             _ if header(response, "Not-Run").is_some() => {
-                ResponseJudgement::NotRun("it says so".into())
+                ResponseJudgement::NotRun("the target states Not-Run".into())
             }
             (None, _) => ResponseJudgement::Unsound("no request id".into()),
             _ => ResponseJudgement::Complete,
@@ -70,7 +73,8 @@
     .into()
 }
 
-/// Two targets with one script each, and a node that speaks this dialect.
+/// Starts two targets with these scripts, and a node with [`RequestIdDialect`] that selects the
+/// first target first.
 pub fn two_targets(one: Vec<Script>, other: Vec<Script>) -> (ScriptedTarget, ScriptedTarget, Rig) {
     let one = ScriptedTarget::start("s-1", "s", one);
     let other = ScriptedTarget::start("s-2", "s", other);
@@ -83,7 +87,7 @@
         slots(target("s-1", "s", one.address), false),
         slots(target("s-2", "s", other.address), true),
     ];
-    let rig = Rig::with_dialect(Arc::new(IdentifiedDialect), targets, grant_all);
+    let rig = Rig::with_dialect(Arc::new(RequestIdDialect), targets, grant_all);
     (one, other, rig)
 }
 
@@ -103,7 +107,7 @@
 }
 
 #[test]
-fn second_response_that_arrives_late_never_answers_the_next_request() {
+fn late_second_response_is_never_relayed_for_the_next_request() {
     let late = [response("a", "", "late"), response("b", "", "own")].concat();
     let script = vec![Script::Reply(response("a", "", "1")), Script::Reply(late)];
     let (_, _, rig) = two_targets(script, vec![Script::Raw(Vec::new())]);
@@ -120,34 +124,42 @@
     let reply = get(&rig, "a");
     assert!(reply.ends_with("\r\n\r\n1") && !reply.contains("again"), "{reply}");
     assert!(get(&rig, "b").ends_with("\r\n\r\n2"));
-    assert_eq!(one.observed.lock().unwrap().connections, 2, "the first was not used again");
+    assert_eq!(
+        one.observed.lock().unwrap().connections,
+        2,
+        "the first connection must not be reused"
+    );
 }
 
 #[test]
-fn one_time_request_is_retried_only_if_the_target_says_it_did_not_run() {
+fn one_time_request_is_retried_only_if_the_target_states_that_it_did_not_run() {
     let rejection = response("p", "Not-Run: full\r\n", "");
     let complete = response("p", "", "done");
     let (one, other, rig) =
         two_targets(vec![Script::Reply(rejection)], vec![Script::Reply(complete)]);
     assert!(rig.post("Request-Id: p\r\n", "x").ends_with("\r\n\r\ndone"));
     assert_eq!((one.runs(), other.runs()), (1, 1));
-    let nameless = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec();
+    let without_request_id = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec();
     let garbage = b"\x00\x01garbage\r\n\r\n".to_vec();
-    for truncated in [Vec::new(), b"HTTP/1.1 2".to_vec(), garbage, nameless] {
+    for truncated in [Vec::new(), b"HTTP/1.1 2".to_vec(), garbage, without_request_id] {
         let complete = Script::Reply(response("p", "", "done"));
         let (one, other, rig) = two_targets(vec![Script::Raw(truncated)], vec![complete]);
         let reply = rig.post("Request-Id: p\r\n", "x");
         assert!(reply.starts_with("HTTP/1.1 502") && reply.ends_with("sent"), "{reply}");
-        assert_eq!((one.runs(), other.runs()), (1, 0), "it may have run");
+        assert_eq!(
+            (one.runs(), other.runs()),
+            (1, 0),
+            "a request that may have run must not be retried"
+        );
         assert!(
             rig.settlements().is_empty(),
-            "its ticket is local to this incarnation, not in the log"
+            "the ticket is local to this incarnation and not in the log"
         );
     }
 }
 
 #[test]
-fn lookup_is_retried_after_garbage_and_is_unsent_without_targets() {
+fn lookup_is_retried_after_an_invalid_response_and_is_unsent_without_targets() {
     let garbage = Script::Raw(b"\x00garbage\r\n\r\n".to_vec());
     let complete = Script::Reply(response("a", "", "complete"));
     let (one, other, rig) = two_targets(vec![garbage], vec![complete]);
@@ -169,5 +181,5 @@
     let (_, other, rig) = two_targets(vec![Script::Raw(truncated)], vec![Script::Raw(Vec::new())]);
     let reply = get(&rig, "a");
     assert!(reply.starts_with("HTTP/1.1 502"), "a truncated body never looks complete: {reply}");
-    assert_eq!(other.runs(), 1, "the other was tried as well");
+    assert_eq!(other.runs(), 1, "the lookup must be retried at the other target");
 }
--- a/programs/data-plane/src/tests/requests.rs
+++ b/programs/data-plane/src/tests/requests.rs
@@ -4,7 +4,7 @@
 use postbarrow_state::Settlement;
 use std::sync::atomic::Ordering::Relaxed;
 
-fn one(script: Vec<Script>) -> (ScriptedTarget, Rig) {
+fn setup(script: Vec<Script>) -> (ScriptedTarget, Rig) {
     let scripted = ScriptedTarget::start("s-1", "s", script);
     let rig = Rig::new(vec![target("s-1", "s", scripted.address)], grant_all);
     (scripted, rig)
@@ -12,7 +12,7 @@
 
 #[test]
 fn path_query_repeated_headers_and_body_are_forwarded_unchanged() {
-    let (scripted, rig) = one(vec![Script::Complete("done")]);
+    let (scripted, rig) = setup(vec![Script::Complete("done")]);
     let reply = rig.raw(
         b"POST /post/a%2Fb//c;d?x=%20&x&y=%C3%BC HTTP/1.1\r\nHost: shop\r\nX-A: 1\r\nx-a: 2\r\nConnection: X-Hop\r\nX-Hop: 3\r\nTE: trailers\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: v\r\n\r\n",
     );
@@ -29,16 +29,19 @@
 
 #[test]
 fn rejected_requests_never_reach_a_target() {
-    let (scripted, rig) = one(vec![Script::Complete("x")]);
+    let (scripted, rig) = setup(vec![Script::Complete("x")]);
     let status = |reply: &str| reply.split(' ').nth(1).unwrap_or("none").to_string();
     assert_eq!(status(&rig.get("/nowhere")), "404");
     let other = rig.post("", "").replace("POST", "GET");
     assert!(other.starts_with("HTTP/1.1 200"));
-    let wrong = rig.raw(b"DELETE /post/1 HTTP/1.1\r\nHost: h\r\n\r\n");
-    assert!(wrong.starts_with("HTTP/1.1 405") && wrong.contains("Allow: POST"), "{wrong}");
-    let large = rig.post("", &"a".repeat(1_001));
-    assert_eq!(status(&large), "413");
-    assert!(large.contains("Postbarrow-Outcome: not-run"), "{large}");
+    let wrong_method = rig.raw(b"DELETE /post/1 HTTP/1.1\r\nHost: h\r\n\r\n");
+    assert!(
+        wrong_method.starts_with("HTTP/1.1 405") && wrong_method.contains("Allow: POST"),
+        "{wrong_method}"
+    );
+    let large_body = rig.post("", &"a".repeat(1_001));
+    assert_eq!(status(&large_body), "413");
+    assert!(large_body.contains("Postbarrow-Outcome: not-run"), "{large_body}");
     let chunks = rig
         .raw(b"POST /post/1 HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nffffffff\r\n");
     assert_eq!(status(&chunks), "413");
@@ -49,19 +52,22 @@
         b"POST /post/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
     );
     assert_eq!(status(&two), "400");
-    let short =
+    let truncated_body =
         rig.send_and_close(b"POST /post/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nabc");
-    assert_eq!(short, "", "a short body gets no response, for its client has departed");
-    let long = format!("GET /look/1 HTTP/1.1\r\nHost: h\r\nX: {}", "a".repeat(HEAD_BYTES + 1));
-    assert_eq!(status(&rig.raw(long.as_bytes())), "431");
+    assert_eq!(
+        truncated_body, "",
+        "a client that closes before its body is complete has departed and gets no response"
+    );
+    let long_head = format!("GET /look/1 HTTP/1.1\r\nHost: h\r\nX: {}", "a".repeat(HEAD_BYTES + 1));
+    assert_eq!(status(&rig.raw(long_head.as_bytes())), "431");
     assert_eq!(status(&rig.post("Idempotency-Key: a b\r\n", "x")), "400");
-    assert_eq!(scripted.runs(), 1, "only the valid one arrived");
+    assert_eq!(scripted.runs(), 1, "only the valid request must reach the target");
 }
 
 #[test]
 fn pipelined_requests_get_their_own_responses_in_order() {
-    let (_found, rig) = one(vec![Script::Complete("first"), Script::Complete("second")]);
-    let reply = rig.talk(
+    let (_target, rig) = setup(vec![Script::Complete("first"), Script::Complete("second")]);
+    let reply = rig.send_until_responses(
         b"GET /look/1 HTTP/1.1\r\nHost: h\r\n\r\nGET /look/2 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n",
         2,
     );
@@ -72,7 +78,7 @@
 
 #[test]
 fn node_without_lease_sheds_and_is_unready() {
-    let (scripted, rig) = one(vec![Script::Complete("x")]);
+    let (scripted, rig) = setup(vec![Script::Complete("x")]);
     assert!(rig.get("/ready").starts_with("HTTP/1.1 200"));
     rig.shared.lease.set_until(0);
     assert!(rig.get("/ready").starts_with("HTTP/1.1 503"));
@@ -135,16 +141,19 @@
     });
     assert_eq!(scripted.runs(), 0);
     assert_eq!(rig.settlements(), [Settlement::Unsent]);
-    assert!(reply.contains("not-run"), "granted and settled unsent, so it is proved: {reply}");
+    assert!(
+        reply.contains("not-run"),
+        "the ticket was granted and settled unsent, which proves that the request did not run: {reply}"
+    );
 }
 
 #[test]
 fn half_sent_and_idle_connections_do_not_block_other_clients() {
-    let (scripted, rig) = one(vec![Script::Complete("x")]);
+    let (scripted, rig) = setup(vec![Script::Complete("x")]);
     let mut idle = Vec::new();
-    for at in 0..300 {
+    for index in 0..300 {
         let mut stream = std::net::TcpStream::connect(rig.http).unwrap();
-        if at % 2 == 0 {
+        if index % 2 == 0 {
             std::io::Write::write_all(&mut stream, b"POST /post/1 HTTP/1.1\r\nHo").unwrap();
         }
         idle.push(stream);
@@ -156,7 +165,7 @@
 
 #[test]
 fn node_over_capacity_sheds_at_once_with_retry_after() {
-    let (scripted, rig) = one(vec![Script::Complete("x")]);
+    let (scripted, rig) = setup(vec![Script::Complete("x")]);
     rig.shared.admission.requests.store(postbarrow_constants::traffic::REQUESTS_IN_FLIGHT, Relaxed);
     let shed = rig.post("", "a");
     assert!(shed.starts_with("HTTP/1.1 503") && shed.contains("Retry-After: 1"), "{shed}");
@@ -175,10 +184,10 @@
 
 #[test]
 fn stopping_node_serves_one_more_request_on_a_kept_alive_connection_and_closes_it() {
-    let (scripted, rig) = one(vec![Script::Complete("x")]);
+    let (scripted, rig) = setup(vec![Script::Complete("x")]);
     let mut stream = std::net::TcpStream::connect(rig.http).unwrap();
     rig.shared.lifecycle.begin_stop();
-    assert!(rig.get("/ready").starts_with("HTTP/1.1 503"), "unready first");
+    assert!(rig.get("/ready").starts_with("HTTP/1.1 503"), "a stopping node must be unready");
     std::io::Write::write_all(&mut stream, b"GET /look/1 HTTP/1.1\r\nHost: h\r\n\r\n").unwrap();
     let mut reply = String::new();
     std::io::Read::read_to_string(&mut stream, &mut reply).unwrap();
--- a/programs/data-plane/src/tests/rig.rs
+++ b/programs/data-plane/src/tests/rig.rs
@@ -1,3 +1,5 @@
+//! The node under test, with a controller that the test scripts.
+
 pub use super::scripted::*;
 use crate::command::Command;
 use crate::phases::accept;
@@ -13,16 +15,19 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// Body limit of the routes under `/large/`: more than sockets buffer in transfer.
+/// Body limit of the routes under `/large/`, in bytes: more than the sockets on the way can buffer.
 pub const LARGE_BYTES: u64 = 64 << 20;
-/// The routes' deadline, unless a test sets another.
+/// Deadline of the routes, in milliseconds, unless a test sets another.
 const DEADLINE_MS: u64 = 4_000;
 
-/// One node whose routing table and lease the test sets, and whose controller the test plays.
+/// A node whose routing table and lease the test sets, and whose controller requests the test
+/// answers.
 pub struct Rig {
     pub shared: Arc<Shared>,
     pub http: SocketAddr,
+    /// The requests that the controller received, in order.
     pub requested: Arc<Mutex<Vec<Request>>>,
+    /// The number of requests to the controller that the node withdrew.
     withdrawn: Arc<AtomicUsize>,
 }
 
@@ -84,11 +89,12 @@
         rig
     }
 
+    /// Publishes these targets and the test routes, with the default deadline.
     pub fn publish(&self, targets: Vec<Target>) {
         self.publish_with(targets, DEADLINE_MS);
     }
 
-    /// The same with this deadline for the routes.
+    /// Publishes these targets and the test routes, with this deadline for the routes.
     pub fn publish_with(&self, targets: Vec<Target>, deadline_ms: u64) {
         let mut state = State::default();
         let plan = PlanHead { version: "v1".into(), base: None, offset: 1 };
@@ -124,15 +130,16 @@
         self.shared.publish(Arc::new(state), 1);
     }
 
-    /// Sends one request as raw bytes, waits for its response, and returns all bytes until the node
-    /// closes.
+    /// Sends one request as raw bytes, waits for its response, and returns all bytes received until
+    /// the node closes the connection.
     pub fn raw(&self, bytes: &[u8]) -> String {
-        self.talk(bytes, 1)
+        self.send_until_responses(bytes, 1)
     }
 
-    /// Sends requests as raw bytes and closes its side once so many responses are complete: a client
-    /// that closes earlier counts as departed.
-    pub fn talk(&self, bytes: &[u8], responses: usize) -> String {
+    /// Sends requests as raw bytes, waits until `responses` responses are complete, closes the
+    /// sending side, and returns all bytes received. A client that closes earlier would count as
+    /// departed.
+    pub fn send_until_responses(&self, bytes: &[u8], responses: usize) -> String {
         let mut stream = TcpStream::connect(self.http).unwrap();
         stream.write_all(bytes).unwrap();
         let mut received = Vec::new();
@@ -148,7 +155,7 @@
         String::from_utf8_lossy(&received).into_owned()
     }
 
-    /// Sends bytes and closes its side at once; returns what the node sent nonetheless.
+    /// Sends bytes, closes the sending side at once, and returns what the node still sends.
     pub fn send_and_close(&self, bytes: &[u8]) -> String {
         let mut stream = TcpStream::connect(self.http).unwrap();
         stream.write_all(bytes).unwrap();
@@ -170,13 +177,15 @@
         )
     }
 
-    /// Controller requests withdrawn so far.
+    /// Returns the number of requests to the controller that were withdrawn so far. The `Show`
+    /// request is queued behind them and so answered after them.
     pub fn withdrawn(&self) -> usize {
         self.shared.control_loop.request(Request::Show, 60_000, &ClientWatch::nobody());
         self.withdrawn.load(Relaxed)
     }
 
-    /// All settlements so far: a request queued behind them is answered after them.
+    /// Returns all settlements so far. The `Show` request is queued behind them and so answered
+    /// after them.
     pub fn settlements(&self) -> Vec<Settlement> {
         self.shared.control_loop.request(Request::Show, 60_000, &ClientWatch::nobody());
         let requested = self.requested.lock().unwrap();
@@ -188,10 +197,11 @@
     }
 }
 
-/// How many complete responses, each with a length, the bytes contain.
+/// Returns the number of complete responses in the bytes; a response without Content-Length has no
+/// body.
 fn complete_responses(mut received: &[u8]) -> usize {
     let mut count = 0;
-    while let Some(end) = received.windows(4).position(|four| four == b"\r\n\r\n") {
+    while let Some(end) = received.windows(4).position(|window| window == b"\r\n\r\n") {
         let head = String::from_utf8_lossy(&received[..end]).to_ascii_lowercase();
         let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
         let length = length.and_then(|text| text.parse().ok()).unwrap_or(0);
@@ -207,6 +217,6 @@
     match request {
         Request::Ticket(_) => Response::Granted,
         Request::Settle { .. } => Response::Settled,
-        _ => Response::Refused("not expected here".into()),
+        _ => Response::Refused("unexpected request in this test".into()),
     }
 }
--- a/programs/data-plane/src/tests/scripted.rs
+++ b/programs/data-plane/src/tests/scripted.rs
@@ -1,3 +1,5 @@
+//! Targets on real sockets that respond by a script.
+
 use postbarrow_constants::traffic::PROOF_PATH;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,6 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
+/// The requests and connections that a scripted target received, without identity requests.
 #[derive(Clone, Default)]
 pub struct Observed {
     pub heads: Vec<String>,
@@ -13,62 +16,67 @@
     pub connections: usize,
 }
 
-/// What a target does with the next request it receives.
+/// The reaction of a target to the next request that it receives.
 #[derive(Clone)]
 pub enum Script {
+    /// Sends a complete response with this body.
     Complete(&'static str),
-    /// These bytes, then the connection ends.
+    /// Sends these bytes and closes the connection.
     Raw(Vec<u8>),
-    /// These bytes, and the connection stays open.
+    /// Sends these bytes and keeps the connection open.
     Reply(Vec<u8>),
-    /// A complete response, then the connection ends without `Connection: close`.
+    /// Sends a complete response without `Connection: close`, and closes the connection.
     CompleteThenClose(&'static str),
-    /// These bytes, then a reset.
+    /// Sends these bytes and resets the connection.
     Reset(Vec<u8>),
-    /// Bytes at once, others when the test triggers them, and the connection stays open.
-    Delayed(Vec<u8>, Cue, Vec<u8>),
-    /// Bytes at once, and a reset when the test triggers it.
-    DelayedReset(Vec<u8>, Cue),
-    /// Runs the request until its connection ends.
+    /// Sends the first bytes at once and the second when the test triggers it; keeps the connection
+    /// open.
+    Delayed(Vec<u8>, TriggerSignal, Vec<u8>),
+    /// Sends bytes at once and resets the connection when the test triggers it.
+    DelayedReset(Vec<u8>, TriggerSignal),
+    /// Sends no response, and reads until the connection ends.
     Hang(Observer),
 }
 
-/// The target's side of the observations of a request that it never answers.
+/// Reports the start and the end of a request to which a target never responds; owned by the
+/// target.
 #[derive(Clone)]
 pub struct Observer {
     began: Sender<()>,
     ended: Sender<()>,
 }
 
-/// The test's side of them.
+/// Receives the reports of an [`Observer`]; owned by the test.
 pub struct Observations {
     pub began: Receiver<()>,
     pub ended: Receiver<()>,
 }
 
-/// Where a target that never identifies itself reports.
+/// The observer of a target that never answers identity requests; `None` for a target that does.
 pub type Unidentified = Option<Observer>;
 
-/// A target that identifies itself and reads only the first bytes of a body until the test allows more.
+/// A target that identifies itself, then reads only the first bytes of a request until the test
+/// lets it read the rest.
 pub struct UnreadingTarget {
     pub address: SocketAddr,
-    /// Receives once a request's first bytes have arrived.
+    /// Receives a message once the first bytes of a request have arrived.
     pub began: Receiver<()>,
-    read_on: Sender<()>,
-    got: Receiver<Option<usize>>,
+    resume: Sender<()>,
+    /// Receives the length of the complete body, or `None` if the connection broke before.
+    body_bytes: Receiver<Option<usize>>,
 }
 
 impl UnreadingTarget {
     pub fn start(instance: &'static str, service: &'static str) -> UnreadingTarget {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let ((began_sender, began), (read_on, may_read), (got_sender, got)) =
+        let ((began_sender, began), (resume, may_read), (body_bytes_sender, body_bytes)) =
             (channel(), channel(), channel());
         thread::spawn(move || {
             let (mut stream, _) = listener.accept().unwrap();
             let mut buffer = Vec::new();
-            let (head, _) =
-                read_request(&mut stream, &mut buffer).expect("its identity is requested first");
+            let (head, _) = read_request(&mut stream, &mut buffer)
+                .expect("an identity request must come first");
             assert!(head.contains(PROOF_PATH), "{head}");
             stream.write_all(complete(&identity(instance, service)).as_bytes()).unwrap();
             let mut first = [0; 4];
@@ -77,32 +85,35 @@
             let _ = may_read.recv();
             buffer.extend_from_slice(&first);
             let request = read_request(&mut stream, &mut buffer);
-            let _ = got_sender.send(request.map(|(_, body)| body.len()));
+            let _ = body_bytes_sender.send(request.map(|(_, body)| body.len()));
             let _ = stream.write_all(complete("done").as_bytes());
         });
-        UnreadingTarget { address, began, read_on, got }
+        UnreadingTarget { address, began, resume, body_bytes }
     }
 
-    /// Reads on; returns the length of the complete body, or none if the connection broke before.
-    pub fn reads_on(&self) -> Option<usize> {
-        self.read_on.send(()).unwrap();
-        self.got.recv().unwrap()
+    /// Lets the target read the rest of the request. Returns the length of the complete body, or
+    /// `None` if the connection broke before.
+    pub fn resume_reading(&self) -> Option<usize> {
+        self.resume.send(()).unwrap();
+        self.body_bytes.recv().unwrap()
     }
 }
 
+/// Returns the JSON identity of a target.
 fn identity(instance: &str, service: &str) -> String {
     format!(
         "{{\"instance\":\"{instance}\",\"service\":\"{service}\",\"labels\":{{}},\"occupancy\":0}}"
     )
 }
 
+/// Returns a connected pair of observations and observer.
 pub fn observations() -> (Observations, Observer) {
     let ((began, on_began), (ended, on_ended)) = (channel(), channel());
     (Observations { began: on_began, ended: on_ended }, Observer { began, ended })
 }
 
 impl Observer {
-    /// Reads and discards until the connection ends.
+    /// Reports the start, reads and discards bytes until the connection ends, and reports the end.
     fn hang(&self, stream: &mut TcpStream) {
         let _ = self.began.send(());
         let mut chunk = [0; 4096];
@@ -111,58 +122,61 @@
     }
 }
 
-/// The target's side of an event that the test triggers.
+/// The target's side of a [`Trigger`].
 #[derive(Clone)]
-pub struct Cue {
+pub struct TriggerSignal {
     proceed: Arc<Mutex<Receiver<()>>>,
     done: Sender<()>,
 }
 
-/// The test's side of it.
+/// Triggers one action of a target; owned by the test.
 pub struct Trigger {
     proceed: Sender<()>,
     done: Receiver<()>,
 }
 
-pub fn trigger() -> (Trigger, Cue) {
+/// Returns a trigger and its receiving side.
+pub fn trigger() -> (Trigger, TriggerSignal) {
     let ((proceed, on_proceed), (done, on_done)) = (channel(), channel());
-    let cue = Cue { proceed: Arc::new(Mutex::new(on_proceed)), done };
-    (Trigger { proceed, done: on_done }, cue)
+    let signal = TriggerSignal { proceed: Arc::new(Mutex::new(on_proceed)), done };
+    (Trigger { proceed, done: on_done }, signal)
 }
 
 impl Trigger {
-    /// Lets the target act, and returns once it has.
+    /// Triggers the target's action and waits until it is done.
     pub fn fire(&self) {
         self.proceed.send(()).unwrap();
         self.done.recv().unwrap();
     }
 }
 
-impl Cue {
+impl TriggerSignal {
     fn wait(&self) {
         let _ = self.proceed.lock().unwrap().recv();
     }
 }
 
-/// Ends a connection with a reset instead of an orderly end.
+/// Closes a connection with a reset (TCP RST) instead of a FIN.
 fn reset(stream: TcpStream) {
     let linger = libc::linger { l_onoff: 1, l_linger: 0 };
     let size = size_of::<libc::linger>() as libc::socklen_t;
     let (level, option) = (libc::SOL_SOCKET, libc::SO_LINGER);
     let value = std::ptr::from_ref(&linger).cast();
     let set = unsafe { libc::setsockopt(stream.as_raw_fd(), level, option, value, size) };
-    assert_eq!(set, 0, "the socket takes the option");
+    assert_eq!(set, 0, "setsockopt SO_LINGER failed");
 }
 
-/// A target on a real socket that identifies itself and then plays its script.
+/// A target on a real socket that identifies itself and then responds to each request by its
+/// script, of which it repeats the last entry.
 pub struct ScriptedTarget {
     pub address: SocketAddr,
     pub observed: Arc<Mutex<Observed>>,
 }
 
+/// Reads one request with its head and body; returns `None` if the connection ends before.
 pub fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<(String, Vec<u8>)> {
     loop {
-        if let Some(end) = buffer.windows(4).position(|four| four == b"\r\n\r\n") {
+        if let Some(end) = buffer.windows(4).position(|window| window == b"\r\n\r\n") {
             let head = String::from_utf8_lossy(&buffer[..end + 4]).into_owned();
             let length = head
                 .lines()
@@ -193,7 +207,7 @@
         ScriptedTarget::start_with(instance, service, script, None)
     }
 
-    /// One that never answers an identity request.
+    /// Starts a target that never answers an identity request.
     pub fn unidentified(instance: &'static str, service: &'static str, observer: Observer) -> Self {
         ScriptedTarget::start_with(instance, service, vec![Script::Complete("")], Some(observer))
     }
@@ -215,19 +229,21 @@
                     (script.clone(), recorder.clone(), unidentified.clone());
                 recorder.lock().unwrap().connections += 1;
                 thread::spawn(move || {
-                    play(stream, instance, service, &script, &recorder, unidentified)
+                    serve_connection(stream, instance, service, &script, &recorder, unidentified)
                 });
             }
         });
         ScriptedTarget { address, observed }
     }
 
+    /// Returns the number of requests received, without identity requests.
     pub fn runs(&self) -> usize {
         self.observed.lock().unwrap().heads.len()
     }
 }
 
-fn play(
+/// Serves one connection of a scripted target.
+fn serve_connection(
     mut stream: TcpStream,
     instance: &str,
     service: &str,
@@ -263,17 +279,17 @@
                 let _ = stream.write_all(&bytes);
                 return reset(stream);
             }
-            Script::Delayed(first, cue, second) => {
+            Script::Delayed(first, signal, second) => {
                 stream.write_all(&first).unwrap();
-                cue.wait();
+                signal.wait();
                 let _ = stream.write_all(&second);
-                let _ = cue.done.send(());
+                let _ = signal.done.send(());
             }
-            Script::DelayedReset(first, cue) => {
+            Script::DelayedReset(first, signal) => {
                 stream.write_all(&first).unwrap();
-                cue.wait();
+                signal.wait();
                 reset(stream);
-                let _ = cue.done.send(());
+                let _ = signal.done.send(());
                 return;
             }
             Script::Hang(observer) => return observer.hang(&mut stream),
--- a/programs/data-plane/src/tests/unresponsive_named_targets.rs
+++ b/programs/data-plane/src/tests/unresponsive_named_targets.rs
@@ -1,6 +1,7 @@
-//! Missing responses, resets and late responses on connections to targets that each request names.
+//! Missing responses, resets and late responses, in a dialect in which each request names its
+//! target.
 
-use super::named_targets::{IdentifiedDialect, get, response, two_targets};
+use super::named_targets::{RequestIdDialect, get, response, two_targets};
 use super::rig::*;
 use crate::TargetIdentification;
 use crate::target_connection::{
@@ -12,12 +13,13 @@
 use postbarrow_node::AttemptOutcome;
 use postbarrow_transport::clock_ms;
 
-/// Long enough for a request to reach its target, short enough for a test.
-const SHORT: &str = "Request-Id: p\r\nWait-Ms: 300\r\n";
+/// Headers by which the client waits 300 ms: long enough for a request to reach its target, and
+/// short enough for a test.
+const SHORT_WAIT_HEADERS: &str = "Request-Id: p\r\nWait-Ms: 300\r\n";
 
 fn unresponsive(late: Vec<u8>) -> (Trigger, Script) {
-    let (trigger, cue) = trigger();
-    (trigger, Script::Delayed(Vec::new(), cue, late))
+    let (trigger, signal) = trigger();
+    (trigger, Script::Delayed(Vec::new(), signal, late))
 }
 
 fn connections(target: &ScriptedTarget) -> usize {
@@ -29,9 +31,13 @@
     let (late, unresponsive) = unresponsive(response("p", "", "late"));
     let script = vec![unresponsive, Script::Reply(response("q", "", "own"))];
     let (one, other, rig) = two_targets(script, vec![Script::Raw(Vec::new())]);
-    let reply = rig.post(SHORT, "x");
+    let reply = rig.post(SHORT_WAIT_HEADERS, "x");
     assert!(reply.starts_with("HTTP/1.1 502") && reply.ends_with("sent"), "{reply}");
-    assert_eq!((one.runs(), other.runs()), (1, 0), "it may have run");
+    assert_eq!(
+        (one.runs(), other.runs()),
+        (1, 0),
+        "a request that may have run must not be retried"
+    );
     let reply = get(&rig, "q");
     assert!(reply.ends_with("\r\n\r\nown"), "sent on the unresponsive connection: {reply}");
     late.fire();
@@ -49,7 +55,7 @@
     let (late, unresponsive) = unresponsive(response("p", "", "late"));
     let script = vec![unresponsive, Script::Reply(response("q", "", "own"))];
     let (one, _, rig) = two_targets(script, vec![Script::Raw(Vec::new())]);
-    let look = format!("GET /look/1 HTTP/1.1\r\nHost: h\r\n{SHORT}\r\n");
+    let look = format!("GET /look/1 HTTP/1.1\r\nHost: h\r\n{SHORT_WAIT_HEADERS}\r\n");
     let reply = rig.raw(look.as_bytes());
     assert!(reply.starts_with("HTTP/1.1 502") && !reply.contains("late"), "{reply}");
     assert!(get(&rig, "q").ends_with("\r\n\r\nown"), "sent on the unresponsive connection");
@@ -67,7 +73,11 @@
         let (one, other, rig) = two_targets(vec![Script::Reset(truncated.clone())], working());
         let reply = rig.post("Request-Id: p\r\n", "x");
         assert!(reply.starts_with("HTTP/1.1 502") && reply.ends_with("sent"), "{reply}");
-        assert_eq!((one.runs(), other.runs()), (1, 0), "it may have run");
+        assert_eq!(
+            (one.runs(), other.runs()),
+            (1, 0),
+            "a request that may have run must not be retried"
+        );
         let (one, other, rig) = two_targets(vec![Script::Reset(truncated)], working());
         assert!(get(&rig, "p").ends_with("\r\n\r\ndone"));
         assert_eq!((one.runs(), other.runs()), (1, 1));
@@ -78,16 +88,16 @@
 fn idle_connection_with_unsolicited_bytes_or_a_reset_is_not_reused() {
     let extra = [response("a", "", "again"), b"garbage\r\n\r\n".to_vec()];
     for bytes in extra.map(Some).into_iter().chain([None]) {
-        let (later, cue) = trigger();
+        let (idle_trigger, signal) = trigger();
         let first = response("a", "", "1");
         let first = match bytes {
-            Some(bytes) => Script::Delayed(first, cue, bytes),
-            None => Script::DelayedReset(first, cue),
+            Some(bytes) => Script::Delayed(first, signal, bytes),
+            None => Script::DelayedReset(first, signal),
         };
         let script = vec![first, Script::Reply(response("p", "", "2"))];
         let (one, other, rig) = two_targets(script, vec![Script::Raw(Vec::new())]);
         assert!(get(&rig, "a").ends_with("\r\n\r\n1"));
-        later.fire();
+        idle_trigger.fire();
         assert!(rig.post("Request-Id: p\r\n", "x").ends_with("\r\n\r\n2"));
         assert_eq!((one.runs(), other.runs(), connections(&one)), (2, 0, 2));
     }
@@ -112,7 +122,10 @@
     assert!(get(&rig, "b").ends_with("\r\n\r\n2"));
     let observed = one.observed.lock().unwrap().clone();
     assert!(observed.heads[1].contains("For: s-9"), "{:?}", observed.heads);
-    assert_eq!(observed.connections, 2, "the connection was opened to another instance");
+    assert_eq!(
+        observed.connections, 2,
+        "a connection opened to another instance must not be reused"
+    );
 }
 
 #[test]
@@ -120,12 +133,19 @@
     let rejection = || vec![Script::Reply(response("p", "Not-Run: another stands here\r\n", ""))];
     let complete = || vec![Script::Reply(response("p", "", "done"))];
     let (one, other, rig) = two_targets(rejection(), complete());
-    assert!(get(&rig, "p").ends_with("\r\n\r\ndone"), "a lookup goes on");
+    assert!(
+        get(&rig, "p").ends_with("\r\n\r\ndone"),
+        "a lookup must be retried at the other target"
+    );
     assert_eq!((one.runs(), other.runs()), (1, 1));
     let (one, other, rig) = two_targets(rejection(), rejection());
     let reply = rig.post("Request-Id: p\r\n", "x");
     assert!(reply.starts_with("HTTP/1.1 503") && reply.ends_with("unsent"), "{reply}");
-    assert_eq!((one.runs(), other.runs()), (1, 1), "each said that it did not run");
+    assert_eq!(
+        (one.runs(), other.runs()),
+        (1, 1),
+        "each target stated that it did not run the request"
+    );
 }
 
 #[test]
@@ -148,7 +168,7 @@
         let terms = ExchangeTerms {
             may_send: &|| allowed,
             cancellation: Cancellation::new(&nobody, CancelScope::Never),
-            judge: &|response, first| IdentifiedDialect.judge_response(&head, response, first),
+            judge: &|response, first| RequestIdDialect.judge_response(&head, response, first),
         };
         let mut connection = TargetConnection::open(one.address, until_ms, &nobody).unwrap();
         connection.exchange(&request, &terms, &mut memory)
@@ -157,5 +177,5 @@
     assert!(matches!(outcome, AttemptOutcome::Unsent(_)) && !is_reusable, "{outcome:?}");
     let (outcome, is_reusable) = exchange(true);
     assert!(matches!(outcome, AttemptOutcome::Complete(_)) && is_reusable, "{outcome:?}");
-    assert_eq!(one.runs(), 1, "the forbidden one never arrived");
+    assert_eq!(one.runs(), 1, "the forbidden request must not reach the target");
 }
--- a/programs/data-plane/src/tests/unresponsive_targets.rs
+++ b/programs/data-plane/src/tests/unresponsive_targets.rs
@@ -1,4 +1,5 @@
-//! Missing responses, resets and second responses on connections to targets that identified themselves.
+//! Missing responses, resets and extra responses on connections to targets that identify
+//! themselves.
 
 use super::rig::*;
 use postbarrow_state::Settlement;
@@ -7,14 +8,15 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into()
 }
 
-fn one(script: Vec<Script>) -> (ScriptedTarget, Rig) {
+fn setup(script: Vec<Script>) -> (ScriptedTarget, Rig) {
     let scripted = ScriptedTarget::start("s-1", "s", script);
     let rig = Rig::new(vec![target("s-1", "s", scripted.address)], grant_all);
     (scripted, rig)
 }
 
-/// The second request got the second response, or a response that it did not run, and it never ran: a
-/// connection found unusable after it left the pool counts as this target's one attempt.
+/// Returns whether the second request ran and got its own response, or did not run and got the
+/// outcome `not-run`. The latter is allowed because a connection that proves unusable after it was
+/// taken from the pool counts as the one attempt at this target.
 fn is_own_response_or_unsent(reply: &str, scripted: &ScriptedTarget) -> bool {
     let unsent = reply.starts_with("HTTP/1.1 503") && reply.contains("not-run");
     match scripted.runs() {
@@ -25,9 +27,9 @@
 }
 
 #[test]
-fn second_response_directly_after_the_first_never_answers_the_next_request() {
+fn extra_response_after_the_first_is_never_relayed_for_the_next_request() {
     let extra = [complete("1"), complete("again")].concat();
-    let (scripted, rig) = one(vec![Script::Reply(extra), Script::Complete("2")]);
+    let (scripted, rig) = setup(vec![Script::Reply(extra), Script::Complete("2")]);
     assert!(rig.post("", "a").ends_with("\r\n\r\n1"));
     let reply = rig.post("", "b");
     assert!(is_own_response_or_unsent(&reply, &scripted), "{reply}");
@@ -36,14 +38,14 @@
 #[test]
 fn bytes_or_reset_on_an_idle_connection_never_reach_the_next_request() {
     for bytes in [Some(complete("again")), Some(b"garbage\r\n\r\n".to_vec()), None] {
-        let (later, cue) = trigger();
+        let (idle_trigger, signal) = trigger();
         let first = match bytes {
-            Some(bytes) => Script::Delayed(complete("1"), cue, bytes),
-            None => Script::DelayedReset(complete("1"), cue),
+            Some(bytes) => Script::Delayed(complete("1"), signal, bytes),
+            None => Script::DelayedReset(complete("1"), signal),
         };
-        let (scripted, rig) = one(vec![first, Script::Complete("2")]);
+        let (scripted, rig) = setup(vec![first, Script::Complete("2")]);
         assert!(rig.post("", "a").ends_with("\r\n\r\n1"));
-        later.fire();
+        idle_trigger.fire();
         let reply = rig.post("", "b");
         assert!(is_own_response_or_unsent(&reply, &scripted), "{reply}");
     }
@@ -53,7 +55,7 @@
 fn reset_at_any_point_of_a_response_settles_a_one_time_request_as_unknown() {
     let done = complete("done");
     for truncated in [Vec::new(), done[..20].to_vec(), done[..done.len() - 2].to_vec()] {
-        let (scripted, rig) = one(vec![Script::Reset(truncated)]);
+        let (scripted, rig) = setup(vec![Script::Reset(truncated)]);
         let reply = rig.post("", "a");
         assert!(reply.starts_with("HTTP/1.1 502") && reply.contains("unknown"), "{reply}");
         assert_eq!((scripted.runs(), rig.settlements()), (1, vec![Settlement::Unknown]));
@@ -62,9 +64,9 @@
 
 #[test]
 fn one_time_request_without_response_is_unknown_and_its_late_response_is_discarded() {
-    let (late, cue) = trigger();
+    let (late, signal) = trigger();
     let (scripted, rig) =
-        one(vec![Script::Delayed(Vec::new(), cue, complete("late")), Script::Complete("2")]);
+        setup(vec![Script::Delayed(Vec::new(), signal, complete("late")), Script::Complete("2")]);
     let reply = rig.post("", "a");
     assert!(reply.starts_with("HTTP/1.1 504") && reply.contains("unknown"), "{reply}");
     assert!(rig.post("", "b").ends_with("\r\n\r\n2"), "sent on the unresponsive connection");
