--- a/programs/data-plane/src/phases.rs
+++ b/programs/data-plane/src/phases.rs
@@ -1,24 +1,24 @@
-//! The phases of a request, in order; each is the module of its name.
+//! The phases of a request in order, each in the module of its name.
 //!
-//! | phase | what it does | ends the request with |
+//! | phase | action | statuses or reasons that end the request |
 //! | --- | --- | --- |
 //! | [`accept`] | accepts a client connection | 503 if the node or the client has too many |
 //! | [`read_head`] | reads the head of the next request | 400, 408, 431 |
 //! | [`match_route`] | finds the route in the table in force | 404, 405; 503 without a lease |
-//! | [`admit_or_reject`] | checks the key, takes the permits | 400, 429, 503 |
+//! | [`admit_or_reject`] | checks the idempotency key, acquires the permits | 400, 429, 503 |
 //! | [`read_body`] | reads the body within its limits | 408, 413, 503 |
-//! | [`select_endpoint`] | draws a service; the target is selected anew for each attempt | no target |
+//! | [`select_endpoint`] | chooses a weighted service; each attempt selects a target | no target available |
 //! | [`connect`] | reuses or opens a connection, verifies the target's identity | |
-//! | [`authorise_by_ticket`] | obtains a one-time request's ticket from the log | no ticket |
+//! | [`authorise_by_ticket`] | obtains the ticket of a one-time request | ticket not granted |
 //! | [`forward`] | sends the request, after the final check | |
 //! | [`read_response`] | reads the response and judges it | |
-//! | [`retry_or_finish`] | settles the ticket; a next attempt, or the completion | all others |
+//! | [`retry_or_finish`] | settles the ticket; retries or finishes the request | all other ends |
 //! | [`write_response`] | writes the response to the client | |
 //!
 //! [`client_connection`] runs `read_head` and `write_response` for each request of a connection,
 //! [`request`] runs the phases between them, and [`attempts`] those from `select_endpoint` to
-//! `retry_or_finish`. What an attempt leads to is decided by `postbarrow_node::RequestFlow`, which does
-//! no I/O: it returns a step, and the phase of that step returns an event.
+//! `retry_or_finish`. `postbarrow_node::RequestFlow` decides what follows an attempt. It does no
+//! I/O: it returns a step, the phase of that step runs, and the phase's result is its next event.
 
 pub mod accept;
 mod admit_or_reject;
--- a/programs/data-plane/src/phases/admit_or_reject.rs
+++ b/programs/data-plane/src/phases/admit_or_reject.rs
@@ -1,4 +1,4 @@
-//! Phase: admits a request with its permits, or rejects it.
+//! Phase: admits a request and acquires its permits, or rejects it.
 
 use super::match_route::MatchedRoute;
 use super::rejection::Rejection;
@@ -15,10 +15,11 @@
     reason: "the Idempotency-Key must be one of 1 to 200 printable characters, no colon",
 };
 
-/// Checks the key of a one-time request and takes the permits.
+/// Checks the idempotency key of a one-time request and acquires the permits of any request.
 ///
 /// # Errors
-/// The key is invalid, or the node, its client or the route is over a limit.
+/// Rejects the request if its key is invalid, or if the node, the client or the route is over a
+/// limit.
 pub fn admit<'s>(
     shared: &'s Shared,
     route: &MatchedRoute,
@@ -40,8 +41,8 @@
     )
 }
 
-/// Whether there is at most one key, and it is valid. A dialect that names targets in each request
-/// and reads no key here has none to check.
+/// Returns whether the request has no idempotency key or exactly one valid key. Nothing is checked
+/// for a dialect that names the target in each request and finds no key in this one.
 fn has_valid_key(dialect: &dyn Dialect, head: &Head) -> bool {
     if dialect.idempotency_key(head).is_none() && dialect.target_identification().is_some() {
         return true;
--- a/programs/data-plane/src/phases/attempts.rs
+++ b/programs/data-plane/src/phases/attempts.rs
@@ -1,4 +1,5 @@
-//! The attempts of a request: runs the phase of each step that the flow returns, until it is done.
+//! The attempts of a request: runs the phase of each step that `RequestFlow` returns, until the
+//! flow is done.
 
 use super::authorise_by_ticket::request_ticket;
 use super::connect::connect;
@@ -11,7 +12,7 @@
 use postbarrow_node::{Event, RequestFlow, Step};
 use std::sync::Arc;
 
-/// Takes an admitted request to its end, on the client's own thread.
+/// Processes an admitted request until it ends, on the thread of its client connection.
 pub fn run(shared: &Arc<Shared>, incoming: IncomingRequest<'_>) -> RequestEnd {
     let (context, entry) = select_service(shared, &incoming);
     let mut request = RequestState::new(shared, &incoming, &entry);
--- a/programs/data-plane/src/phases/client_connection.rs
+++ b/programs/data-plane/src/phases/client_connection.rs
@@ -1,4 +1,4 @@
-//! Serves the requests of one client connection, one after the other.
+//! Serves the requests of one client connection sequentially.
 
 use super::read_head::{HeadRead, read_head};
 use super::write_response::{write_completion, write_rejection};
@@ -7,7 +7,7 @@
 use postbarrow_downstream::connection::Connection;
 use std::sync::Arc;
 
-/// Serves a client connection until either side ends it.
+/// Serves a client connection until the client or this node closes it.
 pub fn serve(mut connection: Connection, shared: &Arc<Shared>) {
     loop {
         let head = match read_head(&mut connection, shared) {
--- a/programs/data-plane/src/phases/connect.rs
+++ b/programs/data-plane/src/phases/connect.rs
@@ -11,7 +11,8 @@
 use postbarrow_transport::clock_ms;
 use std::sync::Arc;
 
-/// Connects to the selected target, within `wait_ms`; the request counts there from now on.
+/// Connects to the selected target within `wait_ms` milliseconds, and counts the request in the
+/// target's load from now on.
 pub fn connect(
     request: &mut RequestState<'_>,
     target: Arc<Target>,
@@ -36,7 +37,8 @@
     }
 }
 
-/// A new connection; its target identifies itself unless each request names its target.
+/// Opens a new connection, and verifies the target's identity on it unless the dialect names the
+/// target in each request.
 fn open(
     request: &RequestState<'_>,
     target: &Target,
--- a/programs/data-plane/src/phases/forward.rs
+++ b/programs/data-plane/src/phases/forward.rs
@@ -9,23 +9,23 @@
 use postbarrow_state::Name;
 use postbarrow_transport::clock_ms;
 
-/// A request that was sent; its response is to be read.
+/// A request that was sent completely and whose response is not read yet.
 pub struct Forwarded {
-    /// The connection that it was sent on.
+    /// The connection on which the request was sent.
     pub connection: TargetConnection,
-    /// Counts it at its target.
+    /// The request's count in the load of its target.
     pub load: LoadPermit,
-    /// Covers the body of the response.
+    /// The memory reservation for the body of the response.
     pub memory: Reservation,
-    /// Its response must be complete by then, in milliseconds of the boot-time clock.
+    /// The time by which the response must be complete, in milliseconds of the boot-time clock.
     pub until_ms: u64,
 }
 
-/// Sends the request to the connected target. Its first byte is sent before `until_ms`, or none is;
-/// its response must be complete within `wait_ms`.
+/// Sends the request to the connected target. Sending starts before `until_ms` of the boot-time
+/// clock or not at all; the response must be complete within `wait_ms` milliseconds.
 ///
 /// # Errors
-/// How the attempt ended.
+/// Returns the outcome of the attempt if the request was not sent completely.
 pub fn forward(
     request: &mut RequestState<'_>,
     wait_ms: u64,
@@ -60,8 +60,9 @@
     }
 }
 
-/// The final check, right before the first byte: the client still waits, the target is still allowed,
-/// the ticket still valid, and the lease is looked at last.
+/// Returns the result of the final check, directly before the first byte is sent: the client has
+/// not departed, the table in force still allows the target, `until_ms` has not passed (the ticket
+/// is still valid), and the lease is valid. The lease is checked last.
 fn may_send(request: &RequestState<'_>, instance: &Name, until_ms: u64) -> bool {
     !request.incoming.client.has_departed()
         && request.shared.routing.load().allows(&request.service, instance)
--- a/programs/data-plane/src/phases/match_route.rs
+++ b/programs/data-plane/src/phases/match_route.rs
@@ -8,30 +8,31 @@
 use postbarrow_state::RouteKind;
 use std::sync::Arc;
 
-/// The route of a request, in the table that was in force when it arrived.
+/// The route of a request, from the table that was in force when the route was matched.
 pub struct MatchedRoute {
-    /// The table.
+    /// The routing table that contains the route.
     pub table: Arc<Table>,
-    /// The route.
+    /// The matched route, with its limits.
     pub entry: Arc<Entry>,
-    /// What may be promised of the request.
+    /// The facts that decide whether the node may state that the request did not run.
     pub evidence: ExecutionEvidence,
 }
 
 impl MatchedRoute {
-    /// Whether its requests run at most once.
+    /// Returns whether the route's requests run at most once.
     pub fn is_one_time(&self) -> bool {
         self.evidence.one_time
     }
 }
 
-/// Finds the route, while the lease is valid.
+/// Finds the route of a request.
 ///
 /// # Errors
-/// The node has no lease, no route has the path, or the route has no such method.
+/// Rejects the request if the node has no valid lease, no route matches the path, or the routes of
+/// the path do not allow the method.
 pub fn match_route(shared: &Shared, head: &Head) -> Result<MatchedRoute, Rejection> {
     let keyed = shared.dialect.idempotency_key(head).is_some();
-    // Without its route a keyed request counts as one-time: it may have run under its key before.
+    // A keyed request without a route is treated as one-time: it may have run under its key before.
     let unmatched = ExecutionEvidence { one_time: keyed, keyed, ..ExecutionEvidence::default() };
     let reject = |outcome| Err(Rejection::decided(shared, unmatched, outcome));
     if !shared.lease.is_valid() {
--- a/programs/data-plane/src/phases/read_body.rs
+++ b/programs/data-plane/src/phases/read_body.rs
@@ -1,4 +1,5 @@
-//! Phase: reads the body of a request, within the limits of its route and the node's memory.
+//! Phase: reads the body of a request, within the size limit of its route and the node's memory
+//! budget.
 
 use super::match_route::MatchedRoute;
 use super::rejection::Rejection;
@@ -10,10 +11,11 @@
 use postbarrow_node::RequestOutcome;
 use postbarrow_transport::clock_ms;
 
-/// Reads the body of a request with a route.
+/// Reads the body of a request that matched a route.
 ///
 /// # Errors
-/// It is too large, malformed, late, or the node has no memory for it.
+/// Rejects the request if its body is too large, malformed or late, or if the node has no memory
+/// for it.
 pub fn read_route_body(
     connection: &mut Connection,
     shared: &Shared,
@@ -38,7 +40,8 @@
 /// Reads the body of a request to an endpoint of the node itself.
 ///
 /// # Errors
-/// It is too large, malformed, late, or the node has no memory for it.
+/// Rejects the request if its body is too large, malformed or late, or if the node has no memory
+/// for it.
 pub fn read_node_body(
     connection: &mut Connection,
     shared: &Shared,
@@ -50,17 +53,22 @@
         .map_err(|reject| unreadable(shared, head, reject))
 }
 
-/// A client that states how long it waits needs no response later, so its body is not awaited longer.
+/// Returns the time by which the body must be complete, in milliseconds of the boot-time clock:
+/// after `BODY_WAIT_MS`, or earlier if the client states that it waits a shorter time.
 fn until_ms(shared: &Shared, head: &Head, arrived_ms: u64) -> u64 {
     let wait_ms = shared.dialect.client_timeout_ms(head).unwrap_or(BODY_WAIT_MS);
     arrived_ms + wait_ms.min(BODY_WAIT_MS)
 }
 
+/// Returns the rejection of a request with an incomplete or invalid body. With an idempotency key,
+/// an earlier request may have run.
 fn unreadable(shared: &Shared, head: &Head, reject: Reject) -> Rejection {
     let unsure = shared.dialect.idempotency_key(head).is_some();
     Rejection::Unreadable { reject, unsure }
 }
 
+/// Checks a stated length against `max_bytes`, sends `100 Continue` to a client that expects it,
+/// and reads the body.
 fn read(
     connection: &mut Connection,
     shared: &Shared,
--- a/programs/data-plane/src/phases/read_head.rs
+++ b/programs/data-plane/src/phases/read_head.rs
@@ -5,17 +5,17 @@
 use postbarrow_downstream::connection::{Connection, NextRequest, ReadLimits};
 use postbarrow_downstream::head::Head;
 
-/// The next input on a connection.
+/// The result of reading the next request head on a client connection.
 pub enum HeadRead {
-    /// A request; its body is not read yet.
+    /// The head of a request whose body is not read yet.
     Head(Head),
-    /// Bytes that are no request.
+    /// The rejection of bytes that are not a valid request head, or that arrived too late.
     Rejected(Rejection),
-    /// Either side ended the connection.
+    /// The client or this node closed the connection.
     Closed,
 }
 
-/// Reads the head of the next request.
+/// Reads the head of the next request on a client connection.
 pub fn read_head(connection: &mut Connection, shared: &Shared) -> HeadRead {
     match connection.next_request(limits(shared), || shared.lifecycle.is_closed()) {
         NextRequest::Head(head) => HeadRead::Head(head),
@@ -27,7 +27,8 @@
     }
 }
 
-/// The limits of the plan in force, or else the node's own.
+/// Returns the limits of the plan in force, with the node's default for each limit that the plan
+/// does not set.
 fn limits(shared: &Shared) -> ReadLimits {
     let table = shared.routing.load();
     let (plan, own) = (&table.state.client_limits, ReadLimits::default());
--- a/programs/data-plane/src/phases/read_response.rs
+++ b/programs/data-plane/src/phases/read_response.rs
@@ -1,4 +1,4 @@
-//! Phase: reads the response to a forwarded request and judges it.
+//! Phase: reads the response to a forwarded request and determines the outcome of the attempt.
 
 use super::forward::Forwarded;
 use super::request_state::RequestState;
@@ -7,7 +7,8 @@
 use crate::target_connection::ExpectedResponse;
 use postbarrow_node::{AttemptOutcome, TargetResponse};
 
-/// Reads the response; a connection that may be used again goes back to its pool.
+/// Reads the response, returns a reusable connection to its pool, and returns the attempt's
+/// outcome.
 pub fn read_response(request: &mut RequestState<'_>, forwarded: Forwarded) -> AttemptOutcome {
     let Forwarded { mut connection, load, mut memory, until_ms } = forwarded;
     let (head, dialect) = (request.incoming.head, request.shared.dialect.as_ref());
--- a/programs/data-plane/src/phases/rejection.rs
+++ b/programs/data-plane/src/phases/rejection.rs
@@ -1,25 +1,26 @@
-//! Ends of a request whose body stays unread, so that its connection can't be used again.
+//! Rejections of requests before their body is read completely, so that their connection can't be
+//! reused.
 
 use crate::shared::Shared;
 use postbarrow_downstream::head::Reject;
 use postbarrow_node::{Completion, ExecutionEvidence, RequestOutcome, TargetResponse};
 
-/// Why a request is rejected before its body is read.
+/// The rejection of a request before its body is read completely.
 pub enum Rejection {
-    /// The node's decision, with its response.
+    /// The request was understood but not accepted; the field is the response to send.
     Decided(TargetResponse),
-    /// The bytes are no request, or did not arrive in time.
+    /// The bytes are not a valid request, or did not arrive in time.
     Unreadable {
-        /// Status and reason.
+        /// The HTTP status and the reason for the client.
         reject: Reject,
-        /// Whether a request under its key may have run before: this one did not, and of an earlier
-        /// one this node does not know.
+        /// Whether an earlier request with the same key may have run. The rejected request did not
+        /// run, but this node has no record of earlier ones.
         unsure: bool,
     },
 }
 
 impl Rejection {
-    /// The rejection of a request with this outcome.
+    /// Returns the rejection of a request with this outcome, as the node's dialect renders it.
     pub fn decided(
         shared: &Shared,
         evidence: ExecutionEvidence,
--- a/programs/data-plane/src/phases/request.rs
+++ b/programs/data-plane/src/phases/request.rs
@@ -1,5 +1,5 @@
-//! One request, from its head to its end: the phases between reading the head and writing the
-//! response, in order.
+//! Processes one request: runs the phases between reading the head and writing the response, in
+//! order.
 
 use super::admit_or_reject::admit;
 use super::attempts;
@@ -17,10 +17,10 @@
 use postbarrow_transport::clock_ms;
 use std::sync::Arc;
 
-/// Takes a request from its head to its end.
+/// Processes a request whose head was read, and returns how it ended.
 ///
 /// # Errors
-/// It is rejected, and its body stays unread.
+/// Returns the rejection of a request whose body was not read completely.
 pub fn process(
     connection: &mut Connection,
     shared: &Arc<Shared>,
--- a/programs/data-plane/src/phases/request_state.rs
+++ b/programs/data-plane/src/phases/request_state.rs
@@ -1,4 +1,4 @@
-//! What a request has in hand on its way through the phases.
+//! The data of a request that the phases share, from one phase to the next.
 
 use crate::balancing::LoadPermit;
 use crate::shared::Shared;
@@ -11,61 +11,62 @@
 use postbarrow_state::{Name, RouteKind, Target};
 use std::sync::Arc;
 
-/// A request that was read completely and matched its route.
+/// A request that was read completely, matched a route and was admitted.
 pub struct IncomingRequest<'a> {
-    /// The route.
+    /// The route that the request matched.
     pub entry: Arc<Entry>,
-    /// Its head.
+    /// The request's head.
     pub head: &'a Head,
-    /// Its body.
+    /// The request's body, empty if it has none.
     pub body: Vec<u8>,
-    /// When the route's deadline starts to run, in milliseconds of the boot-time clock.
+    /// The time from which the route's deadline is counted, in milliseconds of the boot-time clock.
     pub start_ms: u64,
-    /// When its head was read, on the same clock.
+    /// The time at which the head was read completely, in milliseconds of the boot-time clock.
     pub arrived_ms: u64,
-    /// Its client.
+    /// Detects the departure of the request's client.
     pub client: &'a ClientWatch<'a>,
 }
 
-/// How a request ended here.
+/// The result of processing a request.
 pub enum RequestEnd {
-    /// Its client gets this response; the reservation covers the response's body.
+    /// The response to send to the client; the reservation, if any, covers the response's body.
     Respond(TargetResponse, Option<Reservation>),
-    /// The client departed before.
+    /// The client departed before there was a response; none is sent.
     ClientDeparted,
 }
 
-/// A request during its attempts.
+/// The state of a request during its attempts.
 pub struct RequestState<'a> {
-    /// The node's state.
+    /// The state that the node's threads share.
     pub shared: &'a Arc<Shared>,
-    /// The request.
+    /// The request as it was received.
     pub incoming: &'a IncomingRequest<'a>,
-    /// The service that was drawn.
+    /// The service that was chosen among the route's weighted services.
     pub service: Name,
-    /// Whether it may be repeated, as a lookup may.
+    /// Whether the request may be sent more than once, as a lookup may.
     pub is_repeatable: bool,
-    /// For how long the departure of its client cancels it.
+    /// The part of an attempt during which the departure of the client cancels it.
     cancel_scope: CancelScope,
-    /// The attempt in progress.
+    /// The attempt that is in progress.
     pub attempt: Attempt,
-    /// Covers the body of the response.
+    /// The memory reservation for the body of the response; `None` before the first attempt.
     pub response_memory: Option<Reservation>,
 }
 
-/// What an attempt has in hand between its phases.
+/// The resources of one attempt, kept between its phases.
 #[derive(Default)]
 pub struct Attempt {
-    /// The target.
+    /// The selected target; `None` before the connect phase.
     pub target: Option<Arc<Target>>,
-    /// The connection to it.
+    /// The connection to the target; `None` unless the request is connected and not yet sent.
     pub connection: Option<TargetConnection>,
-    /// Counts the request at the target.
+    /// The request's count in the load of the target, until the request is sent.
     pub load: Option<LoadPermit>,
 }
 
 impl<'a> RequestState<'a> {
-    /// A request before its first attempt; `entry` is its route with one service drawn.
+    /// Returns the state of a request before its first attempt; `entry` is its route with one
+    /// weighted service chosen.
     pub fn new(
         shared: &'a Arc<Shared>,
         incoming: &'a IncomingRequest<'a>,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// The client whose departure cancels an attempt, and for how long.
+    /// Returns when the departure of the request's client cancels an attempt.
     pub fn cancellation(&self) -> Cancellation<'a> {
         Cancellation::new(self.incoming.client, self.cancel_scope)
     }
--- a/programs/data-plane/src/phases/retry_or_finish.rs
+++ b/programs/data-plane/src/phases/retry_or_finish.rs
@@ -1,4 +1,5 @@
-//! Phase: after each event the flow decides on the next step; settles tickets and ends the request.
+//! Phase: passes each event to the flow, which decides on the next step; settles tickets and
+//! finishes the request.
 
 use super::request_state::{RequestEnd, RequestState};
 use postbarrow_constants::coordination::SETTLEMENT_WAIT_MS;
@@ -7,7 +8,7 @@
 };
 use postbarrow_transport::clock_ms;
 
-/// The flow's next step after an event.
+/// Passes an event to the flow and returns its next step.
 pub fn next_step(request: &RequestState<'_>, flow: &mut RequestFlow, event: Event) -> Step {
     let shared = request.shared;
     let table = shared.routing.load_full();
@@ -21,15 +22,16 @@
     flow.handle(&context, event)
 }
 
-/// Settles the ticket of an attempt and waits until the log has it, at most `wait_ms`.
+/// Settles the ticket of an attempt, and waits at most `wait_ms` milliseconds until the settlement
+/// is in the log.
 pub fn settle(request: &RequestState<'_>, settlement: TicketSettlement, wait_ms: u64) -> Event {
     let client = request.incoming.client;
     let response = request.shared.control_loop.request(settlement.into(), wait_ms, client);
     Event::ControllerResponded(response)
 }
 
-/// Ends the request: its settlement is sent until the log has it, and its client does not wait for
-/// that.
+/// Finishes the request. Its settlement is resent in the background until it is in the log or
+/// `SETTLEMENT_WAIT_MS` has passed; the client's response does not wait for that.
 pub fn finish(
     request: RequestState<'_>,
     completion: Completion,
--- a/programs/data-plane/src/phases/write_response.rs
+++ b/programs/data-plane/src/phases/write_response.rs
@@ -7,15 +7,15 @@
 use postbarrow_downstream::connection::Connection;
 use postbarrow_downstream::head::Head;
 
-/// Whether the connection carries another request.
+/// Whether the client connection stays open after a response.
 pub enum Persistence {
-    /// It does.
+    /// The connection stays open for another request.
     KeepAlive,
-    /// It ends.
+    /// The connection is closed.
     Close,
 }
 
-/// Writes the response of a request that was read completely.
+/// Writes the response to a request that was read completely, unless its client departed.
 pub fn write_completion(
     connection: &mut Connection,
     shared: &Shared,
@@ -30,7 +30,8 @@
     Persistence::KeepAlive
 }
 
-/// Writes the response of a rejected request, whose connection ends with it.
+/// Writes the response to a rejected request, after which its connection is closed; writes nothing
+/// if the client departed.
 pub fn write_rejection(
     connection: &mut Connection,
     shared: &Shared,
