--- a/programs/data-plane/src/error/tests.rs
+++ b/programs/data-plane/src/error/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of `error`: texts that reach clients and logs.
+//! Tests of `error`: the error texts that appear in logs and in responses to clients.
 
 use super::*;
 use std::io::ErrorKind;
 
 #[test]
-fn each_upstream_error_has_its_text() {
+fn upstream_errors_state_activity_and_cause() {
     let connect = |error| UpstreamError::Connect(Box::new(error)).to_string();
     assert_eq!(connect(UpstreamError::ClientDeparted), "connect: the client left");
     assert_eq!(connect(io::Error::from(ErrorKind::TimedOut).into()), "connect: timed out");
--- a/programs/data-plane/src/response_parser.rs
+++ b/programs/data-plane/src/response_parser.rs
@@ -1,41 +1,42 @@
 //! Parses the head and the body framing of a target's response (RFC 9112, sections 4 and 6).
 //!
-//! Stricter than the RFC allows: a response whose end is known only by the end of its connection is
-//! an error, for it can't be told from a truncated one.
+//! The parser is stricter than the RFC: a response whose end is known only by the end of its
+//! connection is an error, because it can't be distinguished from a truncated response.
 
 use crate::error::ParseError;
 use postbarrow_constants::traffic::*;
 use postbarrow_node::TargetResponse;
 use std::ops::Range;
 
-/// How the end of a body is known.
+/// The framing of a response body, which determines where the body ends.
 #[derive(Debug, PartialEq)]
 pub enum BodyFraming {
-    /// By this many bytes.
+    /// The body has this number of bytes, 0 for a response without a body.
     Sized(usize),
-    /// By the last chunk.
+    /// The body ends with an empty chunk.
     Chunked,
 }
 
-/// The head of a response.
+/// The parsed head of a response.
 #[derive(Debug)]
 pub struct ResponseHead {
-    /// Status and headers; the body is empty.
+    /// The response with its status and headers; its body is empty until it is read.
     pub response: TargetResponse,
-    /// Bytes that the head takes.
+    /// Length of the head, in bytes.
     pub length: usize,
-    /// How the end of the body is known.
+    /// The framing of the body.
     pub framing: BodyFraming,
-    /// Whether the target keeps the connection open.
+    /// Whether the target keeps the connection open after the response.
     pub is_persistent: bool,
-    /// How long the target keeps it open while idle, less a margin, in milliseconds.
+    /// How long the target keeps the connection open while idle, less `TARGET_IDLE_MARGIN_MS`, in
+    /// milliseconds; `None` if the response has no `Keep-Alive` header with a valid timeout.
     pub idle_limit_ms: Option<u64>,
 }
 
-/// Parses a response's head, or none if it is not complete.
+/// Parses the head of a response to a request with this method; returns `None` if it is incomplete.
 ///
 /// # Errors
-/// The bytes are no HTTP/1.1 response with one unambiguous length.
+/// Fails if the bytes are not an HTTP/1.1 response with one unambiguous length.
 pub fn parse_head(bytes: &[u8], method: &str) -> Result<Option<ResponseHead>, ParseError> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
@@ -52,7 +53,7 @@
     Ok(Some(ResponseHead { response, length, framing, is_persistent, idle_limit_ms }))
 }
 
-/// The headers, and what they state on framing and connection.
+/// The headers of a response, and the framing and connection options that they state.
 struct FramingFields {
     headers: Vec<(String, String)>,
     lengths: Vec<usize>,
@@ -84,10 +85,10 @@
     }
 
     fn read_header(&mut self, name: &str, value: &str) -> Result<(), ParseError> {
-        let is = |known: &str| name.eq_ignore_ascii_case(known);
+        let is = |expected: &str| name.eq_ignore_ascii_case(expected);
         if is("content-length") {
-            let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
-            let length = value.parse::<usize>().ok().filter(|_| digits);
+            let is_decimal = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
+            let length = value.parse::<usize>().ok().filter(|_| is_decimal);
             self.lengths.push(length.ok_or(ParseError::LengthNotANumber)?);
         } else if is("transfer-encoding") {
             self.has_transfer_coding = true;
@@ -111,17 +112,20 @@
     }
 }
 
+/// Returns the idle timeout of a `Keep-Alive` header less `TARGET_IDLE_MARGIN_MS`, in milliseconds,
+/// or `None` if the header states no valid timeout.
 fn idle_limit_ms(value: &str) -> Option<u64> {
     let timeout = value.split(',').find_map(|field| field.trim().strip_prefix("timeout="))?;
     let timeout_ms = timeout.trim().parse::<u64>().ok()?.saturating_mul(1_000);
     Some(timeout_ms.saturating_sub(TARGET_IDLE_MARGIN_MS).min(TARGET_IDLE_MAX_MS))
 }
 
-/// Parses the next chunk (RFC 9112, section 7.1), or none if it is not complete: how many bytes it
-/// takes in all, and where its data are. Empty data are the end of the body.
+/// Parses the chunk at the start of `bytes` (RFC 9112, section 7.1). Returns its total length in
+/// bytes, framing included, and the range of its data, or `None` if it is incomplete. An empty
+/// range marks the end of the body.
 ///
 /// # Errors
-/// The size or the end of the chunk is malformed, or a line exceeds its limit.
+/// Fails if the size or the end of the chunk is malformed, or if a line exceeds its limit.
 pub fn parse_chunk(bytes: &[u8]) -> Result<Option<(usize, Range<usize>)>, ParseError> {
     let (start, size) = match httparse::parse_chunk_size(bytes) {
         Ok(httparse::Status::Complete((start, size))) => (start, size as usize),
@@ -140,6 +144,7 @@
     }
 }
 
+/// Returns the end of the trailer section that begins at `at`, or `None` if it is incomplete.
 fn skip_trailers(bytes: &[u8], mut at: usize) -> Result<Option<usize>, ParseError> {
     loop {
         let rest = &bytes[at..];
--- a/programs/data-plane/src/target_connection.rs
+++ b/programs/data-plane/src/target_connection.rs
@@ -1,7 +1,7 @@
-//! One connection to a target, which carries one request at a time.
+//! A connection to a target, which carries one request at a time.
 //!
-//! `open` establishes it, `send` sends a request, `receive` reads its response, and `identify`
-//! verifies whose process the target is.
+//! `open` establishes the connection, `send` sends a request, `receive` reads its response, and
+//! `identify` verifies that the process at the address is the expected target.
 
 mod identify;
 mod open;
@@ -20,86 +20,91 @@
 use std::io::ErrorKind;
 use std::net::TcpStream;
 
-/// A connection to a target. It is read byte by byte, so that bytes beyond the response are noticed,
-/// and every wait on it ends when the client of its request departs.
+/// A connection to a target. Bytes are parsed from a buffer, so that bytes beyond the response are
+/// detected. A wait on the connection ends early if the client of its request departs, within the
+/// request's [`CancelScope`].
 pub struct TargetConnection {
-    /// Non-blocking.
+    /// The socket, in non-blocking mode.
     stream: TcpStream,
     buffer: Vec<u8>,
-    /// Bytes of the buffer that are consumed.
+    /// Number of bytes at the start of `buffer` that are already consumed.
     start: usize,
-    /// How long sent bytes may stay unacknowledged; 0 is the system's default.
+    /// How long sent bytes may stay unacknowledged, in milliseconds; 0 is the system's default.
     unacknowledged_limit_ms: u64,
-    /// No response was read on it yet.
-    first: bool,
-    used_ms: u64,
-    /// How long it may stay idle.
+    /// Whether no response was read on the connection yet.
+    is_first: bool,
+    /// The time of the last use, in milliseconds of the boot-time clock.
+    last_used_ms: u64,
+    /// How long the connection may stay idle before it is no longer reused, in milliseconds.
     idle_limit_ms: u64,
 }
 
-/// For how long the departure of its client cancels a request.
+/// The part of an exchange during which the departure of the client cancels the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelScope {
-    /// Up to its response: it may be repeated.
+    /// Until the response is complete, because the request may be repeated.
     Always,
-    /// Until its last byte is sent: from then on its target may be running it.
+    /// Until the last byte of the request is sent, because the target may run it from then on.
     UntilSent,
-    /// Never: a repeat under its key gets its outcome.
+    /// Never, because a repeat with the same key gets the outcome of this request.
     Never,
 }
 
-/// The client whose departure cancels a request, for as long as the scope says.
+/// The client whose departure cancels a request, and the scope within which it does so.
 pub struct Cancellation<'a> {
     client: &'a ClientWatch<'a>,
-    nobody: ClientWatch<'static>,
+    no_client: ClientWatch<'static>,
     scope: CancelScope,
 }
 
 impl<'a> Cancellation<'a> {
-    /// The departure of this client cancels within this scope.
+    /// Returns a cancellation by the departure of this client within this scope.
     pub fn new(client: &'a ClientWatch<'a>, scope: CancelScope) -> Cancellation<'a> {
-        Cancellation { client, nobody: ClientWatch::nobody(), scope }
+        Cancellation { client, no_client: ClientWatch::nobody(), scope }
     }
 
+    /// Returns the watch to use while the request is sent.
     fn while_sending(&self) -> &ClientWatch<'_> {
         match self.scope {
-            CancelScope::Never => &self.nobody,
+            CancelScope::Never => &self.no_client,
             CancelScope::Always | CancelScope::UntilSent => self.client,
         }
     }
 
+    /// Returns the watch to use while the response is received.
     fn while_receiving(&self) -> &ClientWatch<'_> {
         match self.scope {
             CancelScope::Always => self.client,
-            CancelScope::UntilSent | CancelScope::Never => &self.nobody,
+            CancelScope::UntilSent | CancelScope::Never => &self.no_client,
         }
     }
 }
 
-/// Decides what a response proves; the second value says whether it is the connection's first.
+/// Decides what a response proves about its request; the second argument is true for the first
+/// response on a connection.
 pub type Judge<'a> = &'a dyn Fn(&TargetResponse, bool) -> ResponseJudgement;
 
-/// The conditions of one exchange.
+/// The conditions of one exchange: of sending a request and receiving its response.
 pub struct ExchangeTerms<'a> {
-    /// The final check, evaluated once, right before the first byte.
+    /// The final check, evaluated once, directly before the first byte is sent.
     pub may_send: &'a dyn Fn() -> bool,
-    /// Whose departure cancels the exchange.
+    /// The client whose departure cancels the exchange, and its scope.
     pub cancellation: Cancellation<'a>,
-    /// What a response proves.
+    /// Decides what a response proves about the request.
     pub judge: Judge<'a>,
 }
 
 impl TargetConnection {
-    /// Whether nothing arrived on it while idle, the target has not closed it, and it has not been
-    /// idle for too long.
+    /// Returns whether the connection can carry another request: no bytes arrived while it was
+    /// idle, the target has not closed it, and it has not been idle for longer than its limit.
     pub fn is_reusable(&self) -> bool {
         let peeked = self.stream.peek(&mut [0]);
-        let is_quiet = peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock);
-        is_quiet && clock_ms() < self.used_ms + self.idle_limit_ms
+        let has_no_input = peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock);
+        has_no_input && clock_ms() < self.last_used_ms + self.idle_limit_ms
     }
 
-    /// Sends a request and receives its response; also returns whether the connection may be used
-    /// again.
+    /// Sends a request and receives its response. Returns the outcome, and whether the connection
+    /// can be reused.
     pub fn exchange(
         &mut self,
         request: &OutgoingRequest<'_>,
@@ -117,6 +122,8 @@
         self.receive(&expected, &terms.cancellation, memory)
     }
 
+    /// Waits until the connection is ready, by `until_ms` of the boot-time clock, unless the client
+    /// departs.
     fn wait(&self, interest: Interest, until_ms: u64, client: &ClientWatch) -> Result<()> {
         match client.wait_for(&self.stream, interest, until_ms)? {
             WaitOutcome::Ready => Ok(()),
--- a/programs/data-plane/src/target_connection/identify.rs
+++ b/programs/data-plane/src/target_connection/identify.rs
@@ -1,4 +1,4 @@
-//! Verifies the identity of a target, on a connection of its own.
+//! Verifies the identity of the target at the other end of a connection.
 
 use super::{CancelScope, Cancellation, ExchangeTerms, OutgoingRequest, TargetConnection};
 use crate::dialect::ResponseJudgement;
@@ -11,11 +11,12 @@
 use postbarrow_state::Target;
 
 impl TargetConnection {
-    /// Requests the identity: instance, service and labels must be the target's own. Returns how
-    /// many requests are in flight at the target.
+    /// Requests the identity and checks that instance, service and labels are those of `target`.
+    /// Returns how many requests are in flight at the target.
     ///
     /// # Errors
-    /// No identity by `until_ms`, or that of another target.
+    /// Fails if there is no valid identity by `until_ms` of the boot-time clock, or if it belongs
+    /// to another target.
     pub fn identify(
         &mut self,
         target: &Target,
@@ -51,6 +52,7 @@
     }
 }
 
+/// Checks an identity response and returns the number of requests in flight that it states.
 fn verify_identity(response: &TargetResponse, target: &Target) -> Result<u64> {
     if response.status != 200 {
         return Err(UpstreamError::IdentityStatus(response.status));
--- a/programs/data-plane/src/target_connection/open.rs
+++ b/programs/data-plane/src/target_connection/open.rs
@@ -10,11 +10,11 @@
 use std::net::{SocketAddr, TcpStream};
 
 impl TargetConnection {
-    /// Connects within `TARGET_CONNECT_MS`, and before `until_ms` of the boot-time clock, unless the
-    /// client departs before.
+    /// Connects to `address` within `TARGET_CONNECT_MS` and by `until_ms` of the boot-time clock;
+    /// stops if the client departs.
     ///
     /// # Errors
-    /// Why there is no connection.
+    /// Returns the reason why no connection was established.
     pub fn open(
         address: SocketAddr,
         until_ms: u64,
@@ -28,8 +28,8 @@
             buffer: Vec::new(),
             start: 0,
             unacknowledged_limit_ms: 0,
-            first: true,
-            used_ms: clock_ms(),
+            is_first: true,
+            last_used_ms: clock_ms(),
             idle_limit_ms: TARGET_IDLE_MS,
         })
     }
--- a/programs/data-plane/src/target_connection/receive.rs
+++ b/programs/data-plane/src/target_connection/receive.rs
@@ -1,4 +1,4 @@
-//! Receives one response, byte by byte, from a target.
+//! Receives the response to a request from a target.
 
 use super::{Cancellation, Judge, TargetConnection};
 use crate::dialect::ResponseJudgement;
@@ -11,19 +11,19 @@
 use postbarrow_transport::{Interest, clock_ms};
 use std::io::{ErrorKind, Read};
 
-/// What is to be received.
+/// The response that a request expects.
 pub struct ExpectedResponse<'a> {
     /// The request's method; a response to HEAD has no body.
     pub method: &'a str,
-    /// The response must be complete by then, in milliseconds of the boot-time clock.
+    /// The time by which the response must be complete, in milliseconds of the boot-time clock.
     pub until_ms: u64,
-    /// What a response proves.
+    /// Decides what a response proves about the request.
     pub judge: Judge<'a>,
 }
 
 impl TargetConnection {
-    /// Receives responses until one that does not answer an earlier request; also returns whether
-    /// the connection may be used again.
+    /// Receives responses and skips those that belong to an earlier request. Returns the outcome of
+    /// the attempt, and whether the connection can be reused.
     pub fn receive(
         &mut self,
         expected: &ExpectedResponse<'_>,
@@ -40,8 +40,8 @@
                     return (AttemptOutcome::Unknown { late, reason }, false);
                 }
             };
-            let judgement = (expected.judge)(&response, self.first);
-            self.first = false;
+            let judgement = (expected.judge)(&response, self.is_first);
+            self.is_first = false;
             let outcome = match judgement {
                 ResponseJudgement::Misdirected if is_persistent => continue,
                 ResponseJudgement::Misdirected => {
@@ -59,13 +59,16 @@
         }
     }
 
+    /// Records the time of the last use and discards the buffer, before the connection becomes
+    /// idle.
     fn become_idle(&mut self) {
-        self.used_ms = clock_ms();
+        self.last_used_ms = clock_ms();
         self.buffer = Vec::new();
         self.start = 0;
     }
 
-    /// One complete response, and whether the target keeps the connection open after it.
+    /// Receives one complete response. Also returns whether the target keeps the connection open
+    /// after it.
     fn receive_one(
         &mut self,
         expected: &ExpectedResponse<'_>,
@@ -83,7 +86,7 @@
         Ok((response, head.is_persistent))
     }
 
-    /// The head of a final response; interim ones are skipped (RFC 9110, section 15.2).
+    /// Receives the head of a final response; skips interim responses (RFC 9110, section 15.2).
     fn receive_head(
         &mut self,
         expected: &ExpectedResponse<'_>,
@@ -149,7 +152,7 @@
         }
     }
 
-    /// Reads at least one byte more.
+    /// Reads at least one more byte into the buffer, by `until_ms` of the boot-time clock.
     fn receive_more(&mut self, until_ms: u64, client: &ClientWatch) -> Result<()> {
         loop {
             self.wait(Interest::Read, until_ms, client)?;
--- a/programs/data-plane/src/target_connection/send.rs
+++ b/programs/data-plane/src/target_connection/send.rs
@@ -11,27 +11,28 @@
 use std::result;
 use std::time::Duration;
 
-/// A request as its target gets it.
+/// A request as it is sent to a target.
 pub struct OutgoingRequest<'a> {
-    /// Its method.
+    /// The method of the request.
     pub method: &'a str,
-    /// Path and query, as the client sent them.
+    /// The path and query, as the client sent them.
     pub path: &'a str,
-    /// Its headers.
+    /// The headers to send, without `Content-Length`, which is computed.
     pub headers: &'a [(String, String)],
-    /// Its body.
+    /// The complete body, empty if the request has none.
     pub body: &'a [u8],
-    /// Its response must be complete by then, in milliseconds of the boot-time clock.
+    /// The time by which the response must be complete, in milliseconds of the boot-time clock.
     pub until_ms: u64,
-    /// It may be retried at another target, so an unresponsive machine is given up soon.
+    /// Whether the request may be retried at another target. If so, the connection fails once the
+    /// target's machine acknowledges no bytes for `TARGET_UNRESPONSIVE_MS`.
     pub repeatable: bool,
 }
 
 impl TargetConnection {
-    /// Sends a request, if the final check allows it right before the first byte.
+    /// Sends a request if `may_send`, evaluated directly before the first byte, returns true.
     ///
     /// # Errors
-    /// How the attempt ended; the connection can't be used again.
+    /// Returns the outcome of the attempt; the connection can't be reused.
     pub fn send(
         &mut self,
         request: &OutgoingRequest<'_>,
@@ -56,11 +57,14 @@
         })
     }
 
-    /// What the system still buffers of a request is not sent: the connection ends with a reset.
+    /// Discards the bytes of a request that the system still buffers: the connection will be closed
+    /// with a reset.
     fn discard_unsent(&self) {
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 
+    /// Sets how long sent bytes may stay unacknowledged: `TARGET_UNRESPONSIVE_MS` for a repeatable
+    /// request, the system's default otherwise.
     fn limit_unacknowledged(&mut self, repeatable: bool) {
         let limit_ms = if repeatable { TARGET_UNRESPONSIVE_MS } else { 0 };
         if limit_ms != self.unacknowledged_limit_ms {
@@ -69,7 +73,7 @@
         }
     }
 
-    /// Writes all; an error states how many bytes the system accepted before.
+    /// Writes all bytes; an error includes how many bytes the system had accepted before.
     fn write(
         &mut self,
         bytes: &[u8],
@@ -96,7 +100,7 @@
     }
 }
 
-/// The bytes of a request, with a `Content-Length` of its own for its body.
+/// Returns the encoded request, with a `Content-Length` computed from its body.
 fn encode(request: &OutgoingRequest<'_>) -> Vec<u8> {
     let OutgoingRequest { method, path, headers, body, .. } = request;
     let mut bytes = Vec::with_capacity(HEAD_INITIAL_BYTES + body.len());
--- a/programs/data-plane/src/target_identity.rs
+++ b/programs/data-plane/src/target_identity.rs
@@ -1,25 +1,25 @@
-//! Reads a target's identity: who it states that it is.
+//! Reads the identity that a target states in its JSON response.
 
 use crate::error::{Result, UpstreamError};
 use postbarrow_reading::{Fields, Reading, text};
 use postbarrow_state::Labels;
 
-/// Who a target states that it is.
+/// The identity that a target states.
 pub struct TargetIdentity {
-    /// Its instance.
+    /// The instance name of the target.
     pub instance: String,
-    /// Its service.
+    /// The name of the target's service.
     pub service: String,
-    /// Its labels.
+    /// The labels of the target, empty if the identity states none.
     pub labels: Labels,
-    /// Requests in flight there.
+    /// The number of requests in flight at the target (JSON field `occupancy`), 0 if not stated.
     pub in_flight: u64,
 }
 
-/// Reads an identity from its JSON.
+/// Reads an identity from its JSON text.
 ///
 /// # Errors
-/// All findings in the JSON.
+/// Returns all findings in the JSON together.
 pub fn read_identity(json: &str) -> Result<TargetIdentity> {
     let (value, mut reading) = Reading::parse(json).map_err(UpstreamError::IdentityNotJson)?;
     let mut identity = None;
