--- a/programs/data-plane/src/shared.rs
+++ b/programs/data-plane/src/shared.rs
@@ -1,6 +1,7 @@
-//! The state that a node's threads share: read lock-free, each concern with one owner.
+//! The state that a node's threads share, with one type for each concern. Reading it takes no
+//! locks.
 //!
-//! Nothing here imports a module that uses [`Shared`].
+//! The submodules must not import a module that uses [`Shared`].
 
 mod admission_counters;
 mod connection_pools;
@@ -30,34 +31,34 @@
 use std::sync::Arc;
 use std::sync::mpsc::Sender;
 
-/// The owners of the state that threads share.
+/// The state that a node's threads share.
 pub struct Shared {
-    /// This node.
+    /// This node's incarnation, name, addresses and zone.
     pub own: Node,
-    /// What clients and targets speak.
+    /// The dialect of this node's clients and targets.
     pub dialect: Arc<dyn Dialect>,
-    /// Until when this node may serve.
+    /// The lease, which limits the time until which this node may serve.
     pub lease: Lease,
-    /// Routes, services and targets in force.
+    /// The routing table in force: routes, services and targets.
     pub routing: RoutingTable,
-    /// Idle connections to targets.
+    /// The pools of idle connections to targets.
     pub pools: ConnectionPools,
-    /// Budgets of bytes for bodies.
+    /// The memory budgets for bodies.
     pub memory: MemoryLimits,
-    /// What is in flight.
+    /// The counters of connections, requests, calls and watches, by which admission is decided.
     pub admission: AdmissionCounters,
-    /// Requests observed, for rehearsals.
+    /// Samples of client requests, for rehearsals of plans.
     pub samples: SampleBuffer,
-    /// Graceful shutdown.
+    /// The progress of a graceful stop.
     pub lifecycle: Lifecycle,
-    /// Numbers and idempotency keys that no other request gets.
+    /// The generator of unique request numbers and idempotency keys.
     pub keys: KeyGenerator,
-    /// The way to the control loop, and through it to the controller.
+    /// The handle of the control loop, which sends requests to the controller.
     pub control_loop: ControlLoopHandle,
 }
 
 impl Shared {
-    /// The state of a node that has no lease and no plan yet.
+    /// Returns the state of a node that has no lease and no plan yet.
     pub fn new(
         own: Node,
         dialect: Arc<dyn Dialect>,
@@ -79,14 +80,16 @@
         }
     }
 
-    /// Whether clients may be sent here.
+    /// Returns whether the node is ready for clients: not stopping, with a valid lease and a plan
+    /// in force.
     pub fn is_ready(&self) -> bool {
         !self.lifecycle.is_stopping()
             && self.lease.is_valid()
             && self.routing.load().state.plan.is_some()
     }
 
-    /// Puts a new image into force: the pools first, so that no request meets a target without one.
+    /// Puts a new image of the state, up to this log offset, into force. The connection pools are
+    /// replaced before the routing table, so that every target in the table has a pool.
     pub fn publish(&self, state: Arc<State>, offset: u64) {
         let old = self.routing.load();
         let same_targets = state.targets.ptr_eq(&old.state.targets);
--- a/programs/data-plane/src/shared/connection_pools.rs
+++ b/programs/data-plane/src/shared/connection_pools.rs
@@ -1,4 +1,4 @@
-//! Idle connections to targets.
+//! Pools of idle connections to targets.
 
 use crate::target_connection::TargetConnection;
 use arc_swap::{ArcSwap, Guard};
@@ -10,30 +10,32 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-type Idle = Arc<ArrayQueue<TargetConnection>>;
+type IdleQueue = Arc<ArrayQueue<TargetConnection>>;
 
-/// The pools of the image in force: swapped as one, never locked.
+/// The pools for the image in force, which are replaced atomically and read without locks.
 #[derive(Default)]
 pub struct ConnectionPools {
     pools: ArcSwap<Pools>,
 }
 
 impl ConnectionPools {
-    /// The pools in force.
+    /// Returns the pools in force.
     pub fn load(&self) -> Guard<Arc<Pools>> {
         self.pools.load()
     }
 
-    /// Swaps in the pools of a new image, with the connections of targets that it still has.
+    /// Replaces the pools by those for a new image; a target that remains at its address keeps its
+    /// idle connections.
     pub fn carry_over(&self, table: &Table) {
         let pools = Pools::carried_over(&self.pools.load(), table);
         self.pools.store(Arc::new(pools));
     }
 }
 
-/// Idle connections by target; built anew with each image, so that none outlives its target.
+/// Idle connections by target instance. Rebuilt for each image whose targets differ, so that no
+/// connection outlives its target.
 #[derive(Default)]
-pub struct Pools(HashMap<Name, (SocketAddr, Idle)>);
+pub struct Pools(HashMap<Name, (SocketAddr, IdleQueue)>);
 
 impl Pools {
     fn carried_over(old: &Pools, table: &Table) -> Pools {
@@ -49,7 +51,8 @@
         )
     }
 
-    /// The oldest idle connection that is reusable; those before it are closed.
+    /// Removes and returns the oldest reusable idle connection to a target; closes older ones that
+    /// are not reusable. Returns `None` if there is none.
     pub fn take(&self, target: &Target) -> Option<TargetConnection> {
         let (address, idle) = self.0.get(&target.instance)?;
         if *address != target.address {
@@ -58,7 +61,8 @@
         std::iter::from_fn(|| idle.pop()).find(TargetConnection::is_reusable)
     }
 
-    /// Stores a connection as idle, or closes it if the pool is full or its target was removed.
+    /// Stores a connection as idle, or closes it if the pool is full or the target was removed or
+    /// moved to another address.
     pub fn put(&self, target: &Target, connection: TargetConnection) {
         if let Some((address, idle)) = self.0.get(&target.instance)
             && *address == target.address
--- a/programs/data-plane/src/shared/control_loop_handle.rs
+++ b/programs/data-plane/src/shared/control_loop_handle.rs
@@ -1,4 +1,4 @@
-//! The way to the control loop, and through it to the controller.
+//! Sends commands to the control loop, and through it requests to the controller.
 
 use crate::command::Command;
 use postbarrow_constants::coordination::CONTROLLER_ANSWER_SLACK_MS;
@@ -7,21 +7,21 @@
 use postbarrow_transport::{RequestKeys, clock_ms, random};
 use std::sync::mpsc::{Sender, sync_channel};
 
-/// Sends commands to the control loop.
+/// A handle that sends commands to the control loop.
 pub struct ControlLoopHandle {
     request_keys: RequestKeys,
     commands: Sender<Command>,
 }
 
 impl ControlLoopHandle {
-    /// A handle that sends into this queue.
+    /// Returns a handle that sends commands into this queue.
     pub fn new(commands: Sender<Command>) -> Self {
         ControlLoopHandle { request_keys: RequestKeys::new(random()), commands }
     }
 
-    /// Sends a request to the controller and waits for its response, at most `wait_ms`. If the
-    /// client departs, the request is withdrawn: what it did already stays done, and its outcome is
-    /// unknown.
+    /// Sends a request to the controller and waits at most `wait_ms` milliseconds for its response.
+    /// If the client departs, the request is no longer resent; it may already have been applied, so
+    /// its outcome is unknown and `TimedOut` is returned.
     pub fn request(&self, request: Request, wait_ms: u64, client: &ClientWatch) -> Response {
         let (reply, response) = sync_channel(1);
         let (key, wait_ms) = (self.request_keys.next(), wait_ms.max(1));
@@ -39,14 +39,14 @@
         }
     }
 
-    /// Sends a request to the controller for whose response nobody waits; it is sent again until
-    /// the controller accepts it, for at most `wait_ms`.
+    /// Sends a request to the controller without waiting for the response. The request is resent
+    /// until the controller accepts it, for at most `wait_ms` milliseconds.
     pub fn notify(&self, request: Request, wait_ms: u64) {
         let key = self.request_keys.next();
         self.send(Command::Request { key, request, wait_ms, reply: None });
     }
 
-    /// Sends a command; without effect once the loop has ended.
+    /// Sends a command to the control loop; has no effect once the loop has ended.
     pub fn send(&self, command: Command) {
         let _ = self.commands.send(command);
     }
--- a/programs/data-plane/src/shared/key_generator.rs
+++ b/programs/data-plane/src/shared/key_generator.rs
@@ -1,30 +1,31 @@
-//! Numbers and idempotency keys that no other request gets.
+//! Generates unique request numbers and idempotency keys.
 
 use postbarrow_state::{Incarnation, Name};
 use postbarrow_transport::random;
 use sha2::{Digest, Sha256};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Numbers the requests of one incarnation and synthesizes keys from the numbers.
+/// Generates unique request numbers within one incarnation, and idempotency keys from them.
 pub struct KeyGenerator {
     incarnation: Incarnation,
     next: AtomicU64,
-    /// Never leaves the process, so that a synthesized key can't be guessed.
+    /// Random input to the hash in each key. The secret never leaves the process, so that clients
+    /// can't guess a synthesized key.
     secret: [u64; 2],
 }
 
 impl KeyGenerator {
-    /// The generator of one incarnation.
+    /// Returns a generator for one incarnation, with a new random secret.
     pub fn new(incarnation: Incarnation) -> Self {
         KeyGenerator { incarnation, next: AtomicU64::new(1), secret: [random(), random()] }
     }
 
-    /// A number that this incarnation never returned before.
+    /// Returns a number that was not returned before in this incarnation.
     pub fn next_number(&self) -> u64 {
         self.next.fetch_add(1, Relaxed)
     }
 
-    /// A key for a request without one: no other request gets it, and no client can guess it.
+    /// Returns a unique key, which no client can guess, for a request without a key.
     pub fn synthesize_key(&self) -> Name {
         let number = self.next_number();
         let mut hash = Sha256::new();
--- a/programs/data-plane/src/shared/lifecycle.rs
+++ b/programs/data-plane/src/shared/lifecycle.rs
@@ -1,8 +1,9 @@
-//! Graceful shutdown.
+//! The progress of a graceful stop.
 
 use std::sync::atomic::{AtomicBool, Ordering::*};
 
-/// Whether the node is stopping: first unready, then closed to new connections.
+/// The stages of a graceful stop: the node first becomes unready, then is closed to new
+/// connections.
 #[derive(Default)]
 pub struct Lifecycle {
     stopping: AtomicBool,
@@ -10,22 +11,22 @@
 }
 
 impl Lifecycle {
-    /// The node becomes unready; requests are still served.
+    /// Makes the node unready; it still serves requests.
     pub fn begin_stop(&self) {
         self.stopping.store(true, SeqCst);
     }
 
-    /// Whether the node is unready since it stops.
+    /// Returns whether the node is stopping, and therefore unready.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Relaxed)
     }
 
-    /// No new client connections are accepted, and idle ones end.
+    /// Closes the node to new client connections, and lets idle ones end.
     pub fn close(&self) {
         self.closed.store(true, SeqCst);
     }
 
-    /// Whether new client connections are refused.
+    /// Returns whether the node is closed to new client connections.
     pub fn is_closed(&self) -> bool {
         self.closed.load(SeqCst)
     }
--- a/programs/data-plane/src/shared/memory_limits.rs
+++ b/programs/data-plane/src/shared/memory_limits.rs
@@ -1,18 +1,18 @@
-//! Budgets of bytes for bodies.
+//! Memory budgets for request and response bodies.
 
 use postbarrow_downstream::memory_budget::MemoryBudget;
 use std::sync::Arc;
 
-/// How many bytes of bodies this node buffers at once.
+/// The limits for the bodies that this node buffers at the same time, in bytes.
 pub struct MemoryLimits {
-    /// Of requests.
+    /// The budget for the bodies of requests.
     pub request_bodies: Arc<MemoryBudget>,
-    /// Of responses.
+    /// The budget for the bodies of responses.
     pub response_bodies: Arc<MemoryBudget>,
 }
 
 impl MemoryLimits {
-    /// The same budget for requests and for responses.
+    /// Returns separate budgets of `bytes` each for requests and for responses.
     pub fn new(bytes: u64) -> Self {
         MemoryLimits {
             request_bodies: MemoryBudget::new(bytes),
--- a/programs/data-plane/src/shared/sample_buffer.rs
+++ b/programs/data-plane/src/shared/sample_buffer.rs
@@ -1,4 +1,4 @@
-//! Samples of client requests, for rehearsals.
+//! Samples of client requests, for rehearsals of plans.
 
 use crossbeam_queue::ArrayQueue;
 use postbarrow_constants::plans::{SAMPLE_BYTES, SAMPLES_PENDING, SAMPLES_PER_REPORT};
@@ -7,7 +7,7 @@
 use postbarrow_state::{Name, Sample};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Samples of some requests, and the count of all.
+/// Samples of some client requests, and the number of all requests since the last report.
 pub struct SampleBuffer {
     samples: ArrayQueue<Sample>,
     observed: AtomicU64,
@@ -20,8 +20,8 @@
 }
 
 impl SampleBuffer {
-    /// Counts a request and samples it while there is capacity; of its headers only those that
-    /// rules name.
+    /// Counts a request, and samples it if the buffer has space and its path is at most
+    /// `SAMPLE_BYTES` long. A sample contains only the headers that the rules of routes read.
     pub fn observe(&self, table: &Table, head: &Head) {
         self.observed.fetch_add(1, Relaxed);
         if self.samples.is_full() || head.path().len() > SAMPLE_BYTES {
@@ -45,8 +45,8 @@
         let _ = self.samples.push(sample);
     }
 
-    /// Samples, at most `SAMPLES_PER_REPORT`, and how many requests were observed since the last
-    /// call.
+    /// Removes and returns at most `SAMPLES_PER_REPORT` samples, with the number of requests
+    /// observed since the last call.
     pub fn drain(&self) -> (Vec<Sample>, u64) {
         let samples = std::iter::from_fn(|| self.samples.pop()).take(SAMPLES_PER_REPORT).collect();
         (samples, self.observed.swap(0, Relaxed))
