--- a/programs/data-plane/src/coordination.rs
+++ b/programs/data-plane/src/coordination.rs
@@ -1,4 +1,5 @@
-//! Coordination calls of applications: locks, numbers, keys and watches, forwarded to the controller.
+//! Coordination calls of applications on locks, numbers, keys and watches, forwarded to the
+//! controller.
 
 mod read_call;
 mod render;
@@ -18,11 +19,12 @@
 use render::render_outcome;
 use sha2::{Digest, Sha256};
 
-/// The largest body: a key's value with every byte escaped, and its frame.
+/// Largest body of a coordination call, in bytes: a key's value with every byte escaped, and the
+/// surrounding JSON.
 pub const BODY_BYTES: u64 = 6 * VALUE_BYTES as u64 + 4_096;
 
-/// Serves a coordination call. If the client departs, its request to the controller is withdrawn and
-/// its permit given back.
+/// Serves a coordination call. If the client departs, its request to the controller is withdrawn
+/// and its permit released.
 pub fn serve(shared: &Shared, head: &Head, body: &[u8], client: &ClientWatch) -> TargetResponse {
     let call = match read_call(head, body) {
         Ok(call) => call,
@@ -42,20 +44,20 @@
         return error(400, "the Idempotency-Key is too long");
     }
     let key = client_key.map_or_else(|| shared.keys.synthesize_key(), Name::from);
-    let reads =
+    let is_read =
         matches!(call, Call::ReadKey { .. } | Call::ReadLock { .. } | Call::ReadNumber { .. });
     let request = Request::Call { id: Some(repeat_id(&key, &call)), call };
     match shared.control_loop.request(request, CONTROLLER_REQUEST_MS, client) {
         Response::Outcome(outcome) => render_outcome(outcome),
         Response::Refused(reason) => error(400, &reason),
-        _ if reads => error(503, "no controller responds"),
+        _ if is_read => error(503, "no controller responds"),
         Response::Full => error(503, "the log has no space for more calls"),
         _ => unknown_outcome(client_key.is_none().then_some(key)),
     }
 }
 
-/// The response to a call that may have been applied; a synthesized key goes with it, for only under
-/// that key a repeat is safe.
+/// Returns the response to a call that may have been applied. The key is stated if this node
+/// synthesized it, because a repeat is safe only under that key.
 fn unknown_outcome(synthesized_key: Option<Name>) -> TargetResponse {
     let reason = "no word from the controller; a repeat under one Idempotency-Key is safe";
     let mut response = error(504, reason);
@@ -66,25 +68,28 @@
     response
 }
 
-/// Identifies a call and its repeats: the same key with another call is another call.
+/// Returns an identifier that a call shares with its repeats only: the same key with a different
+/// call results in a different identifier.
 fn repeat_id(key: &str, call: &Call) -> Name {
     let hash = Sha256::digest(format!("{call:?}").as_bytes());
     let hash: String = hash.iter().take(8).map(|byte| format!("{byte:02x}")).collect();
     Name::from(format!("{key}:{hash}"))
 }
 
-/// A long poll; it ends early when the node stops or the client departs.
+/// Serves a watch as a long poll. Without `after` the first response is returned at once; with it,
+/// the poll lasts until there are events, `WATCH_WAIT_MS` has passed, the node stops, or the client
+/// departs.
 fn watch(shared: &Shared, call: Call, client: &ClientWatch) -> TargetResponse {
     let until_ms = clock_ms() + WATCH_WAIT_MS;
-    let first = matches!(call, Call::Watch { after: None, .. });
-    let is_over =
+    let is_initial = matches!(call, Call::Watch { after: None, .. });
+    let is_finished =
         || clock_ms() >= until_ms || shared.lifecycle.is_stopping() || client.has_departed();
     let mut call = call;
     loop {
         let request = Request::Call { id: None, call: call.clone() };
         match shared.control_loop.request(request, CONTROLLER_REQUEST_MS, client) {
             Response::Outcome(Outcome::Events { events, next })
-                if events.is_empty() && !first && !is_over() =>
+                if events.is_empty() && !is_initial && !is_finished() =>
             {
                 if let Call::Watch { after, .. } = &mut call {
                     *after = Some(next);
@@ -92,7 +97,7 @@
             }
             Response::Outcome(outcome) => return render_outcome(outcome),
             Response::Refused(reason) => return error(400, &reason),
-            _ if is_over() => return error(503, "no controller responds"),
+            _ if is_finished() => return error(503, "no controller responds"),
             _ => {}
         }
     }
--- a/programs/data-plane/src/coordination/read_call.rs
+++ b/programs/data-plane/src/coordination/read_call.rs
@@ -1,14 +1,15 @@
-//! Reads a coordination call from method, path, query and JSON body.
+//! Reads a coordination call from the method, path, query and JSON body of a request.
 
 use crate::error::CallError;
 use postbarrow_downstream::head::Head;
 use postbarrow_reading::{Fields, Reading};
 use postbarrow_state::{Call, Name, ResourceKind};
 
-/// Reads a call.
+/// Reads the call that a request states.
 ///
 /// # Errors
-/// No such resource or method, or all findings in the body.
+/// Fails if the resource does not exist or does not support the method, or if the name, the query
+/// or the body is invalid; all findings in the body are returned together.
 pub fn read_call(head: &Head, body: &[u8]) -> Result<Call, CallError> {
     let text = match body {
         [] => "{}",
@@ -19,7 +20,8 @@
     let name = unescape(name)?;
     let (value, mut reading) = Reading::parse(text)?;
     let Some(fields) = Fields::of(&value, "$", &mut reading) else {
-        let findings = reading.finish(()).expect_err("a body that is no object is a finding");
+        let findings =
+            reading.finish(()).expect_err("a body that is not an object must result in a finding");
         return Err(findings.into());
     };
     let mut body = CallBody { fields, reading };
@@ -27,7 +29,7 @@
         ("locks", "POST") => body.lock(name),
         ("locks", "PUT") => {
             let ttl_ms = body.number("ttlMs");
-            body.ownership().map(|(owner, fence)| Call::Renew {
+            body.read_ownership().map(|(owner, fence)| Call::Renew {
                 name,
                 holder: owner,
                 fence,
@@ -35,7 +37,7 @@
             })
         }
         ("locks", "DELETE") => {
-            body.ownership().map(|(owner, fence)| Call::Free { name, holder: owner, fence })
+            body.read_ownership().map(|(owner, fence)| Call::Free { name, holder: owner, fence })
         }
         ("locks", "GET") => Some(Call::ReadLock { name }),
         ("numbers", "POST") => Some(Call::Next { name, by: body.number("by").unwrap_or(1) }),
@@ -52,7 +54,7 @@
     reading.finish(call)?.ok_or(CallError::MissingField)
 }
 
-/// The fields of a call's body.
+/// The fields of a call's body, with the findings so far.
 struct CallBody<'v> {
     fields: Fields<'v>,
     reading: Reading,
@@ -77,7 +79,7 @@
         Some(Call::Lock { name, holder: owner?, ttl_ms: ttl_ms? })
     }
 
-    fn ownership(&mut self) -> Option<(Name, u64)> {
+    fn read_ownership(&mut self) -> Option<(Name, u64)> {
         let (owner, fence) = (self.text("holder"), self.required_number("fence"));
         Some((owner?, fence?))
     }
@@ -88,6 +90,7 @@
     }
 }
 
+/// Reads a watch of the resources `name`, with `prefix` and `after` from the query.
 fn read_watch(head: &Head, name: &str) -> Result<Call, CallError> {
     let kind = match name {
         "locks" => ResourceKind::Lock,
@@ -97,13 +100,14 @@
     };
     let query = |name: &str| {
         let pairs = head.query().split('&').filter_map(|pair| pair.split_once('='));
-        pairs.into_iter().find(|(known, _)| *known == name).map(|(_, value)| value)
+        pairs.into_iter().find(|(parameter, _)| *parameter == name).map(|(_, value)| value)
     };
     let prefix = unescape(query("prefix").unwrap_or_default())?;
     let after = query("after").map(|text| text.parse().map_err(|_| CallError::AfterNotANumber));
     Ok(Call::Watch { sort: kind, prefix, after: after.transpose()? })
 }
 
+/// Decodes the percent escapes of a path segment or query value (RFC 3986, section 2.1).
 fn unescape(text: &str) -> Result<Name, CallError> {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
@@ -113,7 +117,7 @@
             bytes.push(*first);
             continue;
         }
-        let digits = after.get(..2).filter(|two| two.iter().all(u8::is_ascii_hexdigit));
+        let digits = after.get(..2).filter(|pair| pair.iter().all(u8::is_ascii_hexdigit));
         let digits =
             std::str::from_utf8(digits.ok_or(CallError::Escape)?).map_err(|_| CallError::Escape)?;
         bytes.push(u8::from_str_radix(digits, 16).map_err(|_| CallError::Escape)?);
--- a/programs/data-plane/src/coordination/render.rs
+++ b/programs/data-plane/src/coordination/render.rs
@@ -1,4 +1,4 @@
-//! Renders the outcomes of coordination calls as JSON responses.
+//! Renders the outcomes of coordination calls as JSON responses to applications.
 
 use crate::json_response::json;
 use facet::Facet;
@@ -36,40 +36,40 @@
     value: Option<String>,
 }
 
-/// The response to a call with this outcome.
+/// Returns the response to a call with this outcome.
 pub fn render_outcome(outcome: Outcome) -> TargetResponse {
-    let none = CallBody::default();
+    let base = CallBody::default();
     let error_text = |text: &str| Some(text.to_string());
     match outcome {
         Outcome::Locked { fence, ttl_ms } => json(
             200,
-            &CallBody { is_locked: Some(true), fence: Some(fence), ttl_ms: Some(ttl_ms), ..none },
+            &CallBody { is_locked: Some(true), fence: Some(fence), ttl_ms: Some(ttl_ms), ..base },
         ),
         Outcome::LockedByOther { fence } => {
             let error = error_text("another holder has the lock");
-            json(409, &CallBody { error, is_locked: Some(true), fence: Some(fence), ..none })
+            json(409, &CallBody { error, is_locked: Some(true), fence: Some(fence), ..base })
         }
-        Outcome::Freed | Outcome::NoLock => json(200, &CallBody { is_locked: Some(false), ..none }),
+        Outcome::Freed | Outcome::NoLock => json(200, &CallBody { is_locked: Some(false), ..base }),
         Outcome::NotOwner => {
-            json(409, &CallBody { error: error_text("not held by this holder"), ..none })
+            json(409, &CallBody { error: error_text("not held by this holder"), ..base })
         }
-        Outcome::Number(number) => json(200, &CallBody { number: Some(number), ..none }),
+        Outcome::Number(number) => json(200, &CallBody { number: Some(number), ..base }),
         Outcome::Key(key) => {
             let value = String::from_utf8_lossy(&key.value).into_owned();
-            json(200, &CallBody { value: Some(value), revision: Some(key.revision), ..none })
+            json(200, &CallBody { value: Some(value), revision: Some(key.revision), ..base })
         }
-        Outcome::NoKey => json(404, &CallBody { error: error_text("no such key"), ..none }),
+        Outcome::NoKey => json(404, &CallBody { error: error_text("no such key"), ..base }),
         Outcome::Conflict { revision } => {
             let error = error_text("the revision is another");
-            json(409, &CallBody { error, revision: Some(revision), ..none })
+            json(409, &CallBody { error, revision: Some(revision), ..base })
         }
-        Outcome::Removed { revision } => json(200, &CallBody { revision: Some(revision), ..none }),
+        Outcome::Removed { revision } => json(200, &CallBody { revision: Some(revision), ..base }),
         Outcome::Events { events, next } => {
             json(200, &EventsBody { events: events.iter().map(render_event).collect(), next })
         }
         Outcome::TooOld { floor } => json(
             410,
-            &CallBody { error: error_text("the revision is too old"), floor: Some(floor), ..none },
+            &CallBody { error: error_text("the revision is too old"), floor: Some(floor), ..base },
         ),
     }
 }
--- a/programs/data-plane/src/coordination/tests.rs
+++ b/programs/data-plane/src/coordination/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of `coordination`: the bytes of its responses, which applications read.
+//! Tests of `coordination`: the statuses and exact bodies of its responses, on which applications
+//! depend.
 
 use super::read_call::read_call;
 use super::render::render_outcome;
--- a/programs/data-plane/src/probe.rs
+++ b/programs/data-plane/src/probe.rs
@@ -1,4 +1,5 @@
-//! Probes targets: each is identified periodically, on an idle connection where there is one.
+//! Probes targets: verifies the identity of each periodically, on an idle connection if there is
+//! one.
 
 use crate::command::Command;
 use crate::error::Result;
@@ -15,7 +16,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// Runs one small thread for each target, which ends with the target.
+/// Runs one thread with a small stack for each target, which ends when the target is removed.
 pub fn run(shared: Arc<Shared>) {
     let mut probed: HashSet<Name> = HashSet::new();
     let (ended, ended_probes) = channel::<Name>();
@@ -43,7 +44,7 @@
     }
 }
 
-/// Probes one target until it is removed or the node stops.
+/// Probes one target every `PROBE_INTERVAL_MS` until the target is removed or the node stops.
 fn probe_periodically(shared: &Shared, instance: &Name) {
     loop {
         let start_ms = clock_ms();
@@ -54,8 +55,13 @@
         if let (Ok(in_flight), Some(load)) = (in_flight, table.loads().get(instance)) {
             load.report(in_flight);
         }
-        let now = shared.routing.load();
-        if now.state.targets.get(instance).is_none_or(|now| now.address == target.address) {
+        let current_table = shared.routing.load();
+        if current_table
+            .state
+            .targets
+            .get(instance)
+            .is_none_or(|current_target| current_target.address == target.address)
+        {
             shared.control_loop.send(Command::Probed { instance: instance.clone(), sound });
         }
         if shared.lifecycle.is_stopping() {
@@ -66,20 +72,21 @@
     }
 }
 
-/// Identifies the target on its oldest idle connection, which also keeps one open, or on a new one.
-/// Returns how many requests are in flight there.
+/// Verifies the target's identity on its oldest idle connection, or on a new one if there is none
+/// or that fails; a connection thus stays open for requests. Returns how many requests the target
+/// has in flight.
 fn probe(shared: &Shared, target: &Target) -> Result<u64> {
     let pools = shared.pools.load();
-    let nobody = ClientWatch::nobody();
+    let no_client = ClientWatch::nobody();
     let until_ms = clock_ms() + PROOF_WAIT_MS;
     if let Some(mut connection) = pools.take(target)
-        && let Ok(in_flight) = connection.identify(target, until_ms, &nobody)
+        && let Ok(in_flight) = connection.identify(target, until_ms, &no_client)
     {
         pools.put(target, connection);
         return Ok(in_flight);
     }
-    let mut connection = TargetConnection::open(target.address, until_ms, &nobody)?;
-    let in_flight = connection.identify(target, until_ms, &nobody)?;
+    let mut connection = TargetConnection::open(target.address, until_ms, &no_client)?;
+    let in_flight = connection.identify(target, until_ms, &no_client)?;
     pools.put(target, connection);
     Ok(in_flight)
 }
--- a/programs/data-plane/src/readiness.rs
+++ b/programs/data-plane/src/readiness.rs
@@ -1,4 +1,4 @@
-//! The endpoint that states whether this node is ready.
+//! The endpoint that returns whether this node is ready for clients.
 
 use crate::json_response::json;
 use crate::shared::Shared;
@@ -12,7 +12,8 @@
     offset: u64,
 }
 
-/// 200 if clients may be sent here and 503 if not, with the plan in force.
+/// Returns status 200 if the node is ready for clients and 503 if not, with the version of the plan
+/// in force (null without a plan) and the log offset of the routing table.
 pub fn readiness(shared: &Shared) -> TargetResponse {
     let table = shared.routing.load();
     let ready = shared.is_ready();
