--- a/programs/data-plane/src/balancing.rs
+++ b/programs/data-plane/src/balancing.rs
@@ -1,26 +1,27 @@
-//! What this node knows of its targets' load, by which `postbarrow_routing` selects among them.
+//! Updates this node's view of its targets' load, by which `postbarrow_routing` selects targets.
 
 use postbarrow_routing::{Entry, Load};
 use postbarrow_transport::clock_ms;
 use std::sync::Arc;
 
-/// The route with one of its weighted services drawn.
+/// Returns the route with one of its weighted services chosen at random by `seed`.
 pub fn draw_service(entry: &Arc<Entry>, seed: u64) -> Arc<Entry> {
     entry.draw_service(seed)
 }
 
-/// A request counted at its target from the selection on, so that two requests at once don't select
-/// the same free capacity; given back when dropped.
+/// Counts a request in its target's load, released when dropped. The count starts at the selection
+/// of the target, so that concurrent requests do not select the same free capacity.
 pub struct LoadPermit(Arc<Load>);
 
 impl LoadPermit {
-    /// Counts one more request at a target.
+    /// Adds one request to a target's load.
     pub fn acquire(load: Arc<Load>) -> LoadPermit {
         load.enter();
         LoadPermit(load)
     }
 
-    /// Gives the count back; the load remains for a report.
+    /// Removes the request from the load, and returns the load so that a report can be recorded in
+    /// it.
     pub fn release(self) -> Arc<Load> {
         self.0.clone()
     }
@@ -32,7 +33,8 @@
     }
 }
 
-/// Records the requests in flight that a response states, without this node's own.
+/// Records the number of requests in flight that a target's response states, less those that this
+/// node itself has in flight there.
 pub fn report_in_flight(load: &Load, in_flight: u64) {
     load.report_slots_used(clock_ms(), in_flight.saturating_sub(load.in_flight()));
 }
--- a/programs/data-plane/src/command.rs
+++ b/programs/data-plane/src/command.rs
@@ -1,4 +1,4 @@
-//! What other threads have the control loop do.
+//! The commands that other threads send to the control loop.
 
 use postbarrow_messages::{Envelope, Request, Response};
 use postbarrow_state::Name;
@@ -7,40 +7,41 @@
 
 /// One input of the control loop.
 pub enum Command {
-    /// A message from another process arrived.
+    /// Handles a message that arrived from another process.
     Envelope(Envelope),
-    /// A request to the controller.
+    /// Sends a request to the controller.
     Request {
-        /// Identifies the request; drawn from the process's `RequestKeys`.
+        /// Identifies the request and its response; drawn from the process's `RequestKeys`.
         key: u64,
-        /// What is sent.
+        /// The request to send.
         request: Request,
-        /// How long it is sent again.
+        /// How long the request is resent without a response, in milliseconds.
         wait_ms: u64,
-        /// Where the response goes, if anybody waits for it.
+        /// The sender for the response; `None` if no thread waits for it.
         reply: Option<SyncSender<Response>>,
     },
-    /// Nobody waits for the response to this request any more.
+    /// Stops resending a request, because its response is no longer needed.
     Withdraw {
-        /// Identifies the request.
+        /// The key of the request.
         key: u64,
     },
-    /// A probe of a target ended.
+    /// Reports the result of a probe of a target.
     Probed {
-        /// The target's instance.
+        /// The instance name of the target.
         instance: Name,
-        /// Whether it identified itself as that target.
+        /// Whether the process at the target's address identified itself as that target.
         sound: bool,
     },
-    /// Other addresses that may lead to the control plane.
+    /// Replaces the seed addresses, through which the node finds the control plane.
     Seeds(Vec<SocketAddr>),
-    /// The node becomes unready.
+    /// Makes the node unready, as the first step of a graceful stop.
     Stop,
-    /// The loop ends once the controller has accepted every settlement, or at a deadline.
+    /// Ends the loop once no request to the controller is pending, settlements included, or at a
+    /// deadline.
     End {
         /// The deadline, in milliseconds of the boot-time clock.
         until_ms: u64,
-        /// Notified when the loop ends.
+        /// Receives a message when the loop ends.
         done: Sender<()>,
     },
 }
--- a/programs/data-plane/src/control_loop.rs
+++ b/programs/data-plane/src/control_loop.rs
@@ -12,24 +12,27 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, SyncSender};
 use std::time::Duration;
 
-/// Owns the node: works through its queue of commands and carries out the node's effects.
+/// Owns the node's state machine: passes it each command from the queue as an input and executes
+/// the effects that it returns.
 pub struct ControlLoop {
     node: DataNode,
     links: Links,
-    /// Who waits for a response, by the key of the request.
+    /// The threads that wait for a response, by the key of the request.
     replies: HashMap<u64, SyncSender<Response>>,
     shared: Arc<Shared>,
-    ending: Option<(u64, Sender<()>)>,
+    /// The deadline of [`Command::End`], in milliseconds of the boot-time clock, and the channel
+    /// that is notified at the end; `None` before that command.
+    pending_end: Option<(u64, Sender<()>)>,
 }
 
 impl ControlLoop {
-    /// The loop of a node, before it runs.
+    /// Returns the control loop of a node; [`ControlLoop::run`] starts it.
     pub fn new(node: DataNode, shared: Arc<Shared>) -> Self {
         let links = Links::new(node.own().address);
-        ControlLoop { node, links, replies: HashMap::new(), shared, ending: None }
+        ControlLoop { node, links, replies: HashMap::new(), shared, pending_end: None }
     }
 
-    /// Runs until the queue is closed or [`Command::End`] is fulfilled.
+    /// Runs until all senders of the queue are dropped, or until [`Command::End`] ends the loop.
     pub fn run(mut self, queue: Receiver<Command>) {
         let mut tick_ms = 0;
         loop {
@@ -44,7 +47,7 @@
                 Ok(command) => self.execute(command),
                 Err(RecvTimeoutError::Timeout) => {}
             }
-            if let Some((until_ms, done)) = &self.ending
+            if let Some((until_ms, done)) = &self.pending_end
                 && (self.node.pending_requests() == 0 || clock_ms() >= *until_ms)
             {
                 let _ = done.send(());
@@ -54,9 +57,9 @@
     }
 
     fn tick(&mut self, now_ms: u64) {
-        let (samples, seen) = self.shared.samples.drain();
-        if seen > 0 {
-            self.handle(now_ms, Input::Sampled { samples, observed: seen });
+        let (samples, observed_count) = self.shared.samples.drain();
+        if observed_count > 0 {
+            self.handle(now_ms, Input::Sampled { samples, observed: observed_count });
         }
         self.handle(now_ms, Input::Tick);
     }
@@ -80,7 +83,7 @@
             }
             Command::Seeds(seeds) => self.handle(now_ms, Input::Seeds(seeds)),
             Command::Stop => self.handle(now_ms, Input::Stop),
-            Command::End { until_ms, done } => self.ending = Some((until_ms, done)),
+            Command::End { until_ms, done } => self.pending_end = Some((until_ms, done)),
         }
     }
 
--- a/programs/data-plane/src/dialect.rs
+++ b/programs/data-plane/src/dialect.rs
@@ -1,68 +1,76 @@
-//! What a node's clients and targets speak.
+//! The conventions on top of HTTP that clients and targets use: paths, headers and response bodies.
 //!
-//! The product has a dialect of its own, [`NativeDialect`]; an adapter to another platform implements
-//! [`Dialect`]. Nothing else in this crate knows a header or a JSON field of a dialect.
+//! Postbarrow's own dialect is [`NativeDialect`]; an adapter to another platform implements
+//! [`Dialect`]. No other module of this crate depends on the headers or JSON fields of another
+//! platform's dialect.
 
 use crate::json_response;
 use postbarrow_downstream::head::{Head, end_to_end_headers};
 use postbarrow_node::{Completion, TargetResponse};
 
-/// An endpoint of the node itself; a request to it has no target.
+/// An endpoint that the node serves itself; a request to it is not forwarded to a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeEndpoint {
-    /// States whether this node is ready.
+    /// Returns whether this node is ready.
     Ready,
-    /// An application's coordination call to the controller.
+    /// Serves an application's coordination call, which the controller executes.
     Coordination,
 }
 
-/// What a response proves about the request that was sent.
+/// The conclusion from a target's response about the request that was sent.
 #[derive(Debug, PartialEq)]
 pub enum ResponseJudgement {
-    /// It is the target's complete response to this request.
+    /// The response is the target's complete response to this request.
     Complete,
-    /// The target states that it did not run the request, nor will; with the reason.
+    /// The target states that it did not run the request and never will. The field is the reason.
     NotRun(String),
-    /// No conforming target sends it; the request may have run. With the reason.
+    /// The response violates the dialect, and the request may have run. The field is the reason.
     Unsound(String),
-    /// It answers a request before this one.
+    /// The response belongs to an earlier request on the same connection.
     Misdirected,
 }
 
-/// How each request names its target, where targets do not identify themselves on a new connection
-/// but reject a request that names another.
+/// Identification of targets for a dialect whose targets do not identify themselves on a new
+/// connection: each request names its target, and a target rejects a request that names another.
 pub trait TargetIdentification: Send + Sync {
-    /// Headers for this target; `remaining_ms` is the time until the request's deadline.
+    /// Returns the headers to add to a request to this target; `remaining_ms` is the time until the
+    /// request's deadline, in milliseconds.
     fn headers(&self, head: &Head, instance: &str, remaining_ms: u64) -> Vec<(String, String)>;
-    /// What a response proves; `first`: no response came on its connection before.
+    /// Returns what a response proves about its request; `first` is true for the first response on
+    /// a connection.
     fn judge_response(
         &self,
         head: &Head,
         response: &TargetResponse,
         first: bool,
     ) -> ResponseJudgement;
-    /// Requests in flight and queued at the target, if the response states them.
+    /// Returns the number of requests in flight and queued at the target, or `None` if the response
+    /// does not state it.
     fn in_flight(&self, response: &TargetResponse) -> Option<u64>;
 }
 
-/// What clients and targets of this node speak.
+/// The paths, headers and response formats that the clients and targets of a node use.
 pub trait Dialect: Send + Sync {
-    /// Which endpoint of the node itself the request is for, if any.
+    /// Returns the endpoint of the node itself that the request is for, or `None` if a route must
+    /// match.
     fn node_endpoint(&self, head: &Head) -> Option<NodeEndpoint>;
-    /// How long the client waits, in milliseconds, if it states so.
+    /// Returns how long the client waits for its response, in milliseconds, or `None` if the
+    /// request does not state it.
     fn client_timeout_ms(&self, head: &Head) -> Option<u64>;
-    /// The key by which a repeat of the request is recognised.
+    /// Returns the client's key by which a repeat of the request is recognised, or `None` without
+    /// one.
     fn idempotency_key<'h>(&self, head: &'h Head) -> Option<&'h str>;
-    /// The response to the client of a request that ended.
+    /// Returns the client's response for a request that ended.
     fn render_completion(&self, completion: Completion) -> TargetResponse;
-    /// The response to a request that was not read completely or not understood; `unsure`: a request
-    /// under its key may have run before.
+    /// Returns the response to a request that was incomplete or invalid; `unsure` is true if an
+    /// earlier request with the same key may have run.
     fn render_rejection(&self, status: u16, unsure: bool, reason: &str) -> TargetResponse;
-    /// How requests name their target. None: targets identify themselves on each new connection.
+    /// Returns how each request names its target, or `None` if targets identify themselves on each
+    /// new connection.
     fn target_identification(&self) -> Option<&dyn TargetIdentification>;
 }
 
-/// The product's own dialect.
+/// Postbarrow's own dialect.
 pub struct NativeDialect;
 
 impl Dialect for NativeDialect {
@@ -90,7 +98,8 @@
     }
 }
 
-/// The headers of a request as they are forwarded to a target.
+/// Returns the headers with which a request is forwarded to a target: the client's end-to-end
+/// headers, overridden by those that name the target in this dialect.
 pub fn target_headers(
     dialect: &dyn Dialect,
     head: &Head,
@@ -98,9 +107,9 @@
     remaining_ms: u64,
 ) -> Vec<(String, String)> {
     let mut headers = end_to_end_headers(&head.headers);
-    if let Some(named) = dialect.target_identification() {
-        for (name, value) in named.headers(head, instance, remaining_ms) {
-            headers.retain(|(known, _)| !known.eq_ignore_ascii_case(&name));
+    if let Some(identification) = dialect.target_identification() {
+        for (name, value) in identification.headers(head, instance, remaining_ms) {
+            headers.retain(|(existing, _)| !existing.eq_ignore_ascii_case(&name));
             headers.push((name, value));
         }
     }
--- a/programs/data-plane/src/json_response.rs
+++ b/programs/data-plane/src/json_response.rs
@@ -1,4 +1,4 @@
-//! Responses of the node itself, as JSON.
+//! JSON responses that the node itself generates.
 
 use facet::Facet;
 use postbarrow_constants::traffic::RETRY_AFTER_S;
@@ -11,12 +11,13 @@
     outcome: Option<String>,
 }
 
-/// A response that states an error, and that the request did not run unless the status is 504.
+/// Returns an error response whose outcome is `unknown` for status 504, and `not-run` for any
+/// other.
 pub fn error(status: u16, reason: &str) -> TargetResponse {
     rejection(status, if status == 504 { "unknown" } else { "not-run" }, reason)
 }
 
-/// A response that states an error and whether the request ran.
+/// Returns an error response with this outcome in its body and in the outcome header.
 pub fn rejection(status: u16, outcome: &str, reason: &str) -> TargetResponse {
     let body = Rejection { error: Some(reason.into()), outcome: Some(outcome.into()) };
     let mut response = json(status, &body);
@@ -24,7 +25,8 @@
     response
 }
 
-/// A response with this body; `Retry-After` goes with each status that invites a repeat.
+/// Returns a response with this JSON body, and with `Retry-After` for a status after which the
+/// client may repeat the request (429, 503 and 504).
 pub fn json<'f, T: Facet<'f>>(status: u16, body: &T) -> TargetResponse {
     let mut headers = vec![("Content-Type".to_string(), "application/json".to_string())];
     if matches!(status, 429 | 503 | 504) {
--- a/programs/data-plane/src/lib.rs
+++ b/programs/data-plane/src/lib.rs
@@ -1,17 +1,17 @@
-//! The data plane: accepts clients' requests, matches their routes and forwards each to an identified
-//! target.
+//! The data plane: accepts clients' requests, matches their routes and forwards each to an
+//! identified target.
 //!
-//! The way of a request is in the module `phases`, one module a phase, in order; its table is the
-//! place to start. Around it:
+//! The module `phases` processes a request, with one module for each phase; its table lists the
+//! phases in order and is the place to start reading. The other modules:
 //!
-//! - `shared`: the state that threads share, each concern with one owner;
+//! - `shared`: the state that threads share, with one type for each concern;
 //! - `control_loop`, `command`: the thread that owns the node's state machine, and its inputs;
-//! - `admission`, `balancing`: the decisions whether a request may enter, and what is known of the load
-//!   of targets;
-//! - `target_connection`, `response_parser`, `target_identity`: HTTP/1.1 towards targets;
-//! - `probe`: identifies targets periodically;
-//! - `coordination`, `readiness`: the endpoints of the node itself;
-//! - [`Dialect`]: what clients and targets speak.
+//! - `admission`, `balancing`: the decision whether a request is admitted, and the counts of
+//!   requests in flight at each target;
+//! - `target_connection`, `response_parser`, `target_identity`: HTTP/1.1 connections to targets;
+//! - `probe`: verifies the identity of each target periodically;
+//! - `coordination`, `readiness`: the endpoints that the node serves itself;
+//! - [`Dialect`]: the headers and response formats that clients and targets use.
 
 #![deny(missing_docs)]
 
@@ -56,27 +56,29 @@
 /// A running data-plane node.
 pub struct DataPlane {
     shared: Arc<Shared>,
+    /// How long after the request to stop the listener closes, and the latest time after it at
+    /// which the process ends; both in milliseconds.
     stop_ms: (u64, u64),
 }
 
 impl DataPlane {
-    /// Starts a node that speaks the product's own dialect.
+    /// Starts a node with Postbarrow's own dialect, [`NativeDialect`].
     ///
     /// # Errors
-    /// An address can't be bound, or a thread not started.
+    /// Fails if an address can't be bound or a thread can't be started.
     pub fn start(startup: &Startup) -> io::Result<DataPlane> {
         DataPlane::start_with_dialect(startup, Arc::new(NativeDialect))
     }
 
-    /// The same for clients and targets that speak another dialect.
+    /// Starts a node for clients and targets that use another dialect than Postbarrow's own.
     ///
     /// # Errors
-    /// An address can't be bound, or a thread not started.
+    /// Fails if an address can't be bound or a thread can't be started.
     pub fn start_with_dialect(
         startup: &Startup,
         dialect: Arc<dyn Dialect>,
     ) -> io::Result<DataPlane> {
-        let (links, address) = startup.listen()?;
+        let (link_listener, address) = startup.listen()?;
         let http = TcpListener::bind(startup.http)?;
         let own = Node {
             incarnation: random(),
@@ -95,38 +97,41 @@
         let node = DataNode::new(own, startup.seeds.clone(), clock_ms()).with_lease(lease_ms);
         let control_loop = ControlLoop::new(node, shared.clone());
         thread::Builder::new().name("node".into()).spawn(move || control_loop.run(queue))?;
-        let receiver = shared.clone();
-        listen(links, move |envelope| {
-            receiver.control_loop.send(Command::Envelope(envelope));
+        let link_shared = shared.clone();
+        listen(link_listener, move |envelope| {
+            link_shared.control_loop.send(Command::Envelope(envelope));
             true
         })?;
         if shared.dialect.target_identification().is_none() {
-            let probed = shared.clone();
-            thread::Builder::new().name("probes".into()).spawn(move || probe::run(probed))?;
+            let probe_shared = shared.clone();
+            thread::Builder::new().name("probes".into()).spawn(move || probe::run(probe_shared))?;
         }
-        if let Some(condition) = startup.readiness {
-            accept::listen(TcpListener::bind(condition)?, shared.clone())?;
+        if let Some(readiness_address) = startup.readiness {
+            accept::listen(TcpListener::bind(readiness_address)?, shared.clone())?;
         }
         accept::listen(http, shared.clone())?;
         Ok(DataPlane { shared, stop_ms: startup.bounds.stop_ms() })
     }
 
-    /// Other addresses that may lead to the control plane.
+    /// Replaces the seed addresses, through which the node finds the control plane.
     pub fn seeds(&self, seeds: Vec<SocketAddr>) {
         self.shared.control_loop.send(Command::Seeds(seeds));
     }
 
-    /// Whether clients may be sent here.
+    /// Returns whether the node is ready for client requests: not stopping, with a valid lease and
+    /// a plan in force.
     pub fn is_ready(&self) -> bool {
         self.shared.is_ready()
     }
 
-    /// The address for clients.
+    /// Returns the address on which the node listens for clients.
     pub fn http(&self) -> SocketAddr {
         self.shared.own.http
     }
 
-    /// Stops gracefully: the node becomes unready, requests in flight finish, then it ends.
+    /// Stops the node gracefully: it becomes unready, closes its listener after a delay, lets
+    /// requests in flight finish, and sends the pending settlements. Returns once that is done or
+    /// its time is over.
     pub fn stop(&self) {
         info!("node: stopping");
         self.shared.lifecycle.begin_stop();
@@ -139,10 +144,10 @@
         while self.shared.admission.connections.load(SeqCst) > 0 && clock_ms() < until_ms {
             thread::sleep(Duration::from_millis(20));
         }
-        let (done, ended) = channel();
+        let (done, on_done) = channel();
         self.shared.control_loop.send(Command::End { until_ms, done });
         let _ =
-            ended.recv_timeout(Duration::from_millis(until_ms.saturating_sub(clock_ms()) + 100));
+            on_done.recv_timeout(Duration::from_millis(until_ms.saturating_sub(clock_ms()) + 100));
         info!("node: stopped");
     }
 }
--- a/programs/data-plane/src/main.rs
+++ b/programs/data-plane/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `postbarrow-data-plane`.
+//! The program `postbarrow-data-plane`: reads the options and runs a data-plane node.
 
 #![deny(missing_docs)]
 
