--- a/programs/data-plane/src/coordination/read_call.rs
+++ b/programs/data-plane/src/coordination/read_call.rs
@@ -26,7 +26,7 @@
     };
     let mut body = CallBody { fields, reading };
     let call = match (resource, head.method.as_str()) {
-        ("locks", "POST") => body.lock(name),
+        ("locks", "POST") => body.read_lock(name),
         ("locks", "PUT") => {
             let ttl_ms = body.number("ttlMs");
             body.read_ownership().map(|(owner, fence)| Call::Renew {
@@ -42,7 +42,7 @@
         ("locks", "GET") => Some(Call::ReadLock { name }),
         ("numbers", "POST") => Some(Call::Next { name, by: body.number("by").unwrap_or(1) }),
         ("numbers", "GET") => Some(Call::ReadNumber { name }),
-        ("keys", "PUT") => body.put(name),
+        ("keys", "PUT") => body.read_put(name),
         ("keys", "DELETE") => Some(Call::Remove { name, revision: body.number("revision") }),
         ("keys", "GET") => Some(Call::ReadKey { name }),
         ("watch", "GET") => Some(read_watch(head, &name)?),
@@ -69,22 +69,24 @@
         self.fields.number(field, 0..=u64::MAX, &mut self.reading)
     }
 
+    /// Reads a number, and records a finding if the field is missing.
     fn required_number(&mut self, field: &'static str) -> Option<u64> {
         self.fields.required(field, &mut self.reading)?;
         self.number(field)
     }
 
-    fn lock(&mut self, name: Name) -> Option<Call> {
+    fn read_lock(&mut self, name: Name) -> Option<Call> {
         let (owner, ttl_ms) = (self.text("holder"), self.required_number("ttlMs"));
         Some(Call::Lock { name, holder: owner?, ttl_ms: ttl_ms? })
     }
 
+    /// Reads the fields `holder` and `fence`, which are both required.
     fn read_ownership(&mut self) -> Option<(Name, u64)> {
         let (owner, fence) = (self.text("holder"), self.required_number("fence"));
         Some((owner?, fence?))
     }
 
-    fn put(&mut self, name: Name) -> Option<Call> {
+    fn read_put(&mut self, name: Name) -> Option<Call> {
         let (value, revision) = (self.text("value"), self.number("revision"));
         Some(Call::Put { name, value: value?.as_bytes().to_vec(), revision })
     }
--- a/programs/data-plane/src/lib.rs
+++ b/programs/data-plane/src/lib.rs
@@ -56,8 +56,8 @@
 /// A running data-plane node.
 pub struct DataPlane {
     shared: Arc<Shared>,
-    /// How long after the request to stop the listener closes, and the latest time after it at
-    /// which the process ends; both in milliseconds.
+    /// The delay after which a stopping node closes its listener, and the time limit of the whole
+    /// stop; both in milliseconds from the call of [`DataPlane::stop`].
     stop_ms: (u64, u64),
 }
 
@@ -131,7 +131,7 @@
 
     /// Stops the node gracefully: it becomes unready, closes its listener after a delay, lets
     /// requests in flight finish, and sends the pending settlements. Returns once that is done or
-    /// its time is over.
+    /// its time limit has passed.
     pub fn stop(&self) {
         info!("node: stopping");
         self.shared.lifecycle.begin_stop();
--- a/programs/data-plane/src/phases.rs
+++ b/programs/data-plane/src/phases.rs
@@ -7,7 +7,7 @@
 //! | [`match_route`] | finds the route in the table in force | 404, 405; 503 without a lease |
 //! | [`admit_or_reject`] | checks the idempotency key, acquires the permits | 400, 429, 503 |
 //! | [`read_body`] | reads the body within its limits | 408, 413, 503 |
-//! | [`select_endpoint`] | chooses a weighted service; each attempt selects a target | no target available |
+//! | [`select_endpoint`] | chooses a service; each attempt selects a target | no target available |
 //! | [`connect`] | reuses or opens a connection, verifies the target's identity | |
 //! | [`authorise_by_ticket`] | obtains the ticket of a one-time request | ticket not granted |
 //! | [`forward`] | sends the request, after the final check | |
--- a/programs/data-plane/src/phases/request.rs
+++ b/programs/data-plane/src/phases/request.rs
@@ -46,6 +46,7 @@
     Ok(attempts::run(shared, incoming))
 }
 
+/// Serves a request to an endpoint of the node itself.
 fn serve_node_endpoint(
     connection: &mut Connection,
     shared: &Arc<Shared>,
--- a/programs/data-plane/src/phases/request_state.rs
+++ b/programs/data-plane/src/phases/request_state.rs
@@ -49,7 +49,8 @@
     cancel_scope: CancelScope,
     /// The attempt that is in progress.
     pub attempt: Attempt,
-    /// The memory reservation for the body of the response; `None` before the first attempt.
+    /// The memory reservation for the body of the response; `None` until the forward phase of an
+    /// attempt has run.
     pub response_memory: Option<Reservation>,
 }
 
--- a/programs/data-plane/src/response_parser.rs
+++ b/programs/data-plane/src/response_parser.rs
@@ -144,13 +144,13 @@
     }
 }
 
-/// Returns the end of the trailer section that begins at `at`, or `None` if it is incomplete.
-fn skip_trailers(bytes: &[u8], mut at: usize) -> Result<Option<usize>, ParseError> {
+/// Returns the end of the trailer section that begins at `offset`, or `None` if it is incomplete.
+fn skip_trailers(bytes: &[u8], mut offset: usize) -> Result<Option<usize>, ParseError> {
     loop {
-        let rest = &bytes[at..];
+        let rest = &bytes[offset..];
         match rest.windows(2).position(|pair| pair == b"\r\n") {
-            Some(0) => return Ok(Some(at + 2)),
-            Some(line) => at += line + 2,
+            Some(0) => return Ok(Some(offset + 2)),
+            Some(line) => offset += line + 2,
             None if rest.len() > CHUNK_LINE_BYTES => return Err(ParseError::TrailersTooLong),
             None => return Ok(None),
         }
--- a/programs/data-plane/src/shared/control_loop_handle.rs
+++ b/programs/data-plane/src/shared/control_loop_handle.rs
@@ -19,9 +19,10 @@
         ControlLoopHandle { request_keys: RequestKeys::new(random()), commands }
     }
 
-    /// Sends a request to the controller and waits at most `wait_ms` milliseconds for its response.
-    /// If the client departs, the request is no longer resent; it may already have been applied, so
-    /// its outcome is unknown and `TimedOut` is returned.
+    /// Sends a request to the controller, which is valid for `wait_ms` milliseconds, and waits for
+    /// its response for `CONTROLLER_ANSWER_SLACK_MS` longer. If the client departs, the request is
+    /// no longer resent; it may already have been applied, so its outcome is unknown and `TimedOut`
+    /// is returned.
     pub fn request(&self, request: Request, wait_ms: u64, client: &ClientWatch) -> Response {
         let (reply, response) = sync_channel(1);
         let (key, wait_ms) = (self.request_keys.next(), wait_ms.max(1));
--- a/programs/data-plane/src/tests/admission.rs
+++ b/programs/data-plane/src/tests/admission.rs
@@ -1,3 +1,5 @@
+//! Tests of admission: shares of clients and routes, memory budgets, and limits that the plan sets.
+
 use super::rig::*;
 use crate::admission::{Permit, is_over_share};
 use postbarrow_constants::traffic::*;
--- a/programs/data-plane/src/tests/client_departure.rs
+++ b/programs/data-plane/src/tests/client_departure.rs
@@ -16,7 +16,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// Timeout that is longer than any wait in these tests which an event ends; only a wait that hangs
+/// Timeout of the waits in these tests, longer than any of them takes; only a wait that hangs
 /// reaches it.
 const HANG_TIMEOUT: Duration = Duration::from_secs(12);
 /// Deadline of the routes in these tests, in milliseconds: longer than `HANG_TIMEOUT`, so that no
--- a/programs/data-plane/src/tests/requests.rs
+++ b/programs/data-plane/src/tests/requests.rs
@@ -1,3 +1,5 @@
+//! Tests of requests: forwarding, rejection, leases, tickets, and load shedding.
+
 use super::rig::*;
 use postbarrow_constants::traffic::HEAD_BYTES;
 use postbarrow_messages::{Request, Response};
@@ -45,19 +47,19 @@
     let chunks = rig
         .raw(b"POST /post/1 HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nffffffff\r\n");
     assert_eq!(status(&chunks), "413");
-    let both = b"POST /post/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
-    let both = rig.raw(both);
-    assert!(status(&both) == "400" && both.contains("Connection: close"), "{both}");
-    let two = rig.raw(
+    let conflicting = b"POST /post/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
+    let conflicting = rig.raw(conflicting);
+    assert!(
+        status(&conflicting) == "400" && conflicting.contains("Connection: close"),
+        "{conflicting}"
+    );
+    let two_lengths = rig.raw(
         b"POST /post/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
     );
-    assert_eq!(status(&two), "400");
+    assert_eq!(status(&two_lengths), "400");
     let truncated_body =
         rig.send_and_close(b"POST /post/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nabc");
-    assert_eq!(
-        truncated_body, "",
-        "a client that closes before its body is complete has departed and gets no response"
-    );
+    assert_eq!(truncated_body, "", "a client that closes within its body gets no response");
     let long_head = format!("GET /look/1 HTTP/1.1\r\nHost: h\r\nX: {}", "a".repeat(HEAD_BYTES + 1));
     assert_eq!(status(&rig.raw(long_head.as_bytes())), "431");
     assert_eq!(status(&rig.post("Idempotency-Key: a b\r\n", "x")), "400");
@@ -143,7 +145,7 @@
     assert_eq!(rig.settlements(), [Settlement::Unsent]);
     assert!(
         reply.contains("not-run"),
-        "the ticket was granted and settled unsent, which proves that the request did not run: {reply}"
+        "a ticket granted and settled unsent proves that nothing ran: {reply}"
     );
 }
 
--- a/programs/data-plane/src/tests/responses.rs
+++ b/programs/data-plane/src/tests/responses.rs
@@ -1,3 +1,5 @@
+//! Tests of responses from targets: relaying, settlement, and retries after a failed response.
+
 use super::rig::*;
 use postbarrow_state::Settlement;
 
--- a/programs/data-plane/src/tests/rig.rs
+++ b/programs/data-plane/src/tests/rig.rs
@@ -25,12 +25,13 @@
 pub struct Rig {
     pub shared: Arc<Shared>,
     pub http: SocketAddr,
-    /// The requests that the controller received, in order.
+    /// The requests that the scripted controller has answered, in order.
     pub requested: Arc<Mutex<Vec<Request>>>,
     /// The number of requests to the controller that the node withdrew.
     withdrawn: Arc<AtomicUsize>,
 }
 
+/// Returns a target in zone `a`, without labels or known slots, that accepts requests.
 pub fn target(instance: &str, service: &str, address: SocketAddr) -> Target {
     Target {
         instance: instance.into(),
@@ -212,7 +213,7 @@
     count
 }
 
-/// A controller that grants every ticket and accepts every settlement.
+/// Responds as a controller that grants every ticket and accepts every settlement.
 pub fn grant_all(request: &Request) -> Response {
     match request {
         Request::Ticket(_) => Response::Granted,
--- a/programs/data-plane/src/tests/scripted.rs
+++ b/programs/data-plane/src/tests/scripted.rs
@@ -8,7 +8,8 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// The requests and connections that a scripted target received, without identity requests.
+/// The requests that a scripted target received, other than identity requests, and the number of
+/// its connections.
 #[derive(Clone, Default)]
 pub struct Observed {
     pub heads: Vec<String>,
@@ -151,6 +152,7 @@
 }
 
 impl TriggerSignal {
+    /// Waits until the test triggers the action.
     fn wait(&self) {
         let _ = self.proceed.lock().unwrap().recv();
     }
@@ -236,7 +238,7 @@
         ScriptedTarget { address, observed }
     }
 
-    /// Returns the number of requests received, without identity requests.
+    /// Returns the number of requests received, other than identity requests.
     pub fn runs(&self) -> usize {
         self.observed.lock().unwrap().heads.len()
     }
--- a/programs/data-plane/tests/surface.rs
+++ b/programs/data-plane/tests/surface.rs
@@ -1,4 +1,5 @@
-//! The outer interface of a data plane: the help, its own paths, and the keys of JSON.
+//! Tests of the outer interface of a data plane: the help text, the paths that the node serves
+//! itself, and the keys of its JSON bodies.
 
 #[path = "../../control-plane/tests/local/mod.rs"]
 mod local;
@@ -16,16 +17,16 @@
     insta::assert_snapshot!(help(PROGRAM, &[]));
 }
 
-/// A node without a controller; invalid calls are rejected before one is needed.
-fn start() -> DataPlane {
-    DataPlane::start(&startup("node", Vec::new(), None)).expect("it starts")
+/// Starts a node without a controller: invalid calls are rejected before a controller is needed.
+fn start_node() -> DataPlane {
+    DataPlane::start(&startup("node", Vec::new(), None)).expect("the node starts")
 }
 
 #[test]
 fn own_paths_and_headers() {
-    let node = start();
+    let node = start_node();
     let address = node.http();
-    let empty = [
+    let requests = [
         ("GET", "/ready"),
         ("GET", "/elsewhere"),
         ("POST", "/coordination/locks/a"),
@@ -39,6 +40,6 @@
         ("GET", "/coordination/watch/keys?after=x"),
         ("GET", "/coordination/elsewhere"),
     ];
-    let responses = empty.map(|(method, path)| response(address, method, path, ""));
+    let responses = requests.map(|(method, path)| response(address, method, path, ""));
     insta::assert_snapshot!(responses.concat());
 }
