--- a/programs/data-plane/src/command.rs
+++ b/programs/data-plane/src/command.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::mpsc::{Sender, SyncSender};
 
-/// One input of the control loop.
+/// A command to the control loop.
 pub enum Command {
     /// Handles a message that arrived from another process.
     Envelope(Envelope),
@@ -15,7 +15,7 @@
         key: u64,
         /// The request to send.
         request: Request,
-        /// How long the request is resent without a response, in milliseconds.
+        /// The time for which the request is resent while it has no response, in milliseconds.
         wait_ms: u64,
         /// The sender for the response; `None` if no thread waits for it.
         reply: Option<SyncSender<Response>>,
--- a/programs/data-plane/src/target_connection.rs
+++ b/programs/data-plane/src/target_connection.rs
@@ -32,7 +32,7 @@
     /// How long sent bytes may stay unacknowledged, in milliseconds; 0 is the system's default.
     unacknowledged_limit_ms: u64,
     /// Whether no response was read on the connection yet.
-    is_first: bool,
+    awaits_first_response: bool,
     /// The time of the last use, in milliseconds of the boot-time clock.
     last_used_ms: u64,
     /// How long the connection may stay idle before it is no longer reused, in milliseconds.
--- a/programs/data-plane/src/target_connection/open.rs
+++ b/programs/data-plane/src/target_connection/open.rs
@@ -28,7 +28,7 @@
             buffer: Vec::new(),
             start: 0,
             unacknowledged_limit_ms: 0,
-            is_first: true,
+            awaits_first_response: true,
             last_used_ms: clock_ms(),
             idle_limit_ms: TARGET_IDLE_MS,
         })
--- a/programs/data-plane/src/target_connection/receive.rs
+++ b/programs/data-plane/src/target_connection/receive.rs
@@ -40,8 +40,8 @@
                     return (AttemptOutcome::Unknown { late, reason }, false);
                 }
             };
-            let judgement = (expected.judge)(&response, self.is_first);
-            self.is_first = false;
+            let judgement = (expected.judge)(&response, self.awaits_first_response);
+            self.awaits_first_response = false;
             let outcome = match judgement {
                 ResponseJudgement::Misdirected if is_persistent => continue,
                 ResponseJudgement::Misdirected => {
--- a/programs/data-plane/src/tests/client_departure.rs
+++ b/programs/data-plane/src/tests/client_departure.rs
@@ -23,7 +23,7 @@
 /// wait ends by the deadline.
 const LONG_DEADLINE_MS: u64 = 60_000;
 
-/// How a client ends its connection.
+/// The way in which a client ends its connection.
 #[derive(Clone, Copy, Debug)]
 enum Departure {
     Close,
