--- a/programs/control-plane/src/client_handler.rs
+++ b/programs/control-plane/src/client_handler.rs
@@ -1,4 +1,4 @@
-//! The interface between the client listener and what its clients speak.
+//! The interface between the client listener and the protocol of its clients.
 
 use crate::RequestSender;
 use postbarrow_downstream::client_watch::ClientWatch;
@@ -7,27 +7,29 @@
 
 /// Answers the HTTP requests of operators and applications.
 pub trait ClientHandler: Send + Sync {
-    /// Answers a request that was read completely.
+    /// Returns the response to a request that was read completely.
     fn answer(&self, request: &ClientRequest<'_>) -> TargetResponse;
 
-    /// Answers a request that could not be read: the HTTP status and a reason for the client.
+    /// Returns the response to a request that could not be read, with this HTTP status and a reason
+    /// for the client.
     fn reject(&self, status: u16, reason: &str) -> TargetResponse;
 }
 
-/// A complete request of a client.
+/// A client's request that was read completely.
 pub struct ClientRequest<'a> {
-    /// Its head.
+    /// The request line and the headers.
     pub head: &'a Head,
-    /// Its body, without the framing of chunks.
+    /// The body, without chunk framing.
     pub body: &'a [u8],
     /// Sends requests to the controller.
-    pub requests: &'a RequestSender,
-    /// Whether the client still waits.
+    pub request_sender: &'a RequestSender,
+    /// Observes whether the client has disconnected.
     pub client: &'a ClientWatch<'a>,
 }
 
 impl ClientRequest<'_> {
-    /// The value of a query parameter, not decoded; empty where there is only the name.
+    /// Returns the value of a query parameter, without percent-decoding. A parameter without `=`
+    /// has an empty value.
     pub fn query(&self, name: &str) -> Option<&str> {
         let pairs = self.head.query().split('&');
         let mut pairs = pairs.map(|pair| pair.split_once('=').unwrap_or((pair, "")));
--- a/programs/control-plane/src/client_listener.rs
+++ b/programs/control-plane/src/client_listener.rs
@@ -1,4 +1,5 @@
-//! Accepts the connections of operators and applications, each on a small thread of its own.
+//! Accepts the connections of operators and applications, and serves each on a thread of its own
+//! with a small stack.
 
 use crate::RequestSender;
 use crate::client_handler::{ClientHandler, ClientRequest};
@@ -17,9 +18,10 @@
 use std::thread;
 use std::time::Duration;
 
-/// Plans of the largest size whose bodies fit in memory at once.
+/// The number of plans of the largest size whose bodies fit in memory at once.
 const CONCURRENT_PLANS: u64 = 2;
-/// Pause after a failed accept, so that a lack of file descriptors doesn't spin.
+/// Pause after a failed accept in milliseconds, so that the loop doesn't spin while file
+/// descriptors are exhausted.
 const ACCEPT_RETRY_MS: u64 = 10;
 
 /// Binds the listener and serves clients on it; returns the bound address.
@@ -28,27 +30,29 @@
 /// The address can't be bound, or the system refuses a thread.
 pub fn listen_for_clients(
     address: SocketAddr,
-    requests: RequestSender,
+    request_sender: RequestSender,
     handler: Arc<dyn ClientHandler>,
 ) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(address)?;
     let address = listener.local_addr()?;
-    let clients = ClientListener {
-        requests,
+    let client_listener = ClientListener {
+        request_sender,
         handler,
-        bodies: MemoryBudget::new(CONCURRENT_PLANS * PLAN_TEXT_BYTES as u64),
+        body_memory: MemoryBudget::new(CONCURRENT_PLANS * PLAN_TEXT_BYTES as u64),
         connections: Arc::default(),
     };
-    thread::Builder::new().name("clients".into()).spawn(move || clients.accept(&listener))?;
+    thread::Builder::new()
+        .name("clients".into())
+        .spawn(move || client_listener.accept(&listener))?;
     Ok(address)
 }
 
 #[derive(Clone)]
 struct ClientListener {
-    requests: RequestSender,
+    request_sender: RequestSender,
     handler: Arc<dyn ClientHandler>,
-    bodies: Arc<MemoryBudget>,
-    /// How many connections have a thread now.
+    body_memory: Arc<MemoryBudget>,
+    /// The number of connections, each with a thread of its own.
     connections: Arc<AtomicUsize>,
 }
 
@@ -67,13 +71,13 @@
                 continue;
             }
             self.connections.fetch_add(1, Relaxed);
-            let clients = self.clone();
+            let client_listener = self.clone();
             let spawned = thread::Builder::new()
                 .name("client".into())
                 .stack_size(4 * STACK_BYTES)
                 .spawn(move || {
-                    clients.serve(stream);
-                    clients.connections.fetch_sub(1, Relaxed);
+                    client_listener.serve(stream);
+                    client_listener.connections.fetch_sub(1, Relaxed);
                 });
             if spawned.is_err() {
                 self.connections.fetch_sub(1, Relaxed);
@@ -85,13 +89,13 @@
     fn serve(&self, stream: TcpStream) {
         let Ok(mut connection) = Connection::new(stream) else { return };
         loop {
-            let is_stopping = || self.requests.is_stopping();
+            let is_stopping = || self.request_sender.is_stopping();
             let head = match connection.next_request(ReadLimits::default(), is_stopping) {
                 NextRequest::Head(head) => head,
                 NextRequest::Closed => return,
                 NextRequest::Reject(reject) => return self.reject(&mut connection, reject),
             };
-            let _pending = self.requests.start_request();
+            let _pending = self.request_sender.start_request();
             let body = match self.read_body(&mut connection, &head) {
                 Ok(body) => body,
                 Err(reject) => return self.reject(&mut connection, reject),
@@ -99,10 +103,10 @@
             let response = self.handler.answer(&ClientRequest {
                 head: &head,
                 body: &body.bytes,
-                requests: &self.requests,
+                request_sender: &self.request_sender,
                 client: &connection.watch(),
             });
-            let close = head.close || self.requests.is_stopping();
+            let close = head.close || self.request_sender.is_stopping();
             if connection.write(&response, &head.method, close).is_err() || close {
                 return;
             }
@@ -114,7 +118,7 @@
             return Err(body::CLIENT_DEPARTED);
         }
         let deadline_ms = clock_ms() + BODY_WAIT_MS;
-        body::read(connection, head.length, PLAN_TEXT_BYTES as u64, &self.bodies, deadline_ms)
+        body::read(connection, head.length, PLAN_TEXT_BYTES as u64, &self.body_memory, deadline_ms)
     }
 
     fn reject(&self, connection: &mut Connection, reject: Reject) {
--- a/programs/control-plane/src/client_listener/tests.rs
+++ b/programs/control-plane/src/client_listener/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of `client_listener`: departing clients, with a controller that the test plays.
+//! Tests of `client_listener`: clients that disconnect. The test responds in place of the
+//! controller.
 
 use super::*;
 use crate::command::Command;
@@ -9,51 +10,52 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::mpsc::{Receiver, channel};
 
-/// Far longer than any event here takes; reached only if a wait hangs.
-const HANG: Duration = Duration::from_secs(4);
+/// Time limit of each wait, far longer than any event here takes: reached only if a wait hangs.
+const HANG_TIMEOUT: Duration = Duration::from_secs(4);
 const PLAN: &str = "{\"version\":\"v1\",\"base\":null,\"services\":{},\"routes\":[]}";
 
-struct Rig {
+struct Fixture {
     address: SocketAddr,
-    requests: RequestSender,
+    request_sender: RequestSender,
     commands: Receiver<Command>,
 }
 
-fn start_listener() -> Rig {
+fn start_listener() -> Fixture {
     let (sender, commands) = channel();
-    let requests = RequestSender::new(sender);
+    let request_sender = RequestSender::new(sender);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let address = listen_for_clients(any, requests.clone(), Arc::new(OperatorHandler)).unwrap();
-    Rig { address, requests, commands }
+    let address =
+        listen_for_clients(any, request_sender.clone(), Arc::new(OperatorHandler)).unwrap();
+    Fixture { address, request_sender, commands }
 }
 
-impl Rig {
+impl Fixture {
     fn send(&self, bytes: &str) -> TcpStream {
         let mut stream = TcpStream::connect(self.address).unwrap();
         stream.write_all(bytes.as_bytes()).unwrap();
         stream
     }
 
-    fn next(&self) -> Command {
-        self.commands.recv_timeout(HANG).expect("the controller gets a request")
+    fn next_command(&self) -> Command {
+        self.commands.recv_timeout(HANG_TIMEOUT).expect("the control loop gets a command")
     }
 
-    /// The next request to the controller: its key, and where its response goes.
+    /// Returns the next request to the controller, with its key and the channel for its response.
     fn next_request(&self) -> (u64, Request, std::sync::mpsc::SyncSender<Response>) {
-        match self.next() {
+        match self.next_command() {
             Command::Request { key, request, reply, .. } => (key, request, reply),
-            _ => panic!("another command"),
+            _ => panic!("the command is not a request"),
         }
     }
 
     fn assert_no_pending_requests(&self) {
-        for _ in 0..HANG.as_millis() {
-            if self.requests.pending_requests().load(SeqCst) == 0 {
+        for _ in 0..HANG_TIMEOUT.as_millis() {
+            if self.request_sender.pending_requests().load(SeqCst) == 0 {
                 return;
             }
             thread::sleep(Duration::from_millis(1));
         }
-        panic!("a request of a departed client is pending");
+        panic!("a request of a disconnected client is still pending");
     }
 }
 
@@ -63,11 +65,11 @@
 }
 
 #[test]
-fn a_waiting_client_gets_its_response_and_may_reuse_the_connection() {
-    let rig = start_listener();
-    let mut stream = rig.send("GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
+fn a_connected_client_gets_its_response_and_can_reuse_the_connection() {
+    let fixture = start_listener();
+    let mut stream = fixture.send("GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
     for _ in 0..2 {
-        let (_, _, reply) = rig.next_request();
+        let (_, _, reply) = fixture.next_request();
         reply.send(Response::Operator { status: 200, body: b"{}".to_vec() }).unwrap();
         let mut response = Vec::new();
         while !response.ends_with(b"{}") {
@@ -81,51 +83,53 @@
 }
 
 #[test]
-fn a_request_of_a_departed_client_is_withdrawn_and_not_pending() {
-    let rig = start_listener();
-    let stream = rig.send("GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
-    let (sent, _, _reply) = rig.next_request();
+fn a_request_of_a_disconnected_client_is_withdrawn_and_not_pending() {
+    let fixture = start_listener();
+    let stream = fixture.send("GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
+    let (sent, _, _reply) = fixture.next_request();
     drop(stream);
-    let Command::Withdraw { key } = rig.next() else { panic!("the request is not withdrawn") };
+    let Command::Withdraw { key } = fixture.next_command() else {
+        panic!("the request is not withdrawn")
+    };
     assert_eq!(key, sent);
-    rig.assert_no_pending_requests();
+    fixture.assert_no_pending_requests();
 }
 
 #[test]
-fn a_plan_is_not_submitted_if_its_operator_departs_during_the_rehearsal() {
+fn a_plan_is_not_submitted_if_its_operator_disconnects_during_the_rehearsal() {
     for query in ["", "?dry-run", "?most-lost=0"] {
-        let rig = start_listener();
-        let stream = rig.send(&submission(query));
-        let (_, request, reply) = rig.next_request();
+        let fixture = start_listener();
+        let stream = fixture.send(&submission(query));
+        let (_, request, reply) = fixture.next_request();
         assert!(matches!(request, Request::RequestSamples), "{request:?}");
         stream.shutdown(Shutdown::Both).unwrap();
         drop(stream);
         let no_samples = Response::RequestSamples { samples: Vec::new(), seen: 0, seconds: 1 };
         let _ = reply.send(no_samples);
-        rig.assert_no_pending_requests();
-        let is_submitted = rig
+        fixture.assert_no_pending_requests();
+        let is_submitted = fixture
             .commands
             .try_iter()
             .any(|command| matches!(command, Command::Request { request: Request::Submit(_), .. }));
-        assert!(!is_submitted, "{query}: the plan of a departed operator was submitted");
+        assert!(!is_submitted, "{query}: the plan of a disconnected operator was submitted");
     }
 }
 
 #[test]
-fn a_client_that_departs_before_its_body_ends_leaves_nothing_pending() {
-    let rig = start_listener();
-    let stream = rig.send("POST /plans HTTP/1.1\r\nHost: x\r\nContent-Length: 900\r\n\r\n{");
+fn a_client_that_disconnects_before_its_body_ends_leaves_no_pending_request() {
+    let fixture = start_listener();
+    let stream = fixture.send("POST /plans HTTP/1.1\r\nHost: x\r\nContent-Length: 900\r\n\r\n{");
     drop(stream);
-    rig.assert_no_pending_requests();
-    assert!(rig.commands.try_recv().is_err(), "no request is sent for half a plan");
+    fixture.assert_no_pending_requests();
+    assert!(fixture.commands.try_recv().is_err(), "a request was sent for an incomplete plan");
 }
 
 #[test]
-fn a_plan_over_the_size_limit_is_rejected_unread() {
-    let rig = start_listener();
+fn a_plan_over_the_size_limit_is_rejected_before_its_body_is_read() {
+    let fixture = start_listener();
     let large = PLAN_TEXT_BYTES + 1;
-    let mut stream =
-        rig.send(&format!("POST /plans HTTP/1.1\r\nHost: x\r\nContent-Length: {large}\r\n\r\n"));
+    let mut stream = fixture
+        .send(&format!("POST /plans HTTP/1.1\r\nHost: x\r\nContent-Length: {large}\r\n\r\n"));
     let mut response = String::new();
     stream.read_to_string(&mut response).unwrap();
     assert!(response.starts_with("HTTP/1.1 413"), "{response}");
--- a/programs/control-plane/src/dialect.rs
+++ b/programs/control-plane/src/dialect.rs
@@ -1,35 +1,35 @@
-//! What a deployment's operators, applications and endpoint list speak.
+//! The protocols of a deployment's operators, applications and endpoint list.
 
 use crate::client_handler::ClientHandler;
 use crate::operator_handler::OperatorHandler;
 use postbarrow_controller::{ListPage, read_page};
 use std::sync::Arc;
 
-/// The findings of a page of the endpoint list that can't be read completely.
+/// A page of the endpoint list can't be read completely.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{findings}")]
 pub struct PageError {
-    /// Text for the log and the status page.
+    /// All findings as one text, for the log and the status response.
     pub findings: String,
 }
 
 /// The protocols towards operators, applications and the endpoint list. The product's own dialect
 /// is [`NativeDialect`].
 pub trait Dialect: Send + Sync {
-    /// Answers the operators and applications of this process.
+    /// Returns the handler of requests from operators and applications.
     fn client_handler(&self) -> Arc<dyn ClientHandler>;
 
-    /// The query parameter that names a page of the endpoint list.
+    /// Returns the name of the query parameter that selects a page of the endpoint list.
     fn cursor_parameter(&self) -> &'static str;
 
     /// Parses a page of the endpoint list.
     ///
     /// # Errors
-    /// The findings of a page that can't be read completely.
+    /// The page can't be read completely; the error has all findings.
     fn parse_page(&self, bytes: &[u8]) -> Result<ListPage, PageError>;
 }
 
-/// The product's own dialect.
+/// The product's own dialect, with JSON bodies over HTTP.
 pub struct NativeDialect;
 
 impl Dialect for NativeDialect {
--- a/programs/control-plane/src/operator_handler.rs
+++ b/programs/control-plane/src/operator_handler.rs
@@ -12,7 +12,7 @@
 use postbarrow_reading::Findings;
 use postbarrow_routing::Traffic;
 
-/// Answers operators; each request goes to the controller.
+/// Answers operators' requests with the controller's responses.
 pub struct OperatorHandler;
 
 /// The body of a rejection.
@@ -40,7 +40,7 @@
 impl ClientHandler for OperatorHandler {
     fn answer(&self, request: &ClientRequest<'_>) -> TargetResponse {
         let send = |to_controller: Request| {
-            request.requests.request(to_controller, SUBMIT_WAIT_MS, request.client)
+            request.request_sender.send(to_controller, SUBMIT_WAIT_MS, request.client)
         };
         serve(request, &send)
     }
@@ -51,9 +51,9 @@
 }
 
 /// Sends a request to the controller and waits for its response.
-type Send<'a> = &'a dyn Fn(Request) -> Response;
+type SendRequest<'a> = &'a dyn Fn(Request) -> Response;
 
-fn serve(request: &ClientRequest<'_>, send: Send<'_>) -> TargetResponse {
+fn serve(request: &ClientRequest<'_>, send: SendRequest<'_>) -> TargetResponse {
     match (request.head.method.as_str(), request.head.path()) {
         ("POST", "/plans") => submit(request, send),
         ("GET", "/plan") => to_http(send(Request::Show)),
@@ -67,9 +67,9 @@
     }
 }
 
-/// Rehearses the plan on recent requests and submits it. The plan of an operator that departed
-/// meanwhile is not submitted.
-fn submit(request: &ClientRequest<'_>, send: Send<'_>) -> TargetResponse {
+/// Rehearses the plan on recent requests and submits it, unless the operator has disconnected
+/// meanwhile.
+fn submit(request: &ClientRequest<'_>, send: SendRequest<'_>) -> TargetResponse {
     let plan = match Plan::read(request.body) {
         Ok(plan) => plan,
         Err(findings) => {
@@ -80,7 +80,7 @@
         Ok(bounds) => bounds,
         Err(error) => return rejection(400, &error.to_string(), Vec::new()),
     };
-    let traffic = match rehearsal::traffic(&plan, send) {
+    let traffic = match rehearsal::measure_traffic(&plan, send) {
         Ok(traffic) => traffic,
         Err(NoControllerResponse) if bounds.is_bounded() => return to_http(Response::Unavailable),
         Err(NoControllerResponse) => Traffic::unknown("no controller told of recent asks"),
@@ -113,7 +113,7 @@
     rows.collect()
 }
 
-/// Adds what the rehearsal measured to the controller's response.
+/// Adds the rehearsal's measurements to a successful response of the controller.
 fn with_traffic(response: Response, traffic: &Traffic) -> Response {
     let Response::Operator { status: 200, mut body } = response else { return response };
     if body.pop() == Some(b'}') {
--- a/programs/control-plane/src/operator_handler/tests.rs
+++ b/programs/control-plane/src/operator_handler/tests.rs
@@ -15,7 +15,7 @@
     let request = ClientRequest {
         head: &head,
         body: if method == "POST" { PLAN.as_bytes() } else { &[] },
-        requests: &RequestSender::new(commands),
+        request_sender: &RequestSender::new(commands),
         client: &ClientWatch::nobody(),
     };
     let response = serve(&request, &|_| controller.clone());
@@ -46,7 +46,7 @@
         assert_eq!(
             serve_with("POST", "/plans?most-lost=0", &controller),
             (503, true),
-            "it was never sent"
+            "the plan was not submitted"
         );
     }
 }
--- a/programs/control-plane/src/rehearsal.rs
+++ b/programs/control-plane/src/rehearsal.rs
@@ -1,16 +1,18 @@
-//! Which recent requests a plan would change, and how many of them its operator allows.
+//! Measures how many recent requests a plan would affect, and compares the numbers with the bounds
+//! that the operator set.
 
 use crate::client_handler::ClientRequest;
 use postbarrow_messages::{Request, Response};
 use postbarrow_plan::Plan;
 use postbarrow_routing::{RecentRequests, Traffic};
 
-/// The controller did not respond, which says nothing about the plan and must not refuse it.
+/// The controller did not respond. That says nothing about the plan, so the plan must not be
+/// refused for it.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no controller responded")]
 pub struct NoControllerResponse;
 
-/// Bounds of a submission's query that are no whole numbers.
+/// Bounds in a submission's query that are not whole numbers.
 #[derive(Debug, PartialEq, Eq)]
 pub struct BoundsError {
     parameters: Vec<&'static str>,
@@ -28,7 +30,8 @@
     }
 }
 
-/// The largest numbers of recent requests that a submission may change; none allows any number.
+/// The largest numbers of recent requests that a submission may affect. A bound of none allows any
+/// number.
 #[derive(Default)]
 pub struct TrafficBounds {
     max_lost: Option<u64>,
@@ -40,10 +43,10 @@
     /// Reads the bounds from a request's query.
     ///
     /// # Errors
-    /// All bounds that are no whole numbers.
+    /// At least one bound is not a whole number; the error names all of these.
     pub fn read(request: &ClientRequest<'_>) -> Result<TrafficBounds, BoundsError> {
         let mut parameters = Vec::new();
-        let mut take = |parameter: &'static str| {
+        let mut read_bound = |parameter: &'static str| {
             let text = request.query(parameter)?;
             let number = text.parse().ok();
             if number.is_none() {
@@ -52,19 +55,20 @@
             number
         };
         let bounds = TrafficBounds {
-            max_lost: take("most-lost"),
-            max_changed: take("most-changed"),
-            max_limited: take("most-limited"),
+            max_lost: read_bound("most-lost"),
+            max_changed: read_bound("most-changed"),
+            max_limited: read_bound("most-limited"),
         };
         if parameters.is_empty() { Ok(bounds) } else { Err(BoundsError { parameters }) }
     }
 
-    /// Whether the submission bounds anything.
+    /// Returns whether the submission sets at least one bound.
     pub fn is_bounded(&self) -> bool {
         self.max_lost.or(self.max_changed).or(self.max_limited).is_some()
     }
 
-    /// The bounds that this traffic exceeds; a sample that compares nothing exceeds any.
+    /// Returns a message for each bound that the traffic exceeds, and one if the submission sets
+    /// bounds but no request could be compared.
     pub fn exceeded(&self, traffic: &Traffic) -> Vec<String> {
         let rows = [
             ("lose their route", self.max_lost, traffic.lose_route),
@@ -85,12 +89,12 @@
     }
 }
 
-/// Runs the recent requests through the plan in force and through this one, on the client's own
-/// thread and before any Begin record.
+/// Routes the recent requests by the plan in force and by this one, and compares the results. Runs
+/// on the client's thread, before a Begin record is written for the submission.
 ///
 /// # Errors
 /// The controller did not respond.
-pub fn traffic(
+pub fn measure_traffic(
     plan: &Plan,
     send: &dyn Fn(Request) -> Response,
 ) -> Result<Traffic, NoControllerResponse> {
--- a/programs/control-plane/src/request_sender.rs
+++ b/programs/control-plane/src/request_sender.rs
@@ -1,4 +1,5 @@
-//! Sends requests of operators and applications to the controller, wherever it runs.
+//! Sends requests of operators and applications to the controller, which may run in another
+//! process.
 
 use crate::command::Command;
 use postbarrow_constants::coordination::CONTROLLER_ANSWER_SLACK_MS;
@@ -9,7 +10,8 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::SeqCst};
 use std::sync::mpsc::{Sender, sync_channel};
 
-/// Sends requests to the controller on behalf of clients. Clones share their counts and keys.
+/// Sends requests to the controller on behalf of clients. Clones share the count of pending
+/// requests, the request keys and the stop flag.
 #[derive(Clone)]
 pub struct RequestSender {
     commands: Sender<Command>,
@@ -18,7 +20,7 @@
     is_stopping: Arc<AtomicBool>,
 }
 
-/// Counts a request as pending until it is dropped; the process does not end before.
+/// Counts a request as pending until it is dropped. A stopping process waits for pending requests.
 pub struct PendingRequest(Arc<AtomicUsize>);
 
 impl Drop for PendingRequest {
@@ -33,10 +35,12 @@
         RequestSender { commands, keys, pending: Arc::default(), is_stopping: Arc::default() }
     }
 
-    /// The controller's response. `Unavailable` if no process that could execute the request was
-    /// sent it, `TimedOut` after `wait_ms` if one may have executed it. The request of a client that
-    /// departs is withdrawn: what it did already stays done, and its outcome is unknown.
-    pub fn request(&self, request: Request, wait_ms: u64, client: &ClientWatch) -> Response {
+    /// Sends a request to the controller and returns its response. Returns `Unavailable` if the
+    /// request was not sent to any process that could execute it, and `TimedOut` after `wait_ms`
+    /// milliseconds if a process may have executed it. If the client disconnects, the request is
+    /// withdrawn and `TimedOut` is returned: its outcome is unknown, and effects that it already
+    /// had are not undone.
+    pub fn send(&self, request: Request, wait_ms: u64, client: &ClientWatch) -> Response {
         let (reply, response) = sync_channel(1);
         let key = self.keys.next();
         if self.commands.send(Command::Request { key, request, wait_ms, reply }).is_err() {
@@ -57,7 +61,7 @@
         PendingRequest(self.pending.clone())
     }
 
-    /// The count of pending requests, shared with its owner.
+    /// Returns the count of pending requests, which all clones share.
     pub(crate) fn pending_requests(&self) -> Arc<AtomicUsize> {
         self.pending.clone()
     }
@@ -66,7 +70,7 @@
         self.is_stopping.store(true, SeqCst);
     }
 
-    /// Whether this process was requested to stop.
+    /// Returns whether this process was requested to stop.
     pub fn is_stopping(&self) -> bool {
         self.is_stopping.load(SeqCst)
     }
