--- a/programs/control-plane/src/cli.rs
+++ b/programs/control-plane/src/cli.rs
@@ -97,7 +97,7 @@
 }
 
 impl SettingsFlags {
-    /// The settings that were given as flags; the settings file is not among them.
+    /// Returns the settings that were given as flags, without the path of the settings file.
     pub fn flags(&self) -> Flags {
         Flags {
             name: self.name.clone(),
@@ -115,7 +115,7 @@
 }
 
 impl Submit {
-    /// Path and query of the submission.
+    /// Returns the path and query of the submission's HTTP request.
     pub fn path(&self, is_dry_run: bool) -> String {
         let mut path = format!("/plans?dry-run={is_dry_run}&allow-empty={}", self.allow_empty);
         let bounds = [
--- a/programs/control-plane/src/command.rs
+++ b/programs/control-plane/src/command.rs
@@ -1,4 +1,5 @@
-//! What the threads of a control node send its control loop, and what the loop has fetched.
+//! The commands that a control node's threads send to its control loop, and the loop's requests for
+//! pages of the endpoint list.
 
 use postbarrow_controller::PageResult;
 use postbarrow_messages::{Envelope, Request, Response};
@@ -6,17 +7,17 @@
 use std::net::SocketAddr;
 use std::sync::mpsc::{Sender, SyncSender};
 
-/// One entry of the control loop's queue.
+/// An entry of the control loop's queue.
 pub enum Command {
-    /// A message of another process.
+    /// A message from another process.
     Envelope(Envelope),
     /// All writes up to this sequence number are on disk.
     Synced(u64),
     /// A write failed for another reason than a full disk; nothing may be acknowledged after it.
     DiskFailed(WriteError),
-    /// A page of the endpoint list, or why there is none.
+    /// The result of a [`PageRequest`].
     Page(PageResult),
-    /// A snapshot that was encoded beside the control loop.
+    /// A snapshot that was encoded on a thread of its own.
     Encoded {
         /// The last log index that the snapshot covers.
         index: u64,
@@ -25,30 +26,32 @@
     },
     /// A request to the controller.
     Request {
-        /// Drawn from the process's `RequestKeys`.
+        /// The key by which the response names its request, drawn from the process's `RequestKeys`.
         key: u64,
-        /// What is requested.
+        /// The request that the controller executes.
         request: Request,
-        /// After so many milliseconds the response is `TimedOut`.
+        /// Milliseconds after which the response is `TimedOut`.
         wait_ms: u64,
-        /// Where the response goes.
+        /// The channel on which the client's thread waits for the response.
         reply: SyncSender<Response>,
     },
-    /// The client of this request departed, so its response has no receiver.
+    /// The client of a request has disconnected, so the response has no receiver.
     Withdraw {
-        /// The key of the request.
+        /// The key of the withdrawn request.
         key: u64,
     },
-    /// Addresses that may lead to other members.
+    /// The seeds: addresses of processes through which other members can be found. They replace the
+    /// previous ones.
     Seeds(Vec<SocketAddr>),
-    /// Transfers leadership and gives up the seat; the sender is notified when the process may end.
+    /// Starts the graceful shutdown, in which this member transfers its leadership and its voter
+    /// seat. The sender is notified when the process may exit.
     Stop(Sender<()>),
 }
 
-/// A page of the endpoint list that the controller needs.
+/// A request to fetch a page of the endpoint list.
 pub struct PageRequest {
-    /// Returned with the page.
+    /// The number of the request, which its result repeats.
     pub number: u64,
-    /// Where the page starts; none for the first one.
+    /// The cursor at which the page starts; none for the first page.
     pub cursor: Option<String>,
 }
--- a/programs/control-plane/src/control_loop.rs
+++ b/programs/control-plane/src/control_loop.rs
@@ -1,4 +1,5 @@
-//! The thread that owns a control node: it takes one command at a time and carries out its effects.
+//! The thread that owns a control node: it executes one command at a time and carries out the
+//! node's effects.
 
 use crate::command::{Command, PageRequest};
 use crate::disk_writer::DiskWriter;
@@ -17,73 +18,75 @@
 use std::thread;
 use std::time::Duration;
 
-/// The status with which a process ends whose disk failed.
+/// Exit status of a process whose disk failed.
 const DISK_FAILED_STATUS: i32 = 3;
 
-/// The only owner of the control node.
+/// Owns the control node and carries out its effects.
 pub struct ControlLoop {
     node: ControlNode,
-    own: SocketAddr,
+    own_address: SocketAddr,
     links: Links,
-    /// Messages of this process to itself, which take no link.
+    /// Messages that this process sends to itself, without a network connection.
     local: VecDeque<Envelope>,
     controller_client: ControllerClient,
-    /// Where responses go, by the key of the request.
+    /// The channels on which clients' threads wait for responses, by request key.
     replies: HashMap<u64, SyncSender<Response>>,
     disk: DiskWriter,
-    pages: Sender<PageRequest>,
-    /// For the threads that encode snapshots.
+    page_requests: Sender<PageRequest>,
+    /// The loop's own queue, for the threads that encode snapshots.
     commands: Sender<Command>,
-    /// Requests of this process's clients that have no response yet.
+    /// The number of client requests that have no response yet.
     pending_requests: Arc<AtomicUsize>,
-    /// Set once the process was requested to stop, with whom to notify when it may.
+    /// The shutdown in progress, and the channel to notify when the process may exit. None until
+    /// the process is requested to stop.
     shutdown: Option<(GracefulShutdown, Sender<()>)>,
 }
 
-/// What a control loop works with, besides its node.
+/// The address, the queues and the counter that a control loop uses besides its node.
 pub struct Connections {
-    /// The address that other processes know.
-    pub own: SocketAddr,
-    /// The disk's queue.
+    /// The address at which other postbarrow processes reach this one.
+    pub own_address: SocketAddr,
+    /// The queue of writes to the disk.
     pub disk: DiskWriter,
-    /// The queue of the endpoint list's fetchers.
-    pub pages: Sender<PageRequest>,
-    /// The loop's own queue, for threads that it starts.
+    /// The queue of the threads that fetch the endpoint list.
+    pub page_requests: Sender<PageRequest>,
+    /// The sender of the loop's own queue, for threads that the loop starts.
     pub commands: Sender<Command>,
-    /// Requests of this process's clients that have no response yet.
+    /// The number of client requests that have no response yet.
     pub pending_requests: Arc<AtomicUsize>,
 }
 
 impl ControlLoop {
-    /// A loop that was not run yet.
+    /// Creates a loop, which [`ControlLoop::run`] starts.
     pub fn new(node: ControlNode, connections: Connections) -> Self {
-        let Connections { own, disk, pages, commands, pending_requests } = connections;
+        let Connections { own_address, disk, page_requests, commands, pending_requests } =
+            connections;
         ControlLoop {
             node,
-            own,
-            links: Links::new(own),
+            own_address,
+            links: Links::new(own_address),
             local: VecDeque::new(),
             controller_client: ControllerClient::default(),
             replies: HashMap::new(),
             disk,
-            pages,
+            page_requests,
             commands,
             pending_requests,
             shutdown: None,
         }
     }
 
-    /// Runs until the process may end or every sender of the queue is gone. The disk's queue is
-    /// written before the end is notified.
+    /// Runs until the process may exit or every sender of the queue is dropped. The disk's queue is
+    /// written before the sender of [`Command::Stop`] is notified.
     pub fn run(mut self, queue: Receiver<Command>) {
-        let mut tick_ms = 0;
+        let mut next_tick_ms = 0;
         loop {
             let now_ms = clock_ms();
-            if now_ms >= tick_ms {
-                tick_ms = now_ms + TICK_MS;
+            if now_ms >= next_tick_ms {
+                next_tick_ms = now_ms + TICK_MS;
                 self.tick(now_ms);
             }
-            let wait_ms = tick_ms.saturating_sub(clock_ms()).max(1);
+            let wait_ms = next_tick_ms.saturating_sub(clock_ms()).max(1);
             match queue.recv_timeout(Duration::from_millis(wait_ms)) {
                 Ok(command) => self.execute(command),
                 Err(RecvTimeoutError::Timeout) => {}
@@ -92,9 +95,9 @@
             while let Some(envelope) = self.local.pop_front() {
                 self.receive(envelope);
             }
-            if let Some(ended) = self.take_ended(clock_ms()) {
+            if let Some(exit_sender) = self.take_exit_sender(clock_ms()) {
                 drop(self.disk);
-                let _ = ended.send(());
+                let _ = exit_sender.send(());
                 return;
             }
         }
@@ -123,7 +126,7 @@
             Command::Envelope(envelope) => self.receive(envelope),
             Command::Synced(sequence) => self.handle(now_ms, Input::Synced(sequence)),
             Command::DiskFailed(error) => {
-                error!("disk: write failed, the process ends error={error}");
+                error!("disk: write failed, the process exits error={error}");
                 std::process::exit(DISK_FAILED_STATUS);
             }
             Command::Page(page) => self.handle(now_ms, Input::Page(page)),
@@ -140,21 +143,21 @@
                 self.controller_client.withdraw(key);
             }
             Command::Seeds(seeds) => self.handle(now_ms, Input::Seeds(seeds)),
-            Command::Stop(ended) => {
-                self.shutdown = Some((GracefulShutdown::new(now_ms), ended));
+            Command::Stop(exit_sender) => {
+                self.shutdown = Some((GracefulShutdown::new(now_ms), exit_sender));
                 self.handle(now_ms, Input::Stop);
             }
         }
     }
 
-    /// Whom to notify that this process may end, once it may.
-    fn take_ended(&mut self, now_ms: u64) -> Option<Sender<()>> {
+    /// Returns the channel to notify that this process may exit, once it may.
+    fn take_exit_sender(&mut self, now_ms: u64) -> Option<Sender<()>> {
         let (shutdown, _) = self.shutdown.as_mut()?;
         let pending_requests = self.pending_requests.load(SeqCst);
-        if !shutdown.may_end(now_ms, pending_requests, self.node.has_departed()) {
+        if !shutdown.may_exit(now_ms, pending_requests, self.node.has_departed()) {
             return None;
         }
-        self.shutdown.take().map(|(_, ended)| ended)
+        self.shutdown.take().map(|(_, exit_sender)| exit_sender)
     }
 
     fn receive(&mut self, envelope: Envelope) {
@@ -173,7 +176,7 @@
                 Effect::Send { to, message } => self.send(to, message),
                 Effect::Write { sequence, write } => self.disk.write(sequence, write),
                 Effect::Fetch { number, cursor } => {
-                    let _ = self.pages.send(PageRequest { number, cursor });
+                    let _ = self.page_requests.send(PageRequest { number, cursor });
                 }
                 Effect::Encode(snapshot) => self.encode(snapshot),
                 Effect::Log(text) => info!("control: {text}"),
@@ -181,7 +184,7 @@
         }
     }
 
-    /// Encodes a snapshot on a thread of its own, since a large one would hold up heartbeats.
+    /// Encodes a snapshot on a thread of its own, since a large one would delay heartbeats.
     fn encode(&self, snapshot: PendingSnapshot) {
         let commands = self.commands.clone();
         let spawned = thread::Builder::new().name("snapshot".into()).spawn(move || {
@@ -207,8 +210,8 @@
     }
 
     fn send(&mut self, to: SocketAddr, message: Message) {
-        if to == self.own {
-            self.local.push_back(Envelope { from: self.own, message });
+        if to == self.own_address {
+            self.local.push_back(Envelope { from: self.own_address, message });
         } else {
             self.links.send(to, message);
         }
--- a/programs/control-plane/src/control_plane.rs
+++ b/programs/control-plane/src/control_plane.rs
@@ -25,11 +25,11 @@
     commands: Sender<Command>,
     address: SocketAddr,
     http: SocketAddr,
-    requests: RequestSender,
+    request_sender: RequestSender,
 }
 
 impl ControlPlane {
-    /// Starts a node that speaks the product's own dialect.
+    /// Starts a control node that uses the product's own protocols, [`NativeDialect`].
     ///
     /// # Errors
     /// The data folder can't be used, an address can't be bound, or the system refuses a thread.
@@ -37,7 +37,8 @@
         ControlPlane::start_with_dialect(startup, Arc::new(NativeDialect))
     }
 
-    /// Starts a node whose operators, applications and endpoint list speak another dialect.
+    /// Starts a control node that uses the given dialect towards operators, applications and the
+    /// endpoint list.
     ///
     /// # Errors
     /// The data folder can't be used, an address can't be bound, or the system refuses a thread.
@@ -47,62 +48,64 @@
     ) -> io::Result<ControlPlane> {
         let folder = startup.data.clone().ok_or(io::ErrorKind::InvalidInput)?;
         let (storage, recovered) = data_folder::open_folder(&folder, !startup.observer)?;
-        let (links, address) = startup.listen()?;
-        let own = Member { id: storage.id(), address };
+        let (listener, address) = startup.listen()?;
+        let this_member = Member { id: storage.id(), address };
         info!(
             "control: starting name={} member={:016x} address={}",
-            startup.name, own.id, own.address
+            startup.name, this_member.id, this_member.address
         );
         let (commands, queue) = channel();
         let reservation = (!startup.observer).then(|| data_folder::reservation(&startup.bounds));
         let disk = DiskWriter::start(storage, reservation, commands.clone())?;
-        let pages = endpoint_list_fetcher::start(
+        let page_requests = endpoint_list_fetcher::start(
             startup.endpoint_list_url.clone().unwrap_or_default(),
             dialect.clone(),
             commands.clone(),
         )?;
-        let node = control_node(startup, own, recovered);
-        let requests = RequestSender::new(commands.clone());
+        let node = control_node(startup, this_member, recovered);
+        let request_sender = RequestSender::new(commands.clone());
         let connections = Connections {
-            own: own.address,
+            own_address: this_member.address,
             disk,
-            pages,
+            page_requests,
             commands: commands.clone(),
-            pending_requests: requests.pending_requests(),
+            pending_requests: request_sender.pending_requests(),
         };
         let control_loop = ControlLoop::new(node, connections);
         thread::Builder::new().name("control".into()).spawn(move || control_loop.run(queue))?;
         let envelopes = commands.clone();
-        listen(links, move |envelope| envelopes.send(Command::Envelope(envelope)).is_ok())?;
-        let http = listen_for_clients(startup.http, requests.clone(), dialect.client_handler())?;
-        Ok(ControlPlane { commands, address, http, requests })
+        listen(listener, move |envelope| envelopes.send(Command::Envelope(envelope)).is_ok())?;
+        let http =
+            listen_for_clients(startup.http, request_sender.clone(), dialect.client_handler())?;
+        Ok(ControlPlane { commands, address, http, request_sender })
     }
 
-    /// Replaces the addresses that may lead to other members.
-    pub fn seeds(&self, seeds: Vec<SocketAddr>) {
+    /// Replaces the seeds, the addresses of processes through which other members can be found.
+    pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         let _ = self.commands.send(Command::Seeds(seeds));
     }
 
-    /// The address at which other postbarrow processes reach this one.
+    /// Returns the address at which other postbarrow processes reach this one.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The address at which operators and applications reach this process.
+    /// Returns the HTTP address at which operators and applications reach this process.
     pub fn http(&self) -> SocketAddr {
         self.http
     }
 
-    /// How many requests of this process's clients have no response yet.
+    /// Returns the number of client requests that have no response yet.
     pub fn pending_requests(&self) -> usize {
-        self.requests.pending_requests().load(SeqCst)
+        self.request_sender.pending_requests().load(SeqCst)
     }
 
-    /// Shuts down gracefully: pending requests get their responses, another member leads, a learner
-    /// that stands ready gets this member's seat, and the disk's queue is written. All of it starts
-    /// at once. Returns when it is done, after `SUBMIT_WAIT_MS + LEADERSHIP_TRANSFER_MS` at most.
+    /// Shuts down gracefully: pending requests get their responses, leadership is transferred to
+    /// another member, this member's voter seat is given to a learner that has caught up, if there
+    /// is one, and the disk's queue is written. The waits for all of these start together. Returns
+    /// when they are done, after `SUBMIT_WAIT_MS + LEADERSHIP_TRANSFER_MS` at most.
     pub fn stop(&self) {
-        self.requests.stop();
+        self.request_sender.stop();
         let (sender, ended) = channel();
         if self.commands.send(Command::Stop(sender)).is_ok() {
             let wait = Duration::from_millis(SUBMIT_WAIT_MS + LEADERSHIP_TRANSFER_MS);
@@ -112,9 +115,9 @@
     }
 }
 
-/// The node with the settings of this deployment.
-fn control_node(startup: &Startup, own: Member, recovered: RecoveredState) -> ControlNode {
-    let mut node = ControlNode::new(own, recovered, &startup.seeds, random(), clock_ms());
+/// Creates the control node with the settings of this deployment.
+fn control_node(startup: &Startup, this_member: Member, recovered: RecoveredState) -> ControlNode {
+    let mut node = ControlNode::new(this_member, recovered, &startup.seeds, random(), clock_ms());
     let bounds = &startup.bounds;
     node = node.with_bounds(bounds.list_gap_ms(), bounds.history_ms(), bounds.log_bytes());
     node = node.with_losses(bounds.max_losses).with_voter_dead(bounds.voter_dead_ms());
@@ -123,7 +126,7 @@
     }
     if startup.observer {
         info!(
-            "control: observer without a lasting disk, forwards requests only name={}",
+            "control: observer without a persistent disk, only forwards requests name={}",
             startup.name
         );
         node = node.as_observer();
--- a/programs/control-plane/src/graceful_shutdown.rs
+++ b/programs/control-plane/src/graceful_shutdown.rs
@@ -1,22 +1,27 @@
-//! Graceful shutdown: operators get their responses while leadership and seat are transferred.
+//! Graceful shutdown: clients get their responses while leadership and the voter seat are
+//! transferred.
 
 use postbarrow_constants::consensus::LEADERSHIP_TRANSFER_MS;
 use postbarrow_constants::coordination::{ANSWER_WRITE_MS, SUBMIT_WAIT_MS};
 
-/// Decides when a process that was requested to stop may end. Both of its waits start with the
-/// request, so that neither comes on top of the other within the process's grace period.
+/// Decides when a stopping process may exit. Its waits for pending requests and for the transfers
+/// both start when the stop is requested, so that they don't add up within the process's grace
+/// period.
 #[derive(Debug)]
 pub struct GracefulShutdown {
-    /// After this the process does not wait for requests of operators.
+    /// When the process stops waiting for pending client requests, in milliseconds of the process's
+    /// clock.
     requests_deadline_ms: u64,
-    /// After this the process waits neither for a successor nor for a learner.
+    /// When the process stops waiting for a successor to lead and for a learner to take its voter
+    /// seat, in milliseconds of the process's clock.
     transfer_deadline_ms: u64,
-    /// When the last request stopped being pending: its response may not be written out yet.
+    /// Since when no request has been pending, in milliseconds of the process's clock; the last
+    /// response may not be written out yet. None while requests are pending.
     idle_since_ms: Option<u64>,
 }
 
 impl GracefulShutdown {
-    /// A shutdown that was requested now.
+    /// Creates a shutdown that is requested at `now_ms`.
     pub fn new(now_ms: u64) -> GracefulShutdown {
         GracefulShutdown {
             requests_deadline_ms: now_ms + SUBMIT_WAIT_MS,
@@ -25,9 +30,9 @@
         }
     }
 
-    /// Whether the process may end, given its pending requests and whether it has transferred its
-    /// leadership and its seat.
-    pub fn may_end(&mut self, now_ms: u64, pending_requests: usize, is_transferred: bool) -> bool {
+    /// Returns whether the process may exit, given the number of its pending requests and whether
+    /// it has transferred its leadership and its voter seat.
+    pub fn may_exit(&mut self, now_ms: u64, pending_requests: usize, is_transferred: bool) -> bool {
         let is_transferred = is_transferred || now_ms >= self.transfer_deadline_ms;
         self.are_requests_answered(now_ms, pending_requests) && is_transferred
     }
--- a/programs/control-plane/src/lib.rs
+++ b/programs/control-plane/src/lib.rs
@@ -9,11 +9,11 @@
 //! | [`control_loop`] | `control` | owns the node, carries out its effects |
 //! | [`disk_writer`] | `disk` | writes and syncs the log |
 //! | [`endpoint_list_fetcher`] | `list N` | fetches pages of the endpoint list |
-//! | [`client_listener`] | `clients`, `client` | reads requests of clients, writes their responses |
+//! | [`client_listener`] | `clients`, `client` | reads clients' requests, writes the responses |
 //!
-//! A client's request goes from [`client_listener`] to a [`ClientHandler`] (of the product,
-//! [`operator_handler`]), by a [`RequestSender`] to the control loop, and from there to the
-//! controller, wherever it runs.
+//! A client's request goes from [`client_listener`] to a [`ClientHandler`] (in the product's own
+//! dialect, [`operator_handler`]), through a [`RequestSender`] to the control loop, and from there
+//! to the controller, which may run in another process.
 
 #![deny(missing_docs)]
 #![allow(rustdoc::private_intra_doc_links)]
--- a/programs/control-plane/src/main.rs
+++ b/programs/control-plane/src/main.rs
@@ -9,9 +9,9 @@
 use postbarrow_startup::{ProgramKind, SettingsError, Startup, with_checked};
 use std::process::ExitCode;
 
-/// The command line or a file that it names is unsound.
+/// Exit status when the command line, or a file that it names, is invalid.
 const USAGE_STATUS: u8 = 2;
-/// No control node responded.
+/// Exit status when no control node responded.
 const UNREACHABLE_STATUS: u8 = 4;
 
 fn main() -> ExitCode {
@@ -22,11 +22,11 @@
     }
     match cli.command {
         None => {
-            eprintln!("a command is needed; --help lists them");
+            eprintln!("a command is required; --help lists the commands");
             ExitCode::from(USAGE_STATUS)
         }
         Some(Command::Run(settings)) => with_startup(&settings, |startup, load| {
-            startup.serve(ControlPlane::start, load, ControlPlane::seeds, ControlPlane::stop)
+            startup.serve(ControlPlane::start, load, ControlPlane::set_seeds, ControlPlane::stop)
         }),
         Some(Command::Check(settings)) => with_startup(&settings, |_, _| {
             println!("the settings are sound");
@@ -50,7 +50,8 @@
     with_checked(load(), |startup| then(startup, &load))
 }
 
-/// The plan is checked here too, so that its findings are shown in its own text.
+/// Submits a plan. It is checked before it is sent, so that each finding can be shown at its place
+/// in the plan's text.
 fn send_plan(submit: &Submit, is_dry_run: bool) -> ExitCode {
     let plan = match std::fs::read(&submit.plan) {
         Ok(plan) => plan,
@@ -70,7 +71,7 @@
 /// Sends a command and prints the response: headers to standard error, the body to standard output.
 fn send(control: &[String], path: &str, plan: Option<Vec<u8>>) -> ExitCode {
     if control.is_empty() {
-        eprintln!("--control is needed");
+        eprintln!("--control is required");
         return ExitCode::from(USAGE_STATUS);
     }
     match operator_client::send_command(control, path, plan) {
