--- a/programs/control-plane/src/data_folder.rs
+++ b/programs/control-plane/src/data_folder.rs
@@ -13,23 +13,25 @@
 use std::thread;
 use std::time::Duration;
 
-/// Recovers what the folder stores, or creates the storage of a new member. A folder that does not
-/// last is not locked: its process is never a member, and file systems in memory may have no locks.
+/// Recovers the member that the folder stores, or creates the storage of a new member. A folder
+/// that is not persistent is not locked: its process is never a member, and in-memory file systems
+/// may not support locks.
 ///
 /// # Errors
-/// Another process uses the folder, or the file system fails other than for lack of space.
+/// Another process uses the folder, or the file system fails for another reason than a lack of
+/// space.
 pub fn open_folder(
     folder: &Path,
-    is_lasting: bool,
+    is_persistent: bool,
 ) -> io::Result<(Storage<FolderDisk>, RecoveredState)> {
     retry_while_full(|| FolderDisk::new(folder.to_path_buf()))?;
-    if is_lasting {
+    if is_persistent {
         retry_while_full(|| lock(folder))?;
     }
     retry_while_full(|| open_disk(folder))
 }
 
-/// The space to reserve on a disk of these bounds.
+/// Returns the space to reserve on the disk of a process with these bounds.
 pub fn reservation(bounds: &Bounds) -> Reservation {
     Reservation { log_bytes: bounds.reserved_log_bytes(), slot_bytes: bounds.reserved_slot_bytes() }
 }
@@ -48,8 +50,9 @@
     }
 }
 
-/// Each attempt starts from the beginning, as a new process would, so a failed one leaves nothing
-/// that must be trusted.
+/// Repeats a step while the disk is full and no stop was requested. Each attempt starts from the
+/// beginning, as a new process would, so that nothing relies on what a failed attempt left on the
+/// disk.
 fn retry_while_full<T>(mut step: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let mut is_logged = false;
     loop {
@@ -65,8 +68,8 @@
     }
 }
 
-/// Locks the folder for this process; the lock ends with the process. The lock's file has no
-/// content, so it doesn't matter whether its name survives a loss of power.
+/// Locks the folder for this process; the lock ends with the process. The lock file has no content,
+/// so it doesn't matter whether the file survives a power loss.
 ///
 /// # Errors
 /// `AddrInUse` if another process has the lock, else the file system's error.
@@ -77,7 +80,7 @@
         if error.kind() != io::ErrorKind::WouldBlock {
             return Err(error);
         }
-        let text = format!("{} is used by another process", folder.display());
+        let text = format!("data folder {} is in use by another process", folder.display());
         return Err(io::Error::new(io::ErrorKind::AddrInUse, text));
     }
     // Closing the file would release the lock.
--- a/programs/control-plane/src/disk_writer.rs
+++ b/programs/control-plane/src/disk_writer.rs
@@ -1,5 +1,5 @@
-//! The thread that writes to the disk: it shares syncs, reserves space, and retries while the disk
-//! is full.
+//! The thread that writes to the disk: it writes batches with one sync each, reserves space, and
+//! retries while the disk is full.
 
 use crate::command::Command;
 use log::{info, warn};
@@ -16,17 +16,18 @@
 /// A write with its sequence number, which `Command::Synced` repeats.
 type Queued = (u64, Write);
 
-/// The disk's queue. Writes that wait while a sync runs share the next one. Dropping it waits until
-/// the queue is written, except on a full disk.
+/// Queues writes for the disk's thread. Writes that are queued while a sync runs share the next
+/// sync. Dropping the writer waits until the queue is written, except on a full disk.
 pub struct DiskWriter {
     queue: Option<Sender<Queued>>,
     thread: Option<JoinHandle<()>>,
-    /// The process ends: a full disk is not retried any longer.
+    /// Whether the process is ending, after which writes to a full disk are no longer retried.
     is_ending: Arc<AtomicBool>,
 }
 
 impl DiskWriter {
-    /// Starts the thread. A reservation that finds the disk full is retried between the writes.
+    /// Starts the disk's thread. A reservation that fails because the disk is full is retried
+    /// between the writes.
     ///
     /// # Errors
     /// The system refuses a thread.
@@ -72,13 +73,13 @@
 
 struct WriteLoop<D> {
     storage: Storage<D>,
-    /// Space that is still to be reserved.
+    /// The reservation that is still to be made; none if there is nothing to reserve.
     reservation: Option<Reservation>,
     commands: Sender<Command>,
     is_ending: Arc<AtomicBool>,
     syncs: u64,
     writes: u64,
-    /// The disk was full at the last attempt, and that was logged.
+    /// Whether the disk was full at the last attempt, which has then been logged.
     is_full: bool,
 }
 
@@ -109,18 +110,18 @@
             Ok(()) => self.reservation = None,
             Err(WriteError::Full(error)) => self.log_full("space can't be reserved yet", &error),
             Err(WriteError::Failed(error)) => {
-                warn!("disk: no space reserved error={error}");
+                warn!("disk: reservation failed error={error}");
                 self.reservation = None;
             }
         }
     }
 
-    /// Writes all that is queued with one sync; false if the thread must end.
+    /// Writes all queued writes with one sync. Returns false if the thread must end.
     fn write_batch(&mut self, first: Queued, queue: &Receiver<Queued>) -> bool {
         let (mut sequence, write) = first;
         let mut batch = vec![write];
-        while let Ok((later, write)) = queue.try_recv() {
-            sequence = later;
+        while let Ok((next_sequence, write)) = queue.try_recv() {
+            sequence = next_sequence;
             batch.push(write);
         }
         self.syncs += 1;
@@ -130,7 +131,7 @@
             if self.is_ending.load(SeqCst) {
                 return false;
             }
-            self.log_full("this member has no vote until its writes are done", error);
+            self.log_full("this member can't vote until its writes are on disk", error);
             thread::sleep(Duration::from_millis(DISK_FULL_PAUSE_MS));
             written = self.storage.resume();
         }
@@ -144,7 +145,7 @@
         self.commands.send(Command::Synced(sequence)).is_ok()
     }
 
-    /// Logs that the disk is full, once until it has space again.
+    /// Logs that the disk is full, only once until a write succeeds again.
     fn log_full(&mut self, consequence: &str, error: &io::Error) {
         if !std::mem::replace(&mut self.is_full, true) {
             warn!("disk: full, {consequence} error={error}");
