--- a/programs/control-plane/src/endpoint_list_fetcher.rs
+++ b/programs/control-plane/src/endpoint_list_fetcher.rs
@@ -11,7 +11,8 @@
 use std::time::Duration;
 use ureq::Agent;
 
-/// Starts the fetchers, `LIST_IN_FLIGHT` threads that share one queue; returns that queue.
+/// Starts the fetchers, `LIST_IN_FLIGHT` threads that share one queue, and returns the sender of
+/// that queue.
 ///
 /// # Errors
 /// The system refuses a thread.
@@ -86,8 +87,8 @@
     }
 }
 
-/// The Retry-After header (RFC 9110, 10.2.3) in milliseconds; fractions of a second count, a date
-/// does not.
+/// Returns the Retry-After header (RFC 9110, 10.2.3) in milliseconds. Fractions of a second are
+/// accepted. Without the header, or with a date in it, returns `LIST_PAUSE_MS`.
 fn retry_after_ms(response: &ureq::http::Response<ureq::Body>) -> u64 {
     let header = response.headers().get("retry-after");
     let wait_s = header.and_then(|value| value.to_str().ok()?.trim().parse::<f64>().ok());
--- a/programs/control-plane/src/operator_client.rs
+++ b/programs/control-plane/src/operator_client.rs
@@ -3,16 +3,17 @@
 use std::time::Duration;
 use ureq::Agent;
 
-/// Longer than a submission's own wait, `SUBMIT_WAIT_MS`.
+/// Timeout of one HTTP request in milliseconds. It is longer than `SUBMIT_WAIT_MS`, the time for
+/// which a control node waits for a submission's outcome.
 const TIMEOUT_MS: u64 = 8_000;
-/// The largest body that is read.
-const BODY_BYTES: u64 = 64 * 1024 * 1024;
+/// Largest body of a response that is read, in bytes.
+const BODY_MAX_BYTES: u64 = 64 * 1024 * 1024;
 
 /// The response of a control node.
 pub struct CommandResponse {
     /// The HTTP status.
     pub status: u16,
-    /// JSON, or a plan's text.
+    /// The body: JSON, or a plan's text.
     pub body: String,
     /// The product's own headers: those that begin with `postbarrow-`.
     pub headers: Vec<(String, String)>,
@@ -20,19 +21,19 @@
 
 /// No control node responded.
 #[derive(Debug, thiserror::Error)]
-#[error("{}", join(.failures))]
+#[error("no control node responded: {}", join(.failures))]
 pub struct CommandError {
     /// One failure for each address, in their order.
     pub failures: Vec<NodeFailure>,
 }
 
-/// Why one control node did not respond.
+/// The reason why one control node did not respond.
 #[derive(Debug, thiserror::Error)]
 #[error("{address}: {source}")]
 pub struct NodeFailure {
-    /// The address as the operator named it.
+    /// The control node's address, as given on the command line.
     pub address: String,
-    /// What failed.
+    /// The error of the HTTP request.
     pub source: ureq::Error,
 }
 
@@ -40,8 +41,8 @@
     failures.iter().map(NodeFailure::to_string).collect::<Vec<_>>().join("; ")
 }
 
-/// Sends a command to the control nodes in their order until one responds: a submission if there is
-/// a plan, else a query.
+/// Sends a command to the control nodes in the given order until one responds. With a plan the
+/// command is a submission, else a query.
 ///
 /// # Errors
 /// No control node responded.
@@ -63,7 +64,7 @@
             Some(plan) => agent.post(&url).send(&plan[..]),
             None => agent.get(&url).call(),
         };
-        match sent.and_then(read) {
+        match sent.and_then(read_response) {
             Ok(response) => return Ok(response),
             Err(source) => failures.push(NodeFailure { address: address.clone(), source }),
         }
@@ -71,7 +72,9 @@
     Err(CommandError { failures })
 }
 
-fn read(mut response: ureq::http::Response<ureq::Body>) -> Result<CommandResponse, ureq::Error> {
+fn read_response(
+    mut response: ureq::http::Response<ureq::Body>,
+) -> Result<CommandResponse, ureq::Error> {
     let headers = response
         .headers()
         .iter()
@@ -81,6 +84,6 @@
         })
         .collect();
     let status = response.status().as_u16();
-    let body = response.body_mut().with_config().limit(BODY_BYTES).read_to_string()?;
+    let body = response.body_mut().with_config().limit(BODY_MAX_BYTES).read_to_string()?;
     Ok(CommandResponse { status, body, headers })
 }
