--- a/programs/control-plane/tests/local/mod.rs
+++ b/programs/control-plane/tests/local/mod.rs
@@ -1,13 +1,13 @@
-//! Processes of a test on this machine: their settings and folders.
+//! Settings and folders of the processes that a test starts on this machine.
 #![allow(dead_code)]
 
 use postbarrow_startup::{Bounds, Startup};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Settings with ports that the system chooses, and no log.
+/// Returns settings with ports that the system chooses, and with logging switched off.
 pub fn startup(name: &str, seeds: Vec<SocketAddr>, data: Option<PathBuf>) -> Startup {
-    let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
+    let any: SocketAddr = "127.0.0.1:0".parse().expect("the address parses");
     Startup {
         name: name.into(),
         zone: "a".into(),
@@ -30,6 +30,6 @@
 pub fn empty_folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("the folder is created");
     folder
 }
--- a/programs/control-plane/tests/outer/mod.rs
+++ b/programs/control-plane/tests/outer/mod.rs
@@ -1,4 +1,5 @@
-//! What a program's users see of it, in a form that holds on each run and machine.
+//! Renders a program's outer interface (help texts and HTTP responses) without values that vary
+//! from run to run or from machine to machine.
 #![allow(dead_code)]
 
 use std::io::{Read, Write};
@@ -6,21 +7,25 @@
 use std::path::Path;
 use std::process::Command;
 
-/// The help of a program, and that of each of its verbs.
+/// Returns the help text of a program, followed by that of each of its verbs.
 pub fn help(program: &str, verbs: &[&str]) -> String {
-    let of = |arguments: &[&str]| {
+    let help_of = |arguments: &[&str]| {
         let output = Command::new(program).args(arguments).output().expect("the program runs");
         assert!(output.status.success(), "{arguments:?}: {output:?}");
-        let name = Path::new(program).file_name().and_then(|name| name.to_str()).expect("a name");
-        let text = |bytes| String::from_utf8(bytes).expect("text").replace(program, name);
+        let name = Path::new(program)
+            .file_name()
+            .and_then(|name| name.to_str())
+            .expect("the program's path ends in a UTF-8 name");
+        let text =
+            |bytes| String::from_utf8(bytes).expect("the output is UTF-8").replace(program, name);
         let (out, error) = (text(output.stdout), text(output.stderr));
         format!("$ {name} {}\n[out]\n{out}[error]\n{error}\n", arguments.join(" "))
     };
-    let verbs = verbs.iter().map(|verb| of(&[verb, "--help"]));
-    std::iter::once(of(&["--help"])).chain(verbs).collect()
+    let verbs = verbs.iter().map(|verb| help_of(&[verb, "--help"]));
+    std::iter::once(help_of(&["--help"])).chain(verbs).collect()
 }
 
-/// The verbs that a program's own help lists.
+/// Returns the verbs that a program's help text lists.
 pub fn listed_verbs(help: &str) -> Vec<&str> {
     let listed = help.split("Available commands:").nth(1).unwrap_or_default();
     let lines = listed.lines().skip_while(|line| line.trim().is_empty());
@@ -28,7 +33,7 @@
     rows.filter_map(|row| row.split_whitespace().next()).collect()
 }
 
-/// A JSON text with its keys as they are and each value as its type; a line for each key.
+/// Returns a JSON text with one line per key, in which each value is replaced by its type.
 pub fn shape(json: &str) -> String {
     let mut shape = String::new();
     let mut rest = json;
@@ -53,7 +58,7 @@
     shape + "\n"
 }
 
-/// Bytes of the quoted text at the front.
+/// Returns the length of the JSON string at the start of the text, in bytes and with its quotes.
 fn text_length(text: &str) -> usize {
     let mut escaped = false;
     let end = text.bytes().skip(1).position(|byte| {
@@ -61,24 +66,25 @@
         escaped = byte == b'\\' && !escaped;
         ends
     });
-    end.expect("the text ends") + 2
+    end.expect("the JSON string has a closing quote") + 2
 }
 
-/// Status, headers without the values that vary from run to run, and the shape of the body of one
-/// request's response.
+/// Sends a request and returns the response's status, its headers without the values that vary from
+/// run to run, and the shape of its body.
 pub fn response(address: SocketAddr, method: &str, path: &str, body: &str) -> String {
-    let mut connection = TcpStream::connect(address).expect("it listens");
+    let mut connection = TcpStream::connect(address).expect("the server accepts the connection");
     let length = body.len();
     let head = format!("{method} {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n");
-    write!(connection, "{head}Content-Length: {length}\r\n\r\n{body}").expect("it reads");
+    write!(connection, "{head}Content-Length: {length}\r\n\r\n{body}")
+        .expect("the request is sent");
     let mut text = String::new();
-    connection.read_to_string(&mut text).expect("it answers");
-    let (head, body) = text.split_once("\r\n\r\n").expect("a head");
+    connection.read_to_string(&mut text).expect("the server responds");
+    let (head, body) = text.split_once("\r\n\r\n").expect("the response has a complete head");
     let head: Vec<&str> = head.lines().map(without_varying_value).collect();
     format!("$ {method} {path}\n{}\n{}\n", head.join("\n"), shape(body))
 }
 
-/// The name alone of a header whose value is a length, a time or a place in the log.
+/// Returns a header; only its name if the value is a length, a time or a log offset.
 fn without_varying_value(header: &str) -> &str {
     let (name, _) = header.split_once(": ").unwrap_or((header, ""));
     match name.to_lowercase().as_str() {
--- a/programs/control-plane/tests/stop.rs
+++ b/programs/control-plane/tests/stop.rs
@@ -10,17 +10,18 @@
 use std::thread;
 use std::time::Duration;
 
-/// Far more than the cluster needs; reached only if it hangs.
+/// Number of attempts, far more than the cluster needs: reached only if the cluster hangs.
 const ATTEMPTS: usize = 2_000;
 const PAUSE: Duration = Duration::from_millis(10);
-/// Blanks that follow the plan, so that most of a submission is sent after the stop began.
+/// Spaces after the plan, so that most of the submission's body is sent after the stop has begun.
 const PADDING_BYTES: usize = 4_096;
 
 fn start(name: &str, folder: &Path, seeds: Vec<SocketAddr>) -> ControlPlane {
-    ControlPlane::start(&startup(name, seeds, Some(folder.join(name)))).expect("it starts")
+    ControlPlane::start(&startup(name, seeds, Some(folder.join(name))))
+        .expect("the control plane starts")
 }
 
-/// Status and body of one request, on a connection of its own.
+/// Sends a request on a new connection and returns the response's status and text.
 fn send(address: SocketAddr, request: &[u8]) -> Option<(u16, String)> {
     let mut connection = TcpStream::connect(address).ok()?;
     connection.write_all(request).ok()?;
@@ -34,22 +35,22 @@
     Some((status, text))
 }
 
-/// The controller that this member's status names.
+/// Returns the controller's address, as this member's status response states it.
 fn controller(member: &ControlPlane) -> Option<String> {
     let request = b"GET /status HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
     let (status, text) = send(member.http(), request)?;
     let (_, after) = text.split_once("\"controller\":\"")?;
-    let (name, _) = after.split_once('"')?;
-    (status == 200).then(|| name.to_string())
+    let (address, _) = after.split_once('"')?;
+    (status == 200).then(|| address.to_string())
 }
 
-fn is_named(member: &ControlPlane, name: &str) -> bool {
-    member.address().to_string() == name
+fn has_address(member: &ControlPlane, address: &str) -> bool {
+    member.address().to_string() == address
 }
 
-fn wait_for<T>(failure: &str, mut look: impl FnMut() -> Option<T>) -> T {
+fn wait_for<T>(failure: &str, mut probe: impl FnMut() -> Option<T>) -> T {
     let found = (0..ATTEMPTS).find_map(|_| {
-        look().or_else(|| {
+        probe().or_else(|| {
             thread::sleep(PAUSE);
             None
         })
@@ -65,26 +66,30 @@
     let mut members = vec![first];
     members.push(start("two", &folder, seeds.clone()));
     members.push(start("three", &folder, seeds));
-    let old = wait_for("nobody leads", || controller(&members[0]));
-    let departing =
-        members.iter().position(|member| is_named(member, &old)).expect("one of the three");
+    let old_controller = wait_for("no member became the leader", || controller(&members[0]));
+    let departing = members
+        .iter()
+        .position(|member| has_address(member, &old_controller))
+        .expect("the controller is one of the three members");
     let departing = members.remove(departing);
 
     let plan = "{\"version\":\"v1\",\"base\":null,\"services\":{},\"routes\":[]}";
     let body = format!("{plan}{}", " ".repeat(PADDING_BYTES));
     let (start_of_body, rest) = body.split_at(10);
-    let mut submission = TcpStream::connect(departing.http()).expect("it listens");
+    let mut submission =
+        TcpStream::connect(departing.http()).expect("the controller accepts the connection");
     let head = "POST /plans HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length:";
-    write!(submission, "{head} {}\r\n\r\n{start_of_body}", body.len()).expect("it reads");
+    write!(submission, "{head} {}\r\n\r\n{start_of_body}", body.len())
+        .expect("the start of the request is sent");
     wait_for("the request is not pending", || (departing.pending_requests() > 0).then_some(()));
 
     let stopped = thread::spawn(move || departing.stop());
-    let successor = wait_for("nobody leads in its place", || {
-        controller(&members[0]).filter(|name| *name != old)
+    let successor = wait_for("no other member became the leader", || {
+        controller(&members[0]).filter(|address| *address != old_controller)
     });
-    assert!(members.iter().any(|member| is_named(member, &successor)), "{successor}");
-    submission.write_all(rest.as_bytes()).expect("it still reads");
+    assert!(members.iter().any(|member| has_address(member, &successor)), "{successor}");
+    submission.write_all(rest.as_bytes()).expect("the stopping controller still reads the request");
     let (status, text) = read_response(&mut submission).expect("a complete response");
     assert_eq!(status, 200, "{text}");
-    stopped.join().expect("it ends");
+    stopped.join().expect("the stop returns");
 }
--- a/programs/control-plane/tests/surface.rs
+++ b/programs/control-plane/tests/surface.rs
@@ -1,4 +1,4 @@
-//! What operators see of a control plane: the help, the paths, the headers and the keys of JSON.
+//! The operators' interface of a control plane: help texts, paths, headers and JSON keys.
 
 mod local;
 mod outer;
@@ -13,8 +13,8 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_postbarrow-control-plane");
 const VERBS: [&str; 8] =
     ["run", "check", "submit", "dry-run", "show", "targets", "members", "status"];
-/// Long past anything that the cluster needs; reached only if it hangs.
-const TRIES: usize = 2_000;
+/// Number of attempts, far more than the cluster needs: reached only if the cluster hangs.
+const ATTEMPTS: usize = 2_000;
 const PAUSE: Duration = Duration::from_millis(10);
 const PLAN: &str = r#"{"version":"v1","base":null,"services":{},"routes":[]}"#;
 
@@ -26,7 +26,8 @@
 }
 
 fn start(name: &str, folder: &Path, seeds: Vec<SocketAddr>) -> ControlPlane {
-    ControlPlane::start(&startup(name, seeds, Some(folder.join(name)))).expect("it starts")
+    ControlPlane::start(&startup(name, seeds, Some(folder.join(name))))
+        .expect("the control plane starts")
 }
 
 #[test]
@@ -36,11 +37,11 @@
     let seeds = vec![first.address()];
     let _others = ["two", "three"].map(|name| start(name, &folder, seeds.clone()));
     let address = first.http();
-    let leads = (0..TRIES).any(|_| {
+    let has_leader = (0..ATTEMPTS).any(|_| {
         std::thread::sleep(PAUSE);
         response(address, "GET", "/status", "").contains(" 200 ")
     });
-    assert!(leads, "nobody leads");
+    assert!(has_leader, "no member became the leader");
     let requests = [
         ("GET", "/plan", ""),
         ("POST", "/plans", "{}"),
@@ -61,11 +62,11 @@
     ];
     let responses = requests.map(|(method, path, body)| {
         let text = response(address, method, path, body);
-        // Which rows a young cluster has is a matter of time; their keys stand in the test of the
-        // controller that reports them.
+        // The rows that a new cluster reports depend on timing. Their keys are checked in the tests
+        // of the controller, which reports them.
         let is_report = method == "GET" && ["/status", "/targets", "/members"].contains(&path);
         if is_report {
-            text.split("\n{").next().expect("a head").to_string() + "\n\n"
+            text.split("\n{").next().expect("the response has a head").to_string() + "\n\n"
         } else {
             text
         }
