--- a/crates/startup/src/bounds/tests.rs
+++ b/crates/startup/src/bounds/tests.rs
@@ -3,12 +3,12 @@
 use super::*;
 
 #[test]
-fn bounds_that_a_deployment_does_not_set_are_the_constants() {
-    let own = Bounds::default();
-    assert_eq!(own.node_lease_ms(), NODE_LEASE_MS);
-    assert_eq!(own.stop_ms(), (STOP_UNREADY_MS, STOP_UNREADY_MS + STOP_WAIT_MS));
-    assert_eq!(own.retry_budget(), (RETRY_PERCENT, RETRIES_PER_S, RETRY_BURST));
-    assert_eq!((own.bodies_bytes(), own.log_bytes()), (BODIES_BYTES as u64, LOG_BYTES));
+fn bounds_that_a_deployment_does_not_set_have_the_constants_as_defaults() {
+    let defaults = Bounds::default();
+    assert_eq!(defaults.node_lease_ms(), NODE_LEASE_MS);
+    assert_eq!(defaults.stop_ms(), (STOP_UNREADY_MS, STOP_UNREADY_MS + STOP_WAIT_MS));
+    assert_eq!(defaults.retry_budget(), (RETRY_PERCENT, RETRIES_PER_S, RETRY_BURST));
+    assert_eq!((defaults.bodies_bytes(), defaults.log_bytes()), (BODIES_BYTES as u64, LOG_BYTES));
 }
 
 #[test]
@@ -38,13 +38,13 @@
     let (percent, per_s, burst) = bounds.retry_budget();
     assert_eq!(percent, 20);
     assert!(per_s * 10 + burst <= 68, "{per_s} a second, {burst} burst");
-    let quick = Bounds { list_gap_ms: Some(20), ..Bounds::default() };
-    assert_eq!(quick.list_gap_ms(), 26, "the list's own rate, with a margin");
-    let slow = Bounds { list_gap_ms: Some(500), ..Bounds::default() };
-    assert_eq!(slow.list_gap_ms(), 650);
+    let fast_list = Bounds { list_gap_ms: Some(20), ..Bounds::default() };
+    assert_eq!(fast_list.list_gap_ms(), 26, "the gap that the list permits, with a margin");
+    let slow_list = Bounds { list_gap_ms: Some(500), ..Bounds::default() };
+    assert_eq!(slow_list.list_gap_ms(), 650);
     let small =
         Bounds { memory_bytes: Some(64 << 20), disk_bytes: Some(64 << 20), ..Bounds::default() };
     assert_eq!((small.bodies_bytes(), small.log_bytes()), (16 << 20, 8 << 20));
     let reserved = 2 * (small.reserved_log_bytes() + small.reserved_slot_bytes());
-    assert_eq!(reserved, 40 << 20, "two logs and two slots, and space beside them");
+    assert_eq!(reserved, 40 << 20, "two logs and two slots, with space left on the disk");
 }
