--- a/crates/startup/src/error.rs
+++ b/crates/startup/src/error.rs
@@ -1,24 +1,24 @@
-//! Errors of a process's start, with the texts that operators read.
+//! Errors at the start of a process. Their texts are shown to operators.
 
 use log4rs::config::runtime::ConfigErrors;
 use std::io;
 use std::path::PathBuf;
 
-/// Settings that can't be used.
+/// The settings can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The settings file can't be read.
-    #[error("{file}: {source}")]
+    #[error("can't read the settings file {file}: {source}")]
     Unreadable {
-        /// The file as it was named on the command line.
+        /// The path of the file, as given on the command line.
         file: String,
-        /// What the file system reported.
+        /// The file system's error.
         source: io::Error,
     },
-    /// The settings are unsound.
+    /// The settings have findings: they are malformed, incomplete or invalid.
     #[error("{report}")]
-    Unsound {
-        /// All findings, each with its place in the text.
+    Invalid {
+        /// The findings as one text, each with its field and its place in the settings' text.
         report: String,
     },
 }
@@ -27,17 +27,17 @@
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
     /// The log file can't be opened.
-    #[error("{}: {source}", .file.display())]
+    #[error("can't open the log file {}: {source}", .file.display())]
     File {
-        /// The file of the settings.
+        /// The path of the log file, from the settings.
         file: PathBuf,
-        /// What the file system reported.
+        /// The file system's error.
         source: io::Error,
     },
     /// The logger's configuration is inconsistent.
     #[error(transparent)]
     Configuration(#[from] ConfigErrors),
-    /// Another logger is in place already.
+    /// The process already has a logger.
     #[error(transparent)]
     Logger(#[from] log::SetLoggerError),
 }
--- a/crates/startup/src/logs.rs
+++ b/crates/startup/src/logs.rs
@@ -8,7 +8,8 @@
 use log4rs::config::{Appender, Config, Root};
 use log4rs::encode::pattern::PatternEncoder;
 
-/// One line an event: UTC time, level, and the text, which begins with its module's prefix.
+/// The format of the log, one line per event: UTC time, level, and the text, which begins with its
+/// subject.
 const PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3f)(utc)} {l} {m}{n}";
 
 /// Starts logging to the file of the settings, or to standard error.
--- a/crates/startup/src/run.rs
+++ b/crates/startup/src/run.rs
@@ -10,7 +10,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The status of a process whose settings are unsound or whose log can't be set up.
+/// Exit status of a process whose settings are invalid or whose log can't be set up.
 const SETTINGS_STATUS: u8 = 2;
 
 impl Startup {
@@ -30,12 +30,12 @@
         };
         Startup::read(program, &text, flags).map_err(|findings| {
             let report = findings.report(file.unwrap_or("flags"), &text);
-            SettingsError::Unsound { report: format!("{report:?}") }
+            SettingsError::Invalid { report: format!("{report:?}") }
         })
     }
 
-    /// Runs a process until a signal stops it. On SIGHUP the settings are loaded again and the seeds
-    /// among them are passed to the process; unsound settings change nothing.
+    /// Runs a process until a signal stops it. On SIGHUP the settings are loaded again and the
+    /// seeds among them are passed to the process. Invalid settings are logged and change nothing.
     pub fn serve<P, E: Display>(
         &self,
         start: impl FnOnce(&Startup) -> std::io::Result<P>,
@@ -71,8 +71,8 @@
     }
 }
 
-/// Continues with sound settings; prints the error of others to standard error and ends with
-/// status 2.
+/// Calls `then` with valid settings and returns its exit status. For invalid settings, prints the
+/// error to standard error and returns exit status 2.
 pub fn with_checked<E: Display>(
     loaded: Result<Startup, E>,
     then: impl FnOnce(&Startup) -> ExitCode,
--- a/crates/startup/src/settings.rs
+++ b/crates/startup/src/settings.rs
@@ -5,12 +5,13 @@
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 
-/// Which program the settings are for; the two need different ones.
+/// The program that the settings are for. The two programs require different settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProgramKind {
-    /// Serves clients; has no disk.
+    /// The data plane, which serves clients and has no disk.
     DataPlane,
-    /// Replicates the log; needs a data folder and the endpoint list.
+    /// The control plane, which replicates the log. It requires a data folder and the endpoint
+    /// list.
     ControlPlane,
 }
 
@@ -19,79 +20,86 @@
 pub struct Startup {
     /// The process's name in logs and in the status.
     pub name: String,
-    /// The zone of its machine.
+    /// The zone of the process's machine.
     pub zone: String,
-    /// The address at which other postbarrow processes reach it.
+    /// The address at which other postbarrow processes reach this one.
     pub address: SocketAddr,
-    /// Where it listens for them, if its address leads to it by way of something else.
+    /// The address to bind for other postbarrow processes, if they reach this one at `address`
+    /// indirectly; none: `address`.
     pub bind: Option<SocketAddr>,
-    /// Where clients, or operators, reach it.
+    /// The HTTP address for clients of a data node, or for operators and applications of a control
+    /// node.
     pub http: SocketAddr,
-    /// Where a data node answers readiness checks, if not at `http`.
+    /// The address at which a data node answers readiness checks; none: `http`.
     pub readiness: Option<SocketAddr>,
-    /// Addresses of other processes, of which one suffices to find all.
+    /// Addresses of other processes. One that responds is enough to find all processes.
     pub seeds: Vec<SocketAddr>,
-    /// The data folder; only a control node has one.
+    /// The data folder; none for a data node.
     pub data: Option<PathBuf>,
-    /// No log is known to exist yet, so empty disks may bootstrap one.
+    /// Whether control nodes with empty disks may bootstrap a new log; false if a log is known to
+    /// exist.
     pub may_bootstrap: bool,
-    /// The data folder does not last, so this control node is never a member.
+    /// Whether this control node is an observer: its data folder is not persistent, so it is never
+    /// a member of the log.
     pub observer: bool,
     /// The control nodes that bootstrap the log together; none: any three with empty disks.
     pub bootstrap_members: Option<Vec<SocketAddr>>,
-    /// The platform's endpoint list; only a control node reads it.
+    /// The URL of the platform's endpoint list, which only a control node reads.
     pub endpoint_list_url: Option<String>,
-    /// The log file; none: standard error.
+    /// The path of the log file; none: the log is written to standard error.
     pub log: Option<PathBuf>,
     /// The least severe level that is logged.
     pub level: log::LevelFilter,
-    /// The deployment's bounds.
+    /// The bounds that the deployment sets; all unset if the settings come from the product's own
+    /// file and flags.
     pub bounds: Bounds,
 }
 
-/// Settings as text, from the file or from the command line.
+/// Settings that are not checked yet, from the file or from the command line. Each field is named
+/// after its key, except `endpoint_list_url`; none or empty if it was not given.
 #[derive(Clone, Debug, Default)]
 pub struct Flags {
-    /// `name`
+    /// The process's name, `name`.
     pub name: Option<String>,
-    /// `zone`
+    /// The zone of the process's machine, `zone`.
     pub zone: Option<String>,
-    /// `address`, an IP address and port
+    /// The address for other postbarrow processes, `address`: an IP address and port.
     pub address: Option<String>,
-    /// `bind`, an IP address and port
+    /// The address to bind for other postbarrow processes, `bind`: an IP address and port.
     pub bind: Option<String>,
-    /// `http`, an IP address and port
+    /// The HTTP address, `http`: an IP address and port.
     pub http: Option<String>,
-    /// `seeds`, IP addresses and ports
+    /// Addresses of other processes, `seeds`: IP addresses and ports.
     pub seeds: Vec<String>,
-    /// `data`, a folder
+    /// The path of the data folder, `data`.
     pub data: Option<String>,
-    /// `list`, a URL
+    /// The URL of the endpoint list, `list`.
     pub endpoint_list_url: Option<String>,
-    /// `log`, a file
+    /// The path of the log file, `log`.
     pub log: Option<String>,
-    /// `level`
+    /// The least severe level that is logged, `level`.
     pub level: Option<String>,
 }
 
 impl Startup {
-    /// Binds the listener of links; returns it with the address that other processes know.
+    /// Binds the listener for other postbarrow processes. Returns it with the address at which they
+    /// reach this process.
     ///
     /// # Errors
     /// The address can't be bound.
     pub fn listen(&self) -> std::io::Result<(TcpListener, SocketAddr)> {
         let listener = TcpListener::bind(self.bind.unwrap_or(self.address))?;
-        let own = match self.bind {
+        let address = match self.bind {
             Some(_) => self.address,
             None => listener.local_addr()?,
         };
-        Ok((listener, own))
+        Ok((listener, address))
     }
 
     /// Reads the settings file's text and lets the flags override it.
     ///
     /// # Errors
-    /// All findings of both together.
+    /// The file or the flags have findings; all of them are returned.
     pub fn read(program: ProgramKind, file: &str, flags: &Flags) -> Result<Startup, Findings> {
         let (value, mut reading) = Reading::parse(file)?;
         let from_file = read_fields(&value, &mut reading);
@@ -150,13 +158,13 @@
     }
 }
 
-/// Checks every field, in an order that the report of the findings shows.
+/// Checks every field. The report lists the findings in the order of these checks.
 fn check(program: ProgramKind, flags: Flags, reading: &mut Reading) -> Option<Startup> {
-    let own = required_address("address", flags.address.as_ref(), reading);
+    let address = required_address("address", flags.address.as_ref(), reading);
     let http = required_address("http", flags.http.as_ref(), reading);
     let bind = flags.bind.as_ref().and_then(|bind| parse_address("bind", bind, reading));
     let seeds = check_seeds(&flags.seeds, reading);
-    if own.is_some() && own == http {
+    if address.is_some() && address == http {
         reading.find("$.http", "is the same as $.address".into());
     }
     check_names(&flags, reading);
@@ -166,7 +174,7 @@
     Some(Startup {
         name: flags.name?,
         zone: flags.zone?,
-        address: own?,
+        address: address?,
         bind,
         http: http?,
         readiness: None,
--- a/crates/startup/src/signals.rs
+++ b/crates/startup/src/signals.rs
@@ -13,8 +13,9 @@
     RELOAD.store(true, SeqCst);
 }
 
-/// Installs the handlers. SIGTERM and SIGINT request a graceful shutdown, SIGHUP a reload of the
-/// settings. SIGPIPE and SIGXFSZ are ignored, so that the failed write reports an error instead.
+/// Installs the signal handlers. SIGTERM and SIGINT request a graceful shutdown, SIGHUP a reload of
+/// the settings. SIGPIPE and SIGXFSZ are ignored, so that the failed write reports an error
+/// instead.
 pub fn watch_signals() {
     let stop = on_stop as *const () as libc::sighandler_t;
     let hangup = on_hangup as *const () as libc::sighandler_t;
@@ -28,12 +29,12 @@
     }
 }
 
-/// Whether a signal requested this process to stop.
+/// Returns whether a signal has requested this process to stop.
 pub fn stop_requested() -> bool {
     STOP.load(SeqCst)
 }
 
-/// Whether a signal requested a reload; true once for all signals since the last call.
+/// Returns whether a signal has requested a reload since the last call.
 pub fn reload_requested() -> bool {
     RELOAD.swap(false, SeqCst)
 }
--- a/crates/startup/tests/signals.rs
+++ b/crates/startup/tests/signals.rs
@@ -1,4 +1,4 @@
-//! Signals of a served process.
+//! Signals to a process that `Startup::serve` runs.
 
 use postbarrow_startup::{Flags, ProgramKind, SettingsError, Startup};
 use std::process::ExitCode;
@@ -19,7 +19,7 @@
     Startup::read(ProgramKind::DataPlane, "{}", &flags).unwrap()
 }
 
-/// The only test in this file, since signals are delivered to the process as one.
+/// This must be the only test in this file, since a signal is delivered to the whole process.
 #[test]
 fn sighup_reloads_the_seeds_without_a_stop_and_sigterm_stops_cleanly() {
     let (start_sender, started) = channel();
@@ -39,11 +39,11 @@
     started.recv().unwrap();
     for _ in 0..2 {
         unsafe { libc::raise(libc::SIGHUP) };
-        let seeds = seeds.recv_timeout(Duration::from_secs(60)).expect("reloaded, not stopped");
+        let seeds = seeds.recv_timeout(Duration::from_secs(60)).expect("SIGHUP reloads the seeds");
         assert_eq!(seeds, ["127.0.0.1:2".parse().unwrap()]);
     }
-    assert!(stopped.try_recv().is_err(), "SIGHUP stops nothing");
+    assert!(stopped.try_recv().is_err(), "SIGHUP stopped the process");
     unsafe { libc::raise(libc::SIGTERM) };
-    stopped.recv_timeout(Duration::from_secs(60)).expect("SIGTERM stops it");
+    stopped.recv_timeout(Duration::from_secs(60)).expect("SIGTERM stops the process");
     assert_eq!(format!("{:?}", serving.join().unwrap()), format!("{:?}", ExitCode::SUCCESS));
 }
