--- a/crates/startup/src/logs.rs
+++ b/crates/startup/src/logs.rs
@@ -12,7 +12,7 @@
 /// subject.
 const PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3f)(utc)} {l} {m}{n}";
 
-/// Starts logging to the file of the settings, or to standard error.
+/// Starts logging to the log file that the settings name, or to standard error if they name none.
 pub fn start_logs(startup: &Startup) -> Result<(), LogError> {
     let encoder = Box::new(PatternEncoder::new(PATTERN));
     let appender: Box<dyn Append> = match &startup.log {
--- a/crates/startup/src/run.rs
+++ b/crates/startup/src/run.rs
@@ -17,7 +17,7 @@
     /// Reads the settings file, if one is named, and lets the flags override it.
     ///
     /// # Errors
-    /// The file can't be read, or it and the flags have findings.
+    /// The file can't be read, or the file or the flags have findings.
     pub fn load(
         program: ProgramKind,
         file: Option<&str>,
--- a/programs/control-plane/src/client_listener.rs
+++ b/programs/control-plane/src/client_listener.rs
@@ -27,7 +27,7 @@
 /// Binds the listener and serves clients on it; returns the bound address.
 ///
 /// # Errors
-/// The address can't be bound, or the system refuses a thread.
+/// The address can't be bound, or the thread can't be started.
 pub fn listen_for_clients(
     address: SocketAddr,
     request_sender: RequestSender,
--- a/programs/control-plane/src/command.rs
+++ b/programs/control-plane/src/command.rs
@@ -13,7 +13,7 @@
     Envelope(Envelope),
     /// All writes up to this sequence number are on disk.
     Synced(u64),
-    /// A write failed for another reason than a full disk; nothing may be acknowledged after it.
+    /// A write failed for a reason other than a full disk; nothing may be acknowledged after it.
     DiskFailed(WriteError),
     /// The result of a [`PageRequest`].
     Page(PageResult),
--- a/programs/control-plane/src/control_plane.rs
+++ b/programs/control-plane/src/control_plane.rs
@@ -32,7 +32,7 @@
     /// Starts a control node that uses the product's own protocols, [`NativeDialect`].
     ///
     /// # Errors
-    /// The data folder can't be used, an address can't be bound, or the system refuses a thread.
+    /// The data folder can't be used, an address can't be bound, or a thread can't be started.
     pub fn start(startup: &Startup) -> io::Result<ControlPlane> {
         ControlPlane::start_with_dialect(startup, Arc::new(NativeDialect))
     }
@@ -41,7 +41,7 @@
     /// endpoint list.
     ///
     /// # Errors
-    /// The data folder can't be used, an address can't be bound, or the system refuses a thread.
+    /// The data folder can't be used, an address can't be bound, or a thread can't be started.
     pub fn start_with_dialect(
         startup: &Startup,
         dialect: Arc<dyn Dialect>,
--- a/programs/control-plane/src/data_folder.rs
+++ b/programs/control-plane/src/data_folder.rs
@@ -18,7 +18,7 @@
 /// may not support locks.
 ///
 /// # Errors
-/// Another process uses the folder, or the file system fails for another reason than a lack of
+/// Another process uses the folder, or the file system fails for a reason other than a lack of
 /// space.
 pub fn open_folder(
     folder: &Path,
--- a/programs/control-plane/src/disk_writer.rs
+++ b/programs/control-plane/src/disk_writer.rs
@@ -14,12 +14,12 @@
 use std::time::Duration;
 
 /// A write with its sequence number, which `Command::Synced` repeats.
-type Queued = (u64, Write);
+type QueuedWrite = (u64, Write);
 
 /// Queues writes for the disk's thread. Writes that are queued while a sync runs share the next
 /// sync. Dropping the writer waits until the queue is written, except on a full disk.
 pub struct DiskWriter {
-    queue: Option<Sender<Queued>>,
+    queue: Option<Sender<QueuedWrite>>,
     thread: Option<JoinHandle<()>>,
     /// Whether the process is ending, after which writes to a full disk are no longer retried.
     is_ending: Arc<AtomicBool>,
@@ -30,7 +30,7 @@
     /// between the writes.
     ///
     /// # Errors
-    /// The system refuses a thread.
+    /// The thread can't be started.
     pub fn start<D: Disk + Send + 'static>(
         storage: Storage<D>,
         reservation: Option<Reservation>,
@@ -84,7 +84,7 @@
 }
 
 impl<D: Disk> WriteLoop<D> {
-    fn run(mut self, queue: &Receiver<Queued>) {
+    fn run(mut self, queue: &Receiver<QueuedWrite>) {
         loop {
             self.reserve();
             let next = match self.reservation {
@@ -117,7 +117,7 @@
     }
 
     /// Writes all queued writes with one sync. Returns false if the thread must end.
-    fn write_batch(&mut self, first: Queued, queue: &Receiver<Queued>) -> bool {
+    fn write_batch(&mut self, first: QueuedWrite, queue: &Receiver<QueuedWrite>) -> bool {
         let (mut sequence, write) = first;
         let mut batch = vec![write];
         while let Ok((next_sequence, write)) = queue.try_recv() {
--- a/programs/control-plane/src/endpoint_list_fetcher.rs
+++ b/programs/control-plane/src/endpoint_list_fetcher.rs
@@ -15,7 +15,7 @@
 /// that queue.
 ///
 /// # Errors
-/// The system refuses a thread.
+/// A thread can't be started.
 pub fn start(
     url: String,
     dialect: Arc<dyn Dialect>,
--- a/programs/control-plane/src/main.rs
+++ b/programs/control-plane/src/main.rs
@@ -56,7 +56,7 @@
     let plan = match std::fs::read(&submit.plan) {
         Ok(plan) => plan,
         Err(error) => {
-            eprintln!("{}: {error}", submit.plan);
+            eprintln!("can't read the plan {}: {error}", submit.plan);
             return ExitCode::from(USAGE_STATUS);
         }
     };
--- a/programs/control-plane/src/operator_client.rs
+++ b/programs/control-plane/src/operator_client.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, thiserror::Error)]
 #[error("no control node responded: {}", join(.failures))]
 pub struct CommandError {
-    /// One failure for each address, in their order.
+    /// The failures, one for each address, in the order of the addresses.
     pub failures: Vec<NodeFailure>,
 }
 
--- a/programs/control-plane/tests/stop.rs
+++ b/programs/control-plane/tests/stop.rs
@@ -67,23 +67,23 @@
     members.push(start("two", &folder, seeds.clone()));
     members.push(start("three", &folder, seeds));
     let old_controller = wait_for("no member became the leader", || controller(&members[0]));
-    let departing = members
+    let stopping = members
         .iter()
         .position(|member| has_address(member, &old_controller))
         .expect("the controller is one of the three members");
-    let departing = members.remove(departing);
+    let stopping = members.remove(stopping);
 
     let plan = "{\"version\":\"v1\",\"base\":null,\"services\":{},\"routes\":[]}";
     let body = format!("{plan}{}", " ".repeat(PADDING_BYTES));
     let (start_of_body, rest) = body.split_at(10);
     let mut submission =
-        TcpStream::connect(departing.http()).expect("the controller accepts the connection");
+        TcpStream::connect(stopping.http()).expect("the controller accepts the connection");
     let head = "POST /plans HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length:";
     write!(submission, "{head} {}\r\n\r\n{start_of_body}", body.len())
         .expect("the start of the request is sent");
-    wait_for("the request is not pending", || (departing.pending_requests() > 0).then_some(()));
+    wait_for("the request is not pending", || (stopping.pending_requests() > 0).then_some(()));
 
-    let stopped = thread::spawn(move || departing.stop());
+    let stopped = thread::spawn(move || stopping.stop());
     let successor = wait_for("no other member became the leader", || {
         controller(&members[0]).filter(|address| *address != old_controller)
     });
