--- a/crates/startup/src/settings.rs
+++ b/crates/startup/src/settings.rs
@@ -211,8 +211,8 @@
 
 fn check_seeds(texts: &[String], reading: &mut Reading) -> Vec<SocketAddr> {
     let mut seeds = Vec::new();
-    for (at, seed) in texts.iter().enumerate() {
-        seeds.extend(parse_address(&format!("seeds[{at}]"), seed, reading));
+    for (index, seed) in texts.iter().enumerate() {
+        seeds.extend(parse_address(&format!("seeds[{index}]"), seed, reading));
     }
     if texts.is_empty() {
         reading
--- a/programs/control-plane/src/client_listener/tests.rs
+++ b/programs/control-plane/src/client_listener/tests.rs
@@ -23,9 +23,9 @@
 fn start_listener() -> Fixture {
     let (sender, commands) = channel();
     let request_sender = RequestSender::new(sender);
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let address =
-        listen_for_clients(any, request_sender.clone(), Arc::new(OperatorHandler)).unwrap();
+        listen_for_clients(any_port, request_sender.clone(), Arc::new(OperatorHandler)).unwrap();
     Fixture { address, request_sender, commands }
 }
 
--- a/programs/control-plane/src/control_loop.rs
+++ b/programs/control-plane/src/control_loop.rs
@@ -26,8 +26,8 @@
     node: ControlNode,
     own_address: SocketAddr,
     links: Links,
-    /// Messages that this process sends to itself, without a network connection.
-    local: VecDeque<Envelope>,
+    /// Messages that this process sends to itself, which need no network connection.
+    messages_to_self: VecDeque<Envelope>,
     controller_client: ControllerClient,
     /// The channels on which clients' threads wait for responses, by request key.
     replies: HashMap<u64, SyncSender<Response>>,
@@ -65,7 +65,7 @@
             node,
             own_address,
             links: Links::new(own_address),
-            local: VecDeque::new(),
+            messages_to_self: VecDeque::new(),
             controller_client: ControllerClient::default(),
             replies: HashMap::new(),
             disk,
@@ -92,7 +92,7 @@
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            while let Some(envelope) = self.local.pop_front() {
+            while let Some(envelope) = self.messages_to_self.pop_front() {
                 self.receive(envelope);
             }
             if let Some(exit_sender) = self.take_exit_sender(clock_ms()) {
@@ -105,10 +105,11 @@
 
     fn tick(&mut self, now_ms: u64) {
         self.handle(now_ms, Input::Tick);
-        let log = self.node.consensus();
-        let members: Vec<SocketAddr> = log.members().iter().map(|member| member.address).collect();
+        let consensus = self.node.consensus();
+        let members: Vec<SocketAddr> =
+            consensus.members().iter().map(|member| member.address).collect();
         let members = if members.is_empty() { self.node.introduced() } else { members };
-        let leader = log.leader().map(|member| member.address);
+        let leader = consensus.leader().map(|member| member.address);
         match self.node.contact(now_ms) {
             Contact::Outside => self.controller_client.on_members(now_ms, leader, &members),
             Contact::Leader(leader) => {
@@ -211,7 +212,7 @@
 
     fn send(&mut self, to: SocketAddr, message: Message) {
         if to == self.own_address {
-            self.local.push_back(Envelope { from: self.own_address, message });
+            self.messages_to_self.push_back(Envelope { from: self.own_address, message });
         } else {
             self.links.send(to, message);
         }
--- a/programs/control-plane/src/data_folder.rs
+++ b/programs/control-plane/src/data_folder.rs
@@ -18,8 +18,8 @@
 /// may not support locks.
 ///
 /// # Errors
-/// Another process uses the folder, or the file system fails for a reason other than a lack of
-/// space.
+/// Another process uses the folder, the file system fails for a reason other than a lack of space,
+/// or the process is requested to stop while the disk is full.
 pub fn open_folder(
     folder: &Path,
     is_persistent: bool,
@@ -59,7 +59,7 @@
         match step() {
             Err(error) if is_full(&error) && !stop_requested() => {
                 if !std::mem::replace(&mut is_logged, true) {
-                    warn!("disk: full, waiting for space to start error={error}");
+                    warn!("disk: full, the start waits for space error={error}");
                 }
                 thread::sleep(Duration::from_millis(DISK_FULL_PAUSE_MS));
             }
--- a/programs/control-plane/src/rehearsal.rs
+++ b/programs/control-plane/src/rehearsal.rs
@@ -22,8 +22,8 @@
 
 impl std::fmt::Display for BoundsError {
     fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
-        for (at, parameter) in self.parameters.iter().enumerate() {
-            let separator = if at == 0 { "" } else { "; " };
+        for (index, parameter) in self.parameters.iter().enumerate() {
+            let separator = if index == 0 { "" } else { "; " };
             write!(out, "{separator}{parameter} must be a whole number")?;
         }
         Ok(())
--- a/programs/control-plane/tests/local/mod.rs
+++ b/programs/control-plane/tests/local/mod.rs
@@ -7,13 +7,13 @@
 
 /// Returns settings with ports that the system chooses, and with logging switched off.
 pub fn startup(name: &str, seeds: Vec<SocketAddr>, data: Option<PathBuf>) -> Startup {
-    let any: SocketAddr = "127.0.0.1:0".parse().expect("the address parses");
+    let any_port: SocketAddr = "127.0.0.1:0".parse().expect("the address parses");
     Startup {
         name: name.into(),
         zone: "a".into(),
-        address: any,
+        address: any_port,
         bind: None,
-        http: any,
+        http: any_port,
         readiness: None,
         seeds,
         data,
