--- a/crates/constants/src/lib.rs
+++ b/crates/constants/src/lib.rs
@@ -1,4 +1,4 @@
-//! Every tunable of postbarrow, with its unit in the name and its reason beside it.
+//! All tunable constants of postbarrow, with the unit in the name and the reason in the comment.
 
 #![deny(missing_docs)]
 
--- a/crates/constants/src/traffic.rs
+++ b/crates/constants/src/traffic.rs
@@ -1,133 +1,143 @@
 //! Requests, links, connections and memory.
 
-/// Largest frame on a link.
+/// Largest frame on a link between two processes.
 pub const FRAME_BYTES: usize = 24 * 1024 * 1024;
-/// Pending frames of one link; beyond it the newest is dropped, and protocols send again.
+/// Largest number of pending frames of one link; beyond it the newest frame is dropped, and the
+/// protocols send again.
 pub const LINK_FRAMES: usize = 4_096;
-/// A link connects within this time.
+/// Time-out of a link's connect.
 pub const LINK_CONNECT_MS: u64 = 300;
-/// A link whose write blocks this long is closed.
+/// Time-out of a write on a link; a link whose write blocks longer is closed.
 pub const LINK_WRITE_MS: u64 = 1_000;
-/// Pause after a refused connection of a link.
+/// Pause after a failed connect of a link.
 pub const LINK_RETRY_MS: u64 = 100;
-/// An idle link ends after this: what is in use sends every second at least, and a link to a
+/// Idle time after which a link ends: a link in use sends every second at least, and a link to a
 /// departed peer would occupy a thread.
 pub const LINK_IDLE_MS: u64 = 60_000;
-/// Incoming links of one process.
+/// Largest number of incoming links of one process.
 pub const LINKS: usize = 512;
-/// Client connections of one node, each on a small thread.
+/// Largest number of client connections of one node, each on a thread with a small stack.
 pub const DOWNSTREAMS: usize = 1_024;
-/// Stack of a connection's thread.
+/// Stack of the thread of one connection.
 pub const STACK_BYTES: usize = 256 * 1024;
-/// An idle client connection is closed after this.
+/// Time after which an idle client connection is closed.
 pub const DOWNSTREAM_IDLE_MS: u64 = 15_000;
-/// A head must be complete in this time.
+/// Longest time for receiving a request's head.
 pub const HEAD_WAIT_MS: u64 = 5_000;
-/// A body must be complete in this time.
+/// Longest time for receiving a request's body.
 pub const BODY_WAIT_MS: u64 = 20_000;
-/// A client must read its response in this time.
+/// Longest time for a client to read its response, beside the time that `DOWNSTREAM_BYTES_PER_MS`
+/// allows for the body.
 pub const DOWNSTREAM_WRITE_MS: u64 = 10_000;
-/// A large response may take so much longer: 256 KiB a second, below any till's link.
+/// Bytes of a response for each further millisecond that the client may take to read it: 256 KiB a
+/// second, slower than the link of any till.
 pub const DOWNSTREAM_BYTES_PER_MS: u64 = 256;
-/// Bytes of one write to a client; the deadline is checked between writes.
+/// Largest write to a client; the deadline is checked between writes.
 pub const WRITE_BYTES: usize = 64 * 1024;
-/// Statuses below this one are interim: another response follows.
+/// Lowest final status. Responses with lower ones are interim: another response follows.
 pub const FIRST_FINAL_STATUS: u16 = 200;
-/// Initial capacity for a request's head on its way to a target: most need less, and larger ones
-/// grow.
+/// Initial capacity of the buffer for a request's head to a target: most heads need less, and the
+/// buffer grows for larger ones.
 pub const HEAD_INITIAL_BYTES: usize = 512;
 /// Largest head of a request or response.
 pub const HEAD_BYTES: usize = 32 * 1024;
-/// Largest number of headers of a head.
+/// Largest number of headers in the head of a request or response.
 pub const HEADERS: usize = 100;
-/// Memory of one node for bodies of requests; as much again for those of responses.
+/// Largest memory of one node for bodies of requests; bodies of responses may take as much again.
 pub const BODIES_BYTES: usize = 256 * 1024 * 1024;
-/// Largest response body of a target.
+/// Largest body of a target's response.
 pub const RESPONSE_BYTES: usize = 32 * 1024 * 1024;
-/// Requests in flight in one node; beyond it they are shed at once.
+/// Largest number of requests in flight in one node; beyond it requests are shed at once.
 pub const REQUESTS_IN_FLIGHT: usize = 768;
-/// Once half of a node's permits are taken, one client address has at most this percentage of them.
+/// Largest percentage of a node's requests in flight, and of its client connections, that one
+/// client address may have once half of the bound is in use.
 pub const CLIENT_SHARE_PERCENT: usize = 25;
-/// The same for one route, so that a burst on one leaves permits for the others.
+/// Largest percentage of a node's requests in flight that one route may have once half of the bound
+/// is in use, so that a burst on one route leaves capacity for the others.
 pub const ROUTE_SHARE_PERCENT: usize = 50;
-/// Buckets in which client addresses are counted; a collision only makes a share smaller.
+/// Number of buckets in which client addresses are counted; a collision only makes a client's share
+/// smaller.
 pub const CLIENT_BUCKETS: usize = 1_024;
-/// Coordination calls in flight in one node.
+/// Largest number of coordination calls in flight in one node.
 pub const CALLS_IN_FLIGHT: usize = 256;
-/// Retries that all nodes together may make, in per cent of a service's requests.
+/// Largest number of retries that all nodes together may make, in per cent of a service's requests.
 pub const RETRY_PERCENT: u64 = 20;
-/// Retries allowed to the fleet beyond that percentage, per second; few, so that services with
-/// little traffic recover.
+/// Retries per second that all nodes together may make to a service beyond `RETRY_PERCENT`: few, so
+/// that services with little traffic recover.
 pub const RETRIES_PER_S: u64 = 1;
-/// Retries that the fleet can save up.
+/// Largest number of unused retries to a service that all nodes together can save up.
 pub const RETRY_BURST: u64 = 10;
-/// Attempts of one idempotent request.
+/// Largest number of attempts of one idempotent request.
 pub const ATTEMPTS: usize = 3;
-/// Attempts of one ticketed request: each further one needs a committed `Unsent`.
+/// Largest number of attempts of one ticketed request: each further attempt needs a committed
+/// `Unsent`.
 pub const TICKETED_ATTEMPTS: usize = 3;
-/// Idle connections retained for one target.
+/// Largest number of idle connections retained for one target.
 pub const IDLE_CONNECTIONS: usize = 16;
 /// Time-out of a target's proof of its identity.
 pub const PROOF_WAIT_MS: u64 = 800;
-/// The path at which a target proves its identity.
+/// Path at which a target proves its identity.
 pub const PROOF_PATH: &str = "/.well-known/postbarrow-target";
 /// Retry-After of a shed request, in seconds as the header has it.
 pub const RETRY_AFTER_S: u64 = 1;
-/// Graceful shutdown: unready this long before the listener closes, so that the platform observes
-/// it.
+/// Graceful shutdown: how long a process reports that it is unready before it closes its listener,
+/// so that the platform observes it.
 pub const STOP_UNREADY_MS: u64 = 1_000;
-/// Graceful shutdown: requests in flight get this long.
+/// Graceful shutdown: longest time for the requests in flight to end.
 pub const STOP_WAIT_MS: u64 = 20_000;
-/// A target in another zone is selected if it has this many fewer requests in flight.
+/// Number of requests in flight that a target in another zone must have fewer than one in the own
+/// zone to be selected.
 pub const ZONE_SLACK_REQUESTS: u64 = 4;
-/// A target that failed is ejected for this long while others are there.
+/// How long a target that failed is ejected while other targets are available.
 pub const EJECTION_MS: u64 = 1_000;
-/// Bytes of one read of a client's connection.
+/// Largest read from a client's connection.
 pub const READ_BYTES: usize = 16 * 1024;
-/// Interval at which a blocked read checks for a deadline or a stop.
+/// Interval at which a blocked read checks for its deadline and for the process's stop.
 pub const PEER_CLOSED_CHECK_MS: u64 = 250;
-/// Largest size line of a chunk.
+/// Largest line with the size of a chunk, in chunked transfer coding.
 pub const CHUNK_LINE_BYTES: usize = 1024;
-/// A target accepts a connection within this time, or another is selected.
+/// Time-out of a connect to a target, after which another target is selected.
 pub const TARGET_CONNECT_MS: u64 = 500;
-/// A connection to a target is reused within this time, unless the target's Keep-Alive header names
-/// one.
+/// Longest idle time after which a connection to a target is reused, unless the target's Keep-Alive
+/// header names one.
 pub const TARGET_IDLE_MS: u64 = 4_000;
-/// A connection is not reused for this long before its target would close it.
+/// Time before a target closes an idle connection in which the connection is no longer reused.
 pub const TARGET_IDLE_MARGIN_MS: u64 = 1_500;
-/// No connection is retained for longer, whatever its target names.
+/// Longest idle time after which a connection to a target is reused, even if the target's
+/// Keep-Alive header names a longer one.
 pub const TARGET_IDLE_MAX_MS: u64 = 60_000;
-/// Client connections of one control node, each on a small thread.
+/// Largest number of client connections of one control node, each on a thread with a small stack.
 pub const CLIENT_CONNECTIONS: usize = 512;
 /// Interval at which a process checks for signals; a stop has seconds.
 pub const SIGNAL_CHECK_MS: u64 = 50;
-/// A target's report of its requests in flight decays to a third in this time: about one request's
-/// duration.
+/// Time in which the weight of a target's report of its requests in flight decays to a third: about
+/// one request's duration.
 pub const LOAD_REPORT_DECAY_MS: f64 = 400.0;
-/// Cost of another zone, as a fraction of a target's slots.
+/// Cost of a target in another zone, as a fraction of the target's slots.
 pub const CROSS_ZONE_PENALTY: f64 = 0.1;
-/// Targets whose fractions of used slots differ by less are selected among at random.
+/// Difference between targets' fractions of used slots below which the selection among them is
+/// random.
 pub const RANDOM_TIE_MARGIN: f64 = 0.1;
-/// The load of a target that is warming up counts so many times.
+/// Factor by which the load of a target that is warming up is multiplied.
 pub const SLOW_START_FACTOR: f64 = 2.0;
-/// A link whose bytes are not acknowledged for this long is connected anew: its machine may be
-/// back.
+/// Time without an acknowledgement of sent bytes after which a link is connected anew: the peer's
+/// machine may be back.
 pub const LINK_UNACKNOWLEDGED_MS: u64 = 400;
-/// An idempotent request whose bytes its target's machine does not acknowledge for this long is
-/// retried elsewhere.
+/// Time without an acknowledgement of sent bytes by the target's machine after which an idempotent
+/// request is retried at another target.
 pub const TARGET_UNRESPONSIVE_MS: u64 = 300;
-/// Largest ejection of a target that fails again; each is twice as long as the one before.
+/// Longest ejection of a target that fails again; each is twice as long as the one before.
 pub const EJECTION_MAX_MS: u64 = 8_000;
-/// A target that rejected a request is passed over this long while others have capacity.
+/// How long a target that rejected a request is passed over while others have capacity.
 pub const REJECTION_PAUSE_MS: u64 = 200;
 /// Interval at which a request that waits for no socket checks whether its client departed: well
 /// within the half second after which work for a departed client is a fault.
 pub const CLIENT_CLOSED_CHECK_MS: u64 = 200;
-/// A connection that is idle for this long is probed (TCP keep-alive).
+/// Idle time after which a connection is probed (TCP keep-alive).
 pub const KEEPALIVE_IDLE_MS: u64 = 5_000;
-/// Interval of such probes.
+/// Interval of the TCP keep-alive probes of an idle connection.
 pub const KEEPALIVE_INTERVAL_MS: u64 = 1_000;
-/// Probes without an acknowledgement after which the peer's machine counts as gone: with the two
-/// above, 8 s. Partitions of a few seconds are shorter, and a connection behind one resumes after
-/// it.
+/// Number of TCP keep-alive probes without an acknowledgement after which the peer's machine counts
+/// as gone: 8 s with `KEEPALIVE_IDLE_MS` and `KEEPALIVE_INTERVAL_MS`. Partitions of a few seconds
+/// are shorter, and a connection across one resumes afterwards.
 pub const KEEPALIVE_PROBES: u32 = 3;
