--- a/crates/controller-client/src/client.rs
+++ b/crates/controller-client/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: its pending requests, and where the controller is as far as is known.
+//! The client of the controller: its state, and its interface to the process that owns it.
 
 use crate::pending_request::PendingRequest;
 use postbarrow_constants::consensus::CONTACT_LOST_MS;
@@ -6,39 +6,43 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Pending requests, and where the controller is as far as is known.
+/// A client of the controller, with its pending requests and the last known address of the
+/// controller.
 #[derive(Clone, Debug, Default)]
 pub struct ControllerClient {
     pub(crate) pending: BTreeMap<u64, PendingRequest>,
     pub(crate) controller: Option<SocketAddr>,
     members: Vec<SocketAddr>,
-    /// Which member is sent to next while no controller is known.
+    /// Index of the member that requests are sent to while no controller is known, modulo the
+    /// number of members.
     next_member: usize,
-    /// Since when this member of the log is without a leader; none for others, and while it has one.
+    /// Since when this process, a member of the log, has had no leader. `None` while it has one,
+    /// and in processes that are not members.
     leaderless_since_ms: Option<u64>,
 }
 
-/// What the owner of a client does next.
+/// An action that the client requests of its owner.
 pub enum Effect {
     /// Send a request.
     Send {
-        /// A control node.
+        /// Address of the control node.
         to: SocketAddr,
-        /// The request with its key.
+        /// Request with its key.
         message: Message,
     },
-    /// A request has ended.
+    /// Answer a request, which ends it.
     Answer {
-        /// The request's.
+        /// Key of the request.
         key: u64,
-        /// The controller's response, or what the client concludes.
+        /// Response of the controller, or of the client itself if the controller sent none in time.
         response: Response,
     },
 }
 
 impl ControllerClient {
-    /// Takes over what was learnt of the control plane; a new controller is sent every pending
-    /// request at once. Ends the time in which a member of the log was without a leader.
+    /// Takes over the control plane's members, unless there are none, and a controller that is not
+    /// known yet; to this one every pending request is sent at once. A member of the log counts as
+    /// having a leader from now on.
     pub fn on_members(
         &mut self,
         now_ms: u64,
@@ -52,21 +56,23 @@
         if controller.is_some() && controller != self.controller {
             self.controller = controller;
             for request in self.pending.values_mut() {
-                request.send_at(now_ms);
+                request.schedule_send_at(now_ms);
                 request.unanswered_copies = 0;
             }
         }
     }
 
-    /// A member of the log has been without a leader since then. Requests are delayed until it
-    /// has one, for the log is the first to know of a leader; after `CONTACT_LOST_MS` they are
-    /// answered as unavailable, unless one was sent to a process that may have accepted it.
+    /// Notes that this process, a member of the log, has had no leader since `since_ms`. Requests
+    /// are delayed until it has one, because the log is the first to know of a leader. After
+    /// `CONTACT_LOST_MS` each is answered as unavailable, unless it was sent to a process that may
+    /// have accepted it.
     pub fn on_leader_lost(&mut self, since_ms: u64) {
         self.controller = None;
         self.leaderless_since_ms = Some(since_ms);
     }
 
-    /// Sends a request until it is answered, or for `timeout_ms`. Its key must be unused.
+    /// Sends a request again and again until it is answered, or for `timeout_ms`. No pending
+    /// request may have the same key.
     pub fn send_request(
         &mut self,
         now_ms: u64,
@@ -78,38 +84,41 @@
         self.tick(now_ms)
     }
 
-    /// Drops a request whose client has departed: no further copy is sent, and it gets no answer.
-    /// The copies that were sent may still take effect.
+    /// Drops a request whose client has departed: no further copy is sent, and the request gets no
+    /// answer. Copies that were sent may still take effect.
     pub fn withdraw(&mut self, key: u64) {
         self.pending.remove(&key);
     }
 
-    /// The controller did not answer others' requests either.
+    /// Drops the known controller, because it did not answer other requests of the owner either.
     pub fn suspect_controller(&mut self) {
         self.controller = None;
     }
 
-    /// Whether there was no contact with a leader for longer than an ordinary election takes.
+    /// Returns whether this member of the log has had no leader for `CONTACT_LOST_MS` or more,
+    /// longer than an ordinary election takes.
     pub fn is_cut_off(&self, now_ms: u64) -> bool {
         self.leaderless_since_ms.is_some_and(|since_ms| now_ms >= since_ms + CONTACT_LOST_MS)
     }
 
-    /// Where requests are sent first.
+    /// Returns the address of the known controller, which requests are sent to; `None` if it is not
+    /// known.
     pub fn controller(&self) -> Option<SocketAddr> {
         self.controller
     }
 
-    /// Number of pending requests.
+    /// Returns the number of pending requests.
     pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether this member of the log is without a leader, so that nothing is sent.
+    /// Returns whether this member of the log has no leader, so that nothing is sent.
     pub(crate) fn is_leaderless(&self) -> bool {
         self.leaderless_since_ms.is_some()
     }
 
-    /// The controller, or the member whose turn it is.
+    /// Returns the address that requests are sent to: the controller, or the next member while no
+    /// controller is known.
     pub(crate) fn receiver(&self) -> Option<SocketAddr> {
         let next_member = self.next_member % self.members.len().max(1);
         self.controller.or_else(|| self.members.get(next_member).copied())
--- a/crates/controller-client/src/on_response.rs
+++ b/crates/controller-client/src/on_response.rs
@@ -1,4 +1,4 @@
-//! What a response means for its request.
+//! Handles responses: ends their requests, or schedules further copies.
 
 use crate::pending_request::PendingRequest;
 use crate::refusal::is_refusal;
@@ -7,13 +7,13 @@
 use postbarrow_messages::Response;
 
 impl ControllerClient {
-    /// A response to a request that is no longer pending is ignored. A refusal is reported only
-    /// once every copy of its request is known to be without effect: one still in flight could be
-    /// accepted after the client was answered that its call was refused.
+    /// Handles the response to the request with this key; it is ignored if the request is no longer
+    /// pending. A refusal is reported only once every copy of the request is known to be without
+    /// effect: a copy in flight could be accepted after the client got the refusal.
     pub fn on_response(&mut self, now_ms: u64, key: u64, response: Response) -> Vec<Effect> {
         let Some(pending) = self.pending.get_mut(&key) else { return Vec::new() };
         match response {
-            // Only a client can conclude that no process accepted a request.
+            // Only this client can conclude that no process accepted a request.
             Response::Unavailable => return Vec::new(),
             Response::Lost => {
                 pending.on_lost();
@@ -23,8 +23,8 @@
                 pending.on_copy_answered();
                 self.controller = controller;
                 match controller {
-                    Some(_) => pending.send_at(now_ms),
-                    None => pending.send_by(now_ms + REQUEST_RETRY_MS / 3),
+                    Some(_) => pending.schedule_send_at(now_ms),
+                    None => pending.schedule_send_by(now_ms + REQUEST_RETRY_MS / 3),
                 }
             }
             Response::Duplicate => {
--- a/crates/controller-client/src/refusal.rs
+++ b/crates/controller-client/src/refusal.rs
@@ -3,11 +3,11 @@
 use postbarrow_messages::{Request, Response};
 use postbarrow_state::{Call, Outcome};
 
-/// Statuses from here on report to an operator that a plan was not accepted.
+/// Lowest HTTP status of a response which tells an operator that a plan was not accepted.
 const MIN_REFUSING_STATUS: u16 = 400;
 
-/// Whether a response says that nothing was done, for a reason that may no longer apply when
-/// another copy of the same request arrives.
+/// Returns whether a response says that its copy of the request had no effect, for a reason that
+/// may no longer apply when another copy arrives.
 pub(crate) fn is_refusal(request: &Request, response: &Response) -> bool {
     match (request, response) {
         (Request::Submit(submission), Response::Operator { status, .. }) => {
--- a/crates/controller-client/src/retry.rs
+++ b/crates/controller-client/src/retry.rs
@@ -1,15 +1,16 @@
-//! Sends and resends pending requests, and ends those that are over.
+//! Sends and resends pending requests, and ends those that are past their deadlines.
 
 use crate::pending_request::PendingRequest;
 use crate::{ControllerClient, Effect};
 use postbarrow_constants::coordination::REQUEST_RETRY_MS;
 use postbarrow_messages::{Message, Response};
 
-/// A controller that leaves so many copies of one request unanswered may be gone.
+/// Number of unanswered copies of one request at which the controller is suspected to be gone.
 const SUSPICIOUS_UNANSWERED_COPIES: u32 = 2;
 
 impl ControllerClient {
-    /// Sends what is due, and ends what is over.
+    /// Ends the requests that are past their deadlines or can't be sent, and sends the copies that
+    /// are due.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Effect> {
         self.suspect_unresponsive_controller(now_ms);
         let mut effects = self.end_requests(now_ms);
@@ -24,7 +25,7 @@
         let mut has_sent = false;
         for (key, pending) in self.pending.iter_mut().filter(|(_, pending)| pending.is_due(now_ms))
         {
-            pending.send_at(now_ms + REQUEST_RETRY_MS);
+            pending.schedule_send_at(now_ms + REQUEST_RETRY_MS);
             if let Some(to) = to {
                 pending.on_send();
                 let message = Message::Request { key: *key, request: pending.request.clone() };
@@ -40,7 +41,7 @@
     fn end_requests(&mut self, now_ms: u64) -> Vec<Effect> {
         let is_cut_off = self.is_cut_off(now_ms);
         let ended = self.pending.iter().filter_map(|(key, pending)| {
-            pending.end(now_ms, is_cut_off).map(|response| (*key, response))
+            pending.ending_response(now_ms, is_cut_off).map(|response| (*key, response))
         });
         let ended: Vec<(u64, Response)> = ended.collect();
         let answer = |(key, response)| {
--- a/crates/controller-client/tests/refusals.rs
+++ b/crates/controller-client/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! A refusal is reported only once no copy of its request can still take effect.
+//! Tests that a refusal is reported only once no copy of its request can still take effect.
 
 use postbarrow_constants::coordination::REQUEST_RETRY_MS;
 use postbarrow_controller_client::{ControllerClient, Effect};
@@ -7,9 +7,9 @@
 use std::net::SocketAddr;
 
 const KEY: u64 = 9;
-const WAIT_MS: u64 = 2_500;
+const TIMEOUT_MS: u64 = 2_500;
 
-fn leader(number: u8) -> SocketAddr {
+fn control_node(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 1))
 }
 
@@ -30,11 +30,11 @@
     answered.collect()
 }
 
-/// A client with one request of which so many copies were sent.
+/// A client with one pending request, of which `copies` copies were sent.
 fn client_after_sends(request: Request, copies: u64) -> ControllerClient {
     let mut client = ControllerClient::default();
-    client.on_members(0, Some(leader(1)), &[leader(1), leader(2)]);
-    let mut sends = client.send_request(0, KEY, request, WAIT_MS).len();
+    client.on_members(0, Some(control_node(1)), &[control_node(1), control_node(2)]);
+    let mut sends = client.send_request(0, KEY, request, TIMEOUT_MS).len();
     for retry in 1..copies {
         sends += client.tick(retry * REQUEST_RETRY_MS).len();
     }
@@ -62,9 +62,9 @@
         assert!(answers(client.on_response(310, KEY, refusal.clone())).is_empty());
         assert!(
             client.tick(2 * REQUEST_RETRY_MS + 50).is_empty(),
-            "a refused request is sent no more"
+            "no copy is sent after a refusal"
         );
-        let declined = Response::NotController { controller: Some(leader(2)) };
+        let declined = Response::NotController { controller: Some(control_node(2)) };
         assert_eq!(answers(client.on_response(700, KEY, declined)), [refusal]);
     }
     let mut client = client_after_sends(lock_request(), 2);
@@ -77,15 +77,15 @@
 fn refusal_with_another_copy_unanswered_times_out() {
     let mut client = client_after_sends(lock_request(), 2);
     assert!(answers(client.on_response(310, KEY, Response::Full)).is_empty());
-    assert_eq!(answers(client.tick(WAIT_MS)), [Response::TimedOut]);
+    assert_eq!(answers(client.tick(TIMEOUT_MS)), [Response::TimedOut]);
     let mut lost = client_after_sends(lock_request(), 1);
     assert!(answers(lost.on_response(5, KEY, Response::Lost)).is_empty());
     lost.tick(REQUEST_RETRY_MS);
     assert!(
         answers(lost.on_response(310, KEY, locked_by_other())).is_empty(),
-        "it may be committed"
+        "the request may be committed"
     );
-    assert_eq!(answers(lost.tick(WAIT_MS)), [Response::TimedOut]);
+    assert_eq!(answers(lost.tick(TIMEOUT_MS)), [Response::TimedOut]);
 }
 
 #[test]
@@ -107,12 +107,13 @@
     );
 }
 
-/// The client has departed: no further copy is sent, and a late response is ignored.
+/// A request is withdrawn when its client departs: no further copy is sent, and a late response is
+/// ignored.
 #[test]
-fn withdrawn_request_is_sent_no_more_and_gets_no_answer() {
+fn withdrawn_request_is_not_sent_again_and_gets_no_answer() {
     let mut client = client_after_sends(lock_request(), 1);
     client.withdraw(KEY);
     assert_eq!(client.pending_count(), 0);
-    assert!(client.tick(REQUEST_RETRY_MS).is_empty(), "it is sent no more");
+    assert!(client.tick(REQUEST_RETRY_MS).is_empty(), "no copy is sent after the withdrawal");
     assert!(client.on_response(REQUEST_RETRY_MS, KEY, locked_by_other()).is_empty());
 }
