--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -1,4 +1,4 @@
-//! Outgoing links.
+//! Outgoing links: connections that carry this process's messages to its peers.
 
 use crate::set_unacknowledged_timeout;
 use log::{debug, warn};
@@ -13,44 +13,47 @@
 use std::thread;
 use std::time::Duration;
 
-/// Outgoing links, one thread each. Frames may be lost, but are never reordered while a link exists.
-/// A link that is idle for `LINK_IDLE_MS` ends, so that none is retained for a departed peer.
+/// The outgoing links of a process, with one thread each. Frames may be lost, but are never
+/// reordered while a link exists. A link that is idle for `LINK_IDLE_MS` ends, so that none is
+/// retained for a departed peer.
 pub struct Links {
-    own: SocketAddr,
-    idle: Duration,
+    own_address: SocketAddr,
+    idle_timeout: Duration,
     links: HashMap<SocketAddr, Link>,
 }
 
-/// Pending frames are counted beside an unbounded queue: a bounded one would allocate a megabyte a
-/// link.
+/// The queue of one link's thread. It is unbounded, with a separate count of the pending messages:
+/// a bounded queue would allocate a megabyte per link.
 struct Link {
     queue: Sender<Message>,
     pending: Arc<AtomicUsize>,
 }
 
 impl Links {
-    /// Links of the process with this address, which is the sender of every message.
-    pub fn new(own: SocketAddr) -> Self {
-        Links::with_idle(own, Duration::from_millis(LINK_IDLE_MS))
+    /// Creates the links of the process with this address, which every message names as its sender.
+    pub fn new(own_address: SocketAddr) -> Self {
+        Links::with_idle_timeout(own_address, Duration::from_millis(LINK_IDLE_MS))
     }
 
-    fn with_idle(own: SocketAddr, idle: Duration) -> Self {
-        Links { own, idle, links: HashMap::new() }
+    fn with_idle_timeout(own_address: SocketAddr, idle_timeout: Duration) -> Self {
+        Links { own_address, idle_timeout, links: HashMap::new() }
     }
 
-    /// Sends a message, or drops it if its link is full or fails.
+    /// Queues a message on the link to this peer, which is started if there is none. The message is
+    /// dropped if the queue is full or the link fails.
     pub fn send(&mut self, to: SocketAddr, message: Message) {
-        let (own, idle) = (self.own, self.idle);
+        let (own_address, idle_timeout) = (self.own_address, self.idle_timeout);
         if !self.links.contains_key(&to) {
             self.links.retain(|_, link| !link.has_ended());
         }
-        let link = self.links.entry(to).or_insert_with(|| start(own, to, idle));
+        let link =
+            self.links.entry(to).or_insert_with(|| start_link(own_address, to, idle_timeout));
         if link.pending.load(Relaxed) >= LINK_FRAMES {
-            return debug!("link: queue full to={to}");
+            return debug!("link: queue full, message dropped to={to}");
         }
         link.pending.fetch_add(1, Relaxed);
         if let Err(SendError(message)) = link.queue.send(message) {
-            let link = start(own, to, idle);
+            let link = start_link(own_address, to, idle_timeout);
             link.pending.fetch_add(1, Relaxed);
             let _ = link.queue.send(message);
             self.links.insert(to, link);
@@ -59,20 +62,21 @@
 }
 
 impl Link {
-    /// The thread owns a reference to the count while it runs.
+    /// Returns whether the link's thread has ended: it owns a reference to the count while it runs.
     fn has_ended(&self) -> bool {
         Arc::strong_count(&self.pending) == 1
     }
 }
 
-fn start(own: SocketAddr, to: SocketAddr, idle: Duration) -> Link {
+fn start_link(own_address: SocketAddr, to: SocketAddr, idle_timeout: Duration) -> Link {
     let (queue, receiver) = channel();
     let pending = Arc::new(AtomicUsize::new(0));
     let count = pending.clone();
     let spawned = thread::Builder::new().name(format!("link {to}")).stack_size(STACK_BYTES).spawn(
         move || {
             let (queue, pending) = (&receiver, count.as_ref());
-            LinkThread { own, to, queue, pending, stream: None, is_unreachable: false }.run(idle)
+            LinkThread { own_address, to, queue, pending, stream: None, is_unreachable: false }
+                .run(idle_timeout)
         },
     );
     if let Err(error) = spawned {
@@ -81,23 +85,24 @@
     Link { queue, pending }
 }
 
-/// The thread of one link. It connects when there is a message to send, and again after a failure.
+/// The state of one link's thread, which connects when there is a message to send, and again after
+/// a failure.
 struct LinkThread<'q> {
-    own: SocketAddr,
+    own_address: SocketAddr,
     to: SocketAddr,
     queue: &'q Receiver<Message>,
     pending: &'q AtomicUsize,
     stream: Option<TcpStream>,
-    /// The last attempt to connect failed, and that was logged.
+    /// Whether the last attempt to connect failed, which was logged.
     is_unreachable: bool,
 }
 
 impl LinkThread<'_> {
-    /// Runs until the link is idle for so long or its owner drops it.
-    fn run(mut self, idle: Duration) {
-        while let Ok(message) = self.queue.recv_timeout(idle) {
+    /// Sends queued messages until none is queued for `idle_timeout` or the link's owner drops it.
+    fn run(mut self, idle_timeout: Duration) {
+        while let Ok(message) = self.queue.recv_timeout(idle_timeout) {
             self.pending.fetch_sub(1, Relaxed);
-            match to_frame(&Envelope { from: self.own, message }) {
+            match to_frame(&Envelope { from: self.own_address, message }) {
                 Ok(frame) => self.send(&frame),
                 Err(error) => warn!("link: frame not sent to={} error={error}", self.to),
             }
@@ -115,15 +120,15 @@
         if let Some(connected) = &mut self.stream
             && let Err(error) = connected.write_all(frame)
         {
-            debug!("link: failed to={} error={error}", self.to);
+            debug!("link: write failed to={} error={error}", self.to);
             self.stream = None;
         }
     }
 
-    /// Pauses and drops what is pending meanwhile; the protocols send again.
+    /// Pauses for `LINK_RETRY_MS`, then drops the pending messages; the protocols send again.
     fn on_unreachable(&mut self, error: &std::io::Error) {
         if !self.is_unreachable {
-            debug!("link: unreachable to={} error={error}", self.to);
+            debug!("link: peer unreachable to={} error={error}", self.to);
         }
         self.is_unreachable = true;
         thread::sleep(Duration::from_millis(LINK_RETRY_MS));
--- a/crates/transport/src/link/tests.rs
+++ b/crates/transport/src/link/tests.rs
@@ -4,11 +4,12 @@
 use crate::listen;
 use std::net::TcpListener;
 
-/// Far longer than any event here takes; reached only if a wait hangs.
-const HANG: Duration = Duration::from_secs(10);
+/// Time-out of each wait: far longer than any event here takes, and reached only if a wait hangs.
+const HANG_TIMEOUT: Duration = Duration::from_secs(10);
+/// Idle time-out of the links under test, and interval at which their end is checked.
 const BRIEF: Duration = Duration::from_millis(1);
 
-/// A peer, and the messages that it receives.
+/// Starts a peer; returns its address and the messages that it receives.
 fn peer() -> (SocketAddr, Receiver<Envelope>) {
     let (sender, received) = channel();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -16,39 +17,43 @@
     (address, received)
 }
 
-fn own() -> SocketAddr {
+fn own_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
 fn wait_until_ended(links: &Links, to: SocketAddr) {
-    for _ in 0..HANG.as_millis() {
+    for _ in 0..HANG_TIMEOUT.as_millis() {
         if links.links[&to].has_ended() {
             return;
         }
         thread::sleep(BRIEF);
     }
-    panic!("the link to {to} does not end");
+    panic!("the link to {to} did not end");
 }
 
 #[test]
 fn an_idle_link_ends_and_the_next_message_starts_another() {
     let (to, received) = peer();
-    let mut links = Links::with_idle(own(), BRIEF);
+    let mut links = Links::with_idle_timeout(own_address(), BRIEF);
     for _ in 0..3 {
         links.send(to, Message::Introduce);
-        received.recv_timeout(HANG).expect("it arrives");
+        received.recv_timeout(HANG_TIMEOUT).expect("the peer receives the message");
         wait_until_ended(&links, to);
     }
 }
 
 #[test]
 fn ended_links_to_departed_peers_are_removed() {
-    let mut links = Links::with_idle(own(), BRIEF);
+    let mut links = Links::with_idle_timeout(own_address(), BRIEF);
     for _ in 0..20 {
         let (to, received) = peer();
         links.send(to, Message::Introduce);
-        received.recv_timeout(HANG).expect("it arrives");
+        received.recv_timeout(HANG_TIMEOUT).expect("the peer receives the message");
         wait_until_ended(&links, to);
     }
-    assert_eq!(links.links.len(), 1, "only the last, which nothing has replaced yet");
+    assert_eq!(
+        links.links.len(),
+        1,
+        "only the last link is there, since a link that ended is removed when another starts"
+    );
 }
--- a/crates/transport/src/listen.rs
+++ b/crates/transport/src/listen.rs
@@ -1,4 +1,4 @@
-//! Incoming links.
+//! Incoming links: connections over which peers send messages to this process.
 
 use crate::enable_keepalive;
 use log::{debug, warn};
@@ -10,11 +10,11 @@
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::thread;
 
-/// Accepts links and passes each message to `deliver`, which returns false to close the link. An
-/// unreadable frame closes its link and nothing else. Returns the bound address.
+/// Starts a thread that accepts links, and passes each message to `deliver`, which returns false to
+/// close the link. An unreadable frame closes only its own link. Returns the bound address.
 ///
 /// # Errors
-/// The listener has no address, or the system refuses a thread.
+/// The listener's address can't be read, or the thread can't be started.
 pub fn listen(
     listener: TcpListener,
     deliver: impl Fn(Envelope) -> bool + Send + Sync + 'static,
@@ -45,15 +45,16 @@
     Ok(address)
 }
 
-/// A peer whose machine vanished closes nothing: without probes its link would be counted for ever.
-fn prepare(stream: &TcpStream) -> std::io::Result<()> {
+/// Sets the options of an incoming link. Its peer is probed, because a peer whose machine vanished
+/// does not close the connection: without probes the link would count towards `LINKS` for ever.
+fn set_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     enable_keepalive(stream)
 }
 
 fn read(stream: TcpStream, deliver: &(impl Fn(Envelope) -> bool + ?Sized)) {
     let from = stream.peer_addr();
-    if let Err(error) = prepare(&stream) {
+    if let Err(error) = set_options(&stream) {
         return debug!("link: closed from={from:?} error={error}");
     }
     let mut reader = BufReader::with_capacity(64 * 1024, stream);
--- a/crates/transport/src/request_keys/tests.rs
+++ b/crates/transport/src/request_keys/tests.rs
@@ -9,15 +9,15 @@
 }
 
 #[test]
-fn no_key_is_drawn_twice_by_several_threads() {
+fn no_key_is_issued_twice_to_several_threads() {
     let source = RequestKeys::new(u64::MAX - 5);
-    let drawn: Vec<u64> = std::thread::scope(|scope| {
+    let issued: Vec<u64> = std::thread::scope(|scope| {
         let threads: Vec<_> = (0..4)
             .map(|_| scope.spawn(|| (0..50).map(|_| source.next()).collect::<Vec<u64>>()))
             .collect();
         threads.into_iter().flat_map(|thread| thread.join().unwrap()).collect()
     });
-    assert_eq!(drawn.iter().collect::<HashSet<_>>().len(), 200, "{drawn:?}");
+    assert_eq!(issued.iter().collect::<HashSet<_>>().len(), 200, "{issued:?}");
 }
 
 #[test]
--- a/crates/transport/src/tcp_timeouts.rs
+++ b/crates/transport/src/tcp_timeouts.rs
@@ -1,4 +1,5 @@
-//! Time-outs for peers that vanish without closing: a machine without power, or behind a partition.
+//! TCP time-outs for peers that vanish without closing the connection: a machine that lost its
+//! power or is behind a partition.
 
 use postbarrow_constants::traffic::{KEEPALIVE_IDLE_MS, KEEPALIVE_INTERVAL_MS, KEEPALIVE_PROBES};
 use socket2::{SockRef, TcpKeepalive};
@@ -6,9 +7,9 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// From now on the connection fails once sent bytes are not acknowledged for `wait_ms` milliseconds
-/// (`TCP_USER_TIMEOUT`, RFC 5482); 0 is the system's default. Without it bytes to a machine that lost
-/// its power vanish for minutes.
+/// Makes the connection fail once sent bytes are not acknowledged for `wait_ms` milliseconds
+/// (`TCP_USER_TIMEOUT`, RFC 5482); 0 sets the system's default. Without this time-out, bytes to a
+/// machine that lost its power are lost for minutes before the connection fails.
 ///
 /// # Errors
 /// The socket refuses the option.
@@ -17,8 +18,8 @@
     SockRef::from(stream).set_tcp_user_timeout(wait)
 }
 
-/// From now on an idle connection is probed, and fails once its peer's machine answers no probe
-/// (RFC 9293, 3.8.4). A peer that only sends nothing stays connected.
+/// Enables probes of the connection while it is idle; the connection fails once the peer's machine
+/// acknowledges no probe (RFC 9293, 3.8.4). A peer that merely sends no data stays connected.
 ///
 /// # Errors
 /// The socket refuses the option.
--- a/crates/transport/src/tcp_timeouts/tests.rs
+++ b/crates/transport/src/tcp_timeouts/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn keepalive_is_enabled_with_the_constants() {
+fn keepalive_is_enabled_with_the_times_and_probes_of_the_constants() {
     let stream = connected();
     assert!(!SockRef::from(&stream).keepalive().unwrap());
     enable_keepalive(&stream).unwrap();
