--- a/crates/reading/src/fields.rs
+++ b/crates/reading/src/fields.rs
@@ -1,12 +1,12 @@
-//! The fields of one JSON object, read one by one.
+//! Reads the fields of one JSON object one by one.
 //!
-//! A field that is absent, of another type or out of bounds becomes a finding, and so does one that is
-//! never requested.
+//! A required field that is absent, a field of another type or out of bounds, and a field that is
+//! never requested become findings.
 
 use crate::{Reading, Value};
 use std::collections::BTreeSet;
 
-/// One object of the document.
+/// The fields of one object of the document, with those that were requested so far.
 pub struct Fields<'v> {
     value: &'v Value,
     path: String,
@@ -14,7 +14,7 @@
 }
 
 impl<'v> Fields<'v> {
-    /// The fields of a value; none, and a finding, if it is no object.
+    /// Returns the fields of a value; `None`, with a finding, if the value is not an object.
     pub fn of(value: &'v Value, json_path: &str, reading: &mut Reading) -> Option<Self> {
         if !value.is_object() {
             reading.find(json_path, "must be an object".into());
@@ -23,18 +23,18 @@
         Some(Fields { value, path: json_path.into(), requested: BTreeSet::new() })
     }
 
-    /// The JSON path of a field.
+    /// Returns the JSON path of a field.
     pub fn path_of(&self, field: &str) -> String {
         format!("{}.{field}", self.path)
     }
 
-    /// A field's value; none if it is absent or null.
+    /// Returns a field's value; `None`, without a finding, if the field is absent or null.
     pub fn get(&mut self, field: &'static str) -> Option<&'v Value> {
         self.requested.insert(field);
         self.value.as_object()?.get(field).filter(|value| !value.is_null())
     }
 
-    /// A field's value, which must be there.
+    /// Returns a field's value; `None`, with a finding, if the field is absent or null.
     pub fn required(&mut self, field: &'static str, reading: &mut Reading) -> Option<&'v Value> {
         let found = self.get(field);
         if found.is_none() {
@@ -43,19 +43,22 @@
         found
     }
 
-    /// A string, which must be there.
+    /// Returns a field's string; `None`, with a finding, if the field is absent, null or not a
+    /// string.
     pub fn text(&mut self, field: &'static str, reading: &mut Reading) -> Option<&'v str> {
         let value = self.required(field, reading)?;
         text(value, &self.path_of(field), reading)
     }
 
-    /// A string; none if it is absent.
+    /// Returns a field's string; `None` if the field is absent or null, and with a finding if it is
+    /// not a string.
     pub fn text_or_none(&mut self, field: &'static str, reading: &mut Reading) -> Option<&'v str> {
         let value = self.get(field)?;
         text(value, &self.path_of(field), reading)
     }
 
-    /// A whole number within bounds; none if it is absent.
+    /// Returns a field's whole number; `None` if the field is absent or null, and with a finding if
+    /// it is not a whole number within the bounds.
     pub fn number(
         &mut self,
         field: &'static str,
@@ -64,16 +67,17 @@
     ) -> Option<u64> {
         let value = self.get(field)?;
         let number = value.as_number().and_then(|number| number.to_u64());
-        let within = number.filter(|number| bounds.contains(number));
-        if within.is_none() {
+        let in_bounds = number.filter(|number| bounds.contains(number));
+        if in_bounds.is_none() {
             let message =
                 format!("must be a whole number from {} to {}", bounds.start(), bounds.end());
             reading.find(&self.path_of(field), message);
         }
-        within
+        in_bounds
     }
 
-    /// The items of an array, which must be there, with their JSON paths.
+    /// Returns the items of a field's array, each with its JSON path; none, with a finding, if the
+    /// field is absent, null or not an array.
     pub fn array(
         &mut self,
         field: &'static str,
@@ -85,11 +89,12 @@
             reading.find(&json_path, "must be an array".into());
             return Vec::new();
         };
-        let rows = array.iter().enumerate();
-        rows.map(|(at, value)| (format!("{json_path}[{at}]"), value)).collect()
+        let items = array.iter().enumerate();
+        items.map(|(at, value)| (format!("{json_path}[{at}]"), value)).collect()
     }
 
-    /// The members of an object whose names the operator chooses: name, JSON path and value.
+    /// Returns the name, JSON path and value of each member of a field's object, whose names the
+    /// operator chooses; none, with a finding, if the field is absent, null or not an object.
     pub fn named(
         &mut self,
         field: &'static str,
@@ -101,13 +106,15 @@
             reading.find(&json_path, "must be an object".into());
             return Vec::new();
         };
-        let rows = object.iter().map(|(name, value)| {
+        let members = object.iter().map(|(name, value)| {
             (name.as_str().to_string(), format!("{json_path}.{}", name.as_str()), value)
         });
-        rows.collect()
+        members.collect()
     }
 
-    /// A string that parses, which must be there; the finding says what is expected.
+    /// Returns the value that a field's string is parsed to; `None`, with a finding, if the field
+    /// is absent, null or not a string. If the string does not parse, the finding is that it must
+    /// be `expected`.
     pub fn parsed<T: std::str::FromStr>(
         &mut self,
         field: &'static str,
@@ -122,7 +129,7 @@
         parsed
     }
 
-    /// Reports the fields that were never requested.
+    /// Adds a finding for each field that was never requested.
     pub fn finish(self, reading: &mut Reading) {
         let Some(object) = self.value.as_object() else { return };
         for (name, _) in object.iter() {
@@ -134,7 +141,7 @@
     }
 }
 
-/// A value that must be a string.
+/// Returns the string that a value is; `None`, with a finding, if the value is not a string.
 pub fn text<'v>(value: &'v Value, json_path: &str, reading: &mut Reading) -> Option<&'v str> {
     let found = value.as_string().map(|text| text.as_str());
     if found.is_none() {
--- a/crates/reading/src/findings.rs
+++ b/crates/reading/src/findings.rs
@@ -1,18 +1,18 @@
-//! What was found wrong in a document, each with its position.
+//! The errors found in a document, each with its position.
 
 use miette::{LabeledSpan, MietteDiagnostic, NamedSource, Report};
 use std::fmt;
 
-/// One thing that is wrong.
+/// One error in a document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
-    /// A JSON path such as `$.routes[2].kind`.
+    /// JSON path of the field, such as `$.routes[2].kind`.
     pub field_path: String,
-    /// Counted from 1; none if it has no position.
+    /// Line of the error, counted from 1; `None` if the error has no position in a text.
     pub line: Option<usize>,
-    /// In bytes from the text's start.
+    /// Position of the error in bytes from the start of the text; `None` if it has none.
     pub offset: Option<usize>,
-    /// What is wrong, as the end of a sentence about the field.
+    /// Description of the error, as the predicate of a sentence about the field.
     pub message: String,
 }
 
@@ -25,15 +25,16 @@
     }
 }
 
-/// All that is wrong, in the order in which it was found; its text has a line for each.
+/// All errors of a document, in the order in which they were found; `Display` writes a line for
+/// each.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Findings {
-    /// Never empty where it is an error.
+    /// The errors; not empty if a function returned the findings as its error.
     pub findings: Vec<Finding>,
 }
 
 impl Findings {
-    /// A single finding at an offset of the text.
+    /// Creates a single finding at an offset in the text, in bytes.
     pub fn at_offset(text: &str, offset: usize, json_path: &str, message: String) -> Self {
         let offset = offset.min(text.len());
         let line = text.as_bytes()[..offset].iter().filter(|byte| **byte == b'\n').count() + 1;
@@ -46,7 +47,7 @@
         Findings { findings: vec![finding] }
     }
 
-    /// A single finding that has no position in a text.
+    /// Creates a single finding without a position in a text.
     pub fn without_position(json_path: &str, message: String) -> Self {
         Findings {
             findings: vec![Finding {
@@ -58,7 +59,8 @@
         }
     }
 
-    /// One report with every finding marked in the text.
+    /// Returns a report of all findings. Those with a position are marked in the text, which is
+    /// shown under this name; the others are listed below it.
     pub fn report(&self, name: &str, text: &str) -> Report {
         let labels = self.findings.iter().filter_map(|finding| {
             let offset = finding.offset.filter(|offset| *offset <= text.len())?;
--- a/crates/reading/src/positions.rs
+++ b/crates/reading/src/positions.rs
@@ -1,28 +1,29 @@
-//! Where each value of a JSON text stands.
+//! The positions of the values in a JSON text.
 //!
-//! `facet-json` reads the values; this scan only notes positions, so it takes malformed text too.
+//! `facet-json` parses the values; this scan only records positions, so it accepts malformed text
+//! too.
 
 use postbarrow_constants::plans::DEPTH;
 use std::collections::HashMap;
 
-/// The text is nested too deep to be read.
+/// The error that the text is nested deeper than `DEPTH`, so that it can't be parsed.
 #[derive(Debug, thiserror::Error)]
 #[error("nested deeper than {DEPTH}")]
 pub(crate) struct NestedTooDeep {
-    /// Of the first bracket that is too deep.
+    /// Offset in bytes of the first bracket that is nested too deep.
     pub offset: usize,
 }
 
-/// Where each JSON path stands in the text, in bytes.
+/// The positions in a text of its JSON paths and lines, as offsets in bytes.
 pub(crate) struct Positions {
     offsets: HashMap<String, usize>,
     newlines: Vec<usize>,
-    /// Paths that stand more than once.
+    /// JSON paths that occur more than once.
     pub duplicates: Vec<String>,
 }
 
 impl Positions {
-    /// Notes the positions of all values and keys.
+    /// Records the positions of all values and keys.
     ///
     /// # Errors
     /// Brackets are nested deeper than `DEPTH`.
@@ -45,7 +46,7 @@
         Ok(scan.positions)
     }
 
-    /// The position of the path itself, or of the nearest that contains it.
+    /// Returns the position of the path, or of the nearest path in the text that contains it.
     pub fn offset(&self, json_path: &str) -> Option<usize> {
         let mut json_path = json_path;
         loop {
@@ -56,31 +57,32 @@
         }
     }
 
-    /// The line of an offset, counted from 1.
+    /// Returns the line of an offset, counted from 1.
     pub fn line(&self, offset: usize) -> usize {
         self.newlines.partition_point(|newline| *newline < offset) + 1
     }
 }
 
-/// An object or array that is not closed yet.
+/// An object or array whose closing bracket the scan has not reached yet.
 enum Level {
-    /// The key whose value follows; none before the first key and after each comma.
     Object {
+        /// Key of the value that follows; `None` before the first key and after each comma.
         key: Option<String>,
     },
     Array {
+        /// Index of the item that the scan is at.
         index: usize,
     },
 }
 
-/// A scan on its way through the text.
+/// The state of a scan of a text.
 struct Scan<'t> {
     text: &'t str,
     positions: Positions,
     levels: Vec<Level>,
-    /// Of the value at which the scan is.
+    /// JSON path of the value that the scan is at.
     path: String,
-    /// Of the path of each level, in bytes.
+    /// Length in bytes of the JSON path of each level.
     path_lengths: Vec<usize>,
 }
 
@@ -114,7 +116,7 @@
         Ok(())
     }
 
-    /// A key, or a value that is a string.
+    /// Records a string, which is a key or a value.
     fn on_string(&mut self, start: usize, end: usize) {
         let Some(Level::Object { key: key @ None }) = self.levels.last_mut() else {
             return self.on_value(start);
@@ -150,7 +152,8 @@
         }
     }
 
-    /// A value starts; in an array its path is that of its index, and elsewhere that of its key.
+    /// Records the start of a value, whose path ends in its index in an array, and in its key
+    /// elsewhere.
     fn on_value(&mut self, start: usize) {
         if let Some(Level::Array { index }) = self.levels.last() {
             self.path.truncate(*self.path_lengths.last().unwrap_or(&1));
@@ -160,7 +163,7 @@
     }
 }
 
-/// The offset after the closing quote, or the text's end.
+/// Returns the offset after the closing quote, or the end of the text if there is none.
 fn string_end(bytes: &[u8], start: usize) -> usize {
     let mut at = start + 1;
     while at < bytes.len() {
--- a/crates/reading/src/reading.rs
+++ b/crates/reading/src/reading.rs
@@ -1,22 +1,22 @@
-//! The reading of one document: what was found so far, and where it stands in the text.
+//! The reading of one document: its findings so far, and the positions of its values.
 
 use crate::positions::Positions;
 use crate::{Finding, Findings, Value};
 use postbarrow_constants::plans::FINDINGS;
 
-/// Collects the findings of one document, with their lines.
+/// Collects the findings of one document, with their lines and offsets.
 pub struct Reading {
     positions: Positions,
     findings: Vec<Finding>,
-    /// Findings beyond the most that are reported.
+    /// Number of findings beyond `FINDINGS`, which are only counted.
     dropped: usize,
 }
 
 impl Reading {
-    /// Parses the text.
+    /// Parses a JSON text; a key that occurs twice in an object is a finding of the new reading.
     ///
     /// # Errors
-    /// Text that can't be parsed at all, as the only finding.
+    /// A single finding, if the text can't be parsed.
     pub fn parse(text: &str) -> Result<(Value, Reading), Findings> {
         let positions = Positions::scan(text)
             .map_err(|error| Findings::at_offset(text, error.offset, "$", error.to_string()))?;
@@ -31,7 +31,8 @@
         Ok((value, reading))
     }
 
-    /// Adds a finding; beyond `FINDINGS` they are only counted.
+    /// Adds a finding about the value at this JSON path; beyond `FINDINGS` findings are only
+    /// counted.
     pub fn find(&mut self, json_path: &str, message: String) {
         if self.findings.len() >= FINDINGS {
             self.dropped += 1;
@@ -46,15 +47,15 @@
         });
     }
 
-    /// Whether nothing was found so far.
+    /// Returns whether there are no findings so far.
     pub fn is_clean(&self) -> bool {
         self.findings.is_empty()
     }
 
-    /// Ends the reading.
+    /// Ends the reading; returns the value if there are no findings.
     ///
     /// # Errors
-    /// The findings, if there are any.
+    /// The findings, followed by the number of those that were only counted.
     pub fn finish<T>(mut self, value: T) -> Result<T, Findings> {
         if self.findings.is_empty() {
             return Ok(value);
--- a/crates/rules/src/bounds.rs
+++ b/crates/rules/src/bounds.rs
@@ -1,13 +1,13 @@
-//! Bounds of what a rule may cost, checked before it routes any request.
+//! Bounds on the cost of a rule, checked before the rule routes any request.
 
 use crate::{FUNCTIONS, RuleError};
 use cel::common::ast::Expr;
 use postbarrow_constants::plans::{RULE_BRACKETS, RULE_DEPTH};
 
-/// Bounds the parser's recursion before it starts.
+/// Checks a rule's text before it is parsed, so that the parser's recursion is bounded.
 ///
 /// # Errors
-/// Brackets nested too deep, or too many prefix and ternary signs.
+/// Brackets are nested too deep, or there are too many prefix and ternary signs.
 pub(crate) fn check_text(text: &str) -> Result<(), RuleError> {
     let mut bracket_depth = 0;
     let mut signs = 0;
@@ -28,8 +28,8 @@
     Ok(())
 }
 
-/// Allows no loops, bounded depth, and only the few functions whose cost is linear in what they
-/// read.
+/// Checks a parsed rule: it may have no loops, a bounded depth, and only the few functions whose
+/// cost is linear in the length of what they read.
 ///
 /// # Errors
 /// The first part of the expression that is not allowed.
--- a/crates/rules/src/error.rs
+++ b/crates/rules/src/error.rs
@@ -1,30 +1,32 @@
-//! Why a rule is refused.
+//! The reasons why a rule is refused.
 
 use crate::{FUNCTIONS, VARIABLES};
 use postbarrow_constants::plans::{RULE_BRACKETS, RULE_BYTES, RULE_DEPTH};
 
-/// Why a rule is refused; the texts are read by operators, after the rule's place in the plan.
+/// The reason why a rule is refused. Operators read its text after the position of the rule in the
+/// plan.
 #[derive(Debug, thiserror::Error)]
 pub enum RuleError {
-    /// The text is too long.
+    /// The text is longer than `RULE_BYTES`.
     #[error("is longer than {RULE_BYTES} bytes")]
     TooLong,
-    /// Brackets in the text are nested too deep for the parser's stack.
+    /// Brackets in the text are nested deeper than `RULE_BRACKETS`, too deep for the parser's
+    /// stack.
     #[error("has brackets nested deeper than {RULE_BRACKETS}")]
     BracketsTooDeep,
-    /// The text has too many signs that the parser recurses on.
+    /// The text has more than twice `RULE_BRACKETS` signs that the parser recurses on.
     #[error("has more than {} of ? ! -", 2 * RULE_BRACKETS)]
     TooManySigns,
-    /// The text does not parse.
+    /// The text does not parse; the parser's message, on one line.
     #[error("{0}")]
     Syntax(String),
-    /// The parser failed on the text.
+    /// The parser panicked on the text.
     #[error("can't be read")]
     ParserFailed,
-    /// No thread for the parser was to be had.
+    /// The operating system refused a thread for the parser.
     #[error("can't be read now: {0}")]
     NoThread(#[source] std::io::Error),
-    /// The expression is nested too deep.
+    /// The expression is nested deeper than `RULE_DEPTH`.
     #[error("is nested deeper than {RULE_DEPTH}")]
     TooDeep,
     /// The expression is empty.
@@ -42,7 +44,7 @@
     /// The expression names a variable that is not among [`VARIABLES`].
     #[error("names {0}, which is none of {variables}", variables = VARIABLES.join(", "))]
     UnknownVariable(String),
-    /// The expression gives a value that is neither true nor false.
+    /// The expression evaluates to a value that is neither true nor false.
     #[error("does not give true or false")]
     NotBoolean,
 }
--- a/crates/rules/src/rule.rs
+++ b/crates/rules/src/rule.rs
@@ -1,4 +1,4 @@
-//! A route's condition on the requests that it takes.
+//! Rules: conditions on the requests that a route accepts.
 
 use crate::{RuleError, bounds};
 use cel::{Context, Env, ExecutionError, Program, Value};
@@ -6,24 +6,26 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// What a rule may read.
+/// Names of the variables that a rule may read.
 pub const VARIABLES: [&str; 3] = ["method", "path", "headers"];
-/// What a rule may call; each costs no more than the length of what it reads.
+/// Names of the functions that a rule may call; the cost of each is at most linear in the length of
+/// what it reads.
 pub const FUNCTIONS: [&str; 4] = ["size", "contains", "startsWith", "endsWith"];
 
-/// A checked and compiled rule.
+/// A rule that was checked and compiled.
 pub struct Rule {
     program: Program,
     env: Arc<Env>,
 }
 
-/// What a rule reads of a request.
+/// The parts of a request that a rule can read.
 pub struct RequestFacts<'a> {
-    /// HTTP's method.
+    /// HTTP method of the request.
     pub method: &'a str,
-    /// The raw path.
+    /// Raw path of the request.
     pub path: &'a str,
-    /// Names and values; a rule reads names in lower case, and values of one name joined by `, `.
+    /// Names and values of the request's headers. A rule reads names in lower case, and the values
+    /// of one name joined by `, `.
     pub headers: &'a [(String, String)],
 }
 
@@ -31,7 +33,7 @@
     /// Checks and compiles a rule.
     ///
     /// # Errors
-    /// What of its text or expression is not allowed.
+    /// The part of the rule's text or expression that is not allowed.
     pub fn compile(text: &str) -> Result<Rule, RuleError> {
         if text.len() > RULE_BYTES {
             return Err(RuleError::TooLong);
@@ -51,7 +53,8 @@
         Ok(rule)
     }
 
-    /// Whether the rule gives true; an error or any other value does not route.
+    /// Returns whether the rule evaluates to true for a request; an error or any other value is no
+    /// match.
     pub fn matches(&self, facts: &RequestFacts<'_>) -> bool {
         matches!(self.evaluate(facts), Ok(Value::Bool(true)))
     }
@@ -74,7 +77,8 @@
         self.program.execute(&context)
     }
 
-    /// A rule that gives a plain value of another kind for an empty request can never route.
+    /// Refuses a rule that evaluates to another type than a boolean for an empty request, since it
+    /// can never match.
     fn check_is_boolean(&self) -> Result<(), RuleError> {
         let facts = RequestFacts { method: "GET", path: "/", headers: &[] };
         match self.evaluate(&facts) {
@@ -84,20 +88,20 @@
     }
 }
 
-/// The parser recurses deeply, so it gets a thread with a stack of its own.
+/// Parses a rule on a thread with a large stack, because the parser recurses deeply.
 fn parse_on_large_stack(text: &str) -> Result<Program, RuleError> {
     let text = text.to_string();
     std::thread::Builder::new()
         .stack_size(RULE_STACK_BYTES)
         .spawn(move || {
             Program::compile(&text)
-                .map_err(|error| RuleError::Syntax(on_one_line(&error.to_string())))
+                .map_err(|error| RuleError::Syntax(join_lines(&error.to_string())))
         })
         .map_err(RuleError::NoThread)?
         .join()
         .unwrap_or(Err(RuleError::ParserFailed))
 }
 
-fn on_one_line(text: &str) -> String {
+fn join_lines(text: &str) -> String {
     text.lines().map(str::trim).filter(|line| !line.is_empty()).collect::<Vec<_>>().join(" ")
 }
--- a/crates/rules/tests/rule.rs
+++ b/crates/rules/tests/rule.rs
@@ -1,14 +1,14 @@
-//! Which rules compile, and which requests they match.
+//! Tests which rules compile, and which requests they match.
 
 use postbarrow_rules::{RequestFacts, Rule};
 
 fn matches(text: &str, headers: &[(String, String)]) -> bool {
     let facts = RequestFacts { method: "POST", path: "/loans/7", headers };
-    Rule::compile(text).expect("compiles").matches(&facts)
+    Rule::compile(text).expect("the rule compiles").matches(&facts)
 }
 
 #[test]
-fn a_rule_matches_if_it_gives_true_and_never_on_an_error() {
+fn a_rule_matches_if_it_evaluates_to_true_and_never_on_an_error() {
     let headers = [("X-Store".to_string(), "till-4".to_string())];
     assert!(matches("method == 'POST' && path.startsWith('/loans')", &headers));
     assert!(matches("headers['x-store'].contains('till')", &headers));
@@ -19,8 +19,8 @@
 }
 
 #[test]
-fn a_rule_that_costs_too_much_or_means_nothing_is_refused() {
-    let refusal = |text: &str| Rule::compile(text).err().expect("is refused").to_string();
+fn a_rule_that_is_too_costly_or_invalid_is_refused() {
+    let refusal = |text: &str| Rule::compile(text).err().expect("the rule is refused").to_string();
     let deep = format!("{}true{}", "true == (".repeat(40), ")".repeat(40));
     let refusals = [
         refusal("[1, 2].all(x, x > 0)"),
@@ -51,14 +51,14 @@
     let members = format!("path{}", ".a".repeat(250));
     let brackets = format!("{}{}true", "(".repeat(8), "true?(-".repeat(8));
     for text in [signs, ternary, chain, members, brackets] {
-        let _read = Rule::compile(&text)
+        let _matches = Rule::compile(&text)
             .map(|rule| rule.matches(&RequestFacts { method: "GET", path: "/", headers: &[] }));
     }
 }
 
 #[test]
-fn the_text_of_a_refusal_says_what_is_not_allowed() {
-    let refusal = |text: &str| Rule::compile(text).err().expect("is refused").to_string();
+fn the_text_of_a_refusal_names_what_is_not_allowed() {
+    let refusal = |text: &str| Rule::compile(text).err().expect("the rule is refused").to_string();
     let nested = format!("{}true", "true == (".repeat(40));
     let deep = format!("path{} == 'a'", ".a".repeat(200));
     let texts = [
