--- a/examples/replicated-sum/src/lib.rs
+++ b/examples/replicated-sum/src/lib.rs
@@ -1,6 +1,6 @@
-//! A small replicated state machine outside the daemons: a sum that three members replicate, on
-//! postbarrow's consensus, storage and transport. Each member is owned by one thread, which works
-//! through its queue of commands.
+//! A small replicated state machine outside the daemons: a sum that three members replicate with
+//! postbarrow's consensus, storage and transport. Each member's state is owned by one thread, which
+//! executes the commands in the member's queue.
 
 #![deny(missing_docs)]
 
@@ -19,12 +19,12 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// The log is compacted into a snapshot after so many entries.
+/// Number of entries after which the log is compacted into a snapshot.
 const ENTRIES_PER_SNAPSHOT: u64 = 50;
 /// How long a caller waits for its member's reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the owner of a member works through.
+/// A command in the queue of a member's thread.
 enum Command {
     Envelope(Envelope),
     Bootstrap(Vec<Member>),
@@ -45,17 +45,17 @@
     /// The member's identity, as its peers know it.
     pub member: Member,
     commands: Sender<Command>,
-    owner: Option<JoinHandle<()>>,
+    thread_handle: Option<JoinHandle<()>>,
 }
 
-/// A caller that waits until the entry at an index is committed.
+/// A caller of [`Sum::add`] that waits until the entry at an index is committed.
 struct PendingAddition {
     index: u64,
     reply: Sender<Option<u64>>,
 }
 
-/// What a member consists of; all of it belongs to one thread.
-struct Owner {
+/// The state of a member, owned by the member's thread.
+struct MemberThread {
     consensus: Consensus,
     storage: Storage<FolderDisk>,
     links: Links,
@@ -65,10 +65,11 @@
 }
 
 impl Sum {
-    /// Starts a member on the disk in this folder, with what the disk retains, at this address.
+    /// Starts a member that stores its data in this folder and listens at this address. It recovers
+    /// the data in the folder; an empty or damaged folder gets a new member.
     ///
     /// # Errors
-    /// When the disk can't be opened, the address not listened on, or no thread started.
+    /// The folder can't be opened, the address can't be bound, or a thread can't be started.
     pub fn start(folder: PathBuf, address: SocketAddr) -> io::Result<Sum> {
         let (storage, recovered) = match open(FolderDisk::new(folder)?)? {
             Opened::Recovered { storage, recovered } => (storage, recovered),
@@ -84,28 +85,30 @@
         let sum = recovered.snapshot.as_ref().map_or(0, |snapshot| sum_of(snapshot));
         let consensus = Consensus::new(member.id, recovered, random(), clock_ms());
         let links = Links::new(member.address);
-        let owner = Owner { consensus, storage, links, member, sum, pending: VecDeque::new() };
-        let owner = thread::Builder::new().name("sum".into()).spawn(move || owner.run(&queue))?;
-        Ok(Sum { commands, member, owner: Some(owner) })
+        let member_thread =
+            MemberThread { consensus, storage, links, member, sum, pending: VecDeque::new() };
+        let thread_handle =
+            thread::Builder::new().name("sum".into()).spawn(move || member_thread.run(&queue))?;
+        Ok(Sum { commands, member, thread_handle: Some(thread_handle) })
     }
 
-    /// Bootstraps a new log with its first members; called on each of them.
+    /// Bootstraps a new log with its first members; must be called on each of them.
     pub fn bootstrap(&self, members: Vec<Member>) {
         let _ = self.commands.send(Command::Bootstrap(members));
     }
 
-    /// Adds a new member as a learner, or one that came back at another address.
+    /// Adds a new member, or one that restarted at another address, as a learner.
     pub fn add_learner(&self, member: Member) {
         let _ = self.commands.send(Command::AddLearner(member));
     }
 
-    /// The sum after this addition was committed; `None` if this member can't confirm that, be it
-    /// committed or not.
+    /// Adds an amount; returns the sum after the addition was committed. `None` means that this
+    /// member can't confirm the commit; the addition may be committed or not.
     pub fn add(&self, amount: u64) -> Option<u64> {
         self.request(|reply| Command::Add { amount, reply })
     }
 
-    /// The sum; `None` if this member does not lead or its lease has expired.
+    /// Returns the sum; `None` if this member does not lead, or its lease has expired.
     pub fn read(&self) -> Option<u64> {
         self.request(|reply| Command::Read { reply })
     }
@@ -120,21 +123,21 @@
 impl Drop for Sum {
     fn drop(&mut self) {
         let _ = self.commands.send(Command::Stop);
-        if let Some(owner) = self.owner.take() {
-            let _ = owner.join();
+        if let Some(thread_handle) = self.thread_handle.take() {
+            let _ = thread_handle.join();
         }
     }
 }
 
-impl Owner {
+impl MemberThread {
     fn run(mut self, queue: &Receiver<Command>) {
-        let mut tick_ms = 0;
+        let mut next_tick_ms = 0;
         loop {
-            if clock_ms() >= tick_ms {
-                tick_ms = clock_ms() + TICK_MS;
+            if clock_ms() >= next_tick_ms {
+                next_tick_ms = clock_ms() + TICK_MS;
                 self.handle(Input::Tick);
             }
-            let wait_ms = tick_ms.saturating_sub(clock_ms()).max(1);
+            let wait_ms = next_tick_ms.saturating_sub(clock_ms()).max(1);
             match queue.recv_timeout(Duration::from_millis(wait_ms)) {
                 Ok(Command::Envelope(Envelope { message, .. })) => self.receive(message),
                 Ok(Command::Bootstrap(members)) => self.handle(Input::Bootstrap(members)),
@@ -164,7 +167,8 @@
         }
     }
 
-    /// Gives the input to the consensus and carries out all that follows from it.
+    /// Passes the input to the consensus, and executes its effects and those of the inputs that
+    /// they cause.
     fn handle(&mut self, input: Input) {
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
@@ -187,12 +191,14 @@
         }
     }
 
-    /// A member that can't write can't promise anything, so a failure ends its thread.
+    /// Writes to the disk. A failure ends the thread, because the member must not confirm anything
+    /// that it can't write.
     fn write(&mut self, write: Write) {
-        self.storage.apply(vec![write]).expect("the disk takes every write");
+        self.storage.apply(vec![write]).expect("a write to the member's disk failed");
     }
 
-    /// Applies committed entries and replies to their callers; returns a compaction that is due.
+    /// Applies committed entries and replies to their callers; returns the input for a compaction
+    /// if one is due.
     fn commit(&mut self, entries: &[Entry]) -> Option<Input> {
         let mut compact = None;
         for entry in entries {
@@ -212,7 +218,7 @@
     }
 }
 
-/// The number in an entry or a snapshot; 0 if there is none.
+/// Returns the number in an entry or a snapshot; 0 if it does not hold eight bytes.
 fn decode(bytes: &[u8]) -> u64 {
     bytes.try_into().map_or(0, u64::from_le_bytes)
 }
--- a/examples/replicated-sum/tests/sum.rs
+++ b/examples/replicated-sum/tests/sum.rs
@@ -1,18 +1,19 @@
-//! A cluster of three members that are replaced one after another.
+//! Tests a cluster of three members that are restarted one after another.
 
 use replicated_sum::Sum;
 use std::path::PathBuf;
 
-const ATTEMPTS_MAX: usize = 200_000;
+const MAX_ATTEMPTS: usize = 200_000;
 
 fn folder(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("replicated-sum-{}-{name}", std::process::id()))
 }
 
-/// Finds the leader by trying all members, as a client would.
+/// Adds an amount by trying all members until one leads, as a client would; returns the sum. Each
+/// running member also gets all of them as learners, since a restarted one has another address.
 fn add(members: &[Option<Sum>], amount: u64) -> u64 {
     let all: Vec<_> = members.iter().flatten().map(|member| member.member).collect();
-    for _ in 0..ATTEMPTS_MAX {
+    for _ in 0..MAX_ATTEMPTS {
         let running = members.iter().flatten();
         running.for_each(|member| all.iter().for_each(|other| member.add_learner(*other)));
         if let Some(sum) = members.iter().flatten().find_map(|member| member.add(amount)) {
@@ -20,7 +21,7 @@
         }
         std::thread::yield_now();
     }
-    panic!("nobody leads");
+    panic!("no member accepted the addition");
 }
 
 #[test]
