--- a/crates/constants/src/consensus.rs
+++ b/crates/constants/src/consensus.rs
@@ -28,8 +28,8 @@
 /// Longest interval between retries of a snapshot chunk. The interval doubles up to it, so that a
 /// slow link is not filled with copies.
 pub const SNAPSHOT_RETRY_MAX_MS: u64 = 8_000;
-/// Log size at which a member writes its next snapshot to a slot: minutes of tickets, and a start
-/// reads at most twice this.
+/// Log size at which a member writes its next snapshot to a slot. It holds the tickets of minutes,
+/// and a start reads at most twice this size.
 pub const LOG_BYTES: u64 = 32 * 1024 * 1024;
 /// Number of steps in which the members' log sizes at a slot write are spread between `LOG_BYTES`
 /// and twice that, so that no majority writes slots at the same time.
@@ -45,8 +45,8 @@
 /// compared with the log itself.
 pub const ENTRIES_RETAINED_BYTES: u64 = 4 * 1024 * 1024;
 /// Largest size of the entries retained behind a snapshot while a live follower still needs them,
-/// or the size of the snapshot that is sent to this follower, if that is larger. A tenth of the
-/// memory of a machine of 160 MB; none of it is on disk.
+/// or the size of the snapshot that is sent to this follower, if that is larger. These
+/// entries take a tenth of the memory of a machine of 160 MB, and no disk space.
 pub const ENTRIES_RETAINED_MAX_BYTES: u64 = 16 * 1024 * 1024;
 /// Time after which an unresponsive voter is replaced by a learner that is ready, unless the
 /// deployment bounds the time to catch up.
@@ -68,14 +68,14 @@
 /// which is elected within a few milliseconds.
 pub const HANDOVER_RETENTION_MS: u64 = 500;
 /// How long a stopping control node waits for a successor and for its removal from the voters:
-/// three elections without its help. The node is killed at the end of its grace period, twice as
-/// late.
+/// enough for three elections without its help. The node is killed at the end of its grace period,
+/// twice as late.
 pub const LEADERSHIP_TRANSFER_MS: u64 = 3_000;
 /// Interval at which uninitialized control nodes announce themselves to each other until a log
 /// exists.
 pub const DISCOVERY_MS: u64 = 200;
 /// Interval at which a member sends the membership to seeds that are not members: three small
-/// frames a second at most, and a restarted seed is of use well within the time to recover.
+/// frames a second at most, and a restarted seed is usable well within the time to recover.
 pub const INTRODUCTION_MS: u64 = 1_000;
 /// Time since its last announcement after which an uninitialized node is no longer counted: ten
 /// missed announcements.
@@ -94,7 +94,7 @@
 /// stall another member leads before clients' deadlines pass.
 pub const DISK_STALL_MS: u64 = 400;
 /// Longest time that a write waits for its sync before the disk counts as stalled, while a slot is
-/// among the writes: a slot takes three syncs and megabytes.
+/// among the writes: a slot takes three syncs and megabytes of data.
 pub const DISK_STALL_SLOT_MS: u64 = 1_500;
 /// Time after which a leader with a stalled disk that could not transfer its leadership steps down
 /// without a transfer.
--- a/crates/constants/src/coordination.rs
+++ b/crates/constants/src/coordination.rs
@@ -12,12 +12,12 @@
 pub const REQUEST_RETRY_MS: u64 = 300;
 /// How long a settled ticket is retained: a client's retries arrive within minutes.
 pub const TICKET_RETENTION_MS: u64 = 15 * 60 * 1_000;
-/// Length of an era, the unit in which the log counts the ages of tickets and results. A change of
-/// leader may lose one era.
+/// Length of an era, the step of the log's own time, by which tickets and results age. A change of
+/// leader may lose one step.
 pub const ERA_MS: u64 = 30_000;
 /// Largest number of tickets: twice what deployment Kutch needs at 170 a second for fifteen
-/// minutes. Beyond it new one-time requests are shed; a retained key is never dropped before its
-/// time.
+/// minutes. Beyond it new one-time requests are shed; a retained key is never dropped before
+/// `TICKET_RETENTION_MS`.
 pub const TICKETS: usize = 306_000;
 /// Largest size of all stored responses together: with the tickets, a slot of a small disk stays
 /// near 160 MiB.
--- a/crates/constants/src/nodes.rs
+++ b/crates/constants/src/nodes.rs
@@ -18,14 +18,15 @@
 /// Interval at which a node without a controller sends requests to all known control nodes: each
 /// wait adds to the time without service.
 pub const CONTROLLER_SEARCH_MS: u64 = 50;
-/// How long a node serves after it sent the lease request that was granted, and no longer.
+/// Duration of a node's lease: the node serves this long after it sent the lease request that was
+/// granted, and no longer.
 pub const NODE_LEASE_MS: u64 = 1_000;
-/// Time without a response after which a node replaces its control node by the next.
+/// Time without a response from a control node after which a node turns to the next one.
 pub const CONTROLLER_WAIT_MS: u64 = 300;
 /// Largest number of children of one relay; two levels carry twelve nodes.
 pub const RELAY_CHILDREN: usize = 3;
-/// Time behind the watermark after which a node leaves its parent and tails the controller
-/// directly.
+/// How long a node may lag behind the watermark before it leaves its parent and tails the
+/// controller directly.
 pub const RELAY_LAG_MS: u64 = 250;
 /// Interval at which a node repeats its tail request, which renews its subscription.
 pub const TAIL_RENEW_MS: u64 = 500;
@@ -68,9 +69,9 @@
 /// its service has other targets.
 pub const LIST_MISSES: u8 = 6;
 /// Number of complete scans in a row, with no failure between them, that must find less than half
-/// of the known rows before the missing ones count as removed. The scans are made without a
-/// pause, so two of them can hit two faults of the list itself within a tenth of a second; a third
-/// fault is rare, and a third scan costs one scan's time.
+/// of the known rows before the missing ones count as removed. The scans are made without a pause,
+/// so two of them can hit two faults of the list itself within a tenth of a second; a third fault
+/// is rare, and a third scan costs one scan's time.
 pub const LIST_SHRUNK_SCANS: u8 = 3;
 /// Gap between two requests to the list until it refuses one: eight requests a second.
 pub const LIST_GAP_MS: u64 = 125;
@@ -86,24 +87,24 @@
 pub const LIST_GAP_MAX_MS: u64 = 2_000;
 /// Window over which the list counts its clients' requests.
 pub const LIST_WINDOW_MS: u64 = 1_000;
-/// Allowance for the commit of a change, a part of the drain bound.
+/// Time allowed for the commit of a change, a term of the formula in this module's documentation.
 pub const COMMIT_ALLOWANCE_MS: u64 = 100;
-/// The users' bound on the time from the mark of a draining target to its last request; the status
-/// and the log report when it can't be kept.
+/// Bound that the users' requirements set on the time from the mark of a draining target to its
+/// last request; the status and the log report when it can't be kept.
 pub const DRAIN_BOUND_MS: u64 = 2_500;
 /// Longest time that a new controller waits for its first complete scan before it grants a lease:
 /// an unreachable list must not stop the service.
 pub const LIST_FIRST_SCAN_WAIT_MS: u64 = 1_500;
-/// Shortest time after which a page is requested again; otherwise four times the slowest page of
-/// the last scan.
+/// Lower bound of the time after which a page is requested again, which is four times the slowest
+/// page of the last scan.
 pub const LIST_PAGE_FIRST_WAIT_MS: u64 = 600;
-/// Time-out of one page, and longest time after which it is requested again.
+/// Time-out of one page, and upper bound of the time after which it is requested again.
 pub const LIST_PAGE_WAIT_MS: u64 = 2_000;
 /// Largest number of pages in one scan; it ends the scan of a list whose cursors form a circle.
 pub const LIST_PAGES: usize = 1_000;
 /// Largest size of one page of the list.
 pub const LIST_PAGE_BYTES: usize = 1024 * 1024;
-/// Longest Retry-After of the list that is obeyed; the drain bound needs the list sooner.
+/// Longest Retry-After of the list that is obeyed; `DRAIN_BOUND_MS` needs the list sooner.
 pub const LIST_RETRY_MAX_MS: u64 = 5_000;
 /// Interval at which each node probes each target.
 pub const PROBE_INTERVAL_MS: u64 = 500;
--- a/crates/constants/src/plans.rs
+++ b/crates/constants/src/plans.rs
@@ -55,7 +55,7 @@
 pub const RULE_BYTES: usize = 512;
 /// Largest depth of a rule's expression.
 pub const RULE_DEPTH: usize = 24;
-/// Largest number of nested brackets in a rule; twice as many of the operators `?`, `!` and `-`,
+/// Largest depth of nested brackets in a rule; twice as many of the operators `?`, `!` and `-`,
 /// which nest like brackets, are allowed. The CEL parser recurses on each.
 pub const RULE_BRACKETS: usize = 8;
 /// Stack of the thread that parses one rule: the worst text within these bounds needs less than
@@ -63,7 +63,7 @@
 pub const RULE_STACK_BYTES: usize = 8 * 1024 * 1024;
 /// Largest part of a plan's text in one record; four of them fill a batch.
 pub const TEXT_CHUNK_BYTES: usize = 16 * 1024;
-/// Largest number of nested objects and arrays in a document; the parser recurses on each.
+/// Largest depth of nested objects and arrays in a document; the parser recurses on each.
 pub const DEPTH: usize = 32;
 /// Largest host name (RFC 1035, 2.3.4).
 pub const HOST_BYTES: usize = 253;
--- a/crates/constants/src/traffic.rs
+++ b/crates/constants/src/traffic.rs
@@ -26,8 +26,8 @@
 pub const HEAD_WAIT_MS: u64 = 5_000;
 /// Longest time for receiving a request's body.
 pub const BODY_WAIT_MS: u64 = 20_000;
-/// Longest time for a client to read its response, beside the time that `DOWNSTREAM_BYTES_PER_MS`
-/// allows for the body.
+/// Longest time for a client to read its response, in addition to the time that
+/// `DOWNSTREAM_BYTES_PER_MS` allows for the body.
 pub const DOWNSTREAM_WRITE_MS: u64 = 10_000;
 /// Bytes of a response for each further millisecond that the client may take to read it: 256 KiB a
 /// second, slower than the link of any till.
@@ -78,15 +78,15 @@
 pub const PROOF_WAIT_MS: u64 = 800;
 /// Path at which a target proves its identity.
 pub const PROOF_PATH: &str = "/.well-known/postbarrow-target";
-/// Retry-After of a shed request, in seconds as the header has it.
+/// Value of the Retry-After header of the response to a shed request, in seconds like the header.
 pub const RETRY_AFTER_S: u64 = 1;
 /// Graceful shutdown: how long a process reports that it is unready before it closes its listener,
 /// so that the platform observes it.
 pub const STOP_UNREADY_MS: u64 = 1_000;
 /// Graceful shutdown: longest time for the requests in flight to end.
 pub const STOP_WAIT_MS: u64 = 20_000;
-/// Number of requests in flight that a target in another zone must have fewer than one in the own
-/// zone to be selected.
+/// Difference in requests in flight at which a target in another zone is selected instead of one in
+/// the own zone that has more.
 pub const ZONE_SLACK_REQUESTS: u64 = 4;
 /// How long a target that failed is ejected while other targets are available.
 pub const EJECTION_MS: u64 = 1_000;
@@ -98,17 +98,17 @@
 pub const CHUNK_LINE_BYTES: usize = 1024;
 /// Time-out of a connect to a target, after which another target is selected.
 pub const TARGET_CONNECT_MS: u64 = 500;
-/// Longest idle time after which a connection to a target is reused, unless the target's Keep-Alive
-/// header names one.
+/// Longest idle time after which a connection to a target is still reused, unless the target's
+/// Keep-Alive header names another.
 pub const TARGET_IDLE_MS: u64 = 4_000;
-/// Time before a target closes an idle connection in which the connection is no longer reused.
+/// How long before its target would close it an idle connection is no longer reused.
 pub const TARGET_IDLE_MARGIN_MS: u64 = 1_500;
-/// Longest idle time after which a connection to a target is reused, even if the target's
+/// Longest idle time after which a connection to a target is still reused, even if the target's
 /// Keep-Alive header names a longer one.
 pub const TARGET_IDLE_MAX_MS: u64 = 60_000;
 /// Largest number of client connections of one control node, each on a thread with a small stack.
 pub const CLIENT_CONNECTIONS: usize = 512;
-/// Interval at which a process checks for signals; a stop has seconds.
+/// Interval at which a process checks for signals; a graceful shutdown has seconds.
 pub const SIGNAL_CHECK_MS: u64 = 50;
 /// Time in which the weight of a target's report of its requests in flight decays to a third: about
 /// one request's duration.
@@ -131,7 +131,7 @@
 /// How long a target that rejected a request is passed over while others have capacity.
 pub const REJECTION_PAUSE_MS: u64 = 200;
 /// Interval at which a request that waits for no socket checks whether its client departed: well
-/// within the half second after which work for a departed client is a fault.
+/// within the half second after which work for a departed client counts as a fault.
 pub const CLIENT_CLOSED_CHECK_MS: u64 = 200;
 /// Idle time after which a connection is probed (TCP keep-alive).
 pub const KEEPALIVE_IDLE_MS: u64 = 5_000;
