--- a/crates/controller-client/src/client.rs
+++ b/crates/controller-client/src/client.rs
@@ -34,15 +34,15 @@
     Answer {
         /// Key of the request.
         key: u64,
-        /// Response of the controller, or of the client itself if the controller sent none in time.
+        /// Response of the controller, or `Unavailable` or `TimedOut` if the client concluded that.
         response: Response,
     },
 }
 
 impl ControllerClient {
-    /// Takes over the control plane's members, unless there are none, and a controller that is not
-    /// known yet; to this one every pending request is sent at once. A member of the log counts as
-    /// having a leader from now on.
+    /// Records the control plane's members, unless the list is empty, and the controller, unless it
+    /// is `None`. If the controller changes, every pending request is due at once. A process that is
+    /// a member of the log no longer counts as leaderless.
     pub fn on_members(
         &mut self,
         now_ms: u64,
@@ -71,7 +71,7 @@
         self.leaderless_since_ms = Some(since_ms);
     }
 
-    /// Sends a request again and again until it is answered, or for `timeout_ms`. No pending
+    /// Sends a request, and resends it until it is answered or `timeout_ms` have passed. No pending
     /// request may have the same key.
     pub fn send_request(
         &mut self,
--- a/crates/controller-client/src/refusal.rs
+++ b/crates/controller-client/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Which responses are refusals.
+//! Decides which responses are refusals.
 
 use postbarrow_messages::{Request, Response};
 use postbarrow_state::{Call, Outcome};
--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -4,7 +4,7 @@
 /// Setting the wall clock does not change them.
 ///
 /// # Panics
-/// The system has no boot-time clock; every Linux has one.
+/// If the system has no boot-time clock, which every Linux has.
 pub fn clock_ms() -> u64 {
     let mut time = libc::timespec { tv_sec: 0, tv_nsec: 0 };
     let status = unsafe { libc::clock_gettime(libc::CLOCK_BOOTTIME, &mut time) };
@@ -16,7 +16,7 @@
 /// incarnations.
 ///
 /// # Panics
-/// The system returns fewer bits.
+/// If the system returns fewer than 64 bits.
 pub fn random() -> u64 {
     let mut bytes = [0u8; 8];
     let received_bytes = unsafe { libc::getrandom(bytes.as_mut_ptr().cast(), bytes.len(), 0) };
--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -93,7 +93,7 @@
     queue: &'q Receiver<Message>,
     pending: &'q AtomicUsize,
     stream: Option<TcpStream>,
-    /// Whether the last attempt to connect failed, which was logged.
+    /// Whether the last attempt to connect failed; further failures in a row are not logged.
     is_unreachable: bool,
 }
 
--- a/crates/transport/src/poll.rs
+++ b/crates/transport/src/poll.rs
@@ -12,7 +12,7 @@
     Read,
     /// Space to write.
     Write,
-    /// Only that the peer closed or reset the connection.
+    /// Only a close or reset of the connection by the peer.
     Hangup,
 }
 
--- a/examples/replicated-sum/src/lib.rs
+++ b/examples/replicated-sum/src/lib.rs
@@ -167,8 +167,8 @@
         }
     }
 
-    /// Passes the input to the consensus, and executes its effects and those of the inputs that
-    /// they cause.
+    /// Passes the input to the consensus and executes the effects that it returns, until they cause
+    /// no further input.
     fn handle(&mut self, input: Input) {
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
