--- a/tools/shared/src/execution_record.rs
+++ b/tools/shared/src/execution_record.rs
@@ -1,63 +1,64 @@
-//! The lines in which a stand-in target records its executions, one file a target.
+//! The lines in which a stand-in target records its executions; each target has a file of its own.
 
 use std::fmt::{self, Display, Formatter};
 
-/// How the long work of a request ended at a target.
+/// How the work of a request that sets its duration by `X-Work-Ms` ended at a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkEnd {
-    /// It lasted as long as the request wanted.
+    /// The work lasted as long as the request asked for.
     Complete,
-    /// The connection ended before it.
+    /// The client's connection closed or failed before the work was complete.
     Dropped,
-    /// The target broke off, as the request wanted.
-    Broke,
+    /// The target closed the connection before the work was complete, since the request set
+    /// `X-Break-Ms`.
+    Aborted,
 }
 
 impl WorkEnd {
-    const ALL: [WorkEnd; 3] = [WorkEnd::Complete, WorkEnd::Dropped, WorkEnd::Broke];
+    const ALL: [WorkEnd; 3] = [WorkEnd::Complete, WorkEnd::Dropped, WorkEnd::Aborted];
 
-    /// The name that stands in a record.
+    /// Returns the word for this end in a record.
     fn name(self) -> &'static str {
         match self {
             WorkEnd::Complete => "whole",
             WorkEnd::Dropped => "dropped",
-            WorkEnd::Broke => "broke",
+            WorkEnd::Aborted => "broke",
         }
     }
 }
 
-/// One line of a target's records. The times are milliseconds of the wall clock, `None` in a line
-/// whose time is no number.
+/// One line of a target's records. Times are in milliseconds of the wall clock, and `None` if the
+/// line has no number in their place.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExecutionRecord {
-    /// The target ran a request once.
+    /// The target executed a request once.
     Run {
         /// The request's `X-Id`.
         id: String,
         /// The target's instance name.
         instance: String,
-        /// The request's method.
+        /// The HTTP method of the request.
         method: String,
-        /// The SHA-256 of the request's body, in hexadecimal digits.
+        /// The SHA-256 of the request's body, in lower-case hexadecimal digits.
         digest: String,
-        /// The request's target, path and query.
+        /// The path and query of the request.
         target: String,
-        /// When it ran.
+        /// The time of the execution.
         at_ms: Option<u64>,
     },
-    /// The long work of a request ended.
+    /// The work of a request that sets its duration ended.
     Ended {
         /// The request's `X-Id`.
         id: String,
-        /// How it ended.
+        /// How the work ended.
         end: WorkEnd,
-        /// When it ended.
+        /// The time at which the work ended.
         at_ms: Option<u64>,
     },
 }
 
 impl ExecutionRecord {
-    /// Reads one line; `None` if it is no record.
+    /// Parses one line; `None` if it is not a record.
     pub fn parse(line: &str) -> Option<ExecutionRecord> {
         let fields: Vec<&str> = line.split(' ').collect();
         match fields[..] {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// When it was recorded, in milliseconds of the wall clock.
+    /// Returns the time of the record, in milliseconds of the wall clock.
     pub fn at_ms(&self) -> Option<u64> {
         match self {
             ExecutionRecord::Run { at_ms, .. } | ExecutionRecord::Ended { at_ms, .. } => *at_ms,
@@ -85,7 +86,7 @@
     }
 }
 
-/// The line without its line break.
+/// Formats the record as its line, without the line break.
 impl Display for ExecutionRecord {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
         match self {
--- a/tools/shared/src/lib.rs
+++ b/tools/shared/src/lib.rs
@@ -1,6 +1,6 @@
-//! What the load generator, the fleet runner and the stand-ins have in common: the records that
-//! stand-in targets write and the others read, the faults of stand-in targets, HTTP clients,
-//! seeded mixing, digests and the wall clock.
+//! The code that the load generator, the fleet runner and the stand-ins share: the execution
+//! records that stand-in targets write and the other tools read, the faults of stand-in targets,
+//! HTTP client settings, seeded pseudo-random numbers, digests and the wall clock.
 
 #![deny(missing_docs)]
 
@@ -17,15 +17,15 @@
 use sha2::{Digest, Sha256};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The increment of SplitMix64.
+/// The constant by which SplitMix64 advances its state.
 pub const SPLITMIX_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// One step of SplitMix64 from this seed.
+/// Returns the first output of SplitMix64 with this seed.
 pub fn mix(seed: u64) -> u64 {
     finalize(seed.wrapping_add(SPLITMIX_INCREMENT))
 }
 
-/// The output function of SplitMix64, for callers that advance the state themselves.
+/// Returns the output of SplitMix64 for this state, for callers that advance the state themselves.
 pub fn finalize(state: u64) -> u64 {
     let mut mixed = state;
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -33,12 +33,12 @@
     mixed ^ (mixed >> 31)
 }
 
-/// The SHA-256 of these bytes, in lower-case hexadecimal digits.
+/// Returns the SHA-256 of these bytes, in lower-case hexadecimal digits.
 pub fn sha256_hex(bytes: &[u8]) -> String {
     Sha256::digest(bytes).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Milliseconds since the Unix epoch by the wall clock; 0 if the clock reads earlier.
+/// Returns the milliseconds since the Unix epoch by the wall clock; 0 if the clock is before it.
 pub fn wall_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
--- a/tools/shared/src/target_fault.rs
+++ b/tools/shared/src/target_fault.rs
@@ -1,27 +1,30 @@
-//! The faults that a stand-in target can bring about.
+//! The faults that a stand-in target can inject into its responses and executions.
 
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
 
-/// What a stand-in target does wrong with one request.
+/// A fault that a stand-in target injects into one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetFault {
-    /// Runs, then closes without a response.
+    /// The target executes the request, then closes the connection without a response.
     Lost,
-    /// Runs, then sends what is not HTTP.
+    /// The target executes the request, then sends bytes that are not HTTP.
     Garbage,
-    /// Runs, then sends half its response.
+    /// The target executes the request, then sends half of the body that its `Content-Length`
+    /// states.
     Truncated,
-    /// Runs, then sends half a body without a length, which only the connection's close ends.
+    /// The target executes the request, then sends half of a body without a length, which is ended
+    /// only by the close of the connection.
     Unterminated,
-    /// Sends a response without running: a violation that the checks have to find.
+    /// The target sends a success without executing the request. The load generator's checks must
+    /// find this violation.
     FalseSuccess,
-    /// Runs twice: a violation that the checks have to find.
+    /// The target executes the request twice. The load generator's checks must find this violation.
     DoubleRun,
 }
 
 impl TargetFault {
-    /// Every fault, in the order of the help text.
+    /// Every fault, in the order in which the help text lists them.
     pub const ALL: [TargetFault; 6] = [
         TargetFault::Lost,
         TargetFault::Garbage,
@@ -31,7 +34,7 @@
         TargetFault::DoubleRun,
     ];
 
-    /// The name on command lines.
+    /// Returns the fault's name on command lines.
     pub fn name(self) -> &'static str {
         match self {
             TargetFault::Lost => "lost",
@@ -53,13 +56,13 @@
     }
 }
 
-/// A name that no fault of a target has.
+/// The error of parsing a fault's name; contains the name that no fault of a target has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownTargetFault(pub String);
 
 impl Display for UnknownTargetFault {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
-        write!(out, "{} is no fault", self.0)
+        write!(out, "{}: unknown target fault", self.0)
     }
 }
 
--- a/tools/stand-ins/src/endpoint_list.rs
+++ b/tools/stand-ins/src/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The platform's endpoint list: paged, slow, rate-limited, and out of order when a file says so.
+//! A stand-in for the platform's endpoint list: paged, slow, rate-limited, and with the fault that
+//! a file names.
 
 use crate::error::StandInError;
 use gumdrop::Options;
@@ -35,30 +36,30 @@
     fault_file: Option<String>,
 }
 
-/// What is wrong with the list for now.
+/// The present fault of the list.
 #[derive(Clone, Copy, PartialEq)]
 enum ListFault {
     None,
-    /// Each page takes this long.
+    /// Each page is served after this delay, in milliseconds.
     Slow {
         delay_ms: u64,
     },
-    /// So many pages a second are served.
+    /// At most this many pages per second are served.
     Limited {
         pages_per_s: usize,
     },
-    /// Each page is an error.
+    /// Each request for a page gets status 500.
     Down,
-    /// No target is listed.
+    /// The list contains no targets.
     Empty,
-    /// The first page says that it is the last.
+    /// Each page claims to be the last, so that clients read only the first.
     FirstPageOnly,
 }
 
 impl FromStr for ListFault {
     type Err = std::convert::Infallible;
 
-    /// What isn't known is no fault; a number that can't be read is 0.
+    /// An unknown name stands for no fault, and an invalid number for 0.
     fn from_str(text: &str) -> Result<ListFault, Self::Err> {
         let (name, number) = text.trim().split_once(' ').unwrap_or((text.trim(), "0"));
         let number: u64 = number.parse().unwrap_or(0);
@@ -75,14 +76,14 @@
 
 struct EndpointList {
     options: ListOptions,
-    /// When the pages of the last second were served.
+    /// The times at which the pages of the last second were served.
     served: Mutex<Vec<Instant>>,
 }
 
 /// Serves the list until the process is ended.
 ///
 /// # Panics
-/// When the address can't be listened on.
+/// When the server can't listen on its address.
 pub fn run(options: ListOptions) -> Result<(), StandInError> {
     let http = options.http.clone();
     let list = EndpointList { options, served: Mutex::new(Vec::new()) };
@@ -90,6 +91,7 @@
 }
 
 impl EndpointList {
+    /// Reads the present fault; no fault if its file is not set or can't be read.
     fn fault(&self) -> ListFault {
         let file = self.options.fault_file.as_ref();
         let text = file.and_then(|file| std::fs::read_to_string(file).ok()).unwrap_or_default();
@@ -122,6 +124,7 @@
         }
     }
 
+    /// Returns the page at the request's cursor; `is_last` omits the cursor of the next page.
     fn page(&self, request: &Request, is_last: bool) -> Response {
         let Ok(text) = std::fs::read_to_string(&self.options.file) else {
             return Response::text("no list").with_status_code(500);
@@ -136,6 +139,7 @@
         Response::from_data("application/json", body)
     }
 
+    /// Returns whether another page may be served now, and counts it if so.
     fn is_within_rate(&self, pages_per_s: usize) -> bool {
         let Ok(mut served) = self.served.lock() else { return false };
         let now = Instant::now();
--- a/tools/stand-ins/src/error.rs
+++ b/tools/stand-ins/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a stand-in can't start.
+//! The errors of starting a stand-in.
 
 use std::io;
 use tools_shared::UnknownTargetFault;
@@ -9,18 +9,18 @@
     /// The command line names no command.
     #[error("a command is needed; --help lists them")]
     NoCommand,
-    /// The address can't be listened on.
-    #[error("{0}")]
+    /// The target can't listen on its address.
+    #[error("can't listen on the address: {0}")]
     Listen(#[source] io::Error),
     /// The file of the execution records can't be opened.
-    #[error("{file}: {source}")]
+    #[error("can't open the file of execution records {file}: {source}")]
     Records {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// What the system says.
+        /// The error that the system returned.
         source: io::Error,
     },
-    /// The command line names a fault that there is not.
+    /// The command line names an unknown fault of a target.
     #[error(transparent)]
     Fault(#[from] UnknownTargetFault),
 }
--- a/tools/stand-ins/src/fault_plan.rs
+++ b/tools/stand-ins/src/fault_plan.rs
@@ -1,9 +1,9 @@
-//! Which requests of a target get which fault.
+//! The faults that a target injects, drawn per request.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use tools_shared::{SPLITMIX_INCREMENT, TargetFault, UnknownTargetFault, finalize};
 
-/// Draws a target's faults from a seed.
+/// The faults of one target and the generator that draws them, SplitMix64 with a seed.
 pub struct FaultPlan {
     per_mille: u64,
     faults: Vec<TargetFault>,
@@ -11,17 +11,18 @@
 }
 
 impl FaultPlan {
-    /// `names` are faults with commas between them, `per_mille` the faulty in a thousand requests.
+    /// Returns a plan from the names of its faults, separated by commas, and from the number of
+    /// faulty requests in a thousand.
     ///
     /// # Errors
-    /// When a name is no fault's.
+    /// When a name is not that of a fault.
     pub fn parse(names: &str, per_mille: u64, seed: u64) -> Result<Self, UnknownTargetFault> {
         let names = names.split(',').filter(|name| !name.is_empty());
         let faults: Result<Vec<TargetFault>, _> = names.map(str::parse).collect();
         Ok(FaultPlan { per_mille, faults: faults?, state: AtomicU64::new(seed | 1) })
     }
 
-    /// The next request's fault, if it gets one.
+    /// Draws the fault of the next request; `None` if the request gets none.
     pub fn draw(&self) -> Option<TargetFault> {
         let drawn = finalize(self.state.fetch_add(SPLITMIX_INCREMENT, Relaxed));
         if self.faults.is_empty() || drawn % 1_000 >= self.per_mille {
--- a/tools/stand-ins/src/http.rs
+++ b/tools/stand-ins/src/http.rs
@@ -1,47 +1,50 @@
-//! HTTP/1.1 as a target speaks it: requests with a Content-Length, responses with a digest.
+//! The part of HTTP/1.1 that a target supports: requests with a Content-Length or no body, and
+//! responses with a digest of their body.
 
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 
+/// Size of the buffer for one read, in bytes.
 const CHUNK_BYTES: usize = 64 * 1024;
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 128;
 
 /// One request with its complete body.
 pub struct HttpRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: String,
-    /// Path and query.
+    /// The path and query.
     pub target: String,
-    /// Names and values in their order.
+    /// The names and values of the headers, in their order in the request.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// The body; empty without a Content-Length.
     pub body: Vec<u8>,
 }
 
 impl HttpRequest {
-    /// The first value of a header, whose name is compared without regard to case.
+    /// Returns the first value of a header, whose name is compared without regard to case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(known, _)| known.eq_ignore_ascii_case(name));
         found.map(|(_, value)| value.as_str())
     }
 
-    /// A header whose value is a number.
+    /// Returns the value of a header as a number; `None` if it is absent or not a number.
     pub fn number(&self, name: &str) -> Option<u64> {
         self.header(name).and_then(|text| text.parse().ok())
     }
 }
 
-/// Reads one request; `None` when the peer has closed between two requests. `buffer` has what was
-/// read beyond the last request.
+/// Reads one request; `None` if the peer closed the connection between two requests. `buffer` keeps
+/// the bytes that were read beyond the end of a request for the next call.
 ///
 /// # Errors
-/// When the connection fails or ends within a request, or when the head is no HTTP.
+/// When the connection fails or ends within a request, or when the head is not valid HTTP.
 pub fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<Option<HttpRequest>> {
     let mut chunk = [0; CHUNK_BYTES];
     loop {
         if let Some(mut request) = take_head(buffer)? {
-            let sized = request.header("content-length").and_then(|text| text.parse().ok());
-            let size_bytes: usize = sized.unwrap_or(0);
+            let stated_length = request.header("content-length").and_then(|text| text.parse().ok());
+            let size_bytes: usize = stated_length.unwrap_or(0);
             while buffer.len() < size_bytes {
                 match stream.read(&mut chunk)? {
                     0 => return Err(io::ErrorKind::UnexpectedEof.into()),
@@ -59,7 +62,7 @@
     }
 }
 
-/// Takes a complete head out of the buffer; `None` if more of it has to be read.
+/// Parses a head and removes it from the buffer; `None` if the buffer has no complete head yet.
 fn take_head(buffer: &mut Vec<u8>) -> io::Result<Option<HttpRequest>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
--- a/tools/stand-ins/src/main.rs
+++ b/tools/stand-ins/src/main.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for what surrounds the gateway: a target, and the platform's endpoint list.
+//! Stand-ins for the gateway's environment: a target, and the platform's endpoint list.
 
 #![deny(missing_docs)]
 
@@ -30,12 +30,12 @@
 }
 
 fn main() -> ExitCode {
-    let ended = match Cli::parse_args_default_or_exit().command {
+    let result = match Cli::parse_args_default_or_exit().command {
         Some(Command::Target(options)) => target::run(options),
         Some(Command::List(options)) => endpoint_list::run(options),
         None => Err(StandInError::NoCommand),
     };
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
--- a/tools/stand-ins/src/target.rs
+++ b/tools/stand-ins/src/target.rs
@@ -1,4 +1,4 @@
-//! A target that records each execution, and answers wrongly where its faults say so.
+//! A stand-in for a target, which records each execution and injects faults.
 
 use crate::error::StandInError;
 use crate::fault_plan::FaultPlan;
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 use tools_shared::{ExecutionRecord, TargetFault, WorkEnd, sha256_hex, wall_ms};
 
-/// How often a long work checks whether its connection ended.
+/// Interval at which work of a set duration checks whether its connection has closed.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 // The options of the command `target`; a doc comment would be printed in its help.
@@ -43,7 +43,7 @@
     seed: u64,
 }
 
-/// What a target proves of itself.
+/// The identity that a target reports at the path of the proof.
 #[derive(Facet)]
 struct TargetIdentity {
     instance: String,
@@ -58,7 +58,9 @@
 struct SuccessBody {
     id: String,
     instance: String,
+    /// The SHA-256 of the request's body, in hexadecimal digits.
     digest: String,
+    /// Padding, which makes the lengths of bodies vary by their ids.
     pad: String,
 }
 
@@ -73,7 +75,8 @@
 /// Serves requests until the process is ended.
 ///
 /// # Errors
-/// When the address can't be listened on, the records can't be opened or a fault isn't known.
+/// When the target can't listen on its address, the file of execution records can't be opened, or a
+/// fault is unknown.
 pub fn run(options: TargetOptions) -> Result<(), StandInError> {
     let listener = TcpListener::bind(&options.http).map_err(StandInError::Listen)?;
     let records = OpenOptions::new().create(true).append(true).open(&options.records);
@@ -94,18 +97,20 @@
 }
 
 impl Target {
+    /// Serves the requests of one connection until it closes or fails.
     fn serve(&self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut buffer = Vec::new();
         while let Ok(Some(request)) = read(&mut stream, &mut buffer) {
-            if self.answer(&mut stream, &request).is_err() {
+            if self.handle(&mut stream, &request).is_err() {
                 return;
             }
         }
     }
 
-    /// An error closes the connection.
-    fn answer(&self, stream: &mut TcpStream, request: &HttpRequest) -> io::Result<()> {
+    /// Executes one request, or reports the target's identity. The caller closes the connection
+    /// after an error.
+    fn handle(&self, stream: &mut TcpStream, request: &HttpRequest) -> io::Result<()> {
         if request.target == PROOF_PATH {
             let identity = TargetIdentity {
                 instance: self.options.instance.clone(),
@@ -116,12 +121,12 @@
             return write(stream, 200, "-", &facet_json::to_vec(&identity).unwrap_or_default());
         }
         self.in_flight.fetch_add(1, Relaxed);
-        let ended = self.execute(stream, request);
+        let result = self.execute(stream, request);
         self.in_flight.fetch_sub(1, Relaxed);
-        ended
+        result
     }
 
-    /// Runs the request as often as its fault wants, works, and responds.
+    /// Records the request once, or as often as its fault requires; then works and responds.
     fn execute(&self, stream: &mut TcpStream, request: &HttpRequest) -> io::Result<()> {
         let id = request.header("x-id").unwrap_or("-").to_string();
         let digest = sha256_hex(&request.body);
@@ -149,7 +154,8 @@
         respond(stream, fault, &facet_json::to_vec(&success).unwrap_or_default())
     }
 
-    /// Works for as long as the request wants, which is recorded, or for as long as usual.
+    /// Works for the duration that the request sets, and records the end. Without one, works for
+    /// the usual duration and records no end.
     fn work(&self, stream: &TcpStream, request: &HttpRequest, id: &str) -> io::Result<WorkEnd> {
         let Some(work_ms) = request.number("x-work-ms") else {
             std::thread::sleep(Duration::from_millis(self.options.work_ms));
@@ -165,7 +171,7 @@
     }
 }
 
-/// Responds with this body, or as the fault wants.
+/// Responds with this body, or as the fault requires.
 fn respond(stream: &mut TcpStream, fault: Option<TargetFault>, body: &[u8]) -> io::Result<()> {
     let digest = sha256_hex(body);
     match fault {
@@ -190,7 +196,8 @@
     Err(io::ErrorKind::ConnectionAborted.into())
 }
 
-/// Works for `work_ms`, unless the connection ends or the request wants a break before.
+/// Works for `work_ms` milliseconds, unless the connection ends before or the request sets an
+/// earlier abort by `X-Break-Ms`.
 fn work_long(stream: &TcpStream, request: &HttpRequest, work_ms: u64) -> WorkEnd {
     let break_ms = request.number("x-break-ms").unwrap_or(u64::MAX);
     let start = Instant::now();
@@ -200,7 +207,7 @@
             return WorkEnd::Dropped;
         }
         if worked_ms >= break_ms {
-            return WorkEnd::Broke;
+            return WorkEnd::Aborted;
         }
         if worked_ms >= work_ms {
             return WorkEnd::Complete;
@@ -209,7 +216,7 @@
     }
 }
 
-/// Whether the peer has closed the connection or it failed.
+/// Returns whether the peer has closed the connection or the connection has failed.
 fn has_ended(stream: &TcpStream) -> bool {
     if stream.set_nonblocking(true).is_err() {
         return true;
