--- a/tools/jumping-clock/src/lib.rs
+++ b/tools/jumping-clock/src/lib.rs
@@ -1,5 +1,6 @@
-//! Loaded before a process under test, it makes the wall clock read wrong: by as many seconds as
-//! the file that `JUMPING_CLOCK` names says when the clock is read. Other clocks are left alone.
+//! A library for `LD_PRELOAD` that shifts the wall clock of a process under test. The offset, in
+//! seconds, is read from the file that `JUMPING_CLOCK` names each time the clock is read. Other
+//! clocks are not changed.
 
 #![deny(missing_docs)]
 
@@ -7,12 +8,15 @@
 use std::ffi::CStr;
 use std::sync::OnceLock;
 
-/// Room for a 64-bit number in decimal digits with its sign, and more.
+/// The size of the buffer for the offset's text, in bytes; a signed 64-bit number in decimal digits
+/// needs at most 20.
 const OFFSET_TEXT_BYTES: usize = 24;
 
+/// The file descriptor that `offset_file` opened; unset before its first call.
 static OFFSET_FILE: OnceLock<Option<c_int>> = OnceLock::new();
 
-/// The descriptor of the offset's file, opened at the first use; `None` if there is none.
+/// Returns the file descriptor of the offset's file, which is opened at the first call; `None` if
+/// `JUMPING_CLOCK` is not set or the file can't be opened.
 fn offset_file() -> Option<c_int> {
     *OFFSET_FILE.get_or_init(|| {
         // SAFETY: the name is a C string, and nothing in the process changes its environment.
@@ -28,7 +32,8 @@
     })
 }
 
-/// Seconds to add, as the file has them now; 0 if it has no number.
+/// Returns the offset that the file contains at present, in seconds; 0 if there is no file or it
+/// contains no number.
 fn offset_s() -> i64 {
     let Some(file) = offset_file() else { return 0 };
     let mut text = [0u8; OFFSET_TEXT_BYTES];
@@ -41,13 +46,13 @@
 /// Reads a clock as the C library does, and adds the offset to the wall clock's time.
 ///
 /// # Safety
-/// As the C library's own: `time` is null or points to a timespec.
+/// As for the C library's `clock_gettime`: `time` is null or points to a timespec.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
-    // SAFETY: the system call checks `time`, which the caller vouches for.
+    // SAFETY: the system call checks `time`, which the caller guarantees to be valid.
     let done = unsafe { libc::syscall(libc::SYS_clock_gettime, clock as c_long, time) } as c_int;
     if done == 0 && clock == libc::CLOCK_REALTIME && !time.is_null() {
-        // SAFETY: the caller says that a pointer that is not null points to a timespec.
+        // SAFETY: the caller guarantees that a pointer that is not null points to a timespec.
         unsafe { (*time).tv_sec += offset_s() };
     }
     done
