--- a/tools/load-generator/src/client.rs
+++ b/tools/load-generator/src/client.rs
@@ -1,13 +1,13 @@
-//! One client's request: its attempts, and what the gateway reported of each.
+//! Requests of clients: their attempts, and the outcome that the gateway reported for each.
 
 use std::time::Duration;
 use tools_shared::{client_config, sha256_hex};
 use ureq::Agent;
 
-/// How long an attempt may take.
+/// Timeout of one attempt.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// The kinds of traffic, each for a service of its own.
+/// The kinds of requests; each goes to a different service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
     /// A read, which may run more than once.
@@ -22,7 +22,7 @@
     /// Every kind, in the order of the report.
     pub const ALL: [Kind; 3] = [Kind::Lookup, Kind::Posting, Kind::Upload];
 
-    /// The service that runs it.
+    /// Returns the service that executes requests of this kind.
     pub fn service(self) -> &'static str {
         match self {
             Kind::Lookup => "catalogue",
@@ -32,50 +32,50 @@
     }
 }
 
-/// What the client learnt of one attempt.
+/// The outcome of one attempt, as far as the client knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// A success came from a target.
+    /// The client received a target's success.
     Ran,
-    /// The gateway says that no target ran it.
+    /// The gateway reported that no target executed the request.
     NotRun,
-    /// Nothing certain.
+    /// A target may have executed the request or not.
     Unknown,
-    /// An earlier attempt with the same key is still in flight.
+    /// The gateway reported that an earlier attempt with the same key is still in flight.
     Pending,
-    /// The connection was refused: nothing was sent.
+    /// No node was ready or the connection was refused, so nothing was sent.
     Unreached,
 }
 
-/// A request with all its attempts.
+/// A request of a client, with the outcomes of all its attempts.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// Sent as `X-Id`.
+    /// The id of the request, sent as `X-Id`.
     pub id: String,
-    /// Decides the service and the checks.
+    /// The kind of the request, which decides its service and the checks.
     pub kind: Kind,
     /// The HTTP method.
     pub method: &'static str,
-    /// Path and query.
+    /// The path and query.
     pub target: String,
-    /// The SHA-256 of the body, in hexadecimal digits.
+    /// The SHA-256 of the request's body, in hexadecimal digits.
     pub digest: String,
-    /// The idempotency key, if it has one.
+    /// The idempotency key; `None` if the request has none.
     pub key: Option<String>,
-    /// One a finished attempt, in their order.
+    /// The outcomes of the finished attempts, in their order.
     pub outcomes: Vec<Outcome>,
-    /// The last response's status; 0 before any.
+    /// The HTTP status of the last response; 0 before the first response.
     pub status: u16,
-    /// How long the first attempt took.
+    /// The duration of the first attempt, in milliseconds.
     pub took_ms: f64,
-    /// What was wrong with a response, if anything was.
-    pub wrong: Option<String>,
-    /// Whether the last response named a time for a retry.
+    /// The first mismatch between a success and the request; `None` if there was none.
+    pub mismatch: Option<String>,
+    /// Whether the last response had a `Retry-After` header.
     pub retry_after: bool,
 }
 
 impl ClientRequest {
-    /// A request with this body that was not sent yet.
+    /// Returns a request with this body that was not sent yet.
     pub fn new(id: String, kind: Kind, method: &'static str, target: String, body: &[u8]) -> Self {
         ClientRequest {
             id,
@@ -87,18 +87,18 @@
             outcomes: Vec::new(),
             status: 0,
             took_ms: 0.0,
-            wrong: None,
+            mismatch: None,
             retry_after: false,
         }
     }
 
-    /// A lookup that was not sent yet.
+    /// Returns a lookup that was not sent yet.
     pub fn lookup(id: String, seed: u64) -> ClientRequest {
         let target = format!("/stock/{id}?q=%20{}", seed % 97);
         ClientRequest::new(id, Kind::Lookup, "GET", target, &[])
     }
 
-    /// Sends it once to one node and records the outcome.
+    /// Sends the request once to one node and records the outcome.
     pub fn attempt(&mut self, agent: &Agent, node: &str, body: &[u8]) {
         let url = format!("http://{node}{}", self.target);
         let connection = if self.kind == Kind::Lookup { "keep-alive" } else { "close" };
@@ -137,8 +137,8 @@
         let body = response.body_mut().with_config().limit(64 << 20).read_to_vec();
         match (reported.as_deref(), body) {
             (Some("ran"), Ok(body)) if self.status == 200 => {
-                let wrong = self.wrong.take();
-                self.wrong = wrong.or_else(|| self.find_wrong(&body, digest.as_deref()));
+                let mismatch = self.mismatch.take();
+                self.mismatch = mismatch.or_else(|| self.find_mismatch(&body, digest.as_deref()));
                 Outcome::Ran
             }
             (None, Ok(_)) if self.status == 200 => Outcome::Ran,
@@ -149,23 +149,28 @@
         }
     }
 
-    /// What is wrong with a success's body, of which the target stated this digest.
-    fn find_wrong(&self, body: &[u8], stated_digest: Option<&str>) -> Option<String> {
+    /// Returns the mismatch of a success's body with the request or with the digest that the target
+    /// stated for the body; `None` if there is none.
+    fn find_mismatch(&self, body: &[u8], stated_digest: Option<&str>) -> Option<String> {
         let text = String::from_utf8_lossy(body);
         if stated_digest != Some(sha256_hex(body).as_str()) {
-            return Some(format!("a body of {} bytes is not whole", body.len()));
+            return Some(format!(
+                "the response body of {} bytes does not match its digest",
+                body.len()
+            ));
         }
         if !text.contains(&format!("\"id\":\"{}\"", self.id)) {
-            return Some("the response is another ask's".into());
+            return Some("the response belongs to another request".into());
         }
         if !text.contains(&format!("\"digest\":\"{}\"", self.digest)) {
-            return Some("the target ran another body".into());
+            return Some("the target ran the request with another body".into());
         }
         None
     }
 }
 
-/// A client of its own, with connections that it reuses for a while.
+/// Returns an HTTP client with connections of its own, which it reuses until they have been idle
+/// for 5 s.
 pub fn agent() -> Agent {
     let config = client_config(ATTEMPT_TIMEOUT)
         .max_redirects(0)
--- a/tools/load-generator/src/request_ledger.rs
+++ b/tools/load-generator/src/request_ledger.rs
@@ -1,4 +1,5 @@
-//! Compares what clients sent and were told of it with what the targets recorded.
+//! Compares the requests that clients sent, and the outcomes that they got, with the executions
+//! that targets recorded.
 
 use crate::client::{ClientRequest, Kind, Outcome};
 use crate::{departing_clients, noisy_neighbour};
@@ -15,32 +16,33 @@
     pub instance: String,
     /// The HTTP method.
     pub method: String,
-    /// The SHA-256 of the body, in hexadecimal digits.
+    /// The SHA-256 of the request's body, in hexadecimal digits.
     pub digest: String,
-    /// Path and query.
+    /// The path and query.
     pub target: String,
 }
 
-/// How many executions beyond the clients' attempts are allowed.
+/// The retry budget: how many executions beyond the clients' attempts are allowed.
 pub struct Budget {
-    /// The length of the run.
+    /// The length of the run, in seconds.
     pub seconds: f64,
-    /// Allowed beyond the share of retries, per kind and second.
+    /// Executions allowed beyond the share of retries, per kind of request and second.
     pub allowance: f64,
-    /// Attempts of the noisy neighbours, whose requests are not compared one by one.
+    /// The number of attempts of the noisy neighbours, whose requests are not compared one by one.
     pub noisy_attempts: usize,
 }
 
-/// One execution beyond the attempts is allowed for so many attempts of a kind.
+/// Number of attempts of a kind for each execution that is allowed beyond them.
 const ATTEMPTS_PER_EXTRA_RUN: f64 = 5.0;
 
-/// The attempts of one kind, and the executions beyond them.
+/// The number of attempts of one kind, and of executions beyond them.
 #[derive(Clone, Copy, Default)]
 struct AttemptCount {
     attempts: usize,
     extra_runs: usize,
 }
 
+/// The executions of each request, by its `X-Id`.
 type RunsById<'a> = HashMap<&'a str, Vec<&'a Run>>;
 
 /// Reads the executions from every file of the targets' records.
@@ -61,8 +63,8 @@
     Ok(runs)
 }
 
-/// Every violation: altered, invented, doubled or falsely reported executions, wrong responses,
-/// and more retries than the budget allows.
+/// Returns every violation: executions that were altered, repeated, falsely reported or not
+/// requested by any client, responses that do not match, and more retries than the budget allows.
 pub fn check(requests: &[ClientRequest], runs: &[Run], budget: &Budget) -> Vec<String> {
     let mut violations = Vec::new();
     let by_id = check_runs(requests, runs, &mut violations);
@@ -75,7 +77,8 @@
     violations
 }
 
-/// Whether each execution is of a request that a client sent, unaltered and at its own service.
+/// Checks that each execution is of a request that a client sent, unaltered and at its service;
+/// returns the executions by request. Noisy neighbours' and departing clients' are left out.
 fn check_runs<'a>(
     requests: &[ClientRequest],
     runs: &'a [Run],
@@ -98,7 +101,10 @@
             || run.method != request.method
             || run.target != request.target
         {
-            violations.push(format!("{} ran {} altered", run.instance, run.id));
+            violations.push(format!(
+                "{} ran {} with an altered method, target or body",
+                run.instance, run.id
+            ));
         }
         let service = run.instance.split('-').next().unwrap_or_default();
         if service != request.kind.service() {
@@ -108,7 +114,7 @@
     by_id
 }
 
-/// Whether the outcomes that a client got agree with the executions of its request.
+/// Checks that the outcomes that a client got agree with the executions of its request.
 fn check_request(request: &ClientRequest, runs: &[&Run], violations: &mut Vec<String>) {
     let (id, outcomes) = (&request.id, &request.outcomes);
     if request.kind != Kind::Lookup && runs.len() > 1 {
@@ -120,17 +126,18 @@
         _ => matches!(outcomes.last(), Some(Outcome::NotRun)),
     };
     if not_run && !outcomes.is_empty() && !runs.is_empty() {
-        violations.push(format!("{id} was told not run, but {} ran it", runs[0].instance));
+        violations.push(format!("{id} was reported as not run, but {} ran it", runs[0].instance));
     }
     if outcomes.contains(&Outcome::Ran) && runs.is_empty() {
-        violations.push(format!("{id} was told a success no target gave"));
+        violations.push(format!("{id} got a success, but no target ran it"));
     }
-    if let Some(wrong) = &request.wrong {
-        violations.push(format!("{id}: {wrong}"));
+    if let Some(mismatch) = &request.mismatch {
+        violations.push(format!("{id}: {mismatch}"));
     }
 }
 
-/// Whether each kind's executions beyond the clients' attempts keep within the retry budget.
+/// Checks that the executions of each kind beyond the clients' attempts are within the retry
+/// budget; prints their numbers.
 fn check_budget(
     requests: &[ClientRequest],
     by_id: &RunsById<'_>,
@@ -155,7 +162,7 @@
     let over = counts.into_iter().filter_map(|(kind, AttemptCount { attempts, extra_runs })| {
         let allowed = attempts as f64 / ATTEMPTS_PER_EXTRA_RUN + budget.allowance * budget.seconds;
         (extra_runs as f64 > allowed).then(|| {
-            format!("{kind:?}: {extra_runs} extra tries for {attempts} asks, over {allowed:.0}")
+            format!("{kind:?}: {extra_runs} extra runs for {attempts} attempts, over {allowed:.0}")
         })
     });
     over.collect()
--- a/tools/load-generator/src/request_ledger/tests.rs
+++ b/tools/load-generator/src/request_ledger/tests.rs
@@ -13,7 +13,7 @@
         outcomes: vec![outcome],
         status: 200,
         took_ms: 1.0,
-        wrong: None,
+        mismatch: None,
         retry_after: false,
     }
 }
@@ -41,23 +41,25 @@
 }
 
 #[test]
-fn each_planted_violation_is_found() {
+fn each_sort_of_violation_is_found() {
     let posting = |outcome| request(Kind::Posting, outcome);
-    let has = |violations: Vec<String>, text: &str| {
+    let expect = |violations: Vec<String>, text: &str| {
         assert!(violations.iter().any(|found| found.contains(text)), "{violations:?}");
     };
-    has(violations(posting(Outcome::Ran), &[run(), run()]), "ran 2 times");
-    has(violations(posting(Outcome::NotRun), &[run()]), "told not run");
-    has(violations(posting(Outcome::Ran), &[]), "no target gave");
-    has(violations(posting(Outcome::Ran), &[Run { id: "b".into(), ..run() }]), "no client sent");
-    has(violations(posting(Outcome::Ran), &[Run { digest: "e".into(), ..run() }]), "altered");
-    has(violations(posting(Outcome::Ran), &[Run { target: "/u".into(), ..run() }]), "altered");
+    expect(violations(posting(Outcome::Ran), &[run(), run()]), "ran 2 times");
+    expect(violations(posting(Outcome::NotRun), &[run()]), "reported as not run");
+    expect(violations(posting(Outcome::Ran), &[]), "no target ran it");
+    expect(violations(posting(Outcome::Ran), &[Run { id: "b".into(), ..run() }]), "no client sent");
+    expect(violations(posting(Outcome::Ran), &[Run { digest: "e".into(), ..run() }]), "altered");
+    expect(violations(posting(Outcome::Ran), &[Run { target: "/u".into(), ..run() }]), "altered");
     let misrouted = Run { instance: "photos-1".into(), ..run() };
-    has(violations(posting(Outcome::Ran), &[misrouted]), "another service");
-    let truncated =
-        ClientRequest { wrong: Some("a body is not whole".into()), ..posting(Outcome::Ran) };
-    has(violations(truncated, &[run()]), "not whole");
+    expect(violations(posting(Outcome::Ran), &[misrouted]), "another service");
+    let truncated = ClientRequest {
+        mismatch: Some("the body does not match its digest".into()),
+        ..posting(Outcome::Ran)
+    };
+    expect(violations(truncated, &[run()]), "does not match its digest");
     let lookup = request(Kind::Lookup, Outcome::Ran);
     let again = Run { instance: "catalogue-1".into(), ..run() };
-    has(violations(lookup, &[again.clone(), again.clone(), again]), "extra tries");
+    expect(violations(lookup, &[again.clone(), again.clone(), again]), "extra runs");
 }
--- a/tools/load-generator/src/workload.rs
+++ b/tools/load-generator/src/workload.rs
@@ -1,5 +1,5 @@
-//! The scheduled load: an open loop in which each item is sent at its due time, whether or not
-//! earlier ones have ended.
+//! The scheduled load: an open loop in which each item is sent at its due time, even if earlier
+//! ones have not ended.
 
 use crate::cli::Cli;
 use crate::client::{ClientRequest, Kind, Outcome, agent};
@@ -12,40 +12,42 @@
 use tools_shared::mix;
 use ureq::Agent;
 
-/// Lookups a second past the gateway.
+/// Lookups per second that are sent directly to a target, past the gateway.
 const DIRECT_PER_S: f64 = 10.0;
-/// The attempts of a request where no retry storm is wanted.
+/// Maximum number of attempts of a request outside retry storms.
 const MAX_ATTEMPTS: u32 = 4;
-/// The wait between two attempts where no retry storm is wanted.
+/// Pause between two attempts of a request outside retry storms.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// All that the scheduled load's clients sent and got.
+/// The requests and calls of the scheduled load, with their outcomes.
 #[derive(Default)]
 pub struct LoadResults {
-    /// Requests through the gateway.
+    /// The requests through the gateway.
     pub requests: Vec<ClientRequest>,
-    /// Coordination calls.
+    /// The coordination calls.
     pub calls: Vec<CompletedCall>,
-    /// Lookups past the gateway.
+    /// The lookups that were sent directly to a target, past the gateway.
     pub direct: Vec<ClientRequest>,
-    /// How long it took.
+    /// The duration of the load, in seconds.
     pub seconds: f64,
 }
 
+/// The kind of an item of the load.
 #[derive(Clone, Copy)]
 enum Work {
     Request(Kind),
-    /// A lookup past the gateway, to compare.
+    /// A lookup that is sent directly to a target, to compare its latency with the gateway's.
     Direct,
     Call,
 }
 
 struct ScheduledWork {
+    /// When the item is due, in seconds from the start of the load.
     due_s: f64,
     work: Work,
 }
 
-/// The load in the order of its due times; workers take one item after another.
+/// The items of the load in the order of their due times. Each worker takes the next one.
 struct Schedule {
     items: Vec<ScheduledWork>,
     next: AtomicU64,
@@ -73,14 +75,14 @@
         Schedule { items, next: AtomicU64::new(0) }
     }
 
-    /// The next item and its number.
+    /// Returns the next item and its number; `None` if all items were taken.
     fn take(&self) -> Option<(u64, &ScheduledWork)> {
         let number = self.next.fetch_add(1, Relaxed);
         self.items.get(number as usize).map(|item| (number, item))
     }
 }
 
-/// Sends the load with the command line's number of workers, and returns after its end.
+/// Sends the load with the command line's number of workers; returns the results after its end.
 pub fn run(cli: &Arc<Cli>, nodes: &Arc<Nodes>) -> LoadResults {
     let schedule = Arc::new(Schedule::new(cli));
     let results = Arc::new(Mutex::new(LoadResults::default()));
@@ -94,11 +96,11 @@
                 let agent = agent();
                 let worker =
                     Worker { cli: &cli, nodes: &nodes, agent: &agent, lock_owners: &lock_owners };
-                let mut own = worker.run(&schedule, start);
+                let mut worker_results = worker.run(&schedule, start);
                 if let Ok(mut all) = results.lock() {
-                    all.requests.append(&mut own.requests);
-                    all.calls.append(&mut own.calls);
-                    all.direct.append(&mut own.direct);
+                    all.requests.append(&mut worker_results.requests);
+                    all.calls.append(&mut worker_results.calls);
+                    all.direct.append(&mut worker_results.direct);
                 }
             })
         })
@@ -111,7 +113,7 @@
     all
 }
 
-/// One thread of the load.
+/// One thread that sends the load.
 struct Worker<'a> {
     cli: &'a Cli,
     nodes: &'a Nodes,
@@ -136,7 +138,7 @@
         results
     }
 
-    /// A lookup that is sent straight to a target by the same client.
+    /// Sends a lookup directly to a target, with the same HTTP client as for the gateway.
     fn direct(&self, number: u64) -> Option<ClientRequest> {
         let address = self.cli.direct.as_deref()?;
         let id = format!("{:x}-direct-{number}", self.cli.seed);
@@ -147,7 +149,7 @@
         Some(request)
     }
 
-    /// A request through the gateway with all its attempts.
+    /// Sends a request through the gateway, with all its attempts.
     fn request(&self, kind: Kind, number: u64, seed: u64) -> ClientRequest {
         let id = format!("{:x}-{number}", self.cli.seed);
         let (mut request, body) = self.new_request(kind, id, seed);
@@ -156,12 +158,12 @@
         let start = Instant::now();
         let storm = self.cli.storm > 0;
         let max_attempts = if storm { self.cli.storm } else { MAX_ATTEMPTS };
-        for turn in 0..max_attempts {
-            match self.nodes.pick(seed.wrapping_add(u64::from(turn))) {
+        for attempt_number in 0..max_attempts {
+            match self.nodes.pick(seed.wrapping_add(u64::from(attempt_number))) {
                 Some(node) => request.attempt(self.agent, node, &body),
                 None => request.outcomes.push(Outcome::Unreached),
             }
-            if turn == 0 {
+            if attempt_number == 0 {
                 request.took_ms = start.elapsed().as_secs_f64() * 1_000.0;
             }
             let is_retried = match request.outcomes.last() {
@@ -180,7 +182,7 @@
         request
     }
 
-    /// A request of this kind that was not sent yet, and its body.
+    /// Returns a request of this kind that was not sent yet, and its body.
     fn new_request(&self, kind: Kind, id: String, seed: u64) -> (ClientRequest, Vec<u8>) {
         let (method, target, body) = match kind {
             Kind::Lookup => return (ClientRequest::lookup(id, seed), Vec::new()),
