--- a/tools/load-generator/src/coordination_calls.rs
+++ b/tools/load-generator/src/coordination_calls.rs
@@ -1,4 +1,4 @@
-//! Coordination calls: numbers, locks and keys, each recorded as its client observed it.
+//! Coordination calls on numbers, locks and keys, each recorded as its client observed it.
 
 use crate::nodes::Nodes;
 use std::collections::HashMap;
@@ -8,124 +8,129 @@
 use tools_shared::mix;
 use ureq::Agent;
 
+/// The zero of the times of calls: the first use of the clock.
 static START: LazyLock<Instant> = LazyLock::new(Instant::now);
-/// How many names of each sort the clients contend for.
-const NAMES: u64 = 4;
-/// How long a lock lasts that nobody releases.
+/// Number of number sequences, of locks and of keys that the clients contend for.
+const RESOURCES_PER_KIND: u64 = 4;
+/// Time to live of a lock that is not released, in milliseconds.
 const TTL_MS: u64 = 3_000;
-/// Before its end by this much, an owner counts on its lock no more.
+/// Margin before a lock's expiry from which its owner no longer relies on it, in milliseconds.
 const TTL_MARGIN_MS: u64 = 500;
-/// How long an owner keeps a lock.
+/// Time between the grant and the release of a lock.
 const LOCKED_TIME: Duration = Duration::from_millis(15);
-/// What stands in `LockOwners` while nobody owns a lock.
-const NOBODY: u64 = 0;
+/// The value in `LockOwners` for a lock without an owner.
+const NO_OWNER: u64 = 0;
 
+/// Returns the milliseconds since `START`.
 fn now_ms() -> f64 {
     START.elapsed().as_secs_f64() * 1_000.0
 }
 
-/// What a call's client got.
+/// The result that a call returned to its client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallResult {
-    /// The next of a row of numbers.
+    /// The next number of a sequence.
     Number(u64),
-    /// A put based on one revision, which made another.
+    /// A put that replaced one revision of a key and created another.
     Put {
-        /// The revision that the put replaced.
+        /// The revision that the put replaced; 0 if the key was absent.
         base: u64,
-        /// The revision that it made.
+        /// The revision that the put created.
         revision: u64,
     },
-    /// A read of a key at this revision; 0 if the key is absent.
+    /// A read of a key.
     Read {
-        /// The key's revision.
+        /// The revision of the key; 0 if the key is absent.
         revision: u64,
     },
-    /// A lock granted with this fencing token.
+    /// A lock that was granted to the client.
     Locked {
-        /// The fencing token.
+        /// The fencing token of the grant.
         fence: u64,
     },
-    /// A lock granted while another client still owned it.
+    /// A lock that was granted to two clients at overlapping times.
     Overlap,
-    /// Neither of these.
+    /// No response, an error, or a refusal.
     Nothing,
 }
 
-/// One call from its start to its end, by the load generator's clock.
+/// One call that has ended. Its times are in milliseconds of the load generator's clock.
 #[derive(Clone, Debug)]
 pub struct CompletedCall {
-    /// The resource's path.
+    /// The path of the resource, as `numbers/n0`.
     pub name: String,
     /// When the call started.
     pub start_ms: f64,
-    /// When it ended.
+    /// When the call ended.
     pub end_ms: f64,
-    /// Whether the gateway answered it.
+    /// Whether the client got a usable answer: the value itself for a number or a read, any
+    /// response for a lock or a put.
     pub answered: bool,
-    /// What the client got.
+    /// The result that the client got.
     pub result: CallResult,
 }
 
 impl CompletedCall {
-    /// How long the call took.
+    /// Returns the duration of the call, in milliseconds.
     pub fn took_ms(&self) -> f64 {
         self.end_ms - self.start_ms
     }
 }
 
-/// How one call went.
+/// The response and the result of one call.
 struct CallOutcome {
     answered: bool,
     result: CallResult,
 }
 
 impl CallOutcome {
-    /// An answered call with this result; without one, a call that got no usable answer.
-    fn of(result: Option<CallResult>) -> CallOutcome {
+    /// Returns the outcome of an answered call with this result; if there is none, the outcome of a
+    /// call without a usable answer.
+    fn new(result: Option<CallResult>) -> CallOutcome {
         CallOutcome { answered: result.is_some(), result: result.unwrap_or(CallResult::Nothing) }
     }
 }
 
-/// The owner of each lock as the clients of this process know it, by the seed of its call.
+/// The owner of each lock, as the clients of this process know it. An owner is identified by the
+/// seed of its call.
 #[derive(Default)]
 pub struct LockOwners {
-    owners: [AtomicU64; NAMES as usize],
+    owners: [AtomicU64; RESOURCES_PER_KIND as usize],
 }
 
-/// A response with the fields of its flat JSON object.
+/// A response whose body is a flat JSON object, with the object's fields.
 struct Response {
     status: u16,
     fields: HashMap<String, String>,
 }
 
 impl Response {
-    /// A field of a success that is a number.
+    /// Returns a numeric field of a success; `None` for other statuses or without such a field.
     fn number(&self, field: &str) -> Option<u64> {
         (self.status == 200).then(|| self.fields.get(field)?.parse().ok())?
     }
 
-    /// A key's revision; 0 if it is absent.
+    /// Returns the revision of a key, 0 if the key is absent; `None` for other responses.
     fn revision(&self) -> Option<u64> {
         self.number("revision").or((self.status == 404).then_some(0))
     }
 }
 
-/// The client of one thread.
+/// The coordination client of one thread.
 pub struct Caller<'a> {
-    /// Where calls are sent.
+    /// The nodes to which calls are sent.
     pub nodes: &'a Nodes,
-    /// Sends them.
+    /// The HTTP client that sends calls.
     pub agent: &'a Agent,
-    /// Shared by all clients.
+    /// The owners of the locks, shared by all clients.
     pub lock_owners: &'a LockOwners,
 }
 
 impl Caller<'_> {
-    /// One call that the seed decides; `None` while no node is ready.
+    /// Makes one call, whose kind and resource the seed decides; `None` while no node is ready.
     pub fn call(&self, seed: u64) -> Option<CompletedCall> {
         let node = self.nodes.pick(seed)?;
-        let index = (mix(seed) % NAMES) as usize;
+        let index = (mix(seed) % RESOURCES_PER_KIND) as usize;
         let key = format!("{seed:x}");
         let start_ms = now_ms();
         let (name, CallOutcome { answered, result }) = match seed % 4 {
@@ -133,7 +138,7 @@
                 let name = format!("numbers/n{index}");
                 let response = self.send(node, "POST", &name, "", &key);
                 let number = response.and_then(|response| response.number("number"));
-                (name, CallOutcome::of(number.map(CallResult::Number)))
+                (name, CallOutcome::new(number.map(CallResult::Number)))
             }
             1 => {
                 let name = format!("locks/l{index}");
@@ -144,7 +149,7 @@
                 let name = format!("keys/k{index}");
                 let response = self.send(node, "GET", &name, "", &key);
                 let revision = response.and_then(|response| response.revision());
-                (name, CallOutcome::of(revision.map(|revision| CallResult::Read { revision })))
+                (name, CallOutcome::new(revision.map(|revision| CallResult::Read { revision })))
             }
             _ => {
                 let name = format!("keys/k{index}");
@@ -155,7 +160,7 @@
         Some(CompletedCall { name, start_ms, end_ms: now_ms(), answered, result })
     }
 
-    /// `None` if no response arrived.
+    /// Sends one request to a node; `None` if no complete response arrived.
     fn send(
         &self,
         node: &str,
@@ -182,11 +187,11 @@
         Some(Response { status, fields: fields.collect() })
     }
 
-    /// Reads a key and replaces the revision that it found.
+    /// Reads a key and puts a value that replaces the revision just read.
     fn put(&self, node: &str, name: &str, seed: u64) -> CallOutcome {
         let found = self.send(node, "GET", name, "", "");
         let Some(base) = found.and_then(|response| response.revision()) else {
-            return CallOutcome::of(None);
+            return CallOutcome::new(None);
         };
         let body = format!("{{\"value\":\"{seed:x}\",\"revision\":{base}}}");
         let put = self.send(node, "PUT", name, &body, &format!("{seed:x}"));
@@ -196,9 +201,9 @@
         CallOutcome { answered: put.is_some(), result }
     }
 
-    /// Takes a lock, owns it for a while, and releases it.
+    /// Acquires a lock, keeps it for `LOCKED_TIME`, and releases it.
     fn lock(&self, name: &str, index: usize, seed: u64) -> CallOutcome {
-        let Some(node) = self.nodes.pick(seed) else { return CallOutcome::of(None) };
+        let Some(node) = self.nodes.pick(seed) else { return CallOutcome::new(None) };
         let sent_at = Instant::now();
         let body = format!("{{\"holder\":\"{seed:x}\",\"ttlMs\":{TTL_MS}}}");
         let response = self.send(node, "POST", name, &body, &format!("{seed:x}"));
@@ -209,12 +214,12 @@
         let owner = &self.lock_owners.owners[index];
         let mut result = CallResult::Locked { fence };
         if sent_at.elapsed() < safe {
-            if owner.swap(seed, SeqCst) != NOBODY {
+            if owner.swap(seed, SeqCst) != NO_OWNER {
                 result = CallResult::Overlap;
             }
             std::thread::sleep(LOCKED_TIME);
             let is_safe = sent_at.elapsed() < safe;
-            let is_own = owner.compare_exchange(seed, NOBODY, SeqCst, SeqCst).is_ok();
+            let is_own = owner.compare_exchange(seed, NO_OWNER, SeqCst, SeqCst).is_ok();
             if is_safe && !is_own {
                 result = CallResult::Overlap;
             }
--- a/tools/load-generator/src/coordination_check.rs
+++ b/tools/load-generator/src/coordination_check.rs
@@ -1,10 +1,11 @@
-//! Whether a history of coordination calls is one that the gateway promises.
+//! The check that a history of coordination calls keeps the gateway's guarantees.
 
 use crate::coordination_calls::{CallResult, CompletedCall};
 use std::collections::HashMap;
 
-/// Locks never overlap, fences and numbers only rise, no read is older than an acknowledged write,
-/// and no two puts replace the same revision.
+/// Returns the violations of these guarantees: locks never overlap, fencing tokens and numbers only
+/// increase, no read is older than an acknowledged write, and no two puts replace the same
+/// revision.
 pub fn check(calls: &[CompletedCall]) -> Vec<String> {
     let mut violations = Vec::new();
     let mut by_name: HashMap<&str, Vec<&CompletedCall>> = HashMap::new();
@@ -18,28 +19,28 @@
             match call.result {
                 CallResult::Put { base, .. } => *puts_on.entry(base).or_default() += 1,
                 CallResult::Overlap => {
-                    violations.push(format!("{name}: two held the lock at once"))
+                    violations.push(format!("{name}: two clients owned the lock at the same time"))
                 }
                 _ => {}
             }
         }
         for (base, count) in puts_on.into_iter().filter(|(_, count)| *count > 1) {
-            violations.push(format!("{name}: {count} puts left from revision {base}"));
+            violations.push(format!("{name}: {count} puts replaced revision {base}"));
         }
     }
     violations
 }
 
-/// A value that a call observed.
+/// The value that a call observed: a number, a fencing token or a revision.
 #[derive(Clone, Copy)]
 struct Observation {
     value: u64,
-    /// Whether the call made the value, so that no earlier call may have observed it.
+    /// Whether the call created the value, so that no earlier call may have observed it.
     is_new: bool,
 }
 
 impl Observation {
-    fn of(call: &CompletedCall) -> Option<Observation> {
+    fn from_call(call: &CompletedCall) -> Option<Observation> {
         let (value, is_new) = match call.result {
             CallResult::Number(value) => (value, true),
             CallResult::Locked { fence } => (fence, true),
@@ -51,11 +52,11 @@
     }
 }
 
-/// What a call observed is not below what an earlier one, which ended before it started, observed;
-/// and what a write made is above.
+/// Checks that each call observed at least the highest value of the calls that ended before it
+/// started, and a higher one if the call created its value.
 fn check_order(name: &str, calls: &[&CompletedCall], violations: &mut Vec<String>) {
     let mut by_start: Vec<(&CompletedCall, Observation)> =
-        calls.iter().filter_map(|call| Some((*call, Observation::of(call)?))).collect();
+        calls.iter().filter_map(|call| Some((*call, Observation::from_call(call)?))).collect();
     let mut by_end = by_start.clone();
     by_start.sort_by(|(a, _), (b, _)| a.start_ms.total_cmp(&b.start_ms));
     by_end.sort_by(|(a, _), (b, _)| a.end_ms.total_cmp(&b.end_ms));
@@ -66,7 +67,10 @@
             highest = highest.max(earlier.value);
         }
         if observed.value < highest || (observed.is_new && observed.value == highest) {
-            violations.push(format!("{name}: {} after {highest} was told", observed.value));
+            violations.push(format!(
+                "{name}: a call observed {} after an earlier call had observed {highest}",
+                observed.value
+            ));
         }
     }
 }
--- a/tools/load-generator/src/coordination_check/tests.rs
+++ b/tools/load-generator/src/coordination_check/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn planted_bad_histories_are_found_and_good_ones_are_not() {
+fn inconsistent_histories_are_violations_and_consistent_ones_are_not() {
     let good = [
         call(0.0, 2.0, CallResult::Number(2)),
         call(1.0, 3.0, CallResult::Number(1)),
--- a/tools/load-generator/src/key_watch.rs
+++ b/tools/load-generator/src/key_watch.rs
@@ -1,4 +1,4 @@
-//! A watch on all keys, and the check that it misses and repeats nothing.
+//! A watch on all keys, and the check that it neither misses nor repeats a revision.
 
 use crate::client::agent;
 use crate::coordination_calls::{CallResult, CompletedCall};
@@ -9,28 +9,28 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// What the watch received.
+/// The revisions that the watch received, and where it started and ended.
 #[derive(Default)]
 pub struct WatchedRevisions {
     /// The revisions in the order of their arrival.
     pub revisions: Vec<u64>,
-    /// The revision after which the watch follows.
+    /// The revision after which the watch must receive every put.
     pub from: u64,
-    /// Whether the gateway refused to continue it, since its position is no longer retained.
+    /// Whether the gateway refused to continue the watch, since it no longer retains the position.
     pub too_old: bool,
 }
 
-/// Watches all keys until the run has ended, at one node after another.
+/// Starts a thread that watches all keys until the run has ended, polling one node after another.
 pub fn start(nodes: &Arc<Nodes>, run_ended: &Arc<AtomicBool>) -> JoinHandle<WatchedRevisions> {
     let (nodes, run_ended) = (nodes.clone(), run_ended.clone());
     thread::spawn(move || {
         let mut watched = WatchedRevisions::default();
         let mut after: Option<u64> = None;
         let agent = agent();
-        let mut turn = 0;
+        let mut poll = 0;
         while !run_ended.load(Relaxed) {
-            turn += 1;
-            let Some(node) = nodes.pick(turn) else {
+            poll += 1;
+            let Some(node) = nodes.pick(poll) else {
                 thread::sleep(Duration::from_millis(100));
                 continue;
             };
@@ -62,7 +62,7 @@
     })
 }
 
-/// Every number that stands in a field of this name.
+/// Returns the numbers in all fields of this name, in their order.
 fn numbers(json: &str, field: &str) -> Vec<u64> {
     let start = format!("\"{field}\":");
     json.split(start.as_str())
@@ -71,14 +71,16 @@
         .collect()
 }
 
-/// Revisions rise without repeats, and no acknowledged put is missing.
+/// Returns the violations of these guarantees: received revisions increase without repeats, and no
+/// acknowledged put is missing.
 pub fn check(watched: &WatchedRevisions, calls: &[CompletedCall]) -> Vec<String> {
     let mut violations = Vec::new();
     if watched.too_old {
-        violations.push("the watch was told too old while it followed".to_string());
+        violations
+            .push("the gateway refused to continue the watch: its position is too old".to_string());
     }
     if watched.revisions.windows(2).any(|pair| pair[0] >= pair[1]) {
-        violations.push("the watch was told a revision twice or out of order".to_string());
+        violations.push("the watch received a revision twice or out of order".to_string());
     }
     let received: BTreeSet<u64> = watched.revisions.iter().copied().collect();
     for call in calls {
@@ -86,7 +88,7 @@
             && revision > watched.from
             && !received.contains(&revision)
         {
-            violations.push(format!("the watch was never told of revision {revision}"));
+            violations.push(format!("the watch never received revision {revision}"));
         }
     }
     violations
--- a/tools/load-generator/src/key_watch/tests.rs
+++ b/tools/load-generator/src/key_watch/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn gaps_and_repeats_are_found() {
+fn missing_and_repeated_revisions_are_violations() {
     let put = |revision| CompletedCall {
         name: "k".into(),
         start_ms: 0.0,
