--- a/tools/load-generator/src/departing_clients.rs
+++ b/tools/load-generator/src/departing_clients.rs
@@ -1,5 +1,5 @@
-//! Clients that close their connection before their response, and the check that no target works
-//! on for them.
+//! Clients that close their connection before their response, and the check that targets stop
+//! working for them.
 
 use crate::nodes::Nodes;
 use socket2::SockRef;
@@ -12,56 +12,60 @@
 use std::time::{Duration, Instant};
 use tools_shared::{ExecutionRecord, mix, wall_ms};
 
-/// Work for a departed client may last so much longer: the close has to reach the target.
+/// Time after a client's departure for which its work may continue, in milliseconds: the close of
+/// the connection must reach the target.
 const GRACE_MS: u64 = 500;
-/// Requests that may reach a target later than that: a few, in one run.
+/// Number of requests in one run that may reach a target later than `GRACE_MS` after the departure.
 const LATE_STARTS_ALLOWED: usize = 3;
-/// Of works that would have lasted longer, at most one in so many may do so.
-const ONE_IN: usize = 4;
-/// How long a target would work on such a request.
+/// Number of works in flight at their clients' departures for each one that may last longer than
+/// `GRACE_MS` after it.
+const IN_FLIGHT_PER_OVERRUN: usize = 4;
+/// Time for which a target works on a request whose client stays, in milliseconds.
 const WORK_MS: u64 = 2_000;
-/// When a target breaks off, for every other request.
+/// Time after which a target aborts the work on every other request, in milliseconds.
 const BREAK_MS: u64 = 900;
-/// A client departs after at least so long, and after less than so much more.
-const STAY_MIN_MS: u64 = 20;
-const STAY_SPREAD_MS: u64 = 400;
-/// Starts the id of each of these clients' requests.
+/// Shortest time from a request to its client's departure, in milliseconds.
+const DEPARTURE_MIN_MS: u64 = 20;
+/// Range of the random part of the time to the departure, in milliseconds.
+const DEPARTURE_SPREAD_MS: u64 = 400;
+/// Prefix of the ids of departing clients' requests.
 pub const ID_PREFIX: &str = "leaver-";
 
-/// One client that departed.
+/// The departure of one client.
 #[derive(Clone, Debug)]
 pub struct Departure {
-    /// The `X-Id` of its request.
+    /// The `X-Id` of the client's request.
     pub id: String,
-    /// When it departed, on the wall clock, as targets record their work.
+    /// When the client departed, in milliseconds of the wall clock, by which targets record work.
     pub at_ms: u64,
 }
 
-/// What a target recorded of one such request.
+/// The work of a target on the request of a departing client, as the target recorded it.
 #[derive(Clone, Debug)]
 pub struct TargetWork {
     /// The request's `X-Id`.
     pub id: String,
-    /// When the work started, on the wall clock.
+    /// When the work started, in milliseconds of the wall clock.
     pub started_ms: u64,
-    /// When it ended; `None` while it lasts.
+    /// When the work ended, in milliseconds of the wall clock; `None` if no end was recorded.
     pub ended_ms: Option<u64>,
 }
 
-/// What became of the requests of departed clients.
+/// The number of departed clients, and of the works on their requests by their timing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
-    /// Clients that departed.
+    /// The number of clients that departed.
     pub departed: usize,
-    /// Works that were in flight when the client departed.
+    /// The number of works that were in flight at the departure or started within `GRACE_MS` of it.
     pub in_flight: usize,
-    /// Of those, the ones that lasted beyond the grace.
+    /// The number of the works in flight that lasted longer than `GRACE_MS` after the departure.
     pub overran: usize,
-    /// Works that started later than that.
+    /// The number of works that started later than `GRACE_MS` after the departure.
     pub started_late: usize,
 }
 
-/// Sends so many lookups a second whose clients depart, one in three with a reset.
+/// Starts clients that send this many lookups per second and depart, one in three with a reset,
+/// until the load has ended. The thread returns their departures.
 pub fn start(
     per_s: f64,
     nodes: &Arc<Nodes>,
@@ -83,28 +87,29 @@
     })
 }
 
-/// Sends one lookup, waits a while, and closes; `None` if the lookup couldn't be sent.
+/// Sends one lookup, waits for a random time, and closes the connection; `None` if the lookup could
+/// not be sent.
 fn run_client(nodes: &Nodes, number: u64) -> Option<Departure> {
     let seed = mix(number);
     let id = format!("{ID_PREFIX}{number}");
     let mut stream = TcpStream::connect(nodes.pick(seed)?).ok()?;
-    let breaks = if number.is_multiple_of(2) {
+    let break_header = if number.is_multiple_of(2) {
         format!("X-Break-Ms: {BREAK_MS}\r\n")
     } else {
         String::new()
     };
     let head = format!(
-        "GET /stock/{id} HTTP/1.1\r\nHost: h\r\nX-Id: {id}\r\nX-Work-Ms: {WORK_MS}\r\n{breaks}\r\n"
+        "GET /stock/{id} HTTP/1.1\r\nHost: h\r\nX-Id: {id}\r\nX-Work-Ms: {WORK_MS}\r\n{break_header}\r\n"
     );
     stream.write_all(head.as_bytes()).ok()?;
-    thread::sleep(Duration::from_millis(STAY_MIN_MS + seed % STAY_SPREAD_MS));
+    thread::sleep(Duration::from_millis(DEPARTURE_MIN_MS + seed % DEPARTURE_SPREAD_MS));
     let linger = seed.is_multiple_of(3).then_some(Duration::ZERO);
     SockRef::from(&stream).set_linger(linger).ok()?;
     drop(stream);
     Some(Departure { id, at_ms: wall_ms() })
 }
 
-/// What targets recorded of departing clients: works that started, and when they ended.
+/// Reads the works on departing clients' requests from every file of the targets' records.
 ///
 /// # Errors
 /// When the folder or a file in it can't be read.
@@ -131,7 +136,7 @@
     Ok(works)
 }
 
-/// Compares when clients departed with when targets worked for them.
+/// Compares the times of departures with the times of the targets' works.
 pub fn summarize(departures: &[Departure], works: &[TargetWork]) -> Summary {
     let departed_ms: HashMap<&str, u64> =
         departures.iter().map(|departure| (departure.id.as_str(), departure.at_ms)).collect();
@@ -149,7 +154,7 @@
     summary
 }
 
-/// The violations of the users' rule that no work goes on for a departed client.
+/// Returns the violations of the users' rule that no target keeps working for a departed client.
 pub fn check(summary: &Summary) -> Vec<String> {
     let mut violations = Vec::new();
     if summary.started_late > LATE_STARTS_ALLOWED {
@@ -158,9 +163,9 @@
             summary.started_late
         ));
     }
-    if summary.overran * ONE_IN > summary.in_flight {
+    if summary.overran * IN_FLIGHT_PER_OVERRUN > summary.in_flight {
         violations.push(format!(
-            "targets worked on for over {GRACE_MS} ms for {} of {} clients that had left",
+            "targets kept working for over {GRACE_MS} ms for {} of {} clients that had left",
             summary.overran, summary.in_flight
         ));
     }
--- a/tools/load-generator/src/main.rs
+++ b/tools/load-generator/src/main.rs
@@ -1,4 +1,5 @@
-//! Traffic of all kinds at given rates, and the checks that show whether any promise was broken.
+//! Sends traffic of all kinds at given rates through the gateway, and checks that the gateway kept
+//! its guarantees.
 
 #![deny(missing_docs)]
 
@@ -25,11 +26,10 @@
 use std::thread;
 use std::time::Duration;
 
-/// After the load's end, this long remains for executions that outlast their clients to be
-/// recorded.
+/// Wait after the load's end, in which targets record executions that outlast their clients.
 const SETTLING_TIME: Duration = Duration::from_secs(3);
 
-/// What all clients of one run got.
+/// The results that all clients of one run observed.
 struct Observed {
     load: workload::LoadResults,
     departures: Vec<departing_clients::Departure>,
@@ -39,18 +39,18 @@
 
 fn main() -> ExitCode {
     let cli = Arc::new(Cli::parse_args_default_or_exit());
-    let unreadable = |file: &str, error: io::Error| {
+    let report_unreadable = |file: &str, error: io::Error| {
         eprintln!("{file}: {error}");
         ExitCode::from(2)
     };
     let nodes = match Nodes::read(&cli.nodes) {
         Ok(nodes) => Arc::new(nodes),
-        Err(error) => return unreadable(&cli.nodes, error),
+        Err(error) => return report_unreadable(&cli.nodes, error),
     };
     let observed = drive(&cli, &nodes);
     let runs = match request_ledger::read_runs(&cli.records) {
         Ok(runs) => runs,
-        Err(error) => return unreadable(&cli.records, error),
+        Err(error) => return report_unreadable(&cli.records, error),
     };
     let violations = check(&cli, &observed, &runs);
     report::print(&observed.load, &runs, &violations);
@@ -82,7 +82,8 @@
     Observed { load, departures, watched, noisy }
 }
 
-/// Every violation of the run; what the departing clients and the noisy neighbours got is printed.
+/// Returns every violation of the run, and prints the results of the departing clients and of the
+/// noisy neighbours.
 fn check(cli: &Cli, observed: &Observed, runs: &[request_ledger::Run]) -> Vec<String> {
     let load = &observed.load;
     let noisy_attempts = observed.noisy.attempts.load(Relaxed) as usize;
--- a/tools/load-generator/src/nodes.rs
+++ b/tools/load-generator/src/nodes.rs
@@ -1,4 +1,4 @@
-//! The data nodes and their readiness.
+//! The data nodes, their readiness, and the choice of a node for each connection.
 
 use std::sync::RwLock;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::Relaxed};
@@ -6,7 +6,7 @@
 use tools_shared::client_config;
 use ureq::Agent;
 
-/// How long a node may take to report its readiness.
+/// Timeout of a request for a node's readiness.
 const READINESS_TIMEOUT: Duration = Duration::from_millis(300);
 
 struct Node {
@@ -15,15 +15,18 @@
     ready: AtomicBool,
 }
 
-/// Stands in for the platform: clients' connections are spread over the ready nodes of their zone.
+/// The data nodes. As the platform does, they spread clients' connections over the ready nodes of
+/// the client's zone.
 pub struct Nodes {
     nodes: Vec<Node>,
     zones: RwLock<Vec<String>>,
-    turn: AtomicUsize,
+    /// The number of picks so far, by which picks take the nodes of a zone in turn.
+    round_robin: AtomicUsize,
 }
 
 impl Nodes {
-    /// Reads a file of lines with a zone and an address each; no node counts as ready yet.
+    /// Reads the nodes from a file with a zone and an address on each line; no node counts as ready
+    /// before its first poll.
     ///
     /// # Errors
     /// When the file can't be read.
@@ -41,7 +44,7 @@
         let mut zones: Vec<String> = nodes.iter().map(|node| node.zone.clone()).collect();
         zones.sort();
         zones.dedup();
-        Ok(Nodes { nodes, zones: RwLock::new(zones), turn: AtomicUsize::new(0) })
+        Ok(Nodes { nodes, zones: RwLock::new(zones), round_robin: AtomicUsize::new(0) })
     }
 
     /// Polls the nodes' readiness until the run has ended.
@@ -62,7 +65,7 @@
         }
     }
 
-    /// Returns shortly after the first node became ready.
+    /// Waits until a node is ready, and 300 ms more.
     pub fn wait_ready(&self) {
         while !self.nodes.iter().any(|node| node.ready.load(Relaxed)) {
             std::thread::sleep(Duration::from_millis(50));
@@ -70,18 +73,19 @@
         std::thread::sleep(Duration::from_millis(300));
     }
 
-    /// A ready node of a zone drawn by `seed`; of another zone when its own has none.
+    /// Returns the address of a ready node in the zone that `seed` decides, or in any zone if that
+    /// zone has no ready node; `None` if no node is ready.
     pub fn pick(&self, seed: u64) -> Option<&str> {
         let zones = self.zones.read().ok()?;
         let zone = &zones[seed as usize % zones.len()];
         let ready = |node: &&Node| node.ready.load(Relaxed);
-        let near: Vec<&Node> =
+        let in_zone: Vec<&Node> =
             self.nodes.iter().filter(ready).filter(|node| node.zone == *zone).collect();
-        let all: Vec<&Node> = match near.is_empty() {
+        let candidates: Vec<&Node> = match in_zone.is_empty() {
             true => self.nodes.iter().filter(ready).collect(),
-            false => near,
+            false => in_zone,
         };
-        let turn = self.turn.fetch_add(1, Relaxed);
-        all.get(turn % all.len().max(1)).map(|node| node.address.as_str())
+        let round_robin = self.round_robin.fetch_add(1, Relaxed);
+        candidates.get(round_robin % candidates.len().max(1)).map(|node| node.address.as_str())
     }
 }
--- a/tools/load-generator/src/noisy_neighbour.rs
+++ b/tools/load-generator/src/noisy_neighbour.rs
@@ -1,4 +1,4 @@
-//! Noisy neighbours: clients that retry at once and without end, each from its own address.
+//! Noisy neighbours: clients that retry without pause or end, each from its own address.
 
 use crate::nodes::Nodes;
 use std::io::{self, Read, Write};
@@ -10,24 +10,24 @@
 use std::time::{Duration, Instant};
 use tools_shared::mix;
 
-/// Starts the id of each of these clients' requests.
+/// Prefix of the ids of noisy neighbours' requests.
 pub const ID_PREFIX: &str = "greedy-";
 
-/// The attempts of all noisy neighbours, by their outcome.
+/// The numbers of attempts of all noisy neighbours, by their outcome.
 #[derive(Default)]
 pub struct NoisyCounters {
-    /// All attempts.
+    /// The number of all attempts.
     pub attempts: AtomicU64,
-    /// Those with status 200.
+    /// The number of attempts that got status 200.
     pub served: AtomicU64,
-    /// Those with status 429 or 503.
+    /// The number of attempts that got status 429 or 503.
     pub shed: AtomicU64,
-    /// All others.
+    /// The number of attempts that got another status or no response.
     pub failed: AtomicU64,
 }
 
-/// Starts the clients, each from its own address of the loopback net and at an equal part of the
-/// rate; what is not served is sent again at once.
+/// Starts the clients, each from its own address of the loopback network and with an equal share of
+/// the rate, until the run has ended. A lookup that is not served is sent again without a pause.
 pub fn start(
     clients: u64,
     per_s: f64,
@@ -49,10 +49,10 @@
                     due += pause;
                     number += 1;
                     let id = format!("{ID_PREFIX}{client}-{number}");
-                    let mut turn = mix(client << 32 | number);
-                    while !run_ended.load(Relaxed) && !is_served(from, &nodes, turn, &id, &counters)
+                    let mut seed = mix(client << 32 | number);
+                    while !run_ended.load(Relaxed) && !is_served(from, &nodes, seed, &id, &counters)
                     {
-                        turn = turn.wrapping_add(1);
+                        seed = seed.wrapping_add(1);
                     }
                 }
             })
@@ -60,9 +60,10 @@
         .collect()
 }
 
-/// One attempt, which is counted.
-fn is_served(from: Ipv4Addr, nodes: &Nodes, turn: u64, id: &str, counters: &NoisyCounters) -> bool {
-    let Some(SocketAddr::V4(to)) = nodes.pick(turn).and_then(|node| node.parse().ok()) else {
+/// Makes and counts one attempt at the node that `seed` picks; returns whether the attempt was
+/// served. While no node is ready, nothing is sent or counted.
+fn is_served(from: Ipv4Addr, nodes: &Nodes, seed: u64, id: &str, counters: &NoisyCounters) -> bool {
+    let Some(SocketAddr::V4(to)) = nodes.pick(seed).and_then(|node| node.parse().ok()) else {
         thread::sleep(Duration::from_millis(5));
         return false;
     };
@@ -76,7 +77,7 @@
     matches!(status, Ok(200))
 }
 
-/// The status of a lookup that is sent on this connection.
+/// Sends a lookup on this connection and returns the status of its response.
 fn look_up(mut stream: TcpStream, id: &str) -> io::Result<u16> {
     stream.set_read_timeout(Some(Duration::from_secs(8)))?;
     let head =
@@ -88,7 +89,7 @@
     status.ok_or_else(|| io::ErrorKind::InvalidData.into())
 }
 
-/// Connects from a chosen address, which the standard library's connect can't.
+/// Connects from a given local address, which `TcpStream::connect` can't do.
 fn connect(from: Ipv4Addr, to: SocketAddrV4) -> io::Result<TcpStream> {
     let raw = |address: &Ipv4Addr, port: u16| libc::sockaddr_in {
         sin_family: libc::AF_INET as u16,
@@ -96,10 +97,10 @@
         sin_addr: libc::in_addr { s_addr: u32::from_ne_bytes(address.octets()) },
         sin_zero: [0; 8],
     };
-    let (near, far) = (raw(&from, 0), raw(to.ip(), to.port()));
+    let (local, remote) = (raw(&from, 0), raw(to.ip(), to.port()));
     let length = size_of::<libc::sockaddr_in>() as u32;
-    let done = |code: i32| if code == 0 { Ok(()) } else { Err(io::Error::last_os_error()) };
-    // SAFETY: both addresses are whole `sockaddr_in` of the given length and outlive the calls;
+    let check = |code: i32| if code == 0 { Ok(()) } else { Err(io::Error::last_os_error()) };
+    // SAFETY: both addresses are complete `sockaddr_in` of the given length and outlive the calls;
     // the new socket belongs to `stream` alone, which closes it.
     unsafe {
         let socket = libc::socket(libc::AF_INET, libc::SOCK_STREAM | libc::SOCK_CLOEXEC, 0);
@@ -107,8 +108,8 @@
             return Err(io::Error::last_os_error());
         }
         let stream = TcpStream::from_raw_fd(socket);
-        done(libc::bind(socket, std::ptr::from_ref(&near).cast(), length))?;
-        done(libc::connect(socket, std::ptr::from_ref(&far).cast(), length))?;
+        check(libc::bind(socket, std::ptr::from_ref(&local).cast(), length))?;
+        check(libc::connect(socket, std::ptr::from_ref(&remote).cast(), length))?;
         Ok(stream)
     }
 }
--- a/tools/load-generator/src/report.rs
+++ b/tools/load-generator/src/report.rs
@@ -1,13 +1,13 @@
-//! The printed summary of a run.
+//! The summary of a run, printed on standard output.
 
 use crate::client::{ClientRequest, Kind, Outcome};
 use crate::request_ledger::Run;
 use crate::workload::LoadResults;
 
-/// How many violations are printed one by one.
+/// Maximum number of violations that are printed one by one.
 const VIOLATIONS_SHOWN: usize = 30;
 
-/// Prints counts and percentiles by kind of traffic, and the violations.
+/// Prints the counts and percentiles of each kind of traffic, and the violations.
 pub fn print(load: &LoadResults, runs: &[Run], violations: &[String]) {
     println!("{:.1} s, {} asks, {} runs", load.seconds, load.requests.len(), runs.len());
     for kind in Kind::ALL {
@@ -49,6 +49,7 @@
     );
 }
 
+/// Formats the percentiles of these durations in milliseconds.
 fn percentiles(mut took: Vec<f64>) -> String {
     took.sort_by(f64::total_cmp);
     let at = |quantile: f64| {
