--- a/tools/fleet-runner/src/deployment.rs
+++ b/tools/fleet-runner/src/deployment.rs
@@ -4,57 +4,58 @@
 use crate::error::FleetError;
 use std::time::Duration;
 
-/// The control nodes of every fleet.
+/// The number of control nodes of every fleet.
 pub const CONTROL_NODES: usize = 3;
-/// The zones of every fleet.
+/// The names of the zones of every fleet.
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// The zone of the process with this position among its like.
+/// Returns the zone of the control node, data node or target with this position among those of its
+/// kind; the zones take turns.
 pub fn zone(position: usize) -> &'static str {
     ZONES[position % ZONES.len()]
 }
 
-/// The targets of one service.
+/// A service and its number of targets.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceSize {
-    /// The service's name.
+    /// The name of the service.
     pub service: &'static str,
-    /// How many targets it has.
+    /// The number of targets of the service.
     pub targets: usize,
 }
 
-/// Requests and calls a second.
+/// The load of a deployment, by kind of request or call.
 #[derive(Clone, Copy, Debug)]
 pub struct Rates {
-    /// Lookups a second.
+    /// Lookups per second.
     pub lookups: usize,
-    /// Postings a second.
+    /// Postings per second.
     pub postings: usize,
-    /// Uploads a second.
+    /// Uploads per second.
     pub uploads: usize,
-    /// Coordination calls a second.
+    /// Coordination calls per second.
     pub calls: usize,
 }
 
-/// A deployment's sizes and rates, as its operators stated them.
+/// The sizes and rates of a deployment, as its operators stated them, times the scale.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// How many data nodes it has.
+    /// The number of data nodes.
     pub data_nodes: usize,
-    /// Its services.
+    /// The services and the sizes of their targets.
     pub services: [ServiceSize; 3],
-    /// Its load.
+    /// The load that clients send.
     pub rates: Rates,
-    /// How long a message takes from zone to zone.
+    /// The delay of a message from one zone to another.
     pub zone_delay: Duration,
 }
 
 impl Deployment {
-    /// The deployment that the command line names, scaled.
+    /// Returns the deployment that the command line names, multiplied by its scale.
     ///
     /// # Errors
     /// When no deployment has this name.
-    pub fn of(cli: &Cli) -> Result<Deployment, FleetError> {
+    pub fn from_cli(cli: &Cli) -> Result<Deployment, FleetError> {
         let (data_nodes, sizes, rates, zone_us) = match cli.deployment.as_str() {
             "blue-mahoe" => (11, [20, 9, 6], [80, 30, 10, 15], 500),
             "kutch" => (12, [23, 10, 6], [380, 130, 40, 65], 1_000),
--- a/tools/fleet-runner/src/disk_faults.rs
+++ b/tools/fleet-runner/src/disk_faults.rs
@@ -1,4 +1,4 @@
-//! Full and emptied disks of control nodes.
+//! Disk faults of control nodes: full disks and emptied disks.
 
 use crate::deployment::CONTROL_NODES;
 use crate::error::FleetError;
@@ -6,18 +6,20 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// A data node with the seeds of its first start has to be ready again within this.
-const RESTART_MS: u128 = 15_000;
+/// Time within which every data node must be ready after one was restarted with its old seeds, in
+/// milliseconds.
+const RESTART_TIMEOUT_MS: u128 = 15_000;
+/// Pause between two requests for the members.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Fleet {
-    /// A control node's files may grow no further: as a full disk, for this process alone. It has
-    /// to end, and is started again without the limit.
+    /// Simulates a full disk of one control node by a limit on its file sizes, which affects no
+    /// other process. The node must end, and is then started again without the limit.
     ///
     /// # Errors
-    /// When it goes on, or can't be started again.
-    pub fn fill_disk(&mut self, at: usize) -> Result<(), FleetError> {
-        let process = &mut self.control[at];
+    /// When the node does not end in time, or can't be started again.
+    pub fn fill_disk(&mut self, index: usize) -> Result<(), FleetError> {
+        let process = &mut self.control[index];
         process.limit_files(0)?;
         for _ in 0..100 {
             sleep(Duration::from_millis(50));
@@ -30,28 +32,31 @@
         Err(FleetError::FullDiskIgnored)
     }
 
-    /// Each control node in turn comes back empty at another address; then a data node starts on
-    /// its old seeds.
+    /// Starts each control node in turn with an empty disk at another address, then restarts a data
+    /// node whose seeds are the old addresses.
     ///
     /// # Errors
-    /// When one of them does not come back.
+    /// When a control node does not become a voter again, or the data nodes are not ready in time.
     pub fn replace_seeds(&mut self) -> Result<(), FleetError> {
-        for at in 0..CONTROL_NODES {
-            self.empty_control(at)?;
+        for index in 0..CONTROL_NODES {
+            self.restart_control_empty(index)?;
         }
-        let old = format!("127.0.0.1:{}", self.ports.control(0));
-        let at = self.data.iter().position(|node| node.arguments().contains(&old)).unwrap_or(0);
-        self.data[at].signal(libc::SIGTERM);
-        self.data[at].reap();
-        self.data[at].start()?;
-        self.wait_ready(RESTART_MS).map(|_| ())
+        let old_seed = format!("127.0.0.1:{}", self.ports.control(0));
+        let index =
+            self.data.iter().position(|node| node.arguments().contains(&old_seed)).unwrap_or(0);
+        self.data[index].signal(libc::SIGTERM);
+        self.data[index].reap();
+        self.data[index].start()?;
+        self.wait_ready(RESTART_TIMEOUT_MS).map(|_| ())
     }
 
-    /// A control node comes back empty, at a position that none had before.
+    /// Kills a control node, deletes its data, and starts it at a new position and so at a new
+    /// address.
     ///
     /// # Errors
-    /// When the others are no quorum, or it does not become a voter.
-    pub fn empty_control(&mut self, at: usize) -> Result<(), FleetError> {
+    /// When the leader and two voters are not all in contact before, or the node does not become a
+    /// voter again.
+    pub fn restart_control_empty(&mut self, index: usize) -> Result<(), FleetError> {
         let position = self.next_control_position;
         for _ in 0..60 {
             if self.has_three_voters() {
@@ -62,13 +67,13 @@
         if !self.has_three_voters() {
             return Err(FleetError::VotersMissing);
         }
-        self.control[at].kill();
-        std::fs::remove_dir_all(format!("{}/control-{at}", self.launcher.folder))?;
+        self.control[index].kill();
+        std::fs::remove_dir_all(format!("{}/control-{index}", self.launcher.folder))?;
         self.next_control_position += 1;
-        let arguments = self.control_arguments(at, position)?;
-        self.control[at].set_arguments(arguments);
-        self.control[at].start()?;
-        let own = self.control_address(at)?;
+        let arguments = self.control_arguments(index, position)?;
+        self.control[index].set_arguments(arguments);
+        self.control[index].start()?;
+        let own = self.control_address(index)?;
         for _ in 0..80 {
             sleep(POLL_INTERVAL);
             if self.has_three_voters() && self.is_voter(own) {
--- a/tools/fleet-runner/src/error.rs
+++ b/tools/fleet-runner/src/error.rs
@@ -1,87 +1,89 @@
-//! Why a fleet can't run, or a fault wasn't injected or survived.
+//! The errors of starting a fleet and of injecting faults into it.
 
 use std::io;
 
-/// Why a fleet can't run, or a fault wasn't injected or survived.
+/// Why a fleet can't run, why a fault could not be injected, or why the fleet did not recover.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// The command line asks for what can't be run.
+    /// The command line is invalid; one text for each error found in it.
     #[error("{}", .0.join("; "))]
     CommandLine(Vec<String>),
-    /// No deployment has this name.
-    #[error("{0} is no deployment")]
+    /// The command line names a deployment that does not exist.
+    #[error("{0}: unknown deployment; expected blue-mahoe or kutch")]
     UnknownDeployment(String),
-    /// No fault schedule has this name.
-    #[error("{0}: none, plain, rolling or all")]
+    /// The command line names a fault schedule that does not exist.
+    #[error("{0}: unknown fault schedule; expected none, plain, rolling or all")]
     UnknownSchedule(String),
-    /// The system refused something for this file, process or port.
+    /// A system call failed for a known file, process or port.
     #[error("{subject}: {source}")]
     System {
-        /// The file, process or port.
+        /// The file, process or port for which the call failed.
         subject: String,
-        /// What the system says.
+        /// The error that the system returned.
         source: io::Error,
     },
-    /// The system refused something.
+    /// A system call failed; the error does not name the file or process.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The process was ended before.
-    #[error("not running")]
+    /// A process is needed that was ended before.
+    #[error("the process is not running")]
     NotRunning,
-    /// Nodes did not become ready in time.
-    #[error("{ready} of {nodes} nodes are ready")]
+    /// Some data nodes did not become ready in time.
+    #[error("only {ready} of {nodes} data nodes are ready")]
     NotReady {
-        /// How many are ready.
+        /// The number of data nodes that are ready.
         ready: usize,
-        /// How many there are.
+        /// The number of data nodes in the fleet.
         nodes: usize,
     },
-    /// The first plan was refused until time ran out.
-    #[error("the first plan was never in force")]
-    FirstPlanNotInForce,
-    /// A plan on the version in force was refused as if it were on another.
-    #[error("409 on its own base")]
+    /// The first plan was not accepted by any of its submissions.
+    #[error("the first plan was not accepted by any of its submissions")]
+    FirstPlanNotAccepted,
+    /// A plan based on the version in force was refused as a conflict, with status 409.
+    #[error("a plan based on the version in force was refused with status 409")]
     PlanConflict,
-    /// A plan was neither accepted nor refused.
-    #[error("never acknowledged")]
+    /// A plan was neither accepted nor refused as a conflict by any of its submissions.
+    #[error("the plan was not acknowledged by any of its submissions")]
     PlanNotAcknowledged,
-    /// Ready nodes still follow an earlier plan.
-    #[error("not in force after 5 s")]
+    /// Some ready data nodes still follow an earlier plan after the time limit.
+    #[error("the plan was not in force on every ready data node after 5 s")]
     PlanNotInForce,
-    /// Of two plans on one base, not exactly one was accepted.
-    #[error("{0:?}")]
+    /// Not exactly one of two plans with the same base was accepted; a status is `None` where no
+    /// control node responded.
+    #[error("two plans with the same base got the statuses {0:?}, of which one must be 200")]
     PlanRace(Vec<Option<u16>>),
-    /// An invalid plan was not refused.
-    #[error("status {0:?}")]
+    /// An invalid plan was not refused with status 400; `None` if no control node responded.
+    #[error("an invalid plan got the status {0:?}, not 400")]
     UnexpectedStatus(Option<u16>),
-    /// The fleet has no such process.
-    #[error("no such {0}")]
-    NoSuch(&'static str),
-    /// No target runs that the fault could hit.
-    #[error("no target is left")]
+    /// The fleet has no process of this sort at the requested position.
+    #[error("the fleet has no such {0}")]
+    MissingProcess(&'static str),
+    /// No target is listed, without draining, that the fault could be injected into.
+    #[error("no listed target that is not draining is left for the fault")]
     NoTarget,
-    /// A partition would separate nothing.
-    #[error("no link to cut")]
+    /// A partition contains no link between two nodes.
+    #[error("the partition contains no link")]
     NoLink,
-    /// A zone to isolate has no targets.
+    /// The zone to isolate has no targets.
     #[error("zone {0} has no targets")]
     ZoneWithoutTargets(String),
-    /// A process kept running though its disk is full.
-    #[error("the process went on with a full disk")]
+    /// A process did not end although its disk is full.
+    #[error("the process kept running although its disk is full")]
     FullDiskIgnored,
-    /// Emptying a disk now could lose the quorum.
-    #[error("three voters are not at hand, no disk is emptied")]
+    /// A disk was not emptied, since the control nodes lack a leader and two voters in contact and
+    /// could lose their quorum.
+    #[error("no disk was emptied: the leader and two voters are not all in contact")]
     VotersMissing,
-    /// A control node with an emptied disk was not taken in as a voter.
-    #[error("the emptied machine never became a voter")]
+    /// A control node with an emptied disk did not become a voter again in time.
+    #[error("the control node with the emptied disk did not become a voter")]
     NotVoter,
-    /// A process runs without the library that makes its clock jump.
-    #[error("{0}: its clock can't be made to jump")]
-    ClockFixed(String),
+    /// A process, given by its name, runs without the library that makes its clock jump.
+    #[error("{0}: libjumping_clock is not loaded, so the clock can't jump")]
+    ClockLibraryMissing(String),
 }
 
 impl FleetError {
-    /// Adds what the system's error is about.
+    /// Returns a conversion of a system error that adds the file, process or port it concerns.
     pub fn system(subject: impl Into<String>) -> impl FnOnce(io::Error) -> FleetError {
         let subject = subject.into();
         move |source| FleetError::System { subject, source }
--- a/tools/fleet-runner/src/fault_injection.rs
+++ b/tools/fleet-runner/src/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Injects the scheduled faults, one after another.
+//! Injection of the scheduled faults, one after another.
 
 use crate::cli::Cli;
 use crate::deployment::{CONTROL_NODES, zone};
@@ -12,31 +12,32 @@
 use std::time::{Duration, Instant};
 use tools_shared::mix;
 
-/// The routes of a plan that is large.
+/// The number of routes without load in a large plan.
 const BIG_PLAN_ROUTES: usize = 4_000;
-/// A data node of a rolling restart has to be ready again within this.
-const RESTART_MS: u128 = 10_000;
+/// Time within which every data node must be ready after a step of a rolling restart, in
+/// milliseconds.
+const RESTART_TIMEOUT_MS: u128 = 10_000;
 
-/// Injects each fault when it is due, or as soon as the one before has ended.
+/// Injects each fault when it is due, or once the previous one has ended if that is later.
 pub fn run(cli: &Cli, fleet: &mut Fleet, schedule: &[ScheduledFault]) -> FaultResults {
     let plan = plan_text("v1", None, cli.routes);
     let mut results = FaultResults { plan, ..FaultResults::default() };
     let start = Instant::now();
-    for (at, ScheduledFault { due, fault }) in schedule.iter().enumerate() {
+    for (index, ScheduledFault { due, fault }) in schedule.iter().enumerate() {
         let due = Duration::from_secs_f64(due * cli.seconds as f64);
         sleep(due.saturating_sub(start.elapsed()));
         println!("fleet: {:.1} s: {fault}", start.elapsed().as_secs_f64());
-        let seed = mix(cli.seed ^ (at as u64) << 32);
+        let seed = mix(cli.seed ^ (index as u64) << 32);
         results.drawn += 1;
         if let Err(error) = inject(*fault, seed, fleet, &mut results, cli) {
-            let violation = format!("{fault}: not brought about, or not survived: {error}");
+            let violation = format!("{fault}: injection or recovery failed: {error}");
             results.violations.push(violation);
         }
     }
     results
 }
 
-/// Returns when the fault has ended and what it took has been started again.
+/// Injects a fault; returns once it has ended and the processes that it ended are started again.
 fn inject(
     fault: Fault,
     seed: u64,
@@ -57,13 +58,13 @@
         Fault::KillData => fleet.restart_data(&[drawn], libc::SIGKILL, 800),
         Fault::KillManyData => {
             let half = fleet.data.len() / 2;
-            let some: Vec<usize> = (0..half).map(|at| drawn % 7 + at).collect();
+            let some: Vec<usize> = (0..half).map(|index| drawn % 7 + index).collect();
             fleet.restart_data(&some, libc::SIGKILL, 500)
         }
         Fault::RestartData => fleet.restart_data(&[drawn], libc::SIGTERM, 0),
-        Fault::RestartDataInTurn(at) => {
-            fleet.restart_data(&[at], libc::SIGTERM, 0)?;
-            fleet.wait_ready(RESTART_MS).map(|_| ())
+        Fault::RestartDataInTurn(index) => {
+            fleet.restart_data(&[index], libc::SIGTERM, 0)?;
+            fleet.wait_ready(RESTART_TIMEOUT_MS).map(|_| ())
         }
         Fault::FreezeData => {
             fleet.freeze_data(drawn, 1_000 + seed % 3_000);
@@ -72,7 +73,7 @@
         Fault::KillController => fleet.restart_control(&[fleet.leader()], libc::SIGKILL),
         Fault::KillAllControl => fleet.restart_control(&[0, 1, 2], libc::SIGKILL),
         Fault::RestartControl => fleet.restart_control(&[drawn % CONTROL_NODES], libc::SIGTERM),
-        Fault::RestartControlInTurn(at) => fleet.restart_control(&[at], libc::SIGTERM),
+        Fault::RestartControlInTurn(index) => fleet.restart_control(&[index], libc::SIGTERM),
         Fault::FreezeControl => {
             fleet.freeze_leader(500 + seed % 4_000);
             Ok(())
@@ -83,12 +84,12 @@
         Fault::PartitionOneDirection => fleet.partition_one_direction(drawn),
         Fault::IsolateZone => fleet.isolate_zone(zone(drawn)),
         Fault::ReplaceSeeds => fleet.replace_seeds(),
-        Fault::ListSlow => fleet.disturb_list("slow 250", 4_000),
-        Fault::ListLimited => fleet.disturb_list("rate 4", 6_000),
-        Fault::ListDown => fleet.disturb_list("down", 6_000),
+        Fault::ListSlow => fleet.inject_list_fault("slow 250", 4_000),
+        Fault::ListLimited => fleet.inject_list_fault("rate 4", 6_000),
+        Fault::ListDown => fleet.inject_list_fault("down", 6_000),
         Fault::FillDisk => fleet.fill_disk(drawn % CONTROL_NODES),
         Fault::JumpClocks => fleet.jump_clocks(seed),
-        Fault::EmptyControl => fleet.empty_control(drawn % CONTROL_NODES),
+        Fault::EmptyControl => fleet.restart_control_empty(drawn % CONTROL_NODES),
     }
 }
 
--- a/tools/fleet-runner/src/fault_schedule.rs
+++ b/tools/fleet-runner/src/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! Which faults are injected, and when.
+//! The fault schedules: which faults are injected, and when each is due.
 
 use crate::cli::Cli;
 use crate::deployment::{CONTROL_NODES, Deployment};
@@ -6,14 +6,14 @@
 use std::fmt::{self, Display, Formatter};
 use tools_shared::mix;
 
-/// A disturbance that is brought about on purpose.
+/// A fault that can be injected into the fleet, or a change of the plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// A new plan is submitted.
     Plan,
     /// A new plan with many routes is submitted.
     BigPlan,
-    /// Two plans on one base are submitted at once.
+    /// Two plans with the same base are submitted concurrently.
     Race,
     /// An invalid plan is submitted.
     InvalidPlan,
@@ -21,25 +21,26 @@
     Drain,
     /// A target is killed.
     KillTarget,
-    /// A target of another service takes an address before the list shows it.
+    /// A target of another service starts at the address of an ended target before the endpoint
+    /// list shows the change.
     ReuseAddress,
     /// A data node is killed and started again.
     KillData,
     /// Half of the data nodes are killed and started again.
     KillManyData,
-    /// A data node is stopped for a while.
+    /// A data node is suspended by SIGSTOP for a while.
     FreezeData,
-    /// A data node is restarted.
+    /// A data node is ended by SIGTERM and started again.
     RestartData,
     /// The leader is killed and started again.
     KillController,
     /// All control nodes are killed and started again.
     KillAllControl,
-    /// The leader is stopped for a while.
+    /// The leader is suspended by SIGSTOP for a while.
     FreezeControl,
-    /// A control node is restarted.
+    /// A control node is ended by SIGTERM and started again.
     RestartControl,
-    /// A control node comes back with an empty disk.
+    /// A control node is started again with an empty disk, at another address.
     EmptyControl,
     /// A control node is separated from the other two.
     PartitionControl,
@@ -47,31 +48,33 @@
     IsolateControl,
     /// A data node is separated from all nodes.
     IsolateData,
-    /// What one control node sends does not reach another.
+    /// Messages from one control node to another are dropped, but not those in return.
     PartitionOneDirection,
     /// A zone with its control node, data nodes and targets is separated from the others.
     IsolateZone,
-    /// A target is stopped for a while.
+    /// A target is suspended by SIGSTOP for a while.
     FreezeTarget,
-    /// All control nodes come back empty at other addresses.
+    /// All control nodes in turn are started again with empty disks at other addresses, and a data
+    /// node is then restarted with the old addresses as its seeds.
     ReplaceSeeds,
-    /// The endpoint list is slow.
+    /// The endpoint list is served slowly.
     ListSlow,
-    /// The endpoint list serves few pages a second.
+    /// The endpoint list is limited to a few pages per second.
     ListLimited,
-    /// The endpoint list fails.
+    /// The endpoint list responds with errors.
     ListDown,
     /// A control node's disk is full.
     FillDisk,
-    /// Clocks jump.
+    /// The wall clocks of a control node and a data node jump.
     JumpClocks,
-    /// A step of a rolling restart: this data node, which has to be ready before the next.
+    /// A step of a rolling restart: the data node at this index is restarted and must be ready
+    /// before the next step.
     RestartDataInTurn(usize),
-    /// A step of a rolling restart: this control node.
+    /// A step of a rolling restart: the control node at this index is restarted.
     RestartControlInTurn(usize),
 }
 
-/// The name in what is printed; journals and pages name faults by it.
+/// Formats the fault's printed name, by which journals and pages refer to it.
 impl Display for Fault {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
         match self {
@@ -82,14 +85,14 @@
             Fault::PartitionOneDirection => out.write_str("CutOneWay"),
             Fault::IsolateZone => out.write_str("CutZone"),
             Fault::ReplaceSeeds => out.write_str("SwapSeeds"),
-            Fault::RestartDataInTurn(at) => write!(out, "RollData({at})"),
-            Fault::RestartControlInTurn(at) => write!(out, "RollControl({at})"),
+            Fault::RestartDataInTurn(index) => write!(out, "RollData({index})"),
+            Fault::RestartControlInTurn(index) => write!(out, "RollControl({index})"),
             other => write!(out, "{other:?}"),
         }
     }
 }
 
-/// The faults from which the schedule `all` draws, in the order that its seeds count on.
+/// The faults that the schedule `all` draws from. Their order decides what a seed draws.
 const ALL: [Fault; 28] = [
     Fault::Plan,
     Fault::BigPlan,
@@ -124,9 +127,9 @@
 /// A fault and when it is due.
 #[derive(Clone, Copy, Debug)]
 pub struct ScheduledFault {
-    /// A fraction of the run's length.
+    /// When the fault is due, as a fraction of the run's length.
     pub due: f64,
-    /// What is injected.
+    /// The fault to inject.
     pub fault: Fault,
 }
 
@@ -136,8 +139,8 @@
     }
 }
 
-/// The schedule that the command line names. It leaves the end of the run to recovery, a sixth of
-/// it but for rolling restarts.
+/// Returns the schedule that the command line names. Except for rolling restarts, the last sixth of
+/// the run has no faults, so that the fleet can recover.
 ///
 /// # Errors
 /// When no schedule or no deployment has the name that the command line gives.
@@ -145,7 +148,7 @@
     match cli.faults.as_str() {
         "none" => Ok(Vec::new()),
         "plain" => Ok(plain()),
-        "rolling" => Ok(rolling(Deployment::of(cli)?.data_nodes)),
+        "rolling" => Ok(rolling(Deployment::from_cli(cli)?.data_nodes)),
         "all" => Ok(all(cli)),
         other => Err(FleetError::UnknownSchedule(other.into())),
     }
@@ -163,27 +166,27 @@
     faults.map(ScheduledFault::new).to_vec()
 }
 
-/// Every node in turn, and two plans.
+/// Restarts every data node and every control node in turn, then submits two plans.
 fn rolling(data_nodes: usize) -> Vec<ScheduledFault> {
     let all: Vec<Fault> = (0..data_nodes)
         .map(Fault::RestartDataInTurn)
         .chain((0..CONTROL_NODES).map(Fault::RestartControlInTurn))
         .chain([Fault::Plan, Fault::BigPlan])
         .collect();
-    let due = |at: usize| 0.02 + 0.9 * at as f64 / all.len() as f64;
-    all.iter().enumerate().map(|(at, fault)| ScheduledFault::new((due(at), *fault))).collect()
+    let due = |index: usize| 0.02 + 0.9 * index as f64 / all.len() as f64;
+    all.iter().enumerate().map(|(index, fault)| ScheduledFault::new((due(index), *fault))).collect()
 }
 
-/// A fault every ten seconds, drawn without repeats until each had its turn.
+/// Draws a fault for every ten seconds; no fault repeats until all others have been drawn.
 fn all(cli: &Cli) -> Vec<ScheduledFault> {
     let mut remaining: Vec<Fault> = Vec::new();
     let count = (cli.seconds / 10).max(1);
-    let faults = (0..count).map(|at| {
+    let faults = (0..count).map(|index| {
         if remaining.is_empty() {
             remaining = ALL.to_vec();
         }
-        let drawn = mix(cli.seed << 16 | at) as usize % remaining.len();
-        let due = 0.02 + 0.80 * at as f64 / count as f64;
+        let drawn = mix(cli.seed << 16 | index) as usize % remaining.len();
+        let due = 0.02 + 0.80 * index as f64 / count as f64;
         ScheduledFault::new((due, remaining.swap_remove(drawn)))
     });
     faults.collect()
--- a/tools/fleet-runner/src/fleet.rs
+++ b/tools/fleet-runner/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Every process of one deployment on this machine, and how they are started, reached and stopped.
+//! All processes of one deployment on this machine: starting, reaching and stopping them.
 
 use crate::addresses::{BIND_OFFSET, Ports, local};
 use crate::cli::Cli;
@@ -15,78 +15,81 @@
 use tools_shared::client_config;
 use ureq::Agent;
 
-/// How long a node may take to respond.
+/// Timeout of a request to a control node; requests for readiness set their own.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// The response of a control node to a submitted plan.
 pub struct Submission {
-    /// The HTTP status.
+    /// The HTTP status of the response.
     pub status: u16,
-    /// How long it took.
+    /// Time from the first attempt to the response, in milliseconds.
     pub took_ms: u64,
 }
 
 /// A response of a control node.
 pub struct ControlResponse {
-    /// The HTTP status.
+    /// The HTTP status of the response.
     pub status: u16,
-    /// The body.
+    /// The body of the response.
     pub text: String,
 }
 
-/// Where clients reach a data node.
+/// The zone and address by which clients reach a data node.
 pub struct DataEndpoint {
-    /// The node's zone.
+    /// The zone of the data node.
     pub zone: &'static str,
-    /// Its address for clients.
+    /// The IP address and port on which the data node serves clients.
     pub http: String,
 }
 
-/// A line of the load generator's file of nodes.
+/// Formats the endpoint as a line of the load generator's file of nodes.
 impl Display for DataEndpoint {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
         write!(out, "{} {}", self.zone, self.http)
     }
 }
 
-/// Every process of one deployment on this machine, and what is known of each.
+/// All processes of one deployment on this machine, with their addresses and relays.
 pub struct Fleet {
-    /// The control nodes.
+    /// The processes of the control nodes.
     pub control: Vec<Process>,
-    /// The data nodes.
+    /// The processes of the data nodes.
     pub data: Vec<Process>,
-    /// The targets by their instance names, ended ones too.
+    /// The processes of all targets that were ever started, by their instance names.
     pub targets: BTreeMap<String, Process>,
-    /// The platform's endpoint list.
+    /// The contents of the platform's endpoint list.
     pub list: EndpointList,
-    /// Starts the processes.
+    /// The launcher of all processes.
     pub launcher: Launcher,
-    /// Sizes and rates.
+    /// The sizes and rates of the deployment.
     pub deployment: Deployment,
     /// The version of the plan in force.
     pub version: String,
-    /// The fleet's ports.
+    /// The ports of all processes.
     pub ports: Ports,
-    /// The position of the next control node that comes back empty.
+    /// The position that the next control node with an emptied disk gets.
     pub next_control_position: u16,
-    /// The relays between the processes.
+    /// The relays through which the processes reach each other.
     pub relays: Relays,
-    /// For requests to control and data nodes.
+    /// The HTTP client for requests to control and data nodes.
     pub agent: Agent,
-    /// The data nodes as clients reach them.
+    /// The endpoints of the data nodes for clients.
     pub data_endpoints: Vec<DataEndpoint>,
+    /// The advertised port of the target that was added last at a new address.
     last_target_port: u16,
+    /// The arguments that all targets have in common.
     target_arguments: Vec<String>,
-    /// Advertised ports of control and data nodes that have their relay.
-    relayed: BTreeSet<u16>,
+    /// Advertised ports of the control and data nodes whose relay was started.
+    relayed_ports: BTreeSet<u16>,
     _list_process: Process,
 }
 
 impl Fleet {
-    /// Starts every process and brings the first plan into force.
+    /// Starts every process and submits the first plan until it is accepted.
     ///
     /// # Errors
-    /// When a file, port or process is refused, or the first plan is not accepted in time.
+    /// When the system refuses a file, port or process, or no submission of the first plan is
+    /// accepted.
     pub fn start(cli: &Cli, deployment: Deployment) -> Result<Fleet, FleetError> {
         let launcher = Launcher { programs: cli.programs.clone(), folder: cli.folder.clone() };
         let _ = std::fs::remove_dir_all(&launcher.folder);
@@ -112,7 +115,7 @@
             data_endpoints: Vec::new(),
             last_target_port: ports.before_targets(),
             target_arguments: target_arguments(cli),
-            relayed: BTreeSet::new(),
+            relayed_ports: BTreeSet::new(),
             _list_process: list_process,
         };
         let zone_delay = fleet.deployment.zone_delay;
@@ -126,23 +129,23 @@
     /// Starts the targets, the control nodes and the data nodes, and writes the file of nodes.
     fn start_processes(&mut self) -> Result<(), FleetError> {
         for size in self.deployment.services {
-            for at in 0..size.targets {
-                self.add_target(size.service, zone(at), None)?;
+            for index in 0..size.targets {
+                self.add_target(size.service, zone(index), None)?;
             }
         }
-        for at in 0..CONTROL_NODES {
-            let arguments = self.control_arguments(at, at as u16)?;
-            let name = format!("control-{at}");
+        for index in 0..CONTROL_NODES {
+            let arguments = self.control_arguments(index, index as u16)?;
+            let name = format!("control-{index}");
             let process = self.launcher.start("postbarrow-control-plane", &name, arguments)?;
             self.control.push(process);
         }
-        for at in 0..self.deployment.data_nodes {
-            let arguments = self.data_arguments(at)?;
-            let name = format!("data-{at}");
+        for index in 0..self.deployment.data_nodes {
+            let arguments = self.data_arguments(index)?;
+            let name = format!("data-{index}");
             let process = self.launcher.start("postbarrow-data-plane", &name, arguments)?;
             self.data.push(process);
-            let http = local(self.ports.data_http(at)).to_string();
-            self.data_endpoints.push(DataEndpoint { zone: zone(at), http });
+            let http = local(self.ports.data_http(index)).to_string();
+            self.data_endpoints.push(DataEndpoint { zone: zone(index), http });
         }
         let lines: Vec<String> = self.data_endpoints.iter().map(ToString::to_string).collect();
         Ok(std::fs::write(format!("{}/nodes", self.launcher.folder), lines.join("\n"))?)
@@ -158,13 +161,14 @@
             }
             std::thread::sleep(Duration::from_millis(250));
         }
-        Err(FleetError::FirstPlanNotInForce)
+        Err(FleetError::FirstPlanNotAccepted)
     }
 
-    /// Starts a target and lists it, at this address or a new one; returns its instance name.
+    /// Starts a target and adds it to the endpoint list, at this address or a new one; returns its
+    /// instance name.
     ///
     /// # Errors
-    /// When the target can't be started or the list not written.
+    /// When the target can't be started or the list can't be written.
     pub fn add_target(
         &mut self,
         service: &str,
@@ -203,52 +207,52 @@
         Ok(instance)
     }
 
-    /// Two of the first three control nodes, which may be gone, and a data node that a fault
-    /// does not take together with the one that starts.
-    fn seeds(&self, at: usize) -> String {
+    /// Returns the seed arguments of a node: the first addresses of two control nodes, which may
+    /// no longer be in use, and a data node that no fault restarts together with the given node.
+    fn seeds(&self, index: usize) -> String {
         let count = self.deployment.data_nodes;
-        let other = self.ports.data((at + count / 2) % count);
+        let other = self.ports.data((index + count / 2) % count);
         let seeds = [self.ports.control(0), self.ports.control(1), other];
         let arguments = seeds.iter().map(|port| format!("--seed 127.0.0.1:{port}"));
         arguments.collect::<Vec<_>>().join(" ")
     }
 
-    /// The arguments of a control node, whose relay is started. `position` decides the ports, so
-    /// that a machine can come back at another address.
+    /// Starts the relay of a control node and returns the node's arguments. `position` decides the
+    /// ports, so that the node can be started again at another address.
     ///
     /// # Errors
     /// When the relay can't be started.
     pub fn control_arguments(
         &mut self,
-        at: usize,
+        index: usize,
         position: u16,
     ) -> Result<Vec<String>, FleetError> {
         let (address, http) = (self.ports.control(position), self.ports.control_http(position));
-        self.relay(address, zone(at))?;
+        self.relay(address, zone(index))?;
         Ok(arguments(&format!(
-            "run --name control-{at} --zone {} --address 127.0.0.1:{address} --bind 127.0.0.1:{} --http 127.0.0.1:{http} --data {}/control-{at} --list http://127.0.0.1:{}/targets {}",
-            zone(at),
+            "run --name control-{index} --zone {} --address 127.0.0.1:{address} --bind 127.0.0.1:{} --http 127.0.0.1:{http} --data {}/control-{index} --list http://127.0.0.1:{}/targets {}",
+            zone(index),
             address + BIND_OFFSET,
             self.launcher.folder,
             self.ports.list(),
-            self.seeds(at)
+            self.seeds(index)
         )))
     }
 
-    /// The arguments of a data node, whose relay is started.
-    fn data_arguments(&mut self, at: usize) -> Result<Vec<String>, FleetError> {
-        let (address, http) = (self.ports.data(at), self.ports.data_http(at));
-        self.relay(address, zone(at))?;
+    /// Starts the relay of a data node and returns the node's arguments.
+    fn data_arguments(&mut self, index: usize) -> Result<Vec<String>, FleetError> {
+        let (address, http) = (self.ports.data(index), self.ports.data_http(index));
+        self.relay(address, zone(index))?;
         Ok(arguments(&format!(
-            "--name data-{at} --zone {} --address 127.0.0.1:{address} --bind 127.0.0.1:{} --http 127.0.0.1:{http} {}",
-            zone(at),
+            "--name data-{index} --zone {} --address 127.0.0.1:{address} --bind 127.0.0.1:{} --http 127.0.0.1:{http} {}",
+            zone(index),
             address + BIND_OFFSET,
-            self.seeds(at)
+            self.seeds(index)
         )))
     }
 
     fn relay(&mut self, port: u16, zone: &str) -> Result<(), FleetError> {
-        if !self.relayed.insert(port) {
+        if !self.relayed_ports.insert(port) {
             return Ok(());
         }
         let relayed = self.relays.relay_frames(local(port), local(port + BIND_OFFSET), zone);
@@ -260,7 +264,7 @@
         running.filter_map(|process| process.option("--http").cloned()).collect()
     }
 
-    /// Submits a plan to the first control node that responds.
+    /// Submits a plan to the control nodes in turn until one responds; `None` if none does.
     pub fn submit(&self, text: &str) -> Option<Submission> {
         let start = Instant::now();
         for address in self.control_http() {
@@ -273,7 +277,7 @@
         None
     }
 
-    /// What the first control node that responds has at this path.
+    /// Requests this path from the control nodes in turn until one responds; `None` if none does.
     pub fn get(&self, path: &str) -> Option<ControlResponse> {
         self.control_http().into_iter().find_map(|address| {
             let mut response = self.agent.get(format!("http://{address}{path}")).call().ok()?;
@@ -286,7 +290,7 @@
     /// Starts the load generator.
     ///
     /// # Errors
-    /// When its program can't be started.
+    /// When the program of the load generator can't be started.
     pub fn start_load(&self, cli: &Cli) -> Result<Child, FleetError> {
         let rates = self.deployment.rates;
         let text = format!(
@@ -313,7 +317,7 @@
             .map_err(FleetError::system("load-generator"))
     }
 
-    /// Stops the data and control nodes by SIGTERM and waits for their ends.
+    /// Ends the data and control nodes by SIGTERM and waits until they have exited.
     pub fn stop(&mut self) {
         for process in self.data.iter().chain(&self.control) {
             process.signal(libc::SIGCONT);
@@ -340,7 +344,7 @@
     launcher.start("stand-ins", "list", arguments(&text))
 }
 
-/// What every target gets beside its own arguments.
+/// Returns the arguments that all targets have in common: their faults, if any are wanted.
 fn target_arguments(cli: &Cli) -> Vec<String> {
     if cli.per_mille == 0 {
         return Vec::new();
--- a/tools/fleet-runner/src/main.rs
+++ b/tools/fleet-runner/src/main.rs
@@ -1,4 +1,5 @@
-//! Starts a fleet of processes on this machine, drives load through it, and injects faults.
+//! Starts the processes of a deployment on this machine, sends load through them, injects faults
+//! and checks that the system recovers without a violation.
 
 #![deny(missing_docs)]
 
@@ -32,10 +33,10 @@
 use std::process::ExitCode;
 use tools_shared::TargetFault;
 
-/// Within this the fleet has to be ready after its start.
-const START_MS: u128 = 30_000;
-/// Within this every node has to be ready after the load's end.
-const RECOVERY_MS: u128 = 20_000;
+/// Time after the start within which every data node must be ready, in milliseconds.
+const START_TIMEOUT_MS: u128 = 30_000;
+/// Time after the load's end within which every data node must be ready, in milliseconds.
+const RECOVERY_TIMEOUT_MS: u128 = 20_000;
 
 fn main() -> ExitCode {
     let cli = Cli::parse_args_default_or_exit();
@@ -49,17 +50,17 @@
     }
 }
 
-/// The fault schedule, if the command line can be run; else all that is wrong with it, reported
-/// together before any process starts.
+/// Returns the fault schedule of a valid command line. All errors of an invalid one are reported
+/// together, before any process starts.
 fn validate(cli: &Cli) -> Result<Vec<ScheduledFault>, FleetError> {
     let mut findings = Vec::new();
-    if let Err(error) = Deployment::of(cli) {
+    if let Err(error) = Deployment::from_cli(cli) {
         findings.push(format!("--deployment {error}"));
     }
     let unknown = |name: &&str| name.parse::<TargetFault>().is_err();
     for name in cli.target_faults.split(',').filter(unknown) {
         let known = TargetFault::ALL.map(TargetFault::name).join(", ");
-        findings.push(format!("--target-faults {name:?}: one of {known}"));
+        findings.push(format!("--target-faults {name:?}: expected one of {known}"));
     }
     if cli.per_mille > 1_000 {
         findings.push(format!("--per-mille {}: at most 1000", cli.per_mille));
@@ -69,7 +70,7 @@
     }
     if cli.faults == "all" && cli.variables.is_empty() {
         let file = "tools/fleet-runner/tests/clock.variables";
-        findings.push(format!("--faults all: clocks jump too, which needs --variables {file}"));
+        findings.push(format!("--faults all: includes clock jumps, which need --variables {file}"));
     }
     let schedule = fault_schedule::schedule(cli);
     if let Err(error) = &schedule {
@@ -78,16 +79,16 @@
     if findings.is_empty() { schedule } else { Err(FleetError::CommandLine(findings)) }
 }
 
-/// Whether load, faults and recovery passed without a violation.
+/// Runs the fleet once and returns whether load, faults and recovery passed without a violation.
 fn run(cli: &Cli) -> Result<bool, FleetError> {
     let schedule = validate(cli)?;
-    let deployment = Deployment::of(cli)?;
+    let deployment = Deployment::from_cli(cli)?;
     let mut fleet = fleet::Fleet::start(cli, deployment)?;
-    println!("fleet: ready after {} ms", fleet.wait_ready(START_MS)?);
+    println!("fleet: ready after {} ms", fleet.wait_ready(START_TIMEOUT_MS)?);
     let mut load = fleet.start_load(cli)?;
     let results = fault_injection::run(cli, &mut fleet, &schedule);
     let load_passed = load.wait()?.success();
-    let recovered = fleet.wait_ready(RECOVERY_MS);
+    let recovered = fleet.wait_ready(RECOVERY_TIMEOUT_MS);
     match &recovered {
         Ok(took_ms) => println!("fleet: all ready {took_ms} ms after the load's end"),
         Err(error) => println!("fleet: violation: {error}"),
--- a/tools/fleet-runner/src/partitions.rs
+++ b/tools/fleet-runner/src/partitions.rs
@@ -1,4 +1,4 @@
-//! Partitions of the network, each for a while.
+//! Network partitions between nodes, each of which heals after a fixed time.
 
 use crate::deployment::CONTROL_NODES;
 use crate::error::FleetError;
@@ -10,10 +10,10 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// How long a partition lasts, before it heals by itself.
+/// Duration of a partition, in milliseconds.
 const PARTITION_MS: u64 = 4_000;
 
-/// Where others reach this process.
+/// Returns the address that a process advertises; `None` if its arguments lack one.
 fn advertised(process: &Process) -> Option<SocketAddr> {
     process.option("--address")?.parse().ok()
 }
@@ -23,15 +23,19 @@
 }
 
 impl Fleet {
-    /// Where a control node is reached.
+    /// Returns the advertised address of the control node at this index.
     ///
     /// # Errors
-    /// When there is none with this position.
-    pub fn control_address(&self, at: usize) -> Result<SocketAddr, FleetError> {
-        self.control.get(at).and_then(advertised).ok_or(FleetError::NoSuch("machine"))
+    /// When no control node has this index.
+    pub fn control_address(&self, index: usize) -> Result<SocketAddr, FleetError> {
+        self.control
+            .get(index)
+            .and_then(advertised)
+            .ok_or(FleetError::MissingProcess("control node"))
     }
 
-    /// These links carry nothing until the partition heals.
+    /// Cuts these links for the duration of a partition; returns after it has healed.
+    /// Unreachable targets become reachable again at the same time.
     fn partition(&self, links: BTreeSet<Link>) -> Result<(), FleetError> {
         if links.is_empty() {
             return Err(FleetError::NoLink);
@@ -45,7 +49,7 @@
         Ok(())
     }
 
-    /// The links between these nodes and all others.
+    /// Returns the links, in both directions, between these nodes and all others.
     fn links_around(&self, inside: &[SocketAddr]) -> BTreeSet<Link> {
         let all = self.control.iter().chain(&self.data).filter_map(advertised);
         all.filter(|other| !inside.contains(other))
@@ -56,52 +60,52 @@
     /// Separates one control node from the two others; data nodes reach all three.
     ///
     /// # Errors
-    /// When there is no such node.
-    pub fn partition_control(&self, at: usize) -> Result<(), FleetError> {
-        let one = self.control_address(at)?;
-        let all = (0..CONTROL_NODES).filter_map(|at| self.control_address(at).ok());
+    /// When no control node has this index.
+    pub fn partition_control(&self, index: usize) -> Result<(), FleetError> {
+        let one = self.control_address(index)?;
+        let all = (0..CONTROL_NODES).filter_map(|index| self.control_address(index).ok());
         let others = all.filter(|other| *other != one);
         self.partition(others.flat_map(|other| both_directions(one, other)).collect())
     }
 
-    /// Separates one control node from all nodes.
+    /// Separates one control node from all other nodes.
     ///
     /// # Errors
-    /// When there is no such node.
-    pub fn isolate_control(&self, at: usize) -> Result<(), FleetError> {
-        let one = self.control_address(at)?;
+    /// When no control node has this index.
+    pub fn isolate_control(&self, index: usize) -> Result<(), FleetError> {
+        let one = self.control_address(index)?;
         self.partition(self.links_around(&[one]))
     }
 
-    /// Separates one data node from all nodes.
+    /// Separates one data node from all other nodes.
     ///
     /// # Errors
-    /// When there is no such node.
-    pub fn isolate_data(&self, at: usize) -> Result<(), FleetError> {
-        let process = &self.data[at % self.data.len()];
-        let one = advertised(process).ok_or(FleetError::NoSuch("node"))?;
+    /// When the data node advertises no valid address.
+    pub fn isolate_data(&self, index: usize) -> Result<(), FleetError> {
+        let process = &self.data[index % self.data.len()];
+        let one = advertised(process).ok_or(FleetError::MissingProcess("data node"))?;
         self.partition(self.links_around(&[one]))
     }
 
-    /// What one control node sends does not reach another; the opposite direction works.
+    /// Drops the messages from one control node to the next; the opposite direction works.
     ///
     /// # Errors
-    /// When there is no such node.
-    pub fn partition_one_direction(&self, at: usize) -> Result<(), FleetError> {
-        let from = self.control_address(at % CONTROL_NODES)?;
-        let to = self.control_address((at + 1) % CONTROL_NODES)?;
+    /// When one of the two control nodes is missing.
+    pub fn partition_one_direction(&self, index: usize) -> Result<(), FleetError> {
+        let from = self.control_address(index % CONTROL_NODES)?;
+        let to = self.control_address((index + 1) % CONTROL_NODES)?;
         self.partition([(from, to)].into())
     }
 
-    /// Separates a zone with its control node, its data nodes and its targets.
+    /// Separates a zone from the others, with its control node, its data nodes and its targets.
     ///
     /// # Errors
     /// When the zone has no targets.
     pub fn isolate_zone(&self, zone: &str) -> Result<(), FleetError> {
         let mut inside = Vec::new();
         self.relays.change_rules(|rules| {
-            let here = rules.zones.iter().filter(|(_, known)| *known == zone);
-            inside.extend(here.map(|(address, _)| *address));
+            let in_zone = rules.zones.iter().filter(|(_, other)| *other == zone);
+            inside.extend(in_zone.map(|(address, _)| *address));
         });
         let rows = self.list.rows.values().filter(|row| row.zone == zone);
         let targets: Vec<SocketAddr> = rows.filter_map(|row| row.address.parse().ok()).collect();
--- a/tools/fleet-runner/src/process_faults.rs
+++ b/tools/fleet-runner/src/process_faults.rs
@@ -1,4 +1,4 @@
-//! Restarts and freezes of control and data nodes.
+//! Restarts and suspensions of control and data nodes.
 
 use crate::error::FleetError;
 use crate::fleet::Fleet;
@@ -6,7 +6,7 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// How long a control node is away at a restart.
+/// Pause between the end and the start of restarted control nodes, in milliseconds.
 const CONTROL_PAUSE_MS: u64 = 700;
 
 fn freeze(process: &Process, for_ms: u64) {
@@ -16,10 +16,10 @@
 }
 
 impl Fleet {
-    /// Ends these data nodes together by a signal, and starts them again after a pause.
+    /// Ends these data nodes concurrently by a signal, and starts them again after a pause.
     ///
     /// # Errors
-    /// When one can't be started.
+    /// When a data node can't be started.
     pub fn restart_data(
         &mut self,
         positions: &[usize],
@@ -27,35 +27,35 @@
         pause_ms: u64,
     ) -> Result<(), FleetError> {
         let count = self.data.len();
-        for at in positions {
-            self.data[at % count].signal(signal);
+        for index in positions {
+            self.data[index % count].signal(signal);
         }
-        for at in positions {
-            self.data[at % count].reap();
+        for index in positions {
+            self.data[index % count].reap();
         }
         sleep(Duration::from_millis(pause_ms));
-        positions.iter().try_for_each(|at| self.data[at % count].start())
+        positions.iter().try_for_each(|index| self.data[index % count].start())
     }
 
     /// Ends these control nodes one after another by a signal, and starts them again after a pause.
     ///
     /// # Errors
-    /// When one can't be started.
+    /// When a control node can't be started.
     pub fn restart_control(&mut self, positions: &[usize], signal: i32) -> Result<(), FleetError> {
-        for at in positions {
-            self.control[*at].signal(signal);
-            self.control[*at].reap();
+        for index in positions {
+            self.control[*index].signal(signal);
+            self.control[*index].reap();
         }
         sleep(Duration::from_millis(CONTROL_PAUSE_MS));
-        positions.iter().try_for_each(|at| self.control[*at].start())
+        positions.iter().try_for_each(|index| self.control[*index].start())
     }
 
-    /// Stops a data node for a while.
-    pub fn freeze_data(&self, at: usize, for_ms: u64) {
-        freeze(&self.data[at % self.data.len()], for_ms);
+    /// Suspends a data node by SIGSTOP for this many milliseconds.
+    pub fn freeze_data(&self, index: usize, for_ms: u64) {
+        freeze(&self.data[index % self.data.len()], for_ms);
     }
 
-    /// Stops the leader for a while.
+    /// Suspends the leader by SIGSTOP for this many milliseconds.
     pub fn freeze_leader(&self, for_ms: u64) {
         freeze(&self.control[self.leader()], for_ms);
     }
--- a/tools/fleet-runner/src/target_faults.rs
+++ b/tools/fleet-runner/src/target_faults.rs
@@ -9,7 +9,8 @@
 use tools_shared::wall_ms;
 
 impl Fleet {
-    /// A target that is listed and not draining, of this service if one is named.
+    /// Returns the instance name of a target, drawn from those that are listed and not draining; of
+    /// this service, if one is given.
     fn draw_target(&self, seed: u64, service: Option<&str>) -> Result<String, FleetError> {
         let rows: Vec<_> = self
             .list
@@ -21,21 +22,21 @@
         row.map(|row| row.instance.clone()).ok_or(FleetError::NoTarget)
     }
 
-    fn end_target(&mut self, instance: &str) {
+    fn kill_target_process(&mut self, instance: &str) {
         if let Some(target) = self.targets.get_mut(instance) {
             target.kill();
         }
     }
 
-    /// Ends a target, takes it off the list, and adds another of its service.
+    /// Kills a target, removes it from the endpoint list, and adds another one of its service.
     fn replace_target(&mut self, instance: &str) -> Result<(), FleetError> {
-        self.end_target(instance);
+        self.kill_target_process(instance);
         let Some(row) = self.list.rows.remove(instance) else { return Ok(()) };
         self.list.write()?;
         self.add_target(&row.service, &row.zone, None).map(|_| ())
     }
 
-    /// A target is listed as draining, and replaced after a while.
+    /// Lists a target as draining, and replaces it after 3 s.
     ///
     /// # Errors
     /// When there is no target, or it can't be replaced.
@@ -50,38 +51,39 @@
         self.replace_target(&instance)
     }
 
-    /// A target ends at once, and is replaced after a while.
+    /// Kills a target, and replaces it after 1.5 s.
     ///
     /// # Errors
     /// When there is no target, or it can't be replaced.
     pub fn kill_target(&mut self, seed: u64) -> Result<(), FleetError> {
         let instance = self.draw_target(seed, None)?;
-        self.end_target(&instance);
+        self.kill_target_process(&instance);
         sleep(Duration::from_millis(1_500));
         self.replace_target(&instance)
     }
 
-    /// A target stops working for a while, with its connections open.
+    /// Suspends a target by SIGSTOP for 3 s; its connections stay open.
     ///
     /// # Errors
     /// When there is no target.
     pub fn freeze_target(&mut self, seed: u64) -> Result<(), FleetError> {
         let instance = self.draw_target(seed, None)?;
-        let target = self.targets.get(&instance).ok_or(FleetError::NoSuch("target"))?;
+        let target = self.targets.get(&instance).ok_or(FleetError::MissingProcess("target"))?;
         target.signal(libc::SIGSTOP);
         sleep(Duration::from_millis(3_000));
         target.signal(libc::SIGCONT);
         Ok(())
     }
 
-    /// A ledger ends, and a photo store takes its address before the list shows it.
+    /// Kills a target of `ledger` and starts a target of `photos` at its address, before the
+    /// endpoint list shows the change.
     ///
     /// # Errors
-    /// When there is no ledger, or a target can't be started.
+    /// When `ledger` has no target, a target can't be started, or the list can't be written.
     pub fn reuse_address(&mut self, seed: u64) -> Result<(), FleetError> {
         let ledger = self.draw_target(seed, Some("ledger"))?;
         let Some(row) = self.list.rows.get(&ledger).cloned() else { return Ok(()) };
-        self.end_target(&ledger);
+        self.kill_target_process(&ledger);
         let successor = self.add_target("photos", &row.zone, Some(row.address.clone()))?;
         let unlisted = self.list.rows.remove(&successor);
         self.list.write()?;
@@ -92,11 +94,12 @@
         self.add_target("ledger", zone(seed as usize), None).map(|_| ())
     }
 
-    /// The endpoint list has a fault for a while, named as the stand-in list reads it.
+    /// Makes the stand-in of the endpoint list show a fault for this many milliseconds; `fault` is
+    /// the text that the stand-in reads from its fault file.
     ///
     /// # Errors
-    /// When the file that names it can't be written.
-    pub fn disturb_list(&self, fault: &str, for_ms: u64) -> Result<(), FleetError> {
+    /// When the fault file can't be written.
+    pub fn inject_list_fault(&self, fault: &str, for_ms: u64) -> Result<(), FleetError> {
         let file = format!("{}/trouble", self.launcher.folder);
         std::fs::write(&file, fault)?;
         sleep(Duration::from_millis(for_ms));
