--- a/tools/fleet-runner/src/cli.rs
+++ b/tools/fleet-runner/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The options of the command line.
 
 use gumdrop::Options;
 
@@ -7,34 +7,34 @@
 pub struct Cli {
     #[options(help = "print help")]
     help: bool,
-    /// The deployment's name.
+    /// The name of the deployment to run; `Deployment::from_cli` knows the names.
     #[options(help = "blue-mahoe or kutch", default = "blue-mahoe", no_short)]
     pub deployment: String,
-    /// Multiplies the deployment's sizes and rates.
+    /// The factor by which the deployment's sizes and rates are multiplied; at least 1.
     #[options(help = "sizes and rates, times this", default = "1", no_short)]
     pub scale: usize,
-    /// How long load is sent and faults are injected.
+    /// How long load is sent and faults are injected, in seconds; at least 1.
     #[options(help = "seconds of load", default = "30", no_short)]
     pub seconds: u64,
-    /// The name of the fault schedule.
+    /// The name of the fault schedule: `none`, `plain`, `rolling` or `all`.
     #[options(help = "none, plain, rolling or all", default = "plain", no_short)]
     pub faults: String,
-    /// Decides the faults and the load.
+    /// The seed from which the faults and the load are drawn.
     #[options(help = "seed of the faults and the load", default = "1", no_short)]
     pub seed: u64,
-    /// Emptied at the start.
+    /// The folder for data, logs and records; it is emptied at the start.
     #[options(help = "folder for data, logs and records", default = "fleet-data", no_short)]
     pub folder: String,
-    /// Where the fleet's programs stand.
+    /// The folder that contains the programs of the fleet's processes.
     #[options(help = "folder of the programs", default = "target/release", no_short)]
     pub programs: String,
-    /// All of the fleet's ports follow from it.
+    /// The first port of the fleet, from which all its other ports are computed.
     #[options(help = "first port", default = "21000", no_short)]
     pub port: u16,
-    /// The attempts of a request in a retry storm; 0 for no storm.
+    /// The maximum number of attempts of a request in a retry storm; 0 for no storm.
     #[options(help = "retries at once per failed ask: a storm", default = "0", no_short)]
     pub storm: u32,
-    /// The number of noisy neighbours.
+    /// The number of noisy neighbours: clients that retry without pause or end.
     #[options(
         long = "greedy",
         meta = "GREEDY",
@@ -43,7 +43,7 @@
         no_short
     )]
     pub noisy_clients: u64,
-    /// Lookups a second of departing clients.
+    /// Lookups per second whose clients close their connection before the response.
     #[options(
         long = "leavers",
         meta = "LEAVERS",
@@ -52,19 +52,19 @@
         no_short
     )]
     pub departing_per_s: u64,
-    /// The body size of an upload.
+    /// The size of the body of an upload, in bytes.
     #[options(help = "bytes of one upload", default = "262144", no_short)]
     pub upload_bytes: usize,
-    /// The faulty in a thousand requests at a target.
+    /// How many of a thousand requests at a target get a fault; at most 1000.
     #[options(help = "target faults in a thousand runs", default = "0", no_short)]
     pub per_mille: u64,
-    /// The names of the targets' faults, with commas between them.
+    /// The names of the faults that targets draw from, separated by commas.
     #[options(help = "which target faults", default = "lost,garbage,cut,endless", no_short)]
     pub target_faults: String,
-    /// Routes without load in each plan.
+    /// The number of routes without load in each plan, beside the three that carry load.
     #[options(help = "routes beside the three that carry load", default = "0", no_short)]
     pub routes: usize,
-    /// The file of the processes' environment; empty for none.
+    /// The file of environment variables for every process; empty for none.
     #[options(
         help = "file of NAME=VALUE lines for every process; tests/clock.variables lets clocks jump",
         default = "",
--- a/tools/fleet-runner/src/endpoint_list.rs
+++ b/tools/fleet-runner/src/endpoint_list.rs
@@ -1,42 +1,42 @@
-//! The platform's endpoint list, as a file that the stand-in list serves.
+//! The contents of the platform's endpoint list, in a file that its stand-in serves.
 
 use std::collections::BTreeMap;
 use std::io;
 
-/// One target's row.
+/// The row of one target.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The target's instance name.
+    /// The instance name of the target.
     pub instance: String,
-    /// Its service.
+    /// The service of the target.
     pub service: String,
-    /// Where it is reached.
+    /// The address at which the target is reached, as IP and port.
     pub address: String,
-    /// Its zone.
+    /// The zone of the target.
     pub zone: String,
-    /// Whether it takes no new requests.
+    /// Whether the target should get no new requests.
     pub draining: bool,
 }
 
-/// The rows by their instance names.
+/// The rows of the endpoint list and the path of their file.
 pub struct EndpointList {
     file: String,
-    /// The rows, of which `write` makes the file's text.
+    /// The rows by their instance names. Changes reach the file only by `write`.
     pub rows: BTreeMap<String, Endpoint>,
 }
 
 impl EndpointList {
-    /// An empty list whose file will stand in this folder.
+    /// Returns an empty list whose file `write` creates in this folder.
     pub fn new(folder: &str) -> EndpointList {
         EndpointList { file: format!("{folder}/targets.jsonl"), rows: BTreeMap::new() }
     }
 
-    /// The file's path.
+    /// Returns the path of the file.
     pub fn file(&self) -> &str {
         &self.file
     }
 
-    /// Replaces the file, at once and in full.
+    /// Replaces the file atomically with the present rows.
     ///
     /// # Errors
     /// When the file can't be written.
--- a/tools/fleet-runner/src/fault_results.rs
+++ b/tools/fleet-runner/src/fault_results.rs
@@ -1,24 +1,25 @@
-//! What the faults of one run brought to light.
+//! The results of the faults of one run.
 
 /// A target that the endpoint list showed as draining.
 pub struct Drain {
-    /// The target's instance name.
+    /// The instance name of the target.
     pub instance: String,
-    /// When the list showed it, on the wall clock.
+    /// When the list first showed the target as draining, in milliseconds of the wall clock.
     pub listed_ms: u64,
 }
 
-/// What the faults of one run brought to light.
+/// What was recorded while the faults of one run were injected.
 #[derive(Default)]
 pub struct FaultResults {
-    /// Targets that were drained.
+    /// The targets that were drained.
     pub drains: Vec<Drain>,
-    /// For each accepted plan, from its acknowledgement until all ready nodes followed it.
+    /// For each acknowledged plan, the time until all ready data nodes followed it, in
+    /// milliseconds.
     pub in_force_ms: Vec<u64>,
-    /// Faults that were not injected or not survived.
+    /// One text for each fault that could not be injected or from which the fleet did not recover.
     pub violations: Vec<String>,
-    /// The text of the last plan that was acknowledged.
+    /// The text of the last plan that a control node acknowledged.
     pub plan: String,
-    /// How many faults were drawn.
+    /// The number of scheduled faults that came due.
     pub drawn: usize,
 }
--- a/tools/fleet-runner/src/fleet_check.rs
+++ b/tools/fleet-runner/src/fleet_check.rs
@@ -1,16 +1,17 @@
-//! What the load generator's checks can't see: how long a draining target got requests, how long
-//! a plan took, and whether the plan in force is the acknowledged one.
+//! The checks that the load generator can't make: how long a draining target still got requests,
+//! how long a plan took to be in force, and whether the plan in force is the acknowledged one.
 
 use crate::fault_results::{Drain, FaultResults};
 use crate::fleet::Fleet;
 use tools_shared::ExecutionRecord;
 
-/// For so long after its listing a draining target may get requests.
+/// Time after its listing as draining during which a target may still get requests, in
+/// milliseconds.
 const DRAIN_LAG_MAX_MS: u64 = 2_500;
-/// Within this every ready node has to follow an acknowledged plan.
+/// Time within which every ready data node must follow an acknowledged plan, in milliseconds.
 const IN_FORCE_MAX_MS: u64 = 2_500;
 
-/// The violations after the load's end; the figures behind them are printed.
+/// Returns the violations that are found after the load's end, and prints the figures behind them.
 pub fn check(fleet: &Fleet, results: &FaultResults) -> Vec<String> {
     let mut violations = Vec::new();
     let lags_ms: Vec<u64> =
@@ -25,7 +26,8 @@
         println!("fleet: acknowledged to in force on every ready node, ms: {in_force_ms:?}");
     }
     for took_ms in in_force_ms.iter().filter(|took_ms| **took_ms > IN_FORCE_MAX_MS) {
-        violations.push(format!("a plan took {took_ms} ms to be in force"));
+        violations
+            .push(format!("a plan took {took_ms} ms to be in force, over {IN_FORCE_MAX_MS} ms"));
     }
     violations.extend(results.violations.iter().cloned());
     check_plan(fleet, &results.plan, &mut violations);
@@ -33,7 +35,8 @@
     violations
 }
 
-/// How long after its listing a draining target recorded work.
+/// Returns the time from a target's listing as draining to its last record, in milliseconds; 0 if
+/// it recorded nothing afterwards. A time over `DRAIN_LAG_MAX_MS` is a violation.
 fn check_drain(fleet: &Fleet, drain: &Drain, violations: &mut Vec<String>) -> u64 {
     let Drain { instance, listed_ms } = drain;
     let file = format!("{}/records/{instance}", fleet.launcher.folder);
@@ -43,7 +46,7 @@
     let lag_ms = times_ms.max().unwrap_or(0).saturating_sub(*listed_ms);
     if lag_ms > DRAIN_LAG_MAX_MS {
         violations
-            .push(format!("{instance} ran an ask {lag_ms} ms after the list showed it leave"));
+            .push(format!("{instance} ran a request {lag_ms} ms after it was listed as draining"));
     }
     lag_ms
 }
@@ -59,7 +62,7 @@
     }
 }
 
-/// Whether the plan in force is the last one that was acknowledged.
+/// Checks that the plan in force is the last one that was acknowledged, if there was one.
 fn check_plan(fleet: &Fleet, acknowledged: &str, violations: &mut Vec<String>) {
     let response = fleet.get("/plan");
     let is_acknowledged = response.as_ref().is_some_and(|response| {
@@ -67,7 +70,7 @@
     });
     if !is_acknowledged {
         violations.push(format!(
-            "the plan in force does not read back as acknowledged: {:?}",
+            "the plan in force is not the acknowledged one: status and length are {:?}",
             response.map(|response| (response.status, response.text.len()))
         ));
     }
--- a/tools/fleet-runner/src/members.rs
+++ b/tools/fleet-runner/src/members.rs
@@ -1,18 +1,19 @@
-//! What the control nodes report of their membership.
+//! The members and the leader, as the control nodes report them.
 
 use crate::fleet::Fleet;
 use std::net::SocketAddr;
 
-/// A voter whose last message is older than this may be gone.
+/// Age of a voter's last message from which the voter may be down, in milliseconds.
 const LAST_CONTACT_MAX_MS: u64 = 1_000;
 
 impl Fleet {
+    /// Returns the control nodes' report of their members, as JSON; empty if none responds.
     fn members(&self) -> String {
         self.get("/members").map(|response| response.text).unwrap_or_default()
     }
 
-    /// Whether a leader and two voters, all in contact, are members; an operator waits for that
-    /// before touching another control node.
+    /// Returns whether the members are a leader and two voters, all in contact. An operator waits
+    /// for that before working on another control node.
     pub fn has_three_voters(&self) -> bool {
         let members = self.members();
         let last_contacts_ms = members
@@ -23,14 +24,14 @@
             && last_contacts_ms.max().is_some_and(|max_ms| max_ms < LAST_CONTACT_MAX_MS)
     }
 
-    /// Whether the control node with this address is a voter or the leader, not only a learner.
+    /// Returns whether the control node with this address is a voter or the leader, not a learner.
     pub fn is_voter(&self, address: SocketAddr) -> bool {
         let members = self.members();
         let row = members.split('{').find(|row| row.contains(&format!("\"{address}\"")));
         row.is_some_and(|row| row.contains("\"voter\"") || row.contains("\"controller\""))
     }
 
-    /// The position of the leader among the control nodes; 0 while none is known.
+    /// Returns the index of the leader among the control nodes; 0 while none is known.
     pub fn leader(&self) -> usize {
         let status = self.get("/status").map(|response| response.text).unwrap_or_default();
         let is_leader =
--- a/tools/fleet-runner/src/plan_changes.rs
+++ b/tools/fleet-runner/src/plan_changes.rs
@@ -1,4 +1,4 @@
-//! New plans while the fleet works.
+//! Submissions of new plans while load is sent.
 
 use crate::cli::Cli;
 use crate::error::FleetError;
@@ -8,9 +8,9 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How often a plan is submitted that gets no clear response.
+/// Maximum number of submissions of a plan that is neither accepted nor refused as a conflict.
 const SUBMISSIONS_MAX: usize = 20;
-/// Within this every ready node has to follow an acknowledged plan.
+/// Time for which the runner waits until every ready data node follows an acknowledged plan.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn next_version(fleet: &Fleet) -> String {
@@ -18,10 +18,11 @@
     format!("v{}", number + 1)
 }
 
-/// Submits a plan again until its outcome is clear; then every ready node must follow it soon.
+/// Submits a plan until it is accepted or refused as a conflict, then waits until every ready data
+/// node follows it.
 ///
 /// # Errors
-/// When the plan is refused, never acknowledged, or not in force in time.
+/// When the plan is refused as a conflict, is never acknowledged, or is not in force in time.
 pub fn change_plan(
     fleet: &mut Fleet,
     results: &mut FaultResults,
@@ -44,6 +45,7 @@
     Err(FleetError::PlanNotAcknowledged)
 }
 
+/// Waits until every ready data node follows the plan in force, and records how long that took.
 fn wait_in_force(fleet: &Fleet, results: &mut FaultResults) -> Result<(), FleetError> {
     let start = Instant::now();
     let expected = format!("\"version\":\"{}\"", fleet.version);
@@ -59,10 +61,10 @@
     Err(FleetError::PlanNotInForce)
 }
 
-/// Submits two plans on one base at once, of which exactly one must be accepted.
+/// Submits two plans with the same base concurrently, of which exactly one must be accepted.
 ///
 /// # Errors
-/// When none or both are, or the accepted one is not in force in time.
+/// When neither or both are accepted, or the accepted plan is not in force in time.
 pub fn race_plans(
     fleet: &mut Fleet,
     results: &mut FaultResults,
@@ -72,19 +74,19 @@
     let first = next_version(fleet);
     let versions = [first.clone(), format!("{first}0")];
     let texts = versions.each_ref().map(|version| plan_text(version, Some(&base), cli.routes));
-    let here: &Fleet = fleet;
+    let shared: &Fleet = fleet;
     let statuses: Vec<Option<u16>> = std::thread::scope(|scope| {
-        let racing: Vec<_> = texts
+        let submissions: Vec<_> = texts
             .iter()
-            .map(|text| scope.spawn(move || here.submit(text).map(|submission| submission.status)))
+            .map(|text| scope.spawn(move || shared.submit(text).map(|response| response.status)))
             .collect();
-        racing.into_iter().map(|thread| thread.join().unwrap_or(None)).collect()
+        submissions.into_iter().map(|thread| thread.join().unwrap_or(None)).collect()
     });
-    let accepted: Vec<usize> = (0..2).filter(|at| statuses[*at] == Some(200)).collect();
+    let accepted: Vec<usize> = (0..2).filter(|index| statuses[*index] == Some(200)).collect();
     match accepted[..] {
-        [at] => {
-            fleet.version = versions[at].clone();
-            results.plan = texts[at].clone();
+        [index] => {
+            fleet.version = versions[index].clone();
+            results.plan = texts[index].clone();
             wait_in_force(fleet, results)
         }
         _ => Err(FleetError::PlanRace(statuses)),
--- a/tools/fleet-runner/src/process.rs
+++ b/tools/fleet-runner/src/process.rs
@@ -1,49 +1,50 @@
-//! One process of the fleet, and how it is started, signalled and ended.
+//! The processes of the fleet: starting, signalling and ending them.
 
 use crate::error::FleetError;
 use std::fs::File;
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 
-/// Splits a command line at its spaces.
+/// Splits a command line into arguments at its spaces.
 pub fn arguments(text: &str) -> Vec<String> {
     text.split(' ').map(str::to_string).collect()
 }
 
-/// Starts processes of one folder of programs, whose files stand in one folder of the fleet.
+/// Starts processes from one folder of programs and keeps their files in the fleet's folder.
 #[derive(Clone, Debug)]
 pub struct Launcher {
-    /// Where the programs stand.
+    /// The folder of the programs.
     pub programs: String,
-    /// Where the fleet's files stand.
+    /// The folder of the fleet's data, logs and records.
     pub folder: String,
 }
 
 impl Launcher {
-    /// Gives each process to come the environment variables of this file, in which `{here}` is the
-    /// working directory and `{clock}` the file of the process's clock offset; empty for none.
+    /// Sets the environment variables of all processes that are started later, from a file of
+    /// `NAME=VALUE` lines. In a value, `{here}` stands for the working directory and `{clock}` for
+    /// the file of the process's clock offset. An empty file name sets none.
     ///
     /// # Errors
-    /// When the file can't be read, or the fleet's copy of it not written.
+    /// When the file can't be read or the fleet's copy of it can't be written.
     pub fn set_variables(&self, file: &str) -> Result<(), FleetError> {
         if file.is_empty() {
             return Ok(());
         }
         let text = std::fs::read_to_string(file).map_err(FleetError::system(file))?;
-        let here = std::env::current_dir()?;
-        let text = text.replace("{here}", &here.display().to_string());
+        let working_dir = std::env::current_dir()?;
+        let text = text.replace("{here}", &working_dir.display().to_string());
         Ok(std::fs::write(self.variables_file(), text)?)
     }
 
-    /// The file of a process's clock offset in seconds.
+    /// Returns the path of the file with a process's clock offset, in seconds.
     pub fn clock_file(&self, name: &str) -> String {
         format!("{}/{name}.clock", self.folder)
     }
 
-    /// Starts a process that ends with the value returned.
+    /// Starts a process, which is killed when the returned value is dropped.
     ///
     /// # Errors
-    /// When its output can't be written or the program not started.
+    /// When the process's output file can't be opened or the program can't be started.
     pub fn start(
         &self,
         program: &str,
@@ -66,6 +67,8 @@
         format!("{}/variables", self.folder)
     }
 
+    /// Returns the environment variables of this process, and resets its clock offset if there are
+    /// any.
     fn variables(&self, name: &str) -> Vec<(String, String)> {
         let Ok(lines) = std::fs::read_to_string(self.variables_file()) else {
             return Vec::new();
@@ -77,18 +80,18 @@
     }
 }
 
-/// How much of the machine a process uses.
+/// The memory and the threads that a process uses.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessSize {
-    /// The most memory that it ever had.
+    /// The peak resident memory of the process so far, in MiB.
     pub peak_memory_mib: u64,
-    /// Its threads now.
+    /// The number of threads of the process at present.
     pub threads: u64,
 }
 
 /// One process of the fleet, which can be ended and started again with the same arguments.
 pub struct Process {
-    /// Its name in the fleet.
+    /// The name of the process in the fleet.
     pub name: String,
     program: String,
     arguments: Vec<String>,
@@ -98,10 +101,10 @@
 }
 
 impl Process {
-    /// Starts it again.
+    /// Starts the process, for the first time or again.
     ///
     /// # Errors
-    /// When its output can't be written or the program not started.
+    /// When the process's output file can't be opened or the program can't be started.
     pub fn start(&mut self) -> Result<(), FleetError> {
         let system = || FleetError::system(self.name.clone());
         let output =
@@ -120,23 +123,23 @@
         Ok(())
     }
 
-    /// Sets the arguments of its next start.
+    /// Sets the arguments that the process gets at its next start.
     pub fn set_arguments(&mut self, arguments: Vec<String>) {
         self.arguments = arguments;
     }
 
-    /// Its arguments.
+    /// Returns the arguments with which the process is started.
     pub fn arguments(&self) -> &[String] {
         &self.arguments
     }
 
-    /// The argument after this option.
+    /// Returns the value of this option: the argument that follows it.
     pub fn option(&self, name: &str) -> Option<&String> {
-        let at = self.arguments.iter().position(|argument| argument == name)?;
-        self.arguments.get(at + 1)
+        let index = self.arguments.iter().position(|argument| argument == name)?;
+        self.arguments.get(index + 1)
     }
 
-    /// Sends it a signal, if it runs.
+    /// Sends the process a signal; does nothing if it is not running.
     pub fn signal(&self, signal: i32) {
         if let Some(child) = &self.child {
             // SAFETY: a plain system call; the id is of a child that was not reaped yet.
@@ -144,20 +147,20 @@
         }
     }
 
-    /// From now on its files may not grow past so many bytes.
+    /// Limits the files that the process writes from now on to this size.
     ///
     /// # Errors
-    /// When it does not run, or the system refuses.
+    /// When the process is not running or the system refuses the limit.
     pub fn limit_files(&self, size_bytes: u64) -> Result<(), FleetError> {
         let child = self.child.as_ref().ok_or(FleetError::NotRunning)?;
         let limit = libc::rlimit { rlim_cur: size_bytes, rlim_max: size_bytes };
         let old = std::ptr::null_mut();
-        // SAFETY: `limit` outlives the call, and the earlier limit is not wanted.
+        // SAFETY: `limit` outlives the call; the earlier limit is not returned, as `old` is null.
         let done = unsafe { libc::prlimit(child.id() as i32, libc::RLIMIT_FSIZE, &limit, old) };
         if done == 0 { Ok(()) } else { Err(std::io::Error::last_os_error().into()) }
     }
 
-    /// Its size, if it runs.
+    /// Returns the memory and threads of the process; `None` if it is not running.
     pub fn size(&self) -> Option<ProcessSize> {
         let file = format!("/proc/{}/status", self.child.as_ref()?.id());
         let text = std::fs::read_to_string(file).ok()?;
@@ -171,32 +174,32 @@
         })
     }
 
-    /// Whether this library is loaded in it.
+    /// Returns whether the process runs and has loaded this library.
     pub fn has_loaded(&self, library: &str) -> bool {
         let maps = self.child.as_ref().map(|child| format!("/proc/{}/maps", child.id()));
         let maps = maps.and_then(|maps| std::fs::read_to_string(maps).ok());
         maps.is_some_and(|maps| maps.contains(library))
     }
 
-    /// Whether it ended by itself and was not reaped yet.
+    /// Returns whether the process has exited and was not reaped yet.
     pub fn has_ended(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
         self.signal(libc::SIGKILL);
         self.reap();
     }
 
-    /// Waits for its end.
+    /// Waits until the process has exited.
     pub fn reap(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.wait();
         }
     }
 
-    /// Whether it was started and not reaped.
+    /// Returns whether the process was started and not reaped since.
     pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
--- a/tools/fleet-runner/src/readiness.rs
+++ b/tools/fleet-runner/src/readiness.rs
@@ -1,19 +1,19 @@
-//! Which data nodes are ready, and for which plan.
+//! The readiness of the data nodes, and the plans that they follow.
 
 use crate::error::FleetError;
 use crate::fleet::{DataEndpoint, Fleet};
 use std::time::{Duration, Instant};
 
-/// What a data node reports of itself.
+/// The report of a data node's readiness.
 pub struct NodeReadiness {
-    /// Whether it takes requests.
+    /// Whether the data node accepts requests.
     pub is_ready: bool,
-    /// Its report, which names the version of its plan.
+    /// The body of the report, which contains the version of the data node's plan.
     pub text: String,
 }
 
 impl Fleet {
-    /// What each data node reports; `None` for one that does not respond.
+    /// Returns the report of each data node; `None` for one that does not respond in time.
     pub fn readiness(&self) -> Vec<Option<NodeReadiness>> {
         let poll = |node: &DataEndpoint| {
             let request = self.agent.get(format!("http://{}/ready", node.http));
@@ -29,10 +29,10 @@
         })
     }
 
-    /// Waits until every data node is ready; returns how long it took.
+    /// Waits until every data node is ready; returns how long that took, in milliseconds.
     ///
     /// # Errors
-    /// When that takes longer than `max_ms`.
+    /// When some data nodes are not ready after `max_ms` milliseconds.
     pub fn wait_ready(&self, max_ms: u128) -> Result<u128, FleetError> {
         let start = Instant::now();
         let nodes = self.data_endpoints.len();
--- a/tools/fleet-runner/src/relay.rs
+++ b/tools/fleet-runner/src/relay.rs
@@ -1,5 +1,5 @@
-//! TCP relays between the processes: each process is reached through its own, which delays
-//! messages from zone to zone and drops those that a partition separates.
+//! TCP relays between the processes. Each process is reached through a relay of its own, which
+//! delays messages from other zones and drops messages on links that a partition cuts.
 
 use postbarrow_messages::read_frame;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,49 +10,50 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Size of the buffer for one read from a target's connection, in bytes.
 const CHUNK_BYTES: usize = 64 * 1024;
 
-/// A direction from one process to another, by their advertised addresses.
+/// One direction between two processes: the sender's and the receiver's advertised addresses.
 pub type Link = (SocketAddr, SocketAddr);
 
-/// Which links work, and how far apart the zones are.
+/// The rules that all relays follow: zones, partitions and the delay between zones.
 #[derive(Default)]
 pub struct RelayRules {
-    /// The zone of each process.
+    /// The zone of each control and data node, by its advertised address.
     pub zones: BTreeMap<SocketAddr, String>,
-    /// Links that carry nothing.
+    /// The links on which frames are dropped.
     pub cut: BTreeSet<Link>,
-    /// Targets that nobody reaches, as those of an isolated zone.
+    /// The targets whose bytes are dropped in both directions, as those of an isolated zone.
     pub unreachable: BTreeSet<SocketAddr>,
-    /// How long a message takes from zone to zone.
+    /// The delay of a message from one zone to another.
     pub zone_delay: Duration,
 }
 
-/// A frame on its way.
+/// A frame and the time at which it is due at its receiver.
 struct DelayedFrame {
     due: Instant,
     bytes: Vec<u8>,
 }
 
-/// All relays of a fleet, under the same rules.
+/// The relays of a fleet, which share their rules.
 #[derive(Clone, Default)]
 pub struct Relays {
     rules: Arc<RwLock<RelayRules>>,
 }
 
 impl Relays {
-    /// Changes the rules for what is carried from now on.
+    /// Changes the rules; the change applies to frames and bytes that are read afterwards.
     pub fn change_rules(&self, change: impl FnOnce(&mut RelayRules)) {
         if let Ok(mut rules) = self.rules.write() {
             change(&mut rules);
         }
     }
 
-    /// Relays messages from the address that a process advertises to the one it listens on; the
-    /// first message of a connection names its sender.
+    /// Starts a relay of frames from the address that a node advertises to the one on which it
+    /// listens. The first frame of a connection names its sender.
     ///
     /// # Errors
-    /// When the advertised address can't be listened on.
+    /// When the relay can't listen on the advertised address.
     pub fn relay_frames(
         &self,
         advertised: SocketAddr,
@@ -73,18 +74,19 @@
         Ok(())
     }
 
-    /// Relays bytes to and from a target, unless it is unreachable.
+    /// Starts a relay of bytes to and from a target, which drops them while the target is
+    /// unreachable.
     ///
     /// # Errors
-    /// When the advertised address can't be listened on.
+    /// When the relay can't listen on the advertised address.
     pub fn relay_bytes(&self, advertised: SocketAddr, bound: SocketAddr) -> io::Result<()> {
         let listener = TcpListener::bind(advertised)?;
         let relays = self.clone();
         thread::spawn(move || {
-            for near in listener.incoming().flatten() {
-                let Ok(far) = TcpStream::connect(bound) else { continue };
-                let _ = (near.set_nodelay(true), far.set_nodelay(true));
-                for (from, to) in [(&near, &far), (&far, &near)] {
+            for client in listener.incoming().flatten() {
+                let Ok(server) = TcpStream::connect(bound) else { continue };
+                let _ = (client.set_nodelay(true), server.set_nodelay(true));
+                for (from, to) in [(&client, &server), (&server, &client)] {
                     let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else { continue };
                     let relays = relays.clone();
                     thread::spawn(move || relays.carry_bytes(from, to, advertised));
@@ -121,7 +123,7 @@
         }
     }
 
-    /// How long a frame is on its way; `None` if the link is cut.
+    /// Returns the delay of a frame on this link; `None` if the link is cut.
     fn delay(&self, from: SocketAddr, to: SocketAddr) -> Option<Duration> {
         let rules = self.rules.read().ok()?;
         if rules.cut.contains(&(from, to)) {
@@ -132,7 +134,7 @@
     }
 }
 
-/// A frame with its length prefix, undecoded.
+/// Reads one frame with its length prefix, without decoding it.
 fn read_raw_frame(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
     let mut head = [0; 4];
     stream.read_exact(&mut head)?;
--- a/tools/fleet-runner/tests/help.rs
+++ b/tools/fleet-runner/tests/help.rs
@@ -1,4 +1,4 @@
-//! The help of this tool.
+//! Test of the help text of this tool.
 
 #[path = "../../../programs/control-plane/tests/outer/mod.rs"]
 mod outer;
