--- a/tools/fleet-runner/src/deployment.rs
+++ b/tools/fleet-runner/src/deployment.rs
@@ -9,10 +9,10 @@
 /// The names of the zones of every fleet.
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// Returns the zone of the control node, data node or target with this position among those of its
+/// Returns the zone of the control node, data node or target with this index among those of its
 /// kind; the zones take turns.
-pub fn zone(position: usize) -> &'static str {
-    ZONES[position % ZONES.len()]
+pub fn zone(index: usize) -> &'static str {
+    ZONES[index % ZONES.len()]
 }
 
 /// A service and its number of targets.
--- a/tools/fleet-runner/src/disk_faults.rs
+++ b/tools/fleet-runner/src/disk_faults.rs
@@ -73,10 +73,10 @@
         let arguments = self.control_arguments(index, position)?;
         self.control[index].set_arguments(arguments);
         self.control[index].start()?;
-        let own = self.control_address(index)?;
+        let address = self.control_address(index)?;
         for _ in 0..80 {
             sleep(POLL_INTERVAL);
-            if self.has_three_voters() && self.is_voter(own) {
+            if self.has_three_voters() && self.is_voter(address) {
                 return Ok(());
             }
         }
--- a/tools/fleet-runner/src/fault_injection.rs
+++ b/tools/fleet-runner/src/fault_injection.rs
@@ -58,8 +58,8 @@
         Fault::KillData => fleet.restart_data(&[drawn], libc::SIGKILL, 800),
         Fault::KillManyData => {
             let half = fleet.data.len() / 2;
-            let some: Vec<usize> = (0..half).map(|index| drawn % 7 + index).collect();
-            fleet.restart_data(&some, libc::SIGKILL, 500)
+            let indexes: Vec<usize> = (0..half).map(|index| drawn % 7 + index).collect();
+            fleet.restart_data(&indexes, libc::SIGKILL, 500)
         }
         Fault::RestartData => fleet.restart_data(&[drawn], libc::SIGTERM, 0),
         Fault::RestartDataInTurn(index) => {
--- a/tools/fleet-runner/src/fleet_check.rs
+++ b/tools/fleet-runner/src/fleet_check.rs
@@ -41,8 +41,9 @@
     let Drain { instance, listed_ms } = drain;
     let file = format!("{}/records/{instance}", fleet.launcher.folder);
     let text = std::fs::read_to_string(file).unwrap_or_default();
-    let times_ms =
-        text.lines().filter_map(|line| ExecutionRecord::parse(line).and_then(|one| one.at_ms()));
+    let times_ms = text
+        .lines()
+        .filter_map(|line| ExecutionRecord::parse(line).and_then(|record| record.at_ms()));
     let lag_ms = times_ms.max().unwrap_or(0).saturating_sub(*listed_ms);
     if lag_ms > DRAIN_LAG_MAX_MS {
         violations
--- a/tools/fleet-runner/src/partitions.rs
+++ b/tools/fleet-runner/src/partitions.rs
@@ -18,8 +18,8 @@
     process.option("--address")?.parse().ok()
 }
 
-fn both_directions(one: SocketAddr, other: SocketAddr) -> [Link; 2] {
-    [(one, other), (other, one)]
+fn both_directions(node: SocketAddr, other: SocketAddr) -> [Link; 2] {
+    [(node, other), (other, node)]
 }
 
 impl Fleet {
@@ -50,10 +50,10 @@
     }
 
     /// Returns the links, in both directions, between these nodes and all others.
-    fn links_around(&self, inside: &[SocketAddr]) -> BTreeSet<Link> {
+    fn links_around(&self, separated: &[SocketAddr]) -> BTreeSet<Link> {
         let all = self.control.iter().chain(&self.data).filter_map(advertised);
-        all.filter(|other| !inside.contains(other))
-            .flat_map(|other| inside.iter().flat_map(move |one| both_directions(*one, other)))
+        all.filter(|other| !separated.contains(other))
+            .flat_map(|other| separated.iter().flat_map(move |node| both_directions(*node, other)))
             .collect()
     }
 
@@ -62,10 +62,10 @@
     /// # Errors
     /// When no control node has this index.
     pub fn partition_control(&self, index: usize) -> Result<(), FleetError> {
-        let one = self.control_address(index)?;
+        let node = self.control_address(index)?;
         let all = (0..CONTROL_NODES).filter_map(|index| self.control_address(index).ok());
-        let others = all.filter(|other| *other != one);
-        self.partition(others.flat_map(|other| both_directions(one, other)).collect())
+        let others = all.filter(|other| *other != node);
+        self.partition(others.flat_map(|other| both_directions(node, other)).collect())
     }
 
     /// Separates one control node from all other nodes.
@@ -73,8 +73,8 @@
     /// # Errors
     /// When no control node has this index.
     pub fn isolate_control(&self, index: usize) -> Result<(), FleetError> {
-        let one = self.control_address(index)?;
-        self.partition(self.links_around(&[one]))
+        let node = self.control_address(index)?;
+        self.partition(self.links_around(&[node]))
     }
 
     /// Separates one data node from all other nodes.
@@ -83,8 +83,8 @@
     /// When the data node advertises no valid address.
     pub fn isolate_data(&self, index: usize) -> Result<(), FleetError> {
         let process = &self.data[index % self.data.len()];
-        let one = advertised(process).ok_or(FleetError::MissingProcess("data node"))?;
-        self.partition(self.links_around(&[one]))
+        let node = advertised(process).ok_or(FleetError::MissingProcess("data node"))?;
+        self.partition(self.links_around(&[node]))
     }
 
     /// Drops the messages from one control node to the next; the opposite direction works.
@@ -102,10 +102,10 @@
     /// # Errors
     /// When the zone has no targets.
     pub fn isolate_zone(&self, zone: &str) -> Result<(), FleetError> {
-        let mut inside = Vec::new();
+        let mut separated = Vec::new();
         self.relays.change_rules(|rules| {
             let in_zone = rules.zones.iter().filter(|(_, other)| *other == zone);
-            inside.extend(in_zone.map(|(address, _)| *address));
+            separated.extend(in_zone.map(|(address, _)| *address));
         });
         let rows = self.list.rows.values().filter(|row| row.zone == zone);
         let targets: Vec<SocketAddr> = rows.filter_map(|row| row.address.parse().ok()).collect();
@@ -113,6 +113,6 @@
             return Err(FleetError::ZoneWithoutTargets(zone.into()));
         }
         self.relays.change_rules(|rules| rules.unreachable.extend(targets));
-        self.partition(self.links_around(&inside))
+        self.partition(self.links_around(&separated))
     }
 }
--- a/tools/fleet-runner/src/process.rs
+++ b/tools/fleet-runner/src/process.rs
@@ -156,8 +156,8 @@
         let limit = libc::rlimit { rlim_cur: size_bytes, rlim_max: size_bytes };
         let old = std::ptr::null_mut();
         // SAFETY: `limit` outlives the call; the earlier limit is not returned, as `old` is null.
-        let done = unsafe { libc::prlimit(child.id() as i32, libc::RLIMIT_FSIZE, &limit, old) };
-        if done == 0 { Ok(()) } else { Err(std::io::Error::last_os_error().into()) }
+        let result = unsafe { libc::prlimit(child.id() as i32, libc::RLIMIT_FSIZE, &limit, old) };
+        if result == 0 { Ok(()) } else { Err(std::io::Error::last_os_error().into()) }
     }
 
     /// Returns the memory and threads of the process; `None` if it is not running.
--- a/tools/fleet-runner/src/target_faults.rs
+++ b/tools/fleet-runner/src/target_faults.rs
@@ -99,10 +99,10 @@
     ///
     /// # Errors
     /// When the fault file can't be written.
-    pub fn inject_list_fault(&self, fault: &str, for_ms: u64) -> Result<(), FleetError> {
+    pub fn inject_list_fault(&self, fault: &str, duration_ms: u64) -> Result<(), FleetError> {
         let file = format!("{}/trouble", self.launcher.folder);
         std::fs::write(&file, fault)?;
-        sleep(Duration::from_millis(for_ms));
+        sleep(Duration::from_millis(duration_ms));
         Ok(std::fs::write(&file, "")?)
     }
 }
--- a/tools/jumping-clock/src/lib.rs
+++ b/tools/jumping-clock/src/lib.rs
@@ -50,10 +50,10 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
     // SAFETY: the system call checks `time`, which the caller guarantees to be valid.
-    let done = unsafe { libc::syscall(libc::SYS_clock_gettime, clock as c_long, time) } as c_int;
-    if done == 0 && clock == libc::CLOCK_REALTIME && !time.is_null() {
+    let result = unsafe { libc::syscall(libc::SYS_clock_gettime, clock as c_long, time) } as c_int;
+    if result == 0 && clock == libc::CLOCK_REALTIME && !time.is_null() {
         // SAFETY: the caller guarantees that a pointer that is not null points to a timespec.
         unsafe { (*time).tv_sec += offset_s() };
     }
-    done
+    result
 }
--- a/tools/load-generator/src/coordination_calls.rs
+++ b/tools/load-generator/src/coordination_calls.rs
@@ -210,17 +210,17 @@
         let Some(fence) = response.as_ref().and_then(|response| response.number("fence")) else {
             return CallOutcome { answered: response.is_some(), result: CallResult::Nothing };
         };
-        let safe = Duration::from_millis(TTL_MS - TTL_MARGIN_MS);
+        let valid_time = Duration::from_millis(TTL_MS - TTL_MARGIN_MS);
         let owner = &self.lock_owners.owners[index];
         let mut result = CallResult::Locked { fence };
-        if sent_at.elapsed() < safe {
+        if sent_at.elapsed() < valid_time {
             if owner.swap(seed, SeqCst) != NO_OWNER {
                 result = CallResult::Overlap;
             }
             std::thread::sleep(LOCKED_TIME);
-            let is_safe = sent_at.elapsed() < safe;
-            let is_own = owner.compare_exchange(seed, NO_OWNER, SeqCst, SeqCst).is_ok();
-            if is_safe && !is_own {
+            let is_valid = sent_at.elapsed() < valid_time;
+            let is_owner = owner.compare_exchange(seed, NO_OWNER, SeqCst, SeqCst).is_ok();
+            if is_valid && !is_owner {
                 result = CallResult::Overlap;
             }
         }
--- a/tools/load-generator/src/departing_clients/tests.rs
+++ b/tools/load-generator/src/departing_clients/tests.rs
@@ -38,7 +38,10 @@
     let summary = summarize(&clients, &works);
     assert_eq!(summary, Summary { departed: 4, in_flight: 0, overran: 0, started_late: 4 });
     assert_eq!(check(&summary).len(), 1);
-    assert!(check(&summarize(&clients, &works[..3])).is_empty(), "a few may cross the close");
+    assert!(
+        check(&summarize(&clients, &works[..3])).is_empty(),
+        "a few requests may cross the close of their connections"
+    );
 }
 
 #[test]
--- a/tools/load-generator/src/noisy_neighbour.rs
+++ b/tools/load-generator/src/noisy_neighbour.rs
@@ -91,13 +91,13 @@
 
 /// Connects from a given local address, which `TcpStream::connect` can't do.
 fn connect(from: Ipv4Addr, to: SocketAddrV4) -> io::Result<TcpStream> {
-    let raw = |address: &Ipv4Addr, port: u16| libc::sockaddr_in {
+    let socket_address = |address: &Ipv4Addr, port: u16| libc::sockaddr_in {
         sin_family: libc::AF_INET as u16,
         sin_port: port.to_be(),
         sin_addr: libc::in_addr { s_addr: u32::from_ne_bytes(address.octets()) },
         sin_zero: [0; 8],
     };
-    let (local, remote) = (raw(&from, 0), raw(to.ip(), to.port()));
+    let (local, remote) = (socket_address(&from, 0), socket_address(to.ip(), to.port()));
     let length = size_of::<libc::sockaddr_in>() as u32;
     let check = |code: i32| if code == 0 { Ok(()) } else { Err(io::Error::last_os_error()) };
     // SAFETY: both addresses are complete `sockaddr_in` of the given length and outlive the calls;
