--- a/tools/fleet-runner/src/fault_injection.rs
+++ b/tools/fleet-runner/src/fault_injection.rs
@@ -14,8 +14,8 @@
 
 /// The number of routes without load in a large plan.
 const BIG_PLAN_ROUTES: usize = 4_000;
-/// Time within which every data node must be ready after a step of a rolling restart, in
-/// milliseconds.
+/// Time within which every data node must be ready after a rolling restart has restarted one of
+/// them, in milliseconds.
 const RESTART_TIMEOUT_MS: u128 = 10_000;
 
 /// Injects each fault when it is due, or once the previous one has ended if that is later.
--- a/tools/fleet-runner/src/fleet.rs
+++ b/tools/fleet-runner/src/fleet.rs
@@ -251,6 +251,7 @@
         )))
     }
 
+    /// Starts the relay of a node's advertised port, unless it was started before.
     fn relay(&mut self, port: u16, zone: &str) -> Result<(), FleetError> {
         if !self.relayed_ports.insert(port) {
             return Ok(());
@@ -259,6 +260,7 @@
         relayed.map_err(FleetError::system(format!("relay {port}")))
     }
 
+    /// Returns the HTTP addresses of the control nodes that are running.
     fn control_http(&self) -> Vec<String> {
         let running = self.control.iter().filter(|process| process.is_running());
         running.filter_map(|process| process.option("--http").cloned()).collect()
--- a/tools/fleet-runner/src/relay.rs
+++ b/tools/fleet-runner/src/relay.rs
@@ -96,6 +96,8 @@
         Ok(())
     }
 
+    /// Copies bytes in one direction until the sender closes; drops them while the target is
+    /// unreachable.
     fn carry_bytes(&self, mut from: TcpStream, mut to: TcpStream, target: SocketAddr) {
         let mut chunk = vec![0; CHUNK_BYTES];
         while let Ok(length @ 1..) = from.read(&mut chunk) {
@@ -108,6 +110,8 @@
         let _ = to.shutdown(std::net::Shutdown::Write);
     }
 
+    /// Reads the frames of one connection, and queues each for delivery after the delay of its link
+    /// or drops it if the link is cut.
     fn carry_frames(&self, mut stream: TcpStream, to: SocketAddr, bound: SocketAddr) {
         let (frames, queue) = channel();
         thread::spawn(move || deliver(bound, &queue));
@@ -144,6 +148,7 @@
     if read as u64 == length { Ok(frame) } else { Err(io::ErrorKind::UnexpectedEof.into()) }
 }
 
+/// Writes queued frames to the address on which their receiver listens, each when it is due.
 fn deliver(bound: SocketAddr, queue: &Receiver<DelayedFrame>) {
     let Ok(mut stream) = TcpStream::connect(bound) else { return };
     let _ = stream.set_nodelay(true);
--- a/tools/load-generator/src/departing_clients.rs
+++ b/tools/load-generator/src/departing_clients.rs
@@ -12,13 +12,13 @@
 use std::time::{Duration, Instant};
 use tools_shared::{ExecutionRecord, mix, wall_ms};
 
-/// Time after a client's departure for which its work may continue, in milliseconds: the close of
-/// the connection must reach the target.
+/// Time after a client's departure for which its request may still execute, in milliseconds: the
+/// close of the connection must reach the target.
 const GRACE_MS: u64 = 500;
 /// Number of requests in one run that may reach a target later than `GRACE_MS` after the departure.
 const LATE_STARTS_ALLOWED: usize = 3;
-/// Number of works in flight at their clients' departures for each one that may last longer than
-/// `GRACE_MS` after it.
+/// Number of executions in flight at their clients' departures for each one that may last longer
+/// than `GRACE_MS` after the departure.
 const IN_FLIGHT_PER_OVERRUN: usize = 4;
 /// Time for which a target works on a request whose client stays, in milliseconds.
 const WORK_MS: u64 = 2_000;
@@ -36,31 +36,32 @@
 pub struct Departure {
     /// The `X-Id` of the client's request.
     pub id: String,
-    /// When the client departed, in milliseconds of the wall clock, by which targets record work.
+    /// When the client departed, in milliseconds of the wall clock, as in targets' records.
     pub at_ms: u64,
 }
 
-/// The work of a target on the request of a departing client, as the target recorded it.
+/// One execution of a departing client's request, as its target recorded it.
 #[derive(Clone, Debug)]
-pub struct TargetWork {
+pub struct Execution {
     /// The request's `X-Id`.
     pub id: String,
-    /// When the work started, in milliseconds of the wall clock.
+    /// When the execution started, in milliseconds of the wall clock.
     pub started_ms: u64,
-    /// When the work ended, in milliseconds of the wall clock; `None` if no end was recorded.
+    /// When the execution ended, in milliseconds of the wall clock; `None` if no end was recorded.
     pub ended_ms: Option<u64>,
 }
 
-/// The number of departed clients, and of the works on their requests by their timing.
+/// The number of departed clients, and of their requests' executions by timing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
     /// The number of clients that departed.
     pub departed: usize,
-    /// The number of works that were in flight at the departure or started within `GRACE_MS` of it.
+    /// The number of executions that were in flight at the departure, or started up to `GRACE_MS`
+    /// after it.
     pub in_flight: usize,
-    /// The number of the works in flight that lasted longer than `GRACE_MS` after the departure.
+    /// How many of the executions in flight lasted longer than `GRACE_MS` after the departure.
     pub overran: usize,
-    /// The number of works that started later than `GRACE_MS` after the departure.
+    /// The number of executions that started later than `GRACE_MS` after the departure.
     pub started_late: usize,
 }
 
@@ -109,42 +110,43 @@
     Some(Departure { id, at_ms: wall_ms() })
 }
 
-/// Reads the works on departing clients' requests from every file of the targets' records.
+/// Reads the executions of departing clients' requests from every file of the targets' records.
 ///
 /// # Errors
 /// When the folder or a file in it can't be read.
-pub fn read_works(folder: &str) -> io::Result<Vec<TargetWork>> {
-    let mut works: Vec<TargetWork> = Vec::new();
+pub fn read_executions(folder: &str) -> io::Result<Vec<Execution>> {
+    let mut runs: Vec<Execution> = Vec::new();
     for file in std::fs::read_dir(folder)? {
         let text = std::fs::read_to_string(file?.path())?;
         let mut unfinished: HashMap<String, usize> = HashMap::new();
         for record in text.lines().filter_map(ExecutionRecord::parse) {
             match record {
                 ExecutionRecord::Run { id, at_ms, .. } if id.starts_with(ID_PREFIX) => {
-                    unfinished.insert(id.clone(), works.len());
-                    works.push(TargetWork { id, started_ms: at_ms.unwrap_or(0), ended_ms: None });
+                    unfinished.insert(id.clone(), runs.len());
+                    runs.push(Execution { id, started_ms: at_ms.unwrap_or(0), ended_ms: None });
                 }
                 ExecutionRecord::Ended { id, at_ms, .. } => {
-                    if let Some(work) = unfinished.remove(&id).and_then(|at| works.get_mut(at)) {
-                        work.ended_ms = at_ms;
+                    if let Some(run) = unfinished.remove(&id).and_then(|index| runs.get_mut(index))
+                    {
+                        run.ended_ms = at_ms;
                     }
                 }
                 ExecutionRecord::Run { .. } => {}
             }
         }
     }
-    Ok(works)
+    Ok(runs)
 }
 
-/// Compares the times of departures with the times of the targets' works.
-pub fn summarize(departures: &[Departure], works: &[TargetWork]) -> Summary {
+/// Compares the times of departures with the times of the executions.
+pub fn summarize(departures: &[Departure], executions: &[Execution]) -> Summary {
     let departed_ms: HashMap<&str, u64> =
         departures.iter().map(|departure| (departure.id.as_str(), departure.at_ms)).collect();
     let mut summary = Summary { departed: departures.len(), ..Summary::default() };
-    for work in works {
-        let Some(departed_ms) = departed_ms.get(work.id.as_str()) else { continue };
-        let ended_ms = work.ended_ms.unwrap_or(u64::MAX);
-        if work.started_ms > departed_ms + GRACE_MS {
+    for execution in executions {
+        let Some(departed_ms) = departed_ms.get(execution.id.as_str()) else { continue };
+        let ended_ms = execution.ended_ms.unwrap_or(u64::MAX);
+        if execution.started_ms > departed_ms + GRACE_MS {
             summary.started_late += 1;
         } else if ended_ms > *departed_ms {
             summary.in_flight += 1;
--- a/tools/load-generator/src/key_watch.rs
+++ b/tools/load-generator/src/key_watch.rs
@@ -9,7 +9,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// The revisions that the watch received, and where it started and ended.
+/// The revisions that the watch received, where it started, and whether the gateway ended it.
 #[derive(Default)]
 pub struct WatchedRevisions {
     /// The revisions in the order of their arrival.
--- a/tools/load-generator/src/main.rs
+++ b/tools/load-generator/src/main.rs
@@ -97,8 +97,8 @@
     violations.extend(coordination_check::check(&load.calls));
     violations.extend(key_watch::check(&observed.watched, &load.calls));
     if !observed.departures.is_empty() {
-        let works = departing_clients::read_works(&cli.records).unwrap_or_default();
-        let summary = departing_clients::summarize(&observed.departures, &works);
+        let executions = departing_clients::read_executions(&cli.records).unwrap_or_default();
+        let summary = departing_clients::summarize(&observed.departures, &executions);
         println!(
             "Leavers: {} clients left, {} while a target worked; {} worked on, {} begun late",
             summary.departed, summary.in_flight, summary.overran, summary.started_late
--- a/tools/load-generator/src/report.rs
+++ b/tools/load-generator/src/report.rs
@@ -14,11 +14,11 @@
         print_kind(kind, &load.requests);
     }
     let answered = load.calls.iter().filter(|call| call.answered).count();
-    let took: Vec<f64> = load.calls.iter().map(|call| call.took_ms()).collect();
+    let durations_ms: Vec<f64> = load.calls.iter().map(|call| call.took_ms()).collect();
     println!(
         "Coordination: {} calls, {answered} answered; {}",
         load.calls.len(),
-        percentiles(took)
+        percentiles(durations_ms)
     );
     let direct: Vec<f64> = load.direct.iter().map(|request| request.took_ms).collect();
     if !direct.is_empty() {
@@ -50,11 +50,18 @@
 }
 
 /// Formats the percentiles of these durations in milliseconds.
-fn percentiles(mut took: Vec<f64>) -> String {
-    took.sort_by(f64::total_cmp);
-    let at = |quantile: f64| {
-        let index = ((took.len() as f64 * quantile) as usize).min(took.len().saturating_sub(1));
-        took.get(index).copied().unwrap_or(0.0)
+fn percentiles(mut durations_ms: Vec<f64>) -> String {
+    durations_ms.sort_by(f64::total_cmp);
+    let value_at = |quantile: f64| {
+        let index = ((durations_ms.len() as f64 * quantile) as usize)
+            .min(durations_ms.len().saturating_sub(1));
+        durations_ms.get(index).copied().unwrap_or(0.0)
     };
-    format!("ms p50 {:.1} p90 {:.1} p99 {:.1} max {:.1}", at(0.5), at(0.9), at(0.99), at(1.0))
+    format!(
+        "ms p50 {:.1} p90 {:.1} p99 {:.1} max {:.1}",
+        value_at(0.5),
+        value_at(0.9),
+        value_at(0.99),
+        value_at(1.0)
+    )
 }
--- a/tools/stand-ins/src/target.rs
+++ b/tools/stand-ins/src/target.rs
@@ -43,7 +43,7 @@
     seed: u64,
 }
 
-/// The identity that a target reports at the path of the proof.
+/// The identity that a target reports at `PROOF_PATH`, as JSON.
 #[derive(Facet)]
 struct TargetIdentity {
     instance: String,
