--- a/tools/load-generator/src/report.rs
+++ b/tools/load-generator/src/report.rs
@@ -1,24 +1,24 @@
-//! The printed summary of a run.
+//! The summary of a run, printed on standard output.
 
 use crate::client::{ClientRequest, Kind, Outcome};
 use crate::request_ledger::Run;
 use crate::workload::LoadResults;
 
-/// How many violations are printed one by one.
+/// Maximum number of violations that are printed one by one.
 const VIOLATIONS_SHOWN: usize = 30;
 
-/// Prints counts and percentiles by kind of traffic, and the violations.
+/// Prints the counts and percentiles of each kind of traffic, and the violations.
 pub fn print(load: &LoadResults, runs: &[Run], violations: &[String]) {
     println!("{:.1} s, {} asks, {} runs", load.seconds, load.requests.len(), runs.len());
     for kind in Kind::ALL {
         print_kind(kind, &load.requests);
     }
     let answered = load.calls.iter().filter(|call| call.answered).count();
-    let took: Vec<f64> = load.calls.iter().map(|call| call.took_ms()).collect();
+    let durations_ms: Vec<f64> = load.calls.iter().map(|call| call.took_ms()).collect();
     println!(
         "Coordination: {} calls, {answered} answered; {}",
         load.calls.len(),
-        percentiles(took)
+        percentiles(durations_ms)
     );
     let direct: Vec<f64> = load.direct.iter().map(|request| request.took_ms).collect();
     if !direct.is_empty() {
@@ -49,11 +49,19 @@
     );
 }
 
-fn percentiles(mut took: Vec<f64>) -> String {
-    took.sort_by(f64::total_cmp);
-    let at = |quantile: f64| {
-        let index = ((took.len() as f64 * quantile) as usize).min(took.len().saturating_sub(1));
-        took.get(index).copied().unwrap_or(0.0)
+/// Formats the percentiles of these durations in milliseconds.
+fn percentiles(mut durations_ms: Vec<f64>) -> String {
+    durations_ms.sort_by(f64::total_cmp);
+    let value_at = |quantile: f64| {
+        let index = ((durations_ms.len() as f64 * quantile) as usize)
+            .min(durations_ms.len().saturating_sub(1));
+        durations_ms.get(index).copied().unwrap_or(0.0)
     };
-    format!("ms p50 {:.1} p90 {:.1} p99 {:.1} max {:.1}", at(0.5), at(0.9), at(0.99), at(1.0))
+    format!(
+        "ms p50 {:.1} p90 {:.1} p99 {:.1} max {:.1}",
+        value_at(0.5),
+        value_at(0.9),
+        value_at(0.99),
+        value_at(1.0)
+    )
 }
