--- a/crates/simulation/src/search/mod.rs
+++ b/crates/simulation/src/search/mod.rs
@@ -1,5 +1,5 @@
-//! Exhaustive search, breadth first, over every order of events that a model allows (bounded model
-//! checking).
+//! Bounded model checking: an exhaustive breadth-first search over every order of events that a
+//! model allows.
 
 mod forwarded;
 mod request;
@@ -14,25 +14,26 @@
 
 /// A system of which every order of events is explored.
 pub trait Model {
-    /// All that decides what may happen next; equal states are explored once.
+    /// A state of the system, with everything that determines the events possible from it. Equal
+    /// states are explored once.
     type State: Clone + Eq + Hash;
-    /// One event.
+    /// One event, which changes the state.
     type Action: Clone + Debug;
 
-    /// The initial state.
+    /// Returns the state in which the search begins.
     fn initial(&self) -> Self::State;
-    /// All events that are possible next.
+    /// Returns all events that are possible in this state.
     fn actions(&self, state: &Self::State) -> Vec<Self::Action>;
-    /// The state after an event.
+    /// Returns the state that an event leads to from this state.
     fn step(&self, state: &Self::State, action: &Self::Action) -> Self::State;
     /// Checks the invariants, which must hold in every state.
     ///
     /// # Errors
-    /// The invariant that does not hold.
+    /// Returns the first invariant found that this state violates.
     fn check(&self, state: &Self::State) -> Result<(), Violation>;
 }
 
-/// An invariant that does not hold in some state, in words.
+/// A description of an invariant that a state violates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation(pub String);
 
@@ -42,56 +43,59 @@
     }
 }
 
-/// The bounds of a search.
+/// The limits of a search; it omits states beyond them.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Maximum events from the initial state.
+    /// Maximum number of events on a path from the initial state.
     pub depth: usize,
-    /// Maximum distinct states.
+    /// Maximum number of distinct states.
     pub states: usize,
 }
 
-/// What a search covered.
+/// The extent of a search that found no violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Covered {
-    /// Distinct states.
+pub struct Coverage {
+    /// Number of distinct states that were explored.
     pub states: usize,
-    /// Events from the initial state to the furthest.
+    /// Number of events on the shortest path to the most distant explored state.
     pub depth: usize,
-    /// Every reachable state was explored; no bound ended the search early.
+    /// Whether every reachable state was explored, i.e. no limit was reached.
     pub complete: bool,
 }
 
 /// A state that violates an invariant, and a shortest path to it.
 #[derive(Debug)]
 pub struct Counterexample<A> {
-    /// The invariant that does not hold.
+    /// The violated invariant.
     pub violation: Violation,
-    /// The events from the initial state on.
+    /// The events from the initial state to the violating state, in order.
     pub path: Vec<A>,
 }
 
-struct Node<M: Model> {
+struct SearchNode<M: Model> {
     state: Rc<M::State>,
-    from: Option<(usize, M::Action)>,
+    /// The index of the preceding node and the event that led from it; `None` for the initial
+    /// state.
+    parent: Option<(usize, M::Action)>,
     depth: usize,
 }
 
-/// Explores every state reachable from the initial one, nearest first.
+/// Explores every state that is reachable from the initial state within the bounds, in the order of
+/// their distance from it.
 ///
 /// # Errors
-/// The nearest state that violates an invariant.
-pub fn search<M: Model>(model: &M, bounds: Bounds) -> Result<Covered, Counterexample<M::Action>> {
-    let first = Rc::new(model.initial());
-    let mut visited = HashSet::from([first.clone()]);
-    let mut nodes: Vec<Node<M>> = vec![Node { state: first, from: None, depth: 0 }];
-    let mut covered = Covered { states: 1, depth: 0, complete: true };
-    let mut at = 0;
-    while at < nodes.len() {
-        let (state, depth) = (nodes[at].state.clone(), nodes[at].depth);
-        covered.depth = depth;
+/// Returns a state that violates an invariant and is nearest to the initial state.
+pub fn search<M: Model>(model: &M, bounds: Bounds) -> Result<Coverage, Counterexample<M::Action>> {
+    let initial = Rc::new(model.initial());
+    let mut visited = HashSet::from([initial.clone()]);
+    let mut nodes: Vec<SearchNode<M>> = vec![SearchNode { state: initial, parent: None, depth: 0 }];
+    let mut coverage = Coverage { states: 1, depth: 0, complete: true };
+    let mut index = 0;
+    while index < nodes.len() {
+        let (state, depth) = (nodes[index].state.clone(), nodes[index].depth);
+        coverage.depth = depth;
         if let Err(violation) = model.check(&state) {
-            return Err(Counterexample { violation, path: path_to(&nodes, at) });
+            return Err(Counterexample { violation, path: path_to(&nodes, index) });
         }
         for action in model.actions(&state) {
             let next = Rc::new(model.step(&state, &action));
@@ -99,23 +103,24 @@
                 continue;
             }
             if depth >= bounds.depth || nodes.len() >= bounds.states {
-                covered.complete = false;
+                coverage.complete = false;
                 continue;
             }
             visited.insert(next.clone());
-            nodes.push(Node { state: next, from: Some((at, action)), depth: depth + 1 });
+            nodes.push(SearchNode { state: next, parent: Some((index, action)), depth: depth + 1 });
         }
-        at += 1;
+        index += 1;
     }
-    covered.states = nodes.len();
-    Ok(covered)
+    coverage.states = nodes.len();
+    Ok(coverage)
 }
 
-fn path_to<M: Model>(nodes: &[Node<M>], mut at: usize) -> Vec<M::Action> {
+/// Returns the events on the path from the initial state to the node at `index`.
+fn path_to<M: Model>(nodes: &[SearchNode<M>], mut index: usize) -> Vec<M::Action> {
     let mut path = Vec::new();
-    while let Some((before, action)) = &nodes[at].from {
+    while let Some((parent, action)) = &nodes[index].parent {
         path.push(action.clone());
-        at = *before;
+        index = *parent;
     }
     path.reverse();
     path
--- a/crates/simulation/src/search/request/flow.rs
+++ b/crates/simulation/src/search/request/flow.rs
@@ -1,215 +1,223 @@
-//! The real flows of two requests, replayed from their events.
+//! The real `RequestFlow`s of two requests, of which each state is reached by replaying its events
+//! on new flows.
 
-use crate::search::request::plan::{context, entry, table, target_name};
+use crate::search::request::plan::{model_table, request_context, route_entry, target_name};
 use crate::search::request::wire::Kind;
 use postbarrow_messages::Response;
 use postbarrow_node::{AttemptOutcome, Event, FlowContext, RequestFlow, RequestOutcome, Step};
 use postbarrow_state::{Name, Settlement};
 use std::collections::{BTreeMap, HashMap};
 
-/// One event of one request, as its flow receives it.
+/// One event of a request, as its flow receives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FlowEvent {
-    /// It starts.
+    /// The request has arrived.
     Start,
-    /// A connection is made.
+    /// A connection to the selected target is available.
     Connected,
-    /// A connection is not made.
+    /// Connecting to the selected target failed.
     ConnectFailed,
-    /// Its ticket is granted.
+    /// The controller granted the request's ticket.
     Granted,
-    /// Its ticket's settlement is recorded.
+    /// The controller recorded the settlement of the request's ticket.
     Settled,
-    /// No response from the controller.
+    /// The controller sent no response in time.
     NoResponse,
-    /// An attempt ended.
+    /// An attempt at a target ended.
     AttemptEnded(AttemptEnd),
 }
 
-/// How an attempt ended, with the client whose response it is.
+/// The outcome of an attempt, as the model distinguishes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptEnd {
-    /// With the complete response to this client's request.
+    /// The attempt received the complete response to the request of this client.
     Complete(usize),
-    /// Before the first byte was sent.
+    /// The attempt ended before the first byte was sent.
     Unsent,
-    /// With the target's statement that it did not run.
+    /// The target stated that it did not run the request.
     NotRun,
-    /// Without a response; `late`: since the deadline passed.
+    /// The attempt ended without a valid response; `late` tells whether because the deadline
+    /// passed.
     Unknown { late: bool },
 }
 
-/// An event, the request that it is for and what the node knew then.
+/// An event, the request that receives it, and what the node knew at that time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct FlowInput {
-    /// The client whose request it is for.
+    /// The client whose request receives the event.
     pub client: usize,
-    /// The node's clock.
+    /// The time of the node's clock, in milliseconds.
     pub now_ms: u64,
     /// Whether the node has its lease.
-    pub serves: bool,
-    /// The node has observed that the client departed.
-    pub client_left: bool,
-    /// The event.
+    pub has_lease: bool,
+    /// Whether the node has observed that the client departed.
+    pub client_departed: bool,
+    /// The event that the flow receives.
     pub event: FlowEvent,
 }
 
-/// What a request waits for now, or how it ended.
+/// The progress of a request: what it waits for, or how it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// Not yet arrived.
+    /// The request has not arrived yet.
     NotArrived,
-    /// For a connection to this target.
+    /// The request waits for a connection to this target.
     Connect(usize),
-    /// For a ticket.
+    /// The request waits for a ticket.
     RequestTicket,
-    /// For the settlement of its ticket.
+    /// The request waits for the settlement of its ticket.
     Settle,
-    /// For the end of an attempt.
+    /// The request waits for the end of an attempt at a target.
     Forward,
-    /// The client received the response to the request of this client.
+    /// The request's client received the response to the request of the client with this index.
     Answered(usize),
     /// The client received the report that its request did not run.
     ReportedNotRun,
     /// The client received the report that it is unknown whether its request ran.
     ReportedUnknown,
-    /// The client had departed.
-    ClientLeft,
+    /// The request ended because its client had departed.
+    ClientDeparted,
 }
 
-/// What became of a request's ticket.
+/// The status of a request's ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum TicketEnd {
-    /// None was requested.
-    None,
-    /// Requested and not settled.
+pub enum TicketStatus {
+    /// No ticket was requested.
+    NotRequested,
+    /// The ticket was requested and is not settled.
     Pending,
-    /// Settled.
+    /// The ticket was settled in this way.
     Settled(Settled),
 }
 
-/// How a ticket was settled.
+/// The way in which a ticket was settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Settled {
-    /// As run.
+    /// The request was recorded as run.
     Ran,
-    /// As unsent.
+    /// The request was recorded as not sent to its target.
     Unsent,
-    /// As unknown.
+    /// The request was recorded as unknown whether it ran.
     Unknown,
 }
 
-/// The state of both flows: their phases, and all that decides their next steps.
+/// The state of both flows: their phases and tickets, and everything that decides their next steps.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct FlowState {
-    /// The requests' phases.
+    /// The phase of each request, by client.
     pub phases: [Phase; 2],
-    /// The requests' tickets.
-    pub tickets: [TicketEnd; 2],
+    /// The ticket status of each request, by client.
+    pub tickets: [TicketStatus; 2],
+    /// The printed form of the flows, the targets' loads and the retry budget.
     fingerprint: String,
 }
 
-/// Every state reached so far, so that each transition is computed once.
+/// All states of the two flows reached so far, and the transitions between them, so that each
+/// transition is replayed only once. A state is identified by its index.
 pub struct FlowStates {
     kinds: [Kind; 2],
-    logged: bool,
-    /// Each with inputs that lead to it.
-    known: Vec<(FlowState, Vec<FlowInput>)>,
-    numbers: HashMap<FlowState, usize>,
-    after: HashMap<(usize, FlowInput), usize>,
+    uses_ticket_log: bool,
+    /// Each state with a sequence of inputs that leads to it.
+    states: Vec<(FlowState, Vec<FlowInput>)>,
+    /// The index of each state in `states`.
+    indexes: HashMap<FlowState, usize>,
+    /// The index of the state after an input in the state with an index.
+    transitions: HashMap<(usize, FlowInput), usize>,
 }
 
 impl FlowStates {
-    /// Starts with the state in which no request has arrived.
-    pub fn new(kinds: [Kind; 2], logged: bool) -> FlowStates {
-        let first = replay(kinds, logged, &[]);
-        let numbers = HashMap::from([(first.clone(), 0)]);
+    /// Creates the set with index 0 only, the state in which no request has arrived.
+    pub fn new(kinds: [Kind; 2], uses_ticket_log: bool) -> FlowStates {
+        let first = replay(kinds, uses_ticket_log, &[]);
+        let indexes = HashMap::from([(first.clone(), 0)]);
         FlowStates {
             kinds,
-            logged,
-            known: vec![(first, Vec::new())],
-            numbers,
-            after: HashMap::new(),
+            uses_ticket_log,
+            states: vec![(first, Vec::new())],
+            indexes,
+            transitions: HashMap::new(),
         }
     }
 
-    /// What the requests wait for in this state.
-    pub fn phases(&self, flow_state: usize) -> [Phase; 2] {
-        self.known[flow_state].0.phases
+    /// Returns the phases of both requests in a state.
+    pub fn phases(&self, flow_state_index: usize) -> [Phase; 2] {
+        self.states[flow_state_index].0.phases
     }
 
-    /// What became of the requests' tickets in this state.
-    pub fn tickets(&self, flow_state: usize) -> [TicketEnd; 2] {
-        self.known[flow_state].0.tickets
+    /// Returns the status of both requests' tickets in a state.
+    pub fn tickets(&self, flow_state_index: usize) -> [TicketStatus; 2] {
+        self.states[flow_state_index].0.tickets
     }
 
-    /// The state after an input.
-    pub fn after(&mut self, flow_state: usize, input: FlowInput) -> usize {
-        if let Some(known) = self.after.get(&(flow_state, input)) {
-            return *known;
+    /// Returns the index of the state that an input leads to from a state.
+    pub fn state_after(&mut self, flow_state_index: usize, input: FlowInput) -> usize {
+        if let Some(index) = self.transitions.get(&(flow_state_index, input)) {
+            return *index;
         }
-        let mut inputs = self.known[flow_state].1.clone();
+        let mut inputs = self.states[flow_state_index].1.clone();
         inputs.push(input);
-        let found = replay(self.kinds, self.logged, &inputs);
-        let number = *self.numbers.entry(found.clone()).or_insert(self.known.len());
-        if number == self.known.len() {
-            self.known.push((found, inputs));
+        let reached = replay(self.kinds, self.uses_ticket_log, &inputs);
+        let index = *self.indexes.entry(reached.clone()).or_insert(self.states.len());
+        if index == self.states.len() {
+            self.states.push((reached, inputs));
         }
-        self.after.insert((flow_state, input), number);
-        number
+        self.transitions.insert((flow_state_index, input), index);
+        index
     }
 }
 
-/// Feeds the inputs, in their order, to two new flows over one table.
-fn replay(kinds: [Kind; 2], logged: bool, inputs: &[FlowInput]) -> FlowState {
-    let table = table();
+/// Applies the inputs, in their order, to two new flows over one routing table; returns the state
+/// that they lead to.
+fn replay(kinds: [Kind; 2], uses_ticket_log: bool, inputs: &[FlowInput]) -> FlowState {
+    let table = model_table();
     let mut flows = [0, 1].map(|client| {
-        let entry = entry(&table, kinds[client]);
-        RequestFlow::new(context(client, logged), entry)
+        let entry = route_entry(&table, kinds[client]);
+        RequestFlow::new(request_context(client, uses_ticket_log), entry)
     });
     let mut phases = [Phase::NotArrived, Phase::NotArrived];
-    let mut tickets = [TicketEnd::None, TicketEnd::None];
+    let mut tickets = [TicketStatus::NotRequested, TicketStatus::NotRequested];
     for (number, input) in inputs.iter().enumerate() {
-        let now = FlowContext {
+        let context = FlowContext {
             now_ms: input.now_ms,
             table: &table,
-            serves: input.serves,
+            serves: input.has_lease,
             number: number as u64,
-            client_departed: input.client_left,
+            client_departed: input.client_departed,
         };
-        let step = flows[input.client].handle(&now, event(&input.event));
+        let step = flows[input.client].handle(&context, node_event(&input.event));
         let ticket = &mut tickets[input.client];
         *ticket = ticket_after(*ticket, input.event, &step);
-        phases[input.client] = phase(step);
+        phases[input.client] = phase_after(step);
     }
     let loads: BTreeMap<&Name, String> =
         table.loads().iter().map(|(name, load)| (name, format!("{load:?}"))).collect();
-    let budget = entry(&table, Kind::Lookup).retry_budget.clone();
-    FlowState { phases, tickets, fingerprint: format!("{flows:?} {loads:?} {budget:?}") }
+    let retry_budget = route_entry(&table, Kind::Lookup).retry_budget.clone();
+    FlowState { phases, tickets, fingerprint: format!("{flows:?} {loads:?} {retry_budget:?}") }
 }
 
-/// A ticket is pending from its request on, until it is settled by the controller's response or at
-/// the end of the flow.
-fn ticket_after(ticket: TicketEnd, event: FlowEvent, step: &Step) -> TicketEnd {
+/// Returns the status of a ticket after a step of its flow. A ticket is pending from the time at
+/// which it is requested until the controller's response or the end of the flow settles it.
+fn ticket_after(ticket: TicketStatus, event: FlowEvent, step: &Step) -> TicketStatus {
     match step {
-        Step::RequestTicket { .. } => TicketEnd::Pending,
+        Step::RequestTicket { .. } => TicketStatus::Pending,
         Step::Done { settlement: Some(settlement), .. } => {
-            TicketEnd::Settled(match settlement.settlement {
+            TicketStatus::Settled(match settlement.settlement {
                 Settlement::Ran => Settled::Ran,
                 Settlement::Unsent => Settled::Unsent,
                 Settlement::Unknown => Settled::Unknown,
             })
         }
-        _ if event == FlowEvent::Settled => TicketEnd::Settled(Settled::Unsent),
+        _ if event == FlowEvent::Settled => TicketStatus::Settled(Settled::Unsent),
         _ => ticket,
     }
 }
 
-fn event(event: &FlowEvent) -> Event {
+/// Returns the event that a flow receives for the model's event.
+fn node_event(event: &FlowEvent) -> Event {
     match event {
         FlowEvent::Start => Event::Start,
         FlowEvent::Connected => Event::Connected,
-        FlowEvent::ConnectFailed => Event::ConnectFailed("refused".into()),
+        FlowEvent::ConnectFailed => Event::ConnectFailed("connection refused".into()),
         FlowEvent::Granted => Event::ControllerResponded(Response::Granted),
         FlowEvent::Settled => Event::ControllerResponded(Response::Settled),
         FlowEvent::NoResponse => Event::ControllerResponded(Response::TimedOut),
@@ -217,16 +225,18 @@
             AttemptEnd::Complete(for_client) => {
                 AttemptOutcome::Complete(crate::search::request::wire::response(*for_client))
             }
-            AttemptEnd::Unsent => AttemptOutcome::Unsent("unsent".into()),
-            AttemptEnd::NotRun => AttemptOutcome::NotRun("it says so".into()),
+            AttemptEnd::Unsent => AttemptOutcome::Unsent("request not sent".into()),
+            AttemptEnd::NotRun => AttemptOutcome::NotRun(
+                "the target responded that it did not run the request".into(),
+            ),
             AttemptEnd::Unknown { late } => {
-                AttemptOutcome::Unknown { late: *late, reason: "lost".into() }
+                AttemptOutcome::Unknown { late: *late, reason: "connection lost".into() }
             }
         }),
     }
 }
 
-/// The attempt's end as the model records it.
+/// Returns the model's event for the end of an attempt with this outcome.
 pub fn as_flow_event(outcome: &AttemptOutcome) -> FlowEvent {
     FlowEvent::AttemptEnded(match outcome {
         AttemptOutcome::Complete(response) => {
@@ -239,7 +249,8 @@
     })
 }
 
-fn phase(step: Step) -> Phase {
+/// Returns the phase of a request whose flow returned this step.
+fn phase_after(step: Step) -> Phase {
     match step {
         Step::Connect { target, .. } => {
             Phase::Connect(usize::from(target.instance == target_name(1)))
@@ -255,7 +266,7 @@
             RequestOutcome::TargetFailed(_)
             | RequestOutcome::TargetTimedOut(_)
             | RequestOutcome::TicketUnknown => Phase::ReportedUnknown,
-            RequestOutcome::ClientDeparted => Phase::ClientLeft,
+            RequestOutcome::ClientDeparted => Phase::ClientDeparted,
             _ if completion.evidence.may_have_run => Phase::ReportedUnknown,
             _ => Phase::ReportedNotRun,
         },
--- a/crates/simulation/src/search/request/mod.rs
+++ b/crates/simulation/src/search/request/mod.rs
@@ -1,4 +1,5 @@
-//! Model of two requests through one node: the real `RequestFlow` over modelled connections.
+//! A model of two requests through one node: the real `RequestFlow` of each over modelled
+//! connections.
 
 mod actions;
 mod enabled;
@@ -13,69 +14,83 @@
 pub use wire::Kind;
 
 use crate::search::request::flow::{
-    AttemptEnd, FlowEvent, FlowInput, FlowStates, Phase, TicketEnd, as_flow_event,
+    AttemptEnd, FlowEvent, FlowInput, FlowStates, Phase, TicketStatus, as_flow_event,
 };
 use crate::search::request::plan::{DEADLINE_MS, START_MS};
 use crate::search::request::wire::{Connection, ConnectionUse, Content};
 use crate::search::{Model, Violation};
 use std::cell::RefCell;
 
-/// Two requests through one node to two targets.
+/// The model of two requests through one node to two targets.
 pub struct Requests {
     pub(in crate::search) kinds: [Kind; 2],
-    logged: bool,
+    uses_ticket_log: bool,
+    /// Whether an unnamed 'not run' counts only as the first response on a connection.
     requires_name: bool,
+    /// Whether the node checks right before the first byte that the client has not departed.
     checks_client: bool,
     faults: Faults,
     flow_states: RefCell<FlowStates>,
 }
 
 impl Requests {
-    /// `logged`: tickets come from the log, and connections prove the target's identity; else
-    /// requests name their targets.
-    pub fn new(kinds: [Kind; 2], logged: bool, faults: Faults) -> Requests {
-        let flow_states = RefCell::new(FlowStates::new(kinds, logged));
-        Requests { kinds, logged, requires_name: true, checks_client: true, faults, flow_states }
+    /// Returns the model of requests of these kinds. With `uses_ticket_log`, tickets come from the
+    /// log and connections prove the target's identity; otherwise requests name their targets.
+    pub fn new(kinds: [Kind; 2], uses_ticket_log: bool, faults: Faults) -> Requests {
+        let flow_states = RefCell::new(FlowStates::new(kinds, uses_ticket_log));
+        Requests {
+            kinds,
+            uses_ticket_log,
+            requires_name: true,
+            checks_client: true,
+            faults,
+            flow_states,
+        }
     }
 
-    /// Omits the check for the client right before the first byte.
+    /// Returns the model without the node's check for a departed client right before the first
+    /// byte.
     pub fn without_client_check(self) -> Requests {
         Requests { checks_client: false, ..self }
     }
 
-    /// Accepts an unnamed 'not run' on every response of a connection, not on its first alone.
+    /// Returns the model in which the node accepts an unnamed 'not run' as any response on a
+    /// connection, not only as the first.
     pub fn accepting_unnamed_refusals(self) -> Requests {
         Requests { requires_name: false, ..self }
     }
 }
 
 impl Requests {
+    /// Passes an event to the flow of a client's request.
     fn feed(&self, state: &mut RequestState, client: usize, event: FlowEvent) {
-        let now_ms = if state.late { START_MS + DEADLINE_MS } else { START_MS };
-        let client_left = state.departure_observed[client];
-        let input = FlowInput { client, now_ms, serves: state.serves, client_left, event };
+        let now_ms = if state.deadlines_passed { START_MS + DEADLINE_MS } else { START_MS };
+        let client_departed = state.departure_observed[client];
+        let input =
+            FlowInput { client, now_ms, has_lease: state.has_lease, client_departed, event };
         let mut flow_states = self.flow_states.borrow_mut();
-        state.flow_state = flow_states.after(state.flow_state, input);
-        state.phases = flow_states.phases(state.flow_state);
-        state.tickets = flow_states.tickets(state.flow_state);
+        state.flow_state_index = flow_states.state_after(state.flow_state_index, input);
+        state.phases = flow_states.phases(state.flow_state_index);
+        state.tickets = flow_states.tickets(state.flow_state_index);
     }
 
-    /// Ends a wait since the client departed.
-    fn abandons(&self, state: &mut RequestState, client: usize) {
+    /// Ends the wait of a request because its client departed.
+    fn stop_waiting(&self, state: &mut RequestState, client: usize) {
         state.departure_observed[client] = true;
         match state.phases[client] {
             Phase::Connect(_) => self.feed(state, client, FlowEvent::ConnectFailed),
             Phase::RequestTicket | Phase::Settle => self.feed(state, client, FlowEvent::NoResponse),
-            _ => self.outcome_counts(state, client, AttemptEnd::Unknown { late: false }),
+            _ => self.end_attempt(state, client, AttemptEnd::Unknown { late: false }),
         }
     }
 
-    fn connects(&self, state: &mut RequestState, client: usize) {
+    /// Takes an idle connection to the request's target, or opens one.
+    fn connect(&self, state: &mut RequestState, client: usize) {
         let Phase::Connect(target) = state.phases[client] else { return };
-        state.drop_unusable(target);
+        state.drop_unusable_connections(target);
         match state.idle_connection(target) {
-            Some(at) => state.connections[at].usage = ConnectionUse::InUse(client),
-            None if self.logged && state.incarnations[target] > 0 => {
+            Some(index) => state.connections[index].usage = ConnectionUse::InUse(client),
+            None if self.uses_ticket_log && state.incarnations[target] > 0 => {
                 return self.feed(state, client, FlowEvent::ConnectFailed);
             }
             None => {
@@ -86,17 +101,18 @@
         self.feed(state, client, FlowEvent::Connected);
     }
 
-    /// The data plane's exchange up to the end of its write.
-    fn writes(&self, state: &mut RequestState, client: usize) {
-        let Some(at) = state.connection_of(client) else { return };
-        let connection = &mut state.connections[at];
+    /// Performs the data plane's exchange up to the last byte sent: its last checks and the
+    /// sending.
+    fn send_request(&self, state: &mut RequestState, client: usize) {
+        let Some(index) = state.connection_of(client) else { return };
+        let connection = &mut state.connections[index];
         if self.checks_client && state.departed[client] {
             state.departure_observed[client] = true;
             connection.usage = ConnectionUse::Dropped;
             return self.feed(state, client, FlowEvent::AttemptEnded(AttemptEnd::Unsent));
         }
         state.sent_after_departure[client] |= state.departed[client];
-        if !state.serves {
+        if !state.has_lease {
             connection.usage = ConnectionUse::Dropped;
             return self.feed(state, client, FlowEvent::AttemptEnded(AttemptEnd::Unsent));
         }
@@ -106,17 +122,19 @@
         }
     }
 
-    fn reads(&self, state: &mut RequestState, client: usize, rest: bool) {
-        let Some(at) = state.connection_of(client) else { return };
-        let connection = &mut state.connections[at];
-        let Some(read) = connection.read(client, rest, self.requires_name) else { return };
+    /// Reads the response to a client's request, if it has arrived, and ends the attempt.
+    fn receive(&self, state: &mut RequestState, client: usize, reads_ahead: bool) {
+        let Some(index) = state.connection_of(client) else { return };
+        let connection = &mut state.connections[index];
+        let Some(read) = connection.read(client, reads_ahead, self.requires_name) else { return };
         connection.usage = if read.is_idle { ConnectionUse::Idle } else { ConnectionUse::Dropped };
         self.feed(state, client, as_flow_event(&read.outcome));
     }
 
-    fn outcome_counts(&self, state: &mut RequestState, client: usize, outcome: AttemptEnd) {
-        if let Some(at) = state.connection_of(client) {
-            state.connections[at].usage = ConnectionUse::Dropped;
+    /// Drops the connection of a client's request and ends the attempt with this outcome.
+    fn end_attempt(&self, state: &mut RequestState, client: usize, outcome: AttemptEnd) {
+        if let Some(index) = state.connection_of(client) {
+            state.connections[index].usage = ConnectionUse::Dropped;
         }
         self.feed(state, client, FlowEvent::AttemptEnded(outcome));
     }
@@ -128,37 +146,37 @@
 
     fn initial(&self) -> RequestState {
         RequestState {
-            flow_state: 0,
+            flow_state_index: 0,
             phases: [Phase::NotArrived; 2],
-            tickets: [TicketEnd::None; 2],
+            tickets: [TicketStatus::NotRequested; 2],
             departed: [false; 2],
             departure_observed: [false; 2],
             sent_after_departure: [false; 2],
             connections: Vec::new(),
             incarnations: [0, 0],
-            ran: [0, 0],
-            late: false,
-            serves: true,
-            remaining: self.faults,
+            run_counts: [0, 0],
+            deadlines_passed: false,
+            has_lease: true,
+            remaining_faults: self.faults,
         }
     }
 
     fn actions(&self, state: &RequestState) -> Vec<RequestAction> {
-        let standing = state;
+        let current = state;
         let mut actions: Vec<RequestAction> =
             (0..2).flat_map(|client| self.client_actions(state, client)).collect();
         actions.extend((0..2).flat_map(|client| self.departure_actions(state, client)));
-        for at in 0..standing.connections.len() {
-            actions.extend(self.target_actions(state, at));
+        for index in 0..current.connections.len() {
+            actions.extend(self.target_actions(state, index));
         }
-        if standing.remaining.replaces > 0 {
-            actions.extend([0, 1].map(RequestAction::Replaces));
+        if current.remaining_faults.replaced_targets > 0 {
+            actions.extend([0, 1].map(RequestAction::TargetReplaced));
         }
-        if standing.remaining.freezes && !standing.late {
-            actions.push(RequestAction::TimePasses);
+        if current.remaining_faults.freezes && !current.deadlines_passed {
+            actions.push(RequestAction::DeadlinesPass);
         }
-        if standing.remaining.freezes && standing.serves {
-            actions.push(RequestAction::LeaseEnds);
+        if current.remaining_faults.freezes && current.has_lease {
+            actions.push(RequestAction::LeaseExpires);
         }
         actions
     }
@@ -168,45 +186,45 @@
         let mut next = state.clone();
         match *action {
             Arrives(client) => self.feed(&mut next, client, FlowEvent::Start),
-            Connects(client) => self.connects(&mut next, client),
+            Connects(client) => self.connect(&mut next, client),
             ConnectFails(client) => self.feed(&mut next, client, FlowEvent::ConnectFailed),
             TicketGranted(client) => self.feed(&mut next, client, FlowEvent::Granted),
             TicketSettled(client) => self.feed(&mut next, client, FlowEvent::Settled),
             TicketTimesOut(client) => self.feed(&mut next, client, FlowEvent::NoResponse),
-            Writes(client) => self.writes(&mut next, client),
-            WriteRefused(client) => self.outcome_counts(&mut next, client, AttemptEnd::Unsent),
-            Reads { client, rest } => self.reads(&mut next, client, rest),
-            Expires(client) => {
-                self.outcome_counts(&mut next, client, AttemptEnd::Unknown { late: true })
+            SendsRequest(client) => self.send_request(&mut next, client),
+            SendFails(client) => self.end_attempt(&mut next, client, AttemptEnd::Unsent),
+            ReadsResponse { client, reads_ahead } => self.receive(&mut next, client, reads_ahead),
+            DeadlinePasses(client) => {
+                self.end_attempt(&mut next, client, AttemptEnd::Unknown { late: true })
             }
-            Runs(at) => next.runs(at, Some(Content::Complete)),
-            RunsWithoutResponse(at) => next.runs(at, None),
-            RunsAndTruncatesResponse(at) => {
-                next.runs(at, Some(Content::Truncated));
-                next.connections[at].closed = true;
+            TargetRuns(index) => next.run_pending(index, Some(Content::Complete)),
+            TargetRunsWithoutResponse(index) => next.run_pending(index, None),
+            TargetRunsAndTruncatesResponse(index) => {
+                next.run_pending(index, Some(Content::Truncated));
+                next.connections[index].closed = true;
             }
-            Rejects { connection, is_named } => {
+            TargetRejects { connection, is_named } => {
                 let connection = &mut next.connections[connection];
                 if let Some((client, _)) = connection.pending.take() {
                     connection.push_response(client, Some(Content::NotRun), is_named);
                 }
             }
-            Strays { connection, content, is_named } => {
-                next.remaining.strays -= 1;
+            TargetSendsStray { connection, content, is_named } => {
+                next.remaining_faults.stray_responses -= 1;
                 let connection = &mut next.connections[connection];
-                let for_client = connection.answered.unwrap_or_default();
+                let for_client = connection.last_answered.unwrap_or_default();
                 connection.push_response(for_client, Some(content), is_named);
             }
-            Closes(at) => {
-                next.remaining.closes -= 1;
-                next.connections[at].closed = true;
+            TargetCloses(index) => {
+                next.remaining_faults.closed_connections -= 1;
+                next.connections[index].closed = true;
             }
-            Replaces(target) => next.replaces(target),
+            TargetReplaced(target) => next.replace_target(target),
             ClientDeparts(client) => next.departed[client] = true,
-            ObservesDeparture(client) => next.departure_observed[client] = true,
-            Abandons(client) => self.abandons(&mut next, client),
-            TimePasses => next.late = true,
-            LeaseEnds => next.serves = false,
+            NodeObservesDeparture(client) => next.departure_observed[client] = true,
+            NodeStopsWaiting(client) => self.stop_waiting(&mut next, client),
+            DeadlinesPass => next.deadlines_passed = true,
+            LeaseExpires => next.has_lease = false,
         }
         next.remove_unused_connections();
         next
--- a/crates/simulation/tests/search.rs
+++ b/crates/simulation/tests/search.rs
@@ -1,49 +1,66 @@
-//! Every order of events within the models' bounds; see docs/notes/search.md.
+//! Exhaustive searches over every order of events of two requests through one node, within bounds;
+//! see docs/notes/search.md.
 
-use postbarrow_simulation::search::{Bounds, Covered, Faults, Kind, Model, Requests, search};
+use postbarrow_simulation::search::{Bounds, Coverage, Faults, Kind, Model, Requests, search};
 
 const BOUNDS: Bounds = Bounds { depth: 60, states: 600_000 };
-/// For the searches that are run manually.
-const WIDE: Bounds = Bounds { depth: 60, states: 2_000_000 };
+/// The bounds of the ignored searches, which are run manually.
+const WIDE_BOUNDS: Bounds = Bounds { depth: 60, states: 2_000_000 };
 
-fn covers<M: Model>(name: &str, model: &M) -> Covered {
+/// Asserts that the model violates no invariant and that the search is complete.
+fn covers<M: Model>(name: &str, model: &M) -> Coverage {
     covers_within(BOUNDS, name, model)
 }
 
-fn covers_within<M: Model>(bounds: Bounds, name: &str, model: &M) -> Covered {
+fn covers_within<M: Model>(bounds: Bounds, name: &str, model: &M) -> Coverage {
     let started = std::time::Instant::now();
     match search(model, bounds) {
-        Ok(covered) => {
-            assert!(covered.complete, "{name}: a bound cut the search short: {covered:?}");
-            println!("{name}: {covered:?}, took {:?}", started.elapsed());
-            covered
+        Ok(coverage) => {
+            assert!(coverage.complete, "{name}: a bound ended the search early: {coverage:?}");
+            println!("{name}: {coverage:?}, took {:?}", started.elapsed());
+            coverage
         }
-        Err(found) => panic!("{name}: {}\n{:#?}", found.violation, found.path),
+        Err(found) => panic!("{name}: {}, by the events\n{:#?}", found.violation, found.path),
     }
 }
 
-/// Events from the initial state to a one-time request that ran and was reported as not run.
-const SHORTEST_PATH_TO_A_FALSE_REFUSAL: usize = 11;
-const NONE: Faults =
-    Faults { strays: 0, closes: 0, replaces: 0, freezes: false, departures: false };
+/// Number of events from the initial state to a one-time request that ran and was reported as not
+/// run.
+const EVENTS_TO_A_FALSE_REFUSAL: usize = 11;
+const NONE: Faults = Faults {
+    stray_responses: 0,
+    closed_connections: 0,
+    replaced_targets: 0,
+    freezes: false,
+    departures: false,
+};
 const BOTH_ONE_TIME: [Kind; 2] = [Kind::OneTime, Kind::OneTime];
 const MIXED: [Kind; 2] = [Kind::OneTime, Kind::Lookup];
 
 #[test]
 fn a_second_response_or_garbage_breaks_no_guarantee() {
     for kinds in [BOTH_ONE_TIME, MIXED] {
-        covers("strays", &Requests::new(kinds, false, Faults { strays: 1, ..NONE }));
+        covers(
+            "stray responses",
+            &Requests::new(kinds, false, Faults { stray_responses: 1, ..NONE }),
+        );
     }
 }
 
 #[test]
 fn a_reset_before_during_or_after_a_response_breaks_no_guarantee() {
-    covers("closes", &Requests::new(MIXED, false, Faults { closes: 1, ..NONE }));
+    covers(
+        "closed connections",
+        &Requests::new(MIXED, false, Faults { closed_connections: 1, ..NONE }),
+    );
 }
 
 #[test]
 fn a_target_replaced_under_its_address_breaks_no_guarantee() {
-    covers("replaces", &Requests::new(MIXED, false, Faults { replaces: 1, ..NONE }));
+    covers(
+        "replaced targets",
+        &Requests::new(MIXED, false, Faults { replaced_targets: 1, ..NONE }),
+    );
 }
 
 #[test]
@@ -52,38 +69,47 @@
 }
 
 #[test]
-fn tickets_of_the_log_hold_for_a_frozen_node() {
+fn log_tickets_break_no_guarantee_with_a_frozen_node() {
     covers("tickets, freezes", &Requests::new(MIXED, true, Faults { freezes: true, ..NONE }));
 }
 
 #[test]
-fn tickets_of_the_log_hold_for_a_reset() {
-    covers("tickets, closes", &Requests::new(MIXED, true, Faults { closes: 1, ..NONE }));
+fn log_tickets_break_no_guarantee_with_a_reset() {
+    covers(
+        "tickets, closed connections",
+        &Requests::new(MIXED, true, Faults { closed_connections: 1, ..NONE }),
+    );
 }
 
 #[test]
-fn tickets_of_the_log_hold_for_a_replaced_target() {
-    covers("tickets, replaces", &Requests::new(MIXED, true, Faults { replaces: 1, ..NONE }));
+fn log_tickets_break_no_guarantee_with_a_replaced_target() {
+    covers(
+        "tickets, replaced targets",
+        &Requests::new(MIXED, true, Faults { replaced_targets: 1, ..NONE }),
+    );
 }
 
 #[test]
 fn clients_that_depart_at_any_time_break_no_guarantee() {
     let departures = Faults { departures: true, ..NONE };
-    covers("leaves", &Requests::new(MIXED, false, departures));
-    covers("leaves and closes", &Requests::new(MIXED, false, Faults { closes: 1, ..departures }));
+    covers("departures", &Requests::new(MIXED, false, departures));
+    covers(
+        "departures and closed connections",
+        &Requests::new(MIXED, false, Faults { closed_connections: 1, ..departures }),
+    );
 }
 
 #[test]
-fn tickets_of_the_log_hold_for_departing_clients() {
+fn log_tickets_break_no_guarantee_with_departing_clients() {
     let departures = Faults { departures: true, ..NONE };
-    covers("tickets, leaves", &Requests::new(MIXED, true, departures));
+    covers("tickets, departures", &Requests::new(MIXED, true, departures));
 }
 
 #[test]
 fn without_a_last_client_check_a_request_is_sent_after_its_client_departed() {
-    let blind = Requests::new(MIXED, false, Faults { departures: true, ..NONE });
-    let found = search(&blind.without_client_check(), BOUNDS);
-    let found = found.expect_err("the fault is within the bounds");
+    let model = Requests::new(MIXED, false, Faults { departures: true, ..NONE });
+    let found = search(&model.without_client_check(), BOUNDS);
+    let found = found.expect_err("the search finds the violation within its bounds");
     assert!(
         found.violation.0.contains("was sent after its client had departed"),
         "{}",
@@ -91,29 +117,37 @@
     );
 }
 
-/// `cargo test -p postbarrow-simulation --test search -- --ignored`
+/// Run by `cargo test -p postbarrow-simulation --test search -- --ignored`.
 #[test]
-#[ignore = "four wider searches of a minute in all, beyond the everyday ones above"]
+#[ignore = "takes about a minute: four searches with wider bounds than the other tests"]
 fn two_faults_at_once_break_no_guarantee() {
-    let faults = Faults { strays: 1, closes: 1, ..NONE };
-    covers_within(WIDE, "strays and closes", &Requests::new(MIXED, false, faults));
-    let faults = Faults { closes: 1, replaces: 1, ..NONE };
+    let faults = Faults { stray_responses: 1, closed_connections: 1, ..NONE };
     covers_within(
-        WIDE,
-        "tickets, closes and replaces",
+        WIDE_BOUNDS,
+        "stray responses and closed connections",
+        &Requests::new(MIXED, false, faults),
+    );
+    let faults = Faults { closed_connections: 1, replaced_targets: 1, ..NONE };
+    covers_within(
+        WIDE_BOUNDS,
+        "tickets, closed connections and replaced targets",
         &Requests::new(BOTH_ONE_TIME, true, faults),
     );
-    let faults = Faults { closes: 1, departures: true, ..NONE };
-    covers_within(WIDE, "tickets, closes and leaves", &Requests::new(MIXED, true, faults));
+    let faults = Faults { closed_connections: 1, departures: true, ..NONE };
+    covers_within(
+        WIDE_BOUNDS,
+        "tickets, closed connections and departures",
+        &Requests::new(MIXED, true, faults),
+    );
     let faults = Faults { freezes: true, departures: true, ..NONE };
-    covers_within(WIDE, "freezes and leaves", &Requests::new(MIXED, false, faults));
+    covers_within(WIDE_BOUNDS, "freezes and departures", &Requests::new(MIXED, false, faults));
 }
 
 #[test]
 fn accepting_an_unnamed_refusal_on_a_reused_connection_lets_a_request_run_twice() {
-    let believing = Requests::new(BOTH_ONE_TIME, false, Faults { strays: 1, ..NONE });
-    let found = search(&believing.accepting_unnamed_refusals(), BOUNDS);
-    let found = found.expect_err("the fault is within the bounds");
+    let model = Requests::new(BOTH_ONE_TIME, false, Faults { stray_responses: 1, ..NONE });
+    let found = search(&model.accepting_unnamed_refusals(), BOUNDS);
+    let found = found.expect_err("the search finds the violation within its bounds");
     assert!(found.violation.0.contains("reported as 'not run' and ran"), "{}", found.violation);
-    assert_eq!(found.path.len(), SHORTEST_PATH_TO_A_FALSE_REFUSAL, "{:?}", found.path);
+    assert_eq!(found.path.len(), EVENTS_TO_A_FALSE_REFUSAL, "{:?}", found.path);
 }
