--- a/crates/simulation/src/search/forwarded/log.rs
+++ b/crates/simulation/src/search/forwarded/log.rs
@@ -1,10 +1,11 @@
-//! Two control nodes as a forwarded call meets them: their logs, and their pending replies.
+//! The part of two control nodes that decides and answers forwarded calls: their logs and their
+//! pending replies.
 //!
-//! The log's records, how they change the state and what a call decides are the real ones; the path
-//! of a write through a node mirrors the controller's handling of calls and of the replies that
-//! wait for a commit or for the end of leadership. A partitioned node answers from what it knows:
-//! the real node's check of its lease is omitted, so that the search covers more than the real
-//! nodes do.
+//! The log's records, their effect on the state and the decision of a call are those of the real
+//! code. The path of a write through a node is modelled after the controller's handling of calls
+//! and of the replies that wait for a commit or for the end of leadership. The real node's lease
+//! check is omitted: a partitioned node answers from its own state, so that the search covers more
+//! behaviour than the real nodes have.
 
 use postbarrow_controller::decide;
 use postbarrow_messages::Response;
@@ -12,63 +13,63 @@
 use postbarrow_transactions::Image;
 use std::net::SocketAddr;
 
-/// One batch of the log, and the call that it came from.
+/// One batch of records in the log, and the call that it came from.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// `None`: another caller's, or the log's own.
+    /// The index of the call that wrote the batch; `None` if another caller or the log itself did.
     pub source: Option<usize>,
-    /// Its records.
+    /// The records of the batch, in order.
     pub records: Vec<Record>,
 }
 
-/// The client and key that a response is for.
+/// The client and the request key that a response belongs to.
 #[derive(Clone, Copy, Debug)]
 pub struct Origin {
-    /// The member whose client sent it.
+    /// The index of the member whose client sent the request.
     pub client: usize,
-    /// The request's key.
+    /// The key by which the client matches the response to its request.
     pub key: u64,
 }
 
-/// What a node sends back.
+/// A response with its destination.
 pub type Reply = (Origin, Response);
 
-/// One control node.
+/// One control node as far as the model has it.
 #[derive(Clone, Debug, Default)]
 pub struct Member {
-    /// Its log.
+    /// The node's log, committed entries first.
     pub log: Vec<Entry>,
-    /// How many entries are committed as it knows.
+    /// Number of entries at the start of the log that the node knows to be committed.
     pub committed: usize,
-    /// It believes that it leads.
+    /// Whether the node believes that it is the leader; after an election both may.
     pub is_leading: bool,
-    /// Replies that wait for the commit of a log of this length.
-    pub replies: Vec<(usize, Origin, Response)>,
+    /// The replies that wait for a commit, each with the length of the log that must be committed.
+    pub pending_replies: Vec<(usize, Origin, Response)>,
 }
 
-/// A write as its request carries it.
+/// The write of a forwarded call, and whether the log can take it.
 pub struct Write<'a> {
-    /// The call that it comes from.
+    /// The index of the call in the model.
     pub source: usize,
-    /// The call's idempotency id.
+    /// The call's idempotency id, if it has one.
     pub id: Option<Name>,
-    /// The call.
+    /// The call to decide.
     pub call: &'a Call,
     /// Whether the log has no space.
-    pub full: bool,
+    pub log_full: bool,
 }
 
-/// The state after these entries.
+/// Returns the state after these entries.
 pub fn state_of(log: &[Entry]) -> State {
     let mut state = State::default();
-    for (at, entry) in log.iter().enumerate() {
-        entry.records.iter().for_each(|record| state.apply(at as u64, record));
+    for (index, entry) in log.iter().enumerate() {
+        entry.records.iter().for_each(|record| state.apply(index as u64, record));
     }
     state
 }
 
 impl Member {
-    /// Decides a write as the controller does.
+    /// Decides a write as the controller does; returns the reply unless it must wait for a commit.
     pub fn accept_write(&mut self, origin: Origin, write: Write<'_>) -> Vec<Reply> {
         let state = state_of(&self.log);
         if let Some(known) = write.id.as_ref().and_then(|id| state.repeats.get(id)) {
@@ -78,7 +79,7 @@
         if records.is_empty() {
             return self.reply(origin, Response::Outcome(outcome));
         }
-        if write.full {
+        if write.log_full {
             return self.reply(origin, Response::Full);
         }
         if let Some(id) = write.id {
@@ -88,36 +89,36 @@
         self.reply(origin, Response::Outcome(outcome))
     }
 
-    /// Replies once the log's last entry is committed.
+    /// Returns the reply if the whole log is committed, and retains it until then otherwise.
     fn reply(&mut self, origin: Origin, response: Response) -> Vec<Reply> {
         if self.committed >= self.log.len() {
             return vec![(origin, response)];
         }
-        self.replies.push((self.log.len(), origin, response));
+        self.pending_replies.push((self.log.len(), origin, response));
         Vec::new()
     }
 
-    /// Commits the whole log; returns the replies that waited for it.
+    /// Commits the whole log; returns the replies that waited for the commit.
     pub fn commit_all(&mut self) -> Vec<Reply> {
         self.committed = self.log.len();
-        self.replies.drain(..).map(|(_, origin, response)| (origin, response)).collect()
+        self.pending_replies.drain(..).map(|(_, origin, response)| (origin, response)).collect()
     }
 
-    /// Learns that another leads and adopts its log; pending replies become `Lost`.
-    pub fn step_down(&mut self, by: &Member) -> Vec<Reply> {
+    /// Steps down and adopts the log of the new leader; returns `Lost` for each pending reply.
+    pub fn step_down(&mut self, leader: &Member) -> Vec<Reply> {
         self.is_leading = false;
-        self.log.clone_from(&by.log);
-        self.committed = by.committed;
-        self.replies.drain(..).map(|(_, origin, _)| (origin, Response::Lost)).collect()
+        self.log.clone_from(&leader.log);
+        self.committed = leader.committed;
+        self.pending_replies.drain(..).map(|(_, origin, _)| (origin, Response::Lost)).collect()
     }
 }
 
-/// The response of a node that does not lead.
+/// Returns the response of a node that does not lead, with the address of the controller.
 pub fn not_controller(controller: SocketAddr) -> Response {
     Response::NotController { controller: Some(controller) }
 }
 
-/// Whether a response says that the call took no effect.
+/// Returns whether a response states that the call took no effect.
 pub fn is_refusal(response: &Response) -> bool {
     use Outcome::{Conflict, LockedByOther, NoKey, NotOwner};
     match response {
--- a/crates/simulation/src/search/forwarded/rules.rs
+++ b/crates/simulation/src/search/forwarded/rules.rs
@@ -1,4 +1,4 @@
-//! Invariants of every forwarded call.
+//! The invariants of every forwarded call.
 
 use crate::search::Violation;
 use crate::search::forwarded::ForwardedCalls;
@@ -9,52 +9,60 @@
 use std::collections::BTreeSet;
 
 impl ForwardedCalls {
-    /// A caller's response is true of its own call.
+    /// Checks that the response to the call with index `call` is true of this call: a refused call
+    /// has no committed entry, and a reported number, fence or key is in one of its own.
+    /// `number_when_sent` is the committed value of the number when the call was sent, which a
+    /// reported number must exceed.
     pub(in crate::search) fn check_answered(
         &self,
         state: &ForwardedState,
-        at: usize,
-        floor: u64,
+        call: usize,
+        number_when_sent: u64,
     ) -> Result<(), Violation> {
-        let Progress::Answered { response, .. } = &state.progress[at] else { return Ok(()) };
-        let own: Vec<&Record> = state
+        let Progress::Answered { response, .. } = &state.progress[call] else { return Ok(()) };
+        let own_records: Vec<&Record> = state
             .committed()
             .iter()
-            .filter(|entry| entry.source == Some(at))
+            .filter(|entry| entry.source == Some(call))
             .flat_map(|entry| &entry.records)
             .collect();
-        if is_refusal(response) && !own.is_empty() {
-            return Err(Violation(format!("call {at} got {response:?} and took effect")));
+        if is_refusal(response) && !own_records.is_empty() {
+            return Err(Violation(format!(
+                "call {call} was refused with {response:?} and took effect"
+            )));
         }
-        let done =
+        let is_own_result =
             match response {
-                Response::Outcome(Outcome::Number(reported)) => *reported > floor
-                    && own.iter().any(
+                Response::Outcome(Outcome::Number(reported)) => *reported > number_when_sent
+                    && own_records.iter().any(
                         |found| matches!(found, Record::Number { value, .. } if value == reported),
                     ),
-                Response::Outcome(Outcome::Locked { fence: reported, .. }) => own
+                Response::Outcome(Outcome::Locked { fence: reported, .. }) => own_records
                     .iter()
                     .any(|found| matches!(found, Record::Lock { fence, .. } if fence == reported)),
-                Response::Outcome(Outcome::Key(reported)) => own.iter().any(
+                Response::Outcome(Outcome::Key(reported)) => own_records.iter().any(
                     |found| matches!(found, Record::Key { key: Some(key), .. } if key == reported),
                 ),
                 _ => true,
             };
-        if done {
+        if is_own_result {
             Ok(())
         } else {
-            Err(Violation(format!("call {at} got {response:?}, not its own")))
+            Err(Violation(format!(
+                "call {call} received {response:?}, which is not its own result"
+            )))
         }
     }
 
-    /// A put has one revision and a lock one fence, however often its request arrives.
+    /// Checks that the call with index `call` has at most one revision, if it is a put, or one
+    /// fence, if it is a lock, however often its request arrives.
     pub(in crate::search) fn check_once(
         &self,
         state: &ForwardedState,
-        at: usize,
+        call: usize,
     ) -> Result<(), Violation> {
-        let own = state.committed().iter().filter(|entry| entry.source == Some(at));
-        let marks: BTreeSet<u64> = own
+        let own_entries = state.committed().iter().filter(|entry| entry.source == Some(call));
+        let versions: BTreeSet<u64> = own_entries
             .flat_map(|entry| &entry.records)
             .filter_map(|record| match record {
                 Record::Lock { fence, .. } => Some(*fence),
@@ -62,8 +70,10 @@
                 _ => None,
             })
             .collect();
-        if marks.len() > 1 {
-            return Err(Violation(format!("call {at} was done as {marks:?}")));
+        if versions.len() > 1 {
+            return Err(Violation(format!(
+                "call {call} took effect several times, with revisions or fences {versions:?}"
+            )));
         }
         Ok(())
     }
