--- a/crates/simulation/tests/fleet/mod.rs
+++ b/crates/simulation/tests/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! A fleet of control and data nodes of any size on a plain simulated network: every frame is
-//! encoded and read back, and nothing is lost but what a test ends or partitions.
+//! A fleet of control and data nodes of any size on a simple simulated network. Every frame is
+//! encoded and decoded, and none is lost except by a process that a test ends or by a partition
+//! that it sets.
 
 use postbarrow_consensus::Member;
 use postbarrow_controller::{ControlNode, Effect, Fetched, Input, ListPage, PageResult};
@@ -22,21 +23,25 @@
 const ZONES: usize = 3;
 const SERVICES: usize = 3;
 
-enum Body {
+/// The node that a process runs; `Down` while the process is ended.
+enum RunningNode {
     Control(Box<ControlNode>),
     Data(Box<DataNode>),
     Down,
 }
 
 struct Process {
-    body: Body,
+    running: RunningNode,
     incarnation: u64,
     address: SocketAddr,
     zone: usize,
-    /// Sent and received since the count was last cleared.
-    bytes: u64,
+    /// Number of bytes sent and received since the count was last reset.
+    transferred_bytes: u64,
+    /// The end of a data node's lease; 0 without a lease.
     lease_until_ms: u64,
+    /// The version of the plan that a data node published last, if any.
     version: Option<Name>,
+    /// The time at which a data node published that version.
     published_us: u64,
 }
 
@@ -54,19 +59,25 @@
     event: Event,
 }
 
-/// The processes, control nodes first, and what is on its way between them.
+/// The processes, control nodes first, and the events scheduled for them, e.g. frames in flight.
 pub struct Fleet {
     pub now_us: u64,
-    control: usize,
-    losses: usize,
+    /// Number of control nodes.
+    control_count: usize,
+    /// Number of simultaneous losses that the control nodes must tolerate.
+    tolerated_losses: usize,
     processes: Vec<Process>,
     by_address: HashMap<SocketAddr, usize>,
+    /// The time and the sequence number of each scheduled event, earliest first.
     queue: BinaryHeap<Reverse<(u64, u64)>>,
+    /// The scheduled events by sequence number.
     events: HashMap<u64, Scheduled>,
     sequence: u64,
+    /// The targets of the endpoint list.
     targets: Vec<Target>,
-    /// Zones below this one are partitioned from the others.
+    /// The lowest zone that is partitioned from all lower ones; `None` without a partition.
     partition: Option<usize>,
+    /// The responses to requests from outside the fleet.
     responses: Vec<Response>,
 }
 
@@ -76,35 +87,40 @@
 }
 
 impl Fleet {
-    pub fn new(control: usize, losses: usize, data: usize, targets: usize) -> Fleet {
+    pub fn new(
+        control_count: usize,
+        tolerated_losses: usize,
+        data_count: usize,
+        target_count: usize,
+    ) -> Fleet {
         let mut fleet = Fleet {
             now_us: 1_000_000,
-            control,
-            losses,
+            control_count,
+            tolerated_losses,
             processes: Vec::new(),
             by_address: HashMap::new(),
             queue: BinaryHeap::new(),
             events: HashMap::new(),
             sequence: 0,
-            targets: (0..targets).map(target).collect(),
+            targets: (0..target_count).map(target).collect(),
             partition: None,
             responses: Vec::new(),
         };
-        for at in 0..control + data {
-            fleet.by_address.insert(address(at), at);
+        for process_index in 0..control_count + data_count {
+            fleet.by_address.insert(address(process_index), process_index);
             fleet.processes.push(Process {
-                body: Body::Down,
+                running: RunningNode::Down,
                 incarnation: 0,
-                address: address(at),
-                zone: at % ZONES,
-                bytes: 0,
+                address: address(process_index),
+                zone: process_index % ZONES,
+                transferred_bytes: 0,
                 lease_until_ms: 0,
                 version: None,
                 published_us: 0,
             });
         }
-        for at in 0..control + data {
-            fleet.start(at);
+        for process_index in 0..control_count + data_count {
+            fleet.start(process_index);
         }
         fleet
     }
@@ -113,53 +129,57 @@
         self.now_us / 1_000
     }
 
-    /// A new incarnation with nothing remembered; control nodes have no disk here.
-    pub fn start(&mut self, at: usize) {
-        let seeds: Vec<SocketAddr> = (0..self.control.min(3)).map(address).collect();
-        let (now_ms, losses) = (self.now_ms(), self.losses);
-        let process = &mut self.processes[at];
+    /// Starts a new incarnation of a process without earlier state; control nodes have no disk
+    /// here.
+    pub fn start(&mut self, process_index: usize) {
+        let seeds: Vec<SocketAddr> = (0..self.control_count.min(3)).map(address).collect();
+        let (now_ms, tolerated_losses) = (self.now_ms(), self.tolerated_losses);
+        let process = &mut self.processes[process_index];
         process.incarnation += 1;
         process.version = None;
         process.lease_until_ms = 0;
-        let id = (at as u64 + 1) * 0x9e37_79b9 + process.incarnation;
-        process.body = if at < self.control {
+        let id = (process_index as u64 + 1) * 0x9e37_79b9 + process.incarnation;
+        process.running = if process_index < self.control_count {
             let own = Member { id, address: process.address };
             let node = ControlNode::new(own, Default::default(), &seeds, id, now_ms);
-            let node = node.with_founders(&seeds).with_losses(losses);
+            let node = node.with_founders(&seeds).with_losses(tolerated_losses);
             let node = if process.incarnation == 1 { node } else { node.with_known_log() };
-            Body::Control(Box::new(node))
+            RunningNode::Control(Box::new(node))
         } else {
             let own = Node {
                 incarnation: id,
-                name: Name::from(format!("node-{at}")),
+                name: Name::from(format!("node-{process_index}")),
                 address: process.address,
                 http: process.address,
                 zone: Name::from(format!("zone-{}", process.zone)),
             };
-            Body::Data(Box::new(DataNode::new(own, seeds, now_ms)))
+            RunningNode::Data(Box::new(DataNode::new(own, seeds, now_ms)))
         };
-        let spread_us = (at as u64 * 7_919) % TICK_US;
-        self.schedule(at, spread_us, Event::Tick);
+        let first_tick_us = (process_index as u64 * 7_919) % TICK_US;
+        self.schedule(process_index, first_tick_us, Event::Tick);
     }
 
-    pub fn end(&mut self, at: usize) {
-        let process = &mut self.processes[at];
-        process.body = Body::Down;
+    /// Ends a process, with the events scheduled for it.
+    pub fn end(&mut self, process_index: usize) {
+        let process = &mut self.processes[process_index];
+        process.running = RunningNode::Down;
         process.incarnation += 1;
         process.lease_until_ms = 0;
     }
 
-    pub fn set_partition(&mut self, zones: Option<usize>) {
-        self.partition = zones;
+    /// Partitions the zones from `first_zone` on from all lower ones; `None` heals the partition.
+    pub fn set_partition(&mut self, first_zone: Option<usize>) {
+        self.partition = first_zone;
     }
 
-    fn schedule(&mut self, process: usize, in_us: u64, event: Event) {
+    fn schedule(&mut self, process: usize, delay_us: u64, event: Event) {
         self.sequence += 1;
-        self.queue.push(Reverse((self.now_us + in_us, self.sequence)));
+        self.queue.push(Reverse((self.now_us + delay_us, self.sequence)));
         let incarnation = self.processes[process].incarnation;
         self.events.insert(self.sequence, Scheduled { process, incarnation, event });
     }
 
+    /// Handles all events of the next `duration_us`.
     pub fn run_for(&mut self, duration_us: u64) {
         let until_us = self.now_us + duration_us;
         while let Some(Reverse((at_us, sequence))) = self.queue.peek().copied() {
@@ -170,43 +190,45 @@
             self.now_us = at_us;
             let Some(scheduled) = self.events.remove(&sequence) else { continue };
             if self.processes[scheduled.process].incarnation == scheduled.incarnation {
-                self.step(scheduled.process, scheduled.event);
+                self.handle_event(scheduled.process, scheduled.event);
             }
         }
         self.now_us = until_us;
     }
 
-    fn step(&mut self, at: usize, event: Event) {
+    /// Handles one event of a process.
+    fn handle_event(&mut self, process_index: usize, event: Event) {
         let now_ms = self.now_ms();
         if matches!(event, Event::Tick) {
-            self.schedule(at, TICK_US, Event::Tick);
+            self.schedule(process_index, TICK_US, Event::Tick);
         }
-        let mut body = std::mem::replace(&mut self.processes[at].body, Body::Down);
-        match &mut body {
-            Body::Control(node) => {
+        let mut running =
+            std::mem::replace(&mut self.processes[process_index].running, RunningNode::Down);
+        match &mut running {
+            RunningNode::Control(node) => {
                 let input = self.control_input(event);
                 for effect in node.handle(now_ms, input) {
-                    self.control_effect(at, effect);
+                    self.control_effect(process_index, effect);
                 }
             }
-            Body::Data(node) => {
+            RunningNode::Data(node) => {
                 let input = match event {
-                    Event::Frame(frame) => NodeInput::Receive(read(&frame)),
+                    Event::Frame(frame) => NodeInput::Receive(decode(&frame)),
                     _ => NodeInput::Tick,
                 };
                 for effect in node.handle(now_ms, input) {
-                    self.node_effect(at, effect);
+                    self.node_effect(process_index, effect);
                 }
             }
-            Body::Down => {}
+            RunningNode::Down => {}
         }
-        self.processes[at].body = body;
+        self.processes[process_index].running = running;
     }
 
     fn control_input(&self, event: Event) -> Input {
         match event {
             Event::Tick => Input::Tick,
-            Event::Frame(frame) => Input::Receive(read(&frame)),
+            Event::Frame(frame) => Input::Receive(decode(&frame)),
             Event::Synced(sequence) => Input::Synced(sequence),
             Event::Encoded { index, state } => Input::Encoded { index, state },
             Event::Page { number, page } => {
@@ -219,138 +241,149 @@
         }
     }
 
-    fn control_effect(&mut self, at: usize, effect: Effect) {
+    fn control_effect(&mut self, node: usize, effect: Effect) {
         match effect {
-            Effect::Send { to, message } => self.send(at, to, message),
-            Effect::Write { sequence, .. } => self.schedule(at, SYNC_US, Event::Synced(sequence)),
+            Effect::Send { to, message } => self.send(node, to, message),
+            Effect::Write { sequence, .. } => self.schedule(node, SYNC_US, Event::Synced(sequence)),
             Effect::Fetch { number, cursor } => {
                 let page = cursor.and_then(|cursor| cursor.parse().ok()).unwrap_or(0);
-                self.schedule(at, PAGE_US, Event::Page { number, page });
+                self.schedule(node, PAGE_US, Event::Page { number, page });
             }
             Effect::Encode(snapshot) => {
                 let (index, state) = (snapshot.index, snapshot.encode());
-                self.schedule(at, ENCODE_US, Event::Encoded { index, state });
+                self.schedule(node, ENCODE_US, Event::Encoded { index, state });
             }
             Effect::Log(_) => {}
         }
     }
 
-    fn node_effect(&mut self, at: usize, effect: NodeEffect) {
+    fn node_effect(&mut self, node: usize, effect: NodeEffect) {
         match effect {
-            NodeEffect::Send { to, message } => self.send(at, to, message),
-            NodeEffect::Publish { state, .. } => self.on_publish(at, &state),
-            NodeEffect::Lease { until_ms } => self.processes[at].lease_until_ms = until_ms,
+            NodeEffect::Send { to, message } => self.send(node, to, message),
+            NodeEffect::Publish { state, .. } => self.on_publish(node, &state),
+            NodeEffect::Lease { until_ms } => self.processes[node].lease_until_ms = until_ms,
             NodeEffect::Answer { .. } | NodeEffect::Log(_) => {}
         }
     }
 
-    fn on_publish(&mut self, at: usize, state: &State) {
+    fn on_publish(&mut self, process_index: usize, state: &State) {
         let version = state.plan.as_ref().map(|plan| plan.version.clone());
-        if version != self.processes[at].version {
-            self.processes[at].version = version;
-            self.processes[at].published_us = self.now_us;
+        if version != self.processes[process_index].version {
+            self.processes[process_index].version = version;
+            self.processes[process_index].published_us = self.now_us;
         }
     }
 
+    /// Sends a message to a process; a message to another address is recorded if it is a response.
     fn send(&mut self, from: usize, to: SocketAddr, message: Message) {
-        let Some(at) = self.by_address.get(&to).copied() else {
+        let Some(process_index) = self.by_address.get(&to).copied() else {
             if let Message::Response { response, .. } = message {
                 self.responses.push(response);
             }
             return;
         };
         let envelope = Envelope { from: self.processes[from].address, message };
-        let frame = to_frame(&envelope).expect("a frame within its bound");
-        self.processes[from].bytes += frame.len() as u64;
-        let (zone, other) = (self.processes[from].zone, self.processes[at].zone);
-        if self.partition.is_some_and(|zones| (zone < zones) != (other < zones)) {
+        let frame = to_frame(&envelope).expect("the frame is within its size limit");
+        self.processes[from].transferred_bytes += frame.len() as u64;
+        let (from_zone, to_zone) = (self.processes[from].zone, self.processes[process_index].zone);
+        if self
+            .partition
+            .is_some_and(|first_zone| (from_zone < first_zone) != (to_zone < first_zone))
+        {
             return;
         }
-        self.processes[at].bytes += frame.len() as u64;
-        let delay_us = if zone == other { SAME_ZONE_US } else { OTHER_ZONE_US };
-        self.schedule(at, delay_us, Event::Frame(frame));
+        self.processes[process_index].transferred_bytes += frame.len() as u64;
+        let delay_us = if from_zone == to_zone { SAME_ZONE_US } else { OTHER_ZONE_US };
+        self.schedule(process_index, delay_us, Event::Frame(frame));
     }
 
-    fn request(&mut self, at: usize, key: u64, request: Request) {
+    /// Sends a request from outside the fleet to a control node.
+    fn request(&mut self, process_index: usize, key: u64, request: Request) {
         let envelope =
             Envelope { from: address(60_000), message: Message::Request { key, request } };
-        let frame = to_frame(&envelope).expect("a frame within its bound");
-        self.schedule(at, SAME_ZONE_US, Event::Frame(frame));
+        let frame = to_frame(&envelope).expect("the frame is within its size limit");
+        self.schedule(process_index, SAME_ZONE_US, Event::Frame(frame));
     }
 
-    /// The control node with the leader's lease.
+    /// Returns the index of the control node that has the leader's lease, if any.
     pub fn leader(&self) -> Option<usize> {
-        (0..self.control).find(|at| match &self.processes[*at].body {
-            Body::Control(node) => node.has_lease(self.now_ms()),
+        (0..self.control_count).find(|index| match &self.processes[*index].running {
+            RunningNode::Control(node) => node.has_lease(self.now_ms()),
             _ => false,
         })
     }
 
-    /// How many voters the leader's log has.
-    pub fn voters(&self) -> usize {
-        match self.leader().map(|leader| &self.processes[leader].body) {
-            Some(Body::Control(node)) => node.consensus().members().len(),
+    /// Returns the number of voters in the leader's log; 0 without a leader.
+    pub fn voter_count(&self) -> usize {
+        match self.leader().map(|leader| &self.processes[leader].running) {
+            Some(RunningNode::Control(node)) => node.consensus().members().len(),
             _ => 0,
         }
     }
 
+    /// Returns the indexes of the data nodes' processes.
     pub fn data_nodes(&self) -> std::ops::Range<usize> {
-        self.control..self.processes.len()
+        self.control_count..self.processes.len()
     }
 
-    /// How many data nodes are up, and how many of them hold a lease.
-    pub fn serving(&self) -> (usize, usize) {
+    /// Returns how many data nodes are up, and how many of them hold a lease.
+    pub fn up_and_leased_counts(&self) -> (usize, usize) {
         let now_ms = self.now_ms();
-        let data = &self.processes[self.control..];
-        let up = data.iter().filter(|process| !matches!(process.body, Body::Down));
+        let data = &self.processes[self.control_count..];
+        let up = data.iter().filter(|process| !matches!(process.running, RunningNode::Down));
         let leased = data.iter().filter(|process| now_ms < process.lease_until_ms);
         (up.count(), leased.count())
     }
 
-    /// Bytes sent and received by an average data node during this time, a second.
+    /// Runs for `duration_us`; returns the bytes that a data node sent and received on average, a
+    /// second.
     pub fn data_node_bytes_per_s(&mut self, duration_us: u64) -> f64 {
-        self.processes.iter_mut().for_each(|process| process.bytes = 0);
+        self.processes.iter_mut().for_each(|process| process.transferred_bytes = 0);
         self.run_for(duration_us);
-        let data = &self.processes[self.control..];
-        let bytes: u64 = data.iter().map(|process| process.bytes).sum();
+        let data = &self.processes[self.control_count..];
+        let bytes: u64 = data.iter().map(|process| process.transferred_bytes).sum();
         bytes as f64 / data.len() as f64 / (duration_us as f64 / 1e6)
     }
 
-    /// Submits a plan; milliseconds until each data node that got it within 5 s published it.
-    pub fn change_plan(&mut self, version: u64, routes: usize) -> Vec<u64> {
+    /// Submits a plan; returns the milliseconds until each data node published it, for those that
+    /// did within 5 s.
+    pub fn change_plan(&mut self, version: u64, route_count: usize) -> Vec<u64> {
         let start_us = self.now_us;
         if let Some(leader) = self.leader() {
-            self.request(leader, version, Request::Submit(submission(version, routes)));
+            self.request(leader, version, Request::Submit(submission(version, route_count)));
         }
         let expected = Some(Name::from(format!("v{version}")));
         for _ in 0..500 {
             self.run_for(10_000);
-            if self.data_nodes().all(|at| self.processes[at].version == expected) {
+            if self
+                .data_nodes()
+                .all(|process_index| self.processes[process_index].version == expected)
+            {
                 break;
             }
         }
-        let data = self.processes[self.control..].iter();
+        let data = self.processes[self.control_count..].iter();
         let published = data.filter(|process| process.version == expected);
         published.map(|process| process.published_us.saturating_sub(start_us) / 1_000).collect()
     }
 
-    /// Milliseconds until every data node that is up serves again, and for 3 s at least none sheds;
-    /// none if that takes over 20 s.
+    /// Runs until every data node that is up holds a lease, and for 3 s at least. Returns the
+    /// milliseconds until the leases were complete, 0 if they always were; `None` if it takes 20 s.
     pub fn recovery_ms(&mut self) -> Option<u64> {
         let start_us = self.now_us;
-        let mut has_shed = false;
+        let mut lease_was_missing = false;
         let mut recovered_us = None;
         while self.now_us < start_us + 20_000_000 {
             self.run_for(10_000);
-            let (up, serving) = self.serving();
-            let is_settled = self.now_us > start_us + 3_000_000;
-            if up != serving {
-                has_shed = true;
+            let (up, leased) = self.up_and_leased_counts();
+            let min_time_passed = self.now_us > start_us + 3_000_000;
+            if up != leased {
+                lease_was_missing = true;
                 recovered_us = None;
-            } else if has_shed || is_settled {
-                let took_us = if has_shed { self.now_us - start_us } else { 0 };
+            } else if lease_was_missing || min_time_passed {
+                let took_us = if lease_was_missing { self.now_us - start_us } else { 0 };
                 recovered_us.get_or_insert(took_us);
-                if is_settled {
+                if min_time_passed {
                     return recovered_us.map(|took_us| took_us / 1_000);
                 }
             }
@@ -359,20 +392,20 @@
     }
 }
 
-fn read(frame: &[u8]) -> Envelope {
-    read_frame(&mut &frame[..]).expect("what was sent is read")
+fn decode(frame: &[u8]) -> Envelope {
+    read_frame(&mut &frame[..]).expect("a sent frame can be decoded")
 }
 
-fn service_name(at: usize) -> Name {
-    Name::from(format!("service-{}", at % SERVICES))
+fn service_name(index: usize) -> Name {
+    Name::from(format!("service-{}", index % SERVICES))
 }
 
-fn target(at: usize) -> Target {
+fn target(index: usize) -> Target {
     Target {
-        instance: Name::from(format!("i-{at:08x}")),
-        service: service_name(at),
-        address: SocketAddr::from((Ipv4Addr::from(0x0a80_0000 + at as u32), 8_080)),
-        zone: Name::from(format!("zone-{}", at % ZONES)),
+        instance: Name::from(format!("i-{index:08x}")),
+        service: service_name(index),
+        address: SocketAddr::from((Ipv4Addr::from(0x0a80_0000 + index as u32), 8_080)),
+        zone: Name::from(format!("zone-{}", index % ZONES)),
         labels: Labels::from([("edition".into(), "v1".into())]),
         draining: false,
         down: false,
@@ -381,18 +414,18 @@
     }
 }
 
-fn route(at: usize, version: u64) -> Route {
+fn route(index: usize, version: u64) -> Route {
     Route {
-        path: Name::from(format!("/path{at:05}/*")),
+        path: Name::from(format!("/path{index:05}/*")),
         methods: vec!["*".into()],
         kind: RouteKind::Lookup,
-        service: service_name(at),
+        service: service_name(index),
         when: None,
         body_bytes: 1_000_000,
         rate_per_s: None,
         concurrency: None,
         deadline_ms: 1_500 + version,
-        host: Some(Name::from(format!("host{at:05}.example"))),
+        host: Some(Name::from(format!("host{index:05}.example"))),
         weighted_services: Vec::<WeightedService>::new(),
         max_attempts: Some(2),
         latency_target_ms: Some(600),
@@ -400,7 +433,8 @@
     }
 }
 
-fn submission(version: u64, routes: usize) -> Submission {
+/// Returns the submission of a plan with this version, on the version before it.
+fn submission(version: u64, route_count: usize) -> Submission {
     let name = |version: u64| Name::from(format!("v{version}"));
     let base = (version > 1).then(|| name(version - 1));
     let mut records = vec![Record::PlanStart { version: name(version), base: base.clone() }];
@@ -408,8 +442,8 @@
         let labels = Labels::from([("service".into(), service.clone())]);
         records.push(Record::Service(Service { name: service, labels }));
     }
-    records.extend((0..routes).map(|at| Record::Route(route(at, version))));
-    let text = vec![b'x'; routes * 250];
+    records.extend((0..route_count).map(|index| Record::Route(route(index, version))));
+    let text = vec![b'x'; route_count * 250];
     records.extend(text.chunks(16_384).map(|chunk| Record::PlanText(chunk.to_vec())));
     Submission { version: name(version), base, records, dry_run: false, allow_empty: true }
 }
