--- a/crates/simulation/tests/support/history.rs
+++ b/crates/simulation/tests/support/history.rs
@@ -1,19 +1,20 @@
-//! Checks of the applications' calls over a run: what was acknowledged stays, and nothing repeats.
+//! Checks of the applications' calls over a run: acknowledged changes last, and none takes effect
+//! twice.
 
 use postbarrow_simulation::World;
 use postbarrow_state::{Call, Outcome};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One completed call on a name: the number, revision or fencing token that its outcome shows.
+/// A completed call on a name, with the number, revision or fencing token that its outcome shows.
 struct Observation {
     start_us: u64,
     end_us: u64,
     value: u64,
-    /// Whether the call made this value, so that no other call may have made it.
-    is_new: bool,
+    /// Whether the call created this value, so that no other call may have created it too.
+    is_created: bool,
 }
 
-/// What did not hold over the calls of the run so far.
+/// Returns the violations by the calls that ended in the run so far.
 pub fn violations(world: &World) -> Vec<String> {
     let mut found = Vec::new();
     for (name, observations) in observations(world) {
@@ -27,9 +28,11 @@
     found
 }
 
-/// Names with a value that was acknowledged before this time, and no call that began after it.
+/// Returns the names with a value that was acknowledged until `lost_us`, and without a completed
+/// call that began at `returned_us` or later.
 pub fn names_without_read_back(world: &World, lost_us: u64, returned_us: u64) -> Vec<String> {
-    let was_acknowledged = |one: &Observation| one.end_us <= lost_us && one.value > 0;
+    let was_acknowledged =
+        |observation: &Observation| observation.end_us <= lost_us && observation.value > 0;
     observations(world)
         .into_iter()
         .filter(|(_, observations)| observations.iter().any(was_acknowledged))
@@ -38,7 +41,7 @@
         .collect()
 }
 
-/// Whether this call changed the state and its outcome acknowledges that.
+/// Returns whether this call is a change that its outcome acknowledges.
 pub fn is_acknowledged_change(call: &Call, outcome: &Outcome) -> bool {
     matches!(
         (call, outcome),
@@ -49,19 +52,21 @@
     )
 }
 
+/// Returns the observations of the run so far, by kind and name.
 fn observations(world: &World) -> BTreeMap<String, Vec<Observation>> {
     let mut by_name: BTreeMap<String, Vec<Observation>> = BTreeMap::new();
     for done in &world.callers.done {
-        if let Some((name, value, is_new)) = observed_value(&done.call, &done.outcome) {
+        if let Some((name, value, is_created)) = observed_value(&done.call, &done.outcome) {
             let (start_us, end_us) = (done.start_us, done.end_us);
-            let observation = Observation { start_us, end_us, value, is_new };
+            let observation = Observation { start_us, end_us, value, is_created };
             by_name.entry(name).or_default().push(observation);
         }
     }
     by_name
 }
 
-/// The name that a completed call is about, the value that it shows, and whether it made the value.
+/// Returns the kind and name that a completed call used, the value that its outcome shows, and
+/// whether the call created the value; `None` if the outcome shows no value.
 fn observed_value(call: &Call, outcome: &Outcome) -> Option<(String, u64, bool)> {
     match (call, outcome) {
         (Call::Next { name, .. }, Outcome::Number(value)) => {
@@ -88,30 +93,35 @@
     }
 }
 
-/// A call that began after another had ended shows no older value, and makes only a newer one.
+/// Checks that a call which began after another had ended shows no older value than that, and
+/// creates only a newer one.
 fn check_real_time(name: &str, observations: &[Observation], found: &mut Vec<String>) {
     for later in observations {
-        let earlier = observations.iter().filter(|one| one.end_us < later.start_us);
-        let newest = earlier.map(|one| one.value).max().unwrap_or(0);
-        let repeats = later.is_new && later.value == newest && newest > 0;
-        if later.value < newest || repeats {
+        let earlier = observations.iter().filter(|observation| observation.end_us < later.start_us);
+        let newest = earlier.map(|observation| observation.value).max().unwrap_or(0);
+        let is_duplicate = later.is_created && later.value == newest && newest > 0;
+        if later.value < newest || is_duplicate {
             let at_ms = later.end_us / 1_000;
-            found.push(format!("{name}: {} at {at_ms} ms, after {newest}", later.value));
+            found.push(format!(
+                "{name}: value {} at {at_ms} ms, though an earlier call had {newest}",
+                later.value
+            ));
         }
     }
 }
 
-/// No two calls made the same value.
+/// Checks that no two calls created the same value.
 fn check_unique(name: &str, observations: &[Observation], found: &mut Vec<String>) {
-    let mut made = BTreeSet::new();
-    for observation in observations.iter().filter(|one| one.is_new) {
-        if !made.insert(observation.value) {
-            found.push(format!("{name}: {} was acknowledged twice", observation.value));
+    let mut created = BTreeSet::new();
+    for observation in observations.iter().filter(|observation| observation.is_created) {
+        if !created.insert(observation.value) {
+            found
+                .push(format!("{name}: value {} was acknowledged to two calls", observation.value));
         }
     }
 }
 
-/// A fencing token belongs to one owner.
+/// Checks that each fencing token belongs to one owner.
 fn check_fence_owners(world: &World, found: &mut Vec<String>) {
     let mut owners = BTreeMap::new();
     for done in &world.callers.done {
@@ -120,7 +130,7 @@
         {
             let owner = owners.entry((name, *fence)).or_insert(holder);
             if *owner != holder {
-                found.push(format!("lock {name}: {owner} and {holder} got fence {fence}"));
+                found.push(format!("lock {name}: {owner} and {holder} both got fence {fence}"));
             }
         }
     }
--- a/crates/simulation/tests/support/mod.rs
+++ b/crates/simulation/tests/support/mod.rs
@@ -1,3 +1,3 @@
-//! What several searches over simulated clusters share.
+//! Checks for tests that search simulated clusters for violations.
 
 pub mod history;
