--- a/crates/simulation/tests/failures.rs
+++ b/crates/simulation/tests/failures.rs
@@ -1,11 +1,17 @@
-//! Each fault, injected into simulated clusters over fixed seeds; `simulate` runs any number.
+//! Each fault, injected into simulated clusters over fixed seeds. The program `simulate` runs any
+//! number of seeds.
 
 use postbarrow_simulation::{ALL, DiskFault, Fault, ListFault, RunResult, Scenario, Stage};
 
-fn check(name: &str, scenario: &Scenario) -> RunResult {
+/// Runs a scenario; asserts that it has no violations and that enough requests and calls ran.
+fn run_checked(name: &str, scenario: &Scenario) -> RunResult {
     let result = scenario.run();
     let seed = scenario.seed;
-    assert!(result.violations.is_empty(), "{name}, seed {seed}: {:#?}", result.violations);
+    assert!(
+        result.violations.is_empty(),
+        "{name}, seed {seed}: violations: {:#?}",
+        result.violations
+    );
     assert!(result.outcomes.ran > 100, "{name}, seed {seed}: too few requests ran");
     assert!(
         result.forwards > 100 && result.calls > 50,
@@ -14,25 +20,25 @@
     result
 }
 
-fn each(fault: Fault) {
+fn run_fault(fault: Fault) {
     for seed in 1..=3 {
-        check(&format!("{fault:?}"), &Scenario::new(seed, &[fault], 4));
+        run_checked(&format!("{fault:?}"), &Scenario::new(seed, &[fault], 4));
     }
 }
 
-/// Each run has clients that depart at any point of their request: that breaks no guarantee, and
-/// nothing is forwarded for them afterwards (`World::check_forward`).
+/// In each run some clients depart at any point of their request. No guarantee breaks, and no
+/// request is forwarded after its client departed (checked by `World::check_forward`).
 #[test]
 fn departing_clients_break_no_guarantee_amid_all_faults() {
-    let runs = (1..=8).map(|seed| check("departing clients", &Scenario::everything(seed)));
+    let runs = (1..=8).map(|seed| run_checked("departing clients", &Scenario::everything(seed)));
     let departed: usize = runs.map(|result| result.outcomes.departed).sum();
     assert!(departed > 100, "only {departed} clients departed");
 }
 
 macro_rules! faults {
     ($($name:ident: $fault:expr,)*) => {
-        $(#[test] fn $name() { each($fault); })*
-        const NAMED: &[Fault] = &[$($fault),*];
+        $(#[test] fn $name() { run_fault($fault); })*
+        const TESTED: &[Fault] = &[$($fault),*];
     };
 }
 
@@ -79,15 +85,16 @@
 }
 
 #[test]
-fn every_fault_has_its_test() {
-    assert_eq!(NAMED, ALL);
+fn every_fault_has_a_test() {
+    assert_eq!(TESTED, ALL);
 }
 
-/// A full disk costs a member its vote until there is space, and never its process.
+/// A member with a full disk loses its vote until there is space again, but its process never ends.
 #[test]
 fn no_process_ends_because_its_disk_is_full() {
     for seed in 1..=3 {
-        let result = check("full", &Scenario::new(seed, &[Fault::Disk(DiskFault::Full)], 4));
+        let result =
+            run_checked("full disk", &Scenario::new(seed, &[Fault::Disk(DiskFault::Full)], 4));
         assert_eq!(result.disk_failures, 0, "seed {seed}");
     }
 }
@@ -102,22 +109,27 @@
             (9_000, Fault::ReplaceControl(2)),
             (9_000, Fault::RestartData(3)),
         ];
-        let result = check("seeds swapped", &scenario);
-        assert_eq!(result.members.len(), 3, "seed {seed}: {:?}", result.members);
+        let result = run_checked("seeds replaced", &scenario);
+        assert_eq!(result.members.len(), 3, "seed {seed}: members {:?}", result.members);
         let old = ["10.1.0.1:1", "10.1.0.2:1", "10.1.0.3:1"];
         let remaining = result.members.iter().filter(|member| old.contains(&member.as_str()));
-        assert_eq!(remaining.count(), 0, "seed {seed}: {:?}", result.members);
+        assert_eq!(
+            remaining.count(),
+            0,
+            "seed {seed}: old members remain among {:?}",
+            result.members
+        );
     }
 }
 
-/// A learner that is lost right when it would join must not count in a majority of four.
+/// A learner that is lost just before it would become a voter must not count in a majority of four.
 #[test]
 fn a_disk_lost_twice_in_a_row_leaves_a_majority() {
     for seed in 1..=3 {
         let mut scenario = Scenario::new(seed, &ALL, 0);
-        let swaps = [500, 3_800].map(|pause_ms| (pause_ms, Fault::ReplaceControl(0)));
-        scenario.script = swaps.to_vec();
-        check("lost twice", &scenario);
+        let replacements = [500, 3_800].map(|pause_ms| (pause_ms, Fault::ReplaceControl(0)));
+        scenario.script = replacements.to_vec();
+        run_checked("disk lost twice", &scenario);
     }
 }
 
@@ -129,48 +141,49 @@
         let data = (0..scenario.data_nodes).map(Fault::RollingRestartData);
         let control = [0, 1, 2, 0, 1, 2].map(Fault::RollingRestartControl);
         scenario.script = data.chain(control).map(|fault| (2_500, fault)).collect();
-        let result = check("rolling", &scenario);
+        let result = run_checked("rolling restart", &scenario);
         assert_eq!((result.outcomes.not_run, result.outcomes.unknown), (0, 0), "seed {seed}");
     }
 }
 
+/// The programs use no wall clock, since its time may be set.
 #[test]
 fn no_source_reads_a_clock_that_can_be_set() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let mut folders = vec![root.join("crates"), root.join("programs")];
-    let mut read = 0;
+    let mut file_count = 0;
     while let Some(folder) = folders.pop() {
         for entry in std::fs::read_dir(folder).unwrap() {
             let path = entry.unwrap().path();
             if path.is_dir() {
                 folders.push(path);
-            } else if path.extension().is_some_and(|ending| ending == "rs") {
+            } else if path.extension().is_some_and(|extension| extension == "rs") {
                 let text = std::fs::read_to_string(&path).unwrap();
-                read += 1;
-                let settable = ["System", "Time"].concat();
-                assert!(!text.contains(&settable), "{}", path.display());
+                file_count += 1;
+                let wall_clock = ["System", "Time"].concat();
+                assert!(!text.contains(&wall_clock), "{} reads the wall clock", path.display());
             }
         }
     }
-    assert!(read > 80, "{read} files were read");
+    assert!(file_count > 80, "only {file_count} files were read");
 }
 
 #[test]
-fn all_faults_together_in_drawn_order() {
+fn all_faults_together_in_random_order_break_no_guarantee() {
     let mut totals = [0; 4];
     let mut snapshots = 0;
     for seed in 1..=12 {
-        let result = check("everything", &Scenario::everything(seed));
+        let result = run_checked("all faults", &Scenario::everything(seed));
         snapshots += result.snapshots;
         totals[0] += result.outcomes.not_run;
         totals[1] += result.outcomes.unknown;
         totals[2] += result.plans as usize;
         totals[3] += result.refusals as usize;
     }
-    assert!(snapshots > 60, "{snapshots} snapshots were written");
+    assert!(snapshots > 60, "only {snapshots} snapshots were written");
     assert!(
         totals.iter().all(|count| *count > 0),
-        "no run shows an effect of its faults: {totals:?}"
+        "one of not run, unknown, plans and refusals never occurred: {totals:?}"
     );
 }
 
@@ -178,17 +191,17 @@
 fn the_same_seed_gives_the_same_run() {
     let mut scenario = Scenario::everything(77);
     scenario.log = true;
-    let (one, two) = (scenario.run(), scenario.run());
-    assert_eq!(one.digest, two.digest);
-    assert_eq!(one.log, two.log);
+    let (first, second) = (scenario.run(), scenario.run());
+    assert_eq!(first.digest, second.digest);
+    assert_eq!(first.log, second.log);
     scenario.seed = 78;
-    assert_ne!(one.digest, scenario.run().digest);
+    assert_ne!(first.digest, scenario.run().digest);
 }
 
 #[test]
 fn nothing_is_lost_or_late_without_faults() {
     let mut scenario = Scenario::new(5, &ALL, 0);
     scenario.lost_per_mille = 0;
-    let result = check("quiet", &scenario);
+    let result = run_checked("without faults", &scenario);
     assert_eq!((result.outcomes.not_run, result.outcomes.unknown), (0, 0));
 }
