--- a/crates/simulation/tests/help.rs
+++ b/crates/simulation/tests/help.rs
@@ -1,4 +1,4 @@
-//! The help of this tool.
+//! The text that `simulate --help` prints.
 
 #[path = "../../../programs/control-plane/tests/outer/mod.rs"]
 mod outer;
--- a/crates/simulation/tests/observers.rs
+++ b/crates/simulation/tests/observers.rs
@@ -1,41 +1,44 @@
-//! Observers, control machines without a lasting disk, as the only seeds of all others.
+//! Observers, i.e. control machines without a lasting disk, as the only seeds of all other
+//! processes.
 
 use postbarrow_simulation::World;
 
 const SEEDS: u64 = 4;
 const FORMED_US: u64 = 6_000_000;
-/// Every bound of the control nodes and of the data nodes together, and a margin.
+/// The sum of the time limits of control nodes and data nodes for recovery, and a margin.
 const RECOVERED_US: u64 = 8_000_000;
-/// Longer than any frame is in flight.
+/// The time for which processes are down: longer than any frame is in flight.
 const DOWN_US: u64 = 1_000_000;
 const DATA_NODES: usize = 4;
 
-/// A cluster in full service with three observers, which are the seeds of all later starts.
+/// Returns a cluster in full service, and the indexes of three observers, which are the seeds of
+/// all later starts.
 fn cluster_with_observers_as_seeds(seed: u64) -> (World, Vec<usize>) {
     let mut world = World::new(seed, DATA_NODES, 6);
     world.run_until(FORMED_US);
     let observers: Vec<usize> = (0..3).map(|_| world.add_observer()).collect();
     world.run_until(2 * FORMED_US);
-    assert!(world.has_full_service(), "seed {seed}: no service before the seeds change");
+    assert!(world.has_full_service(), "seed {seed}: no full service before the seeds change");
     world.control_seeds_only = true;
-    world.seeds = observers.iter().map(|at| world.control[*at].address).collect();
+    world.seeds = observers.iter().map(|index| world.control[*index].address).collect();
     (world, observers)
 }
 
-/// Ends these control machines and all data nodes, and starts them when no frame to them is in flight.
+/// Ends these control machines and all data nodes, and starts them again when no frame to them is
+/// in flight any more.
 fn restart(world: &mut World, control: &[usize]) {
-    control.iter().for_each(|at| world.end_control(*at, true));
-    (0..DATA_NODES).for_each(|at| world.end_data(at));
+    control.iter().for_each(|index| world.end_control(*index, true));
+    (0..DATA_NODES).for_each(|index| world.end_data(index));
     let until_us = world.now_us + DOWN_US;
     world.run_until(until_us);
-    control.iter().for_each(|at| world.start_control(*at));
-    (0..DATA_NODES).for_each(|at| world.start_data(at));
+    control.iter().for_each(|index| world.start_control(*index));
+    (0..DATA_NODES).for_each(|index| world.start_data(index));
 }
 
 fn assert_serves(world: &mut World, seed: u64) {
     let until_us = world.now_us + RECOVERED_US;
     world.run_until(until_us);
-    assert!(world.has_full_service(), "seed {seed}: data nodes did not find the controller");
+    assert!(world.has_full_service(), "seed {seed}: no full service after the restart");
     assert_eq!(world.ledger.violations, Vec::<String>::new(), "seed {seed}");
 }
 
--- a/crates/simulation/tests/orders.rs
+++ b/crates/simulation/tests/orders.rs
@@ -1,4 +1,4 @@
-//! The order ledger finds each violation of what operators may rely on.
+//! The order ledger finds each response to operators' orders that contradicts an earlier one.
 
 use postbarrow_simulation::{Order, OrderLedger};
 
@@ -7,15 +7,15 @@
 }
 
 #[test]
-fn repeated_equal_answers_are_no_violation() {
+fn repeated_equal_responses_are_no_violation() {
     let mut ledger = OrderLedger::default();
-    let (accepted, loser) = (order("v1", None, "a"), order("v1", None, "b"));
+    let (accepted, refused) = (order("v1", None, "a"), order("v1", None, "b"));
     for _ in 0..2 {
         assert!(ledger.acknowledged(&accepted).is_empty());
-        assert!(ledger.refused(&loser).is_empty());
+        assert!(ledger.refused(&refused).is_empty());
     }
     assert_eq!(ledger.accepted_orders(), [&accepted]);
-    assert_eq!(ledger.refused_orders(), [&loser]);
+    assert_eq!(ledger.refused_orders(), [&refused]);
 }
 
 #[test]
--- a/crates/simulation/tests/replacements.rs
+++ b/crates/simulation/tests/replacements.rs
@@ -1,8 +1,9 @@
-//! Clusters whose control machines are replaced, and the next loss as soon as it must be tolerated.
+//! Clusters whose control machines are replaced, and in which the next machines, with the leader
+//! among them, are lost as soon as that must be tolerated.
 
 use postbarrow_simulation::Replacement;
 
-const PLAIN: Replacement = Replacement {
+const DEFAULT: Replacement = Replacement {
     seed: 0,
     losses: 1,
     planned: false,
@@ -11,65 +12,67 @@
     seeds_depart: false,
     rounds: 2,
 };
-/// Another machine leads within this time after the loss of the leader: two elections.
-const LEADER_MS: u64 = 2_000;
+/// The time within which another machine must lead after the loss of the leader: two elections.
+const NEW_LEADER_MS: u64 = 2_000;
 
+/// Runs the replacement; asserts that it has no violations, that another machine leads in time, and
+/// that the new machines vote within three quarters of the time to catch up.
 fn check(name: &str, replacement: Replacement) {
-    let replacement_result = replacement.run();
-    let times = &replacement_result.vote_ms;
+    let outcome = replacement.run();
+    let times = &outcome.vote_ms;
     println!(
-        "{name}: {replacement:?}: votes {times:?} ms, led again after {} ms",
-        replacement_result.leader_ms
+        "{name}: {replacement:?}: new machines voted after {times:?} ms, another led after {} ms",
+        outcome.leader_ms
     );
     assert!(
-        replacement_result.result.violations.is_empty(),
-        "{name}, {replacement:?}: {:#?}",
-        replacement_result.result.violations
+        outcome.result.violations.is_empty(),
+        "{name}, {replacement:?}: violations: {:#?}",
+        outcome.result.violations
     );
     assert!(
-        replacement_result.leader_ms <= LEADER_MS,
-        "{name}, {replacement:?}: {}",
-        replacement_result.leader_ms
+        outcome.leader_ms <= NEW_LEADER_MS,
+        "{name}, {replacement:?}: another machine led after {} ms",
+        outcome.leader_ms
     );
     let late = times.iter().filter(|ms| **ms > replacement.catch_up_ms() * 3 / 4);
-    assert_eq!(late.count(), 0, "{name}, {replacement:?}: votes after {times:?} ms");
+    assert_eq!(late.count(), 0, "{name}, {replacement:?}: new machines voted after {times:?} ms");
 }
 
 #[test]
-fn unplanned_replacements_back_to_back() {
+fn consecutive_unplanned_replacements_break_no_guarantee() {
     for (seed, leader) in [(1, false), (2, true)] {
-        check("unplanned", Replacement { seed, leader, ..PLAIN });
+        check("unplanned", Replacement { seed, leader, ..DEFAULT });
     }
 }
 
 #[test]
-fn planned_replacements_back_to_back() {
+fn consecutive_planned_replacements_break_no_guarantee() {
     for (seed, leader) in [(1, false), (2, true)] {
-        check("planned", Replacement { seed, leader, planned: true, ..PLAIN });
+        check("planned", Replacement { seed, leader, planned: true, ..DEFAULT });
     }
 }
 
 #[test]
-fn two_losses_at_once_in_a_group_of_five() {
-    check("grown", Replacement { seed: 2, leader: true, losses: 2, ..PLAIN });
+fn a_group_of_five_tolerates_two_losses_at_once() {
+    check("group of five", Replacement { seed: 2, leader: true, losses: 2, ..DEFAULT });
 }
 
 #[test]
-fn planned_replacements_in_a_group_of_five() {
-    let planned = Replacement { seed: 2, leader: true, losses: 2, planned: true, ..PLAIN };
-    check("grown, planned", Replacement { rounds: 1, ..planned });
+fn planned_replacements_in_a_group_of_five_break_no_guarantee() {
+    let planned = Replacement { seed: 2, leader: true, losses: 2, planned: true, ..DEFAULT };
+    check("group of five, planned", Replacement { rounds: 1, ..planned });
 }
 
 #[test]
-fn a_newcomer_joins_though_all_its_seeds_depart() {
-    let planned = Replacement { seed: 2, leader: true, planned: true, ..PLAIN };
-    check("seeds go", Replacement { seeds_depart: true, ..planned });
+fn a_new_machine_joins_although_all_its_seeds_depart() {
+    let planned = Replacement { seed: 2, leader: true, planned: true, ..DEFAULT };
+    check("seeds depart", Replacement { seeds_depart: true, ..planned });
 }
 
 #[test]
-fn a_newcomer_that_dies_while_it_joins_is_replaced() {
+fn a_new_machine_that_is_lost_while_it_joins_is_replaced() {
     for (seed, planned) in [(1, false), (2, true)] {
-        let dies = Replacement { seed, planned, newcomer_dies: true, rounds: 2, ..PLAIN };
-        check("newcomer dies", dies);
+        let replacement = Replacement { seed, planned, newcomer_dies: true, rounds: 2, ..DEFAULT };
+        check("new machine lost", replacement);
     }
 }
