--- a/crates/simulation/src/search/request/mod.rs
+++ b/crates/simulation/src/search/request/mod.rs
@@ -25,7 +25,7 @@
 pub struct Requests {
     pub(in crate::search) kinds: [Kind; 2],
     uses_ticket_log: bool,
-    /// Whether an unnamed 'not run' counts only as the first response on a connection.
+    /// Whether the node accepts an unnamed 'not run' only as the first response on a connection.
     requires_name: bool,
     /// Whether the node checks right before the first byte that the client has not departed.
     checks_client: bool,
--- a/crates/simulation/src/search/request/state.rs
+++ b/crates/simulation/src/search/request/state.rs
@@ -6,7 +6,7 @@
 /// The faults that may occur in a search, or those that may still occur from a state on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Faults {
-    /// Number of second responses or garbage that targets may send.
+    /// Number of unsolicited messages (a second response or garbage) that targets may send.
     pub stray_responses: u8,
     /// Number of connections that targets may close.
     pub closed_connections: u8,
@@ -23,7 +23,9 @@
 pub struct RequestState {
     /// The index of the state of both request flows in `FlowStates`.
     pub(in crate::search) flow_state_index: usize,
+    /// The phase of each request.
     pub(in crate::search) phases: [Phase; 2],
+    /// The ticket status of each request.
     pub(in crate::search) tickets: [TicketStatus; 2],
     /// Whether the client has closed its connection.
     pub(in crate::search) departed: [bool; 2],
@@ -31,6 +33,7 @@
     pub(in crate::search) departure_observed: [bool; 2],
     /// Whether a byte of the request was sent after its client had departed.
     pub(in crate::search) sent_after_departure: [bool; 2],
+    /// The connections that at least one end may still use, oldest first.
     pub(in crate::search) connections: Vec<Connection>,
     /// The current incarnation of each target, by target.
     pub(in crate::search) incarnations: [u8; 2],
--- a/crates/simulation/tests/fleet/mod.rs
+++ b/crates/simulation/tests/fleet/mod.rs
@@ -75,7 +75,8 @@
     sequence: u64,
     /// The targets of the endpoint list.
     targets: Vec<Target>,
-    /// The lowest zone that is partitioned from all lower ones; `None` without a partition.
+    /// The zone that, with all higher ones, is partitioned from the zones below it; `None` without
+    /// a partition.
     partition: Option<usize>,
     /// The responses to requests from outside the fleet.
     responses: Vec<Response>,
@@ -159,7 +160,7 @@
         self.schedule(process_index, first_tick_us, Event::Tick);
     }
 
-    /// Ends a process, with the events scheduled for it.
+    /// Ends a process, which also discards the events scheduled for it.
     pub fn end(&mut self, process_index: usize) {
         let process = &mut self.processes[process_index];
         process.running = RunningNode::Down;
@@ -167,7 +168,8 @@
         process.lease_until_ms = 0;
     }
 
-    /// Partitions the zones from `first_zone` on from all lower ones; `None` heals the partition.
+    /// Partitions `first_zone` and all higher zones from the zones below it; `None` heals the
+    /// partition.
     pub fn set_partition(&mut self, first_zone: Option<usize>) {
         self.partition = first_zone;
     }
--- a/crates/simulation/tests/many_changes.rs
+++ b/crates/simulation/tests/many_changes.rs
@@ -101,8 +101,8 @@
         (self.world.now_us - since_us) / 1_000
     }
 
-    /// Runs until the maximum number of accepted plans is retained. Figures can only level off after
-    /// that.
+    /// Runs until the maximum number of accepted plans is retained. Figures can only level off
+    /// after that.
     fn fill_accepted_plans(&mut self) {
         while self.world.operator.acknowledged <= ACCEPTED_PLANS as u64 {
             self.step();
--- a/crates/simulation/tests/support/history.rs
+++ b/crates/simulation/tests/support/history.rs
@@ -14,7 +14,7 @@
     is_created: bool,
 }
 
-/// Returns the violations by the calls that ended in the run so far.
+/// Returns the violations found in the calls that have ended in the run so far.
 pub fn violations(world: &World) -> Vec<String> {
     let mut found = Vec::new();
     for (name, observations) in observations(world) {
@@ -28,7 +28,7 @@
     found
 }
 
-/// Returns the names with a value that was acknowledged until `lost_us`, and without a completed
+/// Returns the names with a value that was acknowledged by `lost_us`, and without a completed
 /// call that began at `returned_us` or later.
 pub fn names_without_read_back(world: &World, lost_us: u64, returned_us: u64) -> Vec<String> {
     let was_acknowledged =
