--- a/crates/downstream/src/body.rs
+++ b/crates/downstream/src/body.rs
@@ -2,7 +2,7 @@
 //! 7.1).
 
 use crate::connection::Connection;
-use crate::head::Length;
+use crate::head::BodyFraming;
 use crate::memory_budget::{MemoryBudget, Reservation};
 use crate::reject::BAD_CHUNK;
 pub use crate::reject::{CLIENT_DEPARTED, OUT_OF_MEMORY, Reject, TOO_LARGE};
@@ -24,7 +24,7 @@
 /// Returns the status and reason to reject the request with, or `CLIENT_DEPARTED`.
 pub fn read(
     connection: &mut Connection,
-    length: Length,
+    framing: BodyFraming,
     max_bytes: u64,
     memory: &Arc<MemoryBudget>,
     deadline_ms: u64,
@@ -32,10 +32,10 @@
     let reservation = memory.reserve(0).ok_or(OUT_OF_MEMORY)?;
     let mut reader =
         BodyReader { connection, max_bytes, reservation, bytes: Vec::new(), deadline_ms };
-    match length {
-        Length::None => {}
-        Length::Sized(size_bytes) => reader.read_bytes(size_bytes)?,
-        Length::Chunked => reader.read_chunks()?,
+    match framing {
+        BodyFraming::None => {}
+        BodyFraming::Sized(size_bytes) => reader.read_bytes(size_bytes)?,
+        BodyFraming::Chunked => reader.read_chunks()?,
     }
     Ok(Body { bytes: reader.bytes, _reservation: reader.reservation })
 }
--- a/crates/downstream/src/head.rs
+++ b/crates/downstream/src/head.rs
@@ -5,7 +5,7 @@
 
 /// The framing of a request body, which determines where the body ends (RFC 9112, 6.3).
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Length {
+pub enum BodyFraming {
     /// The request has no body.
     None,
     /// The body has this number of bytes, from Content-Length.
@@ -24,7 +24,7 @@
     /// The names and values of the headers, in the order received.
     pub headers: Vec<(String, String)>,
     /// The framing of the request's body.
-    pub length: Length,
+    pub framing: BodyFraming,
     /// Whether the connection is closed after the response to this request.
     pub close: bool,
     /// Whether the client waits for `100 Continue` before it sends the body (RFC 9110, 10.1.1).
@@ -84,7 +84,7 @@
     if hosts > 1 || (hosts == 0 && !is_http_1_0) {
         return Err(Reject::new(400, "exactly one Host is needed"));
     }
-    let body_framing = body_length(&headers, is_http_1_0)?;
+    let body_framing = parse_framing(&headers, is_http_1_0)?;
     let connection = values(&headers, "connection").collect::<Vec<_>>().join(",");
     let has_option =
         |name: &str| connection.split(',').any(|option| option.trim().eq_ignore_ascii_case(name));
@@ -94,7 +94,7 @@
         method: parsed.method.unwrap_or_default().to_string(),
         target,
         close: has_option("close") || (is_http_1_0 && !has_option("keep-alive")),
-        length: body_framing,
+        framing: body_framing,
         headers,
         expects_continue,
     };
@@ -124,7 +124,7 @@
 
 /// Returns the framing of the body. Rejects an ambiguous length, because a request that two
 /// recipients frame differently allows request smuggling (RFC 9112, 6.3 and 11.2).
-fn body_length(headers: &[(String, String)], is_http_1_0: bool) -> Result<Length, Reject> {
+fn parse_framing(headers: &[(String, String)], is_http_1_0: bool) -> Result<BodyFraming, Reject> {
     let lengths: Vec<&str> = values(headers, "content-length").collect();
     let codings: Vec<&str> = values(headers, "transfer-encoding").collect();
     if !lengths.is_empty() && !codings.is_empty() {
@@ -137,13 +137,13 @@
         if is_http_1_0 || codings.len() > 1 || !coding.trim().eq_ignore_ascii_case("chunked") {
             return Err(Reject::new(501, "the only Transfer-Encoding is chunked"));
         }
-        return Ok(Length::Chunked);
+        return Ok(BodyFraming::Chunked);
     }
     match lengths.first() {
-        None => Ok(Length::None),
+        None => Ok(BodyFraming::None),
         Some(text) if !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit()) => text
             .parse()
-            .map(Length::Sized)
+            .map(BodyFraming::Sized)
             .map_err(|_| Reject::new(400, "Content-Length is too large")),
         Some(_) => Err(Reject::new(400, "Content-Length is not a number")),
     }
--- a/programs/control-plane/src/client_listener.rs
+++ b/programs/control-plane/src/client_listener.rs
@@ -118,7 +118,7 @@
             return Err(body::CLIENT_DEPARTED);
         }
         let deadline_ms = clock_ms() + BODY_WAIT_MS;
-        body::read(connection, head.length, PLAN_TEXT_BYTES as u64, &self.body_memory, deadline_ms)
+        body::read(connection, head.framing, PLAN_TEXT_BYTES as u64, &self.body_memory, deadline_ms)
     }
 
     fn reject(&self, connection: &mut Connection, reject: Reject) {
--- a/programs/data-plane/src/dialect.rs
+++ b/programs/data-plane/src/dialect.rs
@@ -11,13 +11,13 @@
 /// An endpoint that the node serves itself; a request to it is not forwarded to a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeEndpoint {
-    /// Returns whether this node is ready.
+    /// The readiness endpoint, whose response states whether this node is ready.
     Ready,
-    /// Serves an application's coordination call, which the controller executes.
+    /// The endpoints of applications' coordination calls, which the controller executes.
     Coordination,
 }
 
-/// The conclusion from a target's response about the request that was sent.
+/// The conclusion that a target's response permits about its request.
 #[derive(Debug, PartialEq)]
 pub enum ResponseJudgement {
     /// The response is the target's complete response to this request.
@@ -62,9 +62,14 @@
     fn idempotency_key<'h>(&self, head: &'h Head) -> Option<&'h str>;
     /// Returns the client's response for a request that ended.
     fn render_completion(&self, completion: Completion) -> TargetResponse;
-    /// Returns the response to a request that was incomplete or invalid; `unsure` is true if an
-    /// earlier request with the same key may have run.
-    fn render_rejection(&self, status: u16, unsure: bool, reason: &str) -> TargetResponse;
+    /// Returns the response to a request that was incomplete or invalid; `may_have_run_before` is
+    /// true if an earlier request with the same key may have run.
+    fn render_rejection(
+        &self,
+        status: u16,
+        may_have_run_before: bool,
+        reason: &str,
+    ) -> TargetResponse;
     /// Returns how each request names its target, or `None` if targets identify themselves on each
     /// new connection.
     fn target_identification(&self) -> Option<&dyn TargetIdentification>;
@@ -90,8 +95,17 @@
     fn render_completion(&self, completion: Completion) -> TargetResponse {
         completion.into_response()
     }
-    fn render_rejection(&self, status: u16, unsure: bool, reason: &str) -> TargetResponse {
-        json_response::rejection(status, if unsure { "unknown" } else { "not-run" }, reason)
+    fn render_rejection(
+        &self,
+        status: u16,
+        may_have_run_before: bool,
+        reason: &str,
+    ) -> TargetResponse {
+        json_response::rejection(
+            status,
+            if may_have_run_before { "unknown" } else { "not-run" },
+            reason,
+        )
     }
     fn target_identification(&self) -> Option<&dyn TargetIdentification> {
         None
--- a/programs/data-plane/src/phases/admit_or_reject.rs
+++ b/programs/data-plane/src/phases/admit_or_reject.rs
@@ -27,7 +27,10 @@
     client: IpAddr,
 ) -> Result<RequestPermits<'s>, Rejection> {
     if route.is_one_time() && !has_valid_key(shared.dialect.as_ref(), head) {
-        return Err(Rejection::Unreadable { reject: INVALID_KEY, unsure: route.evidence.keyed });
+        return Err(Rejection::Unreadable {
+            reject: INVALID_KEY,
+            may_have_run_before: route.evidence.keyed,
+        });
     }
     admit_request(&shared.admission, client, &route.entry, route.table.nodes()).map_err(
         |rejected| {
--- a/programs/data-plane/src/phases/read_body.rs
+++ b/programs/data-plane/src/phases/read_body.rs
@@ -7,7 +7,7 @@
 use postbarrow_constants::traffic::BODY_WAIT_MS;
 use postbarrow_downstream::body::{self, Body};
 use postbarrow_downstream::connection::Connection;
-use postbarrow_downstream::head::{Head, Length, Reject};
+use postbarrow_downstream::head::{BodyFraming, Head, Reject};
 use postbarrow_node::RequestOutcome;
 use postbarrow_transport::clock_ms;
 
@@ -54,7 +54,8 @@
 }
 
 /// Returns the time by which the body must be complete, in milliseconds of the boot-time clock:
-/// after `BODY_WAIT_MS`, or earlier if the client states that it waits a shorter time.
+/// after `BODY_WAIT_MS`, or earlier if the client states that it waits a shorter time, since it
+/// needs no response after that.
 fn until_ms(shared: &Shared, head: &Head, arrived_ms: u64) -> u64 {
     let wait_ms = shared.dialect.client_timeout_ms(head).unwrap_or(BODY_WAIT_MS);
     arrived_ms + wait_ms.min(BODY_WAIT_MS)
@@ -63,8 +64,8 @@
 /// Returns the rejection of a request with an incomplete or invalid body. With an idempotency key,
 /// an earlier request may have run.
 fn unreadable(shared: &Shared, head: &Head, reject: Reject) -> Rejection {
-    let unsure = shared.dialect.idempotency_key(head).is_some();
-    Rejection::Unreadable { reject, unsure }
+    let may_have_run_before = shared.dialect.idempotency_key(head).is_some();
+    Rejection::Unreadable { reject, may_have_run_before }
 }
 
 /// Checks a stated length against `max_bytes`, sends `100 Continue` to a client that expects it,
@@ -76,11 +77,11 @@
     max_bytes: u64,
     until_ms: u64,
 ) -> Result<Body, Reject> {
-    if matches!(head.length, Length::Sized(size_bytes) if size_bytes > max_bytes) {
+    if matches!(head.framing, BodyFraming::Sized(size_bytes) if size_bytes > max_bytes) {
         return Err(body::TOO_LARGE);
     }
     if head.expects_continue && connection.send_continue().is_err() {
         return Err(body::CLIENT_DEPARTED);
     }
-    body::read(connection, head.length, max_bytes, &shared.memory.request_bodies, until_ms)
+    body::read(connection, head.framing, max_bytes, &shared.memory.request_bodies, until_ms)
 }
--- a/programs/data-plane/src/phases/read_head.rs
+++ b/programs/data-plane/src/phases/read_head.rs
@@ -21,8 +21,8 @@
         NextRequest::Head(head) => HeadRead::Head(head),
         NextRequest::Closed => HeadRead::Closed,
         NextRequest::Reject(reject) => {
-            let unsure = matches!(reject.status, 408 | 431);
-            HeadRead::Rejected(Rejection::Unreadable { reject, unsure })
+            let may_have_run_before = matches!(reject.status, 408 | 431);
+            HeadRead::Rejected(Rejection::Unreadable { reject, may_have_run_before })
         }
     }
 }
--- a/programs/data-plane/src/phases/rejection.rs
+++ b/programs/data-plane/src/phases/rejection.rs
@@ -15,7 +15,7 @@
         reject: Reject,
         /// Whether an earlier request with the same key may have run. The rejected request did not
         /// run, but this node has no record of earlier ones.
-        unsure: bool,
+        may_have_run_before: bool,
     },
 }
 
--- a/programs/data-plane/src/phases/write_response.rs
+++ b/programs/data-plane/src/phases/write_response.rs
@@ -40,8 +40,9 @@
 ) {
     match rejection {
         Rejection::Unreadable { reject, .. } if reject == body::CLIENT_DEPARTED => return,
-        Rejection::Unreadable { reject, unsure } => {
-            let response = shared.dialect.render_rejection(reject.status, unsure, reject.reason);
+        Rejection::Unreadable { reject, may_have_run_before } => {
+            let response =
+                shared.dialect.render_rejection(reject.status, may_have_run_before, reject.reason);
             let _ = connection.write(&response, "GET", true);
         }
         Rejection::Decided(response) => {
--- a/programs/data-plane/src/shared/sample_buffer.rs
+++ b/programs/data-plane/src/shared/sample_buffer.rs
@@ -2,7 +2,7 @@
 
 use crossbeam_queue::ArrayQueue;
 use postbarrow_constants::plans::{SAMPLE_BYTES, SAMPLES_PENDING, SAMPLES_PER_REPORT};
-use postbarrow_downstream::head::{Head, Length};
+use postbarrow_downstream::head::{BodyFraming, Head};
 use postbarrow_routing::Table;
 use postbarrow_state::{Name, Sample};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -21,7 +21,8 @@
 
 impl SampleBuffer {
     /// Counts a request, and samples it if the buffer has space and its path is at most
-    /// `SAMPLE_BYTES` long. A sample contains only the headers that the rules of routes read.
+    /// `SAMPLE_BYTES` long. A sample contains only the headers that the rules of routes read, and
+    /// of these only the ones whose value is at most `SAMPLE_BYTES` long.
     pub fn observe(&self, table: &Table, head: &Head) {
         self.observed.fetch_add(1, Relaxed);
         if self.samples.is_full() || head.path().len() > SAMPLE_BYTES {
@@ -37,9 +38,9 @@
             method: Name::from(&head.method),
             path: head.path().to_string(),
             headers: head.headers.iter().filter(is_sampled).cloned().collect(),
-            body_bytes: match head.length {
-                Length::Sized(size_bytes) => size_bytes,
-                Length::None | Length::Chunked => 0,
+            body_bytes: match head.framing {
+                BodyFraming::Sized(size_bytes) => size_bytes,
+                BodyFraming::None | BodyFraming::Chunked => 0,
             },
         };
         let _ = self.samples.push(sample);
--- a/programs/data-plane/src/tests/named_targets.rs
+++ b/programs/data-plane/src/tests/named_targets.rs
@@ -33,7 +33,12 @@
         };
         TargetResponse { status, headers: Vec::new(), body: sent.into() }
     }
-    fn render_rejection(&self, status: u16, _unsure: bool, reason: &str) -> TargetResponse {
+    fn render_rejection(
+        &self,
+        status: u16,
+        _may_have_run_before: bool,
+        reason: &str,
+    ) -> TargetResponse {
         TargetResponse { status, headers: Vec::new(), body: reason.into() }
     }
     fn target_identification(&self) -> Option<&dyn TargetIdentification> {
@@ -78,14 +83,14 @@
 pub fn two_targets(one: Vec<Script>, other: Vec<Script>) -> (ScriptedTarget, ScriptedTarget, Rig) {
     let one = ScriptedTarget::start("s-1", "s", one);
     let other = ScriptedTarget::start("s-2", "s", other);
-    let slots = |target: postbarrow_state::Target, warming_up| postbarrow_state::Target {
+    let with_two_slots = |target: postbarrow_state::Target, warming_up| postbarrow_state::Target {
         slots: 2,
         warming_up,
         ..target
     };
     let targets = vec![
-        slots(target("s-1", "s", one.address), false),
-        slots(target("s-2", "s", other.address), true),
+        with_two_slots(target("s-1", "s", one.address), false),
+        with_two_slots(target("s-2", "s", other.address), true),
     ];
     let rig = Rig::with_dialect(Arc::new(RequestIdDialect), targets, grant_all);
     (one, other, rig)
