--- a/programs/data-plane/src/admission.rs
+++ b/programs/data-plane/src/admission.rs
@@ -104,7 +104,7 @@
 
 /// Counts a new client connection and returns whether it is admitted: the node must be below its
 /// limit and the client within its share. The caller must release an admitted connection with
-/// [`release_connection`].
+/// [`release_connection`]; a connection that is not admitted is no longer counted on return.
 pub fn admit_connection(counters: &AdmissionCounters, client: IpAddr) -> bool {
     let previous = counters.connections.fetch_add(1, SeqCst);
     let client_connections = counters.connections_by_client.for_client(client).load(SeqCst) + 1;
@@ -116,7 +116,7 @@
     is_admitted
 }
 
-/// Releases one client connection that [`admit_connection`] admitted.
+/// Subtracts one connection from the node's count of client connections.
 pub fn release_connection(counters: &AdmissionCounters) {
     counters.connections.fetch_sub(1, SeqCst);
 }
--- a/programs/data-plane/src/command.rs
+++ b/programs/data-plane/src/command.rs
@@ -41,7 +41,7 @@
     End {
         /// The deadline, in milliseconds of the boot-time clock.
         until_ms: u64,
-        /// Receives a message when the loop ends.
+        /// The channel on which the thread that stops the node is notified when the loop ends.
         done: Sender<()>,
     },
 }
--- a/programs/data-plane/src/control_loop.rs
+++ b/programs/data-plane/src/control_loop.rs
@@ -17,7 +17,7 @@
 pub struct ControlLoop {
     node: DataNode,
     links: Links,
-    /// The threads that wait for a response, by the key of the request.
+    /// The channels on which other threads wait for responses, by request key.
     replies: HashMap<u64, SyncSender<Response>>,
     shared: Arc<Shared>,
     /// The deadline of [`Command::End`], in milliseconds of the boot-time clock, and the channel
--- a/programs/data-plane/src/coordination.rs
+++ b/programs/data-plane/src/coordination.rs
@@ -56,8 +56,9 @@
     }
 }
 
-/// Returns the response to a call that may have been applied. The key is stated if this node
-/// synthesized it, because a repeat is safe only under that key.
+/// Returns the response to a call that may have been applied. If this node synthesized the call's
+/// key, the response states the key and has no `Retry-After`, because a repeat is safe only under
+/// that key.
 fn unknown_outcome(synthesized_key: Option<Name>) -> TargetResponse {
     let reason = "no word from the controller; a repeat under one Idempotency-Key is safe";
     let mut response = error(504, reason);
--- a/programs/data-plane/src/coordination/read_call.rs
+++ b/programs/data-plane/src/coordination/read_call.rs
@@ -5,7 +5,7 @@
 use postbarrow_reading::{Fields, Reading};
 use postbarrow_state::{Call, Name, ResourceKind};
 
-/// Reads the call that a request states.
+/// Reads the coordination call in an HTTP request.
 ///
 /// # Errors
 /// Fails if the resource does not exist or does not support the method, or if the name, the query
--- a/programs/data-plane/src/error.rs
+++ b/programs/data-plane/src/error.rs
@@ -109,7 +109,7 @@
     /// The body is not UTF-8.
     #[error("the body is not UTF-8")]
     NotUtf8,
-    /// The body is not JSON, or has fields that are missing, unknown or of the wrong type.
+    /// The body is not a JSON object, or has fields that are missing, unknown or of the wrong type.
     #[error("{0}")]
     Fields(#[from] Findings),
     /// A required field of the body is missing.
--- a/programs/data-plane/src/phases.rs
+++ b/programs/data-plane/src/phases.rs
@@ -2,7 +2,7 @@
 //!
 //! | phase | action | statuses or reasons that end the request |
 //! | --- | --- | --- |
-//! | [`accept`] | accepts a client connection | 503 if the node or the client has too many |
+//! | [`accept`] | accepts a client connection | 503 over the node's limit or the client's share |
 //! | [`read_head`] | reads the head of the next request | 400, 408, 431 |
 //! | [`match_route`] | finds the route in the table in force | 404, 405; 503 without a lease |
 //! | [`admit_or_reject`] | checks the idempotency key, acquires the permits | 400, 429, 503 |
--- a/programs/data-plane/src/phases/accept.rs
+++ b/programs/data-plane/src/phases/accept.rs
@@ -19,7 +19,7 @@
 /// exhausted.
 const ACCEPT_RETRY: Duration = Duration::from_millis(10);
 
-/// Accepts connections on a new thread until the node's lifecycle is closed.
+/// Accepts connections on a new thread until the node is closed to new connections.
 ///
 /// # Errors
 /// Fails if the thread can't be started.
--- a/programs/data-plane/src/phases/request_state.rs
+++ b/programs/data-plane/src/phases/request_state.rs
@@ -59,9 +59,11 @@
 pub struct Attempt {
     /// The selected target; `None` before the connect phase.
     pub target: Option<Arc<Target>>,
-    /// The connection to the target; `None` unless the request is connected and not yet sent.
+    /// The connection to the target, from the connect phase until the forward phase takes it;
+    /// `None` otherwise.
     pub connection: Option<TargetConnection>,
-    /// The request's count in the load of the target, until the request is sent.
+    /// The request's count in the load of the target, from the connect phase until the forward
+    /// phase takes it; `None` otherwise.
     pub load: Option<LoadPermit>,
 }
 
--- a/programs/data-plane/src/probe.rs
+++ b/programs/data-plane/src/probe.rs
@@ -72,9 +72,9 @@
     }
 }
 
-/// Verifies the target's identity on its oldest idle connection, or on a new one if there is none
-/// or that fails; a connection thus stays open for requests. Returns how many requests the target
-/// has in flight.
+/// Verifies the target's identity on its oldest idle connection, or on a new one if there is no
+/// idle connection or the verification on it fails. The connection then stays open for requests.
+/// Returns how many requests the target has in flight.
 fn probe(shared: &Shared, target: &Target) -> Result<u64> {
     let pools = shared.pools.load();
     let no_client = ClientWatch::nobody();
--- a/programs/data-plane/src/response_parser.rs
+++ b/programs/data-plane/src/response_parser.rs
@@ -28,8 +28,9 @@
     pub framing: BodyFraming,
     /// Whether the target keeps the connection open after the response.
     pub is_persistent: bool,
-    /// How long the target keeps the connection open while idle, less `TARGET_IDLE_MARGIN_MS`, in
-    /// milliseconds; `None` if the response has no `Keep-Alive` header with a valid timeout.
+    /// How long the target keeps the connection open while idle, less `TARGET_IDLE_MARGIN_MS` and
+    /// at most `TARGET_IDLE_MAX_MS`, in milliseconds; `None` if the response has no `Keep-Alive`
+    /// header with a valid timeout.
     pub idle_limit_ms: Option<u64>,
 }
 
@@ -112,8 +113,8 @@
     }
 }
 
-/// Returns the idle timeout of a `Keep-Alive` header less `TARGET_IDLE_MARGIN_MS`, in milliseconds,
-/// or `None` if the header states no valid timeout.
+/// Returns the idle timeout of a `Keep-Alive` header, less `TARGET_IDLE_MARGIN_MS` and at most
+/// `TARGET_IDLE_MAX_MS`, in milliseconds, or `None` if the header states no valid timeout.
 fn idle_limit_ms(value: &str) -> Option<u64> {
     let timeout = value.split(',').find_map(|field| field.trim().strip_prefix("timeout="))?;
     let timeout_ms = timeout.trim().parse::<u64>().ok()?.saturating_mul(1_000);
@@ -144,7 +145,8 @@
     }
 }
 
-/// Returns the end of the trailer section that begins at `offset`, or `None` if it is incomplete.
+/// Returns the offset after the trailer section that begins at `offset`, or `None` if the section
+/// is incomplete.
 fn skip_trailers(bytes: &[u8], mut offset: usize) -> Result<Option<usize>, ParseError> {
     loop {
         let rest = &bytes[offset..];
--- a/programs/data-plane/src/shared.rs
+++ b/programs/data-plane/src/shared.rs
@@ -37,7 +37,7 @@
     pub own: Node,
     /// The dialect of this node's clients and targets.
     pub dialect: Arc<dyn Dialect>,
-    /// The lease, which limits the time until which this node may serve.
+    /// The lease of this node, which may serve requests only while the lease is valid.
     pub lease: Lease,
     /// The routing table in force: routes, services and targets.
     pub routing: RoutingTable,
--- a/programs/data-plane/src/shared/connection_pools.rs
+++ b/programs/data-plane/src/shared/connection_pools.rs
@@ -12,7 +12,7 @@
 
 type IdleQueue = Arc<ArrayQueue<TargetConnection>>;
 
-/// The pools for the image in force, which are replaced atomically and read without locks.
+/// The pools for the targets in force, which are replaced atomically and read without locks.
 #[derive(Default)]
 pub struct ConnectionPools {
     pools: ArcSwap<Pools>,
@@ -24,16 +24,16 @@
         self.pools.load()
     }
 
-    /// Replaces the pools by those for a new image; a target that remains at its address keeps its
-    /// idle connections.
+    /// Replaces the pools by those for the targets of a new routing table; a target that remains at
+    /// its address keeps its idle connections.
     pub fn carry_over(&self, table: &Table) {
         let pools = Pools::carried_over(&self.pools.load(), table);
         self.pools.store(Arc::new(pools));
     }
 }
 
-/// Idle connections by target instance. Rebuilt for each image whose targets differ, so that no
-/// connection outlives its target.
+/// Idle connections by target instance. The pools are rebuilt whenever the targets change, so that
+/// no connection outlives its target.
 #[derive(Default)]
 pub struct Pools(HashMap<Name, (SocketAddr, IdleQueue)>);
 
--- a/programs/data-plane/src/shared/control_loop_handle.rs
+++ b/programs/data-plane/src/shared/control_loop_handle.rs
@@ -19,8 +19,9 @@
         ControlLoopHandle { request_keys: RequestKeys::new(random()), commands }
     }
 
-    /// Sends a request to the controller, which is valid for `wait_ms` milliseconds, and waits for
-    /// its response for `CONTROLLER_ANSWER_SLACK_MS` longer. If the client departs, the request is
+    /// Sends a request to the controller and returns the response. While there is no response, the
+    /// request is resent for `wait_ms` milliseconds; `TimedOut` is returned
+    /// `CONTROLLER_ANSWER_SLACK_MS` after that at the latest. If the client departs, the request is
     /// no longer resent; it may already have been applied, so its outcome is unknown and `TimedOut`
     /// is returned.
     pub fn request(&self, request: Request, wait_ms: u64, client: &ClientWatch) -> Response {
--- a/programs/data-plane/src/shared/lifecycle.rs
+++ b/programs/data-plane/src/shared/lifecycle.rs
@@ -21,7 +21,7 @@
         self.stopping.load(Relaxed)
     }
 
-    /// Closes the node to new client connections, and lets idle ones end.
+    /// Closes the node to new client connections, and makes it close idle ones.
     pub fn close(&self) {
         self.closed.store(true, SeqCst);
     }
