--- a/crates/downstream/src/client_watch/tests.rs
+++ b/crates/downstream/src/client_watch/tests.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_close_behind_unread_bytes_is_a_departure() {
+fn a_close_after_unread_bytes_is_a_departure() {
     let (near, mut client) = connected_pair();
     let watch = ClientWatch::new(&near);
     client.write_all(b"GET /next HTTP/1.1\r\n\r\n").unwrap();
--- a/programs/data-plane/src/tests/admission.rs
+++ b/programs/data-plane/src/tests/admission.rs
@@ -80,7 +80,7 @@
 #[test]
 fn response_over_the_memory_budget_fails_and_its_memory_is_released() {
     let (scripted, rig) = rig();
-    let budget = rig
+    let reservation = rig
         .shared
         .memory
         .response_bodies
@@ -93,7 +93,7 @@
         posted.contains("Postbarrow-Outcome: unknown"),
         "the target may have run the request: {posted}"
     );
-    drop(budget);
+    drop(reservation);
     assert!(rig.get("/look/1").starts_with("HTTP/1.1 200"));
     assert!(
         rig.shared.memory.response_bodies.reserve(BODIES_BYTES as u64).is_some(),
--- a/programs/data-plane/src/tests/client_departure/one_time.rs
+++ b/programs/data-plane/src/tests/client_departure/one_time.rs
@@ -38,7 +38,7 @@
         allow_answer();
         assert_eq!(rig.settlements(), [Settlement::Unsent], "{departure:?}");
         assert_eq!(one.runs(), 0, "{departure:?}");
-        assert_eq!(rig.withdrawn(), 1, "its ticket request must be withdrawn");
+        assert_eq!(rig.withdrawn(), 1, "the ticket request must be withdrawn");
     }
 }
 
--- a/programs/data-plane/src/tests/execution_evidence.rs
+++ b/programs/data-plane/src/tests/execution_evidence.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn keyed_request_rejected_unread_is_unknown_and_never_not_run() {
+fn keyed_request_with_an_invalid_body_is_unknown_and_never_not_run() {
     let scripted = ScriptedTarget::start("s-1", "s", vec![Script::Complete("fine")]);
     let rig = Rig::new(vec![target("s-1", "s", scripted.address)], grant_all);
     let post_invalid_chunk = |key: &str| {
@@ -103,13 +103,13 @@
     let (outcome, is_reusable) = exchange(&to, b"a", &|| false);
     assert!(matches!(outcome, AttemptOutcome::Unsent(_)) && !is_reusable, "{outcome:?}");
     assert_eq!(scripted.runs(), 0);
-    let requested = Cell::new(0);
+    let evaluations = Cell::new(0);
     let body = vec![7; 300_000];
     let (outcome, is_reusable) =
-        exchange(&to, &body, &|| requested.replace(requested.get() + 1) == 0);
+        exchange(&to, &body, &|| evaluations.replace(evaluations.get() + 1) == 0);
     assert!(matches!(outcome, AttemptOutcome::Complete(_)) && is_reusable, "{outcome:?}");
     assert_eq!(
-        requested.get(),
+        evaluations.get(),
         1,
         "the check must be evaluated once, and not for the identity request"
     );
--- a/programs/data-plane/src/tests/requests.rs
+++ b/programs/data-plane/src/tests/requests.rs
@@ -34,8 +34,8 @@
     let (scripted, rig) = setup(vec![Script::Complete("x")]);
     let status = |reply: &str| reply.split(' ').nth(1).unwrap_or("none").to_string();
     assert_eq!(status(&rig.get("/nowhere")), "404");
-    let other = rig.post("", "").replace("POST", "GET");
-    assert!(other.starts_with("HTTP/1.1 200"));
+    let valid_post = rig.post("", "").replace("POST", "GET");
+    assert!(valid_post.starts_with("HTTP/1.1 200"));
     let wrong_method = rig.raw(b"DELETE /post/1 HTTP/1.1\r\nHost: h\r\n\r\n");
     assert!(
         wrong_method.starts_with("HTTP/1.1 405") && wrong_method.contains("Allow: POST"),
@@ -104,11 +104,11 @@
     assert!(rig.get("/look/1").starts_with("HTTP/1.1 50"));
     assert_eq!(unknown.runs(), 0);
     let requested = rig.requested.lock().unwrap();
-    assert!(requested.is_empty(), "no ticket is requested for a target that is not identified");
+    assert!(requested.is_empty(), "a ticket was requested for a target that is not identified");
 }
 
 #[test]
-fn request_without_response_on_its_ticket_is_unknown_and_never_forwarded() {
+fn request_whose_ticket_request_times_out_is_unknown_and_never_forwarded() {
     let scripted = ScriptedTarget::start("s-1", "s", vec![Script::Complete("x")]);
     let rig = Rig::new(vec![target("s-1", "s", scripted.address)], |request| match request {
         Request::Ticket(_) => Response::TimedOut,
--- a/programs/data-plane/src/tests/unresponsive_named_targets.rs
+++ b/programs/data-plane/src/tests/unresponsive_named_targets.rs
@@ -39,14 +39,17 @@
         "a request that may have run must not be retried"
     );
     let reply = get(&rig, "q");
-    assert!(reply.ends_with("\r\n\r\nown"), "sent on the unresponsive connection: {reply}");
+    assert!(
+        reply.ends_with("\r\n\r\nown"),
+        "the request was sent on the unresponsive connection: {reply}"
+    );
     late.fire();
     let reply = get(&rig, "q");
-    assert!(reply.ends_with("\r\n\r\nown"), "the late response is discarded: {reply}");
+    assert!(reply.ends_with("\r\n\r\nown"), "the late response must be discarded: {reply}");
     assert_eq!(
         (one.runs(), connections(&one)),
         (3, 2),
-        "the unresponsive connection was not reused"
+        "the unresponsive connection must not be reused"
     );
 }
 
@@ -58,7 +61,10 @@
     let look = format!("GET /look/1 HTTP/1.1\r\nHost: h\r\n{SHORT_WAIT_HEADERS}\r\n");
     let reply = rig.raw(look.as_bytes());
     assert!(reply.starts_with("HTTP/1.1 502") && !reply.contains("late"), "{reply}");
-    assert!(get(&rig, "q").ends_with("\r\n\r\nown"), "sent on the unresponsive connection");
+    assert!(
+        get(&rig, "q").ends_with("\r\n\r\nown"),
+        "the request was sent on the unresponsive connection"
+    );
     late.fire();
     assert!(get(&rig, "q").ends_with("\r\n\r\nown"));
     assert_eq!(connections(&one), 2);
--- a/programs/data-plane/src/tests/unresponsive_targets.rs
+++ b/programs/data-plane/src/tests/unresponsive_targets.rs
@@ -69,7 +69,10 @@
         setup(vec![Script::Delayed(Vec::new(), signal, complete("late")), Script::Complete("2")]);
     let reply = rig.post("", "a");
     assert!(reply.starts_with("HTTP/1.1 504") && reply.contains("unknown"), "{reply}");
-    assert!(rig.post("", "b").ends_with("\r\n\r\n2"), "sent on the unresponsive connection");
+    assert!(
+        rig.post("", "b").ends_with("\r\n\r\n2"),
+        "the request was sent on the unresponsive connection"
+    );
     late.fire();
     let reply = rig.post("", "c");
     assert!(reply.ends_with("\r\n\r\n2") && !reply.contains("late"), "{reply}");
