--- a/crates/downstream/src/connection.rs
+++ b/crates/downstream/src/connection.rs
@@ -56,7 +56,7 @@
     /// Sets timeouts and options on a connection that was just accepted.
     ///
     /// # Errors
-    /// Returns the system's error if an option can't be set or the client has already disconnected.
+    /// Returns the system's error if an option can't be set or the client has already departed.
     pub fn new(stream: TcpStream) -> std::io::Result<Self> {
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(Duration::from_millis(PEER_CLOSED_CHECK_MS)))?;
--- a/programs/control-plane/src/client_handler.rs
+++ b/programs/control-plane/src/client_handler.rs
@@ -23,7 +23,7 @@
     pub body: &'a [u8],
     /// Sends requests to the controller.
     pub request_sender: &'a RequestSender,
-    /// Observes whether the client has disconnected.
+    /// Observes whether the client has departed.
     pub client: &'a ClientWatch<'a>,
 }
 
--- a/programs/control-plane/src/client_listener/tests.rs
+++ b/programs/control-plane/src/client_listener/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `client_listener`: clients that disconnect. The test responds in place of the
+//! Tests of `client_listener`: clients that depart. The test responds in place of the
 //! controller.
 
 use super::*;
@@ -55,7 +55,7 @@
             }
             thread::sleep(Duration::from_millis(1));
         }
-        panic!("a request of a disconnected client is still pending");
+        panic!("a request of a departed client is still pending");
     }
 }
 
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_request_of_a_disconnected_client_is_withdrawn_and_not_pending() {
+fn a_request_of_a_departed_client_is_withdrawn_and_not_pending() {
     let fixture = start_listener();
     let stream = fixture.send("GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
     let (sent, _, _reply) = fixture.next_request();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_plan_is_not_submitted_if_its_operator_disconnects_during_the_rehearsal() {
+fn a_plan_is_not_submitted_if_its_operator_departs_during_the_rehearsal() {
     for query in ["", "?dry-run", "?most-lost=0"] {
         let fixture = start_listener();
         let stream = fixture.send(&submission(query));
@@ -111,12 +111,12 @@
             .commands
             .try_iter()
             .any(|command| matches!(command, Command::Request { request: Request::Submit(_), .. }));
-        assert!(!is_submitted, "{query}: the plan of a disconnected operator was submitted");
+        assert!(!is_submitted, "{query}: the plan of a departed operator was submitted");
     }
 }
 
 #[test]
-fn a_client_that_disconnects_before_its_body_ends_leaves_no_pending_request() {
+fn a_client_that_departs_before_its_body_ends_leaves_no_pending_request() {
     let fixture = start_listener();
     let stream = fixture.send("POST /plans HTTP/1.1\r\nHost: x\r\nContent-Length: 900\r\n\r\n{");
     drop(stream);
--- a/programs/control-plane/src/command.rs
+++ b/programs/control-plane/src/command.rs
@@ -35,7 +35,7 @@
         /// The channel on which the client's thread waits for the response.
         reply: SyncSender<Response>,
     },
-    /// The client of a request has disconnected, so the response has no receiver.
+    /// The client of a request has departed, so the response has no receiver.
     Withdraw {
         /// The key of the withdrawn request.
         key: u64,
--- a/programs/control-plane/src/control_plane.rs
+++ b/programs/control-plane/src/control_plane.rs
@@ -29,7 +29,7 @@
 }
 
 impl ControlPlane {
-    /// Starts a control node that uses the product's own protocols, [`NativeDialect`].
+    /// Starts a control node that uses Postbarrow's own protocols, [`NativeDialect`].
     ///
     /// # Errors
     /// The data folder can't be used, an address can't be bound, or a thread can't be started.
--- a/programs/control-plane/src/dialect.rs
+++ b/programs/control-plane/src/dialect.rs
@@ -13,8 +13,8 @@
     pub findings: String,
 }
 
-/// The protocols towards operators, applications and the endpoint list. The product's own dialect
-/// is [`NativeDialect`].
+/// The protocols towards operators, applications and the endpoint list. Postbarrow's own dialect is
+/// [`NativeDialect`].
 pub trait Dialect: Send + Sync {
     /// Returns the handler of requests from operators and applications.
     fn client_handler(&self) -> Arc<dyn ClientHandler>;
@@ -29,7 +29,7 @@
     fn parse_page(&self, bytes: &[u8]) -> Result<ListPage, PageError>;
 }
 
-/// The product's own dialect, with JSON bodies over HTTP.
+/// Postbarrow's own dialect, with JSON bodies over HTTP.
 pub struct NativeDialect;
 
 impl Dialect for NativeDialect {
--- a/programs/control-plane/src/disk_writer.rs
+++ b/programs/control-plane/src/disk_writer.rs
@@ -79,7 +79,7 @@
     is_ending: Arc<AtomicBool>,
     syncs: u64,
     writes: u64,
-    /// Whether the disk was full at the last attempt, which has then been logged.
+    /// Whether a full disk was logged and no write has succeeded since.
     is_full: bool,
 }
 
--- a/programs/control-plane/src/graceful_shutdown.rs
+++ b/programs/control-plane/src/graceful_shutdown.rs
@@ -9,19 +9,19 @@
 /// period.
 #[derive(Debug)]
 pub struct GracefulShutdown {
-    /// When the process stops waiting for pending client requests, in milliseconds of the process's
+    /// When the process stops waiting for pending client requests, in milliseconds of the boot-time
     /// clock.
     requests_deadline_ms: u64,
     /// When the process stops waiting for a successor to lead and for a learner to take its voter
-    /// seat, in milliseconds of the process's clock.
+    /// seat, in milliseconds of the boot-time clock.
     transfer_deadline_ms: u64,
-    /// Since when no request has been pending, in milliseconds of the process's clock; the last
+    /// Since when no request has been pending, in milliseconds of the boot-time clock; the last
     /// response may not be written out yet. None while requests are pending.
     idle_since_ms: Option<u64>,
 }
 
 impl GracefulShutdown {
-    /// Creates a shutdown that is requested at `now_ms`.
+    /// Creates a shutdown that is requested at `now_ms` of the boot-time clock.
     pub fn new(now_ms: u64) -> GracefulShutdown {
         GracefulShutdown {
             requests_deadline_ms: now_ms + SUBMIT_WAIT_MS,
--- a/programs/control-plane/src/lib.rs
+++ b/programs/control-plane/src/lib.rs
@@ -11,7 +11,7 @@
 //! | [`endpoint_list_fetcher`] | `list N` | fetches pages of the endpoint list |
 //! | [`client_listener`] | `clients`, `client` | reads clients' requests, writes the responses |
 //!
-//! A client's request goes from [`client_listener`] to a [`ClientHandler`] (in the product's own
+//! A client's request goes from [`client_listener`] to a [`ClientHandler`] (in Postbarrow's own
 //! dialect, [`operator_handler`]), through a [`RequestSender`] to the control loop, and from there
 //! to the controller, which may run in another process.
 
--- a/programs/control-plane/src/operator_client.rs
+++ b/programs/control-plane/src/operator_client.rs
@@ -15,7 +15,7 @@
     pub status: u16,
     /// The body: JSON, or a plan's text.
     pub body: String,
-    /// The product's own headers: those that begin with `postbarrow-`.
+    /// Postbarrow's own headers: those that begin with `postbarrow-`.
     pub headers: Vec<(String, String)>,
 }
 
--- a/programs/control-plane/src/operator_handler.rs
+++ b/programs/control-plane/src/operator_handler.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface of operators in the product's own dialect.
+//! The HTTP interface of operators in Postbarrow's own dialect.
 
 use crate::client_handler::{ClientHandler, ClientRequest};
 use crate::rehearsal::{self, NoControllerResponse, TrafficBounds};
@@ -67,7 +67,7 @@
     }
 }
 
-/// Rehearses the plan on recent requests and submits it, unless the operator has disconnected
+/// Rehearses the plan on recent requests and submits it, unless the operator has departed
 /// meanwhile.
 fn submit(request: &ClientRequest<'_>, send: SendRequest<'_>) -> TargetResponse {
     let plan = match Plan::read(request.body) {
@@ -105,12 +105,12 @@
 }
 
 fn finding_bodies(findings: Findings) -> Vec<FindingBody> {
-    let rows = findings.findings.into_iter().map(|finding| FindingBody {
+    let bodies = findings.findings.into_iter().map(|finding| FindingBody {
         field_path: finding.field_path,
         line: finding.line.map(|line| line as u64),
         message: finding.message,
     });
-    rows.collect()
+    bodies.collect()
 }
 
 /// Adds the rehearsal's measurements to a successful response of the controller.
--- a/programs/control-plane/src/operator_handler/tests.rs
+++ b/programs/control-plane/src/operator_handler/tests.rs
@@ -46,7 +46,7 @@
         assert_eq!(
             serve_with("POST", "/plans?most-lost=0", &controller),
             (503, true),
-            "the plan was not submitted"
+            "503 states that the plan was not submitted"
         );
     }
 }
--- a/programs/control-plane/src/request_sender.rs
+++ b/programs/control-plane/src/request_sender.rs
@@ -37,7 +37,7 @@
 
     /// Sends a request to the controller and returns its response. Returns `Unavailable` if the
     /// request was not sent to any process that could execute it, and `TimedOut` after `wait_ms`
-    /// milliseconds if a process may have executed it. If the client disconnects, the request is
+    /// milliseconds if a process may have executed it. If the client departs, the request is
     /// withdrawn and `TimedOut` is returned: its outcome is unknown, and effects that it already
     /// had are not undone.
     pub fn send(&self, request: Request, wait_ms: u64, client: &ClientWatch) -> Response {
