--- a/crates/startup/src/bounds.rs
+++ b/crates/startup/src/bounds.rs
@@ -5,8 +5,7 @@
 use postbarrow_constants::nodes::{LIST_FIRST_SCAN_GAP_MS, LIST_GAP_MS, NODE_LEASE_MS};
 use postbarrow_constants::traffic::*;
 
-/// The bounds that a deployment sets. For a bound that is not set, the product's own constant
-/// holds.
+/// The bounds that a deployment sets. For a bound that is not set, Postbarrow's own constant holds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Bounds {
     /// Milliseconds from when the endpoint list marks a target as draining to the target's last
@@ -50,10 +49,10 @@
 /// bodies.
 const BODIES_DIVISOR: u64 = 4;
 /// Divisor of a disk's space: an eighth is for the log between two slot writes, so that two slots
-/// and two logs fit on the disk together.
+/// and two logs fit on the disk together. A slot is a file that stores a member's whole state.
 const LOG_DIVISOR: u64 = 8;
-/// Divisor of the log's bound: half of it is reserved for a slot. A slot has the state that results
-/// from a log's records, most of which are outdated.
+/// Divisor of the log bytes between two slot writes: half of them are reserved for a slot. A slot
+/// has the state that results from a log's records, most of which are outdated.
 const RESERVED_SLOT_DIVISOR: u64 = 2;
 /// The gap between two requests to the endpoint list, in percent of the shortest gap that the list
 /// permits: longer, since two controllers may overlap.
--- a/crates/startup/src/bounds/tests.rs
+++ b/crates/startup/src/bounds/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_dead_voter_is_replaced_within_half_of_the_time_to_catch_up() {
+fn a_dead_voter_is_replaced_after_half_of_the_time_to_catch_up_within_limits() {
     assert_eq!(Bounds::default().voter_dead_ms(), VOTER_DEAD_MS);
     for (catch_up_ms, dead_ms) in [(2_000, 1_500), (4_000, 2_000), (6_000, 3_000), (60_000, 4_000)]
     {
--- a/crates/startup/src/settings.rs
+++ b/crates/startup/src/settings.rs
@@ -50,7 +50,7 @@
     pub log: Option<PathBuf>,
     /// The least severe level that is logged.
     pub level: log::LevelFilter,
-    /// The bounds that the deployment sets; all unset if the settings come from the product's own
+    /// The bounds that the deployment sets; all unset if the settings come from Postbarrow's own
     /// file and flags.
     pub bounds: Bounds,
 }
