--- a/programs/data-plane/src/balancing.rs
+++ b/programs/data-plane/src/balancing.rs
@@ -4,8 +4,8 @@
 use postbarrow_transport::clock_ms;
 use std::sync::Arc;
 
-/// Returns the route with one of its weighted services, drawn by weight with the random `seed`; the
-/// route itself if it has no weighted services.
+/// Returns the route with one of its weighted services, chosen by weight from the random number
+/// `seed`; the route itself if it has no weighted services.
 pub fn draw_service(entry: &Arc<Entry>, seed: u64) -> Arc<Entry> {
     entry.draw_service(seed)
 }
--- a/programs/data-plane/src/lib.rs
+++ b/programs/data-plane/src/lib.rs
@@ -129,7 +129,7 @@
         self.shared.own.http
     }
 
-    /// Stops the node gracefully: it becomes unready, closes its listener after a delay, lets
+    /// Shuts the node down gracefully: it becomes unready, closes its listener after a delay, lets
     /// requests in flight finish, and sends the pending settlements. Returns once that is done or
     /// its time limit has passed.
     pub fn stop(&self) {
--- a/programs/data-plane/src/phases/request_state.rs
+++ b/programs/data-plane/src/phases/request_state.rs
@@ -19,7 +19,8 @@
     pub head: &'a Head,
     /// The request's body, empty if it has none.
     pub body: Vec<u8>,
-    /// The time from which the route's deadline is counted, in milliseconds of the boot-time clock.
+    /// The time from which the route's deadline is counted, in milliseconds of the boot-time clock:
+    /// `arrived_ms` for a lookup without a body, otherwise the time at which the body was read.
     pub start_ms: u64,
     /// The time at which the head was read completely, in milliseconds of the boot-time clock.
     pub arrived_ms: u64,
--- a/programs/data-plane/src/shared.rs
+++ b/programs/data-plane/src/shared.rs
@@ -49,7 +49,7 @@
     pub admission: AdmissionCounters,
     /// Samples of client requests, for rehearsals of plans.
     pub samples: SampleBuffer,
-    /// The progress of a graceful stop.
+    /// The progress of a graceful shutdown.
     pub lifecycle: Lifecycle,
     /// The generator of unique request numbers and idempotency keys.
     pub keys: KeyGenerator,
--- a/programs/data-plane/src/shared/lifecycle.rs
+++ b/programs/data-plane/src/shared/lifecycle.rs
@@ -1,8 +1,8 @@
-//! The progress of a graceful stop.
+//! The progress of a graceful shutdown.
 
 use std::sync::atomic::{AtomicBool, Ordering::*};
 
-/// The stages of a graceful stop: the node first becomes unready, then is closed to new
+/// The stages of a graceful shutdown: the node first becomes unready, then is closed to new
 /// connections.
 #[derive(Default)]
 pub struct Lifecycle {
--- a/programs/data-plane/src/target_connection.rs
+++ b/programs/data-plane/src/target_connection.rs
@@ -80,8 +80,8 @@
     }
 }
 
-/// Decides what a response proves about its request; the second argument is true for the first
-/// response on a connection.
+/// A function that decides what a response proves about its request; its second argument is true
+/// for the first response on a connection.
 pub type Judge<'a> = &'a dyn Fn(&TargetResponse, bool) -> ResponseJudgement;
 
 /// The conditions of one exchange: of sending a request and receiving its response.
