--- a/programs/data-plane/src/phases/request_state.rs
+++ b/programs/data-plane/src/phases/request_state.rs
@@ -19,7 +19,8 @@
     pub head: &'a Head,
     /// The request's body, empty if it has none.
     pub body: Vec<u8>,
-    /// The time from which the route's deadline is counted, in milliseconds of the boot-time clock.
+    /// The time from which the route's deadline is counted, in milliseconds of the boot-time clock:
+    /// `arrived_ms` for a lookup without a body, otherwise the time at which the body was read.
     pub start_ms: u64,
     /// The time at which the head was read completely, in milliseconds of the boot-time clock.
     pub arrived_ms: u64,
@@ -59,9 +60,11 @@
 pub struct Attempt {
     /// The selected target; `None` before the connect phase.
     pub target: Option<Arc<Target>>,
-    /// The connection to the target; `None` unless the request is connected and not yet sent.
+    /// The connection to the target, from the connect phase until the forward phase takes it;
+    /// `None` otherwise.
     pub connection: Option<TargetConnection>,
-    /// The request's count in the load of the target, until the request is sent.
+    /// The request's count in the load of the target, from the connect phase until the forward
+    /// phase takes it; `None` otherwise.
     pub load: Option<LoadPermit>,
 }
 
