--- a/crates/state/src/accepted_plans.rs
+++ b/crates/state/src/accepted_plans.rs
@@ -1,5 +1,5 @@
-//! Records of accepted and refused plans, so that a plan that is submitted again gets the same
-//! response.
+//! The accepted and refused plans that the state retains, so that a plan that is submitted again
+//! gets the same response.
 
 use crate::{Digest, Name, State};
 use postbarrow_constants::plans::{ACCEPTED_PLANS, REFUSED_PLANS};
--- a/crates/state/src/coordination.rs
+++ b/crates/state/src/coordination.rs
@@ -61,7 +61,7 @@
     pub revision: u64,
     /// Name of the lock, number or key that changed.
     pub name: Name,
-    /// The change.
+    /// How the lock, number or key changed.
     pub change: Change,
 }
 
--- a/crates/state/src/node.rs
+++ b/crates/state/src/node.rs
@@ -7,7 +7,8 @@
 /// A data node that was granted a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Node {
-    /// Identifies the run of the node's process.
+    /// Number of the run of the node's process, by which the state and the messages identify the
+    /// node.
     pub incarnation: Incarnation,
     /// Name from the node's settings.
     pub name: Name,
--- a/crates/state/src/plan.rs
+++ b/crates/state/src/plan.rs
@@ -3,7 +3,7 @@
 use crate::{Labels, Name};
 use serde::{Deserialize, Serialize};
 
-/// Identifies the plan in force.
+/// The plan in force: its version, its base and where its transaction began.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlanHead {
     /// The plan's version.
@@ -33,7 +33,7 @@
     OneTime,
 }
 
-/// Selects requests for a service, and sets their limits.
+/// A rule that selects requests for a service, and sets their limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Pattern that the request's path must match.
--- a/crates/state/src/record.rs
+++ b/crates/state/src/record.rs
@@ -34,7 +34,7 @@
         /// Whether the probes fail.
         down: bool,
     },
-    /// A data node was granted its first lease.
+    /// A data node that was granted a lease, new or changed.
     Node(Node),
     /// A data node was removed because its lease has ended.
     NodeGone(Incarnation),
@@ -98,8 +98,9 @@
     /// The plan's limits for each client connection.
     #[serde(rename = "Callers")]
     ClientLimits(ClientLimits),
-    /// The time that the log itself records advances. A change of leader may lose one era, but no
-    /// time is counted twice by the clocks of successive controllers.
+    /// The time that the log itself records advances. A change of leader may lose the time since
+    /// the last era that the former leader recorded, but the clocks of successive controllers never
+    /// count any time twice.
     Era {
         /// Number of eras, in units of `ERA_MS`.
         by: u64,
--- a/crates/state/src/splice.rs
+++ b/crates/state/src/splice.rs
@@ -6,9 +6,9 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Replaces a run of consecutive items. Positions refer to the sequence as it is before the record
-/// that contains the splice is applied; the splices of one record are in ascending order and don't
-/// overlap.
+/// A replacement of consecutive items of a sequence. Positions refer to the sequence as it is
+/// before the record that contains the splice is applied; the splices of one record are in
+/// ascending order and don't overlap.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Splice<I> {
     /// Index of the first item that is replaced.
--- a/crates/state/src/ticket.rs
+++ b/crates/state/src/ticket.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Grants a one-time request to one attempt on one target.
+/// The grant of a one-time request to one attempt on one target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ticket {
     /// Idempotency key of the request.
