--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -1,4 +1,4 @@
-//! Sends heartbeats to this node's watchers, and detects missing heartbeats of watched nodes.
+//! Schedules heartbeats to this node's watchers, and detects missing heartbeats of watched nodes.
 
 use crate::ring::{watched, watchers};
 use postbarrow_constants::nodes::{RING_HEARTBEAT_MS, RING_TIMEOUT_MS};
--- a/crates/messages/src/encoded_image.rs
+++ b/crates/messages/src/encoded_image.rs
@@ -1,11 +1,12 @@
-//! The retained encoding of the newest image that a subscriber fetched.
+//! The retained encoding of the image that was last sent to a subscriber.
 
 use crate::ImageFrame;
 use postbarrow_state::State;
 use serde_bytes::ByteBuf;
 use std::sync::Arc;
 
-/// Encodes an image once for all subscribers that fetch it. An image of another offset replaces it.
+/// Encodes an image once for all subscribers that it is sent to. An image of another offset
+/// replaces it.
 #[derive(Default)]
 pub struct EncodedImage {
     retained: Option<ImageFrame>,
--- a/crates/messages/src/message.rs
+++ b/crates/messages/src/message.rs
@@ -95,7 +95,7 @@
 }
 
 /// The announcement of a control node that is no member of a log, for example because its disk is
-/// uninitialized, or of a member that has been without a leader for long.
+/// uninitialized, or of a member that has been without a leader for longer than elections take.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DiscoveryAnnouncement {
     /// Id and address of the sender.
@@ -143,8 +143,8 @@
         /// Addresses of the members of the log.
         members: Vec<SocketAddr>,
     },
-    /// The receiver can't grant the lease: it is not the controller, or it is but has not completed
-    /// its first scan of the endpoint list yet.
+    /// The receiver can't grant the lease: it is not the controller, or it is but the first scan of
+    /// the endpoint list since it gained the leader's lease is not complete yet.
     NotController {
         /// Address of the controller; `None` if the receiver doesn't know it.
         controller: Option<SocketAddr>,
@@ -158,7 +158,7 @@
 pub struct ImageFrame {
     /// Log offset of the image.
     pub offset: u64,
-    /// `State::routing_view` in MessagePack, encoded once and shared by all subscribers that fetch
-    /// the image of this offset.
+    /// `State::routing_view` in MessagePack, encoded once and shared by all messages with the image
+    /// of this offset.
     pub state: Arc<ByteBuf>,
 }
--- a/crates/messages/src/request.rs
+++ b/crates/messages/src/request.rs
@@ -7,7 +7,7 @@
 /// A request to the controller. The same request may be sent again until it gets a response.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Request {
-    /// Requests the grant of a one-time request.
+    /// Requests this ticket, without which a one-time request must not be sent to its target.
     Ticket(Ticket),
     /// Records how a one-time request ended.
     Settle {
--- a/crates/messages/tests/mutated_input.rs
+++ b/crates/messages/tests/mutated_input.rs
@@ -1,5 +1,6 @@
 //! Tests of mutated frames, plans, endpoint-list pages, slots and logs. Reading them gives a valid
-//! value or an error, never a panic, and doesn't use more memory than the input's size justifies.
+//! value or an error (for a plan, with the path of the invalid field), never a panic, and doesn't
+//! use more memory than the input's size justifies.
 
 use postbarrow_consensus::{Entry, HardState, Payload, Write};
 use postbarrow_constants::traffic::FRAME_BYTES;
@@ -127,5 +128,5 @@
             }
         }
     }
-    assert!(opened[0] > 100 && opened[2] > 100, "{opened:?}");
+    assert!(opened[0] > 100 && opened[2] > 100, "recovered, empty, damaged: {opened:?}");
 }
