--- a/crates/controller/src/control_node/endpoint_list.rs
+++ b/crates/controller/src/control_node/endpoint_list.rs
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Logs once when draining a target would exceed the users' bound because the list is too slow,
-    /// and once when it no longer would.
+    /// Logs once when draining a target may take longer than `DRAIN_BOUND_MS` because the list is
+    /// too slow, and once when that is no longer so.
     fn log_slowness_change(&mut self) {
         let Some(leader) = &mut self.leader else { return };
         let bound_ms = leader.endpoint_list.leave_bound_ms();
--- a/crates/controller/src/endpoint_list/deferred_change.rs
+++ b/crates/controller/src/endpoint_list/deferred_change.rs
@@ -15,11 +15,11 @@
 }
 
 impl DeferredChange {
-    pub fn of_rows(now_ms: u64, state: &State, rows: Vec<Target>) -> Self {
-        Self::of_scan(now_ms, state, rows, Vec::new(), Vec::new())
+    pub fn from_rows(now_ms: u64, state: &State, rows: Vec<Target>) -> Self {
+        Self::from_scan(now_ms, state, rows, Vec::new(), Vec::new())
     }
 
-    pub fn of_scan(
+    pub fn from_scan(
         now_ms: u64,
         state: &State,
         rows: Vec<Target>,
--- a/crates/controller/src/endpoint_list/poll_rate.rs
+++ b/crates/controller/src/endpoint_list/poll_rate.rs
@@ -103,7 +103,7 @@
     }
 
     /// Shortens the gap by a tenth, at most once in `LIST_GAP_DECREASE_MS`. Called while the rate
-    /// is too low to keep the users' bound `DRAIN_BOUND_MS`.
+    /// is too low to keep `DRAIN_BOUND_MS`.
     pub fn decrease_gap(&mut self, now_ms: u64) {
         if now_ms >= self.gap_changed_ms + LIST_GAP_DECREASE_MS {
             self.gap_changed_ms = now_ms;
--- a/crates/controller/src/endpoint_list/poller.rs
+++ b/crates/controller/src/endpoint_list/poller.rs
@@ -28,7 +28,8 @@
     changes: VecDeque<DeferredChange>,
     /// Text of the last failure, for operators; `None` if a scan was completed since.
     finding: Option<String>,
-    /// Whether `leave_bound_ms` exceeded the users' bound `DRAIN_BOUND_MS` when last checked.
+    /// Whether `leave_bound_ms` exceeded `DRAIN_BOUND_MS`, which the users require, when last
+    /// checked.
     is_slow: bool,
 }
 
@@ -116,12 +117,12 @@
         match self.scan.on_page(now_ms, number, page, &known)? {
             PageOutcome::Stale => Ok(PollProgress::Advanced),
             PageOutcome::Incomplete(rows) => {
-                self.changes.push_back(DeferredChange::of_rows(now_ms, state, rows));
+                self.changes.push_back(DeferredChange::from_rows(now_ms, state, rows));
                 Ok(PollProgress::Advanced)
             }
             PageOutcome::Complete { rows, removed, unconfirmed } => {
                 self.finding = None;
-                let change = DeferredChange::of_scan(now_ms, state, rows, removed, unconfirmed);
+                let change = DeferredChange::from_scan(now_ms, state, rows, removed, unconfirmed);
                 self.changes.push_back(change);
                 Ok(PollProgress::Completed)
             }
@@ -161,8 +162,8 @@
         Some(text)
     }
 
-    /// Checks whether the list is too slow to keep the users' bound `DRAIN_BOUND_MS`. Returns
-    /// `None` if that has not changed since the last check.
+    /// Returns whether the list is now too slow to keep `DRAIN_BOUND_MS`; `None` if that has not
+    /// changed since the last check.
     pub fn update_slowness(&mut self) -> Option<bool> {
         let is_slow = self.leave_bound_ms() > DRAIN_BOUND_MS;
         let has_changed = is_slow != self.is_slow;
--- a/crates/controller/src/endpoint_list/scan.rs
+++ b/crates/controller/src/endpoint_list/scan.rs
@@ -171,8 +171,9 @@
     }
 
     /// Handles a page that the list refused because of its rate limit: it is requested again after
-    /// the list's `wait_ms` (within bounds), and pages are requested at a lower rate from then on.
-    /// Returns whether the scan was waiting for the page.
+    /// `wait_ms`, which the list stated, but at least `LIST_PAUSE_MS` and at most
+    /// `LIST_RETRY_MAX_MS`. Pages are requested at a lower rate from then on. Returns whether the
+    /// scan was waiting for the page.
     pub fn on_limited(&mut self, now_ms: u64, number: u64, wait_ms: u64) -> bool {
         let Some(at) = self.pending_position(number) else { return false };
         self.pages.truncate(at);
@@ -181,9 +182,9 @@
         true
     }
 
-    /// Requests a failed page again, up to `LIST_PAGE_RETRIES` times in a scan. Returns whether it
-    /// counts as a failure: one that was fetched ahead by a cursor of an earlier scan doesn't,
-    /// since that cursor may be outdated.
+    /// Requests a failed page again; after `LIST_PAGE_RETRIES` retries in a scan, the scan is
+    /// abandoned. Returns whether the page counts as a failure: one that was fetched ahead by a
+    /// cursor of an earlier scan doesn't, since that cursor may be outdated.
     pub fn on_failed(&mut self, now_ms: u64, number: u64) -> bool {
         let Some(at) = self.pending_position(number) else { return false };
         if at > 0 && self.pages[at - 1].content.is_none() {
