--- a/crates/controller/src/control_node.rs
+++ b/crates/controller/src/control_node.rs
@@ -105,7 +105,8 @@
     /// to be carried out, in order.
     ///
     /// # Panics
-    /// If a committed entry or a snapshot can't be decoded by this release.
+    /// If this release can't decode a committed entry or a snapshot, or can't apply a committed
+    /// entry.
     pub fn handle(&mut self, now_ms: u64, input: Input) -> Vec<Effect> {
         match input {
             Input::Tick => self.tick(now_ms),
--- a/crates/controller/src/control_node/plan_commit.rs
+++ b/crates/controller/src/control_node/plan_commit.rs
@@ -44,7 +44,7 @@
             let Some(batch) = plan.next_batch() else { break };
             let batch: Vec<BatchRecord<Record>> =
                 batch.into_iter().map(BatchRecord::Data).collect();
-            if !leader.writer.grow_transaction(encode(&batch).len()) {
+            if !leader.writer.add_transaction_bytes(encode(&batch).len()) {
                 return self.refuse_plan(now_ms, 413, "the plan is over the bound of one delta");
             }
             let offset = self.propose_batch(now_ms, batch);
@@ -60,7 +60,8 @@
     /// refuses the plan, or proposes its End.
     fn rehearse_and_finish_plan(&mut self, now_ms: u64) {
         let Some(leader) = &self.leader else { return };
-        let (before, after) = (leader.writer.before_transaction(), leader.writer.proposed_state());
+        let (before, after) =
+            (leader.writer.state_before_transaction(), leader.writer.proposed_state());
         let (Some(plan), Some(before), Some(after)) = (leader.transaction.plan(), before, after)
         else {
             return;
--- a/crates/controller/src/control_node/status.rs
+++ b/crates/controller/src/control_node/status.rs
@@ -27,15 +27,22 @@
 struct StatusReport {
     controller: String,
     term: u64,
+    /// Index of the last entry in this node's log.
     log_end: u64,
+    /// Commit index of the log.
     watermark: u64,
+    /// Log offset that a data node's image must have reached before the node serves requests.
     #[facet(rename = "newsWatermark")]
     update_watermark: u64,
     #[facet(rename = "holdLeftMs")]
     lease_remaining_ms: u64,
     version: Option<String>,
+    /// Name of the open transaction; `None` if none is open.
     open_transaction: Option<String>,
+    /// How long the transaction has been open, in milliseconds.
     open_ms: Option<u64>,
+    /// Longest time that a request has waited for an open transaction since this node became the
+    /// leader, in milliseconds.
     longest_stall_ms: u64,
     tickets: u64,
     open_tickets: u64,
--- a/crates/controller/src/control_node/watches.rs
+++ b/crates/controller/src/control_node/watches.rs
@@ -1,4 +1,4 @@
-//! Handles watches: long polls for events of locks and keys.
+//! Handles watches: long polls for events of locks, numbers and keys.
 
 use crate::ControlNode;
 use crate::leader_state::PendingWatch;
@@ -8,9 +8,9 @@
 use postbarrow_state::{Name, Outcome, ResourceKind};
 
 impl ControlNode {
-    /// Answers a watch at once if it has events, or is too old or too new; otherwise it stays
-    /// pending. A watch without `after` gets the current revision at once, from which the client
-    /// continues.
+    /// Answers a watch at once if it has events, or if `after` precedes the retained events or is
+    /// beyond the current revision; otherwise the watch stays pending. A watch without `after` gets
+    /// the current revision at once, from which the client continues.
     pub(super) fn on_watch(
         &mut self,
         now_ms: u64,
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Answers the pending watches that have events. Events that were committed while the leader
-    /// had no lease are sent once it is renewed, because they may be outdated until then.
+    /// Answers the pending watches that have events. Events that are committed while the leader has
+    /// no lease wait until it is renewed, because another leader may have committed more by then.
     pub(super) fn respond_to_watches(&mut self, now_ms: u64) {
         if !self.has_lease(now_ms) {
             return;
--- a/crates/controller/src/input.rs
+++ b/crates/controller/src/input.rs
@@ -10,7 +10,7 @@
     Tick,
     /// The process is about to stop. A leader transfers its leadership first.
     Stop,
-    /// Seed addresses that replace those of the settings so far.
+    /// The settings have new seed addresses, which replace the earlier ones.
     Seeds(Vec<SocketAddr>),
     /// A message arrived from another process.
     Receive(Envelope),
@@ -43,7 +43,7 @@
     Listed(ListPage),
     /// The list refused the request because of its rate limit.
     Limited {
-        /// How long the list asks to wait before the next request, in milliseconds.
+        /// Time to wait before the next request, as the list stated it, in milliseconds.
         wait_ms: u64,
     },
     /// The fetch failed. Contains the reason.
--- a/crates/controller/src/leader_contact.rs
+++ b/crates/controller/src/leader_contact.rs
@@ -3,10 +3,11 @@
 use postbarrow_constants::consensus::HEARTBEAT_MS;
 use std::net::SocketAddr;
 
-/// What this node knows about the leader.
+/// A control node's contact with the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Contact {
-    /// The node is no member: the log doesn't tell it the leader, but any member may know it.
+    /// The node is not a member, so it doesn't learn from the log who leads. Any member may know
+    /// the leader.
     Outside,
     /// Address of the leader, from a recent contact. The leader may be this node, while its lease
     /// lasts.
@@ -50,9 +51,9 @@
         self.last_contact_ms = self.last_contact_ms.max(contact_ms);
     }
 
-    /// Excludes the time in which this node itself was suspended from the time without contact:
-    /// messages that were sent to it meanwhile may be the next that it reads. `gap_ms` is the time
-    /// since the last tick.
+    /// Excludes the time in which this node itself was suspended from the time without contact: the
+    /// messages that it reads next may have been sent to it meanwhile. `gap_ms` is the time since
+    /// the last tick.
     pub fn on_no_contact(&mut self, now_ms: u64, gap_ms: u64) {
         if gap_ms > HEARTBEAT_MS {
             self.last_contact_ms = (self.last_contact_ms + gap_ms).min(now_ms);
--- a/crates/controller/src/leader_state/log_writer.rs
+++ b/crates/controller/src/leader_state/log_writer.rs
@@ -26,7 +26,7 @@
     }
 
     /// Returns the state before the open transaction; `None` if none is open.
-    pub fn before_transaction(&self) -> Option<&State> {
+    pub fn state_before_transaction(&self) -> Option<&State> {
         self.writer.as_ref().and_then(Writer::rollback)
     }
 
@@ -44,9 +44,9 @@
         self.writer.as_mut().and_then(|writer| writer.begin(now_ms, name).ok())
     }
 
-    /// Adds a batch's size to the open transaction's. Returns whether the transaction is still
-    /// within its size limit.
-    pub fn grow_transaction(&mut self, size_bytes: usize) -> bool {
+    /// Adds the size of a batch to that of the open transaction. Returns whether the transaction is
+    /// still within its size limit.
+    pub fn add_transaction_bytes(&mut self, size_bytes: usize) -> bool {
         let writer = self.writer.as_mut().expect("an open transaction has a writer");
         writer.grow(size_bytes).is_ok()
     }
--- a/crates/controller/src/leader_state/node_registry.rs
+++ b/crates/controller/src/leader_state/node_registry.rs
@@ -22,7 +22,8 @@
 }
 
 impl NodeReport {
-    /// Creates the entry of a node that has not reported to this leader; its time counts from now.
+    /// Creates the entry of a node that has not reported to this leader yet. The time without a
+    /// report starts now.
     fn unreported(now_ms: u64) -> Self {
         NodeReport {
             last_ms: now_ms,
--- a/crates/controller/src/leader_state/plan_transaction.rs
+++ b/crates/controller/src/leader_state/plan_transaction.rs
@@ -53,7 +53,8 @@
         self.waiting.push_back(WaitingRequest { origin, request, since_ms: now_ms });
     }
 
-    /// Removes and returns the request that has waited longest; `None` while a transaction is open.
+    /// Removes and returns the request that has waited longest; `None` while a transaction is open
+    /// or if no request waits.
     pub fn next_waiting(&mut self, now_ms: u64) -> Option<WaitingRequest> {
         if self.is_open() {
             return None;
--- a/crates/controller/src/leader_state/request_samples.rs
+++ b/crates/controller/src/leader_state/request_samples.rs
@@ -1,4 +1,4 @@
-//! Samples of client requests, which operators use to rehearse rules.
+//! Samples of client requests, which operators use to rehearse plans.
 
 use postbarrow_constants::plans::{SAMPLES, SAMPLES_RETENTION_MS};
 use postbarrow_messages::Response;
--- a/crates/controller/src/leader_state/retention.rs
+++ b/crates/controller/src/leader_state/retention.rs
@@ -4,9 +4,9 @@
 use postbarrow_state::{Name, Record, State};
 use std::collections::VecDeque;
 
-/// Tracks the age of settled tickets, stored results and events. They are removed by records in the
-/// log, so that all replicas agree. Ages of tickets and results are counted in eras, which records
-/// in the log advance; an era lasts `ERA_MS`.
+/// Tracks the age of settled tickets, stored outcomes of calls, and events. They are removed by
+/// records in the log, so that all replicas agree. Ages of tickets and outcomes are counted in
+/// eras, which records in the log advance; an era lasts `ERA_MS`.
 pub(crate) struct Retention {
     due_ms: u64,
     /// Start of the current era, in milliseconds of this leader's clock.
@@ -45,7 +45,7 @@
     pub fn due_records(&mut self, now_ms: u64, history_ms: u64, state: &State) -> Vec<Record> {
         let eras = self.take_elapsed_eras(now_ms);
         let tickets = self.take_expired_tickets(state);
-        let repeats = expired_repeats(state);
+        let outcomes = expired_outcomes(state);
         let floor = self.history_floor(now_ms, history_ms, state);
         let mut records = Vec::new();
         if eras > 0 {
@@ -54,8 +54,8 @@
         if !tickets.is_empty() {
             records.push(Record::TicketsForgotten(tickets));
         }
-        if !repeats.is_empty() {
-            records.push(Record::RepeatsForgotten(repeats));
+        if !outcomes.is_empty() {
+            records.push(Record::RepeatsForgotten(outcomes));
         }
         if state.history.front().is_some_and(|event| event.revision <= floor) {
             records.push(Record::HistoryTrimmed { floor });
@@ -108,7 +108,8 @@
     }
 }
 
-fn expired_repeats(state: &State) -> Vec<Name> {
+/// Returns the call ids of the stored outcomes whose retention has ended, oldest first.
+fn expired_outcomes(state: &State) -> Vec<Name> {
     let is_expired =
         |(era, _): &&(u64, Name)| state.era > era + STORED_RESULT_RETENTION_MS / ERA_MS;
     let expired = state.repeat_queue.iter().take_while(is_expired).take(RETENTION_RECORDS);
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,5 +1,6 @@
 //! A control-plane node without I/O: a member of the replicated log, and the log's single writer
-//! while it is the leader.
+//! while it is the leader. The leader that has the leader's lease is the controller: it serves the
+//! requests of data nodes and operators.
 //!
 //! # Use
 //!
@@ -26,7 +27,8 @@
 //! Files in `control_node/` handle inputs. All others hold state or make decisions, and don't
 //! depend on the node. A change is final only once it is committed in the leader's term. Until
 //! then the leader works on the optimistic state of its [`postbarrow_transactions::Writer`], which
-//! includes entries that are not committed yet and is discarded when the term ends.
+//! includes entries that are not committed yet and is discarded when the term ends. A batch of
+//! records is one entry of the Raft log, and its log offset is the entry's index.
 
 #![deny(missing_docs)]
 
--- a/crates/controller/src/routing_updates.rs
+++ b/crates/controller/src/routing_updates.rs
@@ -1,4 +1,5 @@
-//! Sends data nodes the routing updates of the log, or an image if they are too far behind.
+//! Selects the messages to data nodes: the log's routing updates, or an image for a node that is
+//! too far behind.
 
 use postbarrow_membership::{Delivery, Relay, UpdateEntry};
 use postbarrow_messages::{EncodedImage, Message};
@@ -38,7 +39,8 @@
         self.clear();
     }
 
-    /// Drops updates and subscriptions, because another node is the leader.
+    /// Drops the retained updates and all subscriptions. Subscribers renew them with the next
+    /// leader.
     pub fn clear(&mut self) {
         self.relay.clear();
     }
--- a/crates/controller/src/snapshot.rs
+++ b/crates/controller/src/snapshot.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The content of a snapshot as a slot stores it: MessagePack, fields by position.
+/// The content of a snapshot, stored in a slot file of the disk as MessagePack, fields by position.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct SnapshotContent {
     pub state: Arc<State>,
@@ -17,8 +17,8 @@
     /// Decodes a recovered or received snapshot. One without bytes gives an empty state.
     ///
     /// # Panics
-    /// Panics if the bytes can't be decoded. Their checksums were right, so they have another
-    /// format.
+    /// Panics if the bytes can't be decoded. Their checksums were right, so they are of a format
+    /// that this release doesn't know.
     pub fn decode(snapshot: &Snapshot) -> Self {
         if snapshot.state.is_empty() {
             return SnapshotContent::default();
--- a/crates/controller/src/snapshot_schedule.rs
+++ b/crates/controller/src/snapshot_schedule.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// Returns a bound that differs among members, so that they don't all write a slot at the same
+/// Returns a bound that differs among members, so that they don't all write a snapshot at the same
 /// time.
 fn spread_bound(own: MemberId, bound_bytes: u64) -> u64 {
     bound_bytes + own % LOG_SPREAD * (bound_bytes / LOG_SPREAD)
