--- a/crates/controller/examples/snapshot_cost.rs
+++ b/crates/controller/examples/snapshot_cost.rs
@@ -51,7 +51,7 @@
         let clone = state.clone();
         println!("  clone, on the thread that renews the lease: {:?}", start.elapsed());
         let start = Instant::now();
-        let bytes = rmp_serde::to_vec(&clone).expect("a state encodes into memory");
+        let bytes = rmp_serde::to_vec(&clone).expect("encoding a state into memory succeeds");
         println!(
             "  encode, beside the control loop: {:?}, {} MiB",
             start.elapsed(),
@@ -69,7 +69,9 @@
         println!("  one slot written and synced: {:?}", start.elapsed());
         let start = Instant::now();
         let disk = FolderDisk::new(folder.clone()).expect("the folder opens again");
-        let Opened::Recovered { recovered, .. } = open(disk).expect("opens") else { return };
+        let Opened::Recovered { recovered, .. } = open(disk).expect("the storage opens") else {
+            return;
+        };
         let opened = start.elapsed();
         let stored = recovered.snapshot.expect("a snapshot was recovered");
         let read: State = rmp_serde::from_slice(&stored.state).expect("the snapshot decodes");
--- a/crates/controller/tests/compaction.rs
+++ b/crates/controller/tests/compaction.rs
@@ -5,7 +5,7 @@
 use postbarrow_constants::consensus::SNAPSHOT_ENCODE_MAX_MS;
 
 /// A bound of the log in bytes that the records of one plan exceed.
-const SMALL_BYTES: u64 = 200;
+const LOG_BOUND_BYTES: u64 = 200;
 
 #[test]
 fn a_restart_with_a_long_log_takes_a_snapshot_once_entries_are_applied() {
@@ -14,7 +14,7 @@
     harness.run_until_idle();
     let entries = harness.entries.clone();
     let mut restarted = Harness::new(recovered(&[1], entries, 2));
-    restarted.set_log_bound(SMALL_BYTES);
+    restarted.set_log_bound(LOG_BOUND_BYTES);
     restarted.tick(1);
     assert_eq!(
         (restarted.node.consensus().commit_index(), restarted.encoded),
@@ -28,7 +28,7 @@
 #[test]
 fn a_snapshot_is_due_after_an_entry_without_a_tick() {
     let mut harness = Harness::serving();
-    harness.set_log_bound(SMALL_BYTES);
+    harness.set_log_bound(LOG_BOUND_BYTES);
     let before = harness.encoded;
     harness.submit(1, &plan("v1", None, 20, "ledger"));
     for _ in 0..20 {
@@ -44,7 +44,7 @@
 #[test]
 fn an_encoding_is_requested_again_only_after_its_timeout() {
     let mut harness = Harness::serving();
-    harness.set_log_bound(SMALL_BYTES);
+    harness.set_log_bound(LOG_BOUND_BYTES);
     harness.submit(1, &plan("v1", None, 20, "ledger"));
     harness.run_until_idle();
     harness.submit(2, &plan("v2", Some("v1"), 21, "ledger"));
--- a/crates/controller/tests/golden_bytes.rs
+++ b/crates/controller/tests/golden_bytes.rs
@@ -61,8 +61,11 @@
     let handover = handover_of_a_stopping_leader();
     let decoded = golden::decode::<ScanHandover>(&handover)
         .expect("the handover state does not decode into five fields");
-    assert!(decoded.0.is_some() && decoded.1.len() == 2 && decoded.2.len() == 2, "{decoded:?}");
-    assert!(decoded.3 > 0 && !decoded.4.is_empty(), "{decoded:?}");
+    assert!(
+        decoded.0.is_some() && decoded.1.len() == 2 && decoded.2.len() == 2,
+        "handover state: {decoded:?}"
+    );
+    assert!(decoded.3 > 0 && !decoded.4.is_empty(), "handover state: {decoded:?}");
     let case = golden::case_of("note", handover, |bytes| {
         Ok(golden::encode(&golden::decode::<ScanHandover>(bytes)?))
     });
--- a/crates/controller/tests/golden_folder.rs
+++ b/crates/controller/tests/golden_folder.rs
@@ -17,8 +17,8 @@
 use std::sync::Once;
 
 /// A bound of the log in bytes that the records of one plan exceed.
-const SNAPSHOT_DUE_BYTES: u64 = 200;
-const LONG_MS: u64 = 60_000;
+const LOG_BOUND_BYTES: u64 = 200;
+const LOCK_TTL_MS: u64 = 60_000;
 
 /// Returns the folder in the repository. If POSTBARROW_WRITE_FIXTURES is set, the folder is
 /// rewritten before its first use.
@@ -48,7 +48,7 @@
 }
 
 fn lock(lock: &str) -> Request {
-    call(Call::Lock { name: name(lock), holder: name("me"), ttl_ms: LONG_MS })
+    call(Call::Lock { name: name(lock), holder: name("me"), ttl_ms: LOCK_TTL_MS })
 }
 
 fn put(key: &str) -> Request {
@@ -95,7 +95,7 @@
     write_records(&mut harness, "old", 100, 201);
     harness.submit(1, &first_plan());
     harness.run_until_idle();
-    harness.set_log_bound(SNAPSHOT_DUE_BYTES);
+    harness.set_log_bound(LOG_BOUND_BYTES);
     request(&mut harness, 2, put("last-of-the-snapshot"));
     let snapshot = harness.snapshot.clone().expect("no snapshot was taken");
     harness.set_log_bound(u64::MAX);
@@ -138,16 +138,20 @@
 fn check_records(state: &State, name_suffix: &str, status: u16, fence: u64) {
     let named = |kind: &str| name(&format!("{kind}-{name_suffix}"));
     let ticket = &state.tickets[&named("order")];
-    assert_eq!(ticket.settlement, Some(Settlement::Ran), "{name_suffix}");
+    assert_eq!(ticket.settlement, Some(Settlement::Ran), "settlement of order-{name_suffix}");
     assert_eq!((ticket.service.as_str(), ticket.instance.as_str()), ("ledger", "ledger-1"));
-    assert_eq!(ticket.response.as_deref(), Some(&stored_response(status)), "{name_suffix}");
-    assert_eq!(state.numbers[&named("number")], 7, "{name_suffix}");
-    assert_eq!(state.keys[&named("key")].value, b"on\x00", "{name_suffix}");
+    assert_eq!(
+        ticket.response.as_deref(),
+        Some(&stored_response(status)),
+        "response of order-{name_suffix}"
+    );
+    assert_eq!(state.numbers[&named("number")], 7, "value of number-{name_suffix}");
+    assert_eq!(state.keys[&named("key")].value, b"on\x00", "value of key-{name_suffix}");
     let lock = &state.locks[&named("lock")];
     assert_eq!(
         (lock.holder.as_str(), lock.fence, lock.ttl_ms),
-        ("me", fence, LONG_MS),
-        "{name_suffix}"
+        ("me", fence, LOCK_TTL_MS),
+        "owner of lock-{name_suffix}"
     );
 }
 
@@ -180,12 +184,12 @@
     for (key, name_suffix, status) in [(1, "old", 201), (2, "new", 202)] {
         let again = Request::Ticket(ticket(&format!("order-{name_suffix}"), 999));
         let Response::Known(known) = request(&mut harness, key, again) else {
-            panic!("{name_suffix}")
+            panic!("the key order-{name_suffix} is not known")
         };
         assert_eq!(
             known.response.as_deref(),
             Some(&stored_response(status)),
-            "{name_suffix}: the stored response"
+            "response stored for order-{name_suffix}"
         );
     }
     let shown = request(&mut harness, 3, Request::Show);
@@ -196,9 +200,9 @@
         Response::Outcome(Outcome::Number(8)),
         "the number does not continue from its stored value"
     );
-    let fence = request(&mut harness, 5, lock("lock-third"));
-    let next = Outcome::Locked { fence: 3, ttl_ms: LONG_MS };
-    assert_eq!(fence, Response::Outcome(next), "a fencing token was used twice");
+    let locked = request(&mut harness, 5, lock("lock-third"));
+    let next = Outcome::Locked { fence: 3, ttl_ms: LOCK_TTL_MS };
+    assert_eq!(locked, Response::Outcome(next), "a fencing token was used twice");
     let read = request(&mut harness, 6, call(Call::ReadKey { name: name("key-old") }));
     assert!(
         matches!(&read, Response::Outcome(Outcome::Key(Key { value, .. })) if value == b"on\x00")
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -180,10 +180,12 @@
         self.receive(Message::Request { key, request });
     }
 
+    /// Returns the last response to the request with this key.
     pub fn response(&self, key: u64) -> Option<&Response> {
         self.responses.iter().rev().find(|(known, _)| *known == key).map(|(_, response)| response)
     }
 
+    /// Returns the HTTP status of the response to an operator's request.
     pub fn status(&self, key: u64) -> Option<u16> {
         let Some(Response::Operator { status, .. }) = self.response(key) else { return None };
         Some(*status)
@@ -193,6 +195,7 @@
         self.node.committed()
     }
 
+    /// Receives a lease request of the data node with this incarnation.
     pub fn renew_lease(&mut self, incarnation: u64) {
         let request = LeaseRequest {
             number: self.now_ms,
@@ -209,6 +212,7 @@
         self.sync();
     }
 
+    /// Receives a lease request of data node 5. Returns whether the lease was granted.
     pub fn lease_is_granted(&mut self) -> bool {
         self.sent.clear();
         self.renew_lease(5);
@@ -220,12 +224,15 @@
         })
     }
 
+    /// Returns a row of the endpoint list as JSON.
     pub fn row(instance: &str, service: &str, draining: bool) -> String {
         format!(
             "{{\"instance\":\"{instance}\",\"service\":\"{service}\",\"address\":\"10.4.0.1:80\",\"draining\":{draining}}}"
         )
     }
 
+    /// Runs until a page of the endpoint list is requested, answers the newest request, and drops
+    /// the others.
     pub fn answer_fetch(&mut self, fetched: Fetched) {
         for _ in 0..200 {
             if !self.fetches.is_empty() {
@@ -246,6 +253,7 @@
         self.answer_fetch(Fetched::Page(text.into_bytes()));
     }
 
+    /// Answers a request with a list of one page that has these targets, each with its service.
     pub fn answer_list(&mut self, targets: &[(&str, &str)]) {
         let rows: Vec<String> = targets
             .iter()
@@ -280,6 +288,8 @@
     }
 }
 
+/// Returns the text of a plan. Its routes have one service, whose targets have the label `service`
+/// with this value.
 pub fn plan(version: &str, base: Option<&str>, routes: usize, service: &str) -> String {
     let base = base.map_or("null".into(), |base| format!("\"{base}\""));
     let rows: Vec<String> = (0..routes)
--- a/crates/controller/tests/leader_work.rs
+++ b/crates/controller/tests/leader_work.rs
@@ -209,11 +209,11 @@
         restarted.sync();
     }
     let owned_ms = restarted.now_ms - elected_ms;
-    assert!((57_000..=60_100).contains(&owned_ms), "{owned_ms}");
+    assert!((57_000..=60_100).contains(&owned_ms), "owned for {owned_ms} ms");
 }
 
 #[test]
-fn repeats_get_the_first_result_and_numbers_only_increase() {
+fn repeats_get_the_first_outcome_and_numbers_only_increase() {
     let mut harness = Harness::serving();
     let next = Call::Next { name: "n".into(), by: 2 };
     assert_eq!(call(&mut harness, 1, next.clone()), Response::Outcome(Outcome::Number(2)));
@@ -243,7 +243,7 @@
         Some(Response::Outcome(Outcome::Events { events, .. })) => {
             events.iter().map(|event| event.revision).collect::<Vec<_>>()
         }
-        other => panic!("{other:?}"),
+        other => panic!("the watch got no events: {other:?}"),
     };
     assert_eq!(revisions(harness.response(1)), [1], "the watch is answered with the first commit");
     for _ in 0..20 {
@@ -305,6 +305,6 @@
     let (response, _) = call_lock(5, lock("b", 1_000), 2_000);
     assert!(
         matches!(response, Some(Response::Outcome(Outcome::Locked { fence: 2, .. }))),
-        "{response:?}"
+        "the expired lock was not granted: {response:?}"
     );
 }
--- a/crates/controller/tests/lease_lost.rs
+++ b/crates/controller/tests/lease_lost.rs
@@ -56,7 +56,7 @@
         let response = cluster.harness.response(910 + at as u64);
         assert!(
             !matches!(response, None | Some(Response::NotController { .. })),
-            "{at}: {response:?}"
+            "request {at}: {response:?}"
         );
     }
     assert_eq!(cluster.harness.state().plan_version(), Some("v1"));
@@ -269,7 +269,7 @@
     cluster.run_until_idle();
     match cluster.harness.response(1) {
         Some(Response::Outcome(Outcome::Events { events, .. })) => assert_eq!(events.len(), 1),
-        response => panic!("{response:?}"),
+        response => panic!("the watch got no events: {response:?}"),
     }
 }
 
--- a/crates/controller/tests/plan_deltas.rs
+++ b/crates/controller/tests/plan_deltas.rs
@@ -107,7 +107,7 @@
     let mut restarted = Harness::new(recovered(&[1], harness.entries.clone(), 9));
     restarted.become_leader();
     let (state, original) = (restarted.state(), harness.state());
-    assert!(state.has_plan_of(original), "{:?} after {:?}", state.plan, original.plan);
+    assert!(state.has_plan_of(original), "plan {:?} instead of {:?}", state.plan, original.plan);
     assert_eq!(state.plan_text(), text(5, &deadlines_ms).into_bytes());
 }
 
--- a/crates/controller/tests/repeated_submissions.rs
+++ b/crates/controller/tests/repeated_submissions.rs
@@ -68,8 +68,8 @@
         harness.submit(20 + key, &plan("v1", None, key as usize, "catalogue"));
     }
     harness.run_until_idle();
-    let again: Vec<_> = (21..=28).map(|key| harness.status(key)).collect();
-    assert_eq!(again, statuses);
+    let repeated: Vec<_> = (21..=28).map(|key| harness.status(key)).collect();
+    assert_eq!(repeated, statuses);
     assert_eq!(count_begun_and_accepted(&harness), (5, 5));
 }
 
@@ -80,13 +80,16 @@
     let first = body(&harness, 1_000);
     harness.submit(1, &plan("v1", None, 1, "catalogue"));
     harness.run_until_idle();
-    let again = body(&harness, 1);
+    let repeated = body(&harness, 1);
     let offsets = |text: &str| {
         let from = text.find("\"beganAt\"").unwrap();
         text[from..text.find(",\"rehearsal\"").unwrap()].to_string()
     };
-    assert_eq!(offsets(&again), offsets(&first));
-    assert!(first.contains("\"inForce\":true") && again.contains("\"inForce\":false"), "{again}");
+    assert_eq!(offsets(&repeated), offsets(&first));
+    assert!(
+        first.contains("\"inForce\":true") && repeated.contains("\"inForce\":false"),
+        "{repeated}"
+    );
     check_v1_is_known(&mut harness, 10);
 }
 
--- a/crates/controller/tests/space_bounds.rs
+++ b/crates/controller/tests/space_bounds.rs
@@ -70,7 +70,11 @@
     harness.request(2, Request::Ticket(ticket("old-7", 3)));
     harness.run_until_idle();
     assert_eq!(harness.response(1), Some(&Response::Full));
-    assert!(matches!(harness.response(2), Some(Response::Known(_))), "{:?}", harness.response(2));
+    assert!(
+        matches!(harness.response(2), Some(Response::Known(_))),
+        "an old key: {:?}",
+        harness.response(2)
+    );
     assert_eq!(
         harness.state().tickets.len(),
         TICKETS,
@@ -96,8 +100,8 @@
         harness.request(10 + at as u64, settled_as_ran(key, Some(stored(1_000))));
         harness.run_until_idle();
     }
-    let response = |key: &str| harness.state().tickets[key].response.is_some();
-    assert_eq!((response("a"), response("b")), (true, false));
+    let has_response = |key: &str| harness.state().tickets[key].response.is_some();
+    assert_eq!((has_response("a"), has_response("b")), (true, false));
     assert_eq!(harness.state().tickets["b"].settlement, Some(Settlement::Ran));
     assert_eq!(harness.state().stored_response_bytes, STORED_RESPONSES_BYTES - 500);
 }
@@ -118,7 +122,7 @@
 }
 
 #[test]
-fn writing_calls_are_shed_at_the_limit_of_stored_results() {
+fn writing_calls_are_shed_at_the_limit_of_stored_outcomes() {
     let mut state = State::default();
     for at in 0..STORED_RESULTS {
         state.repeats.insert(Name::from(format!("r{at}")), Arc::new(Outcome::Freed));
@@ -133,13 +137,13 @@
     assert_eq!(
         harness.response(2),
         Some(&Response::Outcome(Outcome::Freed)),
-        "a repeat gets its stored result"
+        "a repeat gets its stored outcome"
     );
     assert_eq!(harness.response(3), Some(&Response::Outcome(Outcome::Number(0))));
 }
 
 #[test]
-fn a_stored_result_is_removed_after_its_retention_across_changes_of_leader() {
+fn a_stored_outcome_is_removed_after_its_retention_across_changes_of_leader() {
     let mut harness = Harness::serving();
     let call = Call::Next { name: "n".into(), by: 1 };
     harness.request(1, Request::Call { id: Some("once".into()), call });
@@ -148,7 +152,7 @@
     while harness.state().repeats.contains_key("once") {
         assert!(
             elapsed_ms < STORED_RESULT_RETENTION_MS + 12 * ERA_MS,
-            "the result is never removed"
+            "the outcome is never removed"
         );
         for _ in 0..22 {
             harness.tick(2_000);
--- a/crates/controller/tests/submission_check.rs
+++ b/crates/controller/tests/submission_check.rs
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_plan_that_may_precede_the_record_of_accepted_plans_is_unknown() {
+fn a_plan_that_may_precede_the_retained_plans_is_unknown() {
     let state = plan_chain(ACCEPTED_PLANS + 3);
     let (first, second) = (submission("v0", None), submission("v1", Some("v0")));
     assert_eq!(decide_submission(&state, &first, &TEXT), SubmissionDecision::Unknown);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_plan_in_force_without_a_record_is_known_by_its_text() {
+fn a_plan_in_force_that_is_not_retained_is_known_by_its_text() {
     let mut state = State::default();
     state.apply(7, &Record::PlanStart { version: "v5".into(), base: Some("v4".into()) });
     state.apply(7, &Record::PlanText(b"text".to_vec()));
--- a/crates/controller/tests/transactions.rs
+++ b/crates/controller/tests/transactions.rs
@@ -67,7 +67,11 @@
     assert_eq!(harness.response(2), Some(&Response::Granted));
     assert_eq!(harness.state().plan_version(), None);
     assert_eq!(harness.state().routes.len(), 0);
-    assert!((480..=560).contains(&harness.node.stall_ms()), "{}", harness.node.stall_ms());
+    assert!(
+        (480..=560).contains(&harness.node.stall_ms()),
+        "longest stall: {} ms",
+        harness.node.stall_ms()
+    );
 }
 
 #[test]
