--- a/crates/controller/src/control_node/compaction.rs
+++ b/crates/controller/src/control_node/compaction.rs
@@ -17,9 +17,9 @@
     /// Starts encoding a snapshot if one is due. A snapshot carries no transaction markers, so it
     /// is taken only between transactions. This is checked after each entry and not only at ticks:
     /// while plans are submitted back to back, a transaction is open at nearly every tick. The
-    /// snapshot is encoded beside the control loop, since encoding takes longer than the leader may
-    /// delay the renewal of its lease. A node that has just started has applied nothing beyond its
-    /// snapshot and takes none; the log that it read at its start counts towards the next one.
+    /// snapshot is encoded outside the control loop, since encoding takes longer than the leader
+    /// may delay the renewal of its lease. A node that has just started has applied nothing beyond
+    /// its snapshot and takes none; the log that it read at its start counts towards the next one.
     pub(super) fn compact(&mut self, now_ms: u64) {
         if !self.snapshots.is_due(now_ms) || self.tail.is_open() {
             return;
--- a/crates/controller/src/control_node/leadership_transfer.rs
+++ b/crates/controller/src/control_node/leadership_transfer.rs
@@ -5,7 +5,7 @@
 use crate::ControlNode;
 use crate::endpoint_list::ReceivedHandover;
 
-/// Why a leader transfers its leadership.
+/// The reason why a leader transfers its leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TransferReason {
     /// The leader's process is about to end.
--- a/crates/controller/src/control_node/lease.rs
+++ b/crates/controller/src/control_node/lease.rs
@@ -5,7 +5,7 @@
 impl ControlNode {
     /// Records when the leader's lease is gained or lost. Without the lease, the endpoint list may
     /// have changed unseen and data nodes' lease requests were refused. So whenever the lease is
-    /// gained, the scan of the list starts anew, unless a former leader sent its scan state, and
+    /// gained, the scan of the list restarts, unless a former leader sent its scan state, and
     /// so does the time since each node's last report.
     pub(super) fn lease_tick(&mut self, now_ms: u64) {
         let has_lease = self.has_lease(now_ms);
--- a/crates/controller/src/control_node/members.rs
+++ b/crates/controller/src/control_node/members.rs
@@ -13,7 +13,9 @@
     address: String,
     /// The member's role: `controller`, `voter` or `learner`.
     role: String,
+    /// Time since the member's last response, in milliseconds; 0 for the controller itself.
     silent_ms: u64,
+    /// Number of entries in the controller's log that the member has not confirmed.
     lag_entries: u64,
 }
 
--- a/crates/controller/src/control_node/proposal.rs
+++ b/crates/controller/src/control_node/proposal.rs
@@ -1,4 +1,4 @@
-//! Proposes entries to the log, and applies them to the leader's optimistic state.
+//! Proposes entries to the log, and applies them to the leader's proposed state.
 
 use crate::ControlNode;
 use postbarrow_state::{Record, State};
--- a/crates/controller/src/control_node/replies.rs
+++ b/crates/controller/src/control_node/replies.rs
@@ -23,7 +23,7 @@
     }
 
     /// Sends a response for which nothing was written: a refusal, a repeat or a conflict. It
-    /// depends on the optimistic state, so it waits until all entries written so far are committed,
+    /// depends on the proposed state, so it waits until all entries written so far are committed,
     /// and is sent only while the leader has its lease.
     pub(super) fn reply_when_committed(&mut self, now_ms: u64, origin: Origin, response: Response) {
         let offset = self.consensus.last_index();
--- a/crates/controller/src/control_node/status.rs
+++ b/crates/controller/src/control_node/status.rs
@@ -17,8 +17,11 @@
     http: String,
     zone: String,
     ready: bool,
+    /// Log offset of the image that the node serves from, in its last report.
     published: u64,
+    /// Version of the plan that the node serves by, in its last report.
     version: Option<String>,
+    /// Time since the node's last report, in milliseconds.
     silent_ms: u64,
 }
 
--- a/crates/controller/src/control_node/targets.rs
+++ b/crates/controller/src/control_node/targets.rs
@@ -16,6 +16,7 @@
     labels: BTreeMap<String, String>,
     /// The target's condition: `live`, `draining` or `down`.
     condition: String,
+    /// Names of the plan's services whose labels the target has.
     services: Vec<String>,
 }
 
@@ -23,12 +24,16 @@
 #[facet(rename_all = "camelCase")]
 struct TargetsReport {
     targets: Vec<TargetRow>,
+    /// Time since the last complete scan of the endpoint list without unconfirmed targets ended, in
+    /// milliseconds; `None` if none is known since the controller gained its lease.
     #[facet(rename = "listWalkedMsAgo")]
     list_scan_age_ms: Option<u64>,
+    /// Text of the list's last failure; `None` if a scan was completed since.
     list_finding: Option<String>,
     /// The longest time from a target's draining row in the list to its last request, in
-    /// milliseconds, at the list's present size and speed.
+    /// milliseconds, at the list's current size and speed.
     leave_bound_ms: Option<u64>,
+    /// Number of requests that the list refused because of its rate limit.
     list_refusals: u64,
 }
 
--- a/crates/controller/src/control_node/term.rs
+++ b/crates/controller/src/control_node/term.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Steps down as leader after a higher term or the loss of the majority. The optimistic state
+    /// Steps down as leader after a higher term or the loss of the majority. The proposed state
     /// is dropped, the committed state stays, and pending requests get their responses.
     fn step_down(&mut self) {
         let Some(mut leader) = self.leader.take() else { return };
--- a/crates/controller/src/endpoint_list/page.rs
+++ b/crates/controller/src/endpoint_list/page.rs
@@ -33,8 +33,8 @@
     let (value, mut reading) = Reading::parse(content)?;
     let mut page = ListPage { targets: Vec::new(), next: None };
     if let Some(mut fields) = Fields::of(&value, "$", &mut reading) {
-        for (position, value) in fields.array("targets", &mut reading) {
-            if let Some(target) = read_target(value, &position, &mut reading) {
+        for (json_path, value) in fields.array("targets", &mut reading) {
+            if let Some(target) = read_target(value, &json_path, &mut reading) {
                 page.targets.push(target);
             }
         }
@@ -43,8 +43,8 @@
     reading.finish(page)
 }
 
-fn read_target(value: &Value, position: &str, reading: &mut Reading) -> Option<Target> {
-    let mut fields = Fields::of(value, position, reading)?;
+fn read_target(value: &Value, json_path: &str, reading: &mut Reading) -> Option<Target> {
+    let mut fields = Fields::of(value, json_path, reading)?;
     let instance = fields.text("instance", reading).map(CompactString::from);
     let service = fields.text("service", reading).map(CompactString::from);
     let address: Option<SocketAddr> = fields.parsed("address", "an IP address and port", reading);
@@ -58,8 +58,8 @@
     };
     let mut labels = Labels::new();
     if fields.get("labels").is_some() {
-        for (label, position, value) in fields.named("labels", reading) {
-            if let Some(value) = text(value, &position, reading) {
+        for (label, label_path, value) in fields.named("labels", reading) {
+            if let Some(value) = text(value, &label_path, reading) {
                 labels.insert(CompactString::from(label), CompactString::from(value));
             }
         }
--- a/crates/controller/src/endpoint_list/poll_rate.rs
+++ b/crates/controller/src/endpoint_list/poll_rate.rs
@@ -7,7 +7,7 @@
 /// derived from the list's refusals, with a margin so that the list's rate limit is not exceeded
 /// again.
 pub(crate) struct PollRate {
-    /// Minimum time between two requests at present.
+    /// Current minimum time between two requests.
     gap_ms: u64,
     /// Lower bound of `gap_ms`, from the settings.
     min_gap_ms: u64,
--- a/crates/controller/src/endpoint_list/scan_timing.rs
+++ b/crates/controller/src/endpoint_list/scan_timing.rs
@@ -74,7 +74,7 @@
     }
 
     /// Returns the longest time from when the list shows a target as draining to the last request
-    /// sent to that target, given the present speed of the list.
+    /// sent to that target, given the current speed of the list.
     pub fn leave_bound_ms(&self) -> u64 {
         self.cycle_ms
             + self.last_slowest_page_ms
--- a/crates/controller/src/leader_state.rs
+++ b/crates/controller/src/leader_state.rs
@@ -36,7 +36,7 @@
     pub retention: Retention,
     pub watches: PendingWatches,
     pub shedding: SheddingCounts,
-    /// When the present lease was gained, in milliseconds; `None` while this leader has no lease.
+    /// When the current lease was gained, in milliseconds; `None` while this leader has no lease.
     pub lease_since_ms: Option<u64>,
 }
 
--- a/crates/controller/src/leader_state/lock_deadlines.rs
+++ b/crates/controller/src/leader_state/lock_deadlines.rs
@@ -19,7 +19,7 @@
         LockDeadlines { expires_at_ms }
     }
 
-    /// Extends a lock's expiry time; an earlier time than the present one is ignored.
+    /// Extends a lock's expiry time; a time earlier than the current one is ignored.
     pub fn extend(&mut self, name: &Name, expires_at_ms: u64) {
         let current_ms = self.expires_at_ms.entry(name.clone()).or_default();
         *current_ms = (*current_ms).max(expires_at_ms);
--- a/crates/controller/src/leader_state/log_writer.rs
+++ b/crates/controller/src/leader_state/log_writer.rs
@@ -4,7 +4,7 @@
 use postbarrow_state::{Record, State};
 use postbarrow_transactions::{BatchRecord, Writer};
 
-/// The optimistic state of a leader, which it has once it serves, and its pending replies.
+/// The writer of a leader, which it has once it serves, and its pending replies.
 #[derive(Default)]
 pub(crate) struct LogWriter {
     writer: Option<Writer<State>>,
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -26,7 +26,7 @@
 //!
 //! Files in `control_node/` handle inputs. All others hold state or make decisions, and don't
 //! depend on the node. A change is final only once it is committed in the leader's term. Until
-//! then the leader works on the optimistic state of its [`postbarrow_transactions::Writer`], which
+//! then the leader works on the proposed state of its [`postbarrow_transactions::Writer`], which
 //! includes entries that are not committed yet and is discarded when the term ends. A batch of
 //! records is one entry of the Raft log, and its log offset is the entry's index.
 
--- a/crates/controller/src/origin.rs
+++ b/crates/controller/src/origin.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-/// The sender's address and the request's key, to which the response is sent.
+/// The sender of a request, to which the response is sent, and the key that the sender gave it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Origin {
     pub to: SocketAddr,
--- a/crates/controller/src/submission_check.rs
+++ b/crates/controller/src/submission_check.rs
@@ -24,7 +24,7 @@
     Unknown,
 }
 
-/// Why a plan is refused.
+/// The reason why a plan is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
     /// A plan of the same version was accepted with another text or on another base.
