--- a/crates/controller/examples/snapshot_cost.rs
+++ b/crates/controller/examples/snapshot_cost.rs
@@ -53,7 +53,7 @@
         let start = Instant::now();
         let bytes = rmp_serde::to_vec(&clone).expect("encoding a state into memory succeeds");
         println!(
-            "  encode, beside the control loop: {:?}, {} MiB",
+            "  encode, outside the control loop: {:?}, {} MiB",
             start.elapsed(),
             bytes.len() >> 20
         );
--- a/crates/controller/tests/endpoint_list.rs
+++ b/crates/controller/tests/endpoint_list.rs
@@ -55,7 +55,7 @@
     targets.filter(|target| !target.draining).map(|target| target.instance.to_string()).collect()
 }
 
-fn known(harness: &Harness) -> usize {
+fn target_count(harness: &Harness) -> usize {
     harness.state().targets.len()
 }
 
@@ -63,10 +63,10 @@
 fn a_row_that_shifts_to_a_page_already_read_is_not_removed() {
     let mut harness = harness_with_list();
     scan(&mut harness, &[&["l1", "l2"], &["l4", "l5"], &["l6"]]);
-    assert_eq!(known(&harness), 6, "l3 may be at the end of the first page");
+    assert_eq!(target_count(&harness), 6, "l3 may be at the end of the first page");
     assert_eq!(live(&harness).len(), 5, "l3 is draining while others are live");
     scan(&mut harness, &[&["l2", "l3"], &["l4", "l5"], &["l6"]]);
-    assert_eq!(known(&harness), 5, "l1 is removed");
+    assert_eq!(target_count(&harness), 5, "l1 is removed");
     assert!(live(&harness).contains(&"l3".to_string()));
 }
 
@@ -75,7 +75,7 @@
     let mut harness = harness_with_list();
     scan(&mut harness, &[&["l1", "l3"], &["l4", "l5"], &["l6"]]);
     assert_eq!(live(&harness), ["l1", "l3", "l4", "l5", "l6"]);
-    assert_eq!(known(&harness), 5);
+    assert_eq!(target_count(&harness), 5);
 }
 
 #[test]
@@ -84,7 +84,7 @@
     for count in 1..=LIST_MISSES {
         scan(&mut harness, &[&["l1", "l2"], &["l4"], &["l5", "l6"]]);
         let is_removed = count == LIST_MISSES;
-        assert_eq!(known(&harness), if is_removed { 5 } else { 6 }, "scan {count}");
+        assert_eq!(target_count(&harness), if is_removed { 5 } else { 6 }, "scan {count}");
     }
 }
 
@@ -93,16 +93,23 @@
     for rows in [&[][..], &["l1"][..]] {
         let mut harness = harness_with_list();
         scan(&mut harness, &[rows]);
-        assert_eq!(known(&harness), 6, "one scan is not enough");
+        assert_eq!(target_count(&harness), 6, "one scan is not enough");
         scan(&mut harness, &[&["l1", "l2"], &["l3", "l4"], &["l5", "l6"]]);
         scan(&mut harness, &[rows]);
-        assert_eq!(known(&harness), 6, "two scans with a complete one between them are not enough");
+        assert_eq!(
+            target_count(&harness),
+            6,
+            "two scans with a complete one between them are not enough"
+        );
         scan(&mut harness, &[rows]);
-        assert_eq!(known(&harness), 6, "two consecutive scans are not enough");
+        assert_eq!(target_count(&harness), 6, "two consecutive scans are not enough");
         scan(&mut harness, &[rows]);
-        let remaining = known(&harness);
+        let remaining = target_count(&harness);
         scan(&mut harness, &[rows]);
-        assert!(remaining <= 1 + rows.len() && known(&harness) == rows.len(), "{remaining} remain");
+        assert!(
+            remaining <= 1 + rows.len() && target_count(&harness) == rows.len(),
+            "{remaining} remain"
+        );
     }
 }
 
@@ -164,13 +171,17 @@
             let mut harness = harness_with_list();
             for count in 1..=LIST_MISSES {
                 scan(&mut harness, &[rows]);
-                assert_eq!(known(&harness), 6, "{failure:?}: shrunk scan {count}");
+                assert_eq!(target_count(&harness), 6, "{failure:?}: shrunk scan {count}");
                 fail_scan(&mut harness, failure);
             }
             for _ in 0..=LIST_SHRUNK_SCANS {
                 scan(&mut harness, &[rows]);
             }
-            assert_eq!(known(&harness), rows.len(), "{failure:?}: accepted once it persists");
+            assert_eq!(
+                target_count(&harness),
+                rows.len(),
+                "{failure:?}: accepted once it persists"
+            );
         }
     }
 }
@@ -214,7 +225,7 @@
         answer_cursor(&mut harness, Some("1"), &["l2"], Some("1"));
         harness.fetches.clear();
     }
-    assert_eq!(known(&harness), 6);
+    assert_eq!(target_count(&harness), 6);
     harness.request(1, Request::Targets);
     let Some(Response::Operator { body, .. }) = harness.response(1) else {
         panic!("no response to the targets request")
--- a/crates/controller/tests/golden_folder.rs
+++ b/crates/controller/tests/golden_folder.rs
@@ -1,7 +1,7 @@
 //! A control node started on a data folder that commit dfb0489 wrote knows all records acknowledged
 //! then.
 //!
-//! With POSTBARROW_WRITE_FIXTURES set, the present code rewrites the folder. The test then no
+//! With POSTBARROW_WRITE_FIXTURES set, the current code rewrites the folder. The test then no
 //! longer checks that a folder of an older release can be read, so set it only to add another
 //! folder.
 
--- a/crates/controller/tests/space_bounds.rs
+++ b/crates/controller/tests/space_bounds.rs
@@ -24,8 +24,8 @@
     Request::Settle { ticket: ticket(key, 1), settlement: Settlement::Ran, response }
 }
 
-fn stored(bytes: usize) -> StoredResponse {
-    StoredResponse { status: 200, headers: Vec::new(), body: vec![1; bytes] }
+fn stored_response(body_bytes: usize) -> StoredResponse {
+    StoredResponse { status: 200, headers: Vec::new(), body: vec![1; body_bytes] }
 }
 
 #[test]
@@ -97,7 +97,7 @@
     for (at, key) in ["a", "b"].into_iter().enumerate() {
         harness.request(at as u64, Request::Ticket(ticket(key, 1)));
         harness.run_until_idle();
-        harness.request(10 + at as u64, settled_as_ran(key, Some(stored(1_000))));
+        harness.request(10 + at as u64, settled_as_ran(key, Some(stored_response(1_000))));
         harness.run_until_idle();
     }
     let has_response = |key: &str| harness.state().tickets[key].response.is_some();
@@ -110,8 +110,8 @@
 fn removed_responses_no_longer_count_towards_the_stored_bytes() {
     let mut harness = Harness::serving();
     harness.request(1, Request::Ticket(ticket("k", 1)));
-    harness.request(2, settled_as_ran("k", Some(stored(700))));
-    harness.request(3, settled_as_ran("k", Some(stored(700))));
+    harness.request(2, settled_as_ran("k", Some(stored_response(700))));
+    harness.request(3, settled_as_ran("k", Some(stored_response(700))));
     harness.run_until_idle();
     assert_eq!(harness.state().stored_response_bytes, 700);
     harness.tick(TICKET_RETENTION_MS + 2 * ERA_MS);
--- a/crates/state/tests/accepted_plans.rs
+++ b/crates/state/tests/accepted_plans.rs
@@ -15,7 +15,8 @@
     Record::PlanStart { version: version.into(), base: base.map(Name::from) }
 }
 
-fn chain(count: usize) -> State {
+/// Returns a state in which this many plans were accepted, each on the one before.
+fn plan_chain(count: usize) -> State {
     let mut state = State::default();
     for number in 0..count {
         let base = number.checked_sub(1).map(|previous| format!("v{previous}"));
@@ -27,7 +28,7 @@
 
 #[test]
 fn aborted_plan_is_neither_accepted_nor_in_force() {
-    let mut tail = Tail::new(0, chain(1));
+    let mut tail = Tail::new(0, plan_chain(1));
     let initial = tail.image().as_ref().clone();
     let batch = [
         BatchRecord::begin("plan"),
@@ -42,9 +43,9 @@
 
 #[test]
 fn retained_plans_are_bounded_and_the_oldest_is_removed_first() {
-    let state = chain(ACCEPTED_PLANS);
+    let state = plan_chain(ACCEPTED_PLANS);
     assert!(state.remembers_every_plan() && state.accepted_plan("v0").is_some());
-    let state = chain(ACCEPTED_PLANS + 1);
+    let state = plan_chain(ACCEPTED_PLANS + 1);
     assert_eq!(state.accepted_plans.len(), ACCEPTED_PLANS);
     assert!(state.accepted_plan("v0").is_none() && state.accepted_plan("v1").is_some());
     assert!(!state.remembers_every_plan());
@@ -60,7 +61,7 @@
 
 #[test]
 fn plan_on_an_unknown_base_removes_the_plans_before_it() {
-    let mut state = chain(3);
+    let mut state = plan_chain(3);
     state.apply(9, &start("v9", Some("v8")));
     state.apply(9, &accepted("v9", Some("v8")));
     assert_eq!(state.accepted_plans.len(), 1);
@@ -80,12 +81,12 @@
     assert!(!accepted("v1", None).is_routing_update());
     let refused = RefusedPlan { version: "v1".into(), digest: [1; 32] };
     assert!(!Record::PlanRefused(refused).is_routing_update());
-    assert!(chain(2).routing_view().accepted_plans.is_empty());
+    assert!(plan_chain(2).routing_view().accepted_plans.is_empty());
 }
 
 #[test]
 fn state_stored_without_accepted_plans_is_decoded_with_none() {
-    let mut state = chain(1);
+    let mut state = plan_chain(1);
     state.accepted_plans.clear();
     let mut old_bytes = rmp_serde::to_vec(&state).unwrap();
     assert_eq!(old_bytes[0], 0xdc, "an array with a length field of two bytes");
@@ -99,7 +100,7 @@
 
 #[test]
 fn state_with_accepted_plans_is_decoded_as_stored() {
-    let mut state = chain(3);
+    let mut state = plan_chain(3);
     state.apply(9, &Record::PlanRefused(RefusedPlan { version: "x".into(), digest: [200; 32] }));
     let decoded: State = rmp_serde::from_slice(&rmp_serde::to_vec(&state).unwrap()).unwrap();
     assert_eq!(decoded, state);
