--- a/crates/controller/examples/snapshot_cost.rs
+++ b/crates/controller/examples/snapshot_cost.rs
@@ -69,9 +69,7 @@
         println!("  one slot written and synced: {:?}", start.elapsed());
         let start = Instant::now();
         let disk = FolderDisk::new(folder.clone()).expect("the folder opens again");
-        let Opened::Recovered { recovered, .. } = open(disk).expect("the storage opens") else {
-            return;
-        };
+        let Opened::Recovered { recovered, .. } = open(disk).expect("disk opens") else { return };
         let opened = start.elapsed();
         let stored = recovered.snapshot.expect("a snapshot was recovered");
         let read: State = rmp_serde::from_slice(&stored.state).expect("the snapshot decodes");
