--- a/crates/controller/examples/snapshot_cost.rs
+++ b/crates/controller/examples/snapshot_cost.rs
@@ -51,9 +51,9 @@
         let clone = state.clone();
         println!("  clone, on the thread that renews the lease: {:?}", start.elapsed());
         let start = Instant::now();
-        let bytes = rmp_serde::to_vec(&clone).expect("a state encodes into memory");
+        let bytes = rmp_serde::to_vec(&clone).expect("encoding a state into memory succeeds");
         println!(
-            "  encode, beside the control loop: {:?}, {} MiB",
+            "  encode, outside the control loop: {:?}, {} MiB",
             start.elapsed(),
             bytes.len() >> 20
         );
@@ -69,7 +69,7 @@
         println!("  one slot written and synced: {:?}", start.elapsed());
         let start = Instant::now();
         let disk = FolderDisk::new(folder.clone()).expect("the folder opens again");
-        let Opened::Recovered { recovered, .. } = open(disk).expect("opens") else { return };
+        let Opened::Recovered { recovered, .. } = open(disk).expect("disk opens") else { return };
         let opened = start.elapsed();
         let stored = recovered.snapshot.expect("a snapshot was recovered");
         let read: State = rmp_serde::from_slice(&stored.state).expect("the snapshot decodes");
--- a/crates/controller/src/endpoint_list/poll_rate.rs
+++ b/crates/controller/src/endpoint_list/poll_rate.rs
@@ -7,7 +7,7 @@
 /// derived from the list's refusals, with a margin so that the list's rate limit is not exceeded
 /// again.
 pub(crate) struct PollRate {
-    /// Minimum time between two requests at present.
+    /// Current minimum time between two requests.
     gap_ms: u64,
     /// Lower bound of `gap_ms`, from the settings.
     min_gap_ms: u64,
@@ -103,7 +103,7 @@
     }
 
     /// Shortens the gap by a tenth, at most once in `LIST_GAP_DECREASE_MS`. Called while the rate
-    /// is too low to keep the users' bound `DRAIN_BOUND_MS`.
+    /// is too low to keep `DRAIN_BOUND_MS`.
     pub fn decrease_gap(&mut self, now_ms: u64) {
         if now_ms >= self.gap_changed_ms + LIST_GAP_DECREASE_MS {
             self.gap_changed_ms = now_ms;
