--- a/crates/storage/src/damage.rs
+++ b/crates/storage/src/damage.rs
@@ -4,8 +4,8 @@
 /// member that the disk belonged to.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Damage {
-    /// Neither slot is intact, but a log has a second record, which is written only after
-    /// its slot is synced.
+    /// Neither slot is intact, but a log has a second record, which is written only after its slot
+    /// is synced.
     #[error("neither slot is intact, but a log shows that one was synced")]
     NoIntactSlot,
     /// A log follows a synced slot that is newer than any intact slot.
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -28,7 +28,7 @@
 /// Names of the two log files; each log follows the slot of its generation, at the same index.
 pub const LOGS: [&str; 2] = ["log-a", "log-b"];
 
-/// Returns the index in `SLOTS` and `LOGS` of a generation's files.
+/// Returns the index of a generation's files in the two arrays of file names.
 fn file_index(generation: u64) -> usize {
     (generation % 2) as usize
 }
--- a/crates/storage/src/open.rs
+++ b/crates/storage/src/open.rs
@@ -38,8 +38,8 @@
 ///
 /// # Errors
 ///
-/// Errors of the disk. If `is_full` returns true for the error, the disk only lacks space and may
-/// be opened again later.
+/// Errors of the disk. If the error is one of a full disk, the disk may be opened again once it has
+/// space.
 pub fn open<D: Disk>(mut disk: D) -> io::Result<Opened<D>> {
     let files = Files {
         slots: [disk.read(SLOTS[0])?, disk.read(SLOTS[1])?],
--- a/crates/storage/src/storage.rs
+++ b/crates/storage/src/storage.rs
@@ -76,7 +76,7 @@
         self.disk
     }
 
-    /// Returns the disk, for operations on it that are not the storage's.
+    /// Returns the disk, for operations of the owner that are not part of the storage.
     pub fn disk_mut(&mut self) -> &mut D {
         &mut self.disk
     }
--- a/crates/transactions/src/error.rs
+++ b/crates/transactions/src/error.rs
@@ -32,12 +32,13 @@
         /// Index of the marker in its batch, from 0.
         position: usize,
     },
-    /// A batch's offset is not after that of the last batch applied, so it was applied before.
+    /// A batch's offset is not after the last offset that the tail applied or skipped, so the batch
+    /// was handled before.
     #[error("batch at offset {offset} is not after the last applied offset {last}")]
     OffsetNotAfter {
         /// The batch's log offset.
         offset: u64,
-        /// The offset of the last batch applied.
+        /// The last offset that the tail applied or skipped.
         last: u64,
     },
     /// A Begin marker within a transaction.
--- a/crates/transactions/src/lib.rs
+++ b/crates/transactions/src/lib.rs
@@ -13,8 +13,8 @@
 pub use tail::{BatchOutcome, Tail};
 pub use writer::Writer;
 
-/// A state that records change. Clones must be cheap, since the published image, the pending delta
-/// and the rollback image are clones.
+/// A state that is changed by applying records to it. Clones must be cheap, since the published
+/// image, the pending delta and the state to which an abort returns are clones.
 pub trait Image: Clone {
     /// The type of one change of the state.
     type Record;
--- a/crates/transactions/src/writer.rs
+++ b/crates/transactions/src/writer.rs
@@ -46,8 +46,8 @@
     ///
     /// # Errors
     ///
-    /// `NotOpen` if no transaction is open; `OverDelta` if it exceeds the bound, after which it
-    /// must be aborted.
+    /// `NotOpen` if no transaction is open; another error if the transaction exceeds the bound,
+    /// after which it must be aborted.
     pub fn grow(&mut self, size_bytes: usize) -> Result<(), TransactionError> {
         let open = self.open.as_mut().ok_or(TransactionError::NotOpen)?;
         open.size_bytes += size_bytes;
