--- a/crates/consensus/src/departure.rs
+++ b/crates/consensus/src/departure.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Returns whether this member ignores an append because a grant of its departure has arrived:
+    /// Returns whether this member ignores an append because its departure is quiesced or complete:
     /// it acknowledges nothing more in its term. An append of a newer term is still handled.
     pub(crate) fn ignores_append(&self, append: &AppendRequest) -> bool {
         let is_quiesced =
--- a/crates/consensus/src/departure_granting.rs
+++ b/crates/consensus/src/departure_granting.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DepartingMember {
     member: Member,
-    /// Index of the last entry in its log at its last announcement.
+    /// Index of the last entry in the member's log at its last announcement.
     last_index: u64,
     announced_ms: u64,
 }
@@ -44,8 +44,9 @@
         }
     }
 
-    /// Returns whether a member may stop: all responsive voters that remain have the entries that
-    /// it has, they are a majority without it, and no learner waits to replace it.
+    /// Returns whether a member may stop: no membership change is in progress, all responsive voters
+    /// that remain have the entries that it has, they are a majority of the voters, and no learner
+    /// waits to replace it.
     fn may_depart(&self, now_ms: u64, departing: &DepartingMember) -> bool {
         if !self.is_ready() || self.log.config_index() > self.commit_index {
             return false;
@@ -64,12 +65,13 @@
             && !(is_voter && self.may_have_waiting_learner(now_ms))
     }
 
-    /// Returns whether a learner responds or has only just joined, or may exist that has not
-    /// reached this newly elected leader yet.
+    /// Returns whether a learner may be about to replace a voter: it responds, it joined within the
+    /// last `LEARNER_STANDBY_MS`, or it may exist without having reached this leader yet, since the
+    /// leader was elected less than two `DISCOVERY_MS` ago.
     fn may_have_waiting_learner(&self, now_ms: u64) -> bool {
         let is_waiting = |id: &MemberId| {
             let progress = self.leader_state.progress.get(id);
-            let since_ms = progress.map_or(0, |progress| progress.since_ms);
+            let since_ms = progress.map_or(0, |progress| progress.replicating_since_ms);
             self.is_responsive(now_ms, *id) || now_ms < since_ms + LEARNER_STANDBY_MS
         };
         now_ms < self.leader_state.elected_ms + 2 * DISCOVERY_MS
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -67,13 +67,14 @@
 
     /// Returns the next configuration, if the voters should change.
     ///
-    /// A dead voter is removed before the learner is added: otherwise there would be four voters,
-    /// of which no majority would be left if the learner were lost as well. A responsive voter that
-    /// departs is removed after the learner is added: four responsive voters bear a loss at each
-    /// step. If one of the four does not respond but does not count as dead, the departing voter is
-    /// removed, since its loss is the more certain one. No voter is removed before the learner has
-    /// responded for longer than `RESPONSIVE_MS`, since the learner may run on the machine of a
-    /// voter that was lost a moment ago.
+    /// The reasons for the order are given for a target of three voters. A dead voter is removed
+    /// before the learner is added: otherwise there would be four voters, of which no majority would
+    /// be left if the learner were lost as well. A responsive voter that departs is removed after
+    /// the learner is added: four responsive voters tolerate a loss at each step. If one of the four
+    /// does not respond but does not count as dead, the departing voter is removed, since its loss
+    /// is the more certain one. No voter is removed before the learner has responded for longer than
+    /// `RESPONSIVE_MS`, since the learner may run on the machine of a voter that was lost a moment
+    /// ago.
     fn next_members(&self, now_ms: u64) -> Option<Vec<Member>> {
         let members = self.log.members();
         if members.len() > self.voter_policy.target_voters {
@@ -86,7 +87,7 @@
             return Some(with_learner());
         }
         let progress = self.leader_state.progress.get(&learner.id);
-        let since_ms = progress.map_or(now_ms, |progress| progress.since_ms);
+        let since_ms = progress.map_or(now_ms, |progress| progress.replicating_since_ms);
         if now_ms < since_ms + LEARNER_STANDBY_MS {
             return None;
         }
@@ -112,7 +113,7 @@
         self.peer_ids().filter(is_dead).max_by_key(|id| silent_ms(*id))
     }
 
-    /// Returns a voter that is departing and still announces it.
+    /// Returns a voter that announced its departure within the last `RESPONSIVE_MS`, if any.
     fn departing_voter(&self, now_ms: u64) -> Option<MemberId> {
         self.peer_ids().find(|id| self.is_departing(now_ms, *id))
     }
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -20,7 +20,7 @@
     /// began.
     pub last_response_ms: u64,
     /// Time since which this leader replicates to the follower.
-    pub since_ms: u64,
+    pub replicating_since_ms: u64,
     /// The transfer of a snapshot to the follower, while one is in progress.
     pub snapshot_transfer: Option<OutgoingSnapshot>,
     in_flight: InFlight,
@@ -42,7 +42,7 @@
             next_index,
             acknowledged_send_ms: 0,
             last_response_ms: now_ms,
-            since_ms: now_ms,
+            replicating_since_ms: now_ms,
             snapshot_transfer: None,
             in_flight: InFlight::default(),
             is_probing: false,
@@ -54,7 +54,7 @@
     pub fn fingerprint(&self, time: FingerprintTime, hasher: &mut impl Hasher) {
         (self.member, self.match_index, self.next_index, self.is_probing).hash(hasher);
         (time.age(self.acknowledged_send_ms), time.age(self.last_response_ms)).hash(hasher);
-        (time.age(self.since_ms), time.age(self.restarted_ms)).hash(hasher);
+        (time.age(self.replicating_since_ms), time.age(self.restarted_ms)).hash(hasher);
         self.in_flight.hash(hasher);
         self.snapshot_transfer.is_some().hash(hasher);
         if let Some(transfer) = &self.snapshot_transfer {
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Returns whether the follower responded within the default time after which a voter may be
-    /// replaced.
+    /// Returns whether the follower responded within `VOTER_DEAD_MS`, the default time after which
+    /// a voter may be replaced.
     pub fn is_live(&self, now_ms: u64) -> bool {
         now_ms < self.last_response_ms + VOTER_DEAD_MS
     }
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -29,10 +29,10 @@
         self.advance_commit();
     }
 
-    /// Sends heartbeats when they are due. A leader without a lease steps down if no follower has
-    /// responded for `ELECTION_MIN_MS` (thesis, 6.2).
+    /// Sends heartbeats when they are due. A leader steps down if its lease ended more than
+    /// `ELECTION_MIN_MS` ago and no follower has responded for as long (thesis, 6.2).
     pub(crate) fn leader_tick(&mut self, now_ms: u64) {
-        if self.is_unreachable(now_ms) {
+        if self.has_lost_all_followers(now_ms) {
             return self.become_follower(now_ms, self.term, None);
         }
         if now_ms >= self.leader_state.heartbeat_due_ms {
@@ -43,12 +43,12 @@
         }
     }
 
-    fn is_unreachable(&self, now_ms: u64) -> bool {
-        let is_lease_over = self.lease_until().saturating_add(ELECTION_MIN_MS) < now_ms;
+    fn has_lost_all_followers(&self, now_ms: u64) -> bool {
+        let is_lease_long_over = self.lease_until().saturating_add(ELECTION_MIN_MS) < now_ms;
         let followers = &self.leader_state.progress;
         let all_unresponsive =
             followers.values().all(|progress| progress.last_response_ms + ELECTION_MIN_MS < now_ms);
-        is_lease_over && all_unresponsive && !followers.is_empty()
+        is_lease_long_over && all_unresponsive && !followers.is_empty()
     }
 
     fn replicate(&mut self, now_ms: u64) {
