--- a/crates/consensus/src/disk_health.rs
+++ b/crates/consensus/src/disk_health.rs
@@ -10,7 +10,8 @@
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
 
-/// Interval between two inputs above which the process itself is assumed to have been paused.
+/// Interval in milliseconds between two inputs above which the process itself is assumed to have
+/// been paused.
 const PROCESS_PAUSE_MS: u64 = 5 * TICK_MS;
 
 /// Consecutive writes that were issued in the same millisecond and are not synced.
@@ -86,8 +87,8 @@
 
     fn is_stalled(&self) -> bool {
         let Some(oldest) = self.unsynced.front() else { return false };
-        let is_slot = self.newest_slot_sequence >= oldest.last_sequence;
-        let limit_ms = if is_slot { DISK_STALL_SLOT_MS } else { DISK_STALL_MS };
+        let is_slot_pending = self.newest_slot_sequence >= oldest.last_sequence;
+        let limit_ms = if is_slot_pending { DISK_STALL_SLOT_MS } else { DISK_STALL_MS };
         self.now_ms.saturating_sub(oldest.issued_ms) > limit_ms
     }
 }
--- a/crates/consensus/src/leader_contact.rs
+++ b/crates/consensus/src/leader_contact.rs
@@ -4,11 +4,11 @@
 use postbarrow_constants::consensus::ELECTION_MIN_MS;
 use std::hash::{Hash, Hasher};
 
-/// The leader that a member follows, and when the member received from a leader.
+/// The leader that a member follows, and when the last message of a leader arrived.
 #[derive(Clone, Debug)]
 pub(crate) struct LeaderContact {
     pub leader: Option<MemberId>,
-    /// When the last message of a leader arrived, by this member's clock.
+    /// When the last message of a leader arrived, in milliseconds of this member's clock.
     pub last_contact_ms: u64,
     /// Smallest difference observed between this member's clock and the leader's send time, which
     /// is that of the message with the least delay; absent before the leader's first message.
@@ -31,13 +31,13 @@
     }
 
     /// Moves the time of the last contact forward to `at_ms`, if it was earlier. A leader that
-    /// steps down counts as having been in contact with itself.
+    /// steps down counts as having been in contact with itself until `at_ms`.
     pub fn advance_last_contact(&mut self, at_ms: u64) {
         self.last_contact_ms = self.last_contact_ms.max(at_ms);
     }
 
-    /// Returns the time until which this member withholds its vote because of its last contact.
-    /// That is longer than the lease that its response confirms.
+    /// Returns the time until which this member withholds its vote because of its last contact. The
+    /// lease that its response confirms ends earlier.
     pub fn vote_withheld_until_ms(&self) -> u64 {
         self.last_contact_ms + ELECTION_MIN_MS
     }
@@ -49,7 +49,8 @@
         self.min_offset_ms = Some(min_ms);
     }
 
-    /// Returns by how many milliseconds a message was delayed longer than the leader's fastest one.
+    /// Returns by how many milliseconds a message was delayed longer than the leader's fastest one;
+    /// zero before the leader's first message.
     pub fn excess_delay_ms(&self, now_ms: u64, sent_ms: u64) -> u64 {
         let offset_ms = now_ms as i64 - sent_ms as i64;
         self.min_offset_ms.map_or(0, |min_ms| (offset_ms - min_ms).max(0) as u64)
--- a/crates/consensus/src/leader_probe.rs
+++ b/crates/consensus/src/leader_probe.rs
@@ -22,7 +22,7 @@
     /// Members that reported in the current round that they do not lead.
     non_leaders: BTreeSet<MemberId>,
     /// Whether this member reported that it does not lead, or learned from a probe round that no
-    /// other member does, and has received from no leader since.
+    /// other member does, and has received no message from a leader since.
     pub reported_not_leading: bool,
 }
 
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Ends the current round. Its late responses are ignored, since they may describe the time
-    /// before a message that was received since.
+    /// Ends the current round. Responses to it that arrive later are ignored, since they may have
+    /// been sent before a message of a leader that this member has received in the meantime.
     pub fn end_round(&mut self) {
         self.round += 1;
         self.non_leaders.clear();
@@ -52,8 +52,8 @@
 }
 
 impl Consensus {
-    /// Probes all other voters, round after round, while this member knows no leader and has only
-    /// just started.
+    /// Probes all other voters, round after round, while this member knows no leader and withholds
+    /// its vote after its start.
     pub(crate) fn probe_tick(&mut self, now_ms: u64) {
         let is_probing = self.is_without_leader()
             && now_ms < self.election.vote_withheld_after_start_until_ms()
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -43,8 +43,8 @@
 
 impl Consensus {
     /// Creates a member from the state that its disk returned. `seed` must differ between members
-    /// and between the incarnations of one member; `now_ms` is the time of the clock that all
-    /// inputs follow.
+    /// and between the incarnations of one member, which are the runs of its process; `now_ms` is
+    /// the time of the clock that all inputs follow.
     pub fn new(id: MemberId, recovered: RecoveredState, seed: u64, now_ms: u64) -> Self {
         let log = RaftLog::recovered(&recovered);
         Consensus {
@@ -231,13 +231,14 @@
     }
 
     /// Returns when the last message of a leader arrived, in milliseconds of this member's clock.
-    /// The start of the process counts as such a message.
+    /// The start of the process counts as such a message. A leader that steps down counts as having
+    /// been in contact with itself until `ELECTION_MIN_MS` before that.
     pub fn leader_contact_ms(&self) -> u64 {
         self.contact.last_contact_ms
     }
 
-    /// Returns whether this member leads and the first entry of its term is committed: then every
-    /// entry acknowledged before is applied.
+    /// Returns whether this member leads and the first entry of its term is committed. Then every
+    /// entry acknowledged before is committed here, and was returned for application.
     pub fn is_ready(&self) -> bool {
         self.role == Role::Leader && self.commit_index >= self.leader_state.term_start_index
     }
--- a/crates/consensus/src/vote_granting.rs
+++ b/crates/consensus/src/vote_granting.rs
@@ -25,10 +25,12 @@
     }
 
     /// Grants this member's vote to at most one candidate in each term, and responds once the vote
-    /// is on disk.
+    /// is on disk. A request is ignored, with its term, while this member must withhold its vote,
+    /// unless leadership is being transferred or no member has a lease.
     pub(crate) fn on_vote(&mut self, now_ms: u64, from: Member, request: VoteRequest) {
-        let may_override = request.leadership_transfer || self.is_known_leaderless(&request);
-        if self.must_withhold_vote(now_ms) && !may_override {
+        let overrides_withholding =
+            request.leadership_transfer || self.is_known_leaderless(&request);
+        if self.must_withhold_vote(now_ms) && !overrides_withholding {
             return;
         }
         if request.term > self.term {
@@ -48,9 +50,9 @@
         self.send_after_sync(from, response);
     }
 
-    /// Returns whether this member must not grant a vote: it has a lease as leader, received from a
-    /// leader within `ELECTION_MIN_MS`, or started within that time and may have received from one
-    /// before. The leader's lease relies on this.
+    /// Returns whether this member must not grant a vote: it has a lease as leader, received a
+    /// message from a leader within the last `ELECTION_MIN_MS`, or started within that time and may
+    /// have received one before its start. The leader's lease relies on this.
     fn must_withhold_vote(&self, now_ms: u64) -> bool {
         let has_lease = self.role == Role::Leader && now_ms < self.lease_until();
         let withheld_until_ms = self
@@ -78,8 +80,8 @@
     }
 
     /// Returns whether the request follows a probe round in which no member led, and this member
-    /// has received from no leader since it reported that it does not lead: then no member has a
-    /// lease.
+    /// has received no message from a leader since it reported that it does not lead: then no
+    /// member has a lease.
     fn is_known_leaderless(&self, request: &VoteRequest) -> bool {
         request.leaderless && self.probe.reported_not_leading && self.role != Role::Leader
     }
