--- a/crates/consensus/src/append_handling.rs
+++ b/crates/consensus/src/append_handling.rs
@@ -32,8 +32,10 @@
         self.send_after_sync(from, Message::AppendResponse(response));
     }
 
-    /// Returns the index from which the leader should continue after a refusal: the first entry of
-    /// the conflicting term, so that one response skips all entries of a term (thesis, 3.5).
+    /// Returns the index from which the leader should continue after a refusal. If this log has no
+    /// entry at `prev_index`, that is the index after its last entry. Otherwise it is the index of
+    /// the first uncommitted entry of the conflicting term, so that one response skips all entries
+    /// of a term (thesis, 3.5).
     fn conflict_hint(&self, prev_index: u64) -> u64 {
         let Some(term) = self.log.term_at(prev_index) else { return self.log.last_index() + 1 };
         let mut first_index = prev_index;
--- a/crates/consensus/src/compaction.rs
+++ b/crates/consensus/src/compaction.rs
@@ -22,11 +22,11 @@
         self.write_slot(snapshot);
     }
 
-    /// Drops entries up to `index` from memory, except for a number of the newest ones and for
-    /// those that a live follower lacks, which would otherwise need one snapshot after another. For
-    /// such a follower, at most `ENTRIES_RETAINED_MAX_BYTES` are retained or, if that is more, as
-    /// many bytes as the snapshot that is being sent to it has, since the link carries those in the
-    /// same time.
+    /// Drops entries up to `index` from memory, except for the newest ones, as many as
+    /// `ENTRIES_RETAINED` and `ENTRIES_RETAINED_BYTES` allow, and for those that a live follower
+    /// lacks, which would otherwise need one snapshot after another. For such a follower, at most
+    /// `ENTRIES_RETAINED_MAX_BYTES` are retained or, if that is more, as many bytes as the snapshot
+    /// that is being sent to it has, since the link carries those in the same time.
     fn drop_entries(&mut self, now_ms: u64, index: u64) {
         let mut base = self.log.base_retaining(index, ENTRIES_RETAINED, ENTRIES_RETAINED_BYTES);
         let followers = self.leader_state.progress.values();
--- a/crates/consensus/src/in_flight.rs
+++ b/crates/consensus/src/in_flight.rs
@@ -10,6 +10,7 @@
     size_bytes: u64,
 }
 
+/// One append with entries: the index of its last entry, and the size of all of them.
 #[derive(Clone, Copy, Debug, Hash)]
 struct Frame {
     last_index: u64,
--- a/crates/consensus/src/interface.rs
+++ b/crates/consensus/src/interface.rs
@@ -22,13 +22,14 @@
     /// member leads.
     Propose(Vec<Vec<u8>>),
     /// Start a new log with these voters: all of them have an empty disk and are given the same
-    /// list.
+    /// list. Ignored unless this member is uninitialized and in the list.
     Bootstrap(Vec<Member>),
     /// Add this process as a learner, which follows the log without a vote; if it is a voter
     /// already, update its address. Ignored unless this member leads.
     AddLearner(Member),
     /// Replace the beginning of the log by a snapshot of the application's state at a committed
-    /// index: entries that the snapshot covers may be dropped.
+    /// index: entries that the snapshot covers may be dropped. Ignored unless the index is beyond
+    /// that of the newest snapshot.
     Compact {
         /// Index of the last entry applied to the state.
         index: u64,
@@ -38,7 +39,9 @@
     /// Relinquish the lease and let a caught-up follower campaign at once. The follower receives
     /// this handover state. Ignored unless this member leads and such a follower exists.
     TransferLeadership(Vec<u8>),
-    /// This member is about to stop: if a learner can replace it, it is removed from the voters.
+    /// Start this member's departure before a planned stop: if a learner can replace it, the leader
+    /// removes it from the voters. [`Consensus::has_departed`](crate::Consensus::has_departed)
+    /// returns whether the departure is complete.
     Depart,
 }
 
--- a/crates/consensus/src/messages.rs
+++ b/crates/consensus/src/messages.rs
@@ -45,8 +45,8 @@
     /// Index up to which the follower's log equals the leader's; absent if the follower refused the
     /// append.
     pub matched: Option<u64>,
-    /// On a refusal, the index from which the leader should continue. Zero if the follower needs a
-    /// snapshot, or if the append was of an earlier term.
+    /// On a refusal, the index from which the leader should continue. Zero if the follower is
+    /// uninitialized and so needs a snapshot, or if the append was of an earlier term.
     pub hint: u64,
     /// Send time of the answered append, in milliseconds of the leader's clock; zero if the append
     /// was of an earlier term.
@@ -91,8 +91,8 @@
     pub done: bool,
     /// Send time of the answered chunk, in milliseconds of the leader's clock.
     pub sent_ms: u64,
-    /// Offset of the answered chunk in the state. If it is larger than `received`, an earlier chunk
-    /// is missing.
+    /// Offset of the answered chunk in the state, in bytes. If it is larger than the number of bytes
+    /// received without a gap, an earlier chunk is missing.
     #[serde(default)]
     pub offset: u64,
 }
@@ -121,8 +121,8 @@
 /// The leader's permission for a member to stop: the log no longer depends on that member.
 #[derive(Clone, Copy, Debug, Hash, Serialize, Deserialize)]
 pub struct DepartureGranted {
-    /// Last index that the departing member announced: the remaining members have all entries of
-    /// the leader's log up to it.
+    /// Last index that the departing member announced: the responsive voters that remain have all
+    /// entries of the leader's log up to it.
     pub last_index: u64,
 }
 
--- a/crates/consensus/src/persistent_state.rs
+++ b/crates/consensus/src/persistent_state.rs
@@ -33,7 +33,7 @@
 pub struct RecoveredState {
     /// Term of the last hard state, or zero.
     pub term: u64,
-    /// Candidate voted for in the last hard state; absent if there was none.
+    /// Candidate voted for in the last hard state; absent without a vote or a hard state.
     pub voted_for: Option<MemberId>,
     /// The newest complete snapshot on the disk.
     pub snapshot: Option<Arc<Snapshot>>,
@@ -54,8 +54,8 @@
         /// Index of the first entry to remove.
         from: u64,
     },
-    /// Replaces everything on the disk by a snapshot and the entries after it, which are written to
-    /// a slot of their own.
+    /// Replaces everything on the disk by a snapshot, the hard state and the entries after the
+    /// snapshot. The previous state stays on the disk until the new one is synced.
     Slot {
         /// The newest snapshot, complete.
         snapshot: Arc<Snapshot>,
--- a/crates/consensus/src/raft_log.rs
+++ b/crates/consensus/src/raft_log.rs
@@ -1,5 +1,5 @@
-//! The part of the log that is in memory: entries after a base, and the configurations that apply
-//! to them.
+//! The part of the log that is in memory: the entries after a base index, which a snapshot covers,
+//! and the configurations that apply to them.
 
 use crate::{Entry, Member, MemberId, Payload, RecoveredState, Snapshot};
 use std::collections::VecDeque;
@@ -78,8 +78,8 @@
         self.entries.iter().skip(skipped).map(|entry| entry.size() as u64).sum()
     }
 
-    /// Returns the lowest base that retains at most `entries` entries and `size_bytes` bytes up to
-    /// `index`.
+    /// Returns the lowest base such that the entries after it, up to `index`, are at most `entries`
+    /// in number and `size_bytes` bytes in total.
     pub fn base_retaining(&self, index: u64, entries: u64, size_bytes: u64) -> u64 {
         let mut base = index.min(self.last_index());
         let mut remaining_bytes = size_bytes;
