--- a/crates/storage/tests/every_power_loss.rs
+++ b/crates/storage/tests/every_power_loss.rs
@@ -69,9 +69,9 @@
     /// Returns whether this state has no older term, no other vote in the same term and no fewer
     /// entries than the other.
     fn covers(&self, other: &MemberState) -> bool {
-        let votes =
+        let retains_term_and_vote =
             self.term > other.term || (self.term, self.voted_for) == (other.term, other.voted_for);
-        votes && self.last_index >= other.last_index
+        retains_term_and_vote && self.last_index >= other.last_index
     }
 
     fn of(recovered: &RecoveredState) -> MemberState {
@@ -103,16 +103,20 @@
     run
 }
 
+/// How far a run of the script came.
 struct ScriptRun {
+    /// Whether the storage was created.
     created: bool,
+    /// The state after the last group whose sync returned.
     acknowledged: MemberState,
+    /// The state after the last group that was requested.
     requested: MemberState,
-    /// The script ended before the power was lost.
+    /// Whether the script ended before the power was lost.
     complete: bool,
 }
 
-/// Returns a copy of the disk after a loss of power for every combination of what survives, with
-/// the combination as a bit mask.
+/// Returns a copy of the disk after a loss of power for each combination of unsynced names and
+/// writes that survive, with the combination as a bit mask.
 fn power_loss_survivors(disk: &SimDisk) -> impl Iterator<Item = (u64, SimDisk)> {
     let unsynced = disk.unsynced();
     assert!(
@@ -131,7 +135,7 @@
 fn recover(disk: &SimDisk, context: &str) -> (Storage<SimDisk>, MemberState) {
     match open(disk.clone()).unwrap() {
         Opened::Recovered { storage, recovered } => {
-            assert_eq!(storage.id(), MEMBER, "{context}");
+            assert_eq!(storage.id(), MEMBER, "{context}: another member was recovered");
             let indexes: Vec<u64> = recovered.entries.iter().map(|entry| entry.index).collect();
             let first = indexes.first().copied().unwrap_or(1);
             let in_order = (first..).take(indexes.len()).collect::<Vec<_>>();
@@ -139,7 +143,7 @@
             (storage, MemberState::of(&recovered))
         }
         Opened::Empty(_) => panic!("{context}: opened as empty"),
-        Opened::Damaged { damage, .. } => panic!("{context}: {damage}"),
+        Opened::Damaged { damage, .. } => panic!("{context}: opened as damaged: {damage}"),
     }
 }
 
@@ -176,7 +180,7 @@
             let (_, recovered_state) = recover(&survivor.copy(), &context);
             assert!(
                 recovered_state.covers(&run.acknowledged),
-                "{context}: {recovered_state:?} for {:?}",
+                "{context}: {recovered_state:?} was recovered, {:?} was acknowledged",
                 run.acknowledged
             );
             assert!(
@@ -210,7 +214,7 @@
                     let (_, recovered_state) = recover(&after, &context);
                     assert!(
                         recovered_state.covers(&run.acknowledged),
-                        "{context}: {recovered_state:?} for {:?}",
+                        "{context}: {recovered_state:?} was recovered, {:?} was acknowledged",
                         run.acknowledged
                     );
                 }
@@ -241,7 +245,11 @@
                 let context = format!("{damaged}, {fuse} operations, surviving {mask:b}");
                 match open(survivor).unwrap() {
                     Opened::Recovered { storage, .. } => {
-                        assert_eq!(storage.id(), NEW_MEMBER, "{context}")
+                        assert_eq!(
+                            storage.id(),
+                            NEW_MEMBER,
+                            "{context}: another member was recovered"
+                        )
                     }
                     _ => assert!(!created, "{context}: the new member is lost"),
                 }
--- a/crates/storage/tests/full.rs
+++ b/crates/storage/tests/full.rs
@@ -35,7 +35,7 @@
     match open(disk.clone()).unwrap() {
         Opened::Recovered { storage, recovered } => (storage, recovered),
         Opened::Empty(_) => panic!("the disk is empty"),
-        Opened::Damaged { damage, .. } => panic!("{damage}"),
+        Opened::Damaged { damage, .. } => panic!("the disk is damaged: {damage}"),
     }
 }
 
@@ -53,13 +53,13 @@
         disk.set_fault_after(operations, DiskFault::Full);
         match storage.apply(group()) {
             Ok(()) => break,
-            Err(WriteError::Failed(error)) => panic!("operation {operations}: {error}"),
+            Err(WriteError::Failed(error)) => panic!("operation {operations} failed: {error}"),
             Err(WriteError::Full(_)) => full_count += 1,
         }
         let repeated = storage.resume();
         assert!(
             matches!(repeated, Err(WriteError::Full(_))),
-            "operation {operations}: {repeated:?}"
+            "operation {operations}: the repeated write returned {repeated:?}"
         );
         disk.set_fault(None);
         storage.resume().unwrap();
@@ -70,7 +70,7 @@
         assert_eq!(
             (indexes, last_index(&recovered_state)),
             (vec![4, 5], 5),
-            "operation {operations}"
+            "operation {operations}: indexes recovered after the loss of power"
         );
     }
     assert!(full_count > 10, "only {full_count} operations met a full disk");
@@ -83,7 +83,7 @@
     storage.apply(vec![append(1)]).unwrap();
     disk.set_fault(Some(DiskFault::Full));
     let Err(error) = open(disk.clone()) else { panic!("a full disk was not reported") };
-    assert!(is_full(&error), "{error}");
+    assert!(is_full(&error), "the error of open is not that of a full disk: {error}");
     disk.set_fault(None);
     assert_eq!(last_index(&reopen(&disk).1), 1);
 }
@@ -159,7 +159,10 @@
         storage.apply(vec![append(1)]).unwrap();
         is_sync_refused.set(true);
         let outcome = storage.apply(vec![write]);
-        assert!(matches!(outcome, Err(WriteError::Failed(_))), "{outcome:?}");
+        assert!(
+            matches!(outcome, Err(WriteError::Failed(_))),
+            "the refused sync returned {outcome:?}"
+        );
     }
 }
 
--- a/crates/storage/tests/golden_bytes.rs
+++ b/crates/storage/tests/golden_bytes.rs
@@ -93,7 +93,11 @@
 fn assert_same_files(folder: &Path, files: impl IntoIterator<Item = &'static str>) {
     for file in files {
         let read = |folder: &Path| std::fs::read(folder.join(file)).expect("the file exists");
-        assert_eq!(to_hex(&read(folder)), to_hex(&read(&fixture())), "{file}");
+        assert_eq!(
+            to_hex(&read(folder)),
+            to_hex(&read(&fixture())),
+            "{file}: the bytes differ from the fixture"
+        );
     }
 }
 
--- a/crates/storage/tests/power.rs
+++ b/crates/storage/tests/power.rs
@@ -13,7 +13,7 @@
     match open(disk.clone()).unwrap() {
         Opened::Recovered { storage, recovered } => (storage, recovered),
         Opened::Empty(_) => panic!("the disk is empty"),
-        Opened::Damaged { damage, .. } => panic!("{damage}"),
+        Opened::Damaged { damage, .. } => panic!("the disk is damaged: {damage}"),
     }
 }
 
@@ -76,16 +76,19 @@
         ]);
         disk.lose_power(&mut random);
         let (storage, recovered) = reopen(&disk);
-        assert_eq!(storage.id(), 9, "seed {seed}");
+        assert_eq!(storage.id(), 9, "seed {seed}: another member was recovered");
         assert!(recovered.term >= durable_term, "seed {seed}: the term is lost");
         let found_index = recovered.entries.last().map_or(0, |entry| entry.index);
         let found_index =
             found_index.max(recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index));
         assert!(
             found_index >= last_index,
-            "seed {seed}: {found_index} of {last_index} entries, {outcome:?}"
+            "seed {seed}: entries up to {found_index} of {last_index}, last write {outcome:?}"
+        );
+        assert!(
+            found_index <= last_index + 1,
+            "seed {seed}: an entry was recovered that was never requested"
         );
-        assert!(found_index <= last_index + 1, "seed {seed}: an entry that was never requested");
     }
 }
 
@@ -113,7 +116,10 @@
         let at = if file.starts_with("log") { 150 } else { 30 };
         disk.damage(file, at);
         match open(disk.clone()).unwrap() {
-            Opened::Damaged { damage, .. } => assert!(is_current, "{file}: {damage}"),
+            Opened::Damaged { damage, .. } => assert!(
+                is_current,
+                "{file}: not of the current generation, but reported as {damage}"
+            ),
             Opened::Recovered { recovered, .. } => {
                 assert!(!is_current, "{file}: the damage was not detected");
                 assert_eq!(recovered.entries.len(), 5);
@@ -155,7 +161,11 @@
                 state.entries.iter().map(|entry| entry.index).collect::<Vec<_>>()
             };
             let expected: Vec<u64> = (1..=next_index).collect();
-            assert_eq!(indexes(&durable), expected, "{fault:?}, slot {with_slot}");
+            assert_eq!(
+                indexes(&durable),
+                expected,
+                "{fault:?}, slot {with_slot}: recovered indexes"
+            );
         }
     }
 }
