--- a/crates/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -1,4 +1,4 @@
-//! Membership changes: when a learner takes the seat of an unresponsive voter.
+//! Membership changes: when a learner replaces an unresponsive voter.
 
 use postbarrow_consensus::*;
 use postbarrow_constants::consensus::*;
--- a/crates/consensus/tests/replacement/cluster.rs
+++ b/crates/consensus/tests/replacement/cluster.rs
@@ -18,7 +18,7 @@
 pub struct Machine {
     pub node: Option<Consensus>,
     pub disk: RecoveredState,
-    /// Unsynced writes with their sequences.
+    /// Unsynced writes with their sequence numbers.
     pub writes: VecDeque<(u64, Write)>,
     /// Time at which the sync in progress ends; `None` without one.
     pub synced_at_ms: Option<u64>,
@@ -86,7 +86,11 @@
             cluster.handle_input(id, Input::Compact { index, state });
         }
         cluster.run_ms(500);
-        assert!(cluster.acknowledged.len() as u64 >= CHANGES, "{}", cluster.acknowledged.len());
+        assert!(
+            cluster.acknowledged.len() as u64 >= CHANGES,
+            "only {} changes were acknowledged",
+            cluster.acknowledged.len()
+        );
         cluster
     }
 
@@ -131,6 +135,7 @@
         self.partitioned.insert(id);
     }
 
+    /// Ends all partitions.
     pub fn heal(&mut self) {
         self.partitioned.clear();
     }
--- a/crates/consensus/tests/replacement/main.rs
+++ b/crates/consensus/tests/replacement/main.rs
@@ -12,15 +12,16 @@
 /// The catch-up time and the dead-voter timeout that follows from it, in milliseconds, of a small
 /// deployment.
 const SMALL: (u64, u64) = (4_000, 2_000);
-/// The catch-up time and the dead-voter timeout, in milliseconds, of a grown deployment.
-const GROWN: (u64, u64) = (6_000, 3_000);
+/// The catch-up time and the dead-voter timeout that follows from it, in milliseconds, of a large
+/// deployment.
+const LARGE: (u64, u64) = (6_000, 3_000);
 /// Time from the loss of voters to the start of the uninitialized processes that replace them.
 const REPLACEMENT_START_MS: u64 = 1_000;
 /// Longest time from a loss until there is a leader again: the timeout, two elections and a
 /// replacement.
 const SERVICE_MS: u64 = 3_000;
 /// Numbers of voters, each with the catch-up time and the dead-voter timeout of its deployment.
-const SIZES: [(u64, (u64, u64)); 3] = [(3, SMALL), (5, GROWN), (7, GROWN)];
+const SIZES: [(u64, (u64, u64)); 3] = [(3, SMALL), (5, LARGE), (7, LARGE)];
 
 /// Returns `count` voters, the leader first if `with_leader`, and without it otherwise.
 fn voters_to_lose(cluster: &Cluster, count: u64, with_leader: bool) -> Vec<u64> {
--- a/crates/consensus/tests/replacement/planned.rs
+++ b/crates/consensus/tests/replacement/planned.rs
@@ -1,11 +1,11 @@
-//! Planned departures of a voter, with or without a learner that takes its seat.
+//! Planned departures of a voter, with or without a learner that replaces it.
 
 use crate::cluster::Cluster;
 use crate::*;
 use std::cell::Cell;
 
 #[test]
-fn a_planned_departure_hands_its_seat_to_a_learner_without_losing_fault_tolerance() {
+fn a_learner_replaces_a_departing_voter_without_loss_of_fault_tolerance() {
     for (voters, (catch_up_ms, dead_ms)) in SIZES {
         for with_leader in [false, true] {
             let mut cluster = Cluster::running(voters, dead_ms);
@@ -27,13 +27,16 @@
                     end_ms.unwrap_or_else(|| panic!("{when}: the departing process does not end"));
                 assert_eq!(vulnerable_ms.get(), 0, "{when}: milliseconds without fault tolerance");
                 let voters = cluster.voters();
-                assert!(voters.contains(&learner) && !voters.contains(&departing), "{when}");
+                assert!(
+                    voters.contains(&learner) && !voters.contains(&departing),
+                    "{when}: the learner did not replace the departing voter"
+                );
                 assert!(
                     cluster.tolerates_another_loss(),
                     "{when}: no fault tolerance after the departure"
                 );
                 println!(
-                    "planned: {when}: seat taken and process ended {end_ms} ms after the request"
+                    "planned: {when}: replaced and process ended {end_ms} ms after the request"
                 );
                 cluster.run_ms(catch_up_ms - 1_000 - end_ms);
                 let next = cluster.leader().unwrap();
@@ -49,27 +52,27 @@
 /// The departing member is granted its departure before the learner is known, and is replaced
 /// without waiting for the dead-voter timeout.
 #[test]
-fn a_learner_started_with_the_departure_is_seated_before_the_dead_voter_timeout() {
+fn a_learner_started_with_the_departure_becomes_a_voter_before_the_dead_voter_timeout() {
     for with_leader in [false, true] {
         let mut cluster = Cluster::running(3, SMALL.1);
         let departing = voters_to_lose(&cluster, 1, with_leader)[0];
         cluster.stop(departing);
         cluster.run_ms(50);
         cluster.start(30);
-        let has_seat = |cluster: &Cluster| {
+        let has_replaced = |cluster: &Cluster| {
             let voters = cluster.voters();
             voters.contains(&30) && !voters.contains(&departing)
         };
-        let vote_ms = cluster.run_until(1_500, has_seat);
+        let vote_ms = cluster.run_until(1_500, has_replaced);
         println!(
             "stop and start at once: leader {with_leader}: learner is a voter after {vote_ms:?} ms"
         );
-        assert!(vote_ms.is_some(), "leader {with_leader}: {:?}", cluster.voters());
+        assert!(vote_ms.is_some(), "leader {with_leader}: the voters are {:?}", cluster.voters());
     }
 }
 
 #[test]
-fn a_restart_without_a_learner_changes_no_member() {
+fn a_restart_without_a_learner_leaves_the_voters_unchanged() {
     for with_leader in [false, true] {
         let mut cluster = Cluster::running(3, SMALL.1);
         for _ in 0..4 {
@@ -143,9 +146,9 @@
 }
 
 /// The leader is lost during a planned departure: the log must not depend on the departing member's
-/// seat.
+/// vote.
 #[test]
-fn a_leader_lost_at_any_time_of_a_departure_costs_no_service() {
+fn service_continues_after_a_leader_loss_at_any_time_of_a_departure() {
     for after_ms in (0..=120).step_by(10) {
         let mut cluster = Cluster::running(3, SMALL.1);
         let when = format!("leader lost {after_ms} ms after the stop");
@@ -164,13 +167,13 @@
         cluster.start(31);
         cluster.run_ms(SMALL.0);
         let voters = cluster.voters();
-        assert!(voters.contains(&30) && voters.contains(&31), "{when}: {voters:?}");
+        assert!(voters.contains(&30) && voters.contains(&31), "{when}: the voters are {voters:?}");
     }
 }
 
 #[test]
 fn all_remaining_members_have_what_a_departed_member_acknowledged() {
-    for (voters, dead_ms) in [(3, SMALL.1), (5, GROWN.1)] {
+    for (voters, dead_ms) in [(3, SMALL.1), (5, LARGE.1)] {
         let mut cluster = Cluster::running(voters, dead_ms);
         for change_ms in [1, 3, 10] {
             cluster.change_ms = change_ms;
@@ -201,7 +204,7 @@
 }
 
 #[test]
-fn learners_lost_during_a_departure_cost_no_service() {
+fn service_continues_after_learners_are_lost_during_a_departure() {
     for voters in [3, 5] {
         for after_ms in [20, 250, 500, 620, 650, 700, 2_100, 2_200] {
             let mut cluster = Cluster::running(voters, SMALL.1);
@@ -220,8 +223,12 @@
             cluster.assert_serves(SERVICE_MS, &when);
             cluster.start(32);
             cluster.run_ms(2 * SMALL.0);
-            assert!(cluster.voters().contains(&32), "{when}: {:?}", cluster.voters());
-            assert_eq!(cluster.voters().len() as u64, voters, "{when}");
+            assert!(
+                cluster.voters().contains(&32),
+                "{when}: the voters are {:?}",
+                cluster.voters()
+            );
+            assert_eq!(cluster.voters().len() as u64, voters, "{when}: number of voters");
             let next = cluster.leader().unwrap();
             cluster.kill(next);
             cluster.assert_serves(SERVICE_MS, &when);
--- a/crates/consensus/tests/replacement/unplanned.rs
+++ b/crates/consensus/tests/replacement/unplanned.rs
@@ -34,37 +34,40 @@
             "fault tolerance: {voters} voters, {} lost: returned after {vulnerable_ms} ms",
             lost_ids.len()
         );
-        assert!(vulnerable_ms <= dead_ms + 200, "{voters} voters: {vulnerable_ms} ms");
+        assert!(
+            vulnerable_ms <= dead_ms + 200,
+            "{voters} voters: no fault tolerance for {vulnerable_ms} ms"
+        );
     }
 }
 
 /// Guards against a replacement that adds the learner before it removes the dead voter: of these
 /// four voters, no majority would be left if the learner were lost too (seed 511).
 #[test]
-fn a_learner_lost_at_any_time_of_a_replacement_costs_no_majority() {
-    let has_seat = |cluster: &Cluster| cluster.voters().contains(&30);
-    let run_until_seated = |max_ms: u64| {
+fn a_majority_remains_when_a_learner_is_lost_at_any_time_of_a_replacement() {
+    let is_learner_voter = |cluster: &Cluster| cluster.voters().contains(&30);
+    let run_until_learner_votes = |max_ms: u64| {
         let mut cluster = Cluster::running(3, SMALL.1);
         let lost_id = voters_to_lose(&cluster, 1, false)[0];
         cluster.kill(lost_id);
         cluster.start(30);
-        let seated_ms = cluster.run_until(max_ms, has_seat);
-        (cluster, seated_ms)
+        let promotion_ms = cluster.run_until(max_ms, is_learner_voter);
+        (cluster, promotion_ms)
     };
-    let seated_ms = run_until_seated(SMALL.0).1.expect("the learner takes the seat");
+    let promotion_ms = run_until_learner_votes(SMALL.0).1.expect("the learner becomes a voter");
     for before_ms in 0..40 {
-        let (mut cluster, _) = run_until_seated(seated_ms - before_ms);
+        let (mut cluster, _) = run_until_learner_votes(promotion_ms - before_ms);
         cluster.kill(30);
-        let when = format!("learner lost {before_ms} ms before it would be seated");
+        let when = format!("learner lost {before_ms} ms before it would become a voter");
         cluster.assert_serves(SERVICE_MS, &when);
         cluster.start(31);
         cluster.run_ms(SMALL.0);
-        assert!(cluster.voters().contains(&31), "{when}: {:?}", cluster.voters());
+        assert!(cluster.voters().contains(&31), "{when}: the voters are {:?}", cluster.voters());
     }
 }
 
 #[test]
-fn a_partitioned_voter_retains_its_seat_without_a_learner_and_rejoins_with_one() {
+fn a_partitioned_voter_stays_a_voter_without_a_learner_and_rejoins_if_it_was_replaced() {
     for learner_is_waiting in [false, true] {
         let mut cluster = Cluster::running(3, SMALL.1);
         if learner_is_waiting {
@@ -78,7 +81,7 @@
         cluster.heal();
         cluster.run_ms(3_000);
         let voters = cluster.voters();
-        assert_eq!(voters == before, !learner_is_waiting, "{voters:?}");
+        assert_eq!(voters == before, !learner_is_waiting, "the voters are {voters:?}");
         assert_eq!(voters.len(), 3);
         let next = voters_to_lose(&cluster, 1, true)[0];
         cluster.kill(next);
@@ -87,7 +90,7 @@
         if learner_is_waiting {
             assert!(
                 cluster.voters().contains(&partitioned),
-                "the removed voter did not get a seat again"
+                "the removed voter did not become a voter again"
             );
         }
     }
