--- a/crates/consensus/tests/disk_health.rs
+++ b/crates/consensus/tests/disk_health.rs
@@ -1,4 +1,5 @@
-//! A member with a stalled disk neither votes nor campaigns, and soon gives up leadership.
+//! A member with a stalled disk neither votes nor campaigns; if it leads, it transfers leadership or
+//! steps down.
 
 use postbarrow_consensus::*;
 use postbarrow_constants::consensus::*;
@@ -15,11 +16,12 @@
     now_ms: u64,
     /// The member whose disk is stalled, if any.
     stalled: Option<u64>,
-    /// Sequences of the stalled member's unsynced writes.
+    /// Sequence numbers of the stalled member's unsynced writes.
     unsynced: Vec<u64>,
-    /// Votes requested or granted by the stalled member since its disk stalled.
+    /// Number of messages by which the stalled member requested or granted votes or pre-votes since
+    /// its disk stalled.
     vote_messages: usize,
-    /// Number of messages that the newest input of a test caused directly.
+    /// Number of messages that the member sent in direct response to the newest input of a test.
     direct_messages: usize,
 }
 
@@ -109,7 +111,7 @@
 }
 
 #[test]
-fn a_disk_that_syncs_within_the_bound_is_not_stalled() {
+fn a_disk_is_stalled_only_while_a_write_is_unsynced_beyond_the_limit() {
     let mut cluster = ThreeVoters::led_by_member_1();
     cluster.stall(1);
     cluster.tick(DISK_STALL_MS - TICK_MS);
@@ -175,7 +177,7 @@
     let leader = cluster.leader().expect("there is a leader");
     assert!(
         cluster.node(leader).lease_until() > cluster.now_ms,
-        "the former leader's lease was relinquished for the term"
+        "no leader has a lease: the former one relinquished its own for the term"
     );
 }
 
@@ -185,7 +187,11 @@
     cluster.stall(3);
     cluster.tick(DISK_STALL_MS + 2 * TICK_MS);
     assert!(cluster.node(3).is_disk_stalled());
-    assert_eq!(cluster.leader(), Some(1), "the other members are affected");
+    assert_eq!(
+        cluster.leader(),
+        Some(1),
+        "member 1 no longer leads although only the disk of member 3 is stalled"
+    );
     let (term, last) = (cluster.node(3).term() + 5, cluster.node(3).last_index() + 5);
     for leadership_transfer in [false, true] {
         let request = VoteRequest {
@@ -208,7 +214,10 @@
                         }
                 )
             };
-            assert!(effects.iter().find(is_grant).is_none(), "{effects:?}");
+            assert!(
+                effects.iter().find(is_grant).is_none(),
+                "member 3 granted a vote: {effects:?}"
+            );
         }
     }
     for _ in 0..2 * ELECTION_MIN_MS / TICK_MS {
--- a/crates/consensus/tests/durable.rs
+++ b/crates/consensus/tests/durable.rs
@@ -36,7 +36,7 @@
         }
     }
     let effects = learner.handle(1_600, Input::Synced(write_sequence));
-    assert_eq!(sent_count(&effects), 2, "both chunks are acknowledged after the sync");
+    assert_eq!(sent_count(&effects), 2, "both chunks must be acknowledged after the sync");
 }
 
 #[test]
--- a/crates/consensus/tests/leadership_transfer.rs
+++ b/crates/consensus/tests/leadership_transfer.rs
@@ -65,7 +65,11 @@
     cluster.handle_input(1, Input::Tick);
     assert!(cluster.node(1).lease_until() > cluster.now_ms);
     let effects = cluster.nodes[0].handle(cluster.now_ms, Input::TransferLeadership(vec![9]));
-    assert_eq!(cluster.node(1).lease_until(), 0, "no lease while leadership is being transferred");
+    assert_eq!(
+        cluster.node(1).lease_until(),
+        0,
+        "the leader has a lease while leadership is being transferred"
+    );
     let Some(Effect::Send { to, message }) = effects.into_iter().next() else {
         panic!("the leader sent no message")
     };
@@ -100,7 +104,10 @@
             cluster.now_ms,
             Input::Receive { from: member(from), message: Message::TimeoutNow(request) },
         );
-        assert!(effects.is_empty(), "from {from}, term {term}: {effects:?}");
+        assert!(
+            effects.is_empty(),
+            "TimeoutNow from member {from} in term {term} was not ignored: {effects:?}"
+        );
     }
     let vote = VoteRequest {
         term: 2,
@@ -114,7 +121,7 @@
         cluster.nodes[1].handle(cluster.now_ms, Input::Receive { from: member(3), message });
     assert!(
         effects.is_empty(),
-        "a voter is bound to its leader unless that leader transfers leadership"
+        "the voter responded although its leader does not transfer leadership"
     );
 }
 
--- a/crates/consensus/tests/votes.rs
+++ b/crates/consensus/tests/votes.rs
@@ -1,4 +1,4 @@
-//! Votes: when a voter grants or refuses one, and when it is bound to a leader.
+//! Votes: when a voter grants or refuses one, and when it withholds its vote because of a leader.
 
 use postbarrow_consensus::*;
 use postbarrow_constants::consensus::{ELECTION_MIN_MS, LEADER_LEASE_MS};
@@ -65,27 +65,30 @@
     let mut node = voter(START_MS, HardState::default());
     let last_contact_ms = START_MS + 5_000;
     receive(&mut node, last_contact_ms, 2, append(1));
-    let last_bound_ms = last_contact_ms + ELECTION_MIN_MS - 1;
+    let last_withheld_ms = last_contact_ms + ELECTION_MIN_MS - 1;
     assert!(
-        last_bound_ms > last_contact_ms + LEADER_LEASE_MS,
-        "the leader's lease must end before the voter is free to vote"
+        last_withheld_ms > last_contact_ms + LEADER_LEASE_MS,
+        "the leader's lease must end before the voter no longer withholds its vote"
     );
-    let early = receive(&mut node, last_bound_ms, 3, Message::PreVote(vote_request(2)));
+    let early = receive(&mut node, last_withheld_ms, 3, Message::PreVote(vote_request(2)));
     assert_eq!(granted(&early), Some(false));
-    let early = receive(&mut node, last_bound_ms, 3, Message::Vote(vote_request(2)));
-    assert!(early.is_empty(), "the voter responds or adopts the term");
-    let due = receive(&mut node, last_bound_ms + 1, 3, Message::PreVote(vote_request(2)));
+    let early = receive(&mut node, last_withheld_ms, 3, Message::Vote(vote_request(2)));
+    assert!(
+        early.is_empty(),
+        "the voter responded although it must ignore the request and its term"
+    );
+    let due = receive(&mut node, last_withheld_ms + 1, 3, Message::PreVote(vote_request(2)));
     assert_eq!(granted(&due), Some(true));
 }
 
 #[test]
 fn a_restarted_voter_grants_no_vote_before_the_election_timeout() {
     let mut node = voter(START_MS, HardState::default());
-    let last_bound_ms = START_MS + ELECTION_MIN_MS - 1;
-    assert!(receive(&mut node, last_bound_ms, 3, Message::Vote(vote_request(2))).is_empty());
-    let due = receive(&mut node, last_bound_ms + 1, 3, Message::Vote(vote_request(2)));
-    assert_eq!(granted(&due), None, "no response before the vote is on disk");
-    assert_eq!(granted(&sync(&mut node, last_bound_ms + 2, &due)), Some(true));
+    let last_withheld_ms = START_MS + ELECTION_MIN_MS - 1;
+    assert!(receive(&mut node, last_withheld_ms, 3, Message::Vote(vote_request(2))).is_empty());
+    let due = receive(&mut node, last_withheld_ms + 1, 3, Message::Vote(vote_request(2)));
+    assert_eq!(granted(&due), None, "the voter responded before its vote is on disk");
+    assert_eq!(granted(&sync(&mut node, last_withheld_ms + 2, &due)), Some(true));
 }
 
 #[test]
@@ -93,7 +96,11 @@
     let now_ms = START_MS + ELECTION_MIN_MS;
     let mut node = voter(START_MS, HardState { term: 4, voted_for: Some(2) });
     let other = receive(&mut node, now_ms, 3, Message::Vote(vote_request(4)));
-    assert_eq!(granted(&other), Some(false), "the voter voted for member 2 in this term");
+    assert_eq!(
+        granted(&other),
+        Some(false),
+        "the voter voted for member 2 in this term and must refuse member 3"
+    );
     let again = receive(&mut node, now_ms, 2, Message::Vote(vote_request(4)));
     assert_eq!(granted(&sync(&mut node, now_ms, &again)), Some(true));
 }
@@ -149,60 +156,63 @@
     let mut node = voter(START_MS, HardState::default());
     let round =
         probe_round(&node.handle(START_MS + 20, Input::Tick)).expect("the voter probes at once");
-    let denial = |round| Message::LeaderProbeResponse { term: 0, round, not_leading: true };
+    let not_leading_report =
+        |round| Message::LeaderProbeResponse { term: 0, round, not_leading: true };
     assert!(
-        receive(&mut node, START_MS + 21, 2, denial(round)).is_empty(),
-        "only one of two others has denied"
+        receive(&mut node, START_MS + 21, 2, not_leading_report(round)).is_empty(),
+        "the voter campaigns although only one of two others reported that it does not lead"
     );
-    let campaign = receive(&mut node, START_MS + 22, 3, denial(round));
+    let campaign = receive(&mut node, START_MS + 22, 3, not_leading_report(round));
     let is_leaderless_pre_vote = |effect: &Effect| matches!(effect, Effect::Send { message: Message::PreVote(request), .. } if request.leaderless);
     assert!(
         campaign.iter().any(is_leaderless_pre_vote),
-        "both others denied that they lead in one round"
+        "the voter does not campaign although both others reported in one round"
     );
     let mut node = voter(START_MS, HardState::default());
     let first = probe_round(&node.handle(START_MS + 20, Input::Tick)).unwrap();
     let second = probe_round(&node.handle(START_MS + 120, Input::Tick)).unwrap();
-    assert!(receive(&mut node, START_MS + 121, 2, denial(first)).is_empty());
+    assert!(receive(&mut node, START_MS + 121, 2, not_leading_report(first)).is_empty());
     assert!(
-        receive(&mut node, START_MS + 122, 3, denial(second)).is_empty(),
-        "the denials are of two rounds"
+        receive(&mut node, START_MS + 122, 3, not_leading_report(second)).is_empty(),
+        "the voter campaigns although the reports are of two rounds"
     );
     let may_lead = Message::LeaderProbeResponse { term: 0, round: second, not_leading: false };
     assert!(
         receive(&mut node, START_MS + 123, 2, may_lead).is_empty(),
-        "member 2 does not deny that it leads"
+        "the voter campaigns although member 2 may lead"
     );
 }
 
 #[test]
-fn a_voter_contacted_by_a_leader_after_its_denial_refuses_a_leaderless_vote() {
+fn a_voter_contacted_by_a_leader_after_its_probe_response_refuses_a_leaderless_vote() {
     let mut node = voter(START_MS, HardState::default());
-    let bound_ms = START_MS + 100;
+    let withheld_ms = START_MS + 100;
     assert_eq!(
-        granted(&receive(&mut node, bound_ms, 3, Message::PreVote(leaderless_request(2)))),
+        granted(&receive(&mut node, withheld_ms, 3, Message::PreVote(leaderless_request(2)))),
         Some(false)
     );
-    receive(&mut node, bound_ms, 3, Message::LeaderProbe { term: 0, round: 1 });
+    receive(&mut node, withheld_ms, 3, Message::LeaderProbe { term: 0, round: 1 });
     assert_eq!(
-        granted(&receive(&mut node, bound_ms, 3, Message::PreVote(vote_request(2)))),
+        granted(&receive(&mut node, withheld_ms, 3, Message::PreVote(vote_request(2)))),
         Some(false)
     );
     assert_eq!(
-        granted(&receive(&mut node, bound_ms, 3, Message::PreVote(leaderless_request(2)))),
+        granted(&receive(&mut node, withheld_ms, 3, Message::PreVote(leaderless_request(2)))),
         Some(true)
     );
-    receive(&mut node, bound_ms + 1, 2, append(1));
+    receive(&mut node, withheld_ms + 1, 2, append(1));
     assert_eq!(
-        granted(&receive(&mut node, bound_ms, 3, Message::PreVote(leaderless_request(2)))),
+        granted(&receive(&mut node, withheld_ms, 3, Message::PreVote(leaderless_request(2)))),
         Some(false)
     );
-    assert!(receive(&mut node, bound_ms + 2, 3, Message::Vote(leaderless_request(2))).is_empty());
-    receive(&mut node, bound_ms + 3, 3, Message::LeaderProbe { term: 0, round: 2 });
-    receive(&mut node, bound_ms + 4, 2, append(1));
     assert!(
-        receive(&mut node, bound_ms + 5, 3, Message::Vote(leaderless_request(2))).is_empty(),
-        "a leader contacted the voter after its denial"
+        receive(&mut node, withheld_ms + 2, 3, Message::Vote(leaderless_request(2))).is_empty()
+    );
+    receive(&mut node, withheld_ms + 3, 3, Message::LeaderProbe { term: 0, round: 2 });
+    receive(&mut node, withheld_ms + 4, 2, append(1));
+    assert!(
+        receive(&mut node, withheld_ms + 5, 3, Message::Vote(leaderless_request(2))).is_empty(),
+        "the voter responded although a leader contacted it after its probe response"
     );
 }
 
@@ -218,26 +228,33 @@
     let mut node = Consensus::new(1, recovered, 8, START_MS + 1);
     let round =
         probe_round(&node.handle(START_MS + 1, Input::Tick)).expect("the voter probes again");
-    let denial = |round| Message::LeaderProbeResponse { term: 0, round, not_leading: true };
-    assert!(receive(&mut node, START_MS + 2, 2, denial(round)).is_empty());
-    let late = receive(&mut node, START_MS + 3, 3, denial(earlier));
-    assert!(late.is_empty(), "member 3 may have become leader since its response");
-    let campaign = receive(&mut node, START_MS + 4, 3, denial(round));
-    assert!(!campaign.is_empty(), "both others denied in one round of this incarnation");
+    let not_leading_report =
+        |round| Message::LeaderProbeResponse { term: 0, round, not_leading: true };
+    assert!(receive(&mut node, START_MS + 2, 2, not_leading_report(round)).is_empty());
+    let late = receive(&mut node, START_MS + 3, 3, not_leading_report(earlier));
+    assert!(
+        late.is_empty(),
+        "the voter campaigns although member 3 may have become leader since its response"
+    );
+    let campaign = receive(&mut node, START_MS + 4, 3, not_leading_report(round));
+    assert!(
+        !campaign.is_empty(),
+        "the voter does not campaign although both others reported in one round"
+    );
 }
 
 #[test]
 fn a_probe_response_from_before_a_leader_contact_is_ignored() {
     let mut node = voter(START_MS, HardState::default());
     let round = probe_round(&node.handle(START_MS, Input::Tick)).expect("the voter probes at once");
-    let denial = |term| Message::LeaderProbeResponse { term, round, not_leading: true };
-    assert!(receive(&mut node, START_MS + 1, 3, denial(0)).is_empty());
+    let not_leading_report = |term| Message::LeaderProbeResponse { term, round, not_leading: true };
+    assert!(receive(&mut node, START_MS + 1, 3, not_leading_report(0)).is_empty());
     receive(&mut node, START_MS + 2, 3, append(1));
     let refused =
         Message::AppendResponse(AppendResponse { term: 2, matched: None, hint: 0, sent_ms: 0 });
     receive(&mut node, START_MS + 3, 2, refused);
     assert!(
-        receive(&mut node, START_MS + 4, 2, denial(1)).is_empty(),
-        "member 3 led after its response"
+        receive(&mut node, START_MS + 4, 2, not_leading_report(1)).is_empty(),
+        "the voter campaigns although member 3 led after its response"
     );
 }
