--- a/crates/consensus/tests/cluster/mod.rs
+++ b/crates/consensus/tests/cluster/mod.rs
@@ -23,8 +23,8 @@
 
 enum Event {
     Deliver { from: u64, to: u64, message: Message },
-    Synced { at: u64, incarnation: u64, sequence: u64, writes: Vec<Write> },
-    Tick { at: u64, incarnation: u64 },
+    Synced { member_id: u64, incarnation: u64, sequence: u64, writes: Vec<Write> },
+    Tick { member_id: u64, incarnation: u64 },
 }
 
 #[derive(Default)]
@@ -133,10 +133,10 @@
         machine.applied = Applied::decode(&state);
         machine.node = Some(Consensus::new(id, durable, id, now_ms));
         let incarnation = machine.incarnation;
-        self.schedule(0, Event::Tick { at: id, incarnation });
+        self.schedule(0, Event::Tick { member_id: id, incarnation });
     }
 
-    /// Ends a member's process; its unsynced writes are lost.
+    /// Ends a member's process at once; its unsynced writes are lost.
     pub fn stop(&mut self, id: u64) {
         let machine = self.machines.get_mut(&id).expect("the id is a member's");
         machine.node = None;
@@ -180,23 +180,28 @@
     pub fn assert_all_converge(&mut self) {
         self.run_ms(5_000);
         let all: Vec<Applied> = self.machines.values().map(|machine| machine.applied).collect();
-        assert!(all.iter().all(|applied| *applied == all[0]), "{all:?}");
+        assert!(
+            all.iter().all(|applied| *applied == all[0]),
+            "members have different states: {all:?}"
+        );
     }
 
     fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Tick { at, incarnation } if self.machines[&at].incarnation == incarnation => {
-                self.handle_input(at, Input::Tick);
-                self.schedule(TICK_US, Event::Tick { at, incarnation });
+            Event::Tick { member_id, incarnation }
+                if self.machines[&member_id].incarnation == incarnation =>
+            {
+                self.handle_input(member_id, Input::Tick);
+                self.schedule(TICK_US, Event::Tick { member_id, incarnation });
             }
-            Event::Synced { at, incarnation, sequence, writes }
-                if self.machines[&at].incarnation == incarnation =>
+            Event::Synced { member_id, incarnation, sequence, writes }
+                if self.machines[&member_id].incarnation == incarnation =>
             {
-                let machine = self.machines.get_mut(&at).expect("the id is a member's");
+                let machine = self.machines.get_mut(&member_id).expect("the id is a member's");
                 machine.syncing = false;
                 writes.into_iter().for_each(|write| apply_write(&mut machine.durable, write));
-                self.handle_input(at, Input::Synced(sequence));
-                self.sync(at);
+                self.handle_input(member_id, Input::Synced(sequence));
+                self.sync(member_id);
             }
             Event::Deliver { from, to, message } => {
                 *self.queued_bytes.entry((from, to)).or_default() -= size_bytes(&message);
@@ -248,23 +253,27 @@
 
     /// Checks that a leader that becomes ready has applied every entry that any member ever
     /// applied.
-    fn check_serving(&mut self, at: u64) {
+    fn check_serving(&mut self, member_id: u64) {
         let newest = self.machines.values().map(|machine| machine.max_applied).max();
-        let machine = self.machines.get_mut(&at).expect("the id is a member's");
+        let machine = self.machines.get_mut(&member_id).expect("the id is a member's");
         let Some(node) = machine.node.as_ref().filter(|node| node.is_ready()) else { return };
         if machine.max_served_term < node.term() {
             machine.max_served_term = node.term();
             assert!(
                 Some(machine.applied.index) >= newest,
-                "member {at} serves with outdated state"
+                "member {member_id} serves with outdated state"
             );
         }
     }
 
-    fn commit(&mut self, at: u64, entries: Vec<Entry>) {
-        let machine = self.machines.get_mut(&at).expect("the id is a member's");
+    fn commit(&mut self, member_id: u64, entries: Vec<Entry>) {
+        let machine = self.machines.get_mut(&member_id).expect("the id is a member's");
         for entry in entries {
-            assert_eq!(entry.index, machine.applied.index + 1, "the member skipped entries");
+            assert_eq!(
+                entry.index,
+                machine.applied.index + 1,
+                "member {member_id} skipped entries"
+            );
             machine.applied.index = entry.index;
             machine.max_applied = machine.max_applied.max(entry.index);
             if let Payload::Batch(bytes) = &entry.payload {
@@ -273,24 +282,24 @@
             let expected_digest = self.digests.entry(entry.index).or_insert(machine.applied.digest);
             assert_eq!(
                 *expected_digest, machine.applied.digest,
-                "member {at} has a different state"
+                "member {member_id} has a different state"
             );
         }
     }
 
-    fn compact(&mut self, at: u64) {
-        let machine = self.machines.get_mut(&at).expect("the id is a member's");
+    fn compact(&mut self, member_id: u64) {
+        let machine = self.machines.get_mut(&member_id).expect("the id is a member's");
         if machine.log_bytes >= self.compact_bytes {
             machine.log_bytes = 0;
             let index = machine.applied.index;
-            let state = machine.applied.encode(at, self.state_bytes);
-            self.handle_input(at, Input::Compact { index, state });
+            let state = machine.applied.encode(member_id, self.state_bytes);
+            self.handle_input(member_id, Input::Compact { index, state });
         }
     }
 
-    fn sync(&mut self, at: u64) {
-        let speed = self.speeds[&at];
-        let machine = self.machines.get_mut(&at).expect("the id is a member's");
+    fn sync(&mut self, member_id: u64) {
+        let speed = self.speeds[&member_id];
+        let machine = self.machines.get_mut(&member_id).expect("the id is a member's");
         let Some((sequence, _)) = machine.unsynced.back().filter(|_| !machine.syncing) else {
             return;
         };
@@ -300,7 +309,7 @@
         let bytes: u64 = writes.iter().map(write_bytes).sum();
         let incarnation = machine.incarnation;
         let duration_us = speed.sync_us + bytes * 1_000_000 / speed.disk;
-        self.schedule(duration_us, Event::Synced { at, incarnation, sequence, writes });
+        self.schedule(duration_us, Event::Synced { member_id, incarnation, sequence, writes });
     }
 
     fn transmit(&mut self, from: u64, to: u64, message: Message) {
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -158,7 +158,7 @@
 /// Machine 2 was partitioned until its election timeout passed; the other follower was just
 /// contacted by the leader.
 #[test]
-fn a_voter_in_contact_with_its_leader_is_bound() {
+fn votes_withheld_after_a_leader_contact_are_safe() {
     let mut prepared = Prepared::with_leader();
     prepared.perform(Action::Isolate(Isolation { at: 2, paused: false }));
     prepared
@@ -166,7 +166,7 @@
         .perform(Action::Tick(0));
     prepared.deliver_all().perform(Action::Rejoin);
     let remaining = Bounds { ticks: 2, crashes: 2, pauses: 1, delays: 1, ..Bounds::default() };
-    model("bound voter", rules()).search(prepared.with_bounds(remaining));
+    model("withheld vote", rules()).search(prepared.with_bounds(remaining));
 }
 
 /// Machine 0 has an uncommitted entry that the next leader, machine 1, overwrites.
@@ -274,7 +274,7 @@
     for _ in 0..VOTER_DEAD_MS / HEARTBEAT_MS {
         prepared.heartbeat(&[]);
     }
-    prepared.perform(Action::Compact(0)).perform(Action::Learner(0, 2)).heartbeat(&[]);
+    prepared.perform(Action::Compact(0)).perform(Action::AddLearner(0, 2)).heartbeat(&[]);
     prepared.perform(Action::Advance(LEARNER_STANDBY_MS)).heartbeat(&[]);
     let remaining = Bounds {
         ticks: 4,
--- a/crates/consensus/tests/exhaustive/actions.rs
+++ b/crates/consensus/tests/exhaustive/actions.rs
@@ -5,6 +5,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
+/// An event that may occur next. A number without a description is the index of a machine.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// The oldest message in flight arrives.
@@ -27,8 +28,8 @@
     Propose(usize),
     TransferLeadership(usize),
     Compact(usize),
-    /// The first machine, the leader, receives the request of the second to become a learner.
-    Learner(usize, usize),
+    /// The first machine, which leads, receives the request of the second to become a learner.
+    AddLearner(usize, usize),
     /// The clock advances by so many milliseconds.
     Advance(u64),
 }
@@ -130,7 +131,7 @@
         );
         for (other, candidate) in self.machines.iter().enumerate() {
             let can_join = candidate.replaced_id.is_some() && is_leader && remaining.learners > 0;
-            offer(can_join, Action::Learner(at, other));
+            offer(can_join, Action::AddLearner(at, other));
         }
     }
 
@@ -160,7 +161,7 @@
             | Action::Propose(_)
             | Action::TransferLeadership(_)
             | Action::Compact(_)
-            | Action::Learner(..) => self.perform_input(action)?,
+            | Action::AddLearner(..) => self.perform_input(action)?,
         }
         self.check()
     }
@@ -233,7 +234,7 @@
                 let index = self.machines[at].node.commit_index();
                 self.handle_input(at, Input::Compact { index, state: vec![index as u8] })
             }
-            Action::Learner(at, other) => {
+            Action::AddLearner(at, other) => {
                 remaining.learners -= 1;
                 let learner = member(self.machines[other].node.id());
                 self.handle_input(at, Input::AddLearner(learner))
--- a/crates/consensus/tests/exhaustive/search.rs
+++ b/crates/consensus/tests/exhaustive/search.rs
@@ -18,7 +18,8 @@
 
 /// Factor of each model's bound on states, raised by hand for a search that takes longer.
 pub const LARGER_STATES: usize = 1;
-/// The parent of the first step, which has none.
+/// Index that stands for no step: the parent of a path's first step, and the last step of the
+/// initial state.
 const NO_STEP: usize = usize::MAX;
 
 /// An action on a path.
@@ -31,7 +32,7 @@
 /// A state that the search has reached.
 struct Reached {
     /// Index of the last step of the path to the state.
-    at: usize,
+    last_step: usize,
     /// Number of steps on that path.
     steps: usize,
     world: World,
@@ -50,7 +51,7 @@
         let fingerprints = HashSet::from([start.fingerprint(self.rules.horizon_ms)]);
         let max_states = self.states * LARGER_STATES;
         let mut search = Search { fingerprints, steps: Vec::new(), longest: 0, max_states };
-        let mut frontier = vec![Reached { at: NO_STEP, steps: 0, world: start }];
+        let mut frontier = vec![Reached { last_step: NO_STEP, steps: 0, world: start }];
         let mut complete_choices = None;
         for choices in 0..=self.choices {
             frontier = self.explore_choice(frontier, &mut search);
@@ -101,19 +102,21 @@
         if !search.fingerprints.insert(world.fingerprint(self.rules.horizon_ms)) {
             return None;
         }
-        search.steps.push(Step { parent: from.at, description: describe(&from.world, action) });
+        search
+            .steps
+            .push(Step { parent: from.last_step, description: describe(&from.world, action) });
         let steps = from.steps + 1;
         search.longest = search.longest.max(steps);
-        Some(Reached { at: search.steps.len() - 1, steps, world })
+        Some(Reached { last_step: search.steps.len() - 1, steps, world })
     }
 
     /// Panics with the violated property and the path to the state.
     fn fail(&self, violation: &str, from: &Reached, action: &Action, steps: &[Step]) -> ! {
         let mut path = vec![describe(&from.world, action)];
-        let mut at = from.at;
-        while let Some(step) = steps.get(at) {
+        let mut last_step = from.last_step;
+        while let Some(step) = steps.get(last_step) {
             path.push(step.description.clone());
-            at = step.parent;
+            last_step = step.parent;
         }
         path.reverse();
         panic!("{}: {violation}, after {} steps:\n{}", self.name, path.len(), path.join("\n"));
@@ -150,6 +153,6 @@
         | Action::Propose(at)
         | Action::TransferLeadership(at)
         | Action::Compact(at)
-        | Action::Learner(at, _) => format!("{now_ms} {action:?} of member {}", id(at)),
+        | Action::AddLearner(at, _) => format!("{now_ms} {action:?} of member {}", id(at)),
     }
 }
--- a/crates/consensus/tests/flow.rs
+++ b/crates/consensus/tests/flow.rs
@@ -26,7 +26,10 @@
     });
     cluster.run_with_changes(2_000, 2_000, BATCH_BYTES);
     assert!(cluster.node(leader).commit_index() > 3_000, "the majority does not commit");
-    assert!(sent_bytes.get() > 0 && sent_bytes.get() <= FOLLOWER_IN_FLIGHT_BYTES, "{sent_bytes:?}");
+    assert!(
+        sent_bytes.get() > 0 && sent_bytes.get() <= FOLLOWER_IN_FLIGHT_BYTES,
+        "{sent_bytes:?} bytes of entries were sent"
+    );
     cluster.drops_frame = Box::new(|_, _, _| false);
     cluster.assert_all_converge();
 }
@@ -54,5 +57,8 @@
     let proposed_bytes = 1_200 * (BATCH_BYTES as u64 + 32);
     let resent_bytes = sent_bytes.get() - proposed_bytes;
     println!("{resent_bytes} bytes resent for one lost frame");
-    assert!(resent_bytes > 0 && resent_bytes <= 2 * FOLLOWER_IN_FLIGHT_BYTES, "{resent_bytes}");
+    assert!(
+        resent_bytes > 0 && resent_bytes <= 2 * FOLLOWER_IN_FLIGHT_BYTES,
+        "{resent_bytes} bytes were resent"
+    );
 }
--- a/crates/consensus/tests/snapshots.rs
+++ b/crates/consensus/tests/snapshots.rs
@@ -89,7 +89,7 @@
         cluster.run_with_changes(3_000, RATE, BATCH_BYTES);
         assert!(
             cluster.leader().is_some_and(|next| next != outdated),
-            "only the third member has all entries"
+            "the third member must lead, since only it has all entries"
         );
         cluster.start(leader);
         cluster.run_with_changes(2_000, RATE, BATCH_BYTES);
@@ -140,7 +140,11 @@
     assert_catches_up(&mut cluster, lagging, 40_000);
     assert_eq!(cluster.machines[&lagging].restores, 1);
     let max_bytes = STATE_BYTES as u64 + 3 * FOLLOWER_IN_FLIGHT_BYTES;
-    assert!(cluster.snapshot_bytes_sent <= max_bytes, "{}", cluster.snapshot_bytes_sent);
+    assert!(
+        cluster.snapshot_bytes_sent <= max_bytes,
+        "{} snapshot bytes were sent",
+        cluster.snapshot_bytes_sent
+    );
     cluster.assert_all_converge();
 }
 
@@ -251,7 +255,10 @@
     let effects = receive(&mut node, 10, chunk(&sent_snapshot, 1, 0..200, checksum));
     assert!(restored(&effects).is_some() && snapshot_response(&effects).is_none());
     let repeated = receive(&mut node, 20, chunk(&sent_snapshot, 1, 0..200, checksum));
-    assert!(snapshot_response(&repeated).is_none(), "a power loss may still lose the slot");
+    assert!(
+        snapshot_response(&repeated).is_none(),
+        "the snapshot was acknowledged although a power loss may still lose its slot"
+    );
     let synced = node.handle(30, Input::Synced(u64::MAX));
     assert_eq!(snapshot_response(&synced).map(|response| response.done), Some(true));
 }
@@ -279,6 +286,6 @@
     let retained_bytes: u64 = retained.iter().map(|entry| entry.size() as u64).sum();
     assert!(
         log.base() > 0 && retained_bytes <= ENTRIES_RETAINED_BYTES + 8_100_000,
-        "{retained_bytes}"
+        "{retained_bytes} bytes of entries are retained in memory"
     );
 }
