--- a/crates/constants/src/consensus.rs
+++ b/crates/constants/src/consensus.rs
@@ -28,16 +28,16 @@
 /// Longest interval between retries of a snapshot chunk. The interval doubles up to it, so that a
 /// slow link is not filled with copies.
 pub const SNAPSHOT_RETRY_MAX_MS: u64 = 8_000;
-/// Log size at which a member writes its next snapshot to a slot. It holds the tickets of minutes,
-/// and a start reads at most twice this size.
+/// Log size at which a member writes its next snapshot to a slot. A log of this size holds the
+/// tickets of several minutes, and a starting member reads at most twice this size.
 pub const LOG_BYTES: u64 = 32 * 1024 * 1024;
 /// Number of steps in which the members' log sizes at a slot write are spread between `LOG_BYTES`
 /// and twice that, so that no majority writes slots at the same time.
 pub const LOG_SPREAD: u64 = 8;
-/// Longest time for encoding a snapshot; the largest state takes a few seconds. An encoder without
-/// a result for this long counts as never started.
+/// Longest time for encoding a snapshot; the largest state takes a few seconds. An encoding without
+/// a result for this long counts as ended, so that another can start.
 pub const SNAPSHOT_ENCODE_MAX_MS: u64 = 30_000;
-/// Largest record in the log file; a larger length is damage.
+/// Largest record in the log file; a larger length counts as damage.
 pub const LOG_RECORD_BYTES: usize = 64 * 1024 * 1024;
 /// Largest number of entries retained behind a snapshot, so that a slow follower needs no snapshot.
 pub const ENTRIES_RETAINED: u64 = 2_000;
@@ -45,8 +45,9 @@
 /// compared with the log itself.
 pub const ENTRIES_RETAINED_BYTES: u64 = 4 * 1024 * 1024;
 /// Largest size of the entries retained behind a snapshot while a live follower still needs them,
-/// or the size of the snapshot that is sent to this follower, if that is larger. These
-/// entries take a tenth of the memory of a machine of 160 MB, and no disk space.
+/// unless the snapshot that is being sent to this follower is larger: then as many bytes as the
+/// snapshot has. These entries take a tenth of the memory of a machine of 160 MB, and no disk
+/// space.
 pub const ENTRIES_RETAINED_MAX_BYTES: u64 = 16 * 1024 * 1024;
 /// Time after which an unresponsive voter is replaced by a learner that is ready, unless the
 /// deployment bounds the time to catch up.
@@ -68,8 +69,8 @@
 /// which is elected within a few milliseconds.
 pub const HANDOVER_RETENTION_MS: u64 = 500;
 /// How long a stopping control node waits for a successor and for its removal from the voters:
-/// enough for three elections without its help. The node is killed at the end of its grace period,
-/// twice as late.
+/// enough for three elections without its help. The node's grace period is twice as long, and the
+/// node is killed at its end.
 pub const LEADERSHIP_TRANSFER_MS: u64 = 3_000;
 /// Interval at which uninitialized control nodes announce themselves to each other until a log
 /// exists.
@@ -90,8 +91,8 @@
 /// space is used soon after it is free.
 pub const DISK_FULL_PAUSE_MS: u64 = 50;
 /// Longest time that a write waits for its sync before the disk counts as stalled. On a disk that
-/// takes 5 ms per sync and is slowed thirty times, a write waits for two syncs, 300 ms. After a
-/// stall another member leads before clients' deadlines pass.
+/// takes 5 ms per sync and becomes thirty times slower, a write waits for two syncs, 300 ms. After
+/// a stall another member leads before clients' deadlines pass.
 pub const DISK_STALL_MS: u64 = 400;
 /// Longest time that a write waits for its sync before the disk counts as stalled, while a slot is
 /// among the writes: a slot takes three syncs and megabytes of data.
--- a/crates/constants/src/coordination.rs
+++ b/crates/constants/src/coordination.rs
@@ -1,7 +1,6 @@
 //! Tickets, locks, numbers, keys and watches.
 
-/// Time from the request of a ticket within which the granted ticket must be used; a later use is
-/// not allowed.
+/// Time from the request of a ticket within which the ticket must be used if it is granted.
 pub const TICKET_USE_MS: u64 = 1_500;
 /// Time-out of a request to the controller; a request without a response has an unknown outcome.
 pub const CONTROLLER_REQUEST_MS: u64 = 2_500;
@@ -12,17 +11,18 @@
 pub const REQUEST_RETRY_MS: u64 = 300;
 /// How long a settled ticket is retained: a client's retries arrive within minutes.
 pub const TICKET_RETENTION_MS: u64 = 15 * 60 * 1_000;
-/// Length of an era, the step of the log's own time, by which tickets and results age. A change of
-/// leader may lose one step.
+/// Length of an era, the unit in which the log itself counts time; the ages of tickets and results
+/// are counted in eras. A change of leader may lose one era.
 pub const ERA_MS: u64 = 30_000;
-/// Largest number of tickets: twice what deployment Kutch needs at 170 a second for fifteen
+/// Largest number of tickets: twice what deployment Kutch needs at 170 tickets a second for fifteen
 /// minutes. Beyond it new one-time requests are shed; a retained key is never dropped before
 /// `TICKET_RETENTION_MS`.
 pub const TICKETS: usize = 306_000;
 /// Largest size of all stored responses together: with the tickets, a slot of a small disk stays
 /// near 160 MiB.
 pub const STORED_RESPONSES_BYTES: u64 = 64 * 1024 * 1024;
-/// Largest response stored with its ticket; a repeat of a request with a larger one gets 409.
+/// Largest response stored with its ticket; a repeat of a request whose response is larger
+/// gets 409.
 pub const STORED_RESPONSE_BYTES: usize = 2 * 1024;
 /// Largest value of an Idempotency-Key header.
 pub const TICKET_KEY_BYTES: usize = 200;
--- a/crates/constants/src/plans.rs
+++ b/crates/constants/src/plans.rs
@@ -1,6 +1,6 @@
 //! Bounds of plans, transactions and rehearsals.
 
-/// Largest name of a Begin record and reason of an Abort record, from KIP-868.
+/// Largest name in a Begin record, and largest reason in an Abort record (KIP-868).
 pub const MARKER_TEXT_BYTES: usize = 255;
 /// Longest time that a transaction may be in progress before it is aborted.
 pub const TRANSACTION_OPEN_MS: u64 = 500;
@@ -70,7 +70,7 @@
 /// Largest number of attempts that a route may name for one request; each further attempt is
 /// charged to the retry budget anyway.
 pub const MAX_ATTEMPTS_LIMIT: u64 = 16;
-/// Lowest priority of a route; 0 is served first.
+/// Largest number that a plan may set as a route's priority; 0 is the highest priority.
 pub const PRIORITY_MAX: u64 = 255;
 /// Largest weight of a weighted service; sums stay far below 2^64.
 pub const WEIGHT_MAX: u64 = 1_000_000;
--- a/crates/constants/src/traffic.rs
+++ b/crates/constants/src/traffic.rs
@@ -85,8 +85,8 @@
 pub const STOP_UNREADY_MS: u64 = 1_000;
 /// Graceful shutdown: longest time for the requests in flight to end.
 pub const STOP_WAIT_MS: u64 = 20_000;
-/// Difference in requests in flight at which a target in another zone is selected instead of one in
-/// the own zone that has more.
+/// Largest number of requests in flight by which a target in the node's own zone may exceed a
+/// target in another zone and still be selected.
 pub const ZONE_SLACK_REQUESTS: u64 = 4;
 /// How long a target that failed is ejected while other targets are available.
 pub const EJECTION_MS: u64 = 1_000;
@@ -128,7 +128,7 @@
 pub const TARGET_UNRESPONSIVE_MS: u64 = 300;
 /// Longest ejection of a target that fails again; each is twice as long as the one before.
 pub const EJECTION_MAX_MS: u64 = 8_000;
-/// How long a target that rejected a request is passed over while others have capacity.
+/// How long a target that rejected a request is ejected while other targets are available.
 pub const REJECTION_PAUSE_MS: u64 = 200;
 /// Interval at which a request that waits for no socket checks whether its client departed: well
 /// within the half second after which work for a departed client counts as a fault.
