--- a/crates/node/src/completion.rs
+++ b/crates/node/src/completion.rs
@@ -14,13 +14,13 @@
     OtherDigest,
     /// No route matches the request.
     NoRoute,
-    /// Routes match the request but for its method; they have these methods.
+    /// Routes match the request's path and host but not its method; they have these methods.
     OtherMethods(Vec<Name>),
     /// The request's body is larger than the route's limit, given in bytes.
     BodyTooLarge(u64),
-    /// The request exceeds the route's rate.
+    /// The request exceeds the route's limit of requests per second.
     OverRate,
-    /// The request exceeds the route's concurrency.
+    /// The request exceeds the route's limit of requests in flight.
     OverConcurrency,
     /// The node has no capacity for the request.
     Overloaded,
--- a/crates/node/src/flow_step.rs
+++ b/crates/node/src/flow_step.rs
@@ -90,7 +90,7 @@
         target: Arc<Target>,
         /// The target's load.
         load: Arc<Load>,
-        /// The time until the request's deadline.
+        /// The time until the request's deadline, which bounds the wait for the connection.
         wait_ms: u64,
     },
     /// Requests a ticket from the controller; reported by `ControllerResponded`.
--- a/crates/node/src/image_tail.rs
+++ b/crates/node/src/image_tail.rs
@@ -90,7 +90,7 @@
     ) -> Vec<Effect> {
         let mut effects = Vec::new();
         let is_behind = !self.has_image || self.published < watermark;
-        if self.should_leave_parent(now_ms, is_behind) {
+        if self.leave_parent_if_behind(now_ms, is_behind) {
             effects.push(Effect::Log("relay bypassed reason=\"behind the watermark\"".into()));
         }
         let source = controller.map(|controller| self.source(now_ms, controller));
@@ -109,9 +109,9 @@
         effects
     }
 
-    /// Returns whether the node has been behind for `RELAY_LAG_MS` and now leaves its parent to
-    /// tail the controller.
-    fn should_leave_parent(&mut self, now_ms: u64, is_behind: bool) -> bool {
+    /// Makes the node tail the controller for `DIRECT_TAIL_MS` if it has been behind for longer
+    /// than `RELAY_LAG_MS`; returns whether it leaves its parent now.
+    fn leave_parent_if_behind(&mut self, now_ms: u64, is_behind: bool) -> bool {
         let subscription = &mut self.subscription;
         if !is_behind {
             subscription.behind_since_ms = None;
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -55,8 +55,8 @@
     term: u64,
     controller: Option<SocketAddr>,
     members: Vec<SocketAddr>,
-    /// Control nodes that introductions named since the last grant. Only lease requests are sent to
-    /// them; they do not count as members.
+    /// Control nodes that introductions named since the last grant. The node sends requests for
+    /// leases and introductions to them, but does not count them as members.
     introduced: Vec<SocketAddr>,
     renewal_due_ms: u64,
     last_granted_ms: u64,
@@ -106,7 +106,8 @@
         covered.map_or(0, |grant| grant.sent_ms + self.duration_ms)
     }
 
-    /// Returns the lease's end if it is later than the last one announced, which it replaces.
+    /// Returns the lease's end if it is later than the last announced end, and records it as
+    /// announced.
     pub fn announce(&mut self, published: u64) -> Option<u64> {
         let until_ms = self.until_ms(published);
         (until_ms > self.last_announced_end_ms).then(|| {
@@ -120,8 +121,8 @@
         now_ms >= self.renewal_due_ms
     }
 
-    /// Forgets the controller if nothing was granted for `CONTROLLER_WAIT_MS`; returns whether that
-    /// is so.
+    /// Returns whether no lease was granted for `CONTROLLER_WAIT_MS`; if so, the controller is
+    /// forgotten.
     pub fn drop_unresponsive_controller(&mut self, now_ms: u64) -> bool {
         let is_unresponsive = now_ms > self.last_granted_ms + CONTROLLER_WAIT_MS;
         if is_unresponsive {
--- a/crates/node/src/request_flow.rs
+++ b/crates/node/src/request_flow.rs
@@ -4,7 +4,7 @@
 //!
 //! | phase | action | next | module |
 //! | --- | --- | --- | --- |
-//! | admit | the retry budget counts the request; the driver has checked the limits before | select target | `admit` |
+//! | admit | the retry budget counts the request; the driver has already checked the limits | select target | `admit` |
 //! | select target | the flow selects an untried target by the rules of `postbarrow_routing::selection` | connect, or finish | `select_target` |
 //! | connect | the driver opens a connection or reuses an idle one | request ticket, forward, or retry | `connect` |
 //! | request ticket | the driver requests a ticket for this target from the log, for one-time requests only | forward, settle, or finish | `ticket` |
--- a/crates/node/src/request_flow/connect.rs
+++ b/crates/node/src/request_flow/connect.rs
@@ -6,8 +6,9 @@
 use postbarrow_state::{Target, Ticket};
 
 impl RequestFlow {
-    /// Requests a ticket for a one-time request if it needs one from the log; forwards any other
-    /// request at once.
+    /// Requests a ticket for a one-time request if it needs one from the log. Forwards any other
+    /// request at once, or selects another target if the request may no longer be forwarded to this
+    /// one.
     pub(super) fn on_connected(&mut self, context: &FlowContext<'_>, selected: Selected) -> Step {
         if !self.is_one_time() || !self.request_context.uses_ticket_log {
             if !self.may_forward(context, &selected.target) {
@@ -40,7 +41,7 @@
         self.retry(context)
     }
 
-    /// Returns whether the request may still be forwarded to this target: the node has its lease,
+    /// Returns whether the request may still be forwarded to this target: the node has a lease,
     /// the current image allows the target, the deadline has not passed and the client has not
     /// departed.
     pub(super) fn may_forward(&self, context: &FlowContext<'_>, target: &Target) -> bool {
--- a/crates/node/src/request_flow/retry.rs
+++ b/crates/node/src/request_flow/retry.rs
@@ -1,9 +1,9 @@
 //! Retry: decides whether another attempt is allowed.
 //!
-//! A request has at most as many attempts as its route's `tries`. Without `tries` the maximum is
-//! [`ATTEMPTS`], or [`TICKETED_ATTEMPTS`] for a one-time request. Each retry takes one retry from
-//! the service's retry budget (`postbarrow_routing::retry_budget`). There is no retry after the
-//! client has departed.
+//! A plan may set the largest number of attempts of a route's requests (`tries`). If it sets none,
+//! a request has at most [`ATTEMPTS`] attempts, or [`TICKETED_ATTEMPTS`] if it is a one-time
+//! request. Each retry is also charged to the service's retry budget
+//! (`postbarrow_routing::retry_budget`). There is no retry after the client has departed.
 
 use super::RequestFlow;
 use crate::{FlowContext, RequestOutcome, Step};
--- a/crates/node/src/request_samples.rs
+++ b/crates/node/src/request_samples.rs
@@ -3,7 +3,7 @@
 use postbarrow_constants::plans::SAMPLES_PER_REPORT;
 use postbarrow_state::Sample;
 
-/// Client requests since the last report.
+/// The client requests since the last report: samples and their total number.
 #[derive(Default)]
 pub(crate) struct RequestSamples {
     /// Samples of these requests, at most `SAMPLES_PER_REPORT`.
--- a/crates/node/tests/lease.rs
+++ b/crates/node/tests/lease.rs
@@ -13,10 +13,13 @@
     SocketAddr::from(([10, 0, 0, last], 1))
 }
 
+/// A node under test, with the requests that it sent.
 struct TestNode {
     node: DataNode,
     now_ms: u64,
+    /// Number and send time of each lease request.
     lease_requests: Vec<(u64, u64)>,
+    /// Receiver of each tail request, and the log offset after which updates are requested.
     tail_requests: Vec<(SocketAddr, u64)>,
     lease_request_receivers: Vec<SocketAddr>,
 }
@@ -180,7 +183,7 @@
     test_node.tick(LEASE_RENEW_MS);
     assert!(
         test_node.lease_request_receivers.contains(&address(44)),
-        "{:?}",
+        "lease requests were sent to {:?} only",
         test_node.lease_request_receivers
     );
     assert!(test_node.node.lease_until_ms() < test_node.now_ms, "an introduction grants no lease");
@@ -193,14 +196,14 @@
     earlier.tick(0);
     later.tick(0);
     later.receive_updates(0, 4, &[plan("v1")]);
-    let (number, _) = *earlier.lease_requests.last().expect("a lease request");
+    let (number, _) = *earlier.lease_requests.last().expect("the earlier node sent a request");
     later.receive_grant(number, 1, 4);
     assert_eq!(
         later.node.lease_until_ms(),
         0,
         "the grant answers a request of another incarnation"
     );
-    let (number, sent_ms) = *later.lease_requests.last().expect("a lease request");
+    let (number, sent_ms) = *later.lease_requests.last().expect("the later node sent a request");
     later.receive_grant(number, 1, 4);
     assert!(later.node.lease_until_ms() > sent_ms);
 }
