--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -8,7 +8,7 @@
 //! - rate: a token bucket that is refilled with `rate / n` tokens per second. Its capacity is one
 //!   second's tokens, but at least one token. It starts with one second's tokens, and a refill adds
 //!   at most one second's tokens, however long ago the last refill was. A request that exceeds the
-//!   rate does not count for the concurrency.
+//!   rate does not count as in flight.
 
 use postbarrow_state::Route;
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering::Relaxed};
@@ -16,7 +16,7 @@
 /// One token in thousandths; tokens are counted in thousandths so that the small refills of a low
 /// rate are not lost by rounding.
 const TOKEN: i64 = 1_000;
-/// Capacity of the bucket, as the time in which the rate fills it.
+/// Time in which the rate fills the bucket, and longest time for which one refill adds tokens.
 const BUCKET_MS: u64 = 1_000;
 
 /// The limit of its route that a request exceeds.
@@ -37,7 +37,8 @@
 }
 
 impl RouteLimits {
-    /// Creates the limits of a route, without requests in flight and with a full bucket.
+    /// Creates the limits of a route, without requests in flight; the first request finds one
+    /// second's tokens in the bucket.
     pub fn new(route: &Route) -> Self {
         RouteLimits {
             concurrency: route.concurrency,
@@ -47,7 +48,7 @@
     }
 
     /// Admits a request if this node's part of the limits, which are divided among `nodes` nodes,
-    /// allows it. Each admitted request must be ended by `leave`.
+    /// allows it. The caller must release each admitted request when it ends.
     ///
     /// # Errors
     /// Returns the limit that the request exceeds; the request is not counted then.
@@ -76,7 +77,7 @@
         self.in_flight.load(Relaxed)
     }
 
-    /// Ends a request that `enter` admitted.
+    /// Releases an admitted request that has ended, so that it no longer counts as in flight.
     pub fn leave(&self) {
         self.in_flight.fetch_sub(1, Relaxed);
     }
@@ -109,10 +110,10 @@
         if is_due && self.refilled_ms.compare_exchange(since_ms, now_ms, Relaxed, Relaxed).is_ok() {
             let _ = self
                 .milli_tokens
-                .fetch_update(Relaxed, Relaxed, |saved| Some((saved + added).min(capacity)));
+                .fetch_update(Relaxed, Relaxed, |tokens| Some((tokens + added).min(capacity)));
         }
         self.milli_tokens
-            .fetch_update(Relaxed, Relaxed, |saved| (saved >= TOKEN).then(|| saved - TOKEN))
+            .fetch_update(Relaxed, Relaxed, |tokens| (tokens >= TOKEN).then(|| tokens - TOKEN))
             .is_ok()
     }
 }
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -1,5 +1,8 @@
 //! The load of a target: the requests in flight there, as far as one node knows them.
 //!
+//! A target's slots are the number of requests that it can run concurrently; the slots of some
+//! targets are not known.
+//!
 //! A node counts its own requests exactly. It learns the number of the other nodes' requests from
 //! the target's reports in responses and probes. As a report ages, its weight falls to a third in
 //! [`LOAD_REPORT_DECAY_MS`] (400 ms, about the duration of one request), and the estimate
@@ -29,7 +32,7 @@
         self.in_flight.fetch_add(1, Relaxed);
     }
 
-    /// Ends a request that `enter` counted.
+    /// Removes a request of this node that has ended from the count.
     pub fn leave(&self) {
         self.in_flight.fetch_sub(1, Relaxed);
     }
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -26,6 +26,7 @@
     allowance: RetryAllowance,
     /// Saved retries, in a unit of which [`ONE_RETRY`] make one retry.
     saved: AtomicI64,
+    /// Time of the last refill; 0 before the first.
     refilled_ms: AtomicU64,
 }
 
--- a/crates/routing/tests/balancing/support.rs
+++ b/crates/routing/tests/balancing/support.rs
@@ -53,7 +53,9 @@
 /// `a`.
 pub fn selection_counts(table: &Table, now_ms: u64) -> BTreeMap<String, u32> {
     let host = [("Host".to_string(), "H.example:8080".to_string())];
-    let RouteMatch::Route(entry) = table.find("POST", "/a", &host) else { panic!("no route") };
+    let RouteMatch::Route(entry) = table.find("POST", "/a", &host) else {
+        panic!("no route matches /a")
+    };
     let mut counts = BTreeMap::new();
     for seed in 0..100 {
         let (target, _) = entry.select_target("a", &[], now_ms, seed).unwrap();
--- a/crates/routing/tests/table_reuse.rs
+++ b/crates/routing/tests/table_reuse.rs
@@ -99,7 +99,9 @@
         BuildStatistics { services_resolved: 0, routes_compiled: 1, entries_built: 1 }
     );
     let headers = [("x-kind".to_string(), "a".to_string())];
-    let RouteMatch::Route(entry) = new.find("GET", "/r300", &headers) else { panic!("no route") };
+    let RouteMatch::Route(entry) = new.find("GET", "/r300", &headers) else {
+        panic!("no route matches /r300")
+    };
     assert_eq!(entry.route().deadline_ms, 7);
     let state = applied(&state, &change("v3", vec![splice(10, 2, vec![route(900, "t")])]));
     let new = table(&state, &new);
@@ -126,7 +128,9 @@
         expected,
         "the odd routes use the service, and all weighted routes are odd"
     );
-    let RouteMatch::Route(entry) = new.find("GET", "/r1", &[]) else { panic!("no route") };
+    let RouteMatch::Route(entry) = new.find("GET", "/r1", &[]) else {
+        panic!("no route matches /r1")
+    };
     assert_eq!(entry.select_target("a", &[], 0, 1).unwrap().0.instance, "one-1");
 }
 
@@ -143,7 +147,9 @@
         "the even routes and ten weighted odd routes use the service"
     );
     for seed in 0..20 {
-        let RouteMatch::Route(entry) = new.find("GET", "/r99", &[]) else { panic!("no route") };
+        let RouteMatch::Route(entry) = new.find("GET", "/r99", &[]) else {
+            panic!("no route matches /r99")
+        };
         let target = entry.draw_service(seed).select_target("a", &[], 0, seed).unwrap().0;
         assert_eq!(
             target.instance, "two-1",
@@ -161,7 +167,9 @@
     let expected = BuildStatistics { services_resolved: 2, routes_compiled: 0, entries_built: 100 };
     assert_eq!(new.statistics(), expected);
     for seed in 0..20 {
-        let RouteMatch::Route(entry) = new.find("GET", "/r99", &[]) else { panic!("no route") };
+        let RouteMatch::Route(entry) = new.find("GET", "/r99", &[]) else {
+            panic!("no route matches /r99")
+        };
         let target = entry.draw_service(seed).select_target("a", &[], 0, seed).unwrap().0;
         assert_ne!(target.instance, "one-1", "a weighted route retained a removed target");
     }
