--- a/crates/plan/src/pattern.rs
+++ b/crates/plan/src/pattern.rs
@@ -42,7 +42,7 @@
     /// Parses a pattern.
     ///
     /// # Errors
-    /// Returns the first rule that the text breaks.
+    /// Returns the first reason why the text is not a valid pattern.
     pub fn read(text: &str) -> Result<Pattern, PatternError> {
         let Some(rest) = text.strip_prefix('/') else { return Err(PatternError::NoSlash) };
         if !text.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'?' && byte != b'#') {
--- a/crates/plan/src/plan_reader.rs
+++ b/crates/plan/src/plan_reader.rs
@@ -70,7 +70,7 @@
     Some(Service { name: CompactString::from(name), labels })
 }
 
-/// Pattern, method, rule and host of a route: no two routes may have the same.
+/// Pattern, method, rule and host of a route; each combination may occur only once in a plan.
 type RouteKey = (Option<Vec<Segment>>, Name, Option<String>, Option<Name>);
 
 fn check_is_unique(
--- a/crates/plan/src/rehearsal.rs
+++ b/crates/plan/src/rehearsal.rs
@@ -1,5 +1,8 @@
 //! The rehearsal of a plan against the plan in force: what it would change for routes and targets.
 //!
+//! The staged plan is the new plan before it comes into force: its state is complete, but not yet
+//! published.
+//!
 //! Operators read the result as JSON, so the JSON names of its fields are fixed.
 
 use facet::Facet;
--- a/crates/plan/tests/delta.rs
+++ b/crates/plan/tests/delta.rs
@@ -20,9 +20,13 @@
 /// The content from which a plan's text is generated.
 #[derive(Clone)]
 struct Draft {
+    /// Name of each service, and the value of its label.
     services: Vec<(String, String)>,
+    /// Number in the path and deadline in milliseconds of each route.
     routes: Vec<(usize, usize)>,
+    /// Limit of a request's head in bytes, less 256; `None` if the plan sets no limits of clients.
     head_bytes: Option<usize>,
+    /// White space between the parts of the text; may be empty.
     whitespace: &'static str,
 }
 
@@ -137,7 +141,7 @@
         let mut draft = Draft::new(routes, "");
         let state = applied(&State::default(), 1, &records(&draft.text(1)));
         draft.routes[routes / 2].1 = 2_000;
-        let delta_records = delta(&state, &records(&draft.text(2))).expect("a delta");
+        let delta_records = delta(&state, &records(&draft.text(2))).expect("the plan has a delta");
         let after = applied(&state, 2, &delta_records);
         let shared = |at: usize| Arc::ptr_eq(&state.routes[at], &after.routes[at]);
         assert_eq!(
@@ -178,7 +182,7 @@
         routes.rotate_left(1);
         routes[random.below(300)].deadline_ms += 10;
         let submitted = plan_records(version, &routes);
-        let delta_records = delta(&state, &submitted).expect("a delta");
+        let delta_records = delta(&state, &submitted).expect("the plan has a delta");
         let before = state.clone();
         state = applied(&state, version as u64, &delta_records);
         assert_eq!(state.plan_text.len(), state.plan_text().len().div_ceil(TEXT_CHUNK_BYTES));
@@ -203,7 +207,7 @@
     }
     draft.routes.splice(500..500, (0..900).map(|step| (10_000 + step, 7)));
     let submitted = records(&draft.text(2));
-    let delta_records = delta(&state, &submitted).expect("a delta");
+    let delta_records = delta(&state, &submitted).expect("the plan has a delta");
     for record in &delta_records {
         assert!(
             size(std::slice::from_ref(record)) < BATCH_BYTES / 2,
@@ -235,7 +239,7 @@
     let mut draft = Draft::new(30, "");
     let state = applied(&State::default(), 1, &records(&draft.text(1)));
     draft.routes[4].1 = 3;
-    let delta_records = delta(&state, &records(&draft.text(2))).expect("a delta");
+    let delta_records = delta(&state, &records(&draft.text(2))).expect("the plan has a delta");
     let updates: Vec<Record> =
         delta_records.into_iter().filter(Record::is_routing_update).collect();
     assert_eq!(updates.len(), 2, "{updates:?}");
