--- a/crates/reading/src/reading.rs
+++ b/crates/reading/src/reading.rs
@@ -1,4 +1,4 @@
-//! The reading of one document: its findings so far, and the positions of its values.
+//! Collects the findings of one document while it is read, and finishes the reading.
 
 use crate::positions::Positions;
 use crate::{Finding, Findings, Value};
@@ -13,7 +13,7 @@
 }
 
 impl Reading {
-    /// Parses a JSON text; a key that occurs twice in an object is a finding of the new reading.
+    /// Parses a JSON text; a key that occurs twice in an object is added as a finding.
     ///
     /// # Errors
     /// A single finding, if the text can't be parsed.
@@ -52,7 +52,7 @@
         self.findings.is_empty()
     }
 
-    /// Ends the reading; returns the value if there are no findings.
+    /// Ends the reading of the document; returns `value` if there are no findings.
     ///
     /// # Errors
     /// The findings, followed by the number of those that were only counted.
--- a/crates/rules/src/bounds.rs
+++ b/crates/rules/src/bounds.rs
@@ -7,21 +7,21 @@
 /// Checks a rule's text before it is parsed, so that the parser's recursion is bounded.
 ///
 /// # Errors
-/// Brackets are nested too deep, or there are too many prefix and ternary signs.
+/// Brackets are nested too deep, or there are too many of the operators `?`, `!` and `-`.
 pub(crate) fn check_text(text: &str) -> Result<(), RuleError> {
     let mut bracket_depth = 0;
-    let mut signs = 0;
+    let mut operators = 0;
     for byte in text.bytes() {
         match byte {
             b'(' | b'[' | b'{' => bracket_depth += 1,
             b')' | b']' | b'}' if bracket_depth > 0 => bracket_depth -= 1,
-            b'?' | b'!' | b'-' => signs += 1,
+            b'?' | b'!' | b'-' => operators += 1,
             _ => {}
         }
         if bracket_depth > RULE_BRACKETS {
             return Err(RuleError::BracketsTooDeep);
         }
-        if signs > 2 * RULE_BRACKETS {
+        if operators > 2 * RULE_BRACKETS {
             return Err(RuleError::TooManySigns);
         }
     }
--- a/crates/rules/src/error.rs
+++ b/crates/rules/src/error.rs
@@ -14,7 +14,8 @@
     /// stack.
     #[error("has brackets nested deeper than {RULE_BRACKETS}")]
     BracketsTooDeep,
-    /// The text has more than twice `RULE_BRACKETS` signs that the parser recurses on.
+    /// The text has more than twice `RULE_BRACKETS` of the operators `?`, `!` and `-`, on which the
+    /// parser recurses.
     #[error("has more than {} of ? ! -", 2 * RULE_BRACKETS)]
     TooManySigns,
     /// The text does not parse; the parser's message, on one line.
