--- a/crates/controller-client/src/client.rs
+++ b/crates/controller-client/src/client.rs
@@ -21,7 +21,7 @@
     leaderless_since_ms: Option<u64>,
 }
 
-/// An action that the client requests of its owner.
+/// An action that the client requests from its owner.
 pub enum Effect {
     /// Send a request.
     Send {
@@ -41,8 +41,8 @@
 
 impl ControllerClient {
     /// Records the control plane's members, unless the list is empty, and the controller, unless it
-    /// is `None`. If the controller changes, every pending request is due at once. A process that is
-    /// a member of the log no longer counts as leaderless.
+    /// is `None`. If the controller changes, every pending request is due at once. A process that
+    /// is a member of the log no longer counts as leaderless.
     pub fn on_members(
         &mut self,
         now_ms: u64,
@@ -63,9 +63,9 @@
     }
 
     /// Notes that this process, a member of the log, has had no leader since `since_ms`. Requests
-    /// are delayed until it has one, because the log is the first to know of a leader. After
-    /// `CONTACT_LOST_MS` each is answered as unavailable, unless it was sent to a process that may
-    /// have accepted it.
+    /// are delayed until it has one, because a member of the log is the first to learn of a new
+    /// leader. After `CONTACT_LOST_MS` each is answered as unavailable, unless it was sent to a
+    /// process that may have accepted it.
     pub fn on_leader_lost(&mut self, since_ms: u64) {
         self.controller = None;
         self.leaderless_since_ms = Some(since_ms);
