--- a/crates/transport/src/link/tests.rs
+++ b/crates/transport/src/link/tests.rs
@@ -7,7 +7,7 @@
 /// Time-out of each wait: far longer than any event here takes, and reached only if a wait hangs.
 const HANG_TIMEOUT: Duration = Duration::from_secs(10);
 /// Idle time-out of the links under test, and interval at which their end is checked.
-const BRIEF: Duration = Duration::from_millis(1);
+const SHORT_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Starts a peer; returns its address and the messages that it receives.
 fn peer() -> (SocketAddr, Receiver<Envelope>) {
@@ -26,7 +26,7 @@
         if links.links[&to].has_ended() {
             return;
         }
-        thread::sleep(BRIEF);
+        thread::sleep(SHORT_INTERVAL);
     }
     panic!("the link to {to} did not end");
 }
@@ -34,7 +34,7 @@
 #[test]
 fn an_idle_link_ends_and_the_next_message_starts_another() {
     let (to, received) = peer();
-    let mut links = Links::with_idle_timeout(own_address(), BRIEF);
+    let mut links = Links::with_idle_timeout(own_address(), SHORT_INTERVAL);
     for _ in 0..3 {
         links.send(to, Message::Introduce);
         received.recv_timeout(HANG_TIMEOUT).expect("the peer receives the message");
@@ -44,7 +44,7 @@
 
 #[test]
 fn ended_links_to_departed_peers_are_removed() {
-    let mut links = Links::with_idle_timeout(own_address(), BRIEF);
+    let mut links = Links::with_idle_timeout(own_address(), SHORT_INTERVAL);
     for _ in 0..20 {
         let (to, received) = peer();
         links.send(to, Message::Introduce);
--- a/examples/replicated-sum/tests/sum.rs
+++ b/examples/replicated-sum/tests/sum.rs
@@ -9,8 +9,9 @@
     std::env::temp_dir().join(format!("replicated-sum-{}-{name}", std::process::id()))
 }
 
-/// Adds an amount by trying all members until one leads, as a client would; returns the sum. Each
-/// running member also gets all of them as learners, since a restarted one has another address.
+/// Adds an amount by trying all members until one leads, as a client would; returns the sum. Before
+/// each try, every running member is asked to add all of them as learners, since a restarted member
+/// has another address.
 fn add(members: &[Option<Sum>], amount: u64) -> u64 {
     let all: Vec<_> = members.iter().flatten().map(|member| member.member).collect();
     for _ in 0..MAX_ATTEMPTS {
@@ -39,7 +40,7 @@
     for at in 0..3 {
         for _ in 0..30 {
             let acknowledged = add(&members, 2);
-            assert!(acknowledged >= sum + 2, "{acknowledged} after {sum}");
+            assert!(acknowledged >= sum + 2, "acknowledged sum {acknowledged} after {sum}");
             sum = acknowledged;
         }
         members[at] = None;
@@ -51,5 +52,5 @@
     }
     drop(members);
     folders.iter().for_each(|folder| std::fs::remove_dir_all(folder).unwrap());
-    assert!(sum >= 183, "{sum}");
+    assert!(sum >= 183, "final sum {sum}, below the acknowledged additions");
 }
