--- a/crates/constants/src/nodes.rs
+++ b/crates/constants/src/nodes.rs
@@ -108,7 +108,7 @@
 pub const LIST_RETRY_MAX_MS: u64 = 5_000;
 /// Interval at which each node probes each target.
 pub const PROBE_INTERVAL_MS: u64 = 500;
-/// Time without a response after which a probe fails.
+/// Unused: a probe fails after the time-out of a target's proof of its identity.
 pub const PROBE_TIMEOUT_MS: u64 = 700;
 /// Number of failed probes in a row after which a node reports a target as down.
 pub const PROBE_FAILURES: u32 = 2;
--- a/crates/constants/src/traffic.rs
+++ b/crates/constants/src/traffic.rs
@@ -74,7 +74,7 @@
 pub const TICKETED_ATTEMPTS: usize = 3;
 /// Largest number of idle connections retained for one target.
 pub const IDLE_CONNECTIONS: usize = 16;
-/// Time-out of a target's proof of its identity.
+/// Time-out of a target's proof of its identity, in a probe or on a new connection.
 pub const PROOF_WAIT_MS: u64 = 800;
 /// Path at which a target proves its identity.
 pub const PROOF_PATH: &str = "/.well-known/postbarrow-target";
