--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,4 +1,5 @@
-//! Runs many seeds and prints each that fails, so that it can be run again alone.
+//! Runs the simulation of a range of seeds and prints the violations of each seed that fails, so
+//! that the seed can be run again alone.
 
 use gumdrop::Options;
 use postbarrow_simulation::{
@@ -38,45 +39,47 @@
     zone_us: u64,
 }
 
-/// All arguments that can't be run; with any of them nothing is run.
-fn findings(cli: &Cli) -> Vec<String> {
+/// Returns a message for each argument below its minimum; if there is any, nothing is run.
+fn invalid_arguments(cli: &Cli) -> Vec<String> {
     let minimums = [
         ("--seeds", cli.seeds, 1),
         ("--threads", cli.threads as u64, 1),
         ("--nodes", cli.nodes as u64, 2),
         ("--targets", cli.targets as u64, 6),
     ];
-    let low = minimums.iter().filter(|(_, given, min)| given < min);
-    low.map(|(flag, given, min)| format!("{flag} {given}: at least {min}")).collect()
+    let too_low = minimums.iter().filter(|(_, given, min)| given < min);
+    too_low.map(|(flag, given, min)| format!("{flag} {given}: at least {min}")).collect()
 }
 
-/// Injects each fault at every step of each operation, until the controller takes no more steps.
-fn steps(cli: &Cli) -> ExitCode {
-    let kinds: Vec<(Operation, InjectedFault)> = OPERATIONS
+/// Injects each fault at each step of each operation, one step per run, until the operation has no
+/// further step; for snapshots, in twelve runs at most. Prints the violations.
+fn inject_at_every_step(cli: &Cli) -> ExitCode {
+    let combinations: Vec<(Operation, InjectedFault)> = OPERATIONS
         .into_iter()
         .flat_map(|operation| INJECTED_FAULTS.map(|fault| (operation, fault)))
         .collect();
     let next = AtomicUsize::new(0);
-    let failed = AtomicUsize::new(0);
+    let violation_count = AtomicUsize::new(0);
     std::thread::scope(|scope| {
         for _ in 0..cli.threads {
             scope.spawn(|| {
-                while let Some((operation, fault)) = kinds.get(next.fetch_add(1, Relaxed)).copied()
+                while let Some((operation, fault)) =
+                    combinations.get(next.fetch_add(1, Relaxed)).copied()
                 {
-                    let max = if operation == Operation::Snapshot { 12 } else { u64::MAX };
+                    let max_runs = if operation == Operation::Snapshot { 12 } else { u64::MAX };
                     let mut injected = 0;
-                    while injected < max {
-                        let step = InjectionPoint {
+                    while injected < max_runs {
+                        let point = InjectionPoint {
                             seed: cli.seed + injected % cli.seeds,
                             operation,
                             fault,
                             at: injected,
                         };
-                        let Some(result) = step.run() else { break };
+                        let Some(result) = point.run() else { break };
                         injected += 1;
                         for violation in &result.violations {
-                            failed.fetch_add(1, Relaxed);
-                            println!("{step:?}: {violation}");
+                            violation_count.fetch_add(1, Relaxed);
+                            println!("{point:?}: {violation}");
                         }
                     }
                     println!("{operation:?} {fault:?}: {injected} steps");
@@ -84,30 +87,30 @@
             });
         }
     });
-    println!("{} violations", failed.load(Relaxed));
-    if failed.load(Relaxed) == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    println!("{} violations", violation_count.load(Relaxed));
+    if violation_count.load(Relaxed) == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse_args_default_or_exit();
-    let findings = findings(&cli);
-    if !findings.is_empty() {
-        findings.iter().for_each(|finding| eprintln!("simulate: {finding}"));
+    let invalid_arguments = invalid_arguments(&cli);
+    if !invalid_arguments.is_empty() {
+        invalid_arguments.iter().for_each(|message| eprintln!("simulate: {message}"));
         return ExitCode::from(2);
     }
     if cli.steps {
-        return steps(&cli);
+        return inject_at_every_step(&cli);
     }
-    let outcomes = run_seeds(&cli);
-    print_summary(&outcomes);
-    let failed = outcomes.iter().any(|outcome| !outcome.violations.is_empty());
+    let results = run_seeds(&cli);
+    print_summary(&results);
+    let failed = results.iter().any(|result| !result.violations.is_empty());
     if failed { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
 
-/// Runs all seeds and prints their logs and violations.
+/// Runs all seeds, prints their logs and violations, and returns their results.
 fn run_seeds(cli: &Cli) -> Vec<RunResult> {
     let next = AtomicU64::new(cli.seed);
-    let outcomes = Mutex::new(Vec::new());
+    let results = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..cli.threads {
             scope.spawn(|| {
@@ -123,53 +126,54 @@
                     scenario.zone_us = cli.zone_us;
                     scenario.log = cli.log;
                     scenario.last = cli.kill_controller.then_some(Fault::KillController);
-                    let outcome = scenario.run();
-                    for line in &outcome.log {
+                    let result = scenario.run();
+                    for line in &result.log {
                         println!("{seed}: {line}");
                     }
-                    for violation in &outcome.violations {
+                    for violation in &result.violations {
                         println!("seed {seed}: {violation}");
                     }
-                    if let Ok(mut all) = outcomes.lock() {
-                        all.push(outcome);
+                    if let Ok(mut all) = results.lock() {
+                        all.push(result);
                     }
                 }
             });
         }
     });
-    outcomes.into_inner().unwrap_or_default()
+    results.into_inner().unwrap_or_default()
 }
 
-/// Prints the sums over all runs.
-fn print_summary(outcomes: &[RunResult]) {
-    let failed = outcomes.iter().filter(|outcome| !outcome.violations.is_empty()).count();
-    let mut recovery: Vec<u64> = outcomes.iter().map(|outcome| outcome.recovery_ms).collect();
+/// Prints the totals of all runs, and percentiles of the time to recovery.
+fn print_summary(results: &[RunResult]) {
+    let failed = results.iter().filter(|result| !result.violations.is_empty()).count();
+    let mut recovery: Vec<u64> = results.iter().map(|result| result.recovery_ms).collect();
     recovery.sort_unstable();
-    let at = |percent: usize| recovery.get(recovery.len() * percent / 100).copied().unwrap_or(0);
-    let sum = |of: fn(&RunResult) -> usize| outcomes.iter().map(of).sum::<usize>();
+    let percentile =
+        |percent: usize| recovery.get(recovery.len() * percent / 100).copied().unwrap_or(0);
+    let sum = |field: fn(&RunResult) -> usize| results.iter().map(field).sum::<usize>();
     let counts =
-        outcomes.iter().fold(OutcomeCounts::default(), |sum, outcome| sum.plus(outcome.outcomes));
+        results.iter().fold(OutcomeCounts::default(), |sum, result| sum.plus(result.outcomes));
     println!(
         "{} seeds, {failed} failed; {} plans, {} refused; {} calls, {} events",
-        outcomes.len(),
-        sum(|outcome| outcome.plans as usize),
-        sum(|outcome| outcome.refusals as usize),
-        sum(|outcome| outcome.calls),
-        sum(|outcome| outcome.events),
+        results.len(),
+        sum(|result| result.plans as usize),
+        sum(|result| result.refusals as usize),
+        sum(|result| result.calls),
+        sum(|result| result.events),
     );
     print_requests(&counts);
-    print_disks(outcomes);
+    print_disks(results);
     println!(
         "recovery ms: p50 {} p90 {} p99 {} most {}; longest leave ms {}",
-        at(50),
-        at(90),
-        at(99),
+        percentile(50),
+        percentile(90),
+        percentile(99),
         recovery.last().copied().unwrap_or(0),
-        outcomes.iter().map(|outcome| outcome.max_departure_lag_ms).max().unwrap_or(0),
+        results.iter().map(|result| result.max_departure_lag_ms).max().unwrap_or(0),
     );
 }
 
-/// Prints how many requests had each outcome.
+/// Prints the number of requests with each outcome.
 fn print_requests(counts: &OutcomeCounts) {
     println!(
         "{} requests: {} ran, {} not run, {} unknown, {} pending, {} unreached, {} unanswered, {} left",
@@ -184,17 +188,18 @@
     );
 }
 
-/// Prints the work and the failures of disks and of the endpoint list.
-fn print_disks(outcomes: &[RunResult]) {
-    let sum = |of: fn(&RunResult) -> usize| outcomes.iter().map(of).sum::<usize>();
-    let synced = |part: fn(&(usize, usize)) -> usize| {
-        outcomes.iter().map(|outcome| part(&outcome.synced)).sum::<usize>()
+/// Prints the numbers of writes, syncs, failures of disks, and fetches that the endpoint list
+/// refused.
+fn print_disks(results: &[RunResult]) {
+    let sum = |field: fn(&RunResult) -> usize| results.iter().map(field).sum::<usize>();
+    let synced = |count_of: fn(&(usize, usize)) -> usize| {
+        results.iter().map(|result| count_of(&result.synced)).sum::<usize>()
     };
     println!(
         "{} writes in {} syncs; {} disk failures; {} list refusals",
         synced(|synced| synced.1),
         synced(|synced| synced.0),
-        sum(|outcome| outcome.disk_failures),
-        sum(|outcome| outcome.list_refusals),
+        sum(|result| result.disk_failures),
+        sum(|result| result.list_refusals),
     );
 }
