--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory: its unsynced writes and names, its losses of power, its faults.
+//! An in-memory disk with unsynced writes and directory entries, power losses and faults.
 
 mod unsynced;
 
@@ -10,60 +10,71 @@
 use std::rc::Rc;
 use unsynced::{Op, SimFile, apply_op};
 
+/// The files of one disk, its faults and its counters.
 #[derive(Clone, Default)]
 struct Files {
+    /// The files by name.
     files: BTreeMap<String, SimFile>,
-    /// Operations until the power is lost; `None` without a limit.
-    fuse: Option<u64>,
+    /// Number of further operations before the power is lost; `None` if no power loss is scheduled.
+    power_loss_after: Option<u64>,
+    /// The fault that is active now, if any.
     fault: Option<DiskFault>,
-    /// A fault that starts after this many operations.
+    /// A fault that becomes active after this many further operations, if one is scheduled.
     scheduled_fault: Option<(u64, DiskFault)>,
+    /// Number of file syncs so far, including failed ones.
     syncs: u64,
+    /// Total bytes of all writes so far.
     written_bytes: u64,
 }
 
-/// A fault of a disk, as the process that uses it meets it.
+/// A fault of a disk, as the process that uses the disk observes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskFault {
-    /// One sync fails. Its writes are no longer due for a sync, though they still read back.
+    /// One sync fails. Its writes never become durable, even by a later sync, although reads still
+    /// return them.
     SyncFails,
-    /// One write fails halfway.
+    /// One write fails after the first half of its bytes.
     WriteFails,
-    /// No write beyond the reserved bytes has space until the fault is healed.
+    /// Every write beyond the file's reserved bytes fails for lack of space, until the fault is
+    /// healed.
     Full,
-    /// No write or sync ends until the fault is healed. The process has to wait: see `is_stalled`.
+    /// No write or sync ends until the fault is healed. The disk does not enforce this: its user
+    /// has to check `SimDisk::is_stalled` before an operation, and wait.
     Stalls,
 }
 
-/// A disk in memory that outlives its process and loses what was not synced.
+/// An in-memory disk that outlives the process that uses it; a power loss may drop what was not
+/// synced. Clones share the content.
 #[derive(Clone, Default)]
 pub struct SimDisk(Rc<RefCell<Files>>);
 
 impl SimDisk {
-    /// Loses power: each unsynced name, and each of two fragments of each unsynced write, survives
-    /// or is lost independently.
+    /// Loses power: each unsynced directory entry, and each of two fragments of each unsynced
+    /// write, survives with a probability of one half, independently of the others.
     pub fn lose_power(&self, random: &mut Random) {
         let random = RefCell::new(random);
         let split = |length: usize| random.borrow_mut().below(length as u64 + 1) as usize;
         self.lose(split, |_| random.borrow_mut().chance(500));
     }
 
-    /// Loses power, with `keeps` deciding what survives of the `unsynced` units; a write's
-    /// fragments are its halves.
+    /// Loses power; `keeps` returns, for the index of each unit that `unsynced` counts, whether
+    /// that unit survives. The two units of a write are its halves.
     pub fn lose_power_keeping(&self, keeps: impl FnMut(usize) -> bool) {
         self.lose(|length| length / 2, keeps);
     }
 
+    /// Loses power; `split` returns the length of a write's first fragment, and `keeps` whether the
+    /// unit of an index survives.
     fn lose(&self, mut split: impl FnMut(usize) -> usize, mut keeps: impl FnMut(usize) -> bool) {
         let mut files = self.0.borrow_mut();
-        (files.fuse, files.scheduled_fault) = (None, None);
-        let mut next = 0;
+        (files.power_loss_after, files.scheduled_fault) = (None, None);
+        let mut units = 0;
         let mut survives = || {
-            next += 1;
-            keeps(next - 1)
+            units += 1;
+            keeps(units - 1)
         };
         files.files.retain(|_, file| {
-            let named = file.named || survives();
+            let entry_survives = file.entry_durable || survives();
             for op in std::mem::take(&mut file.unsynced) {
                 for fragment in op.fragments(&mut split) {
                     if survives() {
@@ -72,77 +83,82 @@
                 }
             }
             file.visible = file.durable.clone();
-            file.named = true;
-            named
+            file.entry_durable = true;
+            entry_survives
         });
     }
 
-    /// How many units a loss of power would now keep or lose independently.
+    /// Returns the number of units that a power loss would now keep or lose independently: one for
+    /// each unsynced directory entry, two for each unsynced write, one for each unsynced
+    /// truncation.
     pub fn unsynced(&self) -> usize {
         let files = self.0.borrow();
         let count = |file: &SimFile| {
-            let fragments = file.unsynced.iter().map(Op::count).sum::<usize>();
-            usize::from(!file.named) + fragments
+            let fragments = file.unsynced.iter().map(Op::fragment_count).sum::<usize>();
+            usize::from(!file.entry_durable) + fragments
         };
         files.files.values().map(count).sum()
     }
 
-    /// A separate disk with the same content.
+    /// Returns a separate disk with the same content, faults and counters.
     pub fn copy(&self) -> SimDisk {
         SimDisk(Rc::new(RefCell::new(self.0.borrow().clone())))
     }
 
-    /// Whether writes and syncs do not end for now.
+    /// Returns whether the disk is stalled, so that no write or sync ends now.
     pub fn is_stalled(&self) -> bool {
         self.0.borrow().fault == Some(DiskFault::Stalls)
     }
 
-    /// Loses all content: the disk is replaced by an empty one.
+    /// Replaces the disk by an empty one without faults.
     pub fn wipe(&self) {
         *self.0.borrow_mut() = Files::default();
     }
 
-    /// Cuts the power after this many further operations.
+    /// Schedules a power loss: after this many further operations, every operation fails.
     pub fn set_fuse(&self, operations: u64) {
-        self.0.borrow_mut().fuse = Some(operations);
+        self.0.borrow_mut().power_loss_after = Some(operations);
     }
 
-    /// Sets the present fault, or none.
+    /// Sets the active fault, or ends it if `None`.
     pub fn set_fault(&self, fault: Option<DiskFault>) {
         self.0.borrow_mut().fault = fault;
     }
 
-    /// Sets a fault that starts after this many further operations.
+    /// Schedules a fault that becomes active after this many further operations.
     pub fn set_fault_after(&self, operations: u64, fault: DiskFault) {
         self.0.borrow_mut().scheduled_fault = Some((operations, fault));
     }
 
-    /// Whether this operation meets its fault; every fault but a full disk is consumed by that.
+    /// Returns whether this fault is active for an operation. This ends the fault, unless it is a
+    /// full disk.
     fn consume_fault(&self, fault: DiskFault) -> bool {
         let mut files = self.0.borrow_mut();
-        let matches = files.fault == Some(fault);
-        if matches && fault != DiskFault::Full {
+        let is_active = files.fault == Some(fault);
+        if is_active && fault != DiskFault::Full {
             files.fault = None;
         }
-        matches
+        is_active
     }
 
-    /// Syncs so far.
+    /// Returns the number of file syncs so far, including failed ones.
     pub fn syncs(&self) -> u64 {
         self.0.borrow().syncs
     }
 
-    /// Bytes of all writes so far.
+    /// Returns the total bytes of all writes so far.
     pub fn written_bytes(&self) -> u64 {
         self.0.borrow().written_bytes
     }
 
-    /// Bytes of all files, which a start reads.
+    /// Returns the total bytes of all files as they now read, which a starting process reads.
     pub fn total_bytes(&self) -> u64 {
         self.0.borrow().files.values().map(|file| file.visible.len() as u64).sum()
     }
 
-    /// Flips bits of one durable byte, as a damaged medium does.
+    /// Flips bits of the durable byte at offset `at` of the named file, as a damaged medium does;
+    /// does nothing if the file or the byte does not exist. The file's unsynced writes are no
+    /// longer visible afterwards.
     pub fn damage(&self, name: &str, at: usize) {
         let mut files = self.0.borrow_mut();
         if let Some(file) = files.files.get_mut(name)
@@ -153,11 +169,12 @@
         }
     }
 
-    /// Durable bytes of the named file; 0 if there is none.
+    /// Returns the number of durable bytes of the named file; 0 if the file does not exist.
     pub fn length(&self, name: &str) -> usize {
         self.0.borrow().files.get(name).map_or(0, |file| file.durable.len())
     }
 
+    /// Counts one operation toward a scheduled fault or power loss, and fails if the power is lost.
     fn count_operation(&self) -> io::Result<()> {
         let mut files = self.0.borrow_mut();
         match files.scheduled_fault.take() {
@@ -165,7 +182,7 @@
             Some((remaining, fault)) => files.scheduled_fault = Some((remaining - 1, fault)),
             None => {}
         }
-        match &mut files.fuse {
+        match &mut files.power_loss_after {
             Some(0) => Err(io::Error::other("the power is gone")),
             Some(remaining) => {
                 *remaining -= 1;
@@ -175,6 +192,7 @@
         }
     }
 
+    /// Applies a change to the named file as an operation, with the disk's faults.
     fn change(&self, name: &str, op: Op) -> io::Result<()> {
         self.count_operation()?;
         if let Op::Write { offset, bytes } = &op
@@ -195,10 +213,12 @@
         Ok(())
     }
 
+    /// Returns the number of bytes reserved for the named file.
     fn reserved(&self, name: &str) -> u64 {
         self.0.borrow().files.get(name).map_or(0, |file| file.reserved)
     }
 
+    /// Applies a change to the named file, visible at once and durable after a sync.
     fn apply_change(&self, name: &str, op: Op) {
         let mut files = self.0.borrow_mut();
         if let Op::Write { bytes, .. } = &op {
@@ -226,7 +246,7 @@
 
     fn sync_names(&mut self) -> io::Result<()> {
         self.count_operation()?;
-        self.0.borrow_mut().files.values_mut().for_each(|file| file.named = true);
+        self.0.borrow_mut().files.values_mut().for_each(|file| file.entry_durable = true);
         Ok(())
     }
 
@@ -244,11 +264,11 @@
         let mut files = self.0.borrow_mut();
         files.syncs += 1;
         let Some(file) = files.files.get_mut(file) else { return Ok(()) };
-        let due = std::mem::take(&mut file.unsynced);
+        let unsynced = std::mem::take(&mut file.unsynced);
         if failed {
             return Err(io::Error::other("the sync failed"));
         }
-        for op in &due {
+        for op in &unsynced {
             apply_op(&mut file.durable, op);
         }
         Ok(())
--- a/crates/simulation/src/disk/unsynced.rs
+++ b/crates/simulation/src/disk/unsynced.rs
@@ -1,54 +1,59 @@
-//! Changes of a file that a loss of power may drop.
+//! Unsynced changes of a file, which a power loss may drop.
 
-/// One change of a file.
+/// One change of a file's content.
 #[derive(Clone)]
 pub(super) enum Op {
     Write { offset: u64, bytes: Vec<u8> },
     Truncate { length: u64 },
 }
 
-/// One file: its durable content, and its content as it reads now.
+/// One file of a simulated disk.
 #[derive(Clone, Default)]
 pub(super) struct SimFile {
+    /// The content that survives a power loss.
     pub durable: Vec<u8>,
+    /// The content as it now reads, with the unsynced changes.
     pub visible: Vec<u8>,
+    /// The changes since the last sync, oldest first.
     pub unsynced: Vec<Op>,
-    /// Whether its directory entry is durable.
-    pub named: bool,
+    /// Whether the file's directory entry is durable.
+    pub entry_durable: bool,
+    /// Number of bytes for which space is reserved, from the start of the file.
     pub reserved: u64,
 }
 
-/// Applies the change to these bytes.
-pub(super) fn apply_op(into: &mut Vec<u8>, op: &Op) {
+/// Applies a change to a file's content; a write beyond the end extends it.
+pub(super) fn apply_op(content: &mut Vec<u8>, op: &Op) {
     match op {
         Op::Write { offset, bytes } => {
             let end = *offset as usize + bytes.len();
-            if into.len() < end {
-                into.resize(end, 0);
+            if content.len() < end {
+                content.resize(end, 0);
             }
-            into[*offset as usize..end].copy_from_slice(bytes);
+            content[*offset as usize..end].copy_from_slice(bytes);
         }
-        Op::Truncate { length } => into.resize(*length as usize, 0),
+        Op::Truncate { length } => content.resize(*length as usize, 0),
     }
 }
 
 impl Op {
-    /// Fragments that survive or are lost independently: two of a write, as with two blocks of a
-    /// disk.
+    /// Returns the fragments that survive a power loss independently: two of a write, as if it
+    /// covered two blocks of the disk, and one of a truncation. `split` returns the length of a
+    /// write's first fragment.
     pub fn fragments(&self, split: &mut impl FnMut(usize) -> usize) -> Vec<Op> {
         match self {
             Op::Write { offset, bytes } => {
                 let (first, second) = bytes.split_at(split(bytes.len()));
-                let later = offset + first.len() as u64;
+                let second_offset = offset + first.len() as u64;
                 let fragment = |offset, bytes: &[u8]| Op::Write { offset, bytes: bytes.to_vec() };
-                vec![fragment(*offset, first), fragment(later, second)]
+                vec![fragment(*offset, first), fragment(second_offset, second)]
             }
             Op::Truncate { .. } => vec![self.clone()],
         }
     }
 
-    /// How many fragments it has.
-    pub fn count(&self) -> usize {
+    /// Returns the number of fragments that `fragments` returns.
+    pub fn fragment_count(&self) -> usize {
         match self {
             Op::Write { .. } => 2,
             Op::Truncate { .. } => 1,
