--- a/crates/simulation/src/fault/mod.rs
+++ b/crates/simulation/src/fault/mod.rs
@@ -5,93 +5,101 @@
 use crate::disk::DiskFault;
 use crate::node::endpoint_list::ListFault;
 
-/// The stages of a request right before which a data node can freeze.
+/// A stage of a one-time request right before which its data node can freeze.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// Before the node reads the request.
     Arrived,
-    /// Before the node learns that it is connected to a target, so before it requests a ticket.
+    /// Before the node handles its connection to a target, and so before it requests a ticket.
     Connected,
-    /// Before the node reads the granted ticket, so before its last check of the lease.
+    /// Before the node reads the granted ticket, and so before its last check of the lease.
     Granted,
-    /// After the decision to forward and before the last check that precedes the first byte.
+    /// After the node decided to forward the request, and before the last check that precedes the
+    /// first byte.
     Sending,
     /// After the target has run the request and before the node reads the response.
     Responded,
 }
 
-/// A disturbance of the cluster or its surroundings. Where a fault names no machine, the run's seed
-/// draws it;\ a control machine is drawn with a preference for the leader. `Heal` ends all faults.
+/// A fault of the cluster or its environment. Where a variant names no machine, the machine is
+/// drawn from the run's random numbers; if there is a leader, it is drawn with a probability of at
+/// least 60 % among the control machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A control process ends at once; its disk retains all that was written.
+    /// A control process ends at once; its disk retains all that was written, synced or not.
     KillControl,
     /// A control machine loses power: its process ends and unsynced writes may be lost.
     PowerLoss,
-    /// The first three control machines lose power at once.
+    /// The first three control machines lose power at the same time.
     PowerLossOfAll,
-    /// The processes of the first three control machines end at once.
+    /// The processes of the first three control machines end at the same time.
     KillAllControl,
-    /// A control machine returns with an empty disk, where the other members can spare it.
+    /// A control machine loses power and restarts with an empty disk. Injected only if each of the
+    /// two others runs, is not frozen and is a member, and both know the same three members.
     EmptyDisk,
-    /// A control machine returns with an empty disk at a new address, where the others can spare
-    /// it.
+    /// A control machine restarts with an empty disk at a new address, on the same condition as
+    /// `EmptyDisk`.
     EmptyDiskAtNewAddress,
-    /// A control process is frozen for 0.2 to 6 s and then receives all that arrived meanwhile.
+    /// A control process is frozen for 0.2 to 6 s and then handles all events that arrived
+    /// meanwhile.
     FreezeControl,
     /// A control machine is partitioned from all other machines, in both directions.
     CutControl,
-    /// A control machine is partitioned from the other two, in both directions; data nodes reach
-    /// all three.
+    /// A control machine is partitioned from the other two control machines, in both directions;
+    /// data nodes reach all three.
     SplitControl,
-    /// Frames from one control machine to another are lost, in this direction only.
+    /// Frames from one control machine to another are lost, while those in the other direction
+    /// arrive.
     OneWayCut,
     /// A data process ends at once.
     KillData,
-    /// The processes of the first half of the data machines end at once.
+    /// The processes of the first half of the data machines end at the same time.
     KillManyData,
-    /// A data process is frozen for 0.2 to 6 s and then receives all that arrived meanwhile.
+    /// A data process is frozen for 0.2 to 6 s and then handles all events that arrived meanwhile.
     FreezeData,
     /// A data machine is partitioned from all other machines, in both directions.
     CutData,
     /// Every frame takes 30 ms longer.
     SlowLinks,
-    /// A tenth of all frames is lost.
+    /// Each frame is lost with a probability of 10 %.
     LossyLinks,
     /// A target's process ends; the endpoint list still shows it.
     KillTarget,
-    /// A target accepts requests and does not answer in time.
+    /// A target runs the requests that reach it without answering in time, and new connections to
+    /// it time out.
     FreezeTarget,
-    /// The endpoint list shows a target as draining, and a new target of its service.
+    /// The endpoint list shows one target as draining and a new target of the same service.
     DrainTarget,
-    /// A target's process ends and one of another service takes its address before the endpoint
-    /// list shows it.
+    /// A target's process ends and a target of another service takes its address, while the
+    /// endpoint list still shows the ended target.
     ReuseAddress,
-    /// A control machine's disk is faulty; a full or stalled one leaves the process running.
+    /// The disk of a control machine has a fault; a full or stalled disk does not end the process.
     Disk(DiskFault),
-    /// Every sync takes 10 to 50 ms.
+    /// Every sync of a control machine takes 10 to 50 ms.
     SlowDisks,
-    /// The next data node that reaches this stage of a one-time request freezes, and wakes after 3
-    /// to 8 s, when every bound has passed.
+    /// The next data node that reaches this stage of a one-time request freezes right before it,
+    /// and wakes after 3 to 8 s, when every time limit has passed.
     FreezeAt(Stage),
-    /// The platform's endpoint list itself is faulty.
+    /// The platform's endpoint list has this fault.
     List(ListFault),
-    /// The leader's process ends at once; for measuring how long the others need.
+    /// The process of the leader ends at once; used to measure the time until full service.
     KillController,
-    /// This control machine loses its disk and returns empty at a new address, where the others can
-    /// spare it.
+    /// The control machine of this index restarts with an empty disk at a new address, on the same
+    /// condition as `EmptyDisk`.
     ReplaceControl(usize),
-    /// This data process ends at once and starts again at once.
+    /// The data process of this index ends at once and restarts at once.
     RestartData(usize),
-    /// This control process shuts down gracefully and starts again.
+    /// The control process of this index shuts down gracefully and restarts.
     RollingRestartControl(usize),
-    /// This data process shuts down gracefully and starts again.
+    /// The data process of this index shuts down gracefully and restarts.
     RollingRestartData(usize),
-    /// Ends all faults: stopped processes start, links carry frames, the endpoint list is correct.
+    /// All faults end: stopped processes start, frozen ones wake, links carry frames, and the
+    /// endpoint list is correct.
     Heal,
 }
 
-/// All faults that `Scenario::everything` draws from, in the order of the draw.
+/// The faults that `Scenario::everything` draws from. A seed draws an index into this array, so
+/// that its order is part of what a seed determines.
 pub const ALL: [Fault; 39] = [
     Fault::KillControl,
     Fault::PowerLoss,
