--- a/crates/simulation/src/checker/mod.rs
+++ b/crates/simulation/src/checker/mod.rs
@@ -1,5 +1,5 @@
-//! Checks of recorded history: what clients received, what targets ran, what operators were
-//! answered. Checkers read a history and know no world.
+//! Checks of the recorded history: outcomes that clients received, requests that targets ran,
+//! responses to operators. These checks read a history only and do not depend on `World`.
 
 pub mod calls;
 mod invariants;
