--- a/crates/simulation/src/node/control.rs
+++ b/crates/simulation/src/node/control.rs
@@ -1,4 +1,5 @@
-//! Control machines: each runs a real control node over a simulated disk and network.
+//! Control machines, each of which runs the production control node over a simulated disk and
+//! network.
 
 use crate::clock::Clock;
 use crate::disk::SimDisk;
@@ -11,37 +12,43 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How old the operators' list of control machines is.
+/// Time for which a retired control machine stays on the operators' list, in microseconds.
 const OPERATORS_LIST_LAG_US: u64 = 3_000_000;
 
-/// One control machine: its disk outlives its processes.
+/// One control machine, whose disk outlives its processes.
 pub struct ControlMachine {
-    /// Its address.
+    /// The address at which the machine receives frames.
     pub address: SocketAddr,
-    /// Its disk, which outlives its processes.
+    /// The machine's disk.
     pub disk: SimDisk,
-    /// Counts starts and ends, so that events of an earlier process are ignored.
+    /// The number of starts and ends of the machine's process, so that events of an earlier process
+    /// are ignored.
     pub incarnation: u64,
-    /// Its own clock.
+    /// The machine's clock.
     pub(crate) clock: Clock,
-    /// The running control node; `None` while its process is down.
+    /// The running control node; `None` while the machine's process is down.
     pub node: Option<ControlNode>,
+    /// The storage that the running process keeps on `disk`.
     pub(crate) storage: Option<Storage<SimDisk>>,
+    /// Writes that wait for the disk, with their sequence numbers, oldest first.
     pub(crate) writes: VecDeque<(u64, Write)>,
+    /// Whether a sync is in progress.
     pub(crate) syncing: bool,
-    /// When it was retired: its process does not start again once it has ended.
+    /// The true time at which the machine was retired, in microseconds, if it was: its process does
+    /// not restart after a graceful shutdown.
     pub retired_us: Option<u64>,
-    /// It has no lasting disk, so it is never a member.
+    /// Whether the machine has no persistent disk, so that its node is never a member.
     pub observer: bool,
-    /// How many of the writes the storage has accepted and not yet carried out, since its disk is
-    /// full.
+    /// Number of the oldest `writes` that the storage has accepted but not carried out because the
+    /// disk is full.
     pub(crate) in_storage: usize,
-    /// Targets as last committed here, to find those that were dropped.
+    /// The targets in the node's committed state at the last check, to detect targets that were
+    /// dropped.
     pub targets: OrdMap<Name, Arc<Target>>,
 }
 
 impl ControlMachine {
-    /// A machine with an empty disk whose process has not started.
+    /// Creates a machine with an empty disk and no running process.
     pub fn new(address: SocketAddr, clock: Clock) -> Self {
         ControlMachine {
             address,
@@ -61,12 +68,13 @@
 }
 
 impl ControlMachine {
-    /// Whether operators find it on their list, which shows a retirement only after a lag.
+    /// Returns whether the machine is on the operators' list at this true time; a retired machine
+    /// leaves the list after a lag.
     pub fn is_listed(&self, now_us: u64) -> bool {
         self.retired_us.is_none_or(|retired_us| now_us < retired_us + OPERATORS_LIST_LAG_US)
     }
 
-    /// Writes that wait for the disk, oldest first.
+    /// Returns the writes that wait for the disk, oldest first.
     pub fn writes(&self) -> impl Iterator<Item = &Write> {
         self.writes.iter().map(|(_, write)| write)
     }
--- a/crates/simulation/src/node/mod.rs
+++ b/crates/simulation/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! Machines and what surrounds them: control and data nodes, targets, the endpoint list.
+//! Control machines, data machines, targets and the endpoint list.
 
 pub mod control;
 pub mod data;
--- a/crates/simulation/src/node/target.rs
+++ b/crates/simulation/src/node/target.rs
@@ -1,19 +1,20 @@
-//! Targets that run requests, crash, freeze and give their address to another.
+//! Targets, which run requests, may crash or freeze, and may be succeeded by another target at the
+//! same address.
 
 use std::net::SocketAddr;
 
-/// A process that runs requests.
+/// One target: a process that runs the requests of one service.
 pub struct Target {
-    /// Its instance.
+    /// The unique name of the target.
     pub instance: String,
-    /// Its service.
+    /// The name of the service that the target belongs to.
     pub service: String,
-    /// Its address.
+    /// The address at which the target accepts requests.
     pub address: SocketAddr,
-    /// Whether its process runs.
+    /// Whether the target's process runs.
     pub alive: bool,
-    /// Whether it runs requests without answering in time.
+    /// Whether the target runs requests without answering them in time.
     pub frozen: bool,
-    /// Of a thousand runs, how many lose their response.
+    /// Probability that the response to a request that ran is lost, in thousandths.
     pub lost_per_mille: u64,
 }
