--- a/crates/simulation/src/client/calls.rs
+++ b/crates/simulation/src/client/calls.rs
@@ -1,53 +1,66 @@
-//! Applications that call for locks, numbers, keys and watches: their state and history.
+//! State and history of the callers: applications that use locks, numbers, keys and watches.
 
 use postbarrow_state::{Call, Name, Outcome};
 use std::collections::BTreeMap;
 
-/// One completed call: when it was sent and answered, and its outcome.
+/// One completed call with its outcome; times are true times in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompletedCall {
-    /// Which caller.
+    /// The index of the caller.
     pub caller: usize,
-    /// When it was first sent.
+    /// The time at which the call was sent first.
     pub start_us: u64,
-    /// When its outcome arrived.
+    /// The time at which the outcome arrived.
     pub end_us: u64,
-    /// The call.
+    /// The call as it was sent.
     pub call: Call,
-    /// Its outcome.
+    /// The outcome of the call.
     pub outcome: Outcome,
 }
 
-/// A call without an outcome so far, and the node that it was sent to last.
+/// A call without an outcome so far.
 #[derive(Clone)]
 pub struct PendingCall {
+    /// The number of the call, which is part of its request id.
     pub(crate) number: u64,
+    /// The true time at which the call was sent first, in microseconds.
     pub(crate) start_us: u64,
     pub(crate) call: Call,
+    /// The index of the data node that the call was sent to last.
     pub(crate) node: usize,
+    /// The true time at which the call was sent last, in microseconds.
     pub(crate) sent_us: u64,
 }
 
 /// The callers' state and the history of their calls.
 #[derive(Default)]
 pub struct Callers {
-    /// Completed calls, in the order of their outcomes.
+    /// The completed calls, in the order in which their outcomes arrived.
     pub done: Vec<CompletedCall>,
-    /// Revisions of the events that the watch received, in the order of their arrival.
+    /// The revisions of the events that the watch received, in the order of arrival.
     pub watched_revisions: Vec<u64>,
-    /// The revision after which the watch started.
+    /// The revision after which the watch started; `None` before its first outcome.
     pub watch_from: Option<u64>,
-    /// How often the watch had to start again, since its events were no longer retained.
+    /// Number of times that the watch was refused because the events after its revision were no
+    /// longer retained.
     pub too_old: u64,
+    /// The pending call of each caller, by the caller's index.
     pub(crate) pending: BTreeMap<usize, PendingCall>,
+    /// The lock that each caller holds, by the caller's index: its name, its fencing token and the
+    /// true time at which it expires, in microseconds.
     pub(crate) locks: BTreeMap<usize, (Name, u64, u64)>,
+    /// The caller that acquired the lock last and has not released it, with the true time at which
+    /// the lock expires, in microseconds.
     pub(crate) lock_owner: Option<(usize, u64)>,
+    /// The number of the newest call of any caller.
     pub(crate) number: u64,
+    /// The newest revision of each key that a caller has learned.
     pub(crate) revisions: BTreeMap<Name, u64>,
 }
 
 impl Callers {
-    /// The highest number or revision of the same name that was acknowledged before this time.
+    /// Returns the highest number or revision of the call's name that was acknowledged before this
+    /// true time; 0 if there is none.
     pub fn max_acknowledged(&self, call: &Call, before_us: u64) -> u64 {
         let finished = self.done.iter().filter(|done| done.end_us < before_us);
         let values = finished.filter_map(|done| match (call, &done.call, &done.outcome) {
--- a/crates/simulation/src/client/mod.rs
+++ b/crates/simulation/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! The state of those who use the cluster: clients of data nodes, applications, operators.
+//! The state of the cluster's users: clients that send requests, applications and operators.
 
 pub mod calls;
 pub mod operator;
--- a/crates/simulation/src/client/pinned.rs
+++ b/crates/simulation/src/client/pinned.rs
@@ -1,57 +1,65 @@
-//! Pinned clients: operators and callers that send everything to one control machine.
+//! Pinned clients: operators and callers that send all requests to one control machine.
 
 use crate::client::operator::SubmittedOrder;
 use postbarrow_controller_client::ControllerClient;
 use postbarrow_state::Call;
 use std::collections::BTreeMap;
 
-/// How long a request waits at its machine.
+/// Time that a request may wait at the control machine for its response, in milliseconds.
 pub const WAIT_MS: u64 = 2_500;
 
-/// The number that only these callers increment. Its text is part of what a seed determines.
+/// Name of the number that only the pinned clients increment. The name is encoded in messages and
+/// logs, so that a seed's run depends on it.
 pub const OWN_NUMBER: &str = "clung";
 
 /// A request of a pinned client.
 #[derive(Clone, Debug)]
 pub enum PinnedRequest {
-    /// Shows the plan in force.
+    /// A request for the plan in force.
     Show,
-    /// Submits an order.
+    /// A submission of an order.
     Order(SubmittedOrder),
-    /// Calls for a number or a key.
+    /// A call on a number or a key.
     Call(Call),
 }
 
-/// A request without a response so far.
+/// A request that a pinned client sent and that has no response so far.
 #[derive(Clone, Debug)]
 pub struct PendingRequest {
+    /// The true time at which the request was sent, in microseconds.
     pub(crate) start_us: u64,
     pub(crate) request: PinnedRequest,
 }
 
-/// The clients of one control machine that never try another.
+/// The clients that are pinned to one control machine and never send to another.
 pub struct PinnedClients {
-    /// The control machine's index.
+    /// The index of the control machine.
     pub at: usize,
-    /// Requests that were answered.
+    /// Number of requests with a response other than `Unavailable` and `TimedOut`.
     pub answered: usize,
-    /// Requests answered as unavailable.
+    /// Number of requests answered with `Unavailable`.
     pub unavailable: usize,
-    /// Requests that timed out.
+    /// Number of requests answered with `TimedOut`.
     pub unclear: usize,
-    /// For each request answered as unavailable, when it was sent and how long it waited.
+    /// For each request answered with `Unavailable`, the true time at which it was sent and how
+    /// long it waited, in microseconds.
     pub waits_us: Vec<(u64, u64)>,
-    /// Acknowledged numbers, and how many requests for one had no clear outcome.
+    /// The values of `OWN_NUMBER` that were acknowledged, in the order of their responses.
     pub numbers: Vec<u64>,
-    /// Requests for a number without a clear outcome.
+    /// Number of increments of `OWN_NUMBER` of which it is unknown whether they were applied.
     pub numbers_unclear: usize,
-    /// Orders submitted.
+    /// Number of orders that were prepared.
     pub orders: usize,
+    /// The incarnation of the control machine's process that received the pending requests.
     pub(crate) incarnation: u64,
+    /// The client at the control machine that forwards the pinned clients' requests to the
+    /// controller.
     pub(crate) controller_client: ControllerClient,
+    /// Requests without a response, by key.
     pub(crate) pending: BTreeMap<u64, PendingRequest>,
+    /// The key of the newest request.
     pub(crate) key: u64,
-    /// The pending order, and since when it is pending.
+    /// The pending order, with the true time in microseconds at which it was prepared.
     pub order: Option<(u64, SubmittedOrder)>,
 }
 
@@ -74,12 +82,12 @@
         }
     }
 
-    /// Whether an order is pending.
+    /// Returns whether an order is pending.
     pub fn has_order(&self) -> bool {
         self.order.is_some()
     }
 
-    /// Requests that should have had a response by then.
+    /// Returns the number of requests that should have had a response before this true time.
     pub fn overdue(&self, now_us: u64) -> usize {
         let due_us = (WAIT_MS + 500) * 1_000;
         self.pending.values().filter(|pending| now_us > pending.start_us + due_us).count()
@@ -87,7 +95,7 @@
 }
 
 impl PinnedClients {
-    /// Whether this is the order that is still pending.
+    /// Returns whether this order is the pending one.
     pub fn is_order(&self, submitted: &SubmittedOrder) -> bool {
         self.order.as_ref().is_some_and(|(_, pending)| pending.order == submitted.order)
     }
