--- a/crates/simulation/src/node/slow.rs
+++ b/crates/simulation/src/node/slow.rs
@@ -3,23 +3,24 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A control machine on a slow link and disk.
+/// The rates of a control machine on a slow link and a slow disk.
 pub struct SlowMachine {
-    /// The control machine's index.
+    /// The index of the control machine.
     pub at: usize,
-    /// Bytes a second on its links.
+    /// Throughput of each direction of each link of the machine, in bytes per second.
     pub link_bytes: u64,
-    /// Bytes a second of its disk.
+    /// Throughput of the machine's disk, in bytes per second.
     pub disk_bytes: u64,
-    /// Factor by which a sync takes longer.
+    /// Factor by which a sync takes longer than on other machines, besides the time for its bytes.
     pub sync_factor: u64,
-    /// When each direction of each of its links is free, in microseconds.
-    pub(crate) free_us: BTreeMap<(SocketAddr, SocketAddr), u64>,
+    /// The true time at which each link is free again, in microseconds, by sender and receiver.
+    pub(crate) link_free_us: BTreeMap<(SocketAddr, SocketAddr), u64>,
 }
 
 impl SlowMachine {
-    /// Control machine `at` with these rates in bytes a second, and this factor for its syncs.
+    /// Creates a description of control machine `at` with these rates in bytes per second and this
+    /// factor for its syncs.
     pub fn new(at: usize, link_bytes: u64, disk_bytes: u64, sync_factor: u64) -> Self {
-        SlowMachine { at, link_bytes, disk_bytes, sync_factor, free_us: BTreeMap::new() }
+        SlowMachine { at, link_bytes, disk_bytes, sync_factor, link_free_us: BTreeMap::new() }
     }
 }
--- a/crates/simulation/src/world/service.rs
+++ b/crates/simulation/src/world/service.rs
@@ -1,10 +1,10 @@
-//! Whether the cluster is in full service.
+//! The condition of full service.
 
 use crate::world::World;
 use std::collections::BTreeSet;
 
 impl World {
-    /// Whether all data nodes are ready and serve one version of the plan.
+    /// Returns whether all data nodes are ready and serve the same version of the plan.
     pub fn has_full_service(&self) -> bool {
         let versions: BTreeSet<_> =
             self.data.iter().map(|machine| machine.table.state.plan_version()).collect();
--- a/crates/simulation/src/world/targets.rs
+++ b/crates/simulation/src/world/targets.rs
@@ -1,4 +1,4 @@
-//! Targets: start, lookup, and their rows in the endpoint list.
+//! Starts and lookups of targets, and their rows in the endpoint list.
 
 use crate::network::address;
 use crate::node::endpoint_list::Row;
@@ -7,7 +7,8 @@
 use std::net::SocketAddr;
 
 impl World {
-    /// Starts a target at this address, or at a new one, and lists it; returns its instance.
+    /// Starts a target at the address `at`, or at a new one if `None`, adds its row to the endpoint
+    /// list and returns its instance.
     pub fn add_target(&mut self, service: &str, at: Option<SocketAddr>) -> String {
         let number = self.targets.len();
         let address = at.unwrap_or_else(|| address(4, number, 80));
@@ -26,17 +27,18 @@
         instance
     }
 
-    /// The running target at this address.
+    /// Returns the running target at this address, if any.
     pub fn target_at(&self, address: SocketAddr) -> Option<&Target> {
         self.targets.iter().find(|target| target.alive && target.address == address)
     }
 
-    /// The target of this instance.
+    /// Returns the target of this instance, if there is one.
     pub fn target_mut(&mut self, instance: &str) -> Option<&mut Target> {
         self.targets.iter_mut().find(|target| target.instance == instance)
     }
 
-    /// Records when the endpoint list first showed this instance as draining or gone.
+    /// Records that the endpoint list now shows this instance as draining or gone, unless it did
+    /// before.
     pub fn record_departure(&mut self, instance: &str) {
         self.list.departures.entry(instance.to_string()).or_insert(self.now_us);
     }
