--- a/crates/simulation/src/checker/ledger.rs
+++ b/crates/simulation/src/checker/ledger.rs
@@ -1,50 +1,52 @@
-//! What clients received and what targets ran: the record that every check compares.
+//! The record of outcomes that clients received and of requests that targets ran, which the checks
+//! compare.
 
 use crate::checker::orders::OrderLedger;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a client received for one attempt.
+/// The outcome that a client received for one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientOutcome {
-    /// The response to its request.
+    /// A target's response to the request.
     Ran,
-    /// The report that its request did not run.
+    /// A report that the request did not run.
     NotRun,
-    /// The report that it is unknown whether its request ran.
+    /// A report that it is unknown whether the request ran.
     Unknown,
-    /// The report that another request with its key is in flight.
+    /// A report that another request with the same idempotency key is in flight.
     Pending,
-    /// No node accepted it.
+    /// No data node accepted the request.
     Unreached,
 }
 
-/// Requests by the last outcome that their client received.
+/// Numbers of requests by the last outcome that their client received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// Reported as run.
+    /// Requests to which a client received a target's response.
     pub ran: usize,
-    /// Reported as not run.
+    /// Requests that were reported as not run.
     pub not_run: usize,
-    /// Reported as unknown.
+    /// Requests of which it was reported as unknown whether they ran.
     pub unknown: usize,
-    /// Another request with the same key was in flight.
+    /// Requests that were refused because another one with the same idempotency key was in flight.
     pub pending: usize,
-    /// No node accepted the request.
+    /// Requests that no data node accepted.
     pub unreached: usize,
-    /// The node that accepted it ended first.
+    /// Requests without a response whose client did not depart, since the node that accepted them
+    /// ended or the run did.
     pub unanswered: usize,
-    /// The client departed before any response.
+    /// Requests whose client departed before any response.
     pub departed: usize,
 }
 
 impl OutcomeCounts {
-    /// All requests, each counted once.
+    /// Returns the number of all requests, each of which has one outcome.
     pub fn total(&self) -> usize {
         let answered = self.ran + self.not_run + self.unknown + self.pending;
         answered + self.unreached + self.unanswered + self.departed
     }
 
-    /// The sum of both.
+    /// Returns the sums of both counts, outcome by outcome.
     #[must_use]
     pub fn plus(self, other: OutcomeCounts) -> OutcomeCounts {
         OutcomeCounts {
@@ -59,50 +61,59 @@
     }
 }
 
+/// The history of one request, with all its attempts.
 #[derive(Default)]
 struct RequestRecord {
+    /// Whether the request must run at most once; otherwise it is a lookup.
     one_time: bool,
-    /// Sent twice at once under one key: the outcome of one attempt says nothing of the other.
-    doubled: bool,
+    /// Whether the client sent the request twice at once under one key, so that the outcome of one
+    /// attempt says nothing about the other.
+    is_duplicated: bool,
+    /// The outcomes that the client received, oldest first.
     outcomes: Vec<ClientOutcome>,
-    /// A client of it departed without a response.
+    /// Whether the client of an attempt departed without a response.
     client_departed: bool,
+    /// The runs of the request at targets, oldest first.
     runs: Vec<Run>,
 }
 
-/// One run at a target.
+/// One run of a request at a target.
 struct Run {
+    /// The instance of the target.
     instance: String,
-    /// Which attempt under this id it was.
+    /// The number of the attempt that reached the target.
     attempt: u64,
 }
 
-/// What clients received and what targets ran, compared at every entry.
+/// The record of a run, whose entries are compared as they are added.
 #[derive(Default)]
 pub struct Ledger {
+    /// The records of all requests, by id.
     records: BTreeMap<u64, RequestRecord>,
-    /// What did not hold, the first fifty.
+    /// The violations found, in order; at most fifty are kept.
     pub violations: Vec<String>,
-    /// How often a request was forwarded to a target.
+    /// Number of times that a request was forwarded to a target.
     pub forwards: u64,
-    /// When targets ran requests, in microseconds.
+    /// The true times at which targets ran requests, in microseconds.
     pub ran_us: Vec<u64>,
-    /// Acknowledged plans: when, and the log offset of their Begin.
+    /// For each acknowledged plan, the true time of the acknowledgement in microseconds and the log
+    /// offset of the plan's Begin.
     pub in_force: Vec<(u64, u64)>,
-    /// Refused plans and dry runs: version and number of routes, by which a data node's image shows
-    /// one.
+    /// Version and number of routes of each refused plan and dry run, by which one is recognised in
+    /// the routing table of a data node.
     pub refused: BTreeSet<(String, usize)>,
-    /// Responses to operators' orders.
+    /// The record of responses to operators' orders.
     pub orders: OrderLedger,
-    /// Checksums of committed entries, by index.
+    /// Checksums of committed log entries, by index.
     pub committed: BTreeMap<u64, u64>,
-    /// The longest time for which a target got requests after its departure was shown.
+    /// The longest time for which a target received requests after the endpoint list showed its
+    /// departure, in microseconds.
     pub max_departure_lag_us: u64,
 }
 
 impl Ledger {
-    /// Records a violation.
-    pub fn violate(&mut self, text: String) {
+    /// Records a violation, unless fifty are recorded already.
+    pub fn report(&mut self, text: String) {
         if self.violations.len() < 50 {
             self.violations.push(text);
         }
@@ -114,34 +125,42 @@
     }
 
     /// Records that a request is sent twice at once under one key.
-    pub fn doubled(&mut self, id: u64) {
-        self.records.entry(id).or_default().doubled = true;
+    pub fn record_duplicate(&mut self, id: u64) {
+        self.records.entry(id).or_default().is_duplicated = true;
     }
 
-    /// Records that a target ran a request, in this attempt.
-    pub fn ran(&mut self, id: u64, attempt: u64, instance: &str, kind: &str, service: &str) {
-        let mut found = Vec::new();
-        if kind != service {
-            found.push(format!("{instance} got request {id} of {service}"));
+    /// Records that a target ran a request in the attempt of this number. The target must belong to
+    /// the request's service.
+    pub fn record_run(
+        &mut self,
+        id: u64,
+        attempt: u64,
+        instance: &str,
+        target_service: &str,
+        service: &str,
+    ) {
+        let mut violations = Vec::new();
+        if target_service != service {
+            violations.push(format!("{instance} got request {id} of {service}"));
         }
         match self.records.get_mut(&id) {
-            None => found.push(format!("{instance} ran request {id}, which nobody sent")),
+            None => violations.push(format!("{instance} ran request {id}, which nobody sent")),
             Some(record) => {
                 record.runs.push(Run { instance: instance.to_string(), attempt });
                 if record.one_time && record.runs.len() > 1 {
                     let instances: Vec<&str> =
                         record.runs.iter().map(|run| run.instance.as_str()).collect();
-                    found.push(format!("request {id} ran at {}", instances.join(" and ")));
+                    violations.push(format!("request {id} ran at {}", instances.join(" and ")));
                 }
                 if record.one_time
-                    && !record.doubled
+                    && !record.is_duplicated
                     && record.outcomes.last() == Some(&ClientOutcome::NotRun)
                 {
-                    found.push(format!("request {id} ran after it was reported as not run"));
+                    violations.push(format!("request {id} ran after it was reported as not run"));
                 }
             }
         }
-        found.into_iter().for_each(|text| self.violate(text));
+        violations.into_iter().for_each(|text| self.report(text));
     }
 
     /// Records that a client departed before a response.
@@ -149,28 +168,34 @@
         self.records.entry(id).or_default().client_departed = true;
     }
 
-    /// Records the outcome that the client of this attempt received. A lookup's outcome is about
-    /// this attempt alone.
+    /// Records the outcome that the client of this attempt received. The outcome of a lookup is
+    /// about this attempt alone, that of a one-time request about all attempts.
     pub fn record_outcome(&mut self, id: u64, attempt: u64, outcome: ClientOutcome) {
         let Some(record) = self.records.get_mut(&id) else { return };
         record.outcomes.push(outcome);
         let ran = !record.runs.is_empty();
-        let ran_now = record.runs.iter().any(|run| run.attempt == attempt);
-        if outcome == ClientOutcome::NotRun && !record.one_time && ran_now {
-            self.violate(format!("lookup {id} was reported as not run, but it ran"));
-        } else if outcome == ClientOutcome::NotRun && record.one_time && !record.doubled && ran {
-            self.violate(format!("request {id} was reported as not run, but it ran"));
+        let attempt_ran = record.runs.iter().any(|run| run.attempt == attempt);
+        if outcome == ClientOutcome::NotRun && !record.one_time && attempt_ran {
+            self.report(format!("lookup {id} was reported as not run, but it ran"));
+        } else if outcome == ClientOutcome::NotRun
+            && record.one_time
+            && !record.is_duplicated
+            && ran
+        {
+            self.report(format!("request {id} was reported as not run, but it ran"));
         } else if outcome == ClientOutcome::Ran && !ran {
-            self.violate(format!("request {id} was reported as run, but no target ran it"));
+            self.report(format!("request {id} was reported as run, but no target ran it"));
         }
     }
 
-    /// How many requests had each outcome, by the last one that their client received.
+    /// Returns how many requests had each outcome; the last one that the client received counts.
     pub fn outcome_counts(&self) -> OutcomeCounts {
-        let with_outcome = |end: Option<ClientOutcome>| {
-            self.records.values().filter(move |record| record.outcomes.last().copied() == end)
+        let with_outcome = |last_outcome: Option<ClientOutcome>| {
+            self.records
+                .values()
+                .filter(move |record| record.outcomes.last().copied() == last_outcome)
         };
-        let count = |end: Option<ClientOutcome>| with_outcome(end).count();
+        let count = |last_outcome: Option<ClientOutcome>| with_outcome(last_outcome).count();
         let departed = with_outcome(None).filter(|record| record.client_departed).count();
         OutcomeCounts {
             ran: count(Some(ClientOutcome::Ran)),
@@ -183,18 +208,19 @@
         }
     }
 
-    /// How many requests there were.
+    /// Returns the number of requests that clients have sent.
     pub fn requests(&self) -> usize {
         self.records.len()
     }
 
-    /// Attempts of lookups, and the runs at targets beyond one for each.
-    pub fn extra(&self) -> (usize, usize) {
+    /// Returns the number of attempts of lookups, and the number of their runs at targets beyond
+    /// one for each attempt.
+    pub fn extra_lookup_runs(&self) -> (usize, usize) {
         let lookups = self.records.values().filter(|record| !record.one_time);
-        lookups.fold((0, 0), |(requested, extra), record| {
+        lookups.fold((0, 0), |(attempts, extra_runs), record| {
             (
-                requested + record.outcomes.len().max(1),
-                extra + record.runs.len().saturating_sub(record.outcomes.len().max(1)),
+                attempts + record.outcomes.len().max(1),
+                extra_runs + record.runs.len().saturating_sub(record.outcomes.len().max(1)),
             )
         })
     }
--- a/crates/simulation/src/client/operator.rs
+++ b/crates/simulation/src/client/operator.rs
@@ -1,67 +1,72 @@
-//! Operators and the orders that they submit.
+//! Operators and the orders (submissions of plans) that they send.
 
 use postbarrow_controller_client::ControllerClient;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// One order as it was sent; its text carries everything else.
+/// One order as an operator sent it; the plan's routes and services are in its text.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Order {
-    /// The plan's version.
+    /// The version of the order's plan.
     pub version: String,
-    /// The version that it changes; `None` for the first plan.
+    /// The version of the plan that the order changes; `None` for the first plan.
     pub base: Option<String>,
-    /// The plan's text.
+    /// The order's plan as JSON text.
     pub text: String,
 }
 
-/// What an operator expects of an order that is sent.
+/// The effect that an operator expects of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// To come into force.
+    /// The plan comes into force.
     Change,
-    /// To be checked only.
+    /// The plan is checked and does not come into force.
     DryRun,
-    /// Acknowledged or refused before; the same response is due.
+    /// The order was acknowledged or refused before, and the response must be the same.
     Repeat,
 }
 
-/// An order that was submitted, with what is expected of it.
+/// An order that was submitted, with its expected effect.
 #[derive(Clone, Debug)]
 pub struct SubmittedOrder {
-    /// The order.
+    /// The order as it was sent.
     pub order: Order,
-    /// The number of its plan's routes.
+    /// Number of routes of the order's plan.
     pub routes: usize,
-    /// What is expected of it.
+    /// The expected effect of the order.
     pub purpose: Purpose,
 }
 
-/// Operators who submit plans, sometimes two at once on one base.
+/// The operators, who submit plans, at times several at once on one base.
 pub struct Operator {
-    /// Their address.
+    /// The address at which the operators receive responses.
     pub address: SocketAddr,
-    /// The newest version that they know to be in force.
+    /// The newest version that the operators know to be in force; `None` before the first plan.
     pub version: Option<String>,
-    /// Plans acknowledged.
+    /// Number of acknowledgements of plans.
     pub acknowledged: u64,
-    /// Plans refused.
+    /// Number of refusals of plans.
     pub refusals: u64,
-    /// The plan's text as last shown.
+    /// The text of the plan in force, as last requested with `World::show`; `None` before a
+    /// response.
     pub shown: Option<String>,
-    /// Texts of plans that may or may not be in force.
+    /// Texts of submitted plans of which it is not known whether they are in force.
     pub unsure: BTreeSet<String>,
-    /// Texts of plans by version.
+    /// Texts of all plans that were prepared, by version; an acknowledged text replaces another
+    /// one.
     pub texts: BTreeMap<String, String>,
+    /// The client through which the operators send requests to the controller.
     pub(crate) controller_client: ControllerClient,
+    /// Pending orders, by the key of their request.
     pub(crate) submitted: BTreeMap<u64, SubmittedOrder>,
+    /// The key of the newest request.
     pub(crate) key: u64,
-    /// The number of the last version that was prepared.
+    /// The number in the newest version that was prepared.
     pub number: u64,
 }
 
 impl Operator {
-    /// Operators at this address who know no version.
+    /// Creates operators at this address who know of no plan.
     pub fn new(address: SocketAddr) -> Self {
         Operator {
             address,
@@ -78,8 +83,9 @@
         }
     }
 
-    /// Learns the version in force. Responses may overtake each other, so an older version is ignored.
-    pub(crate) fn learn(&mut self, version: String) {
+    /// Records the version in force, unless it is older than the recorded one: responses may
+    /// overtake each other.
+    pub(crate) fn record_version(&mut self, version: String) {
         let number = |version: &str| version.strip_prefix('v')?.parse::<u64>().ok();
         if number(&version) > self.version.as_deref().and_then(number) {
             self.version = Some(version);
@@ -88,7 +94,7 @@
 }
 
 impl Operator {
-    /// Whether no order of its own is pending and a plan is in force.
+    /// Returns whether a plan is in force and no order of the operators is pending.
     pub fn is_idle(&self) -> bool {
         self.submitted.is_empty() && self.version.is_some()
     }
--- a/crates/simulation/src/event.rs
+++ b/crates/simulation/src/event.rs
@@ -7,61 +7,65 @@
 use postbarrow_node::Event as FlowEvent;
 use std::net::SocketAddr;
 
-/// A process of the cluster, by the index of its machine.
+/// A process of the cluster, identified by the index of its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProcessId {
-    /// A control process.
+    /// The process of the control machine of this index.
     Control(usize),
-    /// A data process.
+    /// The process of the data machine of this index.
     Data(usize),
 }
 
-/// What can happen next. An event of an earlier `incarnation` of its process is ignored.
+/// A scheduled event. An event with an `incarnation` is ignored if that incarnation of its process
+/// has ended. A field `at` is the index of a control machine, `data` that of a data machine, and
+/// `request` the number of a client's attempt.
 pub enum Event {
-    /// A process's control loop ticks.
+    /// The event loop of a process ticks.
     Tick { process: ProcessId, incarnation: u64 },
-    /// A frame arrives.
+    /// A frame arrives at the address `to`.
     Deliver { to: SocketAddr, envelope: Envelope },
-    /// A control machine's sync ends.
+    /// A sync of a control machine's disk ends.
     Synced { at: usize, incarnation: u64 },
-    /// A page of the endpoint list is read.
+    /// The endpoint list reads the page of this cursor, for the fetch of this number.
     ListRead { at: usize, incarnation: u64, number: u64, cursor: Option<String> },
-    /// A page arrives at a control node.
+    /// The result of a fetch of one page arrives at a control node.
     Page { at: usize, incarnation: u64, result: PageResult },
-    /// A snapshot is encoded.
+    /// A control node's snapshot up to this log index has been encoded.
     Encoded { at: usize, incarnation: u64, index: u64, state: Vec<u8> },
-    /// A client's request arrives at a data node.
+    /// An attempt of a client's request arrives at a data node.
     Arrive { request: u64, data: usize, incarnation: u64 },
-    /// A client closes its connection before its response.
+    /// A client closes its connection before the response arrives.
     ClientDeparts { request: u64 },
-    /// Its node observes that.
+    /// A data node observes that the client of an attempt has closed its connection.
     DepartureObserved { request: u64, data: usize, incarnation: u64 },
-    /// A client that departed sends the same request again, under its key.
+    /// A client that departed sends its request again, with the same idempotency key.
     ClientReturns { request: u64 },
-    /// A request's flow receives what it waited for.
+    /// The flow of a request receives the event that it waited for.
     Resume { request: u64, data: usize, incarnation: u64, event: FlowEvent },
-    /// A data node sends a request's bytes, after a last check.
+    /// A data node sends a request's bytes to the target, if a last check allows it before
+    /// `until_ms` by the node's clock.
     Send { request: u64, data: usize, incarnation: u64, until_ms: u64 },
-    /// A request's bytes reach a target.
+    /// The bytes of a request reach the target of this instance.
     Run { request: u64, data: usize, incarnation: u64, instance: String },
     /// A data node probes its targets.
     Probe { data: usize, incarnation: u64 },
-    /// A client sends the next request.
+    /// A client sends the next new request.
     NextRequest,
     /// A caller sends its next call.
     NextCall { caller: usize },
-    /// The operators drive their requests.
-    Operate,
+    /// The operators handle time-outs of their requests and may submit a plan.
+    OperatorsTick,
     /// The pinned clients send their next request.
     SendPinned,
     /// A pinned client's request arrives at its control machine.
     PinnedArrives { at: usize, key: u64, requested_us: u64, request: PinnedRequest },
-    /// A fault is injected.
+    /// This fault is injected.
     Fault(Fault),
     /// A frozen process wakes.
     Wake(ProcessId),
-    /// A process that is down starts.
+    /// A process starts, unless it runs.
     Start(ProcessId),
-    /// Checks whether a process that shuts down has finished its work.
+    /// A check is due whether a process, which has been shutting down since `since_us`, has
+    /// finished its work.
     CheckShutdown { process: ProcessId, incarnation: u64, since_us: u64 },
 }
--- a/crates/simulation/src/node/data.rs
+++ b/crates/simulation/src/node/data.rs
@@ -1,4 +1,4 @@
-//! Data machines: each runs a real data node.
+//! Data machines, each of which runs the production data node.
 
 use crate::clock::Clock;
 use crate::network::address;
@@ -9,46 +9,49 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Who waits for a response of the controller.
+/// The recipient of a response from the controller.
 #[derive(Clone, Copy, Debug)]
-pub enum Waits {
-    /// A client's request.
+pub enum ResponseRecipient {
+    /// The flow of the client's attempt of this number.
     Request(u64),
-    /// A caller's call of this number.
+    /// The call of this number, which an application (a caller) has made.
     Caller { caller: usize, number: u64 },
-    /// Nobody.
-    Nobody,
+    /// No recipient: the response is discarded.
+    None,
 }
 
-/// One data machine: nothing outlives its process.
+/// One data machine, which keeps nothing on disk.
 pub struct DataMachine {
-    /// Its address.
+    /// The address at which the machine receives frames.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone in which the machine runs.
     pub zone: Name,
-    /// Counts starts and ends, so that events of an earlier process are ignored.
+    /// The number of starts and ends of the machine's process, so that events of an earlier process
+    /// are ignored.
     pub incarnation: u64,
-    /// Its own clock.
+    /// The machine's clock.
     pub(crate) clock: Clock,
-    /// The running data node; `None` while its process is down.
+    /// The running data node; `None` while the machine's process is down.
     pub node: Option<DataNode>,
-    /// The routing table that it published last.
+    /// The routing table that the node published last; empty after a start.
     pub table: Arc<Table>,
-    /// When its lease expires, by its own clock.
+    /// The time at which the node's lease expires, in milliseconds of the machine's clock.
     pub lease_until_ms: u64,
-    /// When the platform last observed it ready.
+    /// The true time at which the node was last observed ready, in microseconds.
     pub ready_us: u64,
-    /// The random incarnation that its process announces to the controller.
+    /// The random incarnation that the process announces to the controller; `incarnation` counts
+    /// starts and ends instead.
     pub announced_incarnation: u64,
-    /// Counts the process's keys.
+    /// The newest number drawn for a request to the controller or a step of a request's flow.
     pub number: u64,
-    /// Who waits for which response, by the request's key.
-    pub waits: BTreeMap<u64, Waits>,
+    /// The recipients of pending responses, by the key of the request to the controller.
+    pub response_recipients: BTreeMap<u64, ResponseRecipient>,
+    /// The machine's index.
     pub(crate) at: usize,
 }
 
 impl DataMachine {
-    /// Machine number `at`, whose process has not started.
+    /// Creates the machine of index `at` without a running process.
     pub fn new(at: usize, clock: Clock) -> Self {
         DataMachine {
             address: address(2, at, 1),
@@ -61,7 +64,7 @@
             ready_us: 0,
             announced_incarnation: 0,
             number: 0,
-            waits: BTreeMap::new(),
+            response_recipients: BTreeMap::new(),
             at,
         }
     }
--- a/crates/simulation/src/scenario/contact_loss.rs
+++ b/crates/simulation/src/scenario/contact_loss.rs
@@ -1,4 +1,5 @@
-//! One control machine loses contact for twenty seconds while clients are pinned to it.
+//! Runs in which one control machine loses contact for twenty seconds while clients are pinned to
+//! it.
 
 use crate::client::pinned::{OWN_NUMBER, PinnedClients};
 use crate::event::{Event, ProcessId};
@@ -7,71 +8,80 @@
 use crate::world::World;
 use std::net::IpAddr;
 
-/// How the machine loses contact.
+/// A way in which a control machine loses contact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ContactLoss {
-    /// To and from all other machines.
+    /// All frames to and from the other machines are lost.
     Full,
-    /// It receives from all, and nobody receives from it.
+    /// All frames from the machine to the others are lost; the machine still receives.
     Outbound,
-    /// All receive from it, and it receives from nobody.
+    /// All frames from the other machines to this one are lost; the others still receive.
     Inbound,
-    /// To and from the other members only; data nodes and pinned clients reach it.
+    /// Frames to and from the other members are lost; data nodes and pinned clients reach the
+    /// machine.
     Members,
-    /// To and from data nodes only.
+    /// Frames to and from data nodes are lost; the other members reach the machine.
     Data,
-    /// Its process is frozen and wakes.
+    /// The machine's process is frozen and wakes afterwards; no frame is lost.
     Frozen,
-    /// To and from all, and its process is killed and started meanwhile.
+    /// All frames to and from the other machines are lost, and the machine's process is killed and
+    /// restarted meanwhile.
     Restarted,
 }
 
-/// A run in which the leader, or a follower, loses contact.
+/// A run in which the leader or a follower loses contact.
 #[derive(Clone, Copy, Debug)]
 pub struct ContactLossRun {
     /// The run's seed.
     pub seed: u64,
-    /// How contact is lost.
+    /// The way in which the machine loses contact.
     pub kind: ContactLoss,
-    /// Whether the machine leads; otherwise it is a follower.
+    /// Whether the leader loses contact; otherwise a follower does.
     pub leader: bool,
 }
 
-/// What such a run ended with.
+/// The result of a run in which a control machine lost contact.
 #[derive(Debug, Default)]
 pub struct ContactLossResult {
-    /// What did not hold.
+    /// The violations of the invariants; empty if the run passed.
     pub violations: Vec<String>,
-    /// Requests that the machine answered.
+    /// Number of the pinned clients' requests with a response other than `Unavailable` and
+    /// `TimedOut`.
     pub answered: usize,
-    /// Requests that the machine answered with `Unavailable`.
+    /// Number of the pinned clients' requests answered with `Unavailable`.
     pub unavailable: usize,
-    /// Requests that timed out.
+    /// Number of the pinned clients' requests answered with `TimedOut`.
     pub unclear: usize,
-    /// The longest wait for `Unavailable`, in milliseconds, of requests sent `NOTICED_US` or later
-    /// after the loss.
+    /// The longest wait for `Unavailable`, in milliseconds, of requests sent at least 2.5 s after
+    /// the loss and before contact returned.
     pub longest_wait_ms: u64,
-    /// Orders that the pinned clients submitted.
+    /// Number of orders that the pinned clients submitted.
     pub orders: usize,
-    /// Plans acknowledged in the whole run.
+    /// Number of acknowledgements of plans in the whole run.
     pub plans: u64,
-    /// The leader and its term stayed the same.
+    /// Whether the leader and its term were unchanged when contact returned, and the term still was
+    /// three seconds later.
     pub undisturbed: bool,
 }
 
+/// True time at which the pinned clients start, in microseconds; by then the cluster has formed.
 const START_US: u64 = 4_500_000;
 
-const CUT_US: u64 = 20_000_000;
+/// Duration of the loss of contact, in microseconds.
+const CONTACT_LOSS_US: u64 = 20_000_000;
 
-/// Time to notice the loss, an election, and a margin.
-const NOTICED_US: u64 = 2_500_000;
+/// Time for the detection of the loss, an election and a margin, in microseconds.
+const DETECTION_US: u64 = 2_500_000;
 
-const AFTER_US: u64 = 3_000_000;
+/// Time after the return of contact until the leader's term is compared, in microseconds.
+const SETTLING_US: u64 = 3_000_000;
 
-const RESTART_AFTER_US: u64 = 8_000_000;
+/// Time from the loss of contact until the kill of the process in `ContactLoss::Restarted`, in
+/// microseconds.
+const KILL_DELAY_US: u64 = 8_000_000;
 
 impl ContactLossRun {
-    /// Runs it; the same seed gives the same result.
+    /// Runs the simulation; the same field values give the same result.
     pub fn run(&self) -> ContactLossResult {
         let mut world = World::new(self.seed, 3, 6);
         world.request_pause_us = 250_000;
@@ -80,29 +90,30 @@
         let term = world.term(leader);
         let at = if self.leader { leader } else { (leader + 1) % 3 };
         world.pin_clients_to(at);
-        let cut_us = START_US + 1_000_000;
-        world.run_until(cut_us);
+        let loss_us = START_US + 1_000_000;
+        world.run_until(loss_us);
         self.inject(&mut world, at);
-        world.run_until(cut_us + CUT_US);
+        world.run_until(loss_us + CONTACT_LOSS_US);
         world.deliver_requests_before_ticks(ProcessId::Control(at));
         world.inject(Fault::Heal);
         let undisturbed = world.leader() == Some(leader) && world.term(leader) == term;
-        world.run_until(cut_us + CUT_US + AFTER_US);
+        world.run_until(loss_us + CONTACT_LOSS_US + SETTLING_US);
         let undisturbed = undisturbed && world.term(leader) == term;
         world.quiet = true;
         let recovery_ms = recover(&mut world);
         let quiet_us = world.now_us + 3_500_000;
         world.run_until(quiet_us);
-        self.collect_result(world, cut_us, recovery_ms, undisturbed)
+        self.collect_result(world, loss_us, recovery_ms, undisturbed)
     }
 
+    /// Starts the loss of contact of control machine `at`.
     fn inject(&self, world: &mut World, at: usize) {
         let others: Vec<usize> = (0..3).filter(|other| *other != at).collect();
         let members: Vec<IpAddr> =
             others.iter().map(|other| world.control[*other].address.ip()).collect();
         let data: Vec<IpAddr> = world.data.iter().map(|machine| machine.address.ip()).collect();
         let all: Vec<IpAddr> = members.iter().chain(&data).copied().collect();
-        let (out, into) = match self.kind {
+        let (outbound, inbound) = match self.kind {
             ContactLoss::Full | ContactLoss::Restarted => (all.clone(), all),
             ContactLoss::Outbound => (all, Vec::new()),
             ContactLoss::Inbound => (Vec::new(), all),
@@ -111,42 +122,45 @@
             ContactLoss::Frozen => (Vec::new(), Vec::new()),
         };
         let own = world.control[at].address.ip();
-        out.into_iter().for_each(|other| world.network.partition(own, other));
-        into.into_iter().for_each(|other| world.network.partition(other, own));
+        outbound.into_iter().for_each(|other| world.network.partition(own, other));
+        inbound.into_iter().for_each(|other| world.network.partition(other, own));
         match self.kind {
             ContactLoss::Frozen => {
                 world.frozen.entry(ProcessId::Control(at)).or_default();
             }
             ContactLoss::Restarted => {
-                let until_us = world.now_us + RESTART_AFTER_US;
+                let until_us = world.now_us + KILL_DELAY_US;
                 world.run_until(until_us);
                 world.end_control(at, false);
-                world.after(500_000, Event::Start(ProcessId::Control(at)));
+                world.schedule(500_000, Event::Start(ProcessId::Control(at)));
             }
             _ => {}
         }
     }
 
+    /// Makes the final checks and returns the result.
     fn collect_result(
         &self,
         mut world: World,
-        cut_us: u64,
+        loss_us: u64,
         recovery_ms: u64,
         undisturbed: bool,
     ) -> ContactLossResult {
         check_history(&mut world);
         if recovery_ms == u64::MAX {
-            world.ledger.violate("no full service after the loss of contact".into());
+            world.ledger.report("no full service after the loss of contact".into());
         }
         let Some(pinned) = world.pinned.take() else { return ContactLossResult::default() };
         check_numbers(&mut world, &pinned);
         let overdue = pinned.overdue(world.now_us);
         if overdue > 0 {
-            world.ledger.violate(format!("{overdue} requests never had a response"));
+            world.ledger.report(format!("{overdue} requests never had a response"));
         }
-        let noticed = (cut_us + NOTICED_US)..(cut_us + CUT_US);
-        let waits =
-            pinned.waits_us.iter().filter(|(requested_us, _)| noticed.contains(requested_us));
+        let after_detection = (loss_us + DETECTION_US)..(loss_us + CONTACT_LOSS_US);
+        let waits = pinned
+            .waits_us
+            .iter()
+            .filter(|(requested_us, _)| after_detection.contains(requested_us));
         ContactLossResult {
             violations: std::mem::take(&mut world.ledger.violations),
             answered: pinned.answered,
@@ -160,19 +174,20 @@
     }
 }
 
-/// A call answered as unavailable was not counted, and each acknowledged one was counted once.
+/// Checks that each acknowledged increment of `OWN_NUMBER` was applied once, and that no increment
+/// answered as unavailable was applied.
 fn check_numbers(world: &mut World, pinned: &PinnedClients) {
     let mut acknowledged = pinned.numbers.clone();
     acknowledged.sort_unstable();
     acknowledged.dedup();
     let Some(node) = world.leader().and_then(|at| world.control[at].node.as_ref()) else { return };
-    let counted = node.committed().numbers.get(OWN_NUMBER).copied().unwrap_or(0) as usize;
+    let applied = node.committed().numbers.get(OWN_NUMBER).copied().unwrap_or(0) as usize;
     let max = acknowledged.len() + pinned.numbers_unclear;
-    if acknowledged.len() != pinned.numbers.len() || !(acknowledged.len()..=max).contains(&counted)
+    if acknowledged.len() != pinned.numbers.len() || !(acknowledged.len()..=max).contains(&applied)
     {
         let (acknowledged, unclear) = (pinned.numbers.len(), pinned.numbers_unclear);
-        world.ledger.violate(format!(
-            "{counted} were counted, {acknowledged} acknowledged, {unclear} unclear"
+        world.ledger.report(format!(
+            "{applied} were counted, {acknowledged} acknowledged, {unclear} unclear"
         ));
     }
 }
--- a/crates/simulation/src/scenario/injection.rs
+++ b/crates/simulation/src/scenario/injection.rs
@@ -2,36 +2,44 @@
 
 use crate::fault::Fault;
 use crate::fault::injection::{InjectedFault, Injection, Operation};
-use crate::scenario::{RunResult, finish, read_back, recover};
+use crate::scenario::{RunResult, finish_run, read_back_plan, recover};
 use crate::world::World;
 
-/// A run with a fault at one of the controller's writes and syncs during an operation.
+/// A run with a fault at one of the controller's writes or syncs during an operation.
 #[derive(Clone, Copy, Debug)]
 pub struct InjectionPoint {
     /// The run's seed.
     pub seed: u64,
-    /// The operation during which the fault comes.
+    /// The operation during which the fault is injected.
     pub operation: Operation,
-    /// The fault.
+    /// The kind of fault that is injected.
     pub fault: InjectedFault,
-    /// The number of the write or sync, from 0.
+    /// The number of the operation's write or sync at which the fault is injected, counted from 0;
+    /// with `InjectedFault::Power` also the number of disk operations that are still carried out.
     pub at: u64,
 }
 
-const ROUTES: u64 = 6_000;
+/// Number of additional routes of the plan that `Operation::Plan` submits.
+const ADDITIONAL_ROUTES: u64 = 6_000;
 
 impl InjectionPoint {
-    /// Runs it; `None` if the controller had fewer steps to take.
+    /// Runs the simulation; returns `None` if the operation had fewer steps, so that no fault was
+    /// injected.
     pub fn run(&self) -> Option<RunResult> {
         let mut world = World::new(self.seed, 5, 12);
         world.request_pause_us = 50_000;
         world.run_until(6_000_000);
         world.quiet = true;
         let InjectionPoint { operation, fault, at, .. } = *self;
-        world.injection =
-            Some(Injection { operation, fault, remaining: at, fuse: at, injected: false });
+        world.injection = Some(Injection {
+            operation,
+            fault,
+            remaining: at,
+            power_loss_after: at,
+            injected: false,
+        });
         match operation {
-            Operation::Plan => world.submit_plan(ROUTES, false, false),
+            Operation::Plan => world.submit_plan(ADDITIONAL_ROUTES, false, false),
             Operation::Members | Operation::Seats => {
                 let leader = world.leader().unwrap_or(0);
                 world.inject(Fault::ReplaceControl((leader + 1) % 3));
@@ -42,7 +50,7 @@
         let injected = world.injection.take().is_some_and(|injection| injection.injected);
         world.inject(Fault::Heal);
         let mut result = RunResult { recovery_ms: recover(&mut world), ..RunResult::default() };
-        read_back(&mut world, &mut result, "");
+        read_back_plan(&mut world, &mut result, "");
         if operation == Operation::Plan && world.operator.acknowledged < 2 {
             result.violations.push("the plan was never acknowledged".into());
         }
@@ -50,8 +58,8 @@
         world.operator.shown = None;
         world.inject(Fault::ReplaceControl(lost));
         recover(&mut world);
-        read_back(&mut world, &mut result, " after a disk was lost");
-        finish(&mut world, &mut result);
+        read_back_plan(&mut world, &mut result, " after a disk was lost");
+        finish_run(&mut world, &mut result);
         injected.then_some(result)
     }
 }
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! One run: a world, the faults drawn for it, the wait for full service, the final checks.
+//! Runs of a world with drawn faults, a wait for full service and final checks.
 
 pub mod contact_loss;
 pub mod injection;
@@ -11,80 +11,85 @@
 use crate::random::Random;
 use crate::world::World;
 
-/// The faults of one run, its size and its seed.
+/// The description of one run: its seed, its size and its faults.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// The run's seed.
     pub seed: u64,
-    /// The faults that are drawn from.
+    /// The faults from which the run's faults are drawn.
     pub faults: Vec<Fault>,
-    /// How many are drawn from `faults`, each healed or overlapped by the next.
+    /// Number of faults drawn from `faults`; with a probability of one half each, a fault is healed
+    /// before the next, otherwise it overlaps with the next.
     pub count: usize,
-    /// How many data nodes there are.
+    /// Number of data nodes.
     pub data_nodes: usize,
-    /// How many targets there are at the start.
+    /// Number of targets at the start.
     pub targets: usize,
-    /// Whether the run's log is returned.
+    /// Whether the run's log is recorded and returned.
     pub log: bool,
-    /// A last fault, injected after all others are healed, from which the cluster recovers without
-    /// help.
+    /// A last fault, injected after all others are healed and itself not healed; the cluster must
+    /// recover from it alone.
     pub last: Option<Fault>,
-    /// Faults before any drawn one, each this many milliseconds after the previous one.
+    /// Faults injected before any drawn one, each with its pause after the previous one in
+    /// milliseconds.
     pub script: Vec<(u64, Fault)>,
-    /// Of a thousand runs at a target, how many lose their response.
+    /// Probability that the response to a request that ran at a target is lost, in thousandths.
     pub lost_per_mille: u64,
-    /// Added delay between zones, in microseconds.
+    /// Additional delay of a frame between two zones, in microseconds.
     pub zone_us: u64,
 }
 
-/// What a run ended with.
+/// The result of a run.
 #[derive(Debug, Default)]
 pub struct RunResult {
-    /// What did not hold; empty if the run passed.
+    /// The violations of the invariants; empty if the run passed.
     pub violations: Vec<String>,
     /// Milliseconds from the last heal or fault until full service; `u64::MAX` if there was none in
     /// time.
     pub recovery_ms: u64,
-    /// Requests that clients sent.
+    /// Number of requests that clients sent, without repeated attempts.
     pub requests: usize,
-    /// How they ended.
+    /// Numbers of requests by their outcome.
     pub outcomes: OutcomeCounts,
-    /// How often a request was forwarded to a target.
+    /// Number of times that a request was forwarded to a target.
     pub forwards: u64,
-    /// Plans acknowledged.
+    /// Number of acknowledgements of plans.
     pub plans: u64,
-    /// Plans refused.
+    /// Number of refusals of plans.
     pub refusals: u64,
-    /// Completed calls for locks, numbers, keys and watches.
+    /// Number of completed calls on locks, numbers, keys and watches.
     pub calls: usize,
-    /// Events that the watch received.
+    /// Number of events that the watch on keys received.
     pub events: usize,
-    /// Lookups sent, and the runs at targets beyond one for each.
+    /// Number of attempts of lookups, and number of their runs at targets beyond one for each
+    /// attempt.
     pub extra: (usize, usize),
-    /// The longest time for which a target still got requests after the list showed it depart.
+    /// The longest time for which a target received requests after the endpoint list showed its
+    /// departure, in milliseconds.
     pub max_departure_lag_ms: u64,
-    /// A digest of the time and order of all events: equal for equal runs.
+    /// A digest of the times and the order of all events; equal runs have equal digests.
     pub digest: u64,
     /// Addresses of the members at the end, as the leader knows them.
     pub members: Vec<String>,
-    /// Snapshots that were encoded.
+    /// Number of snapshots that control nodes encoded.
     pub snapshots: usize,
-    /// Syncs, and the writes that shared them.
+    /// Numbers of completed syncs of control machines and of the writes that they covered.
     pub synced: (usize, usize),
-    /// Control processes that ended because a write or sync failed.
+    /// Number of control processes that ended because a write or sync failed.
     pub disk_failures: usize,
-    /// Fetches of the endpoint list that its rate limit refused.
+    /// Number of fetches of the endpoint list that its rate limit refused.
     pub list_refusals: usize,
-    /// The run's log, if it was requested.
+    /// The lines of the run's log; empty unless `Scenario::log` is set.
     pub log: Vec<String>,
 }
 
-/// The first fault comes when the cluster has had this time to form.
+/// True time of the first fault, in microseconds; by then the cluster must have formed.
 const START_US: u64 = 6_000_000;
+/// Maximum time from the last heal or fault to full service, in milliseconds.
 const RECOVERY_MS: u64 = 15_000;
 
 impl Scenario {
-    /// A scenario of the usual size that draws `count` of these faults.
+    /// Creates a scenario of five data nodes and twelve targets that draws `count` of these faults.
     pub fn new(seed: u64, faults: &[Fault], count: usize) -> Self {
         let faults = faults.to_vec();
         Scenario {
@@ -101,12 +106,12 @@
         }
     }
 
-    /// A scenario that draws six of all faults.
+    /// Creates a scenario that draws six of all faults in `ALL`.
     pub fn everything(seed: u64) -> Self {
         Scenario::new(seed, &ALL, 6)
     }
 
-    /// Runs it; the same scenario gives the same result.
+    /// Runs the scenario; the same scenario gives the same result.
     pub fn run(&self) -> RunResult {
         let mut world = World::new(self.seed, self.data_nodes, self.targets);
         if self.log {
@@ -124,35 +129,36 @@
             world.run_until(stable_us);
             world.inject(last);
         }
-        let mut outcome = RunResult { recovery_ms: recover(&mut world), ..RunResult::default() };
+        let mut result = RunResult { recovery_ms: recover(&mut world), ..RunResult::default() };
         world.request_pause_us = 0;
         let end_us = world.now_us + 6_000_000;
         world.run_until(end_us);
         world.show();
         world.run_until(end_us + 2_000_000);
         if !formed {
-            outcome.violations.push("no service before any fault".into());
+            result.violations.push("no service before any fault".into());
         }
-        finish(&mut world, &mut outcome);
-        outcome
+        finish_run(&mut world, &mut result);
+        result
     }
 
-    /// Injects the script's faults and then the drawn ones, some of them healed before the next.
+    /// Injects the faults of `script` and then the drawn ones, about half of which are healed
+    /// before the next.
     fn inject_faults(&self, world: &mut World) {
         let mut random = Random::new(self.seed ^ 0xfa_017);
         let mut at_us = START_US;
         for (pause_ms, fault) in &self.script {
             at_us += pause_ms * 1_000;
             world.run_until(at_us);
-            world.after(0, Event::Fault(*fault));
+            world.schedule(0, Event::Fault(*fault));
         }
         for _ in 0..self.count {
             let fault = self.faults[random.below(self.faults.len() as u64) as usize];
-            world.after(0, Event::Fault(fault));
+            world.schedule(0, Event::Fault(fault));
             at_us += random.between(300_000, 4_000_000);
             world.run_until(at_us);
             if random.chance(500) {
-                world.after(0, Event::Fault(Fault::Heal));
+                world.schedule(0, Event::Fault(Fault::Heal));
                 at_us += random.between(200_000, 2_000_000);
                 world.run_until(at_us);
             }
@@ -160,78 +166,83 @@
     }
 }
 
-/// Runs until full service, with requests that run, has lasted a second; milliseconds until it
-/// began.
+/// Runs until there has been full service, with requests that run, for one second, or until twice
+/// `RECOVERY_MS` have passed. Returns the milliseconds until that service began; `u64::MAX` if
+/// there is none at the end.
 pub(crate) fn recover(world: &mut World) -> u64 {
     let start_us = world.now_us;
-    let mut well_us = None;
+    let mut full_service_us = None;
     while world.now_us < start_us + 2 * RECOVERY_MS * 1_000 {
         let next_us = world.now_us + 50_000;
         world.run_until(next_us);
         let ran = world.ledger.ran_us.last().is_some_and(|ran_us| ran_us + 500_000 > world.now_us);
-        match (world.has_full_service() && ran, well_us) {
-            (true, None) => well_us = Some(world.now_us),
+        match (world.has_full_service() && ran, full_service_us) {
+            (true, None) => full_service_us = Some(world.now_us),
             (true, Some(since_us)) if world.now_us > since_us + 1_000_000 => break,
-            (false, _) => well_us = None,
+            (false, _) => full_service_us = None,
             _ => {}
         }
     }
-    well_us.map_or(u64::MAX, |well_us| (well_us - start_us) / 1_000)
+    full_service_us.map_or(u64::MAX, |full_service_us| (full_service_us - start_us) / 1_000)
 }
 
-pub(crate) fn finish(world: &mut World, outcome: &mut RunResult) {
-    if outcome.recovery_ms > RECOVERY_MS {
-        outcome.violations.push(format!("no full service {RECOVERY_MS} ms after the last fault"));
+/// Makes the final checks and moves the world's counters and violations to the result.
+pub(crate) fn finish_run(world: &mut World, result: &mut RunResult) {
+    if result.recovery_ms > RECOVERY_MS {
+        result.violations.push(format!("no full service {RECOVERY_MS} ms after the last fault"));
     }
     check_history(world);
     check_plan(world);
     check_answers(world);
-    let (lookups, extra) = world.ledger.extra();
+    let (lookups, extra) = world.ledger.extra_lookup_runs();
     if extra as f64 > lookups as f64 / 5.0 + 3.0 * world.now_us as f64 / 1e6 {
-        world.ledger.violate(format!("{extra} extra runs for {lookups} lookups"));
+        world.ledger.report(format!("{extra} extra runs for {lookups} lookups"));
     }
-    outcome.violations.append(&mut world.ledger.violations);
-    outcome.requests = world.ledger.requests();
-    outcome.outcomes = world.ledger.outcome_counts();
-    outcome.forwards = world.ledger.forwards;
-    outcome.plans = world.operator.acknowledged;
-    outcome.refusals = world.operator.refusals;
-    outcome.calls = world.callers.done.len();
-    outcome.events = world.callers.watched_revisions.len();
-    outcome.extra = (lookups, extra);
-    outcome.max_departure_lag_ms = world.ledger.max_departure_lag_us / 1_000;
+    result.violations.append(&mut world.ledger.violations);
+    result.requests = world.ledger.requests();
+    result.outcomes = world.ledger.outcome_counts();
+    result.forwards = world.ledger.forwards;
+    result.plans = world.operator.acknowledged;
+    result.refusals = world.operator.refusals;
+    result.calls = world.callers.done.len();
+    result.events = world.callers.watched_revisions.len();
+    result.extra = (lookups, extra);
+    result.max_departure_lag_ms = world.ledger.max_departure_lag_us / 1_000;
     let leader = world.leader().and_then(|at| world.control[at].node.as_ref());
-    outcome.members = leader.map_or_else(Vec::new, |node| {
+    result.members = leader.map_or_else(Vec::new, |node| {
         node.consensus().members().iter().map(|member| member.address.to_string()).collect()
     });
-    outcome.snapshots = world.snapshots;
-    outcome.synced = world.synced;
-    outcome.disk_failures = world.disk_failures;
-    outcome.list_refusals = world.list.refusals as usize;
-    outcome.digest = world.digest;
-    outcome.log = world.log.take().unwrap_or_default();
+    result.snapshots = world.snapshots;
+    result.synced = world.synced;
+    result.disk_failures = world.disk_failures;
+    result.list_refusals = world.list.refusals as usize;
+    result.digest = world.digest;
+    result.log = world.log.take().unwrap_or_default();
 }
 
-/// A node that keeps running answers every request that it accepted.
+/// Checks that every node has answered the requests that its present incarnation accepted.
 fn check_answers(world: &mut World) {
     for id in world.overdue() {
-        world.ledger.violate(format!("request {id} got no response from a node that still runs"));
+        world.ledger.report(format!("request {id} got no response from a node that still runs"));
     }
 }
 
+/// Checks that the plan last shown is the newest acknowledged one or one of unknown outcome.
 fn check_plan(world: &mut World) {
     let Some(shown) = world.operator.shown.clone() else {
-        return world.ledger.violate("the plan does not read back".into());
+        return world.ledger.report("the plan does not read back".into());
     };
     let last =
         world.operator.version.as_ref().and_then(|version| world.operator.texts.get(version));
-    let unsure = world.operator.unsure.iter().any(|text| *text == shown);
-    if last != Some(&shown) && !unsure {
-        world.ledger.violate("the plan in force is not the one last acknowledged".into());
+    let may_be_in_force = world.operator.unsure.iter().any(|text| *text == shown);
+    if last != Some(&shown) && !may_be_in_force {
+        world.ledger.report("the plan in force is not the one last acknowledged".into());
     }
 }
 
-pub(crate) fn read_back(world: &mut World, result: &mut RunResult, when: &str) {
+/// Runs for eight seconds, requests the plan in force meanwhile, and checks that it is the one
+/// acknowledged last; `when` ends the text of the violation.
+pub(crate) fn read_back_plan(world: &mut World, result: &mut RunResult, when: &str) {
     let until_us = world.now_us + 6_000_000;
     world.run_until(until_us);
     world.show();
@@ -242,8 +253,8 @@
     }
 }
 
-/// Checks the whole history of the callers.
+/// Checks the whole history of the callers' calls.
 pub(crate) fn check_history(world: &mut World) {
-    let found = check_calls(&world.callers);
-    found.into_iter().for_each(|text| world.ledger.violate(text));
+    let violations = check_calls(&world.callers);
+    violations.into_iter().for_each(|text| world.ledger.report(text));
 }
--- a/crates/simulation/src/scenario/replacement.rs
+++ b/crates/simulation/src/scenario/replacement.rs
@@ -1,60 +1,71 @@
-//! Control machines are lost or replaced one after another, each as soon as the bounds allow.
+//! Runs in which control machines are lost or replaced one after another, each as soon as the time
+//! to catch up has passed.
 
-use crate::scenario::{RunResult, finish, read_back, recover};
+use crate::scenario::{RunResult, finish_run, read_back_plan, recover};
 use crate::world::World;
 
-/// Replacements back to back, then a last loss right after the time to catch up.
+/// A run with replacements back to back and a last loss right after the last time to catch up.
 #[derive(Clone, Copy, Debug)]
 pub struct Replacement {
     /// The run's seed.
     pub seed: u64,
-    /// Losses to tolerate at once; the group has twice as many machines and one more.
+    /// Number of simultaneous losses to tolerate; the group has twice as many machines and one
+    /// more.
     pub losses: usize,
-    /// The new machine starts first, and the old process shuts down gracefully.
+    /// Whether the replacements are planned: the new machine starts first, and the old process
+    /// shuts down gracefully. Otherwise the old machines are lost first.
     pub planned: bool,
-    /// The leader is among the replaced machines.
+    /// Whether the leader is among the replaced machines.
     pub leader: bool,
-    /// The first new machine of each replacement is lost while it joins, and another starts.
+    /// Whether the first new machine of each replacement is lost while it joins, so that another
+    /// one starts.
     pub newcomer_dies: bool,
-    /// The new machines' seeds are the replaced machines only.
+    /// Whether the only seed address of the new machines is that of a replaced machine.
     pub seeds_depart: bool,
-    /// How many replacements follow each other.
+    /// Number of replacements, one after another.
     pub rounds: usize,
 }
 
-/// What a run with replacements ended with.
+/// The result of a run with replacements.
 #[derive(Debug, Default)]
 pub struct ReplacementResult {
-    /// What every run ends with.
+    /// The result that every kind of run has.
     pub result: RunResult,
-    /// Milliseconds from the new machines' start until all of them vote, for each replacement.
+    /// For each replacement, the milliseconds from the start of the new machines until all of them
+    /// vote and the replaced ones do not; `u64::MAX` if that took longer than the time to catch up.
     pub vote_ms: Vec<u64>,
-    /// Milliseconds from the last loss, the leader's among others, until another leads.
+    /// Milliseconds from the last loss, which includes the leader, until another node leads; 10,000
+    /// or more if none did in that time.
     pub leader_ms: u64,
 }
 
-/// An empty machine starts this long after an unplanned loss.
-const NEWCOMER_US: u64 = 1_000_000;
+/// Time from an unplanned loss to the start of a new machine, in microseconds.
+const START_DELAY_US: u64 = 1_000_000;
 
-/// In a planned replacement the old process is asked to stop this long after the new one started.
+/// Time from the start of the new machine to the shutdown of the old process in a planned
+/// replacement, in microseconds.
 const OVERLAP_US: u64 = 1_000_000;
 
-/// A new machine that is lost while it joins has run this long.
-const HALF_WAY_US: u64 = 700_000;
+/// Time for which a new machine that is lost while it joins has run, in microseconds.
+const JOINING_US: u64 = 700_000;
 
-/// Mean pause between requests: enough to observe that each node serves.
+/// Mean pause between two requests, in microseconds: short enough to observe that each node serves.
 const REQUEST_PAUSE_US: u64 = 100_000;
 
-const LOOK_US: u64 = 20_000;
-const GROWTH_US: u64 = 2_000_000;
+/// Interval of the checks whether a replacement is complete, in microseconds.
+const POLL_US: u64 = 20_000;
+/// Time that a machine added to a group of more than three has to join before the run goes on, in
+/// microseconds.
+const GROUP_GROWTH_US: u64 = 2_000_000;
 
 impl Replacement {
-    /// Milliseconds to catch up: those of a group of three, or of five.
+    /// Returns the time in which new machines must catch up, in milliseconds: 4,000 in a group of
+    /// three, 6,000 in a larger one.
     pub fn catch_up_ms(&self) -> u64 {
         if self.losses > 1 { 6_000 } else { 4_000 }
     }
 
-    /// Runs it; the same seed gives the same result.
+    /// Runs the simulation; the same field values give the same result.
     pub fn run(&self) -> ReplacementResult {
         let mut world = World::new(self.seed, 2, 9);
         world.set_quorum_bounds(self.losses, self.catch_up_ms() / 2);
@@ -62,7 +73,7 @@
         world.run_until(6_000_000);
         while world.control.len() < 2 * self.losses + 1 {
             world.add_control();
-            world.run_for(GROWTH_US);
+            world.run_for(GROUP_GROWTH_US);
         }
         let mut replacement_result = ReplacementResult::default();
         for _ in 0..self.rounds {
@@ -70,45 +81,51 @@
             replacement_result.vote_ms.push(vote_ms);
         }
         world.quiet = true;
-        world.control_voters(true).into_iter().take(self.losses).for_each(|at| world.retire(at));
-        replacement_result.leader_ms = world.until_led();
+        world
+            .control_voters(true)
+            .into_iter()
+            .take(self.losses)
+            .for_each(|at| world.lose_and_retire(at));
+        replacement_result.leader_ms = world.run_until_leader();
         replacement_result.result.recovery_ms = recover(&mut world);
-        read_back(&mut world, &mut replacement_result.result, " after the last loss");
-        finish(&mut world, &mut replacement_result.result);
+        read_back_plan(&mut world, &mut replacement_result.result, " after the last loss");
+        finish_run(&mut world, &mut replacement_result.result);
         replacement_result
     }
 
-    /// One replacement and the time to catch up; milliseconds until the new machines vote.
+    /// Replaces machines once and runs until the time to catch up has passed. Returns the
+    /// milliseconds until the new machines vote and the replaced ones do not; `u64::MAX` if that
+    /// did not happen.
     fn replace_once(&self, world: &mut World) -> u64 {
         let count = if self.planned { 1 } else { self.losses };
-        let departed: Vec<usize> =
+        let replaced: Vec<usize> =
             world.control_voters(self.leader).into_iter().take(count).collect();
         if !self.planned {
-            departed.iter().for_each(|at| world.retire(*at));
-            world.run_for(NEWCOMER_US);
+            replaced.iter().for_each(|at| world.lose_and_retire(*at));
+            world.run_for(START_DELAY_US);
         }
         if self.seeds_depart {
             world.control_seeds_only = true;
-            world.seeds = vec![world.control[departed[0]].address; 3];
+            world.seeds = vec![world.control[replaced[0]].address; 3];
         }
-        let mut newcomers: Vec<usize> = departed.iter().map(|_| world.add_control()).collect();
+        let mut new_machines: Vec<usize> = replaced.iter().map(|_| world.add_control()).collect();
         if self.newcomer_dies {
-            world.run_for(HALF_WAY_US);
-            world.retire(newcomers[0]);
-            newcomers[0] = world.add_control();
+            world.run_for(JOINING_US);
+            world.lose_and_retire(new_machines[0]);
+            new_machines[0] = world.add_control();
         }
         let since_us = world.now_us;
         if self.planned {
             world.run_for(OVERLAP_US);
-            departed.iter().for_each(|at| world.stop_for_good(*at));
+            replaced.iter().for_each(|at| world.shut_down_and_retire(*at));
         }
         let until_us = since_us + self.catch_up_ms() * 1_000;
         let mut vote_ms = u64::MAX;
         while world.now_us < until_us {
-            if vote_ms == u64::MAX && world.are_committed(&newcomers, &departed) {
+            if vote_ms == u64::MAX && world.is_replacement_committed(&new_machines, &replaced) {
                 vote_ms = (world.now_us - since_us) / 1_000;
             }
-            world.run_for(LOOK_US);
+            world.run_for(POLL_US);
         }
         vote_ms
     }
--- a/crates/simulation/src/world/calls.rs
+++ b/crates/simulation/src/world/calls.rs
@@ -1,27 +1,32 @@
-//! Applications' calls: sending, retrying, and the outcomes.
+//! Calls of applications (callers): sending, retries and outcomes.
 
 use crate::client::calls::{CompletedCall, PendingCall};
 use crate::event::Event;
-use crate::node::data::Waits;
+use crate::node::data::ResponseRecipient;
 use crate::world::World;
 use postbarrow_messages::{Request, Response};
 use postbarrow_state::{Call, Change, Name, Outcome, ResourceKind};
 
-const WAIT_MS: u64 = 2_500;
+/// Time that a call may wait at the data node for its outcome, in milliseconds.
+const RESPONSE_WAIT_MS: u64 = 2_500;
 
-const TTL_MS: u64 = 1_500;
+/// Time to live of a lock, in milliseconds.
+const LOCK_TTL_MS: u64 = 1_500;
 
+/// Index of the caller that watches all keys.
 const WATCHER: usize = 3;
 
-const STALE_US: u64 = 4_000_000;
+/// Time after which a call without a response is sent again, in microseconds.
+const RESEND_AFTER_US: u64 = 4_000_000;
 
 impl World {
-    /// Sends the next call, or the pending one again where its node ended or did not answer.
+    /// Sends the next call of a caller, or its pending call again if the node has ended or has not
+    /// answered in time; schedules the next run after 40 ms.
     pub fn next_call(&mut self, caller: usize) {
-        self.after(40_000, Event::NextCall { caller });
+        self.schedule(40_000, Event::NextCall { caller });
         if let Some(pending) = self.callers.pending.get(&caller).cloned() {
-            let lost = self.data[pending.node].node.is_none();
-            if lost || self.now_us > pending.sent_us + STALE_US {
+            let has_node_ended = self.data[pending.node].node.is_none();
+            if has_node_ended || self.now_us > pending.sent_us + RESEND_AFTER_US {
                 self.send_call(caller, pending);
             }
             return;
@@ -43,6 +48,7 @@
         self.send_call(caller, pending);
     }
 
+    /// Returns a random call; a caller with a lock renews or frees it.
     fn draw_call(&mut self, caller: usize) -> Call {
         if let Some((name, fence, _)) = self.callers.locks.get(&caller).cloned() {
             let holder = Name::from(format!("caller-{caller}"));
@@ -66,18 +72,19 @@
             }
             _ => {
                 let holder = Name::from(format!("caller-{caller}"));
-                Call::Lock { name: Name::from("lock"), holder, ttl_ms: TTL_MS }
+                Call::Lock { name: Name::from("lock"), holder, ttl_ms: LOCK_TTL_MS }
             }
         }
     }
 
+    /// Sends a pending call through a random data node that runs, if any does.
     fn send_call(&mut self, caller: usize, mut pending: PendingCall) {
-        let alive: Vec<usize> =
+        let running: Vec<usize> =
             (0..self.data.len()).filter(|at| self.data[*at].node.is_some()).collect();
-        if alive.is_empty() {
+        if running.is_empty() {
             return;
         }
-        pending.node = alive[self.random.below(alive.len() as u64) as usize];
+        pending.node = running[self.random.below(running.len() as u64) as usize];
         pending.sent_us = self.now_us;
         let (node, number, call) = (pending.node, pending.number, pending.call.clone());
         self.callers.pending.insert(caller, pending);
@@ -85,13 +92,13 @@
         self.send_to_controller(
             node,
             Request::Call { id, call },
-            WAIT_MS,
-            Waits::Caller { caller, number },
+            RESPONSE_WAIT_MS,
+            ResponseRecipient::Caller { caller, number },
         );
     }
 
-    /// Handles the controller's response to pending call `number` of `caller`; anything but an
-    /// outcome makes the caller send the call again.
+    /// Handles the controller's response to pending call `number` of `caller`; the caller sends the
+    /// call again after any response but an outcome.
     pub fn caller_receives(&mut self, caller: usize, number: u64, response: Response) {
         let Some(pending) = self.callers.pending.get(&caller).cloned() else { return };
         if pending.number != number {
@@ -112,14 +119,14 @@
         });
     }
 
-    /// What a caller learns from an outcome: events, locks, revisions.
+    /// Updates a caller's state from the outcome of a call: received events, locks and revisions.
     fn apply_outcome(&mut self, caller: usize, pending: &PendingCall, outcome: &Outcome) {
         match (&pending.call, outcome) {
             (_, Outcome::Events { events, next }) => {
                 for event in events {
                     if !matches!(event.change, Change::Key(_) | Change::KeyGone) {
                         self.ledger
-                            .violate("a watch on keys received an event of another kind".into());
+                            .report("a watch on keys received an event of another kind".into());
                     }
                     self.callers.watched_revisions.push(event.revision);
                 }
@@ -147,9 +154,10 @@
         }
     }
 
-    /// An owner counts its time to live from when it sent the request.
+    /// Records that a caller holds a lock, unless its time to live has passed since the caller sent
+    /// the request; checks that no other caller holds it.
     fn acquire_lock(&mut self, caller: usize, name: Name, fence: u64, requested_us: u64) {
-        let until_us = requested_us + TTL_MS * 1_000;
+        let until_us = requested_us + LOCK_TTL_MS * 1_000;
         if self.now_us >= until_us {
             return;
         }
@@ -157,12 +165,13 @@
             && other != caller
             && self.now_us < other_us
         {
-            self.ledger.violate(format!("callers {other} and {caller} own the lock at once"));
+            self.ledger.report(format!("callers {other} and {caller} own the lock at once"));
         }
         self.callers.lock_owner = Some((caller, until_us));
         self.callers.locks.insert(caller, (name, fence, until_us));
     }
 
+    /// Records that a caller no longer holds its lock.
     fn release_lock(&mut self, caller: usize) {
         self.callers.locks.remove(&caller);
         if self.callers.lock_owner.is_some_and(|(holder, _)| holder == caller) {
--- a/crates/simulation/src/world/control.rs
+++ b/crates/simulation/src/world/control.rs
@@ -1,4 +1,4 @@
-//! Start, end, inputs and disk of control machines.
+//! Starts, ends, inputs and disk operations of control machines.
 
 use crate::disk::SimDisk;
 use crate::event::{Event, ProcessId};
@@ -10,14 +10,15 @@
 use postbarrow_storage::{Opened, Storage, WriteError, is_full, open};
 use std::io;
 
-/// A process that ended starts again after this time.
-const AGAIN_US: u64 = 500_000;
+/// Time after which a process whose disk failed or accepts no writes starts again, in microseconds.
+const RESTART_DELAY_US: u64 = 500_000;
 
-/// Small, so that every run writes snapshots and a late member needs one.
+/// Size of the log after which a node takes a snapshot, in bytes; small, so that every run writes
+/// snapshots and a member that joins late needs one.
 const LOG_BOUND_BYTES: u64 = 48 * 1024;
 
-/// The storage on this disk and what it recovers; a new one with this id if the disk has no intact
-/// one.
+/// Opens the storage on a disk and returns it with the recovered state; creates a new one with this
+/// id if the disk has no intact storage.
 fn open_or_create(disk: SimDisk, id: u64) -> io::Result<(Storage<SimDisk>, RecoveredState)> {
     open(disk).and_then(|opened| match opened {
         Opened::Recovered { storage, recovered } => Ok((storage, recovered)),
@@ -28,7 +29,8 @@
 }
 
 impl World {
-    /// Starts the process of control machine `at` from what its disk holds.
+    /// Starts the process of control machine `at` with the state that its disk holds, or later if
+    /// the disk is full or stalled.
     pub fn start_control(&mut self, at: usize) {
         let seed = self.random.draw();
         let id = self.random.draw().max(1);
@@ -42,11 +44,11 @@
             machine.disk = SimDisk::default();
         }
         if machine.disk.is_stalled() {
-            return self.start_later(at);
+            return self.schedule_start(at);
         }
         let (storage, recovered) = match open_or_create(machine.disk.clone(), id) {
             Ok(opened) => opened,
-            Err(error) if is_full(&error) => return self.start_later(at),
+            Err(error) if is_full(&error) => return self.schedule_start(at),
             Err(error) => return self.disk_failed(at, &error),
         };
         let machine = &mut self.control[at];
@@ -62,40 +64,45 @@
         let node = node.with_losses(self.losses).with_voter_dead(self.voter_dead_ms);
         machine.node = Some(if machine.observer { node.as_observer() } else { node });
         let incarnation = machine.incarnation;
-        self.after(0, Event::Tick { process: ProcessId::Control(at), incarnation });
+        self.schedule(0, Event::Tick { process: ProcessId::Control(at), incarnation });
     }
 
-    /// Ends the process; with `power`, unsynced writes are lost too, perhaps amid one of them.
+    /// Ends the process of control machine `at`. With `power` its machine loses power: up to three
+    /// disk operations of the pending writes are still carried out, and anything unsynced may be
+    /// lost, perhaps a part of one write.
     pub fn end_control(&mut self, at: usize, power: bool) {
-        let fuse = self.random.below(4);
-        self.end(at, power.then_some(fuse));
+        let operations = self.random.below(4);
+        self.end(at, power.then_some(operations));
     }
 
-    /// Ends the process by a loss of power after this many of the pending disk operations.
-    pub fn end_with_fuse(&mut self, at: usize, fuse: u64) {
-        self.end(at, Some(fuse));
+    /// Ends the process of control machine `at` by a power loss after this many disk operations of
+    /// the pending writes.
+    pub fn end_by_power_loss(&mut self, at: usize, operations: u64) {
+        self.end(at, Some(operations));
     }
 
-    fn end(&mut self, at: usize, fuse: Option<u64>) {
+    /// Ends the process of control machine `at`, by a power loss after this many disk operations
+    /// unless `None`.
+    fn end(&mut self, at: usize, power_loss_after: Option<u64>) {
         let machine = &mut self.control[at];
         machine.node = None;
         machine.incarnation += 1;
         if let Some(mut storage) = machine.storage.take()
-            && let Some(fuse) = fuse
+            && let Some(operations) = power_loss_after
             && !machine.writes.is_empty()
         {
-            machine.disk.set_fuse(fuse);
+            machine.disk.set_fuse(operations);
             let in_storage = std::mem::take(&mut machine.in_storage);
             let writes =
                 machine.writes.drain(..).map(|(_, write)| write).skip(in_storage).collect();
-            let _torn = storage.apply(writes);
+            let _result = storage.apply(writes);
         }
-        if fuse.is_some() {
+        if power_loss_after.is_some() {
             machine.disk.lose_power(&mut self.random);
         }
     }
 
-    /// Feeds one input to control node `at`, carries out its effects and runs the checks.
+    /// Passes one input to control node `at`, carries out its effects and runs the checks.
     pub fn control_input(&mut self, at: usize, input: Input) {
         let now_ms = self.local_ms(ProcessId::Control(at));
         let machine = &mut self.control[at];
@@ -118,14 +125,14 @@
                             false => self.random.between(300, 4_000),
                         };
                         let took_us = self.sync_us(at, took_us);
-                        self.after(took_us, Event::Synced { at, incarnation });
+                        self.schedule(took_us, Event::Synced { at, incarnation });
                     }
                     self.inject_at_step(at);
                 }
                 Effect::Fetch { number, cursor } => self.fetch(at, number, cursor),
-                Effect::Encode(snap) => {
-                    let (index, state) = (snap.index, snap.encode());
-                    self.after(100_000, Event::Encoded { at, incarnation, index, state });
+                Effect::Encode(snapshot) => {
+                    let (index, state) = (snapshot.index, snapshot.encode());
+                    self.schedule(100_000, Event::Encoded { at, incarnation, index, state });
                 }
                 Effect::Log(text) => self.log_line(ProcessId::Control(at), &text),
             }
@@ -133,24 +140,27 @@
         self.check_control(at);
     }
 
-    /// As the program does: the start waits while the disk accepts nothing.
-    fn start_later(&mut self, at: usize) {
-        self.after(AGAIN_US, Event::Start(ProcessId::Control(at)));
+    /// Schedules a start of control machine `at`, which waits while its disk accepts no writes, as
+    /// the control plane's program does.
+    fn schedule_start(&mut self, at: usize) {
+        self.schedule(RESTART_DELAY_US, Event::Start(ProcessId::Control(at)));
     }
 
-    /// As the program does: it ends, since nothing more can be acknowledged, and starts again.
+    /// Ends the process of control machine `at` after a disk failure and schedules its restart, as
+    /// the control plane's program does: without its disk the process can acknowledge nothing more.
     fn disk_failed(&mut self, at: usize, error: &io::Error) {
         self.log_line(ProcessId::Control(at), &format!("ends: {error}"));
         self.disk_failures += 1;
         self.end_control(at, false);
-        self.start_later(at);
+        self.schedule_start(at);
     }
 
-    /// All pending writes share this sync. While the disk accepts nothing, it is tried again.
-    pub fn disk_done(&mut self, at: usize) {
+    /// Carries out all pending writes of control machine `at` in one sync, and schedules another
+    /// try while the disk is full or stalled.
+    pub fn complete_sync(&mut self, at: usize) {
         let machine = &mut self.control[at];
         if machine.disk.is_stalled() {
-            return self.retry_disk(at);
+            return self.schedule_disk_retry(at);
         }
         machine.syncing = false;
         let Some(last) = machine.writes.back().map(|(sequence, _)| *sequence) else { return };
@@ -168,18 +178,20 @@
             Err(WriteError::Full(_)) => {
                 machine.in_storage = count;
                 machine.syncing = true;
-                self.retry_disk(at);
+                self.schedule_disk_retry(at);
             }
             Err(WriteError::Failed(error)) => self.disk_failed(at, &error),
         }
     }
 
-    fn retry_disk(&mut self, at: usize) {
+    /// Schedules another try of the pending writes of control machine `at`.
+    fn schedule_disk_retry(&mut self, at: usize) {
         let incarnation = self.control[at].incarnation;
-        self.after(DISK_FULL_PAUSE_MS * 1_000, Event::Synced { at, incarnation });
+        self.schedule(DISK_FULL_PAUSE_MS * 1_000, Event::Synced { at, incarnation });
     }
 
-    /// The index of the control machine that leads, if any does.
+    /// Returns the index of the control machine whose node leads; the first one if several do,
+    /// `None` if none does.
     pub fn leader(&self) -> Option<usize> {
         self.control
             .iter()
--- a/crates/simulation/src/world/data.rs
+++ b/crates/simulation/src/world/data.rs
@@ -1,7 +1,7 @@
-//! Start, end, inputs and probes of data machines.
+//! Starts, ends, inputs and probes of data machines.
 
 use crate::event::{Event, ProcessId};
-use crate::node::data::Waits;
+use crate::node::data::ResponseRecipient;
 use crate::world::World;
 use postbarrow_node::{DataNode, Effect, Input};
 use postbarrow_routing::Table;
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 impl World {
-    /// Starts the process of data machine `at`.
+    /// Starts the process of data machine `at` with an empty routing table.
     pub fn start_data(&mut self, at: usize) {
         let announced_incarnation = self.random.draw();
         let now_ms = self.local_ms(ProcessId::Data(at));
@@ -22,41 +22,41 @@
         machine.announced_incarnation = announced_incarnation;
         machine.table = Arc::new(Table::empty());
         machine.lease_until_ms = 0;
-        machine.waits.clear();
-        let own = Node {
+        machine.response_recipients.clear();
+        let own_node = Node {
             incarnation: announced_incarnation,
             name: Name::from(format!("data-{}", machine.at)),
             address: machine.address,
             http: machine.address,
             zone: machine.zone.clone(),
         };
-        machine.node = Some(DataNode::new(own, seeds, now_ms));
+        machine.node = Some(DataNode::new(own_node, seeds, now_ms));
         let incarnation = machine.incarnation;
-        self.after(0, Event::Tick { process: ProcessId::Data(at), incarnation });
-        self.after(200_000, Event::Probe { data: at, incarnation });
+        self.schedule(0, Event::Tick { process: ProcessId::Data(at), incarnation });
+        self.schedule(200_000, Event::Probe { data: at, incarnation });
     }
 
-    /// Ends the process of data machine `at` and all that it had in memory.
+    /// Ends the process of data machine `at`; its state is lost.
     pub fn end_data(&mut self, at: usize) {
         let machine = &mut self.data[at];
         machine.node = None;
         machine.incarnation += 1;
-        machine.waits.clear();
+        machine.response_recipients.clear();
     }
 
-    /// Whether data node `at` runs and its lease has not expired by its own clock.
+    /// Returns whether data node `at` runs and its lease has not expired by its own clock.
     pub fn serves(&self, at: usize) -> bool {
         let machine = &self.data[at];
         machine.node.is_some() && self.local_ms(ProcessId::Data(at)) < machine.lease_until_ms
     }
 
-    /// Whether data node `at` reports itself ready.
+    /// Returns whether data node `at` runs and reports itself ready.
     pub fn is_ready(&self, at: usize) -> bool {
         let now_ms = self.local_ms(ProcessId::Data(at));
         self.data[at].node.as_ref().is_some_and(|node| node.is_ready(now_ms))
     }
 
-    /// Feeds one input to data node `at` and carries out its effects.
+    /// Passes one input to data node `at` and carries out its effects.
     pub fn data_input(&mut self, at: usize, input: Input) {
         let (now_us, now_ms) = (self.now_us, self.local_ms(ProcessId::Data(at)));
         let machine = &mut self.data[at];
@@ -71,26 +71,33 @@
                 Effect::Send { to, message } => self.transmit(from, to, message),
                 Effect::Publish { state, offset } => {
                     let machine = &mut self.data[at];
-                    let older = offset < machine.table.offset;
+                    let is_older = offset < machine.table.offset;
                     machine.table = Arc::new(Table::new(state, offset, &machine.table));
-                    if older {
-                        self.ledger.violate(format!("data-{at} fell back to an older image"));
+                    if is_older {
+                        self.ledger.report(format!("data-{at} fell back to an older image"));
                     }
                     self.check_published(at);
                 }
                 Effect::Lease { until_ms } => self.data[at].lease_until_ms = until_ms,
                 Effect::Log(text) => self.log_line(ProcessId::Data(at), &text),
                 Effect::Answer { key, response } => {
-                    match self.data[at].waits.remove(&key).unwrap_or(Waits::Nobody) {
-                        Waits::Request(request) => {
+                    match self.data[at]
+                        .response_recipients
+                        .remove(&key)
+                        .unwrap_or(ResponseRecipient::None)
+                    {
+                        ResponseRecipient::Request(request) => {
                             let event = postbarrow_node::Event::ControllerResponded(response);
                             let incarnation = self.data[at].incarnation;
-                            self.after(0, Event::Resume { request, data: at, incarnation, event });
+                            self.schedule(
+                                0,
+                                Event::Resume { request, data: at, incarnation, event },
+                            );
                         }
-                        Waits::Caller { caller, number } => {
+                        ResponseRecipient::Caller { caller, number } => {
                             self.caller_receives(caller, number, response)
                         }
-                        Waits::Nobody => {}
+                        ResponseRecipient::None => {}
                     }
                 }
             }
@@ -103,33 +110,34 @@
         at: usize,
         request: postbarrow_messages::Request,
         wait_ms: u64,
-        waits: Waits,
+        recipient: ResponseRecipient,
     ) {
         let key = self.next_request_key(at);
-        self.send_keyed_request(at, key, request, wait_ms, waits);
+        self.send_keyed_request(at, key, request, wait_ms, recipient);
     }
 
-    /// A key not yet used by the present process of data node `at`.
+    /// Returns a request key that data node `at` has not used yet.
     pub fn next_request_key(&mut self, at: usize) -> u64 {
         let machine = &mut self.data[at];
         machine.number += 1;
         machine.number
     }
 
-    /// Sends a request to the controller through data node `at` under `key`.
+    /// Sends a request to the controller through data node `at` with this key, which names the
+    /// recipient of the response.
     pub fn send_keyed_request(
         &mut self,
         at: usize,
         key: u64,
         request: postbarrow_messages::Request,
         wait_ms: u64,
-        waits: Waits,
+        recipient: ResponseRecipient,
     ) {
-        self.data[at].waits.insert(key, waits);
+        self.data[at].response_recipients.insert(key, recipient);
         self.data_input(at, Input::Request { key, request, wait_ms });
     }
 
-    /// Probes every target that data node `at` knows, and schedules the next probe.
+    /// Probes every target in the routing table of data node `at` and schedules the next probes.
     pub fn probe(&mut self, at: usize, incarnation: u64) {
         if self.data[at].incarnation != incarnation || self.data[at].node.is_none() {
             return;
@@ -142,6 +150,6 @@
             let instance = instance.clone();
             self.data_input(at, Input::Probed { instance, sound });
         }
-        self.after(500_000, Event::Probe { data: at, incarnation });
+        self.schedule(500_000, Event::Probe { data: at, incarnation });
     }
 }
--- a/crates/simulation/src/world/endpoint_list.rs
+++ b/crates/simulation/src/world/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Fetches of the endpoint list, and its faults.
+//! Fetches of the endpoint list, with its faults.
 
 use crate::event::Event;
 use crate::node::endpoint_list::{ListFault, RETRY_MS, Row};
@@ -6,7 +6,7 @@
 use postbarrow_controller::{Fetched, PageResult};
 
 impl World {
-    /// Heals the endpoint list and then starts this fault.
+    /// Heals the endpoint list and then injects this fault.
     pub fn inject_list_fault(&mut self, fault: ListFault) {
         self.list.heal(self.now_us);
         self.list.fault = fault;
@@ -16,7 +16,8 @@
         }
     }
 
-    /// Starts a fetch of one page; the page is read at some time before it arrives.
+    /// Starts a fetch of one page for control machine `at`; the page is read some time before it
+    /// arrives.
     pub fn fetch(&mut self, at: usize, number: u64, cursor: Option<String>) {
         let incarnation = self.control[at].incarnation;
         let slow = self.list.fault == ListFault::Slow;
@@ -27,15 +28,15 @@
         };
         let event = Event::ListRead { at, incarnation, number, cursor };
         match self.list.permits(self.now_us, read_us) {
-            true => self.after(read_us, event),
+            true => self.schedule(read_us, event),
             false => {
                 let result = PageResult { number, fetched: Fetched::Limited { wait_ms: RETRY_MS } };
-                self.after(read_us, Event::Page { at, incarnation, result });
+                self.schedule(read_us, Event::Page { at, incarnation, result });
             }
         }
     }
 
-    /// Reads one page for fetch `number` of control machine `at` and sends it on its way.
+    /// Reads the page of fetch `number` of control machine `at` and schedules its arrival.
     pub fn list_read(&mut self, at: usize, incarnation: u64, number: u64, cursor: Option<String>) {
         let faulty_page_due = cursor.is_none() && std::mem::take(&mut self.list.faulty_page_due);
         let page = self.list.page(cursor.as_deref(), faulty_page_due).into_bytes();
@@ -60,9 +61,10 @@
             self.random.between(2_000, 60_000)
         };
         let result = PageResult { number, fetched };
-        self.after(took_us, Event::Page { at, incarnation, result });
+        self.schedule(took_us, Event::Page { at, incarnation, result });
     }
 
+    /// Adds a row before all others or removes it again, with a probability of 15 %.
     fn shift_rows(&mut self) {
         if !self.random.chance(150) {
             return;
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! How each fault is injected into a world.
+//! Injection and healing of each kind of fault.
 
 use crate::event::{Event, ProcessId};
 use crate::fault::{Fault, Stage};
@@ -10,15 +10,17 @@
 use std::net::IpAddr;
 
 impl World {
-    /// Brings about one fault now. Every call draws the same numbers, whatever the fault.
+    /// Injects one fault now. The machines are drawn before the fault is looked at, so these draws
+    /// do not depend on the fault.
     pub fn inject(&mut self, fault: Fault) {
         let log_line = format!("{:.3} fault {fault:?}", self.now_us as f64 / 1e6);
         if let Some(log) = &mut self.log {
             log.push(log_line);
         }
         let leader = self.leader();
-        let some = self.random.below(3) as usize;
-        let control = if self.random.chance(600) { leader.unwrap_or(some) } else { some };
+        let drawn_control = self.random.below(3) as usize;
+        let control =
+            if self.random.chance(600) { leader.unwrap_or(drawn_control) } else { drawn_control };
         let data = self.random.below(self.data.len() as u64) as usize;
         match fault {
             Fault::KillControl => self.end_control(control, false),
@@ -30,22 +32,22 @@
             Fault::FreezeControl => self.freeze(ProcessId::Control(control)),
             Fault::CutControl => self.isolate(control),
             Fault::SplitControl => self.split_control(control),
-            Fault::OneWayCut => self.cut_one_way(some),
+            Fault::OneWayCut => self.cut_one_way(drawn_control),
             Fault::KillData => self.end_data(data),
             Fault::KillManyData => (0..self.data.len() / 2).for_each(|at| self.end_data(at)),
             Fault::FreezeData => self.freeze(ProcessId::Data(data)),
             Fault::CutData => self.partition_from_all(self.data[data].address.ip()),
             Fault::SlowLinks => self.network.slow_us = 30_000,
             Fault::LossyLinks => self.network.loss_per_mille = 100,
-            Fault::KillTarget => self.change_some_target(|target| target.alive = false),
-            Fault::FreezeTarget => self.change_some_target(|target| target.frozen = true),
-            Fault::DrainTarget => self.drain(),
+            Fault::KillTarget => self.change_random_target(|target| target.alive = false),
+            Fault::FreezeTarget => self.change_random_target(|target| target.frozen = true),
+            Fault::DrainTarget => self.drain_target(),
             Fault::ReuseAddress => self.reuse_address(),
             Fault::Disk(fault) => self.control[control].disk.set_fault(Some(fault)),
             Fault::SlowDisks => self.slow_disks = true,
             Fault::FreezeAt(stage) => self.freeze_before = Some(stage),
             Fault::List(fault) => self.inject_list_fault(fault),
-            Fault::KillController => self.end_control(leader.unwrap_or(some), false),
+            Fault::KillController => self.end_control(leader.unwrap_or(drawn_control), false),
             Fault::ReplaceControl(at) => self.empty_disk(at, true),
             Fault::RestartData(at) => {
                 self.end_data(at);
@@ -57,25 +59,28 @@
         }
     }
 
+    /// Returns the IP addresses of all control and data machines.
     fn addresses(&self) -> Vec<IpAddr> {
         let control = self.control.iter().map(|machine| machine.address.ip());
         control.chain(self.data.iter().map(|machine| machine.address.ip())).collect()
     }
 
+    /// Freezes a process for 0.2 to 6 s.
     fn freeze(&mut self, process: ProcessId) {
         self.frozen.entry(process).or_default();
         let for_us = self.random.between(200_000, 6_000_000);
-        self.after(for_us, Event::Wake(process));
+        self.schedule(for_us, Event::Wake(process));
     }
 
-    /// Freezes the data node of this event if `FreezeAt` waits for its stage.
+    /// Freezes the data node that is about to handle this event if `Fault::FreezeAt` is active and
+    /// the event starts that stage of a one-time request.
     pub fn freeze_before(&mut self, event: &Event) {
         let Some(stage) = self.freeze_before else { return };
-        let (data, request, here) = match event {
+        let (data, request, is_at_stage) = match event {
             Event::Arrive { data, request, .. } => (*data, *request, stage == Stage::Arrived),
             Event::Send { data, request, .. } => (*data, *request, stage == Stage::Sending),
             Event::Resume { data, request, event, .. } => {
-                let here = match event {
+                let is_at_stage = match event {
                     FlowEvent::Connected => stage == Stage::Connected,
                     FlowEvent::ControllerResponded(Response::Granted) => stage == Stage::Granted,
                     FlowEvent::AttemptEnded(AttemptOutcome::Complete(_)) => {
@@ -83,16 +88,16 @@
                     }
                     _ => false,
                 };
-                (*data, *request, here)
+                (*data, *request, is_at_stage)
             }
             _ => return,
         };
         let one_time = self.requests.get(&request).is_some_and(|run| run.service != "catalogue");
-        if here && one_time && !self.frozen.contains_key(&ProcessId::Data(data)) {
+        if is_at_stage && one_time && !self.frozen.contains_key(&ProcessId::Data(data)) {
             self.freeze_before = None;
             self.frozen.insert(ProcessId::Data(data), Vec::new());
             let for_us = self.random.between(3_000_000, 8_000_000);
-            self.after(for_us, Event::Wake(ProcessId::Data(data)));
+            self.schedule(for_us, Event::Wake(ProcessId::Data(data)));
         }
     }
 
@@ -108,7 +113,7 @@
         }
     }
 
-    /// Partitions control machine `at` from the other two, in both directions.
+    /// Partitions control machine `at` from the other two control machines, in both directions.
     fn split_control(&mut self, at: usize) {
         let one = self.control[at].address.ip();
         let others = (0..3).filter(|other| *other != at);
@@ -118,28 +123,31 @@
         }
     }
 
-    /// Loses all frames from control machine `at` to the next one.
+    /// Loses all frames from control machine `at` to the next one from now on.
     fn cut_one_way(&mut self, at: usize) {
         let (one, other) = (self.control[at].address, self.control[(at + 1) % 3].address);
         self.network.partition(one.ip(), other.ip());
     }
 
-    /// A disk is lost only while the cluster can spare it: the two others are members and agree on
-    /// all three.
-    fn empty_disk(&mut self, at: usize, elsewhere: bool) {
-        if !self.can_spare(at) {
+    /// Replaces the disk of control machine `at` by an empty one and restarts the machine, at a new
+    /// address if `new_address`; does nothing unless the other two tolerate the loss.
+    fn empty_disk(&mut self, at: usize, new_address: bool) {
+        if !self.tolerates_loss_of(at) {
             return;
         }
         self.end_control(at, true);
         self.control[at].disk.wipe();
-        if elsewhere {
+        if new_address {
             let number = 20 + self.random.below(200) as usize;
             self.control[at].address = crate::world::address(1, number, 1);
         }
         self.start_control(at);
     }
 
-    fn can_spare(&self, at: usize) -> bool {
+    /// Returns whether the cluster tolerates the loss of control machine `at`: each of the two
+    /// others runs, is not frozen, is a member and knows three members, and both know the same
+    /// three.
+    fn tolerates_loss_of(&self, at: usize) -> bool {
         let is_full_member = |other: &usize| {
             let machine = &self.control[*other];
             let Some(node) = &machine.node else { return false };
@@ -160,27 +168,31 @@
         others.iter().all(is_full_member) && ids(&others[0]) == ids(&others[1])
     }
 
-    fn change_some_target(&mut self, change: impl Fn(&mut Target)) {
-        let Some(instance) = self.some_target() else { return };
+    /// Applies a change to one randomly drawn target, if any may be changed.
+    fn change_random_target(&mut self, change: impl Fn(&mut Target)) {
+        let Some(instance) = self.draw_target() else { return };
         if let Some(target) = self.target_mut(&instance) {
             change(target);
         }
     }
 
-    fn some_target(&mut self) -> Option<String> {
-        let sound: Vec<String> = self
+    /// Draws a target that runs, is not frozen and is listed as not draining; `None` unless there
+    /// are more than four such targets.
+    fn draw_target(&mut self) -> Option<String> {
+        let candidates: Vec<String> = self
             .targets
             .iter()
             .filter(|target| target.alive && !target.frozen)
             .filter(|target| self.list.rows.get(&target.instance).is_some_and(|row| !row.draining))
             .map(|target| target.instance.clone())
             .collect();
-        let drawn = self.random.below(sound.len() as u64) as usize;
-        sound.get(drawn).filter(|_| sound.len() > 4).cloned()
+        let index = self.random.below(candidates.len() as u64) as usize;
+        candidates.get(index).filter(|_| candidates.len() > 4).cloned()
     }
 
-    fn drain(&mut self) {
-        let Some(instance) = self.some_target() else { return };
+    /// Lists a randomly drawn target as draining, and starts another of its service.
+    fn drain_target(&mut self) {
+        let Some(instance) = self.draw_target() else { return };
         self.record_departure(&instance);
         if let Some(row) = self.list.rows.get_mut(&instance) {
             row.draining = true;
@@ -189,11 +201,12 @@
         self.add_target(&service, None);
     }
 
-    /// A ledger is retired and a photo store takes its address before the list shows it.
+    /// Ends a target of `ledger` and starts one of `photos` at its address, while the endpoint list
+    /// still shows the ended target and not the new one.
     fn reuse_address(&mut self) {
-        let found =
+        let position =
             self.targets.iter().position(|target| target.alive && target.service == "ledger");
-        let Some(at) = found else { return };
+        let Some(at) = position else { return };
         self.targets[at].alive = false;
         let (instance, address) = (self.targets[at].instance.clone(), self.targets[at].address);
         let unlisted = self.add_target("photos", Some(address));
@@ -202,7 +215,8 @@
         let _still_listed = instance;
     }
 
-    /// Ends all faults: processes run, links carry frames, the endpoint list is correct.
+    /// Ends all faults: stopped processes start, frozen ones wake, links carry frames, and the
+    /// endpoint list replaces targets that ended or froze by new ones.
     pub fn heal(&mut self) {
         self.network.heal();
         self.slow_disks = false;
--- a/crates/simulation/src/world/injection.rs
+++ b/crates/simulation/src/world/injection.rs
@@ -1,4 +1,4 @@
-//! Injects the fault when the controller reaches the chosen step.
+//! Injection of a fault when the controller reaches the chosen step of an operation.
 
 use crate::event::{Event, ProcessId};
 use crate::fault::Fault;
@@ -6,26 +6,29 @@
 use crate::world::World;
 use postbarrow_consensus::Write;
 
-const AWAY_US: u64 = 3_000_000;
+/// Duration of an injected fault, in microseconds.
+const FAULT_DURATION_US: u64 = 3_000_000;
 
 impl World {
-    /// Called at every write and sync of a control machine: injects the fault if its step has come.
+    /// Counts a write or sync of control machine `at` if it leads and the operation is in progress,
+    /// and injects the fault if this is the chosen step. Called at every write and sync.
     pub fn inject_at_step(&mut self, at: usize) {
         let Some(injection) = &self.injection else { return };
         let machine = &self.control[at];
         let Some(node) = machine.node.as_ref().filter(|node| node.is_leading()) else { return };
-        let log = node.consensus();
-        let seats = log.log().config_index() > log.commit_index() || log.members().len() < 3;
-        let busy = match injection.operation {
-            Operation::Plan => log.commit_index() < log.last_index(),
-            Operation::Members => seats || !log.learners().is_empty(),
-            Operation::Seats => seats,
+        let consensus = node.consensus();
+        let voters_change = consensus.log().config_index() > consensus.commit_index()
+            || consensus.members().len() < 3;
+        let in_progress = match injection.operation {
+            Operation::Plan => consensus.commit_index() < consensus.last_index(),
+            Operation::Members => voters_change || !consensus.learners().is_empty(),
+            Operation::Seats => voters_change,
             Operation::Snapshot => {
                 machine.writes().any(|write| matches!(write, Write::Slot { .. }))
             }
         };
         let Some(injection) = &mut self.injection else { return };
-        if !busy || injection.injected {
+        if !in_progress || injection.injected {
             return;
         }
         if injection.remaining > 0 && injection.operation != Operation::Snapshot {
@@ -33,26 +36,27 @@
             return;
         }
         injection.injected = true;
-        let (fault, fuse) = (injection.fault, injection.fuse);
-        self.inject_at(at, fault, fuse);
+        let (fault, power_loss_after) = (injection.fault, injection.power_loss_after);
+        self.inject_at(at, fault, power_loss_after);
     }
 
-    fn inject_at(&mut self, at: usize, fault: InjectedFault, fuse: u64) {
+    /// Injects the fault into control machine `at` and schedules its end.
+    fn inject_at(&mut self, at: usize, fault: InjectedFault, power_loss_after: u64) {
         self.log_line(ProcessId::Control(at), &format!("fault injected: {fault:?}"));
         match fault {
             InjectedFault::Kill => self.end_control(at, false),
-            InjectedFault::Power => self.end_with_fuse(at, fuse),
+            InjectedFault::Power => self.end_by_power_loss(at, power_loss_after),
             InjectedFault::Freeze => {
                 self.frozen.entry(ProcessId::Control(at)).or_default();
-                self.after(AWAY_US, Event::Wake(ProcessId::Control(at)));
+                self.schedule(FAULT_DURATION_US, Event::Wake(ProcessId::Control(at)));
             }
             InjectedFault::Cut => {
                 self.isolate(at);
-                self.after(AWAY_US, Event::Fault(Fault::Heal));
+                self.schedule(FAULT_DURATION_US, Event::Fault(Fault::Heal));
             }
         }
         if matches!(fault, InjectedFault::Kill | InjectedFault::Power) {
-            self.after(AWAY_US, Event::Start(ProcessId::Control(at)));
+            self.schedule(FAULT_DURATION_US, Event::Start(ProcessId::Control(at)));
         }
     }
 }
--- a/crates/simulation/src/world/membership.rs
+++ b/crates/simulation/src/world/membership.rs
@@ -1,17 +1,19 @@
-//! Changes of the group of control machines, and what the leader knows of it.
+//! Changes of the group of control machines, and the group as the leader knows it.
 
 use crate::clock::Clock;
 use crate::network::address;
 use crate::node::control::ControlMachine;
 use crate::world::World;
 
-const LOOK_US: u64 = 20_000;
+/// Interval of the checks whether there is a leader, in microseconds.
+const POLL_US: u64 = 20_000;
 
-/// After this time without a leader the run gives up.
-const MAX_LEADERLESS_US: u64 = 10_000_000;
+/// Time for which a run waits for a leader, in microseconds.
+const MAX_ELECTION_WAIT_US: u64 = 10_000_000;
 
 impl World {
-    /// Sets the losses to tolerate, and the time after which an unresponsive voter counts as lost.
+    /// Sets the number of simultaneous losses to tolerate, and the time in milliseconds after which
+    /// an unresponsive voter counts as lost, for running and future control nodes.
     pub fn set_quorum_bounds(&mut self, losses: usize, voter_dead_ms: u64) {
         self.losses = losses;
         self.voter_dead_ms = voter_dead_ms;
@@ -21,13 +23,13 @@
         }
     }
 
-    /// Starts an empty control machine at a new address; returns its index.
+    /// Starts a control machine with an empty disk at a new address and returns its index.
     pub fn add_control(&mut self) -> usize {
         self.add_control_machine(false)
     }
 
-    /// Starts a control machine without a lasting disk, which forwards requests and is never a
-    /// member.
+    /// Starts a control machine without a persistent disk, which forwards requests and is never a
+    /// member, and returns its index.
     pub fn add_observer(&mut self) -> usize {
         self.add_control_machine(true)
     }
@@ -42,57 +44,67 @@
         at
     }
 
-    pub(crate) fn until_led(&mut self) -> u64 {
+    /// Runs until a control node leads, for ten seconds at most, and returns the milliseconds that
+    /// this took.
+    pub(crate) fn run_until_leader(&mut self) -> u64 {
         let since_us = self.now_us;
-        while self.leader().is_none() && self.now_us < since_us + MAX_LEADERLESS_US {
-            self.run_for(LOOK_US);
+        while self.leader().is_none() && self.now_us < since_us + MAX_ELECTION_WAIT_US {
+            self.run_for(POLL_US);
         }
         (self.now_us - since_us) / 1_000
     }
 
+    /// Handles all events of this many microseconds from now.
     pub(crate) fn run_for(&mut self, for_us: u64) {
         self.run_until(self.now_us + for_us);
     }
 
-    /// Loses this machine for good, at once.
-    pub(crate) fn retire(&mut self, at: usize) {
+    /// Ends the process of control machine `at` by a power loss and marks the machine as retired.
+    pub(crate) fn lose_and_retire(&mut self, at: usize) {
         self.control[at].retired_us = Some(self.now_us);
         self.end_control(at, true);
     }
 
-    /// Shuts this process down gracefully and for good.
-    pub(crate) fn stop_for_good(&mut self, at: usize) {
+    /// Marks control machine `at` as retired and shuts its process down gracefully.
+    pub(crate) fn shut_down_and_retire(&mut self, at: usize) {
         self.control[at].retired_us = Some(self.now_us);
         self.rolling_restart_control(at);
     }
 
-    /// Indexes of the running voters, the leader first or left out.
+    /// Returns the indexes of the running voters; the leader comes first, or is left out unless
+    /// `with_leader`. Without a leader there are none.
     pub(crate) fn control_voters(&self, with_leader: bool) -> Vec<usize> {
         let Some(leader) = self.leader() else { return Vec::new() };
         let node = self.control[leader].node.as_ref().expect("the leader runs");
         let members = node.consensus().members();
-        let votes = |at: &usize| {
+        let is_voter = |at: &usize| {
             let node = self.control[*at].node.as_ref();
-            node.is_some_and(|node| members.iter().any(|one| one.id == node.consensus().id()))
+            node.is_some_and(|node| members.iter().any(|member| member.id == node.consensus().id()))
         };
-        let others = (0..self.control.len()).filter(|at| *at != leader).filter(votes);
-        with_leader.then_some(leader).into_iter().chain(others).collect()
+        let other_voters = (0..self.control.len()).filter(|at| *at != leader).filter(is_voter);
+        with_leader.then_some(leader).into_iter().chain(other_voters).collect()
     }
 
-    /// Whether the leader knows as committed that `newcomers` vote and `gone` do not.
-    pub(crate) fn are_committed(&self, newcomers: &[usize], departed: &[usize]) -> bool {
+    /// Returns whether the leader's newest configuration is committed, with all `new_machines` and
+    /// none of the `replaced` ones as members.
+    pub(crate) fn is_replacement_committed(
+        &self,
+        new_machines: &[usize],
+        replaced: &[usize],
+    ) -> bool {
         let Some(node) = self.leader().and_then(|at| self.control[at].node.as_ref()) else {
             return false;
         };
-        let log = node.consensus();
-        let votes = |at: &usize| {
+        let consensus = node.consensus();
+        let is_voter = |at: &usize| {
             let address = self.control[*at].address;
-            log.members().iter().any(|member| member.address == address)
+            consensus.members().iter().any(|member| member.address == address)
         };
-        let is_committed = log.log().config_index() <= log.commit_index();
-        is_committed && newcomers.iter().all(votes) && !departed.iter().any(votes)
+        let is_committed = consensus.log().config_index() <= consensus.commit_index();
+        is_committed && new_machines.iter().all(is_voter) && !replaced.iter().any(is_voter)
     }
 
+    /// Returns the term of control node `at`; `None` while its process is down.
     pub(crate) fn term(&self, at: usize) -> Option<u64> {
         self.control[at].node.as_ref().map(|node| node.consensus().term())
     }
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -1,7 +1,11 @@
 //! All machines, clients and faults of one simulated run, and the queue of its events.
 //!
-//! Each module has what one concern adds to `World`; the state that it works on is in the layers
-//! below (`node`, `client`, `fault`, `checker`), which do not know the world.
+//! Each submodule adds the methods of one concern to `World`. The state that they work on is
+//! defined in `node`, `client`, `fault` and `checker`, which do not depend on `World`.
+//!
+//! A parameter `at` is the index of a machine in `World::control` or `World::data`; `data` is the
+//! index of a data machine. A parameter `request` is the number of an attempt in `World::requests`,
+//! while an `id` identifies a client's request, which all its attempts share.
 
 mod calls;
 mod checks;
@@ -45,70 +49,77 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A cluster with its surroundings, on one queue of events.
+/// A simulated cluster with its network, clients and operators, driven by one event queue.
 pub struct World {
-    /// True time in microseconds; processes see only their own clocks.
+    /// True time in microseconds; processes read only their own clocks, which differ from it.
     pub now_us: u64,
-    /// The source of every draw of the run but those of the scenario's faults.
+    /// The random numbers of the run, except those that draw the scenario's faults.
     pub random: Random,
-    /// The network.
+    /// The network between all machines.
     pub network: Network,
-    /// Control machines, by index.
+    /// Control machines, by index, including those that are down or retired.
     pub control: Vec<ControlMachine>,
-    /// Data machines, by index.
+    /// Data machines, by index, including those that are down.
     pub data: Vec<DataMachine>,
-    /// Targets, ended ones too.
+    /// All targets that were ever started, including those that have ended.
     pub targets: Vec<Target>,
-    /// The platform's endpoint list.
+    /// The platform's endpoint list, from which control nodes learn of targets.
     pub list: PlatformList,
-    /// The operators.
+    /// The operators, who submit plans.
     pub operator: Operator,
-    /// Applications that call for locks, numbers, keys and watches.
+    /// Applications that use locks, numbers, keys and watches.
     pub callers: Callers,
+    /// Clients that send all requests to one control machine, if the run has any.
     pub(crate) pinned: Option<PinnedClients>,
-    /// Every attempt of a client, by number.
+    /// Every attempt of a client's request, by the attempt's number.
     pub requests: BTreeMap<u64, RequestRun>,
-    /// What the checks compare, and the violations.
+    /// The recorded history that the checks compare, and the violations that they found.
     pub ledger: Ledger,
-    /// Addresses by which a starting process finds the cluster.
+    /// Addresses that a starting process contacts first to find the cluster.
     pub seeds: Vec<SocketAddr>,
-    /// Frozen processes, each with the events that wait for it.
+    /// Frozen processes, each with the events that it handles once it wakes.
     pub frozen: BTreeMap<ProcessId, Vec<Event>>,
-    /// The next data node that reaches this stage of a one-time request freezes right before it.
+    /// The stage of a one-time request right before which the next data node to reach it freezes;
+    /// `None` if no such fault is active.
     pub freeze_before: Option<Stage>,
-    /// How many requests clients have sent.
-    pub next_request: u64,
-    /// Mean pause between two requests in microseconds.
+    /// The id of the newest request that a client has sent; ids count from 1.
+    pub last_request_id: u64,
+    /// Mean pause between two requests of the clients, in microseconds.
     pub request_pause_us: u64,
-    /// No more changes of plans: the run only waits for full service.
+    /// Whether the operators submit no more plans, because the run only waits for full service.
     pub quiet: bool,
-    /// The run's log, if it is recorded.
+    /// The lines of the run's log; `None` if it is not recorded.
     pub log: Option<Vec<String>>,
-    /// A digest of the time and order of all events.
+    /// A digest of the times and the order of all events handled so far.
     pub digest: u64,
-    /// Snapshots that were encoded.
+    /// Number of snapshots that control nodes have encoded.
     pub snapshots: usize,
-    /// Every sync takes 10 to 50 ms.
+    /// Whether every sync takes 10 to 50 ms instead of 0.3 to 4 ms.
     pub slow_disks: bool,
-    /// Simultaneous losses that the control nodes must tolerate.
+    /// Number of simultaneous losses of machines that the control nodes must tolerate.
     pub losses: usize,
-    /// A starting process has only control machines among its seeds.
+    /// Whether a starting process has only control machines, and no data machine, among its
+    /// `seeds`.
     pub control_seeds_only: bool,
     /// Milliseconds after which an unresponsive voter counts as lost.
     pub voter_dead_ms: u64,
-    /// A control machine on a slow link and disk.
+    /// The control machine on a slow link and disk, if the run has one.
     pub slow: Option<SlowMachine>,
+    /// The fault to inject at a chosen step of an operation, if the run has one.
     pub(crate) injection: Option<Injection>,
-    /// Syncs, and the writes that shared them.
+    /// Numbers of completed syncs of control machines and of the writes that they covered.
     pub synced: (usize, usize),
-    /// Control processes that ended because a write or sync failed.
+    /// Number of control processes that ended because a write or sync failed.
     pub disk_failures: usize,
+    /// Scheduled events by their time in microseconds and the order of their scheduling.
     queue: BTreeMap<(u64, u64), Event>,
-    order: u64,
+    /// Number of events scheduled so far.
+    sequence: u64,
 }
 
 impl World {
-    /// A cluster of three control machines, these data nodes and these targets, all starting now.
+    /// Creates a cluster of three control machines, `data_nodes` data machines and `targets`
+    /// targets, and starts all of them.
     pub fn new(seed: u64, data_nodes: usize, targets: usize) -> World {
         let mut world = World {
             now_us: 1_000_000,
@@ -126,7 +137,7 @@
             seeds: (0..3).map(|at| address(1, at, 1)).collect(),
             frozen: BTreeMap::new(),
             freeze_before: None,
-            next_request: 0,
+            last_request_id: 0,
             request_pause_us: 12_000,
             quiet: false,
             log: None,
@@ -141,7 +152,7 @@
             synced: (0, 0),
             disk_failures: 0,
             queue: BTreeMap::new(),
-            order: 0,
+            sequence: 0,
         };
         world.start_all(data_nodes, targets);
         world
@@ -166,25 +177,28 @@
         for at in 0..data_nodes {
             self.start_data(at);
         }
-        self.after(2_500_000, Event::Operate);
-        self.after(3_000_000, Event::NextRequest);
+        self.schedule(2_500_000, Event::OperatorsTick);
+        self.schedule(3_000_000, Event::NextRequest);
         for caller in 0..4 {
-            self.after(3_000_000, Event::NextCall { caller });
+            self.schedule(3_000_000, Event::NextCall { caller });
         }
     }
 
-    /// Schedules an event; events of one time keep the order in which they were scheduled.
-    pub fn after(&mut self, delay_us: u64, event: Event) {
-        self.order += 1;
-        self.queue.insert((self.now_us + delay_us, self.order), event);
+    /// Schedules an event `delay_us` from now; events with the same time are handled in the order
+    /// of their scheduling.
+    pub fn schedule(&mut self, delay_us: u64, event: Event) {
+        self.sequence += 1;
+        self.queue.insert((self.now_us + delay_us, self.sequence), event);
     }
 
-    fn at(&mut self, at_us: u64, event: Event) {
-        self.order += 1;
-        self.queue.insert((at_us, self.order), event);
+    /// Schedules an event at this true time in microseconds.
+    fn schedule_at(&mut self, at_us: u64, event: Event) {
+        self.sequence += 1;
+        self.queue.insert((at_us, self.sequence), event);
     }
 
-    /// A process's own clock in milliseconds, whose zero and rate no other shares.
+    /// Returns the time of a process's own clock in milliseconds; each clock has its own zero and
+    /// rate.
     pub fn local_ms(&self, process: ProcessId) -> u64 {
         let clock = match process {
             ProcessId::Control(at) => self.control[at].clock,
@@ -193,16 +207,17 @@
         clock.local_ms(self.now_us)
     }
 
-    /// Sends a message over the network, which may delay or lose it.
+    /// Sends a message over the network, which delays it and may lose it; a message from an address
+    /// to itself arrives at once.
     pub fn transmit(&mut self, from: SocketAddr, to: SocketAddr, message: Message) {
         let envelope = Envelope { from, message };
         if from == to {
-            return self.after(0, Event::Deliver { to, envelope });
+            return self.schedule(0, Event::Deliver { to, envelope });
         }
         let sent_us = self.now_us + self.link_wait_us(to, &envelope);
         let arrival = self.network.arrival(sent_us, from, to, &mut self.random);
         if let Some(at_us) = arrival {
-            self.at(at_us, Event::Deliver { to, envelope });
+            self.schedule_at(at_us, Event::Deliver { to, envelope });
         }
     }
 
@@ -213,20 +228,22 @@
         }
     }
 
-    /// Handles all events up to this time.
+    /// Handles all events scheduled up to this true time in microseconds, and then sets the time to
+    /// it.
     pub fn run_until(&mut self, until_us: u64) {
         while let Some(((at_us, _), _)) = self.queue.first_key_value() {
             if *at_us > until_us {
                 break;
             }
-            let Some(((at_us, order), event)) = self.queue.pop_first() else { break };
+            let Some(((at_us, sequence), event)) = self.queue.pop_first() else { break };
             self.now_us = at_us;
-            self.digest = self.digest.rotate_left(5) ^ at_us.wrapping_mul(31) ^ order;
+            self.digest = self.digest.rotate_left(5) ^ at_us.wrapping_mul(31) ^ sequence;
             self.step(event);
         }
         self.now_us = until_us;
     }
 
+    /// Handles one event; if its process is frozen, the event is kept until the process wakes.
     fn step(&mut self, event: Event) {
         let process = self.process_of(&event);
         self.freeze_before(&event);
@@ -242,7 +259,7 @@
                 None => {}
             },
             Event::Synced { at, incarnation } if self.control[at].incarnation == incarnation => {
-                self.disk_done(at)
+                self.complete_sync(at)
             }
             Event::ListRead { at, incarnation, number, cursor } => {
                 self.list_read(at, incarnation, number, cursor)
@@ -294,9 +311,9 @@
             Event::Run { request, data, incarnation, instance } => {
                 self.run(request, data, incarnation, &instance)
             }
-            Event::NextRequest => self.next_request(),
+            Event::NextRequest => self.send_next_request(),
             Event::NextCall { caller } => self.next_call(caller),
-            Event::Operate => self.operate(),
+            Event::OperatorsTick => self.operators_tick(),
             Event::SendPinned => self.send_pinned_request(),
             Event::PinnedArrives { key, requested_us, request, .. } => {
                 self.pinned_request_arrives(key, requested_us, request)
@@ -305,6 +322,7 @@
         }
     }
 
+    /// Passes a tick to a process and schedules the next one, unless that incarnation has ended.
     fn tick(&mut self, process: ProcessId, incarnation: u64) {
         let alive = match process {
             ProcessId::Control(at) => {
@@ -324,10 +342,11 @@
             }
             ProcessId::Data(at) => self.data_input(at, DataInput::Tick),
         }
-        self.after(TICK_MS * 1_000, Event::Tick { process, incarnation });
+        self.schedule(TICK_MS * 1_000, Event::Tick { process, incarnation });
     }
 
-    /// Responses belong to the clients pinned to this machine, all else to its node.
+    /// Passes a response to the clients that are pinned to control machine `at`, and any other
+    /// message to its node.
     fn control_receives(&mut self, at: usize, envelope: Envelope) {
         match envelope.message {
             Message::Response { key, response } => self.pinned_clients_receive(at, key, response),
@@ -335,16 +354,17 @@
         }
     }
 
-    /// Ends a freeze: the process receives all that arrived meanwhile.
+    /// Ends a freeze: the process now handles all events that arrived meanwhile.
     pub fn wake(&mut self, process: ProcessId) {
         for event in self.frozen.remove(&process).unwrap_or_default() {
-            self.after(0, event);
+            self.schedule(0, event);
         }
     }
 }
 
 impl World {
-    /// The process that handles an event; while it is frozen, the event waits.
+    /// Returns the process that handles an event, if any; while that process is frozen, the event
+    /// is held back.
     pub fn process_of(&self, event: &Event) -> Option<ProcessId> {
         match event {
             Event::Tick { process, .. } => Some(*process),
--- a/crates/simulation/src/world/operator.rs
+++ b/crates/simulation/src/world/operator.rs
@@ -1,7 +1,7 @@
-//! Operators that submit plans, race each other, lose responses and submit orders again.
+//! Operators that submit plans, compete with each other, lose responses and submit orders again.
 
 use crate::client::operator::{Order, Purpose, SubmittedOrder};
-use crate::client::plans::{ROUTES, began_at, plan_text};
+use crate::client::plans::{FIXED_ROUTES, began_at, plan_text};
 use crate::event::Event;
 use crate::world::World;
 use postbarrow_controller_client::Effect;
@@ -9,22 +9,26 @@
 use postbarrow_plan::Plan;
 use std::net::SocketAddr;
 
-const WAIT_MS: u64 = 3_000;
+/// Time that an operator's request may wait for its response, in milliseconds.
+const RESPONSE_WAIT_MS: u64 = 3_000;
 
-/// Maximum of orders pending at once.
-const RACERS: u64 = 8;
+/// Maximum number of orders submitted at once under one version.
+const MAX_COMPETING_ORDERS: u64 = 8;
 
-/// Of a thousand acknowledgements, how many are lost.
+/// Probability that an acknowledgement is lost, in thousandths.
 const ACKNOWLEDGEMENTS_LOST_PER_MILLE: u64 = 150;
 
-/// Routes of a large plan, whose entries every check reads; few where only contact is checked.
-const MANY_ROUTES: u64 = 1_500;
+/// Number of additional routes of a large plan.
+const LARGE_PLAN_ROUTES: u64 = 1_500;
 
-const FEW_ROUTES: u64 = 30;
+/// Number of additional routes of a large plan in runs with pinned clients. It is small, since
+/// every check reads all entries of a plan and these runs check the effects of lost contact only.
+const LARGE_PLAN_ROUTES_PINNED: u64 = 30;
 
 impl World {
-    /// Twenty times a second: drives pending requests, and now and then submits a plan.
-    pub fn operate(&mut self) {
+    /// Handles time-outs of pending requests and sometimes submits a plan; runs twenty times a
+    /// second.
+    pub fn operators_tick(&mut self) {
         let now_ms = self.now_us / 1_000;
         let listed = self.control.iter().filter(|machine| machine.is_listed(self.now_us));
         let members: Vec<SocketAddr> = listed.map(|machine| machine.address).collect();
@@ -40,7 +44,7 @@
                 0 => self.submit_plan(0, true, false),
                 1 => self.submit_plan(0, false, true),
                 2 => self.submit_plan(
-                    if has_pinned_clients { FEW_ROUTES } else { MANY_ROUTES },
+                    if has_pinned_clients { LARGE_PLAN_ROUTES_PINNED } else { LARGE_PLAN_ROUTES },
                     false,
                     false,
                 ),
@@ -48,46 +52,46 @@
                     self.submit_plan(0, false, false);
                     self.submit_plan(5, false, false);
                 }
-                4 => self.race(),
-                5 => self.submit_plan_twice(),
+                4 => self.submit_competing_orders(),
+                5 => self.submit_order_twice(),
                 6 | 7 => {
-                    self.send_old_orders();
+                    self.repeat_old_orders();
                     self.submit_plan(4, false, false);
                 }
-                8 => self.send_old_orders(),
+                8 => self.repeat_old_orders(),
                 _ => self.submit_plan(3, false, false),
             }
         }
-        self.after(50_000, Event::Operate);
+        self.schedule(50_000, Event::OperatorsTick);
     }
 
-    /// Prepares a plan with `routes` further routes and submits it; `dry`: as a dry run; `empty`:
-    /// with a service that has no target.
+    /// Prepares a plan with `routes` additional routes and submits it; as a dry run if `dry`, and
+    /// with a service that has no target if `empty`.
     pub fn submit_plan(&mut self, routes: u64, dry: bool, empty: bool) {
         self.operator.number += 1;
         let submitted = self.prepare_order(routes, dry, empty);
         self.submit(submitted);
     }
 
-    /// Up to eight operators submit different changes under one version.
-    fn race(&mut self) {
+    /// Submits two to eight different plans under one version, as competing operators do.
+    fn submit_competing_orders(&mut self) {
         self.operator.number += 1;
-        for routes in 0..self.random.between(2, RACERS) {
+        for routes in 0..self.random.between(2, MAX_COMPETING_ORDERS) {
             let submitted = self.prepare_order(routes, false, false);
-            self.submit_elsewhere(submitted);
+            self.submit_through_any_member(submitted);
         }
     }
 
-    /// Submits one order by two members at once.
-    fn submit_plan_twice(&mut self) {
+    /// Submits one order through two control machines at once.
+    fn submit_order_twice(&mut self) {
         self.operator.number += 1;
         let submitted = self.prepare_order(2, false, false);
         self.submit(submitted.clone());
-        self.submit_elsewhere(submitted);
+        self.submit_through_any_member(submitted);
     }
 
-    /// Submits an acknowledged and a refused order again, unchanged.
-    fn send_old_orders(&mut self) {
+    /// Submits an acknowledged and a refused order again, unchanged, where there are any.
+    fn repeat_old_orders(&mut self) {
         let (accepted, refused) =
             (self.ledger.orders.accepted_orders(), self.ledger.orders.refused_orders());
         let mut old = Vec::new();
@@ -97,15 +101,21 @@
             }
         }
         for order in old {
-            self.submit_elsewhere(SubmittedOrder { order, routes: 0, purpose: Purpose::Repeat });
+            self.submit_through_any_member(SubmittedOrder {
+                order,
+                routes: 0,
+                purpose: Purpose::Repeat,
+            });
         }
     }
 
+    /// Returns an order for a plan of the newest version number on the newest known base; a dry run
+    /// and a plan that must be refused are recorded, since no data node may serve them.
     fn prepare_order(&mut self, routes: u64, dry: bool, empty: bool) -> SubmittedOrder {
         let version = format!("v{}", self.operator.number);
         let base = self.operator.version.clone();
         let text = plan_text(&version, base.as_deref(), routes, empty);
-        let routes = routes as usize + ROUTES;
+        let routes = routes as usize + FIXED_ROUTES;
         if dry || empty {
             self.ledger.refused.insert((version.clone(), routes));
         }
@@ -114,13 +124,14 @@
         SubmittedOrder { order: Order { version, base, text }, routes, purpose }
     }
 
-    /// Submits by another member than the one that answers now.
-    fn submit_elsewhere(&mut self, submitted: SubmittedOrder) {
+    /// Submits an order after dropping the known controller's address, so that the request may go
+    /// through another control machine.
+    fn submit_through_any_member(&mut self, submitted: SubmittedOrder) {
         self.operator.controller_client.suspect_controller();
         self.submit(submitted);
     }
 
-    /// Submits an order, which stays pending until it has a clear response.
+    /// Submits an order, which stays pending until a response acknowledges or refuses it.
     pub fn submit(&mut self, submitted: SubmittedOrder) {
         let order = &submitted.order;
         let plan = Plan::read(order.text.as_bytes()).expect("the simulator's plans are valid");
@@ -140,7 +151,7 @@
         self.send_operator_request(key, Request::Submit(submission));
     }
 
-    /// Requests the plan in force; `Operator::shown` receives it.
+    /// Requests the plan in force; the response is stored in `Operator::shown`.
     pub fn show(&mut self) {
         self.operator.key += 1;
         let key = self.operator.key;
@@ -152,12 +163,12 @@
             self.now_us / 1_000,
             key,
             request,
-            WAIT_MS,
+            RESPONSE_WAIT_MS,
         );
         self.apply_operator_effects(effects);
     }
 
-    /// Feeds a frame to the operators' client.
+    /// Passes a frame to the operators' controller client.
     pub fn operator_receives(&mut self, envelope: Envelope) {
         if let Message::Response { key, response } = envelope.message {
             let effects =
@@ -176,18 +187,18 @@
                 }
                 Effect::Answer { key, response } => {
                     if let Some(submitted) = self.operator.submitted.remove(&key) {
-                        self.plan_ended(submitted, response);
+                        self.order_answered(submitted, response);
                     }
                 }
             }
         }
     }
 
-    /// Handles a response. An order without a clear one is submitted again unchanged, as is one
-    /// whose acknowledgement was lost.
-    fn plan_ended(&mut self, submitted: SubmittedOrder, response: Response) {
+    /// Handles the response to an order. The order is submitted again unchanged if the response
+    /// neither acknowledges nor refuses it, or if its acknowledgement is drawn as lost.
+    fn order_answered(&mut self, submitted: SubmittedOrder, response: Response) {
         let Response::Operator { status, body } = response else {
-            return self.submit_elsewhere(submitted);
+            return self.submit_through_any_member(submitted);
         };
         let text = String::from_utf8_lossy(&body).into_owned();
         let order = submitted.order.clone();
@@ -197,49 +208,51 @@
             }
             (200, purpose) => {
                 let lost = !self.quiet && self.random.chance(ACKNOWLEDGEMENTS_LOST_PER_MILLE);
-                let found = self.ledger.orders.acknowledged(&order);
-                found.into_iter().for_each(|text| self.ledger.violate(text));
+                let violations = self.ledger.orders.acknowledged(&order);
+                violations.into_iter().for_each(|text| self.ledger.report(text));
                 if lost && purpose == Purpose::Change {
-                    return self.submit_elsewhere(SubmittedOrder {
+                    return self.submit_through_any_member(SubmittedOrder {
                         purpose: Purpose::Repeat,
                         ..submitted
                     });
                 }
                 self.operator.unsure.remove(&order.text);
-                self.plan_acknowledged(order, &text);
+                self.order_acknowledged(order, &text);
             }
             (_, purpose) => {
                 self.operator.unsure.remove(&order.text);
                 if purpose != Purpose::DryRun {
-                    let found = self.ledger.orders.refused(&order);
-                    found.into_iter().for_each(|text| self.ledger.violate(text));
+                    let violations = self.ledger.orders.refused(&order);
+                    violations.into_iter().for_each(|text| self.ledger.report(text));
                 }
-                self.plan_refused(&submitted, &text);
+                self.order_refused(&submitted, &text);
             }
         }
     }
 
-    fn plan_refused(&mut self, submitted: &SubmittedOrder, text: &str) {
+    /// Records a refused order, checks that no data node serves its plan, and records the version
+    /// in force that the response names.
+    fn order_refused(&mut self, submitted: &SubmittedOrder, text: &str) {
         self.operator.refusals += 1;
         if submitted.purpose != Purpose::Repeat {
             self.ledger.refused.insert((submitted.order.version.clone(), submitted.routes));
         }
         (0..self.data.len()).for_each(|at| self.check_published(at));
-        let named = text.split("\"versionInForce\":\"").nth(1);
-        let named = named.and_then(|rest| rest.split('"').next()).map(str::to_string);
-        if let Some(named) = named {
-            self.operator.learn(named);
+        let in_force = text.split("\"versionInForce\":\"").nth(1);
+        let in_force = in_force.and_then(|rest| rest.split('"').next()).map(str::to_string);
+        if let Some(in_force) = in_force {
+            self.operator.record_version(in_force);
         }
     }
 
-    /// Records an acknowledged plan; `text` is the response's body.
-    pub fn plan_acknowledged(&mut self, order: Order, text: &str) {
-        let began = began_at(text);
+    /// Records an acknowledged order; `text` is the response's body.
+    pub fn order_acknowledged(&mut self, order: Order, text: &str) {
+        let offset = began_at(text);
         self.operator.acknowledged += 1;
-        self.ledger.in_force.push((self.now_us, began.unwrap_or(0)));
+        self.ledger.in_force.push((self.now_us, offset.unwrap_or(0)));
         self.operator.texts.insert(order.version.clone(), order.text);
         if text.contains("\"inForce\":true") {
-            self.operator.learn(order.version);
+            self.operator.record_version(order.version);
         }
     }
 }
--- a/crates/simulation/src/world/pinned.rs
+++ b/crates/simulation/src/world/pinned.rs
@@ -1,8 +1,8 @@
-//! Requests of pinned clients, and their responses.
+//! Requests of pinned clients and their responses.
 
 use crate::client::operator::{Order, Purpose, SubmittedOrder};
 use crate::client::pinned::{OWN_NUMBER, PendingRequest, PinnedClients, PinnedRequest, WAIT_MS};
-use crate::client::plans::{ROUTES, plan_text};
+use crate::client::plans::{FIXED_ROUTES, plan_text};
 use crate::event::{Event, ProcessId};
 use crate::world::World;
 use postbarrow_controller::{Contact, Input};
@@ -11,23 +11,26 @@
 use postbarrow_plan::Plan;
 use postbarrow_state::{Call, Name};
 
-/// The pause between two requests; the kinds take turns.
-const QUESTION_US: u64 = 20_000;
+/// Interval between two requests of the pinned clients, in microseconds. Six kinds of request take
+/// turns.
+const REQUEST_INTERVAL_US: u64 = 20_000;
 
-/// After this time the other operators submit an order that has no clear response.
-const ORDER_US: u64 = 1_500_000;
+/// Time after which an order of the pinned clients that was neither acknowledged nor refused is
+/// submitted by the other operators, in microseconds.
+const RETRY_US: u64 = 1_500_000;
 
-/// A revision that no key has, so that a put on it always conflicts and returns the real one.
-const NO_REVISION: u64 = u64::MAX;
+/// A revision that no key has: a put that expects it always conflicts, and the outcome contains the
+/// key's real revision.
+const IMPOSSIBLE_REVISION: u64 = u64::MAX;
 
-/// The number and the key that all callers use.
-const SHARED: &str = "n0";
+/// Name of the number and of the key that the pinned clients read and the callers change.
+const SHARED_NAME: &str = "n0";
 
 impl World {
-    /// From now on clients are pinned to this control machine.
+    /// Starts clients that are pinned to control machine `at`.
     pub fn pin_clients_to(&mut self, at: usize) {
         self.pinned = Some(PinnedClients::new(at, self.control[at].incarnation));
-        self.after(0, Event::SendPinned);
+        self.schedule(0, Event::SendPinned);
     }
 
     /// Sends the next request and schedules the one after it.
@@ -35,14 +38,18 @@
         let Some(pinned) = &mut self.pinned else { return };
         pinned.key += 1;
         let (at, key) = (pinned.at, pinned.key);
-        self.order_tick();
+        self.drive_pinned_order();
         let call = |call| PinnedRequest::Call(call);
-        let (number, shared) = (Name::from(OWN_NUMBER), Name::from(SHARED));
+        let (number, shared_name) = (Name::from(OWN_NUMBER), Name::from(SHARED_NAME));
         let request = match key % 6 {
             0 => PinnedRequest::Show,
-            1 => call(Call::ReadNumber { name: shared }),
-            2 => call(Call::ReadKey { name: shared }),
-            3 => call(Call::Put { name: shared, value: vec![9], revision: Some(NO_REVISION) }),
+            1 => call(Call::ReadNumber { name: shared_name }),
+            2 => call(Call::ReadKey { name: shared_name }),
+            3 => call(Call::Put {
+                name: shared_name,
+                value: vec![9],
+                revision: Some(IMPOSSIBLE_REVISION),
+            }),
             4 => call(Call::Next { name: number, by: 1 }),
             _ => match self.pinned.as_ref().and_then(|pinned| pinned.order.clone()) {
                 Some((_, submitted)) => PinnedRequest::Order(submitted),
@@ -50,17 +57,19 @@
             },
         };
         let requested_us = self.now_us;
-        self.after(0, Event::PinnedArrives { at, key, requested_us, request });
-        self.after(QUESTION_US, Event::SendPinned);
+        self.schedule(0, Event::PinnedArrives { at, key, requested_us, request });
+        self.schedule(REQUEST_INTERVAL_US, Event::SendPinned);
     }
 
-    /// One order at a time in the whole cluster, so that each is valid.
-    fn order_tick(&mut self) {
+    /// Prepares an order for the pinned clients if no order is pending in the whole cluster, so
+    /// that each order is valid; passes an order without a clear response to the other operators
+    /// after `RETRY_US`.
+    fn drive_pinned_order(&mut self) {
         let now_us = self.now_us;
         let idle = self.operator.is_idle() && !self.quiet && self.random.chance(30);
         let Some(pinned) = &mut self.pinned else { return };
         match pinned.order.take() {
-            Some((since_us, submitted)) if now_us > since_us + ORDER_US => self.submit(submitted),
+            Some((since_us, submitted)) if now_us > since_us + RETRY_US => self.submit(submitted),
             Some(order) => pinned.order = Some(order),
             None if idle => {
                 pinned.orders += 1;
@@ -71,14 +80,16 @@
                 self.operator.texts.insert(version.clone(), text.clone());
                 self.operator.unsure.insert(text.clone());
                 let order = Order { version, base, text };
-                let submitted = SubmittedOrder { order, routes: ROUTES, purpose: Purpose::Change };
+                let submitted =
+                    SubmittedOrder { order, routes: FIXED_ROUTES, purpose: Purpose::Change };
                 pinned.order = Some((now_us, submitted));
             }
             None => {}
         }
     }
 
-    /// A request arrives at the machine; a process that is down accepts none.
+    /// Handles a request that arrives at the pinned clients' machine, and ignores it if the process
+    /// is down.
     pub fn pinned_request_arrives(&mut self, key: u64, requested_us: u64, request: PinnedRequest) {
         let Some(at) = self.pinned.as_ref().map(|pinned| pinned.at) else { return };
         if self.control[at].node.is_none() {
@@ -99,7 +110,8 @@
         self.apply_pinned_effects(at, effects);
     }
 
-    /// A process's pending requests end with it; their outcome is unknown.
+    /// Drops the pending requests that an earlier incarnation of the machine's process received;
+    /// their outcomes stay unknown.
     fn drop_requests_of_earlier_incarnation(&mut self, at: usize) {
         let incarnation = self.control[at].incarnation;
         let Some(pinned) = &mut self.pinned else { return };
@@ -109,11 +121,12 @@
         pinned.incarnation = incarnation;
         pinned.controller_client = ControllerClient::default();
         for pending in std::mem::take(&mut pinned.pending).into_values() {
-            pinned.numbers_unclear += usize::from(is_own_number(&pending.request));
+            pinned.numbers_unclear += usize::from(increments_own_number(&pending.request));
         }
     }
 
-    /// Updates the client's contact with the leader, as the program does at each tick.
+    /// Passes the node's contact with the leader to the pinned clients' controller client, as the
+    /// control plane's program does at each tick.
     pub fn pinned_clients_tick(&mut self, at: usize) {
         if self.pinned.as_ref().is_none_or(|pinned| pinned.at != at) {
             return;
@@ -121,8 +134,8 @@
         self.drop_requests_of_earlier_incarnation(at);
         let now_ms = self.local_ms(ProcessId::Control(at));
         let (Some(node), Some(pinned)) = (&self.control[at].node, &mut self.pinned) else { return };
-        let log = node.consensus();
-        let members: Vec<_> = log.members().iter().map(|member| member.address).collect();
+        let consensus = node.consensus();
+        let members: Vec<_> = consensus.members().iter().map(|member| member.address).collect();
         match node.contact(now_ms) {
             Contact::Outside => pinned.controller_client.on_members(now_ms, None, &members),
             Contact::Leader(leader) => {
@@ -134,7 +147,8 @@
         self.apply_pinned_effects(at, effects);
     }
 
-    /// A response to a pinned client's request at this machine.
+    /// Passes a response that arrived at control machine `at` to the pinned clients, if they are
+    /// pinned to it.
     pub fn pinned_clients_receive(&mut self, at: usize, key: u64, response: Response) {
         let now_ms = self.local_ms(ProcessId::Control(at));
         let Some(pinned) = self.pinned.as_mut().filter(|pinned| pinned.at == at) else { return };
@@ -155,11 +169,12 @@
         }
     }
 
+    /// Counts a response to a pinned client's request and checks it.
     fn pinned_request_answered(&mut self, key: u64, response: Response) {
         let now_us = self.now_us;
         let Some(pinned) = &mut self.pinned else { return };
         let Some(pending) = pinned.pending.remove(&key) else { return };
-        let own_number = is_own_number(&pending.request);
+        let is_increment = increments_own_number(&pending.request);
         match response {
             Response::Unavailable => {
                 pinned.unavailable += 1;
@@ -167,7 +182,7 @@
             }
             Response::TimedOut => {
                 pinned.unclear += 1;
-                pinned.numbers_unclear += usize::from(own_number);
+                pinned.numbers_unclear += usize::from(is_increment);
             }
             response => {
                 pinned.answered += 1;
@@ -176,8 +191,9 @@
         }
     }
 
-    /// Connections keep no order among each other: at worst, a process that wakes reads clients'
-    /// requests first, then what other machines sent, and its clock last.
+    /// Sorts the events held back for a frozen process: clients' requests first, then frames of
+    /// other machines, and ticks last. Events on different connections have no common order, and
+    /// this one is the worst case for a process that wakes.
     pub(crate) fn deliver_requests_before_ticks(&mut self, process: ProcessId) {
         if let Some(pending) = self.frozen.get_mut(&process) {
             pending.sort_by_key(|event| match event {
@@ -189,10 +205,12 @@
     }
 }
 
-fn is_own_number(request: &PinnedRequest) -> bool {
+/// Returns whether a request increments `OWN_NUMBER`.
+fn increments_own_number(request: &PinnedRequest) -> bool {
     matches!(request, PinnedRequest::Call(Call::Next { .. }))
 }
 
+/// Returns the message that submits an order.
 fn submission(submitted: &SubmittedOrder) -> Submission {
     let order = &submitted.order;
     let plan = Plan::read(order.text.as_bytes()).expect("the simulator's plans are valid");
--- a/crates/simulation/src/world/pinned_checks.rs
+++ b/crates/simulation/src/world/pinned_checks.rs
@@ -1,4 +1,4 @@
-//! Checks the responses to pinned clients against what others had received before.
+//! Checks of the responses to pinned clients against responses that other clients received before.
 
 use crate::client::operator::SubmittedOrder;
 use crate::client::pinned::PinnedRequest;
@@ -9,7 +9,8 @@
 use postbarrow_state::{Call, Outcome};
 
 impl World {
-    /// A response must be true at some time between request and response.
+    /// Checks that a response to a pinned client was true at some time between the request and the
+    /// response.
     pub fn check_answer(&mut self, start_us: u64, request: PinnedRequest, response: Response) {
         match (request, response) {
             (PinnedRequest::Show, Response::Plan { offset, .. }) => {
@@ -23,21 +24,23 @@
                 self.check_outcome(start_us, &call, &outcome);
             }
             (request, response) => {
-                self.ledger.violate(format!("{request:?} was answered by {response:?}"));
+                self.ledger.report(format!("{request:?} was answered by {response:?}"));
             }
         }
     }
 
+    /// Checks that the plan shown, whose Begin has this log offset, is not older than any plan
+    /// acknowledged before the request.
     fn check_shown(&mut self, start_us: u64, offset: u64) {
         let before = self.ledger.in_force.iter().filter(|(at_us, _)| *at_us <= start_us);
         let newest = before.map(|(_, offset)| *offset).max().unwrap_or(0);
         if offset < newest {
-            self.ledger
-                .violate(format!("a plan of {offset} was shown after {newest} was in force"));
+            self.ledger.report(format!("a plan of {offset} was shown after {newest} was in force"));
         }
     }
 
-    /// No valid order is refused, and none is acknowledged that no majority has.
+    /// Checks that no valid order is refused and that no order is acknowledged without a majority;
+    /// records the acknowledgement of the pending order.
     fn check_order(&mut self, submitted: &SubmittedOrder, status: u16, body: &str) {
         let order = &submitted.order;
         let valid = self.operator.version == order.base
@@ -47,35 +50,36 @@
                 self.check_majority(submitted, body);
                 if self.pinned.as_ref().is_some_and(|pinned| pinned.is_order(submitted)) {
                     self.operator.unsure.remove(&order.text);
-                    let found = self.ledger.orders.acknowledged(order);
-                    found.into_iter().for_each(|text| self.ledger.violate(text));
-                    self.plan_acknowledged(order.clone(), body);
+                    let violations = self.ledger.orders.acknowledged(order);
+                    violations.into_iter().for_each(|text| self.ledger.report(text));
+                    self.order_acknowledged(order.clone(), body);
                     self.pinned.iter_mut().for_each(|pinned| pinned.order = None);
                 }
             }
             503 => {}
-            _ if valid => self.ledger.violate(format!("a valid order got {status}: {body}")),
+            _ if valid => self.ledger.report(format!("a valid order got {status}: {body}")),
             _ => {}
         }
     }
 
+    /// Checks that at least two control nodes have the Begin of an acknowledged plan in their logs.
     fn check_majority(&mut self, submitted: &SubmittedOrder, body: &str) {
         let Some(began) = began_at(body) else {
             return self
                 .ledger
-                .violate(format!("{} is in force from nowhere", submitted.order.version));
+                .report(format!("{} is in force from nowhere", submitted.order.version));
         };
-        let has = |machine: &&ControlMachine| {
+        let has_begin = |machine: &&ControlMachine| {
             machine.node.as_ref().is_some_and(|node| node.consensus().last_index() >= began)
         };
-        if self.control.iter().filter(has).count() < 2 {
-            self.ledger.violate(format!(
-                "{} was acknowledged without a majority",
-                submitted.order.version
-            ));
+        if self.control.iter().filter(has_begin).count() < 2 {
+            self.ledger
+                .report(format!("{} was acknowledged without a majority", submitted.order.version));
         }
     }
 
+    /// Checks that the number or revision in an outcome is not lower than one acknowledged before
+    /// the call, and records increments of `OWN_NUMBER`.
     fn check_outcome(&mut self, start_us: u64, call: &Call, outcome: &Outcome) {
         let value = match (call, outcome) {
             (Call::Next { .. }, Outcome::Number(value)) => {
@@ -85,11 +89,11 @@
             (Call::ReadKey { .. }, Outcome::Key(key)) => key.revision,
             (Call::ReadKey { .. }, Outcome::NoKey) => 0,
             (Call::Put { .. }, Outcome::Conflict { revision }) => *revision,
-            _ => return self.ledger.violate(format!("{call:?} was answered by {outcome:?}")),
+            _ => return self.ledger.report(format!("{call:?} was answered by {outcome:?}")),
         };
         let max = self.callers.max_acknowledged(call, start_us);
         if value < max {
-            self.ledger.violate(format!("{call:?} got {value} after {max} was acknowledged"));
+            self.ledger.report(format!("{call:?} got {value} after {max} was acknowledged"));
         }
     }
 }
--- a/crates/simulation/src/world/requests.rs
+++ b/crates/simulation/src/world/requests.rs
@@ -1,9 +1,9 @@
-//! Clients' requests to data nodes and their flow through them.
+//! Clients' requests to data nodes and their flow through the nodes.
 
 use crate::checker::ledger::ClientOutcome;
 use crate::client::requests::{Awaits, RequestRun};
 use crate::event::{Event, ProcessId};
-use crate::node::data::Waits;
+use crate::node::data::ResponseRecipient;
 use crate::world::World;
 use postbarrow_constants::coordination::SETTLEMENT_WAIT_MS;
 use postbarrow_messages::Request;
@@ -13,15 +13,21 @@
 
 use std::sync::Arc;
 
-const BEHIND_US: u64 = 300_000;
+/// Time for which the platform may still route a client to a node that is no longer ready, in
+/// microseconds.
+const VIEW_LAG_US: u64 = 300_000;
 
-/// After its deadline a request may still wait for the settlement of its ticket.
-const SETTLED_US: u64 = 2_000_000;
+/// Time after its deadline for which a request may still wait for the settlement of its ticket, in
+/// microseconds.
+const SETTLEMENT_MARGIN_US: u64 = 2_000_000;
 
+/// Returns the time within which a node must answer a request with this deadline, in microseconds.
 fn answer_bound_us(deadline_ms: u64) -> u64 {
-    deadline_ms * 1_000 + SETTLED_US
+    deadline_ms * 1_000 + SETTLEMENT_MARGIN_US
 }
 
+/// Method, path and service of each kind of request; `catalogue` takes lookups, the others take
+/// one-time requests.
 const SERVICES: [(&str, &str, &str); 3] = [
     ("GET", "/stock/7", "catalogue"),
     ("POST", "/transfers", "ledger"),
@@ -29,36 +35,37 @@
 ];
 
 impl World {
-    /// Sends one new request and schedules the next.
-    pub fn next_request(&mut self) {
+    /// Sends a new request, sometimes twice at once under one key, and schedules the next one.
+    pub fn send_next_request(&mut self) {
         if self.quiet && self.request_pause_us == 0 {
             return;
         }
-        self.next_request += 1;
-        let id = self.next_request;
+        self.last_request_id += 1;
+        let id = self.last_request_id;
         let (_, _, service) = SERVICES[self.random.below(3) as usize];
         let keyed = self.random.chance(500);
-        self.client_sends(id, service, keyed, 0);
+        self.send_attempt(id, service, keyed, 0);
         if keyed && self.random.chance(50) {
-            self.ledger.doubled(id);
-            self.client_sends(id, service, keyed, 0);
+            self.ledger.record_duplicate(id);
+            self.send_attempt(id, service, keyed, 0);
         }
         let pause_us = self.random.below(2 * self.request_pause_us) + 1;
-        self.after(pause_us, Event::NextRequest);
+        self.schedule(pause_us, Event::NextRequest);
     }
 
-    /// The platform routes clients to ready nodes; now and then its view is a little old.
-    pub(super) fn client_sends(
+    /// Sends an attempt of a client's request to a random node that is ready or, in one of twenty
+    /// attempts, was ready until recently, as the platform's view may lag.
+    pub(super) fn send_attempt(
         &mut self,
         id: u64,
         service: &'static str,
         keyed: bool,
         attempts: u32,
     ) {
-        let any = self.random.chance(50);
-        let behind = |at: usize| any && self.now_us < self.data[at].ready_us + BEHIND_US;
+        let outdated = self.random.chance(50);
+        let was_ready = |at: usize| outdated && self.now_us < self.data[at].ready_us + VIEW_LAG_US;
         let nodes: Vec<usize> =
-            (0..self.data.len()).filter(|at| behind(*at) || self.is_ready(*at)).collect();
+            (0..self.data.len()).filter(|at| was_ready(*at) || self.is_ready(*at)).collect();
         self.ledger.record_request(id, service != "catalogue");
         let request = self.requests.len() as u64;
         if nodes.is_empty() {
@@ -77,16 +84,17 @@
             flow: None,
             target: None,
             connected: None,
-            client_left: false,
+            client_departed: false,
             departure_observed: false,
             awaits: Awaits::Connection,
         };
         self.requests.insert(request, run);
-        self.after(500, Event::Arrive { request, data, incarnation });
+        self.schedule(500, Event::Arrive { request, data, incarnation });
         self.schedule_departure(request);
     }
 
-    /// Requests that a node's present incarnation accepted and did not answer in time.
+    /// Returns the ids of requests that were accepted by a node's present incarnation and not
+    /// answered in time.
     pub fn overdue(&self) -> Vec<u64> {
         let overdue = |run: &&RequestRun| {
             let same_incarnation = self.data[run.data].incarnation == run.incarnation;
@@ -95,7 +103,8 @@
         self.requests.values().filter(overdue).map(|run| run.id).collect()
     }
 
-    /// A request reaches data node `data`, which starts its flow or answers at once.
+    /// Handles an attempt that arrives at data node `data`, which starts a flow for it or answers
+    /// at once.
     pub fn request_arrives(&mut self, request: u64, data: usize, incarnation: u64) {
         let Some(run) = self.requests.get(&request) else { return };
         let (id, service) = (run.id, run.service);
@@ -114,15 +123,15 @@
         }
     }
 
-    /// Ends a request that was not forwarded.
+    /// Answers an attempt that has not been forwarded.
     fn reject_request(&mut self, request: u64, outcome: RequestOutcome) {
         let Some(run) = self.requests.get(&request) else { return };
         let (one_time, keyed) = (run.service != "catalogue", run.keyed);
         let evidence = ExecutionEvidence { one_time, keyed, ..ExecutionEvidence::default() };
-        self.end_request(request, Completion { outcome, evidence, key: None });
+        self.complete_request(request, Completion { outcome, evidence, key: None });
     }
 
-    /// Starts the flow of a request that has a route.
+    /// Starts the flow of an attempt that matches a route.
     fn start_flow(&mut self, request: u64, data: usize, entry: Arc<Entry>) {
         let Some(run) = self.requests.get(&request) else { return };
         let (id, keyed) = (run.id, run.keyed);
@@ -151,7 +160,7 @@
         self.resume_request(request, data, postbarrow_node::Event::Start);
     }
 
-    /// Feeds an event to a request's flow and carries out the step that it returns.
+    /// Passes an event to the flow of an attempt and carries out the step that it returns.
     pub fn resume_request(&mut self, request: u64, data: usize, event: postbarrow_node::Event) {
         let now_ms = self.local_ms(ProcessId::Data(data));
         let serves = self.serves(data);
@@ -160,9 +169,14 @@
         let table = self.data[data].table.clone();
         let Some(run) = self.requests.get_mut(&request) else { return };
         let Some(flow) = &mut run.flow else { return };
-        let client_left = run.departure_observed;
-        let now =
-            FlowContext { now_ms, table: &table, serves, number, client_departed: client_left };
+        let departure_observed = run.departure_observed;
+        let now = FlowContext {
+            now_ms,
+            table: &table,
+            serves,
+            number,
+            client_departed: departure_observed,
+        };
         match flow.handle(&now, event) {
             Step::Connect { target, load, .. } => {
                 run.target = Some((target.clone(), load));
@@ -178,32 +192,51 @@
             Step::Forward { until_ms, .. } => {
                 run.awaits = Awaits::Sending;
                 let incarnation = self.data[data].incarnation;
-                self.after(20, Event::Send { request, data, incarnation, until_ms });
+                self.schedule(20, Event::Send { request, data, incarnation, until_ms });
             }
             Step::Done { completion, settlement } => {
                 if let Some(settlement) = settlement {
                     let settle = settlement.into();
-                    self.send_to_controller(data, settle, SETTLEMENT_WAIT_MS, Waits::Nobody);
+                    self.send_to_controller(
+                        data,
+                        settle,
+                        SETTLEMENT_WAIT_MS,
+                        ResponseRecipient::None,
+                    );
                 }
-                self.end_request(request, completion);
+                self.complete_request(request, completion);
             }
         }
     }
 
-    /// Sends a request to the controller on behalf of a client's request, which waits for the
+    /// Sends a request to the controller on behalf of a client's attempt, which waits for the
     /// response.
-    fn request_controller(&mut self, request: u64, data: usize, question: Request, wait_ms: u64) {
+    fn request_controller(
+        &mut self,
+        request: u64,
+        data: usize,
+        controller_request: Request,
+        wait_ms: u64,
+    ) {
         let key = self.next_request_key(data);
         if let Some(run) = self.requests.get_mut(&request) {
             run.awaits = Awaits::Controller { key };
         }
-        self.send_keyed_request(data, key, question, wait_ms, Waits::Request(request));
+        self.send_keyed_request(
+            data,
+            key,
+            controller_request,
+            wait_ms,
+            ResponseRecipient::Request(request),
+        );
     }
 
-    fn end_request(&mut self, request: u64, completion: Completion) {
+    /// Ends the flow of an attempt and passes the response to the client if that has not departed;
+    /// the client may send a request with an idempotency key again.
+    fn complete_request(&mut self, request: u64, completion: Completion) {
         let Some(run) = self.requests.get_mut(&request) else { return };
         run.flow = None;
-        if run.client_left {
+        if run.client_departed {
             return;
         }
         let (id, keyed, attempts, service) = (run.id, run.keyed, run.attempts, run.service);
@@ -219,16 +252,16 @@
             _ => ClientOutcome::Unknown,
         };
         if outcome == ClientOutcome::Ran && header("x-id") != Some(id.to_string()) {
-            self.ledger.violate(format!("request {id} was given another's response"));
+            self.ledger.report(format!("request {id} was given another's response"));
         }
         self.ledger.record_outcome(id, request, outcome);
-        let again = matches!(outcome, ClientOutcome::Unknown | ClientOutcome::Pending);
-        if keyed && again && attempts < 3 {
-            self.client_sends(id, service, true, attempts + 1);
+        let retries = matches!(outcome, ClientOutcome::Unknown | ClientOutcome::Pending);
+        if keyed && retries && attempts < 3 {
+            self.send_attempt(id, service, true, attempts + 1);
         }
     }
 
-    /// The instance that a request was sent to, if any.
+    /// Returns the instance of the target that the flow of an attempt selected last, if any.
     pub fn target_of(&self, request: u64) -> Option<String> {
         self.requests.get(&request)?.target_name()
     }
