--- a/crates/simulation/src/fault/mod.rs
+++ b/crates/simulation/src/fault/mod.rs
@@ -22,11 +22,12 @@
 }
 
 /// A fault of the cluster or its environment. Where a variant names no machine, the machine is
-/// drawn from the run's random numbers; if there is a leader, it is drawn with a probability of at
-/// least 60 % among the control machines.
+/// drawn from the run's random numbers. A drawn control machine is the leader, if there is one,
+/// with a probability of at least 60 %; only the sender of `OneWayCut` is drawn without this
+/// preference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A control process ends at once; its disk retains all that was written, synced or not.
+    /// A control process ends immediately; its disk retains all that was written, synced or not.
     KillControl,
     /// A control machine loses power: its process ends and unsynced writes may be lost.
     PowerLoss,
@@ -51,7 +52,7 @@
     /// Frames from one control machine to another are lost, while those in the other direction
     /// arrive.
     OneWayCut,
-    /// A data process ends at once.
+    /// A data process ends immediately.
     KillData,
     /// The processes of the first half of the data machines end at the same time.
     KillManyData,
@@ -82,12 +83,13 @@
     FreezeAt(Stage),
     /// The platform's endpoint list has this fault.
     List(ListFault),
-    /// The process of the leader ends at once; used to measure the time until full service.
+    /// The process of the leader, or of a drawn control machine if there is none, ends immediately;
+    /// used to measure the time until full service.
     KillController,
     /// The control machine of this index restarts with an empty disk at a new address, on the same
     /// condition as `EmptyDisk`.
     ReplaceControl(usize),
-    /// The data process of this index ends at once and restarts at once.
+    /// The data process of this index ends and restarts immediately.
     RestartData(usize),
     /// The control process of this index shuts down gracefully and restarts.
     RollingRestartControl(usize),
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -83,7 +83,7 @@
     pub log: Vec<String>,
 }
 
-/// True time of the first fault, in microseconds; by then the cluster must have formed.
+/// True time from which faults are injected, in microseconds; by then the cluster must have formed.
 const START_US: u64 = 6_000_000;
 /// Maximum time from the last heal or fault to full service, in milliseconds.
 const RECOVERY_MS: u64 = 15_000;
--- a/crates/simulation/src/scenario/replacement.rs
+++ b/crates/simulation/src/scenario/replacement.rs
@@ -54,8 +54,8 @@
 
 /// Interval of the checks whether a replacement is complete, in microseconds.
 const POLL_US: u64 = 20_000;
-/// Time that a machine added to a group of more than three has to join before the run goes on, in
-/// microseconds.
+/// Time that each machine added to form a group of more than three gets to join before the run goes
+/// on, in microseconds.
 const GROUP_GROWTH_US: u64 = 2_000_000;
 
 impl Replacement {
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -10,8 +10,8 @@
 use std::net::IpAddr;
 
 impl World {
-    /// Injects one fault now. The machines are drawn before the fault is looked at, so these draws
-    /// do not depend on the fault.
+    /// Injects one fault now. The machines are drawn before the fault is matched, so that these
+    /// draws do not depend on the fault.
     pub fn inject(&mut self, fault: Fault) {
         let log_line = format!("{:.3} fault {fault:?}", self.now_us as f64 / 1e6);
         if let Some(log) = &mut self.log {
@@ -106,6 +106,8 @@
         self.partition_from_all(self.control[at].address.ip());
     }
 
+    /// Partitions the machine at this address from all control and data machines, in both
+    /// directions.
     fn partition_from_all(&mut self, isolated: IpAddr) {
         for other in self.addresses() {
             self.network.partition(isolated, other);
@@ -202,7 +204,8 @@
     }
 
     /// Ends a target of `ledger` and starts one of `photos` at its address, while the endpoint list
-    /// still shows the ended target and not the new one.
+    /// still shows the ended target and not the one of `photos`. Another target of `ledger` starts
+    /// at a new address.
     fn reuse_address(&mut self) {
         let position =
             self.targets.iter().position(|target| target.alive && target.service == "ledger");
--- a/crates/simulation/src/world/membership.rs
+++ b/crates/simulation/src/world/membership.rs
@@ -34,6 +34,8 @@
         self.add_control_machine(true)
     }
 
+    /// Starts a control machine with an empty disk at a new address, as an observer if `observer`,
+    /// and returns its index.
     pub(crate) fn add_control_machine(&mut self, observer: bool) -> usize {
         let at = self.control.len();
         let clock = Clock::draw(&mut self.random);
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -208,7 +208,7 @@
     }
 
     /// Sends a message over the network, which delays it and may lose it; a message from an address
-    /// to itself arrives at once.
+    /// to itself arrives without delay.
     pub fn transmit(&mut self, from: SocketAddr, to: SocketAddr, message: Message) {
         let envelope = Envelope { from, message };
         if from == to {
--- a/crates/simulation/src/world/operator.rs
+++ b/crates/simulation/src/world/operator.rs
@@ -158,6 +158,7 @@
         self.send_operator_request(key, Request::Show);
     }
 
+    /// Sends a request through the operators' controller client.
     fn send_operator_request(&mut self, key: u64, request: Request) {
         let effects = self.operator.controller_client.send_request(
             self.now_us / 1_000,
@@ -177,6 +178,7 @@
         }
     }
 
+    /// Carries out the effects of the operators' controller client.
     fn apply_operator_effects(&mut self, effects: Vec<Effect>) {
         let from = self.operator.address;
         for effect in effects {
--- a/crates/simulation/src/world/pinned.rs
+++ b/crates/simulation/src/world/pinned.rs
@@ -156,6 +156,8 @@
         self.apply_pinned_effects(at, effects);
     }
 
+    /// Carries out the effects of the pinned clients' controller client; a message to control
+    /// machine `at` itself skips the network.
     fn apply_pinned_effects(&mut self, at: usize, effects: Vec<Effect>) {
         let from = self.control[at].address;
         for effect in effects {
--- a/crates/simulation/src/world/requests.rs
+++ b/crates/simulation/src/world/requests.rs
@@ -103,8 +103,8 @@
         self.requests.values().filter(overdue).map(|run| run.id).collect()
     }
 
-    /// Handles an attempt that arrives at data node `data`, which starts a flow for it or answers
-    /// at once.
+    /// Handles an attempt that arrives at data node `data`, which starts a flow for it or rejects
+    /// it. If the incarnation that it was sent to has ended, the client reaches no node.
     pub fn request_arrives(&mut self, request: u64, data: usize, incarnation: u64) {
         let Some(run) = self.requests.get(&request) else { return };
         let (id, service) = (run.id, run.service);
--- a/crates/simulation/src/world/rolling_restart.rs
+++ b/crates/simulation/src/world/rolling_restart.rs
@@ -16,8 +16,8 @@
 /// Shuts processes down as the programs do: a control process ends once leadership is transferred,
 /// a data process once its requests have finished; then it starts again.
 impl World {
-    /// Requests a graceful shutdown of control process `at`, which starts again unless the machine
-    /// is retired.
+    /// Requests a graceful shutdown of control process `at`, which restarts afterwards unless the
+    /// machine is retired.
     pub fn rolling_restart_control(&mut self, at: usize) {
         let (incarnation, since_us) = (self.control[at].incarnation, self.now_us);
         self.control_input(at, ControlInput::Stop);
@@ -27,7 +27,7 @@
         );
     }
 
-    /// Requests a graceful shutdown of data process `at`, which starts again.
+    /// Requests a graceful shutdown of data process `at`, which restarts afterwards.
     pub fn rolling_restart_data(&mut self, at: usize) {
         let (incarnation, since_us) = (self.data[at].incarnation, self.now_us);
         self.data_input(at, DataInput::Stop);
