--- a/tools/fleet-runner/src/error.rs
+++ b/tools/fleet-runner/src/error.rs
@@ -5,7 +5,7 @@
 /// Why a fleet can't run, why a fault could not be injected, or why the fleet did not recover.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// The command line is invalid; one text for each error found in it.
+    /// The command line is invalid. Contains a text for each error that was found in it.
     #[error("{}", .0.join("; "))]
     CommandLine(Vec<String>),
     /// The command line names a deployment that does not exist.
@@ -25,7 +25,7 @@
     /// A system call failed; the error does not name the file or process.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A process is needed that was ended before.
+    /// The operation needs a running process, but the process was ended before.
     #[error("the process is not running")]
     NotRunning,
     /// Some data nodes did not become ready in time.
@@ -45,21 +45,23 @@
     /// A plan was neither accepted nor refused as a conflict by any of its submissions.
     #[error("the plan was not acknowledged by any of its submissions")]
     PlanNotAcknowledged,
-    /// Some ready data nodes still follow an earlier plan after the time limit.
+    /// After 5 s, some ready data nodes still follow an earlier plan.
     #[error("the plan was not in force on every ready data node after 5 s")]
     PlanNotInForce,
-    /// Not exactly one of two plans with the same base was accepted; a status is `None` where no
-    /// control node responded.
+    /// Of two plans with the same base, both or neither were accepted. Contains the status that
+    /// each got; `None` if no control node responded.
     #[error("two plans with the same base got the statuses {0:?}, of which one must be 200")]
     PlanRace(Vec<Option<u16>>),
-    /// An invalid plan was not refused with status 400; `None` if no control node responded.
+    /// An invalid plan was not refused with status 400. Contains the status; `None` if no control
+    /// node responded.
     #[error("an invalid plan got the status {0:?}, not 400")]
-    UnexpectedStatus(Option<u16>),
-    /// The fleet has no process of this sort at the requested position.
+    InvalidPlanNotRefused(Option<u16>),
+    /// The fleet has no such process, or the process advertises no valid address. Contains the kind
+    /// of the process.
     #[error("the fleet has no such {0}")]
     MissingProcess(&'static str),
-    /// No target is listed, without draining, that the fault could be injected into.
-    #[error("no listed target that is not draining is left for the fault")]
+    /// The fault needs a listed target that is not draining, but there is none.
+    #[error("the fault needs a listed target that is not draining, but there is none")]
     NoTarget,
     /// A partition contains no link between two nodes.
     #[error("the partition contains no link")]
@@ -70,8 +72,8 @@
     /// A process did not end although its disk is full.
     #[error("the process kept running although its disk is full")]
     FullDiskIgnored,
-    /// A disk was not emptied, since the control nodes lack a leader and two voters in contact and
-    /// could lose their quorum.
+    /// A disk was not emptied: `Fleet::has_three_voters` stayed false, so the control nodes could
+    /// have lost their quorum.
     #[error("no disk was emptied: the leader and two voters are not all in contact")]
     VotersMissing,
     /// A control node with an emptied disk did not become a voter again in time.
@@ -83,7 +85,8 @@
 }
 
 impl FleetError {
-    /// Returns a conversion of a system error that adds the file, process or port it concerns.
+    /// Returns a conversion of a system error that adds the file, process or port for which the
+    /// call failed.
     pub fn system(subject: impl Into<String>) -> impl FnOnce(io::Error) -> FleetError {
         let subject = subject.into();
         move |source| FleetError::System { subject, source }
--- a/tools/fleet-runner/src/fault_injection.rs
+++ b/tools/fleet-runner/src/fault_injection.rs
@@ -95,5 +95,5 @@
 
 fn submit_invalid_plan(fleet: &Fleet) -> Result<(), FleetError> {
     let status = fleet.submit("{\"version\": 7}").map(|submission| submission.status);
-    if status == Some(400) { Ok(()) } else { Err(FleetError::UnexpectedStatus(status)) }
+    if status == Some(400) { Ok(()) } else { Err(FleetError::InvalidPlanNotRefused(status)) }
 }
