--- a/tools/fleet-runner/src/disk_faults.rs
+++ b/tools/fleet-runner/src/disk_faults.rs
@@ -54,8 +54,8 @@
     /// address.
     ///
     /// # Errors
-    /// When the leader and two voters are not all in contact before, or the node does not become a
-    /// voter again.
+    /// When `has_three_voters` stays false before the kill, a file or process can't be changed, or
+    /// the node does not become a voter again.
     pub fn restart_control_empty(&mut self, index: usize) -> Result<(), FleetError> {
         let position = self.next_control_position;
         for _ in 0..60 {
--- a/tools/fleet-runner/src/main.rs
+++ b/tools/fleet-runner/src/main.rs
@@ -33,7 +33,8 @@
 use std::process::ExitCode;
 use tools_shared::TargetFault;
 
-/// Time after the start within which every data node must be ready, in milliseconds.
+/// Time after the acceptance of the first plan within which every data node must be ready, in
+/// milliseconds.
 const START_TIMEOUT_MS: u128 = 30_000;
 /// Time after the load's end within which every data node must be ready, in milliseconds.
 const RECOVERY_TIMEOUT_MS: u128 = 20_000;
@@ -50,8 +51,8 @@
     }
 }
 
-/// Returns the fault schedule of a valid command line. All errors of an invalid one are reported
-/// together, before any process starts.
+/// Returns the fault schedule of a valid command line; for an invalid one, a single error that
+/// contains all findings, so that they are reported together before any process starts.
 fn validate(cli: &Cli) -> Result<Vec<ScheduledFault>, FleetError> {
     let mut findings = Vec::new();
     if let Err(error) = Deployment::from_cli(cli) {
--- a/tools/fleet-runner/src/members.rs
+++ b/tools/fleet-runner/src/members.rs
@@ -3,7 +3,8 @@
 use crate::fleet::Fleet;
 use std::net::SocketAddr;
 
-/// Age of a voter's last message from which the voter may be down, in milliseconds.
+/// Age of a member's last message to the leader from which the member may be down, in
+/// milliseconds.
 const LAST_CONTACT_MAX_MS: u64 = 1_000;
 
 impl Fleet {
@@ -12,8 +13,8 @@
         self.get("/members").map(|response| response.text).unwrap_or_default()
     }
 
-    /// Returns whether the members are a leader and two voters, all in contact. An operator waits
-    /// for that before working on another control node.
+    /// Returns whether the leader has two voters and is in contact with them and with all learners.
+    /// An operator waits for that before working on another control node.
     pub fn has_three_voters(&self) -> bool {
         let members = self.members();
         let last_contacts_ms = members
--- a/tools/fleet-runner/src/partitions.rs
+++ b/tools/fleet-runner/src/partitions.rs
@@ -13,7 +13,7 @@
 /// Duration of a partition, in milliseconds.
 const PARTITION_MS: u64 = 4_000;
 
-/// Returns the address that a process advertises; `None` if its arguments lack one.
+/// Returns the address that a process advertises; `None` if its arguments contain no valid one.
 fn advertised(process: &Process) -> Option<SocketAddr> {
     process.option("--address")?.parse().ok()
 }
@@ -26,7 +26,7 @@
     /// Returns the advertised address of the control node at this index.
     ///
     /// # Errors
-    /// When no control node has this index.
+    /// When no control node has this index, or it advertises no valid address.
     pub fn control_address(&self, index: usize) -> Result<SocketAddr, FleetError> {
         self.control
             .get(index)
@@ -34,8 +34,8 @@
             .ok_or(FleetError::MissingProcess("control node"))
     }
 
-    /// Cuts these links for the duration of a partition; returns after it has healed.
-    /// Unreachable targets become reachable again at the same time.
+    /// Cuts these links for `PARTITION_MS`, then restores them and makes all unreachable targets
+    /// reachable again.
     fn partition(&self, links: BTreeSet<Link>) -> Result<(), FleetError> {
         if links.is_empty() {
             return Err(FleetError::NoLink);
--- a/tools/fleet-runner/src/process.rs
+++ b/tools/fleet-runner/src/process.rs
@@ -10,7 +10,7 @@
     text.split(' ').map(str::to_string).collect()
 }
 
-/// Starts processes from one folder of programs and keeps their files in the fleet's folder.
+/// A launcher of processes, with the folder of their programs and the folder of their files.
 #[derive(Clone, Debug)]
 pub struct Launcher {
     /// The folder of the programs.
@@ -67,8 +67,8 @@
         format!("{}/variables", self.folder)
     }
 
-    /// Returns the environment variables of this process, and resets its clock offset if there are
-    /// any.
+    /// Returns the environment variables of the process with this name, and resets its clock offset
+    /// to 0 s; returns none and resets nothing if `set_variables` has set none.
     fn variables(&self, name: &str) -> Vec<(String, String)> {
         let Ok(lines) = std::fs::read_to_string(self.variables_file()) else {
             return Vec::new();
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Limits the files that the process writes from now on to this size.
+    /// Limits the size up to which the process can extend any of its files from now on.
     ///
     /// # Errors
     /// When the process is not running or the system refuses the limit.
--- a/tools/fleet-runner/src/relay.rs
+++ b/tools/fleet-runner/src/relay.rs
@@ -1,5 +1,6 @@
-//! TCP relays between the processes. Each process is reached through a relay of its own, which
-//! delays messages from other zones and drops messages on links that a partition cuts.
+//! TCP relays between the processes. Each control node, data node and target is reached through a
+//! relay of its own. The relay of a node delays messages from other zones and drops messages on
+//! links that a partition cuts; the relay of a target drops all bytes while its zone is isolated.
 
 use postbarrow_messages::read_frame;
 use std::collections::{BTreeMap, BTreeSet};
