--- a/tools/fleet-runner/src/deployment.rs
+++ b/tools/fleet-runner/src/deployment.rs
@@ -37,12 +37,12 @@
     pub calls: usize,
 }
 
-/// The sizes and rates of a deployment, as its operators stated them, times the scale.
+/// The sizes and rates of a deployment: those that its operators stated, multiplied by the scale.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// The number of data nodes.
     pub data_nodes: usize,
-    /// The services and the sizes of their targets.
+    /// The services, each with its number of targets.
     pub services: [ServiceSize; 3],
     /// The load that clients send.
     pub rates: Rates,
--- a/tools/fleet-runner/src/fault_results.rs
+++ b/tools/fleet-runner/src/fault_results.rs
@@ -8,7 +8,7 @@
     pub listed_ms: u64,
 }
 
-/// What was recorded while the faults of one run were injected.
+/// The observations that were made while the faults of one run were injected.
 #[derive(Default)]
 pub struct FaultResults {
     /// The targets that were drained.
--- a/tools/fleet-runner/src/fault_schedule.rs
+++ b/tools/fleet-runner/src/fault_schedule.rs
@@ -44,11 +44,11 @@
     EmptyControl,
     /// A control node is separated from the other two.
     PartitionControl,
-    /// The leader is separated from all nodes.
+    /// The leader is separated from all other nodes.
     IsolateControl,
-    /// A data node is separated from all nodes.
+    /// A data node is separated from all other nodes.
     IsolateData,
-    /// Messages from one control node to another are dropped, but not those in return.
+    /// Messages from one control node to another are dropped; the opposite direction works.
     PartitionOneDirection,
     /// A zone with its control node, data nodes and targets is separated from the others.
     IsolateZone,
@@ -139,8 +139,8 @@
     }
 }
 
-/// Returns the schedule that the command line names. Except for rolling restarts, the last sixth of
-/// the run has no faults, so that the fleet can recover.
+/// Returns the schedule that the command line names. Except for rolling restarts, no fault is due
+/// in the last sixth of the run, so that the fleet can recover.
 ///
 /// # Errors
 /// When no schedule or no deployment has the name that the command line gives.
@@ -168,16 +168,21 @@
 
 /// Restarts every data node and every control node in turn, then submits two plans.
 fn rolling(data_nodes: usize) -> Vec<ScheduledFault> {
-    let all: Vec<Fault> = (0..data_nodes)
+    let faults: Vec<Fault> = (0..data_nodes)
         .map(Fault::RestartDataInTurn)
         .chain((0..CONTROL_NODES).map(Fault::RestartControlInTurn))
         .chain([Fault::Plan, Fault::BigPlan])
         .collect();
-    let due = |index: usize| 0.02 + 0.9 * index as f64 / all.len() as f64;
-    all.iter().enumerate().map(|(index, fault)| ScheduledFault::new((due(index), *fault))).collect()
+    let due = |index: usize| 0.02 + 0.9 * index as f64 / faults.len() as f64;
+    faults
+        .iter()
+        .enumerate()
+        .map(|(index, fault)| ScheduledFault::new((due(index), *fault)))
+        .collect()
 }
 
-/// Draws a fault for every ten seconds; no fault repeats until all others have been drawn.
+/// Draws a fault for every ten seconds of the run; no fault repeats until all others have been
+/// drawn.
 fn all(cli: &Cli) -> Vec<ScheduledFault> {
     let mut remaining: Vec<Fault> = Vec::new();
     let count = (cli.seconds / 10).max(1);
--- a/tools/fleet-runner/src/fleet.rs
+++ b/tools/fleet-runner/src/fleet.rs
@@ -63,11 +63,12 @@
     pub launcher: Launcher,
     /// The sizes and rates of the deployment.
     pub deployment: Deployment,
-    /// The version of the plan in force.
+    /// The version of the last accepted plan; the first plan's before any is accepted.
     pub version: String,
     /// The ports of all processes.
     pub ports: Ports,
-    /// The position that the next control node with an emptied disk gets.
+    /// The position, which decides the ports, of the next control node that is started again with
+    /// an empty disk.
     pub next_control_position: u16,
     /// The relays through which the processes reach each other.
     pub relays: Relays,
@@ -81,6 +82,7 @@
     target_arguments: Vec<String>,
     /// Advertised ports of the control and data nodes whose relay was started.
     relayed_ports: BTreeSet<u16>,
+    /// The stand-in of the endpoint list, kept here so that it runs until the fleet is dropped.
     _list_process: Process,
 }
 
@@ -207,8 +209,9 @@
         Ok(instance)
     }
 
-    /// Returns the seed arguments of a node: the first addresses of two control nodes, which may
-    /// no longer be in use, and a data node that no fault restarts together with the given node.
+    /// Returns the seed arguments of the control or data node at this index: the addresses at which
+    /// two control nodes were first started, which may no longer be in use, and a data node that no
+    /// fault restarts together with the node.
     fn seeds(&self, index: usize) -> String {
         let count = self.deployment.data_nodes;
         let other = self.ports.data((index + count / 2) % count);
@@ -346,7 +349,8 @@
     launcher.start("stand-ins", "list", arguments(&text))
 }
 
-/// Returns the arguments that all targets have in common: their faults, if any are wanted.
+/// Returns the arguments that all targets have in common: the names and the rate of their faults;
+/// none if the rate is 0.
 fn target_arguments(cli: &Cli) -> Vec<String> {
     if cli.per_mille == 0 {
         return Vec::new();
--- a/tools/fleet-runner/src/plan_changes.rs
+++ b/tools/fleet-runner/src/plan_changes.rs
@@ -10,7 +10,7 @@
 
 /// Maximum number of submissions of a plan that is neither accepted nor refused as a conflict.
 const SUBMISSIONS_MAX: usize = 20;
-/// Time for which the runner waits until every ready data node follows an acknowledged plan.
+/// Maximum wait until every ready data node follows an acknowledged plan.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn next_version(fleet: &Fleet) -> String {
--- a/tools/fleet-runner/src/target_faults.rs
+++ b/tools/fleet-runner/src/target_faults.rs
@@ -94,8 +94,8 @@
         self.add_target("ledger", zone(seed as usize), None).map(|_| ())
     }
 
-    /// Makes the stand-in of the endpoint list show a fault for this many milliseconds; `fault` is
-    /// the text that the stand-in reads from its fault file.
+    /// Makes the stand-in of the endpoint list inject a fault for this many milliseconds; `fault`
+    /// is the text that the stand-in reads from its fault file.
     ///
     /// # Errors
     /// When the fault file can't be written.
