--- a/tools/load-generator/src/departing_clients.rs
+++ b/tools/load-generator/src/departing_clients.rs
@@ -12,12 +12,12 @@
 use std::time::{Duration, Instant};
 use tools_shared::{ExecutionRecord, mix, wall_ms};
 
-/// Time after a client's departure for which its request may still execute, in milliseconds: the
-/// close of the connection must reach the target.
+/// Time after a client's departure for which its request may still execute, in milliseconds, since
+/// the close of the connection must first reach the target.
 const GRACE_MS: u64 = 500;
 /// Number of requests in one run that may reach a target later than `GRACE_MS` after the departure.
 const LATE_STARTS_ALLOWED: usize = 3;
-/// Number of executions in flight at their clients' departures for each one that may last longer
+/// Of this many executions that are in flight at their clients' departures, one may last longer
 /// than `GRACE_MS` after the departure.
 const IN_FLIGHT_PER_OVERRUN: usize = 4;
 /// Time for which a target works on a request whose client stays, in milliseconds.
@@ -26,7 +26,7 @@
 const BREAK_MS: u64 = 900;
 /// Shortest time from a request to its client's departure, in milliseconds.
 const DEPARTURE_MIN_MS: u64 = 20;
-/// Range of the random part of the time to the departure, in milliseconds.
+/// Exclusive upper bound of the random time that is added to `DEPARTURE_MIN_MS`, in milliseconds.
 const DEPARTURE_SPREAD_MS: u64 = 400;
 /// Prefix of the ids of departing clients' requests.
 pub const ID_PREFIX: &str = "leaver-";
@@ -51,7 +51,7 @@
     pub ended_ms: Option<u64>,
 }
 
-/// The number of departed clients, and of their requests' executions by timing.
+/// The number of departed clients, and the numbers of their requests' executions by timing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
     /// The number of clients that departed.
@@ -65,8 +65,8 @@
     pub started_late: usize,
 }
 
-/// Starts clients that send this many lookups per second and depart, one in three with a reset,
-/// until the load has ended. The thread returns their departures.
+/// Starts a thread that sends this many lookups per second until the load has ended, each by a
+/// client that departs, one in three with a TCP reset. The thread returns the departures.
 pub fn start(
     per_s: f64,
     nodes: &Arc<Nodes>,
@@ -115,27 +115,32 @@
 /// # Errors
 /// When the folder or a file in it can't be read.
 pub fn read_executions(folder: &str) -> io::Result<Vec<Execution>> {
-    let mut runs: Vec<Execution> = Vec::new();
+    let mut executions: Vec<Execution> = Vec::new();
     for file in std::fs::read_dir(folder)? {
         let text = std::fs::read_to_string(file?.path())?;
         let mut unfinished: HashMap<String, usize> = HashMap::new();
         for record in text.lines().filter_map(ExecutionRecord::parse) {
             match record {
                 ExecutionRecord::Run { id, at_ms, .. } if id.starts_with(ID_PREFIX) => {
-                    unfinished.insert(id.clone(), runs.len());
-                    runs.push(Execution { id, started_ms: at_ms.unwrap_or(0), ended_ms: None });
+                    unfinished.insert(id.clone(), executions.len());
+                    executions.push(Execution {
+                        id,
+                        started_ms: at_ms.unwrap_or(0),
+                        ended_ms: None,
+                    });
                 }
                 ExecutionRecord::Ended { id, at_ms, .. } => {
-                    if let Some(run) = unfinished.remove(&id).and_then(|index| runs.get_mut(index))
+                    if let Some(execution) =
+                        unfinished.remove(&id).and_then(|index| executions.get_mut(index))
                     {
-                        run.ended_ms = at_ms;
+                        execution.ended_ms = at_ms;
                     }
                 }
                 ExecutionRecord::Run { .. } => {}
             }
         }
     }
-    Ok(runs)
+    Ok(executions)
 }
 
 /// Compares the times of departures with the times of the executions.
