--- a/tools/load-generator/src/cli.rs
+++ b/tools/load-generator/src/cli.rs
@@ -71,7 +71,8 @@
     /// The seed of the scheduled load.
     #[options(help = "seed", default = "1", no_short)]
     pub seed: u64,
-    /// Allowed executions beyond the retry budget's share, per kind of request and second.
+    /// The number of executions that are allowed beyond one for every five attempts, per kind of
+    /// request and second.
     #[options(
         help = "allowance of extra tries beyond a fifth, per service and second",
         default = "3.0",
--- a/tools/load-generator/src/client.rs
+++ b/tools/load-generator/src/client.rs
@@ -68,7 +68,8 @@
     pub status: u16,
     /// The duration of the first attempt, in milliseconds.
     pub took_ms: f64,
-    /// The first mismatch between a success and the request; `None` if there was none.
+    /// The first mismatch of a success with the request or with its stated digest; `None` if there
+    /// was none.
     pub mismatch: Option<String>,
     /// Whether the last response had a `Retry-After` header.
     pub retry_after: bool,
--- a/tools/load-generator/src/coordination_calls.rs
+++ b/tools/load-generator/src/coordination_calls.rs
@@ -8,9 +8,9 @@
 use tools_shared::mix;
 use ureq::Agent;
 
-/// The zero of the times of calls: the first use of the clock.
+/// The instant from which the times of calls are measured: the first use of this clock.
 static START: LazyLock<Instant> = LazyLock::new(Instant::now);
-/// Number of number sequences, of locks and of keys that the clients contend for.
+/// Number of resources of each kind (number sequences, locks, keys) that the clients contend for.
 const RESOURCES_PER_KIND: u64 = 4;
 /// Time to live of a lock that is not released, in milliseconds.
 const TTL_MS: u64 = 3_000;
@@ -54,10 +54,10 @@
     Nothing,
 }
 
-/// One call that has ended. Its times are in milliseconds of the load generator's clock.
+/// One call that has ended. Its times are in milliseconds since `START`.
 #[derive(Clone, Debug)]
 pub struct CompletedCall {
-    /// The path of the resource, as `numbers/n0`.
+    /// The path of the resource, for example `numbers/n0`.
     pub name: String,
     /// When the call started.
     pub start_ms: f64,
@@ -77,7 +77,7 @@
     }
 }
 
-/// The response and the result of one call.
+/// Whether one call was answered, and its result; both as in `CompletedCall`.
 struct CallOutcome {
     answered: bool,
     result: CallResult,
--- a/tools/load-generator/src/coordination_check.rs
+++ b/tools/load-generator/src/coordination_check.rs
@@ -1,4 +1,4 @@
-//! The check that a history of coordination calls keeps the gateway's guarantees.
+//! The check that a history of coordination calls is consistent with the gateway's guarantees.
 
 use crate::coordination_calls::{CallResult, CompletedCall};
 use std::collections::HashMap;
--- a/tools/load-generator/src/key_watch.rs
+++ b/tools/load-generator/src/key_watch.rs
@@ -16,7 +16,8 @@
     pub revisions: Vec<u64>,
     /// The revision after which the watch must receive every put.
     pub from: u64,
-    /// Whether the gateway refused to continue the watch, since it no longer retains the position.
+    /// Whether the gateway refused to continue the watch, since it no longer retains the revisions
+    /// that follow the watch's position.
     pub too_old: bool,
 }
 
--- a/tools/load-generator/src/report.rs
+++ b/tools/load-generator/src/report.rs
@@ -35,7 +35,7 @@
     let count = |outcome: Outcome| {
         requests.iter().filter(|request| request.outcomes.last() == Some(&outcome)).count()
     };
-    let ran_at_once = requests.iter().filter(|request| request.outcomes == [Outcome::Ran]);
+    let ran_at_first_attempt = requests.iter().filter(|request| request.outcomes == [Outcome::Ran]);
     let attempts: usize = requests.iter().map(|request| request.outcomes.len()).sum();
     println!(
         "{kind:?}: {} asks in {attempts} goes, {} ran, {} not run, {} unknown, {} pending, {} unreached; {}",
@@ -45,7 +45,7 @@
         count(Outcome::Unknown),
         count(Outcome::Pending),
         count(Outcome::Unreached),
-        percentiles(ran_at_once.map(|request| request.took_ms).collect()),
+        percentiles(ran_at_first_attempt.map(|request| request.took_ms).collect()),
     );
 }
 
--- a/tools/load-generator/src/request_ledger.rs
+++ b/tools/load-generator/src/request_ledger.rs
@@ -22,17 +22,18 @@
     pub target: String,
 }
 
-/// The retry budget: how many executions beyond the clients' attempts are allowed.
+/// The sizes that decide how many executions beyond the clients' attempts the retry budget allows.
 pub struct Budget {
     /// The length of the run, in seconds.
     pub seconds: f64,
-    /// Executions allowed beyond the share of retries, per kind of request and second.
+    /// The number of executions that are allowed beyond one for every `ATTEMPTS_PER_EXTRA_RUN`
+    /// attempts, per kind of request and second.
     pub allowance: f64,
     /// The number of attempts of the noisy neighbours, whose requests are not compared one by one.
     pub noisy_attempts: usize,
 }
 
-/// Number of attempts of a kind for each execution that is allowed beyond them.
+/// For this many attempts of a kind, one execution beyond the attempts is allowed.
 const ATTEMPTS_PER_EXTRA_RUN: f64 = 5.0;
 
 /// The number of attempts of one kind, and of executions beyond them.
@@ -78,7 +79,8 @@
 }
 
 /// Checks that each execution is of a request that a client sent, unaltered and at its service;
-/// returns the executions by request. Noisy neighbours' and departing clients' are left out.
+/// returns the executions by request. Executions for noisy neighbours and for departing clients are
+/// left out.
 fn check_runs<'a>(
     requests: &[ClientRequest],
     runs: &'a [Run],
@@ -137,7 +139,8 @@
 }
 
 /// Checks that the executions of each kind beyond the clients' attempts are within the retry
-/// budget; prints their numbers.
+/// budget, and prints the numbers of attempts and of executions beyond them; returns the
+/// violations.
 fn check_budget(
     requests: &[ClientRequest],
     by_id: &RunsById<'_>,
--- a/tools/load-generator/src/workload.rs
+++ b/tools/load-generator/src/workload.rs
@@ -50,6 +50,7 @@
 /// The items of the load in the order of their due times. Each worker takes the next one.
 struct Schedule {
     items: Vec<ScheduledWork>,
+    /// The number of calls of `take` so far, which is the index of the next item.
     next: AtomicU64,
 }
 
