--- a/tools/shared/src/execution_record.rs
+++ b/tools/shared/src/execution_record.rs
@@ -5,9 +5,9 @@
 /// How the work of a request that sets its duration by `X-Work-Ms` ended at a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkEnd {
-    /// The work lasted as long as the request asked for.
+    /// The work lasted as long as the request set by `X-Work-Ms`.
     Complete,
-    /// The client's connection closed or failed before the work was complete.
+    /// The request's connection closed or failed before the work was complete.
     Dropped,
     /// The target closed the connection before the work was complete, since the request set
     /// `X-Break-Ms`.
@@ -27,8 +27,8 @@
     }
 }
 
-/// One line of a target's records. Times are in milliseconds of the wall clock, and `None` if the
-/// line has no number in their place.
+/// One line of a target's records. A time is in milliseconds of the wall clock; `None` if the
+/// parsed line has no valid number in its place.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExecutionRecord {
     /// The target executed a request once.
@@ -86,7 +86,7 @@
     }
 }
 
-/// Formats the record as its line, without the line break.
+/// Formats the record as its line, without the line break; writes 0 for a time that is `None`.
 impl Display for ExecutionRecord {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
         match self {
--- a/tools/shared/src/target_fault.rs
+++ b/tools/shared/src/target_fault.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// The error of parsing a fault's name; contains the name that no fault of a target has.
+/// The error of parsing a name that no fault of a target has; contains the name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownTargetFault(pub String);
 
--- a/tools/stand-ins/src/endpoint_list.rs
+++ b/tools/stand-ins/src/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the platform's endpoint list: paged, slow, rate-limited, and with the fault that
-//! a file names.
+//! A stand-in for the platform's endpoint list, which is paged, slow and rate-limited, and injects
+//! the fault that a file names.
 
 use crate::error::StandInError;
 use gumdrop::Options;
--- a/tools/stand-ins/src/fault_plan.rs
+++ b/tools/stand-ins/src/fault_plan.rs
@@ -1,9 +1,10 @@
-//! The faults that a target injects, drawn per request.
+//! The faults that a target injects, drawn for each request.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use tools_shared::{SPLITMIX_INCREMENT, TargetFault, UnknownTargetFault, finalize};
 
-/// The faults of one target and the generator that draws them, SplitMix64 with a seed.
+/// The faults that one target can inject, and the state of the SplitMix64 generator that draws
+/// them.
 pub struct FaultPlan {
     per_mille: u64,
     faults: Vec<TargetFault>,
--- a/tools/stand-ins/src/target.rs
+++ b/tools/stand-ins/src/target.rs
@@ -15,7 +15,8 @@
 use std::time::{Duration, Instant};
 use tools_shared::{ExecutionRecord, TargetFault, WorkEnd, sha256_hex, wall_ms};
 
-/// Interval at which work of a set duration checks whether its connection has closed.
+/// Interval of the checks whether the request's connection has ended, during work whose duration
+/// the request sets.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 // The options of the command `target`; a doc comment would be printed in its help.
@@ -43,7 +44,7 @@
     seed: u64,
 }
 
-/// The identity that a target reports at `PROOF_PATH`, as JSON.
+/// The identity that a target reports to the gateway at a well-known path, as JSON.
 #[derive(Facet)]
 struct TargetIdentity {
     instance: String,
@@ -53,7 +54,7 @@
     in_flight: u64,
 }
 
-/// The body of a success.
+/// The JSON body of a successful response.
 #[derive(Facet)]
 struct SuccessBody {
     id: String,
@@ -154,8 +155,8 @@
         respond(stream, fault, &facet_json::to_vec(&success).unwrap_or_default())
     }
 
-    /// Works for the duration that the request sets, and records the end. Without one, works for
-    /// the usual duration and records no end.
+    /// Works for the duration that the request sets by `X-Work-Ms`, and records the end. If the
+    /// request sets none, works for the duration of the option `--work-ms` and records no end.
     fn work(&self, stream: &TcpStream, request: &HttpRequest, id: &str) -> io::Result<WorkEnd> {
         let Some(work_ms) = request.number("x-work-ms") else {
             std::thread::sleep(Duration::from_millis(self.options.work_ms));
