--- a/tools/fleet-runner/src/disk_faults.rs
+++ b/tools/fleet-runner/src/disk_faults.rs
@@ -20,7 +20,7 @@
     /// When the node does not end in time, or can't be started again.
     pub fn fill_disk(&mut self, index: usize) -> Result<(), FleetError> {
         let process = &mut self.control[index];
-        process.limit_files(0)?;
+        process.limit_file_size(0)?;
         for _ in 0..100 {
             sleep(Duration::from_millis(50));
             if process.has_ended() {
--- a/tools/fleet-runner/src/fault_injection.rs
+++ b/tools/fleet-runner/src/fault_injection.rs
@@ -28,7 +28,7 @@
         sleep(due.saturating_sub(start.elapsed()));
         println!("fleet: {:.1} s: {fault}", start.elapsed().as_secs_f64());
         let seed = mix(cli.seed ^ (index as u64) << 32);
-        results.drawn += 1;
+        results.injections += 1;
         if let Err(error) = inject(*fault, seed, fleet, &mut results, cli) {
             let violation = format!("{fault}: injection or recovery failed: {error}");
             results.violations.push(violation);
--- a/tools/fleet-runner/src/fault_results.rs
+++ b/tools/fleet-runner/src/fault_results.rs
@@ -20,6 +20,6 @@
     pub violations: Vec<String>,
     /// The text of the last plan that a control node acknowledged.
     pub plan: String,
-    /// The number of scheduled faults that came due.
-    pub drawn: usize,
+    /// The number of faults whose injection was started.
+    pub injections: usize,
 }
--- a/tools/fleet-runner/src/fleet.rs
+++ b/tools/fleet-runner/src/fleet.rs
@@ -212,7 +212,7 @@
     /// Returns the seed arguments of the control or data node at this index: the addresses at which
     /// two control nodes were first started, which may no longer be in use, and a data node that no
     /// fault restarts together with the node.
-    fn seeds(&self, index: usize) -> String {
+    fn seed_arguments(&self, index: usize) -> String {
         let count = self.deployment.data_nodes;
         let other = self.ports.data((index + count / 2) % count);
         let seeds = [self.ports.control(0), self.ports.control(1), other];
@@ -231,31 +231,31 @@
         position: u16,
     ) -> Result<Vec<String>, FleetError> {
         let (address, http) = (self.ports.control(position), self.ports.control_http(position));
-        self.relay(address, zone(index))?;
+        self.start_relay(address, zone(index))?;
         Ok(arguments(&format!(
             "run --name control-{index} --zone {} --address 127.0.0.1:{address} --bind 127.0.0.1:{} --http 127.0.0.1:{http} --data {}/control-{index} --list http://127.0.0.1:{}/targets {}",
             zone(index),
             address + BIND_OFFSET,
             self.launcher.folder,
             self.ports.list(),
-            self.seeds(index)
+            self.seed_arguments(index)
         )))
     }
 
     /// Starts the relay of a data node and returns the node's arguments.
     fn data_arguments(&mut self, index: usize) -> Result<Vec<String>, FleetError> {
         let (address, http) = (self.ports.data(index), self.ports.data_http(index));
-        self.relay(address, zone(index))?;
+        self.start_relay(address, zone(index))?;
         Ok(arguments(&format!(
             "--name data-{index} --zone {} --address 127.0.0.1:{address} --bind 127.0.0.1:{} --http 127.0.0.1:{http} {}",
             zone(index),
             address + BIND_OFFSET,
-            self.seeds(index)
+            self.seed_arguments(index)
         )))
     }
 
     /// Starts the relay of a node's advertised port, unless it was started before.
-    fn relay(&mut self, port: u16, zone: &str) -> Result<(), FleetError> {
+    fn start_relay(&mut self, port: u16, zone: &str) -> Result<(), FleetError> {
         if !self.relayed_ports.insert(port) {
             return Ok(());
         }
--- a/tools/fleet-runner/src/fleet_check.rs
+++ b/tools/fleet-runner/src/fleet_check.rs
@@ -16,7 +16,7 @@
     let mut violations = Vec::new();
     let lags_ms: Vec<u64> =
         results.drains.iter().map(|drain| check_drain(fleet, drain, &mut violations)).collect();
-    println!("fleet: {} faults drawn", results.drawn);
+    println!("fleet: {} faults drawn", results.injections);
     print_sizes(fleet);
     if !lags_ms.is_empty() {
         println!("fleet: last ask after the list's mark, ms: {lags_ms:?}");
--- a/tools/fleet-runner/src/main.rs
+++ b/tools/fleet-runner/src/main.rs
@@ -58,8 +58,8 @@
     if let Err(error) = Deployment::from_cli(cli) {
         findings.push(format!("--deployment {error}"));
     }
-    let unknown = |name: &&str| name.parse::<TargetFault>().is_err();
-    for name in cli.target_faults.split(',').filter(unknown) {
+    let is_unknown = |name: &&str| name.parse::<TargetFault>().is_err();
+    for name in cli.target_faults.split(',').filter(is_unknown) {
         let known = TargetFault::ALL.map(TargetFault::name).join(", ");
         findings.push(format!("--target-faults {name:?}: expected one of {known}"));
     }
--- a/tools/fleet-runner/src/process.rs
+++ b/tools/fleet-runner/src/process.rs
@@ -151,7 +151,7 @@
     ///
     /// # Errors
     /// When the process is not running or the system refuses the limit.
-    pub fn limit_files(&self, size_bytes: u64) -> Result<(), FleetError> {
+    pub fn limit_file_size(&self, size_bytes: u64) -> Result<(), FleetError> {
         let child = self.child.as_ref().ok_or(FleetError::NotRunning)?;
         let limit = libc::rlimit { rlim_cur: size_bytes, rlim_max: size_bytes };
         let old = std::ptr::null_mut();
--- a/tools/fleet-runner/src/relay.rs
+++ b/tools/fleet-runner/src/relay.rs
@@ -69,7 +69,7 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let relays = relays.clone();
-                thread::spawn(move || relays.carry_frames(stream, advertised, bound));
+                thread::spawn(move || relays.forward_frames(stream, advertised, bound));
             }
         });
         Ok(())
@@ -90,7 +90,7 @@
                 for (from, to) in [(&client, &server), (&server, &client)] {
                     let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else { continue };
                     let relays = relays.clone();
-                    thread::spawn(move || relays.carry_bytes(from, to, advertised));
+                    thread::spawn(move || relays.forward_bytes(from, to, advertised));
                 }
             }
         });
@@ -99,7 +99,7 @@
 
     /// Copies bytes in one direction until the sender closes; drops them while the target is
     /// unreachable.
-    fn carry_bytes(&self, mut from: TcpStream, mut to: TcpStream, target: SocketAddr) {
+    fn forward_bytes(&self, mut from: TcpStream, mut to: TcpStream, target: SocketAddr) {
         let mut chunk = vec![0; CHUNK_BYTES];
         while let Ok(length @ 1..) = from.read(&mut chunk) {
             let is_unreachable =
@@ -113,7 +113,7 @@
 
     /// Reads the frames of one connection, and queues each for delivery after the delay of its link
     /// or drops it if the link is cut.
-    fn carry_frames(&self, mut stream: TcpStream, to: SocketAddr, bound: SocketAddr) {
+    fn forward_frames(&self, mut stream: TcpStream, to: SocketAddr, bound: SocketAddr) {
         let (frames, queue) = channel();
         thread::spawn(move || deliver(bound, &queue));
         let mut sender = None;
