--- a/tools/load-generator/src/client.rs
+++ b/tools/load-generator/src/client.rs
@@ -172,7 +172,7 @@
 
 /// Returns an HTTP client with connections of its own, which it reuses until they have been idle
 /// for 5 s.
-pub fn agent() -> Agent {
+pub fn new_agent() -> Agent {
     let config = client_config(ATTEMPT_TIMEOUT)
         .max_redirects(0)
         .max_idle_age(Duration::from_secs(5))
--- a/tools/load-generator/src/coordination_calls.rs
+++ b/tools/load-generator/src/coordination_calls.rs
@@ -117,7 +117,7 @@
 }
 
 /// The coordination client of one thread.
-pub struct Caller<'a> {
+pub struct CoordinationClient<'a> {
     /// The nodes to which calls are sent.
     pub nodes: &'a Nodes,
     /// The HTTP client that sends calls.
@@ -126,7 +126,7 @@
     pub lock_owners: &'a LockOwners,
 }
 
-impl Caller<'_> {
+impl CoordinationClient<'_> {
     /// Makes one call, whose kind and resource the seed decides; `None` while no node is ready.
     pub fn call(&self, seed: u64) -> Option<CompletedCall> {
         let node = self.nodes.pick(seed)?;
--- a/tools/load-generator/src/departing_clients.rs
+++ b/tools/load-generator/src/departing_clients.rs
@@ -40,9 +40,9 @@
     pub at_ms: u64,
 }
 
-/// One execution of a departing client's request, as its target recorded it.
+/// The times of one execution of a departing client's request, as its target recorded them.
 #[derive(Clone, Debug)]
-pub struct Execution {
+pub struct ExecutionTimes {
     /// The request's `X-Id`.
     pub id: String,
     /// When the execution started, in milliseconds of the wall clock.
@@ -114,8 +114,8 @@
 ///
 /// # Errors
 /// When the folder or a file in it can't be read.
-pub fn read_executions(folder: &str) -> io::Result<Vec<Execution>> {
-    let mut executions: Vec<Execution> = Vec::new();
+pub fn read_executions(folder: &str) -> io::Result<Vec<ExecutionTimes>> {
+    let mut executions: Vec<ExecutionTimes> = Vec::new();
     for file in std::fs::read_dir(folder)? {
         let text = std::fs::read_to_string(file?.path())?;
         let mut unfinished: HashMap<String, usize> = HashMap::new();
@@ -123,7 +123,7 @@
             match record {
                 ExecutionRecord::Run { id, at_ms, .. } if id.starts_with(ID_PREFIX) => {
                     unfinished.insert(id.clone(), executions.len());
-                    executions.push(Execution {
+                    executions.push(ExecutionTimes {
                         id,
                         started_ms: at_ms.unwrap_or(0),
                         ended_ms: None,
@@ -144,7 +144,7 @@
 }
 
 /// Compares the times of departures with the times of the executions.
-pub fn summarize(departures: &[Departure], executions: &[Execution]) -> Summary {
+pub fn summarize(departures: &[Departure], executions: &[ExecutionTimes]) -> Summary {
     let departed_ms: HashMap<&str, u64> =
         departures.iter().map(|departure| (departure.id.as_str(), departure.at_ms)).collect();
     let mut summary = Summary { departed: departures.len(), ..Summary::default() };
--- a/tools/load-generator/src/departing_clients/tests.rs
+++ b/tools/load-generator/src/departing_clients/tests.rs
@@ -6,8 +6,8 @@
     Departure { id: id.into(), at_ms }
 }
 
-fn execution(id: &str, started_ms: u64, ended_ms: Option<u64>) -> Execution {
-    Execution { id: id.into(), started_ms, ended_ms }
+fn execution(id: &str, started_ms: u64, ended_ms: Option<u64>) -> ExecutionTimes {
+    ExecutionTimes { id: id.into(), started_ms, ended_ms }
 }
 
 #[test]
@@ -33,7 +33,7 @@
 #[test]
 fn requests_that_start_after_their_clients_departed_are_a_violation() {
     let clients: Vec<Departure> = (0..4).map(|at| departure(&at.to_string(), 1_000)).collect();
-    let executions: Vec<Execution> =
+    let executions: Vec<ExecutionTimes> =
         (0..4).map(|at| execution(&at.to_string(), 1_501, Some(1_510))).collect();
     let summary = summarize(&clients, &executions);
     assert_eq!(summary, Summary { departed: 4, in_flight: 0, overran: 0, started_late: 4 });
--- a/tools/load-generator/src/key_watch.rs
+++ b/tools/load-generator/src/key_watch.rs
@@ -1,6 +1,6 @@
 //! A watch on all keys, and the check that it neither misses nor repeats a revision.
 
-use crate::client::agent;
+use crate::client::new_agent;
 use crate::coordination_calls::{CallResult, CompletedCall};
 use crate::nodes::Nodes;
 use std::collections::BTreeSet;
@@ -27,7 +27,7 @@
     thread::spawn(move || {
         let mut watched = WatchedRevisions::default();
         let mut after: Option<u64> = None;
-        let agent = agent();
+        let agent = new_agent();
         let mut poll = 0;
         while !run_ended.load(Relaxed) {
             poll += 1;
--- a/tools/load-generator/src/main.rs
+++ b/tools/load-generator/src/main.rs
@@ -48,12 +48,12 @@
         Err(error) => return report_unreadable(&cli.nodes, error),
     };
     let observed = drive(&cli, &nodes);
-    let runs = match request_ledger::read_runs(&cli.records) {
-        Ok(runs) => runs,
+    let executions = match request_ledger::read_executions(&cli.records) {
+        Ok(executions) => executions,
         Err(error) => return report_unreadable(&cli.records, error),
     };
-    let violations = check(&cli, &observed, &runs);
-    report::print(&observed.load, &runs, &violations);
+    let violations = check(&cli, &observed, &executions);
+    report::print(&observed.load, &executions, &violations);
     if violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
@@ -62,7 +62,7 @@
     let run_ended = Arc::new(AtomicBool::new(false));
     let readiness = {
         let (nodes, run_ended) = (nodes.clone(), run_ended.clone());
-        thread::spawn(move || nodes.watch(&run_ended))
+        thread::spawn(move || nodes.poll_readiness(&run_ended))
     };
     nodes.wait_ready();
     let watch = key_watch::start(nodes, &run_ended);
@@ -84,7 +84,11 @@
 
 /// Returns every violation of the run, and prints the results of the departing clients and of the
 /// noisy neighbours.
-fn check(cli: &Cli, observed: &Observed, runs: &[request_ledger::Run]) -> Vec<String> {
+fn check(
+    cli: &Cli,
+    observed: &Observed,
+    executions: &[request_ledger::RecordedExecution],
+) -> Vec<String> {
     let load = &observed.load;
     let noisy_attempts = observed.noisy.attempts.load(Relaxed) as usize;
     let budget = request_ledger::Budget {
@@ -93,12 +97,13 @@
         noisy_attempts,
     };
     let requests: Vec<_> = load.requests.iter().chain(&load.direct).cloned().collect();
-    let mut violations = request_ledger::check(&requests, runs, &budget);
+    let mut violations = request_ledger::check(&requests, executions, &budget);
     violations.extend(coordination_check::check(&load.calls));
     violations.extend(key_watch::check(&observed.watched, &load.calls));
     if !observed.departures.is_empty() {
-        let executions = departing_clients::read_executions(&cli.records).unwrap_or_default();
-        let summary = departing_clients::summarize(&observed.departures, &executions);
+        let departing_executions =
+            departing_clients::read_executions(&cli.records).unwrap_or_default();
+        let summary = departing_clients::summarize(&observed.departures, &departing_executions);
         println!(
             "Leavers: {} clients left, {} while a target worked; {} worked on, {} begun late",
             summary.departed, summary.in_flight, summary.overran, summary.started_late
--- a/tools/load-generator/src/nodes.rs
+++ b/tools/load-generator/src/nodes.rs
@@ -48,7 +48,7 @@
     }
 
     /// Polls the nodes' readiness until the run has ended.
-    pub fn watch(&self, run_ended: &AtomicBool) {
+    pub fn poll_readiness(&self, run_ended: &AtomicBool) {
         let config = client_config(READINESS_TIMEOUT).build();
         while !run_ended.load(Relaxed) {
             std::thread::scope(|scope| {
@@ -78,11 +78,11 @@
     pub fn pick(&self, seed: u64) -> Option<&str> {
         let zones = self.zones.read().ok()?;
         let zone = &zones[seed as usize % zones.len()];
-        let ready = |node: &&Node| node.ready.load(Relaxed);
+        let is_ready = |node: &&Node| node.ready.load(Relaxed);
         let in_zone: Vec<&Node> =
-            self.nodes.iter().filter(ready).filter(|node| node.zone == *zone).collect();
+            self.nodes.iter().filter(is_ready).filter(|node| node.zone == *zone).collect();
         let candidates: Vec<&Node> = match in_zone.is_empty() {
-            true => self.nodes.iter().filter(ready).collect(),
+            true => self.nodes.iter().filter(is_ready).collect(),
             false => in_zone,
         };
         let round_robin = self.round_robin.fetch_add(1, Relaxed);
--- a/tools/load-generator/src/report.rs
+++ b/tools/load-generator/src/report.rs
@@ -1,15 +1,15 @@
 //! The summary of a run, printed on standard output.
 
 use crate::client::{ClientRequest, Kind, Outcome};
-use crate::request_ledger::Run;
+use crate::request_ledger::RecordedExecution;
 use crate::workload::LoadResults;
 
 /// Maximum number of violations that are printed one by one.
 const VIOLATIONS_SHOWN: usize = 30;
 
 /// Prints the counts and percentiles of each kind of traffic, and the violations.
-pub fn print(load: &LoadResults, runs: &[Run], violations: &[String]) {
-    println!("{:.1} s, {} asks, {} runs", load.seconds, load.requests.len(), runs.len());
+pub fn print(load: &LoadResults, executions: &[RecordedExecution], violations: &[String]) {
+    println!("{:.1} s, {} asks, {} runs", load.seconds, load.requests.len(), executions.len());
     for kind in Kind::ALL {
         print_kind(kind, &load.requests);
     }
--- a/tools/load-generator/src/workload.rs
+++ b/tools/load-generator/src/workload.rs
@@ -2,8 +2,8 @@
 //! ones have not ended.
 
 use crate::cli::Cli;
-use crate::client::{ClientRequest, Kind, Outcome, agent};
-use crate::coordination_calls::{Caller, CompletedCall, LockOwners};
+use crate::client::{ClientRequest, Kind, Outcome, new_agent};
+use crate::coordination_calls::{CompletedCall, CoordinationClient, LockOwners};
 use crate::nodes::Nodes;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
@@ -94,7 +94,7 @@
             let (cli, nodes, schedule) = (cli.clone(), nodes.clone(), schedule.clone());
             let (results, lock_owners) = (results.clone(), lock_owners.clone());
             thread::spawn(move || {
-                let agent = agent();
+                let agent = new_agent();
                 let worker =
                     Worker { cli: &cli, nodes: &nodes, agent: &agent, lock_owners: &lock_owners };
                 let mut worker_results = worker.run(&schedule, start);
@@ -125,7 +125,11 @@
 impl Worker<'_> {
     fn run(&self, schedule: &Schedule, start: Instant) -> LoadResults {
         let mut results = LoadResults::default();
-        let caller = Caller { nodes: self.nodes, agent: self.agent, lock_owners: self.lock_owners };
+        let coordination_client = CoordinationClient {
+            nodes: self.nodes,
+            agent: self.agent,
+            lock_owners: self.lock_owners,
+        };
         while let Some((number, item)) = schedule.take() {
             let due = Duration::from_secs_f64(item.due_s);
             thread::sleep(due.saturating_sub(start.elapsed()));
@@ -133,7 +137,7 @@
             match item.work {
                 Work::Request(kind) => results.requests.push(self.request(kind, number, seed)),
                 Work::Direct => results.direct.extend(self.direct(number)),
-                Work::Call => results.calls.extend(caller.call(seed)),
+                Work::Call => results.calls.extend(coordination_client.call(seed)),
             }
         }
         results
