--- a/tools/stand-ins/src/http.rs
+++ b/tools/stand-ins/src/http.rs
@@ -39,7 +39,10 @@
 ///
 /// # Errors
 /// When the connection fails or ends within a request, or when the head is not valid HTTP.
-pub fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<Option<HttpRequest>> {
+pub fn read_request(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+) -> io::Result<Option<HttpRequest>> {
     let mut chunk = [0; CHUNK_BYTES];
     loop {
         if let Some(mut request) = take_head(buffer)? {
@@ -86,7 +89,12 @@
 ///
 /// # Errors
 /// When the connection fails.
-pub fn write(stream: &mut TcpStream, status: u16, digest: &str, body: &[u8]) -> io::Result<()> {
+pub fn write_response(
+    stream: &mut TcpStream,
+    status: u16,
+    digest: &str,
+    body: &[u8],
+) -> io::Result<()> {
     let head = format!(
         "HTTP/1.1 {status} OK\r\nContent-Type: application/json\r\nX-Digest: {digest}\r\nContent-Length: {}\r\n\r\n",
         body.len()
--- a/tools/stand-ins/src/target.rs
+++ b/tools/stand-ins/src/target.rs
@@ -1,8 +1,8 @@
 //! A stand-in for a target, which records each execution and injects faults.
 
 use crate::error::StandInError;
-use crate::fault_plan::FaultPlan;
-use crate::http::{HttpRequest, read, write};
+use crate::fault_plan::FaultGenerator;
+use crate::http::{HttpRequest, read_request, write_response};
 use facet::Facet;
 use gumdrop::Options;
 use postbarrow_constants::traffic::PROOF_PATH;
@@ -69,7 +69,7 @@
     options: TargetOptions,
     labels: BTreeMap<String, String>,
     records: File,
-    faults: FaultPlan,
+    faults: FaultGenerator,
     in_flight: AtomicU64,
 }
 
@@ -86,7 +86,7 @@
         labels: labels.map(|(name, value)| (name.to_string(), value.to_string())).collect(),
         records: records
             .map_err(|source| StandInError::Records { file: options.records.clone(), source })?,
-        faults: FaultPlan::parse(&options.faults, options.per_mille, options.seed)?,
+        faults: FaultGenerator::parse(&options.faults, options.per_mille, options.seed)?,
         in_flight: AtomicU64::new(0),
         options,
     });
@@ -102,7 +102,7 @@
     fn serve(&self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut buffer = Vec::new();
-        while let Ok(Some(request)) = read(&mut stream, &mut buffer) {
+        while let Ok(Some(request)) = read_request(&mut stream, &mut buffer) {
             if self.handle(&mut stream, &request).is_err() {
                 return;
             }
@@ -119,7 +119,12 @@
                 labels: self.labels.clone(),
                 in_flight: self.in_flight.load(Relaxed),
             };
-            return write(stream, 200, "-", &facet_json::to_vec(&identity).unwrap_or_default());
+            return write_response(
+                stream,
+                200,
+                "-",
+                &facet_json::to_vec(&identity).unwrap_or_default(),
+            );
         }
         self.in_flight.fetch_add(1, Relaxed);
         let result = self.execute(stream, request);
@@ -162,7 +167,7 @@
             std::thread::sleep(Duration::from_millis(self.options.work_ms));
             return Ok(WorkEnd::Complete);
         };
-        let end = work_long(stream, request, work_ms);
+        let end = work_for(stream, request, work_ms);
         self.record(&ExecutionRecord::Ended { id: id.into(), end, at_ms: Some(wall_ms()) })?;
         Ok(end)
     }
@@ -191,7 +196,7 @@
             stream.write_all(&body[..body.len() / 2])?;
         }
         Some(TargetFault::FalseSuccess | TargetFault::DoubleRun) | None => {
-            return write(stream, 200, &digest, body);
+            return write_response(stream, 200, &digest, body);
         }
     }
     Err(io::ErrorKind::ConnectionAborted.into())
@@ -199,7 +204,7 @@
 
 /// Works for `work_ms` milliseconds, unless the connection ends before or the request sets an
 /// earlier abort by `X-Break-Ms`.
-fn work_long(stream: &TcpStream, request: &HttpRequest, work_ms: u64) -> WorkEnd {
+fn work_for(stream: &TcpStream, request: &HttpRequest, work_ms: u64) -> WorkEnd {
     let break_ms = request.number("x-break-ms").unwrap_or(u64::MAX);
     let start = Instant::now();
     loop {
