--- a/tools/fleet-runner/src/fault_results.rs
+++ b/tools/fleet-runner/src/fault_results.rs
@@ -8,7 +8,7 @@
     pub listed_ms: u64,
 }
 
-/// What was recorded while the faults of one run were injected.
+/// The observations that were made while the faults of one run were injected.
 #[derive(Default)]
 pub struct FaultResults {
     /// The targets that were drained.
@@ -20,6 +20,6 @@
     pub violations: Vec<String>,
     /// The text of the last plan that a control node acknowledged.
     pub plan: String,
-    /// The number of scheduled faults that came due.
-    pub drawn: usize,
+    /// The number of faults whose injection was started.
+    pub injections: usize,
 }
--- a/tools/fleet-runner/src/relay.rs
+++ b/tools/fleet-runner/src/relay.rs
@@ -1,5 +1,6 @@
-//! TCP relays between the processes. Each process is reached through a relay of its own, which
-//! delays messages from other zones and drops messages on links that a partition cuts.
+//! TCP relays between the processes. Each control node, data node and target is reached through a
+//! relay of its own. The relay of a node delays messages from other zones and drops messages on
+//! links that a partition cuts; the relay of a target drops all bytes while its zone is isolated.
 
 use postbarrow_messages::read_frame;
 use std::collections::{BTreeMap, BTreeSet};
@@ -68,7 +69,7 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let relays = relays.clone();
-                thread::spawn(move || relays.carry_frames(stream, advertised, bound));
+                thread::spawn(move || relays.forward_frames(stream, advertised, bound));
             }
         });
         Ok(())
@@ -89,7 +90,7 @@
                 for (from, to) in [(&client, &server), (&server, &client)] {
                     let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else { continue };
                     let relays = relays.clone();
-                    thread::spawn(move || relays.carry_bytes(from, to, advertised));
+                    thread::spawn(move || relays.forward_bytes(from, to, advertised));
                 }
             }
         });
@@ -98,7 +99,7 @@
 
     /// Copies bytes in one direction until the sender closes; drops them while the target is
     /// unreachable.
-    fn carry_bytes(&self, mut from: TcpStream, mut to: TcpStream, target: SocketAddr) {
+    fn forward_bytes(&self, mut from: TcpStream, mut to: TcpStream, target: SocketAddr) {
         let mut chunk = vec![0; CHUNK_BYTES];
         while let Ok(length @ 1..) = from.read(&mut chunk) {
             let is_unreachable =
@@ -112,7 +113,7 @@
 
     /// Reads the frames of one connection, and queues each for delivery after the delay of its link
     /// or drops it if the link is cut.
-    fn carry_frames(&self, mut stream: TcpStream, to: SocketAddr, bound: SocketAddr) {
+    fn forward_frames(&self, mut stream: TcpStream, to: SocketAddr, bound: SocketAddr) {
         let (frames, queue) = channel();
         thread::spawn(move || deliver(bound, &queue));
         let mut sender = None;
--- a/tools/load-generator/src/client.rs
+++ b/tools/load-generator/src/client.rs
@@ -68,7 +68,8 @@
     pub status: u16,
     /// The duration of the first attempt, in milliseconds.
     pub took_ms: f64,
-    /// The first mismatch between a success and the request; `None` if there was none.
+    /// The first mismatch of a success with the request or with its stated digest; `None` if there
+    /// was none.
     pub mismatch: Option<String>,
     /// Whether the last response had a `Retry-After` header.
     pub retry_after: bool,
@@ -171,7 +172,7 @@
 
 /// Returns an HTTP client with connections of its own, which it reuses until they have been idle
 /// for 5 s.
-pub fn agent() -> Agent {
+pub fn new_agent() -> Agent {
     let config = client_config(ATTEMPT_TIMEOUT)
         .max_redirects(0)
         .max_idle_age(Duration::from_secs(5))
--- a/tools/load-generator/src/key_watch.rs
+++ b/tools/load-generator/src/key_watch.rs
@@ -1,6 +1,6 @@
 //! A watch on all keys, and the check that it neither misses nor repeats a revision.
 
-use crate::client::agent;
+use crate::client::new_agent;
 use crate::coordination_calls::{CallResult, CompletedCall};
 use crate::nodes::Nodes;
 use std::collections::BTreeSet;
@@ -16,7 +16,8 @@
     pub revisions: Vec<u64>,
     /// The revision after which the watch must receive every put.
     pub from: u64,
-    /// Whether the gateway refused to continue the watch, since it no longer retains the position.
+    /// Whether the gateway refused to continue the watch, since it no longer retains the revisions
+    /// that follow the watch's position.
     pub too_old: bool,
 }
 
@@ -26,7 +27,7 @@
     thread::spawn(move || {
         let mut watched = WatchedRevisions::default();
         let mut after: Option<u64> = None;
-        let agent = agent();
+        let agent = new_agent();
         let mut poll = 0;
         while !run_ended.load(Relaxed) {
             poll += 1;
--- a/tools/load-generator/src/report.rs
+++ b/tools/load-generator/src/report.rs
@@ -1,15 +1,15 @@
 //! The summary of a run, printed on standard output.
 
 use crate::client::{ClientRequest, Kind, Outcome};
-use crate::request_ledger::Run;
+use crate::request_ledger::RecordedExecution;
 use crate::workload::LoadResults;
 
 /// Maximum number of violations that are printed one by one.
 const VIOLATIONS_SHOWN: usize = 30;
 
 /// Prints the counts and percentiles of each kind of traffic, and the violations.
-pub fn print(load: &LoadResults, runs: &[Run], violations: &[String]) {
-    println!("{:.1} s, {} asks, {} runs", load.seconds, load.requests.len(), runs.len());
+pub fn print(load: &LoadResults, executions: &[RecordedExecution], violations: &[String]) {
+    println!("{:.1} s, {} asks, {} runs", load.seconds, load.requests.len(), executions.len());
     for kind in Kind::ALL {
         print_kind(kind, &load.requests);
     }
@@ -35,7 +35,7 @@
     let count = |outcome: Outcome| {
         requests.iter().filter(|request| request.outcomes.last() == Some(&outcome)).count()
     };
-    let ran_at_once = requests.iter().filter(|request| request.outcomes == [Outcome::Ran]);
+    let ran_at_first_attempt = requests.iter().filter(|request| request.outcomes == [Outcome::Ran]);
     let attempts: usize = requests.iter().map(|request| request.outcomes.len()).sum();
     println!(
         "{kind:?}: {} asks in {attempts} goes, {} ran, {} not run, {} unknown, {} pending, {} unreached; {}",
@@ -45,7 +45,7 @@
         count(Outcome::Unknown),
         count(Outcome::Pending),
         count(Outcome::Unreached),
-        percentiles(ran_at_once.map(|request| request.took_ms).collect()),
+        percentiles(ran_at_first_attempt.map(|request| request.took_ms).collect()),
     );
 }
 
--- a/tools/stand-ins/src/target.rs
+++ b/tools/stand-ins/src/target.rs
@@ -1,8 +1,8 @@
 //! A stand-in for a target, which records each execution and injects faults.
 
 use crate::error::StandInError;
-use crate::fault_plan::FaultPlan;
-use crate::http::{HttpRequest, read, write};
+use crate::fault_plan::FaultGenerator;
+use crate::http::{HttpRequest, read_request, write_response};
 use facet::Facet;
 use gumdrop::Options;
 use postbarrow_constants::traffic::PROOF_PATH;
@@ -15,7 +15,8 @@
 use std::time::{Duration, Instant};
 use tools_shared::{ExecutionRecord, TargetFault, WorkEnd, sha256_hex, wall_ms};
 
-/// Interval at which work of a set duration checks whether its connection has closed.
+/// Interval of the checks whether the request's connection has ended, during work whose duration
+/// the request sets.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 // The options of the command `target`; a doc comment would be printed in its help.
@@ -43,7 +44,7 @@
     seed: u64,
 }
 
-/// The identity that a target reports at `PROOF_PATH`, as JSON.
+/// The identity that a target reports to the gateway at a well-known path, as JSON.
 #[derive(Facet)]
 struct TargetIdentity {
     instance: String,
@@ -53,7 +54,7 @@
     in_flight: u64,
 }
 
-/// The body of a success.
+/// The JSON body of a successful response.
 #[derive(Facet)]
 struct SuccessBody {
     id: String,
@@ -68,7 +69,7 @@
     options: TargetOptions,
     labels: BTreeMap<String, String>,
     records: File,
-    faults: FaultPlan,
+    faults: FaultGenerator,
     in_flight: AtomicU64,
 }
 
@@ -85,7 +86,7 @@
         labels: labels.map(|(name, value)| (name.to_string(), value.to_string())).collect(),
         records: records
             .map_err(|source| StandInError::Records { file: options.records.clone(), source })?,
-        faults: FaultPlan::parse(&options.faults, options.per_mille, options.seed)?,
+        faults: FaultGenerator::parse(&options.faults, options.per_mille, options.seed)?,
         in_flight: AtomicU64::new(0),
         options,
     });
@@ -101,7 +102,7 @@
     fn serve(&self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut buffer = Vec::new();
-        while let Ok(Some(request)) = read(&mut stream, &mut buffer) {
+        while let Ok(Some(request)) = read_request(&mut stream, &mut buffer) {
             if self.handle(&mut stream, &request).is_err() {
                 return;
             }
@@ -118,7 +119,12 @@
                 labels: self.labels.clone(),
                 in_flight: self.in_flight.load(Relaxed),
             };
-            return write(stream, 200, "-", &facet_json::to_vec(&identity).unwrap_or_default());
+            return write_response(
+                stream,
+                200,
+                "-",
+                &facet_json::to_vec(&identity).unwrap_or_default(),
+            );
         }
         self.in_flight.fetch_add(1, Relaxed);
         let result = self.execute(stream, request);
@@ -154,14 +160,14 @@
         respond(stream, fault, &facet_json::to_vec(&success).unwrap_or_default())
     }
 
-    /// Works for the duration that the request sets, and records the end. Without one, works for
-    /// the usual duration and records no end.
+    /// Works for the duration that the request sets by `X-Work-Ms`, and records the end. If the
+    /// request sets none, works for the duration of the option `--work-ms` and records no end.
     fn work(&self, stream: &TcpStream, request: &HttpRequest, id: &str) -> io::Result<WorkEnd> {
         let Some(work_ms) = request.number("x-work-ms") else {
             std::thread::sleep(Duration::from_millis(self.options.work_ms));
             return Ok(WorkEnd::Complete);
         };
-        let end = work_long(stream, request, work_ms);
+        let end = work_for(stream, request, work_ms);
         self.record(&ExecutionRecord::Ended { id: id.into(), end, at_ms: Some(wall_ms()) })?;
         Ok(end)
     }
@@ -190,7 +196,7 @@
             stream.write_all(&body[..body.len() / 2])?;
         }
         Some(TargetFault::FalseSuccess | TargetFault::DoubleRun) | None => {
-            return write(stream, 200, &digest, body);
+            return write_response(stream, 200, &digest, body);
         }
     }
     Err(io::ErrorKind::ConnectionAborted.into())
@@ -198,7 +204,7 @@
 
 /// Works for `work_ms` milliseconds, unless the connection ends before or the request sets an
 /// earlier abort by `X-Break-Ms`.
-fn work_long(stream: &TcpStream, request: &HttpRequest, work_ms: u64) -> WorkEnd {
+fn work_for(stream: &TcpStream, request: &HttpRequest, work_ms: u64) -> WorkEnd {
     let break_ms = request.number("x-break-ms").unwrap_or(u64::MAX);
     let start = Instant::now();
     loop {
