--- a/crates/consensus/src/append_handling.rs
+++ b/crates/consensus/src/append_handling.rs
@@ -8,27 +8,36 @@
     /// once they are on disk; a refusal is sent at once.
     pub(crate) fn on_append(&mut self, now_ms: u64, from: Member, append: AppendRequest) {
         if append.term < self.term {
-            let response = AppendResponse { term: self.term, matched: None, hint: 0, sent_ms: 0 };
+            let response = AppendResponse {
+                term: self.term,
+                match_index: None,
+                next_index_hint: 0,
+                sent_ms: 0,
+            };
             return self.send(from, Message::AppendResponse(response));
         }
         self.on_leader_contact(now_ms, from, append.term, append.sent_ms);
-        let mut response =
-            AppendResponse { term: self.term, matched: None, hint: 0, sent_ms: append.sent_ms };
+        let mut response = AppendResponse {
+            term: self.term,
+            match_index: None,
+            next_index_hint: 0,
+            sent_ms: append.sent_ms,
+        };
         if self.is_uninitialized() {
             return self.send(from, Message::AppendResponse(response));
         }
         if append.prev_index < self.log.base() {
-            response.hint = self.commit_index + 1;
+            response.next_index_hint = self.commit_index + 1;
             return self.send(from, Message::AppendResponse(response));
         }
         if self.log.term_at(append.prev_index) != Some(append.prev_term) {
-            response.hint = self.conflict_hint(append.prev_index);
+            response.next_index_hint = self.conflict_hint(append.prev_index);
             return self.send(from, Message::AppendResponse(response));
         }
         let verified_index = append.prev_index + append.entries.len() as u64;
         self.store_entries(append.entries);
-        response.matched = Some(verified_index);
-        self.commit_to(append.commit.min(verified_index));
+        response.match_index = Some(verified_index);
+        self.commit_to(append.commit_index.min(verified_index));
         self.send_after_sync(from, Message::AppendResponse(response));
     }
 
--- a/crates/consensus/src/deferred_sends.rs
+++ b/crates/consensus/src/deferred_sends.rs
@@ -53,7 +53,7 @@
 /// Merges a newer response into an older one. Both respond to the same leader and depend on the
 /// same write, so no entry was replaced between them, and what either confirms is true.
 fn merge_responses(older: &mut AppendResponse, newer: &AppendResponse) {
-    older.matched = older.matched.max(newer.matched);
-    older.hint = newer.hint;
+    older.match_index = older.match_index.max(newer.match_index);
+    older.next_index_hint = newer.next_index_hint;
     older.sent_ms = older.sent_ms.max(newer.sent_ms);
 }
--- a/crates/consensus/src/entry.rs
+++ b/crates/consensus/src/entry.rs
@@ -34,7 +34,7 @@
 
 impl Entry {
     /// Returns the approximate size of the entry in bytes, in memory and on the wire.
-    pub fn size(&self) -> usize {
+    pub fn size_bytes(&self) -> usize {
         ENTRY_OVERHEAD_BYTES
             + match &self.payload {
                 Payload::TermStart => 0,
--- a/crates/consensus/src/incoming_snapshot.rs
+++ b/crates/consensus/src/incoming_snapshot.rs
@@ -33,7 +33,7 @@
             term: chunk.term,
             index: chunk.index,
             snapshot_term: chunk.snapshot_term,
-            total_bytes: chunk.total,
+            total_bytes: chunk.total_bytes,
             checksum: chunk.checksum,
         };
         let same_transfer = in_progress.filter(|incoming| incoming.transfer_id == transfer_id);
--- a/crates/consensus/src/leader_lease.rs
+++ b/crates/consensus/src/leader_lease.rs
@@ -13,7 +13,7 @@
     /// clock, counted from its own send times; zero for a member without a lease, and `u64::MAX`
     /// for the leader of a log without other voters. A leader that relinquished its lease has none
     /// for the rest of its term.
-    pub fn lease_until(&self) -> u64 {
+    pub fn lease_until_ms(&self) -> u64 {
         if self.role != Role::Leader || self.leader_state.is_transferring {
             return 0;
         }
--- a/crates/consensus/src/messages.rs
+++ b/crates/consensus/src/messages.rs
@@ -32,7 +32,7 @@
     /// Entries to store, in order.
     pub entries: Vec<Entry>,
     /// The leader's commit index.
-    pub commit: u64,
+    pub commit_index: u64,
     /// Time at which the leader sent the append, in milliseconds of the leader's clock.
     pub sent_ms: u64,
 }
@@ -44,10 +44,10 @@
     pub term: u64,
     /// Index up to which the follower's log equals the leader's; absent if the follower refused the
     /// append.
-    pub matched: Option<u64>,
+    pub match_index: Option<u64>,
     /// On a refusal, the index from which the leader should continue. Zero if the follower is
     /// uninitialized and so needs a snapshot, or if the append was of an earlier term.
-    pub hint: u64,
+    pub next_index_hint: u64,
     /// Send time of the answered append, in milliseconds of the leader's clock; zero if the append
     /// was of an earlier term.
     pub sent_ms: u64,
@@ -67,7 +67,7 @@
     /// Offset of `bytes` in the state, in bytes.
     pub offset: u64,
     /// Size of the complete state in bytes.
-    pub total: u64,
+    pub total_bytes: u64,
     /// The part of the state that this chunk contains.
     #[serde(with = "serde_bytes")]
     pub bytes: Vec<u8>,
@@ -86,7 +86,7 @@
     /// Index of the snapshot that the chunk belongs to.
     pub index: u64,
     /// Number of bytes from the beginning of the state that were received without a gap.
-    pub received: u64,
+    pub received_bytes: u64,
     /// Whether the follower has the state up to `index`, so that no more chunks are needed.
     pub done: bool,
     /// Send time of the answered chunk, in milliseconds of the leader's clock.
--- a/crates/consensus/src/outgoing_snapshot.rs
+++ b/crates/consensus/src/outgoing_snapshot.rs
@@ -96,7 +96,7 @@
             snapshot_term: self.snapshot.term,
             members: self.snapshot.members.clone(),
             offset,
-            total: self.total_bytes(),
+            total_bytes: self.total_bytes(),
             bytes: self.snapshot.state[offset as usize..end as usize].to_vec(),
             sent_ms: now_ms,
             checksum: self.checksum,
@@ -109,16 +109,16 @@
     pub fn on_response(&mut self, now_ms: u64, response: &SnapshotResponse) {
         self.last_attempt_ms = now_ms;
         self.retry_interval_ms = SNAPSHOT_RETRY_MS;
-        let received = response.received.min(self.total_bytes());
+        let received = response.received_bytes.min(self.total_bytes());
         let answers_resent = self.resent_ms.is_some_and(|resent_ms| response.sent_ms >= resent_ms);
         let reports_gap =
-            response.offset > response.received && response.sent_ms >= self.rewound_ms;
+            response.offset > response.received_bytes && response.sent_ms >= self.rewound_ms;
         if answers_resent || reports_gap {
             self.confirmed_bytes = received;
             self.sent_bytes = received;
             self.resent_ms = None;
             self.rewound_ms = now_ms;
-        } else if response.offset <= response.received {
+        } else if response.offset <= response.received_bytes {
             self.confirmed_bytes = self.confirmed_bytes.max(received);
             self.sent_bytes = self.sent_bytes.max(self.confirmed_bytes);
         }
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -119,5 +119,5 @@
 }
 
 fn size_bytes(entries: &[Entry]) -> u64 {
-    entries.iter().map(|entry| entry.size() as u64).sum()
+    entries.iter().map(|entry| entry.size_bytes() as u64).sum()
 }
--- a/crates/consensus/src/raft_log.rs
+++ b/crates/consensus/src/raft_log.rs
@@ -75,7 +75,7 @@
     /// Returns the approximate size in bytes of all entries after `index`.
     pub fn bytes_after(&self, index: u64) -> u64 {
         let skipped = index.saturating_sub(self.base_index) as usize;
-        self.entries.iter().skip(skipped).map(|entry| entry.size() as u64).sum()
+        self.entries.iter().skip(skipped).map(|entry| entry.size_bytes() as u64).sum()
     }
 
     /// Returns the lowest base such that the entries after it, up to `index`, are at most `entries`
@@ -85,7 +85,7 @@
         let mut remaining_bytes = size_bytes;
         while index - base < entries
             && let Some(entry) = self.get(base)
-            && let Some(rest_bytes) = remaining_bytes.checked_sub(entry.size() as u64)
+            && let Some(rest_bytes) = remaining_bytes.checked_sub(entry.size_bytes() as u64)
         {
             remaining_bytes = rest_bytes;
             base -= 1;
@@ -129,7 +129,7 @@
         let mut size_bytes = 0;
         let mut index = from;
         while let Some(entry) = self.get(index) {
-            size_bytes += entry.size();
+            size_bytes += entry.size_bytes();
             if !entries.is_empty() && size_bytes > max_bytes {
                 break;
             }
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -44,7 +44,7 @@
     }
 
     fn has_lost_all_followers(&self, now_ms: u64) -> bool {
-        let is_lease_long_over = self.lease_until().saturating_add(ELECTION_MIN_MS) < now_ms;
+        let is_lease_long_over = self.lease_until_ms().saturating_add(ELECTION_MIN_MS) < now_ms;
         let followers = &self.leader_state.progress;
         let all_unresponsive =
             followers.values().all(|progress| progress.last_response_ms + ELECTION_MIN_MS < now_ms);
@@ -100,7 +100,7 @@
             prev_index,
             prev_term: self.log.term_at(prev_index).unwrap_or(0),
             entries,
-            commit: self.commit_index,
+            commit_index: self.commit_index,
             sent_ms: now_ms,
         };
         self.send(to, Message::Append(append));
@@ -122,17 +122,18 @@
         let last_index = self.log.last_index();
         let Some(progress) = self.leader_state.progress.get_mut(&from.id) else { return };
         progress.on_response(now_ms, response.sent_ms);
-        match response.matched {
+        match response.match_index {
             Some(matched) => {
                 progress.on_confirmed(matched, response.sent_ms);
                 self.advance_commit();
                 self.send_append(now_ms, from.id, false);
             }
-            None if response.hint == 0 => self.send_snapshot(now_ms, from.id),
+            None if response.next_index_hint == 0 => self.send_snapshot(now_ms, from.id),
             None if progress.snapshot_transfer.is_some()
                 || !progress.is_current_refusal(response.sent_ms) => {}
             None => {
-                let next_index = response.hint.clamp(progress.match_index + 1, last_index + 1);
+                let next_index =
+                    response.next_index_hint.clamp(progress.match_index + 1, last_index + 1);
                 progress.restart_at(next_index, now_ms);
                 self.send_append(now_ms, from.id, true);
             }
--- a/crates/consensus/src/snapshot_installation.rs
+++ b/crates/consensus/src/snapshot_installation.rs
@@ -12,7 +12,7 @@
         let mut response = SnapshotResponse {
             term: self.term,
             index: chunk.index,
-            received: 0,
+            received_bytes: 0,
             done: false,
             sent_ms: chunk.sent_ms,
             offset: chunk.offset,
@@ -28,13 +28,13 @@
         }
         let mut incoming = IncomingSnapshot::resume(self.incoming_snapshot.take(), from.id, &chunk);
         incoming.append_chunk(&chunk);
-        response.received = incoming.received_bytes();
+        response.received_bytes = incoming.received_bytes();
         if !incoming.is_complete() {
             self.incoming_snapshot = Some(incoming);
             return self.send(from, Message::SnapshotResponse(response));
         }
         let Some(state) = incoming.into_state() else {
-            response.received = 0;
+            response.received_bytes = 0;
             return self.send(from, Message::SnapshotResponse(response));
         };
         let SnapshotChunk { index, snapshot_term: term, members, .. } = chunk;
--- a/crates/consensus/src/vote_granting.rs
+++ b/crates/consensus/src/vote_granting.rs
@@ -54,7 +54,7 @@
     /// message from a leader within the last `ELECTION_MIN_MS`, or started within that time and may
     /// have received one before its start. The leader's lease relies on this.
     fn must_withhold_vote(&self, now_ms: u64) -> bool {
-        let has_lease = self.role == Role::Leader && now_ms < self.lease_until();
+        let has_lease = self.role == Role::Leader && now_ms < self.lease_until_ms();
         let withheld_until_ms = self
             .contact
             .vote_withheld_until_ms()
--- a/crates/consensus/tests/cluster/machine_parts.rs
+++ b/crates/consensus/tests/cluster/machine_parts.rs
@@ -69,7 +69,9 @@
 pub fn size_bytes(message: &Message) -> u64 {
     FRAME_HEAD_BYTES
         + match message {
-            Message::Append(append) => append.entries.iter().map(|entry| entry.size() as u64).sum(),
+            Message::Append(append) => {
+                append.entries.iter().map(|entry| entry.size_bytes() as u64).sum()
+            }
             Message::Snapshot(chunk) => chunk.bytes.len() as u64,
             _ => 0,
         }
@@ -78,7 +80,7 @@
 /// Returns the size of a write on the disk, in bytes.
 pub fn write_bytes(write: &Write) -> u64 {
     let entry_bytes =
-        |entries: &[Entry]| entries.iter().map(|entry| entry.size() as u64).sum::<u64>();
+        |entries: &[Entry]| entries.iter().map(|entry| entry.size_bytes() as u64).sum::<u64>();
     match write {
         Write::HardState(_) | Write::Truncate { .. } => FRAME_HEAD_BYTES,
         Write::Append(entries) => entry_bytes(entries),
--- a/crates/consensus/tests/disk_health.rs
+++ b/crates/consensus/tests/disk_health.rs
@@ -176,7 +176,7 @@
     cluster.tick(DISK_STEP_DOWN_MS + ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS);
     let leader = cluster.leader().expect("there is a leader");
     assert!(
-        cluster.node(leader).lease_until() > cluster.now_ms,
+        cluster.node(leader).lease_until_ms() > cluster.now_ms,
         "no leader has a lease: the former one relinquished its own for the term"
     );
 }
--- a/crates/consensus/tests/durable.rs
+++ b/crates/consensus/tests/durable.rs
@@ -19,7 +19,7 @@
         snapshot_term: 1,
         members: (1..=3).map(member).collect(),
         offset: 0,
-        total: 2,
+        total_bytes: 2,
         bytes: vec![1, 2],
         sent_ms: 0,
         checksum: crc32fast::hash(&[1, 2]),
@@ -48,7 +48,7 @@
         snapshot_term: 1,
         members: (1..=3).map(member).collect(),
         offset: 0,
-        total: 0,
+        total_bytes: 0,
         bytes: Vec::new(),
         sent_ms: 0,
         checksum: crc32fast::hash(&[]),
@@ -69,7 +69,7 @@
             prev_index: prev,
             prev_term: 1,
             entries,
-            commit: 1,
+            commit_index: 1,
             sent_ms: 0,
         };
         let message = Message::Append(append);
--- a/crates/consensus/tests/exhaustive/ledger.rs
+++ b/crates/consensus/tests/exhaustive/ledger.rs
@@ -97,7 +97,7 @@
     /// Checks that at most one member has a lease: a member with a lease serves reads, and two at
     /// once may return contradictory results.
     fn check_leases(&self) -> Result<(), String> {
-        let has_lease = |node: &Consensus| node.is_ready() && self.now_ms < node.lease_until();
+        let has_lease = |node: &Consensus| node.is_ready() && self.now_ms < node.lease_until_ms();
         let nodes = self.machines.iter().map(|machine| &machine.node);
         let holders: Vec<MemberId> =
             nodes.filter(|node| has_lease(node)).map(Consensus::id).collect();
--- a/crates/consensus/tests/flow.rs
+++ b/crates/consensus/tests/flow.rs
@@ -20,7 +20,9 @@
         if let Message::Append(append) = message
             && to == unresponsive
         {
-            count.set(count.get() + append.entries.iter().map(Entry::size).sum::<usize>() as u64);
+            count.set(
+                count.get() + append.entries.iter().map(Entry::size_bytes).sum::<usize>() as u64,
+            );
         }
         to == unresponsive
     });
@@ -44,7 +46,7 @@
     let mut frames = 0;
     cluster.drops_frame = Box::new(move |_, to, message| {
         let Message::Append(append) = message else { return false };
-        let bytes: u64 = append.entries.iter().map(|entry| entry.size() as u64).sum();
+        let bytes: u64 = append.entries.iter().map(|entry| entry.size_bytes() as u64).sum();
         if to != slow || bytes == 0 {
             return false;
         }
--- a/crates/consensus/tests/golden/values.rs
+++ b/crates/consensus/tests/golden/values.rs
@@ -70,7 +70,7 @@
         snapshot_term: 2,
         members: members(),
         offset: 1_000,
-        total: 2_000,
+        total_bytes: 2_000,
         bytes: b"part\xff".to_vec(),
         sent_ms: 123_456,
         checksum: 0xdead_beef,
@@ -79,18 +79,33 @@
 
 fn snapshot_response() -> SnapshotResponse {
     let (received, sent_ms) = (1_500, 123_456);
-    SnapshotResponse { term: 5, index: 40, received, done: true, sent_ms, offset: 1_000 }
+    SnapshotResponse {
+        term: 5,
+        index: 40,
+        received_bytes: received,
+        done: true,
+        sent_ms,
+        offset: 1_000,
+    }
 }
 
 fn append() -> AppendRequest {
     let entries = entries(41);
-    AppendRequest { term: 5, prev_index: 40, prev_term: 2, entries, commit: 39, sent_ms: 123_456 }
+    AppendRequest {
+        term: 5,
+        prev_index: 40,
+        prev_term: 2,
+        entries,
+        commit_index: 39,
+        sent_ms: 123_456,
+    }
 }
 
 /// Returns every message with the name of its variant on the wire, and a further word if a variant
 /// is there twice.
 pub fn messages() -> Vec<(&'static str, Message)> {
-    let response = AppendResponse { term: 5, matched: Some(43), hint: 44, sent_ms: 123_456 };
+    let response =
+        AppendResponse { term: 5, match_index: Some(43), next_index_hint: 44, sent_ms: 123_456 };
     let timeout_now =
         TimeoutNow { term: 5, sent_ms: 123_456, handover_state: b"note\xff".to_vec() };
     vec![
--- a/crates/consensus/tests/leadership_transfer.rs
+++ b/crates/consensus/tests/leadership_transfer.rs
@@ -63,10 +63,10 @@
     let mut cluster = ThreeVoters::led_by_member_1();
     cluster.now_ms += 100;
     cluster.handle_input(1, Input::Tick);
-    assert!(cluster.node(1).lease_until() > cluster.now_ms);
+    assert!(cluster.node(1).lease_until_ms() > cluster.now_ms);
     let effects = cluster.nodes[0].handle(cluster.now_ms, Input::TransferLeadership(vec![9]));
     assert_eq!(
-        cluster.node(1).lease_until(),
+        cluster.node(1).lease_until_ms(),
         0,
         "the leader has a lease while leadership is being transferred"
     );
@@ -79,7 +79,7 @@
         Role::Leader,
         "the transferee did not become leader at once"
     );
-    assert!(cluster.node(to.id).lease_until() > cluster.now_ms);
+    assert!(cluster.node(to.id).lease_until_ms() > cluster.now_ms);
     assert_eq!(cluster.node(1).role(), Role::Follower);
     assert_eq!(cluster.received_handover, [(to.id, vec![9])]);
 }
@@ -91,7 +91,7 @@
     for _ in 0..5 {
         cluster.now_ms += 100;
         cluster.handle_input(1, Input::Tick);
-        assert_eq!(cluster.node(1).lease_until(), 0);
+        assert_eq!(cluster.node(1).lease_until_ms(), 0);
     }
 }
 
--- a/crates/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -70,14 +70,14 @@
         Message::Vote(request) => Some(Message::VoteResponse { term: request.term, granted: true }),
         Message::Append(append) => Some(Message::AppendResponse(AppendResponse {
             term: append.term,
-            matched: Some(append.prev_index + append.entries.len() as u64),
-            hint: 0,
+            match_index: Some(append.prev_index + append.entries.len() as u64),
+            next_index_hint: 0,
             sent_ms: append.sent_ms,
         })),
         Message::Snapshot(chunk) => Some(Message::SnapshotResponse(SnapshotResponse {
             term: chunk.term,
             index: chunk.index,
-            received: chunk.total,
+            received_bytes: chunk.total_bytes,
             done: true,
             sent_ms: chunk.sent_ms,
             offset: chunk.offset,
--- a/crates/consensus/tests/replacement/cluster.rs
+++ b/crates/consensus/tests/replacement/cluster.rs
@@ -260,7 +260,7 @@
             match effect {
                 Effect::Send { to, message } => {
                     if let Message::AppendResponse(response) = &message {
-                        let matched = response.matched.unwrap_or(0);
+                        let matched = response.match_index.unwrap_or(0);
                         machine.acknowledged = machine.acknowledged.max(matched);
                     }
                     self.send_frame(id, to.id, Input::Receive { from: member(id), message });
--- a/crates/consensus/tests/replacement/observation.rs
+++ b/crates/consensus/tests/replacement/observation.rs
@@ -14,7 +14,8 @@
     /// Returns the leader with a valid lease, if there is one.
     pub fn leader(&self) -> Option<MemberId> {
         let has_lease = |id: &MemberId| {
-            self.node(*id).is_some_and(|node| node.is_ready() && node.lease_until() > self.now_ms)
+            self.node(*id)
+                .is_some_and(|node| node.is_ready() && node.lease_until_ms() > self.now_ms)
         };
         self.machines.keys().copied().find(has_lease)
     }
--- a/crates/consensus/tests/snapshots.rs
+++ b/crates/consensus/tests/snapshots.rs
@@ -182,7 +182,7 @@
         snapshot_term: source.term,
         members: source.members.clone(),
         offset: bytes.start as u64,
-        total: source.state.len() as u64,
+        total_bytes: source.state.len() as u64,
         bytes: source.state[bytes].to_vec(),
         sent_ms: 5,
         checksum,
@@ -221,7 +221,7 @@
         receive(&mut node, 10, chunk(&old, 1, 0..100, checksums.0));
         let effects = receive(&mut node, 20, chunk(&new, term, 100..150, checksum));
         assert_eq!(
-            snapshot_response(&effects).map(|response| (response.received, response.done)),
+            snapshot_response(&effects).map(|response| (response.received_bytes, response.done)),
             Some((0, false))
         );
         receive(&mut node, 30, chunk(&new, term, 0..100, checksums.1));
@@ -239,7 +239,7 @@
     let effects = receive(&mut node, 20, chunk(&new, 1, 100..200, checksums.0));
     assert!(restored(&effects).is_none(), "a mixture of two snapshots was installed");
     assert_eq!(
-        snapshot_response(&effects).map(|response| (response.received, response.done)),
+        snapshot_response(&effects).map(|response| (response.received_bytes, response.done)),
         Some((0, false))
     );
     receive(&mut node, 30, chunk(&new, 1, 0..100, checksums.1));
@@ -283,7 +283,7 @@
     cluster.run_with_changes(16_000, 100, 30_000);
     let log = cluster.node(leader).log();
     let retained = log.range(log.base() + 1, log.last_index());
-    let retained_bytes: u64 = retained.iter().map(|entry| entry.size() as u64).sum();
+    let retained_bytes: u64 = retained.iter().map(|entry| entry.size_bytes() as u64).sum();
     assert!(
         log.base() > 0 && retained_bytes <= ENTRIES_RETAINED_BYTES + 8_100_000,
         "{retained_bytes} bytes of entries are retained in memory"
--- a/crates/consensus/tests/votes.rs
+++ b/crates/consensus/tests/votes.rs
@@ -35,7 +35,7 @@
         prev_index: 0,
         prev_term: 0,
         entries,
-        commit: 0,
+        commit_index: 0,
         sent_ms: 5,
     })
 }
@@ -114,7 +114,7 @@
         prev_index: 0,
         prev_term: 0,
         entries: vec![entry],
-        commit: 1,
+        commit_index: 1,
         sent_ms: 5,
     };
     let effects = receive(&mut node, START_MS, 2, Message::Append(append));
@@ -250,8 +250,12 @@
     let not_leading_report = |term| Message::LeaderProbeResponse { term, round, not_leading: true };
     assert!(receive(&mut node, START_MS + 1, 3, not_leading_report(0)).is_empty());
     receive(&mut node, START_MS + 2, 3, append(1));
-    let refused =
-        Message::AppendResponse(AppendResponse { term: 2, matched: None, hint: 0, sent_ms: 0 });
+    let refused = Message::AppendResponse(AppendResponse {
+        term: 2,
+        match_index: None,
+        next_index_hint: 0,
+        sent_ms: 0,
+    });
     receive(&mut node, START_MS + 3, 2, refused);
     assert!(
         receive(&mut node, START_MS + 4, 2, not_leading_report(1)).is_empty(),
--- a/crates/constants/src/coordination.rs
+++ b/crates/constants/src/coordination.rs
@@ -6,7 +6,7 @@
 pub const CONTROLLER_REQUEST_MS: u64 = 2_500;
 /// Time that a requester waits beyond its request's time-out, for the response that the request
 /// expired.
-pub const CONTROLLER_ANSWER_SLACK_MS: u64 = 200;
+pub const CONTROLLER_RESPONSE_SLACK_MS: u64 = 200;
 /// Interval at which a request without a response is sent again; the controller deduplicates.
 pub const REQUEST_RETRY_MS: u64 = 300;
 /// How long a settled ticket is retained: a client's retries arrive within minutes.
@@ -17,7 +17,7 @@
 /// Largest number of tickets: twice what deployment Kutch needs at 170 tickets a second for fifteen
 /// minutes. Beyond it new one-time requests are shed; a retained key is never dropped before
 /// `TICKET_RETENTION_MS`.
-pub const TICKETS: usize = 306_000;
+pub const TICKETS_MAX: usize = 306_000;
 /// Largest size of all stored responses together: with the tickets, a slot of a small disk stays
 /// near 160 MiB.
 pub const STORED_RESPONSES_BYTES: u64 = 64 * 1024 * 1024;
@@ -28,9 +28,9 @@
 pub const TICKET_KEY_BYTES: usize = 200;
 /// Largest number of results of coordination calls stored for repeats; beyond it calls that change
 /// anything are shed.
-pub const STORED_RESULTS: usize = 60_000;
+pub const STORED_OUTCOMES_MAX: usize = 60_000;
 /// How long the result of a coordination call is retained for repeats.
-pub const STORED_RESULT_RETENTION_MS: u64 = 120_000;
+pub const STORED_OUTCOME_RETENTION_MS: u64 = 120_000;
 /// Shortest time that watch events are retained; the users' requirements name about 20 s.
 pub const HISTORY_RETENTION_MS: u64 = 25_000;
 /// Largest number of retained watch events; beyond it calls that change anything are shed. 65 calls
@@ -39,7 +39,7 @@
 /// Time after which a long poll without events ends.
 pub const WATCH_WAIT_MS: u64 = 20_000;
 /// Largest number of pending long polls of one node.
-pub const WATCHES: usize = 2_000;
+pub const WATCHES_MAX: usize = 2_000;
 /// Interval at which a long poll queries the controller.
 pub const WATCH_POLL_MS: u64 = 250;
 /// Largest number of events in one watch response.
@@ -53,13 +53,13 @@
 /// Largest value of a key.
 pub const VALUE_BYTES: usize = 16 * 1024;
 /// Interval at which expired tickets, results and events are removed.
-pub const RETENTION_MS: u64 = 1_000;
+pub const RETENTION_INTERVAL_MS: u64 = 1_000;
 /// Largest number of tickets, and of results, that are removed at once.
 pub const RETENTION_RECORDS: usize = 2_000;
 /// How long an operator's submission waits for its outcome.
 pub const SUBMIT_WAIT_MS: u64 = 5_000;
 /// How long a stopping control node waits for its last response to be written.
-pub const ANSWER_WRITE_MS: u64 = 50;
+pub const RESPONSE_WRITE_MS: u64 = 50;
 /// How long a ticket's settlement is retried; beyond it the end of the node's incarnation settles
 /// the ticket as unknown.
 pub const SETTLEMENT_WAIT_MS: u64 = 10 * 60 * 1_000;
--- a/crates/constants/src/nodes.rs
+++ b/crates/constants/src/nodes.rs
@@ -101,7 +101,7 @@
 /// Time-out of one page, and upper bound of the time after which it is requested again.
 pub const LIST_PAGE_WAIT_MS: u64 = 2_000;
 /// Largest number of pages in one scan; it ends the scan of a list whose cursors form a circle.
-pub const LIST_PAGES: usize = 1_000;
+pub const LIST_PAGES_MAX: usize = 1_000;
 /// Largest size of one page of the list.
 pub const LIST_PAGE_BYTES: usize = 1024 * 1024;
 /// Longest Retry-After of the list that is obeyed; `DRAIN_BOUND_MS` needs the list sooner.
@@ -115,7 +115,7 @@
 /// Time after which a node's reports about targets expire.
 pub const REPORT_RETENTION_MS: u64 = 3_000;
 /// Largest number of member addresses that a node retains from introductions.
-pub const INTRODUCTIONS: usize = 64;
+pub const INTRODUCTIONS_MAX: usize = 64;
 /// Interval at which a node with a gap in its updates requests them again.
 pub const TAIL_RETRY_MS: u64 = 50;
 /// How long a node that left its parent tails the controller before it joins the relay tree again.
--- a/crates/constants/src/plans.rs
+++ b/crates/constants/src/plans.rs
@@ -20,13 +20,13 @@
 /// Largest number of accepted plans that are remembered, so that a repeated submission is
 /// acknowledged again: a day of 1,800 changes and some more. A repeat of an older plan gets no
 /// definite answer.
-pub const ACCEPTED_PLANS: usize = 2_048;
+pub const ACCEPTED_PLANS_MAX: usize = 2_048;
 /// Largest number of refused plans that are remembered because their base was never accepted. A
 /// copy of a submission in flight is at most as old as an operator waits for its outcome, and eight
 /// submissions are in flight at once.
-pub const REFUSED_PLANS: usize = 256;
+pub const REFUSED_PLANS_MAX: usize = 256;
 /// Largest number of findings reported for one document; a thousand lines would not help a reader.
-pub const FINDINGS: usize = 100;
+pub const FINDINGS_MAX: usize = 100;
 /// Largest name of a plan's version.
 pub const VERSION_BYTES: usize = 128;
 /// Longest time in which a rehearsal runs recent requests through two plans.
@@ -37,18 +37,18 @@
 /// Largest number of samples in one lease request: twelve nodes report 320 a second.
 pub const SAMPLES_PER_REPORT: usize = 4;
 /// Largest number of request samples that the controller retains.
-pub const SAMPLES: usize = 2_000;
+pub const SAMPLES_MAX: usize = 2_000;
 /// Time after which request samples expire.
 pub const SAMPLES_RETENTION_MS: u64 = 60_000;
 /// Largest path of a sampled request, and largest value of a sampled header that a rule names; a
 /// longer one is not sampled.
 pub const SAMPLE_BYTES: usize = 256;
 /// Deadline of the requests of a route whose plan names none.
-pub const ROUTE_DEADLINE_MS: u64 = 5_000;
+pub const ROUTE_DEADLINE_DEFAULT_MS: u64 = 5_000;
 /// Longest deadline that a plan may name.
 pub const ROUTE_DEADLINE_MAX_MS: u64 = 60_000;
 /// Body bound of a route whose plan names none.
-pub const ROUTE_BODY_BYTES: u64 = 1024 * 1024;
+pub const ROUTE_BODY_DEFAULT_BYTES: u64 = 1024 * 1024;
 /// Largest body bound that a plan may name: a complete body is in memory.
 pub const ROUTE_BODY_MAX_BYTES: u64 = 32 * 1024 * 1024;
 /// Largest text of a route's rule; together with `RULE_DEPTH` it bounds the cost of one evaluation.
@@ -64,7 +64,7 @@
 /// Largest part of a plan's text in one record; four of them fill a batch.
 pub const TEXT_CHUNK_BYTES: usize = 16 * 1024;
 /// Largest depth of nested objects and arrays in a document; the parser recurses on each.
-pub const DEPTH: usize = 32;
+pub const DOCUMENT_DEPTH_MAX: usize = 32;
 /// Largest host name (RFC 1035, 2.3.4).
 pub const HOST_BYTES: usize = 253;
 /// Largest number of attempts that a route may name for one request; each further attempt is
--- a/crates/constants/src/traffic.rs
+++ b/crates/constants/src/traffic.rs
@@ -15,9 +15,9 @@
 /// departed peer would occupy a thread.
 pub const LINK_IDLE_MS: u64 = 60_000;
 /// Largest number of incoming links of one process.
-pub const LINKS: usize = 512;
+pub const INCOMING_LINKS_MAX: usize = 512;
 /// Largest number of client connections of one node, each on a thread with a small stack.
-pub const DOWNSTREAMS: usize = 1_024;
+pub const DOWNSTREAM_CONNECTIONS_MAX: usize = 1_024;
 /// Stack of the thread of one connection.
 pub const STACK_BYTES: usize = 256 * 1024;
 /// Time after which an idle client connection is closed.
@@ -42,7 +42,7 @@
 /// Largest head of a request or response.
 pub const HEAD_BYTES: usize = 32 * 1024;
 /// Largest number of headers in the head of a request or response.
-pub const HEADERS: usize = 100;
+pub const HEADERS_MAX: usize = 100;
 /// Largest memory of one node for bodies of requests; bodies of responses may take as much again.
 pub const BODIES_BYTES: usize = 256 * 1024 * 1024;
 /// Largest body of a target's response.
@@ -68,16 +68,16 @@
 /// Largest number of unused retries to a service that all nodes together can save up.
 pub const RETRY_BURST: u64 = 10;
 /// Largest number of attempts of one idempotent request.
-pub const ATTEMPTS: usize = 3;
+pub const ATTEMPTS_MAX: usize = 3;
 /// Largest number of attempts of one ticketed request: each further attempt needs a committed
 /// `Unsent`.
 pub const TICKETED_ATTEMPTS: usize = 3;
 /// Largest number of idle connections retained for one target.
 pub const IDLE_CONNECTIONS: usize = 16;
 /// Time-out of a target's proof of its identity, in a probe or on a new connection.
-pub const PROOF_WAIT_MS: u64 = 800;
+pub const IDENTITY_TIMEOUT_MS: u64 = 800;
 /// Path at which a target proves its identity.
-pub const PROOF_PATH: &str = "/.well-known/postbarrow-target";
+pub const IDENTITY_PATH: &str = "/.well-known/postbarrow-target";
 /// Value of the Retry-After header of the response to a shed request, in seconds like the header.
 pub const RETRY_AFTER_S: u64 = 1;
 /// Graceful shutdown: how long a process reports that it is unready before it closes its listener,
@@ -129,7 +129,7 @@
 /// Longest ejection of a target that fails again; each is twice as long as the one before.
 pub const EJECTION_MAX_MS: u64 = 8_000;
 /// How long a target that rejected a request is ejected while other targets are available.
-pub const REJECTION_PAUSE_MS: u64 = 200;
+pub const REJECTION_EJECTION_MS: u64 = 200;
 /// Interval at which a request that waits for no socket checks whether its client departed: well
 /// within the half second after which work for a departed client counts as a fault.
 pub const CLIENT_CLOSED_CHECK_MS: u64 = 200;
--- a/crates/controller-client/src/client.rs
+++ b/crates/controller-client/src/client.rs
@@ -91,7 +91,7 @@
     }
 
     /// Drops the known controller, because it did not answer other requests of the owner either.
-    pub fn suspect_controller(&mut self) {
+    pub fn forget_controller(&mut self) {
         self.controller = None;
     }
 
--- a/crates/controller/examples/snapshot_cost.rs
+++ b/crates/controller/examples/snapshot_cost.rs
@@ -2,9 +2,11 @@
 //! lease, encoding, one slot written to disk, and a restart.
 
 use postbarrow_consensus::{HardState, Member, Snapshot, Write};
-use postbarrow_constants::coordination::{STORED_RESPONSE_BYTES, STORED_RESPONSES_BYTES, TICKETS};
+use postbarrow_constants::coordination::{
+    STORED_RESPONSE_BYTES, STORED_RESPONSES_BYTES, TICKETS_MAX,
+};
 use postbarrow_state::*;
-use postbarrow_storage::{FolderDisk, Opened, Storage, open};
+use postbarrow_storage::{FolderDisk, OpenResult, Storage, open};
 use std::sync::Arc;
 use std::time::Instant;
 
@@ -43,7 +45,7 @@
 }
 
 fn main() {
-    for tickets in [170 * 900, TICKETS] {
+    for tickets in [170 * 900, TICKETS_MAX] {
         let before = memory_mib();
         let state = state_with_tickets(tickets);
         println!("{tickets} tickets, {} MiB more in memory", memory_mib().saturating_sub(before));
@@ -69,7 +71,9 @@
         println!("  one slot written and synced: {:?}", start.elapsed());
         let start = Instant::now();
         let disk = FolderDisk::new(folder.clone()).expect("the folder opens again");
-        let Opened::Recovered { recovered, .. } = open(disk).expect("disk opens") else { return };
+        let OpenResult::Recovered { recovered, .. } = open(disk).expect("disk opens") else {
+            return;
+        };
         let opened = start.elapsed();
         let stored = recovered.snapshot.expect("a snapshot was recovered");
         let read: State = rmp_serde::from_slice(&stored.state).expect("the snapshot decodes");
--- a/crates/controller/src/call_decision.rs
+++ b/crates/controller/src/call_decision.rs
@@ -3,7 +3,7 @@
 use postbarrow_state::{Call, Key, Lock, Name, Outcome, Record, State};
 
 /// Returns the outcome of a call that only reads.
-pub(crate) fn read(state: &State, call: &Call) -> Outcome {
+pub(crate) fn read_outcome(state: &State, call: &Call) -> Outcome {
     match call {
         Call::ReadLock { name } => match state.locks.get(name) {
             Some(lock) => Outcome::LockedByOther { fence: lock.fence },
@@ -30,7 +30,7 @@
 
 /// Returns the outcome of a call in this state, and the records that apply its change; no records
 /// if the call changes nothing.
-pub fn decide(state: &State, call: &Call) -> (Outcome, Vec<Record>) {
+pub fn decide_call(state: &State, call: &Call) -> (Outcome, Vec<Record>) {
     match call {
         Call::Lock { name, holder, ttl_ms } => match state.locks.get(name) {
             Some(lock) if lock.holder == *holder => extend_lock(name, lock, *ttl_ms),
--- a/crates/controller/src/control_node.rs
+++ b/crates/controller/src/control_node.rs
@@ -137,7 +137,9 @@
             }
             Message::Bootstrap(members) => self.step(now_ms, consensus::Input::Bootstrap(members)),
             Message::Introduce => self.send_introduction(from),
-            Message::Introduction { control, formed } => self.on_introduction(control, formed),
+            Message::Introduction { control_addresses: control, log_exists: formed } => {
+                self.on_introduction(control, formed)
+            }
             Message::LeaseRequest(request) => self.on_lease_request(now_ms, from, request),
             Message::Tail { after } => {
                 if self.is_leading() {
@@ -251,7 +253,7 @@
     /// Returns whether this node leads and holds the leader lease, so that no other node can lead
     /// at `now_ms`.
     pub fn has_lease(&self, now_ms: u64) -> bool {
-        self.is_leading() && now_ms < self.consensus.lease_until()
+        self.is_leading() && now_ms < self.consensus.lease_until_ms()
     }
 
     /// Returns how many images this node has encoded for data nodes.
@@ -261,7 +263,7 @@
 
     /// Returns the longest time that a request has waited for an open transaction since this node
     /// became the leader, in milliseconds; 0 while this node does not lead.
-    pub fn stall_ms(&self) -> u64 {
+    pub fn longest_stall_ms(&self) -> u64 {
         self.leader.as_ref().map_or(0, |leader| leader.transaction.longest_stall_ms())
     }
 
@@ -277,5 +279,5 @@
 }
 
 fn size_bytes(entries: &[Entry]) -> u64 {
-    entries.iter().map(|entry| entry.size() as u64).sum()
+    entries.iter().map(|entry| entry.size_bytes() as u64).sum()
 }
--- a/crates/controller/src/control_node/calls.rs
+++ b/crates/controller/src/control_node/calls.rs
@@ -2,9 +2,9 @@
 
 use crate::ControlNode;
 use crate::call_check::check_call;
-use crate::call_decision::{decide, read};
+use crate::call_decision::{decide_call, read_outcome};
 use crate::origin::Origin;
-use postbarrow_constants::coordination::{HISTORY_EVENTS, STORED_RESULTS};
+use postbarrow_constants::coordination::{HISTORY_EVENTS, STORED_OUTCOMES_MAX};
 use postbarrow_messages::Response;
 use postbarrow_state::{Call, Name, Outcome, Record};
 
@@ -17,7 +17,7 @@
         }
         match call {
             Call::ReadLock { .. } | Call::ReadNumber { .. } | Call::ReadKey { .. } => {
-                let outcome = read(self.committed(), &call);
+                let outcome = read_outcome(self.committed(), &call);
                 self.respond(origin, Response::Outcome(outcome));
             }
             Call::Watch { sort, prefix, after } => {
@@ -29,13 +29,13 @@
 
     fn on_write(&mut self, now_ms: u64, origin: Origin, id: Option<Name>, call: Call) {
         let Some(state) = self.proposed_state() else { return };
-        if let Some(known) = id.as_ref().and_then(|id| state.repeats.get(id)) {
+        if let Some(known) = id.as_ref().and_then(|id| state.stored_outcomes.get(id)) {
             let outcome = known.as_ref().clone();
             return self.reply_when_committed(now_ms, origin, Response::Outcome(outcome));
         }
-        let is_full =
-            state.repeats.len() >= STORED_RESULTS || state.history.len() >= HISTORY_EVENTS;
-        let (outcome, mut records) = decide(state, &call);
+        let is_full = state.stored_outcomes.len() >= STORED_OUTCOMES_MAX
+            || state.history.len() >= HISTORY_EVENTS;
+        let (outcome, mut records) = decide_call(state, &call);
         if let (Outcome::Locked { ttl_ms, .. }, Call::Lock { name, .. } | Call::Renew { name, .. }) =
             (&outcome, &call)
             && let Some(leader) = &mut self.leader
--- a/crates/controller/src/control_node/compaction.rs
+++ b/crates/controller/src/control_node/compaction.rs
@@ -21,7 +21,7 @@
     /// may delay the renewal of its lease. A node that has just started has applied nothing beyond
     /// its snapshot and takes none; the log that it read at its start counts towards the next one.
     pub(super) fn compact(&mut self, now_ms: u64) {
-        if !self.snapshots.is_due(now_ms) || self.tail.is_open() {
+        if !self.snapshots.is_due(now_ms) || self.tail.has_open_transaction() {
             return;
         }
         let index = self.tail.offset().min(self.consensus.commit_index());
--- a/crates/controller/src/control_node/contact.rs
+++ b/crates/controller/src/control_node/contact.rs
@@ -6,12 +6,12 @@
     /// Returns whether this node is in contact with a leader at `now_ms`, and with which one.
     pub fn contact(&self, now_ms: u64) -> Contact {
         if !self.consensus.log().is_member(self.own.id) {
-            return Contact::Outside;
+            return Contact::NotMember;
         }
         let leader = self.consensus.leader().map(|leader| leader.address);
         match leader.filter(|address| *address != self.own.address || self.has_lease(now_ms)) {
             Some(address) => Contact::Leader(address),
-            None => Contact::Silent { since_ms: self.contact.last_contact_ms() },
+            None => Contact::NoLeader { since_ms: self.contact.last_contact_ms() },
         }
     }
 
@@ -23,7 +23,9 @@
             Contact::Leader(_) => {
                 self.contact.on_leader_contact(self.consensus.leader_contact_ms())
             }
-            Contact::Outside | Contact::Silent { .. } => self.contact.on_no_contact(now_ms, gap_ms),
+            Contact::NotMember | Contact::NoLeader { .. } => {
+                self.contact.on_no_contact(now_ms, gap_ms)
+            }
         }
     }
 }
--- a/crates/controller/src/control_node/discovery.rs
+++ b/crates/controller/src/control_node/discovery.rs
@@ -3,7 +3,7 @@
 use crate::ControlNode;
 use crate::peer_directory::DiscoveredPeer;
 use postbarrow_consensus::{self as consensus, MemberId};
-use postbarrow_constants::nodes::INTRODUCTIONS;
+use postbarrow_constants::nodes::INTRODUCTIONS_MAX;
 use postbarrow_messages::{DiscoveryAnnouncement, Message};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
             return;
         }
         self.directory.schedule_announcement(now_ms);
-        self.directory.expire(now_ms);
+        self.directory.remove_expired(now_ms);
         self.announce();
         if self.consensus.is_pristine() && !self.directory.is_observer() {
             self.try_bootstrap(now_ms);
@@ -95,7 +95,7 @@
         if is_uninitialized {
             control.extend(self.directory.addresses());
         }
-        self.send(from, Message::Introduction { control, formed });
+        self.send(from, Message::Introduction { control_addresses: control, log_exists: formed });
     }
 
     /// Sends the members' addresses to the seeds that are not members. Such a seed may have
@@ -109,7 +109,7 @@
         let seeds = self.directory.seeds().to_vec();
         for seed in seeds.into_iter().filter(|seed| !members.contains(seed)) {
             let control = members.clone();
-            self.send(seed, Message::Introduction { control, formed: true });
+            self.send(seed, Message::Introduction { control_addresses: control, log_exists: true });
         }
     }
 
@@ -117,7 +117,7 @@
         if formed {
             self.directory.on_log_known();
         }
-        for address in control.into_iter().take(INTRODUCTIONS) {
+        for address in control.into_iter().take(INTRODUCTIONS_MAX) {
             self.directory.add(address);
         }
     }
--- a/crates/controller/src/control_node/endpoint_list.rs
+++ b/crates/controller/src/control_node/endpoint_list.rs
@@ -67,7 +67,7 @@
     fn log_slowness_change(&mut self) {
         let Some(leader) = &mut self.leader else { return };
         let bound_ms = leader.endpoint_list.leave_bound_ms();
-        match leader.endpoint_list.update_slowness() {
+        match leader.endpoint_list.check_drain_bound() {
             Some(true) => {
                 self.log_line(format!("endpoint list too slow drain_bound_ms={bound_ms}"))
             }
--- a/crates/controller/src/control_node/plan_commit.rs
+++ b/crates/controller/src/control_node/plan_commit.rs
@@ -66,7 +66,7 @@
         else {
             return;
         };
-        let rehearsal = Rehearsal::of(before, after);
+        let rehearsal = Rehearsal::compare(before, after);
         if plan.dry_run {
             return self.finish_dry_run(now_ms, rehearsal);
         }
@@ -83,7 +83,7 @@
         let Some(abort) = leader.writer.abort("dry run") else { return };
         let Some(plan) = leader.transaction.take_plan() else { return };
         let offset = self.propose_batch(now_ms, vec![abort]);
-        let body = Submitted::dry(&plan.version, rehearsal);
+        let body = Submitted::dry_run(&plan.version, rehearsal);
         self.reply_at(now_ms, offset, plan.origin, json(200, &body));
         self.serve_waiting_requests(now_ms);
     }
@@ -97,7 +97,7 @@
         let began_at = in_force.map_or(0, |plan| plan.offset);
         let accepted = Record::PlanAccepted { version: version.clone(), base, digest, began_at };
         let offset = self.propose_batch(now_ms, vec![BatchRecord::Data(accepted), end]);
-        let body = Submitted::new(&version, began_at, offset, rehearsal);
+        let body = Submitted::accepted(&version, began_at, offset, rehearsal);
         self.log_line(format!("plan end proposed version={version} offset={offset}"));
         self.reply_at(now_ms, offset, origin, json(200, &body));
         self.serve_waiting_requests(now_ms);
--- a/crates/controller/src/control_node/settings.rs
+++ b/crates/controller/src/control_node/settings.rs
@@ -23,8 +23,8 @@
 
     /// Sets the addresses of the one, two or three nodes that bootstrap the log together; all other
     /// nodes join that log.
-    pub fn with_founders(mut self, founders: &[SocketAddr]) -> Self {
-        self.directory.set_founders(founders);
+    pub fn with_bootstrap_members(mut self, founders: &[SocketAddr]) -> Self {
+        self.directory.set_bootstrap_addresses(founders);
         self
     }
 
@@ -37,20 +37,20 @@
 
     /// Returns the addresses of control nodes that this node knows from its seeds, from
     /// introductions and from announcements; a node that is not a member finds the others there.
-    pub fn introduced(&self) -> Vec<SocketAddr> {
+    pub fn known_control_addresses(&self) -> Vec<SocketAddr> {
         self.directory.addresses()
     }
 
     /// Sets how many members may be lost at once; the number of voters is what a majority needs
     /// after that loss.
-    pub fn with_losses(mut self, losses: usize) -> Self {
+    pub fn with_tolerated_losses(mut self, losses: usize) -> Self {
         self.consensus.set_losses(losses);
         self
     }
 
     /// Sets the time without a response, in milliseconds, after which a voter's seat goes to a
     /// learner that has caught up.
-    pub fn with_voter_dead(mut self, voter_dead_ms: u64) -> Self {
+    pub fn with_voter_dead_ms(mut self, voter_dead_ms: u64) -> Self {
         self.consensus.set_voter_dead_ms(voter_dead_ms);
         self
     }
--- a/crates/controller/src/control_node/status.rs
+++ b/crates/controller/src/control_node/status.rs
@@ -5,7 +5,7 @@
 use crate::operator_body::json;
 use crate::origin::Origin;
 use facet::Facet;
-use postbarrow_constants::coordination::{STORED_RESPONSES_BYTES, TICKETS};
+use postbarrow_constants::coordination::{STORED_RESPONSES_BYTES, TICKETS_MAX};
 use postbarrow_state::Node;
 
 #[derive(Facet)]
@@ -102,14 +102,14 @@
             log_end: self.consensus.last_index(),
             watermark: self.consensus.commit_index(),
             update_watermark: self.updates.image_offset(),
-            lease_remaining_ms: self.consensus.lease_until().saturating_sub(now_ms),
+            lease_remaining_ms: self.consensus.lease_until_ms().saturating_sub(now_ms),
             version: state.plan_version().map(str::to_string),
             open_transaction: self.tail.open_transaction_name().map(str::to_string),
             open_ms: leader.and_then(|leader| leader.writer.open_duration_ms(now_ms)),
-            longest_stall_ms: self.stall_ms(),
+            longest_stall_ms: self.longest_stall_ms(),
             tickets: state.tickets.len() as u64,
             open_tickets: open_tickets.count() as u64,
-            max_tickets: TICKETS as u64,
+            max_tickets: TICKETS_MAX as u64,
             stored_response_bytes: state.stored_response_bytes,
             max_stored_response_bytes: STORED_RESPONSES_BYTES,
             responses_not_stored: leader.map_or(0, |leader| leader.shedding.responses),
--- a/crates/controller/src/control_node/submissions.rs
+++ b/crates/controller/src/control_node/submissions.rs
@@ -14,7 +14,8 @@
         match decide_submission(state, &submission, &digest) {
             SubmissionDecision::Proceed => self.begin_plan(now_ms, origin, submission, digest),
             SubmissionDecision::AlreadyAccepted { began_at, ended_at } => {
-                let body = Submitted::again(state, &submission.version, began_at, ended_at);
+                let body =
+                    Submitted::accepted_before(state, &submission.version, began_at, ended_at);
                 self.reply_when_committed(now_ms, origin, json(200, &body));
             }
             SubmissionDecision::Refused(reason) => {
--- a/crates/controller/src/control_node/term.rs
+++ b/crates/controller/src/control_node/term.rs
@@ -30,7 +30,7 @@
         let state = self.tail.image().as_ref().clone();
         let settlements = unknown_settlements(&state, |node| !state.nodes.contains_key(&node));
         leader.start_serving(now_ms, state);
-        if self.tail.is_open() {
+        if self.tail.has_open_transaction() {
             let name = self.tail.open_transaction_name().unwrap_or_default();
             self.log_line(format!(
                 "transaction aborted name={name:?} reason=\"left open by an earlier leader\""
--- a/crates/controller/src/control_node/tickets.rs
+++ b/crates/controller/src/control_node/tickets.rs
@@ -2,7 +2,7 @@
 
 use crate::ControlNode;
 use crate::origin::Origin;
-use postbarrow_constants::coordination::{STORED_RESPONSES_BYTES, TICKETS};
+use postbarrow_constants::coordination::{STORED_RESPONSES_BYTES, TICKETS_MAX};
 use postbarrow_messages::Response;
 use postbarrow_state::{Record, Settlement, State, StoredResponse, Ticket};
 
@@ -15,7 +15,8 @@
             let refused = Response::Refused("the node is not registered".into());
             return self.reply_when_committed(now_ms, origin, refused);
         }
-        let is_full = state.tickets.len() >= TICKETS && !state.tickets.contains_key(&ticket.key);
+        let is_full =
+            state.tickets.len() >= TICKETS_MAX && !state.tickets.contains_key(&ticket.key);
         match response_of_known_key(state, &ticket) {
             Some(response) => self.reply_when_committed(now_ms, origin, response),
             None if is_full => self.shed(now_ms, origin),
--- a/crates/controller/src/endpoint_list/page.rs
+++ b/crates/controller/src/endpoint_list/page.rs
@@ -2,7 +2,7 @@
 
 use compact_str::CompactString;
 use postbarrow_constants::nodes::LIST_PAGE_BYTES;
-use postbarrow_reading::{Fields, Findings, Reading, Value, text};
+use postbarrow_reading::{DocumentReader, Fields, Findings, Value, text};
 use postbarrow_state::{Labels, Target};
 use std::net::SocketAddr;
 
@@ -30,7 +30,7 @@
     let content = std::str::from_utf8(bytes).map_err(|error| {
         Findings::without_position("$", format!("is not UTF-8 at byte {}", error.valid_up_to()))
     })?;
-    let (value, mut reading) = Reading::parse(content)?;
+    let (value, mut reading) = DocumentReader::parse(content)?;
     let mut page = ListPage { targets: Vec::new(), next: None };
     if let Some(mut fields) = Fields::of(&value, "$", &mut reading) {
         for (json_path, value) in fields.array("targets", &mut reading) {
@@ -38,21 +38,21 @@
                 page.targets.push(target);
             }
         }
-        page.next = fields.text_or_none("next", &mut reading).map(str::to_string);
+        page.next = fields.optional_text("next", &mut reading).map(str::to_string);
     }
     reading.finish(page)
 }
 
-fn read_target(value: &Value, json_path: &str, reading: &mut Reading) -> Option<Target> {
+fn read_target(value: &Value, json_path: &str, reading: &mut DocumentReader) -> Option<Target> {
     let mut fields = Fields::of(value, json_path, reading)?;
     let instance = fields.text("instance", reading).map(CompactString::from);
     let service = fields.text("service", reading).map(CompactString::from);
     let address: Option<SocketAddr> = fields.parsed("address", "an IP address and port", reading);
-    let zone = fields.text_or_none("zone", reading).unwrap_or_default();
+    let zone = fields.optional_text("zone", reading).unwrap_or_default();
     let draining = match fields.get("draining") {
         None => false,
         Some(value) => value.as_bool().unwrap_or_else(|| {
-            reading.find(&fields.path_of("draining"), "must be true or false".into());
+            reading.add_finding(&fields.path_of("draining"), "must be true or false".into());
             false
         }),
     };
--- a/crates/controller/src/endpoint_list/poller.rs
+++ b/crates/controller/src/endpoint_list/poller.rs
@@ -102,9 +102,9 @@
         let number = result.number;
         let page = match result.fetched {
             Fetched::Page(bytes) => read_page(&bytes).map_err(Error::InvalidPage),
-            Fetched::Listed(page) => Ok(page),
+            Fetched::Parsed(page) => Ok(page),
             Fetched::Failed(reason) => Err(Error::FetchFailed(reason)),
-            Fetched::Limited { wait_ms } => return self.on_limited(now_ms, number, wait_ms),
+            Fetched::RateLimited { wait_ms } => return self.on_limited(now_ms, number, wait_ms),
         };
         let page = match page {
             Ok(page) => page,
@@ -164,7 +164,7 @@
 
     /// Returns whether the list is now too slow to keep `DRAIN_BOUND_MS`; `None` if that has not
     /// changed since the last check.
-    pub fn update_slowness(&mut self) -> Option<bool> {
+    pub fn check_drain_bound(&mut self) -> Option<bool> {
         let is_slow = self.leave_bound_ms() > DRAIN_BOUND_MS;
         let has_changed = is_slow != self.is_slow;
         self.is_slow = is_slow;
--- a/crates/controller/src/endpoint_list/scan.rs
+++ b/crates/controller/src/endpoint_list/scan.rs
@@ -265,7 +265,7 @@
         if next.is_some() && self.pages[..=at].iter().any(|page| page.cursor.as_ref() == next) {
             return Some(Error::CursorCycle);
         }
-        (self.pages.len() > LIST_PAGES).then_some(Error::NoLastPage)
+        (self.pages.len() > LIST_PAGES_MAX).then_some(Error::NoLastPage)
     }
 
     fn is_complete(&self) -> bool {
--- a/crates/controller/src/input.rs
+++ b/crates/controller/src/input.rs
@@ -40,9 +40,9 @@
     /// A page that was received but not parsed yet; `read_page` parses it.
     Page(Vec<u8>),
     /// A page that the caller has parsed already.
-    Listed(ListPage),
+    Parsed(ListPage),
     /// The list refused the request because of its rate limit.
-    Limited {
+    RateLimited {
         /// Time to wait before the next request, as the list stated it, in milliseconds.
         wait_ms: u64,
     },
--- a/crates/controller/src/leader_contact.rs
+++ b/crates/controller/src/leader_contact.rs
@@ -8,12 +8,12 @@
 pub enum Contact {
     /// The node is not a member, so it doesn't learn from the log who leads. Any member may know
     /// the leader.
-    Outside,
+    NotMember,
     /// Address of the leader, from a recent contact. The leader may be this node, while its lease
     /// lasts.
     Leader(SocketAddr),
     /// The node is a member without contact to a leader.
-    Silent {
+    NoLeader {
         /// Time of the last contact by this node's clock, in milliseconds.
         since_ms: u64,
     },
--- a/crates/controller/src/leader_state/log_writer.rs
+++ b/crates/controller/src/leader_state/log_writer.rs
@@ -27,7 +27,7 @@
 
     /// Returns the state before the open transaction; `None` if none is open.
     pub fn state_before_transaction(&self) -> Option<&State> {
-        self.writer.as_ref().and_then(Writer::rollback)
+        self.writer.as_ref().and_then(Writer::state_before_transaction)
     }
 
     pub fn apply(&mut self, offset: u64, records: &[BatchRecord<Record>]) {
@@ -48,7 +48,7 @@
     /// still within its size limit.
     pub fn add_transaction_bytes(&mut self, size_bytes: usize) -> bool {
         let writer = self.writer.as_mut().expect("an open transaction has a writer");
-        writer.grow(size_bytes).is_ok()
+        writer.add_bytes(size_bytes).is_ok()
     }
 
     pub fn end(&mut self) -> Option<BatchRecord<Record>> {
@@ -60,7 +60,7 @@
     }
 
     pub fn is_transaction_overdue(&self, now_ms: u64) -> bool {
-        self.writer.as_ref().is_some_and(|writer| writer.is_overdue(now_ms))
+        self.writer.as_ref().is_some_and(|writer| writer.is_transaction_overdue(now_ms))
     }
 
     pub fn open_duration_ms(&self, now_ms: u64) -> Option<u64> {
--- a/crates/controller/src/leader_state/node_registry.rs
+++ b/crates/controller/src/leader_state/node_registry.rs
@@ -38,10 +38,10 @@
     pub fn from_request(now_ms: u64, request: LeaseRequest) -> Self {
         NodeReport {
             last_ms: now_ms,
-            published: request.published,
+            published: request.image_offset,
             version: request.version,
             ready: request.ready,
-            failing: request.failing.into_iter().collect(),
+            failing: request.failing_targets.into_iter().collect(),
             suspects: request.suspects,
         }
     }
--- a/crates/controller/src/leader_state/request_samples.rs
+++ b/crates/controller/src/leader_state/request_samples.rs
@@ -1,6 +1,6 @@
 //! Samples of client requests, which operators use to rehearse plans.
 
-use postbarrow_constants::plans::{SAMPLES, SAMPLES_RETENTION_MS};
+use postbarrow_constants::plans::{SAMPLES_MAX, SAMPLES_RETENTION_MS};
 use postbarrow_messages::Response;
 use postbarrow_state::Sample;
 use std::collections::VecDeque;
@@ -25,7 +25,7 @@
             self.request_counts.push_back((now_ms, request_count));
         }
         let is_expired = |at_ms: u64| now_ms > at_ms + SAMPLES_RETENTION_MS;
-        while self.samples.len() > SAMPLES
+        while self.samples.len() > SAMPLES_MAX
             || self.samples.front().is_some_and(|(at_ms, _)| is_expired(*at_ms))
         {
             self.samples.pop_front();
--- a/crates/controller/src/leader_state/retention.rs
+++ b/crates/controller/src/leader_state/retention.rs
@@ -68,7 +68,7 @@
     }
 
     pub fn schedule_next(&mut self, now_ms: u64) {
-        self.due_ms = now_ms + RETENTION_MS;
+        self.due_ms = now_ms + RETENTION_INTERVAL_MS;
     }
 
     fn take_elapsed_eras(&mut self, now_ms: u64) -> u64 {
@@ -111,7 +111,7 @@
 /// Returns the call ids of the stored outcomes whose retention has ended, oldest first.
 fn expired_outcomes(state: &State) -> Vec<Name> {
     let is_expired =
-        |(era, _): &&(u64, Name)| state.era > era + STORED_RESULT_RETENTION_MS / ERA_MS;
-    let expired = state.repeat_queue.iter().take_while(is_expired).take(RETENTION_RECORDS);
+        |(era, _): &&(u64, Name)| state.era > era + STORED_OUTCOME_RETENTION_MS / ERA_MS;
+    let expired = state.stored_outcome_queue.iter().take_while(is_expired).take(RETENTION_RECORDS);
     expired.map(|(_, id)| id.clone()).collect()
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -51,7 +51,7 @@
 mod snapshot_schedule;
 mod submission_check;
 
-pub use call_decision::decide;
+pub use call_decision::decide_call;
 pub use control_node::ControlNode;
 pub use effect::Effect;
 pub use endpoint_list::{ListPage, read_page};
--- a/crates/controller/src/operator_body.rs
+++ b/crates/controller/src/operator_body.rs
@@ -22,7 +22,7 @@
 
 impl Submitted {
     /// Creates the body for a plan that was accepted now.
-    pub fn new(version: &str, began: u64, ended: u64, rehearsal: Rehearsal) -> Self {
+    pub fn accepted(version: &str, began: u64, ended: u64, rehearsal: Rehearsal) -> Self {
         Submitted {
             version: version.into(),
             in_force: true,
@@ -34,7 +34,12 @@
     }
 
     /// Creates the body for a plan that was accepted before, and may have been replaced since.
-    pub fn again(state: &State, version: &str, began_at: u64, ended_at: Option<u64>) -> Self {
+    pub fn accepted_before(
+        state: &State,
+        version: &str,
+        began_at: u64,
+        ended_at: Option<u64>,
+    ) -> Self {
         Submitted {
             version: version.into(),
             in_force: state.plan_version() == Some(version),
@@ -46,7 +51,7 @@
     }
 
     /// Creates the body for a dry run.
-    pub fn dry(version: &str, rehearsal: Rehearsal) -> Self {
+    pub fn dry_run(version: &str, rehearsal: Rehearsal) -> Self {
         Submitted {
             version: version.into(),
             in_force: false,
--- a/crates/controller/src/peer_directory.rs
+++ b/crates/controller/src/peer_directory.rs
@@ -5,7 +5,7 @@
 use postbarrow_constants::consensus::{
     DISCOVERED_RETENTION_MS, DISCOVERY_MS, ELECTION_MIN_MS, INTRODUCTION_MS, VOTERS,
 };
-use postbarrow_constants::nodes::INTRODUCTIONS;
+use postbarrow_constants::nodes::INTRODUCTIONS_MAX;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -34,7 +34,7 @@
     is_observer: bool,
     /// Addresses of the nodes that bootstrap the log together; `None` if any three nodes with
     /// uninitialized disks may.
-    founders: Option<BTreeSet<SocketAddr>>,
+    bootstrap_addresses: Option<BTreeSet<SocketAddr>>,
     /// When this node next announces itself.
     announcement_due_ms: u64,
     /// When this node, as a member, next sends the list of members to its seeds.
@@ -53,15 +53,15 @@
             discovered: BTreeMap::new(),
             is_log_known: false,
             is_observer: false,
-            founders: None,
+            bootstrap_addresses: None,
             announcement_due_ms: 0,
             introduction_due_ms: 0,
             leader_known_ms: 0,
         }
     }
 
-    pub fn set_founders(&mut self, founders: &[SocketAddr]) {
-        self.founders = Some(founders.iter().copied().collect());
+    pub fn set_bootstrap_addresses(&mut self, founders: &[SocketAddr]) {
+        self.bootstrap_addresses = Some(founders.iter().copied().collect());
     }
 
     pub fn set_observer(&mut self) {
@@ -95,7 +95,7 @@
     }
 
     pub fn add(&mut self, address: SocketAddr) {
-        if address != self.own_address && self.addresses.len() < INTRODUCTIONS {
+        if address != self.own_address && self.addresses.len() < INTRODUCTIONS_MAX {
             self.addresses.insert(address);
         }
     }
@@ -132,7 +132,7 @@
     }
 
     /// Removes the peers that have not announced themselves for `DISCOVERED_RETENTION_MS`.
-    pub fn expire(&mut self, now_ms: u64) {
+    pub fn remove_expired(&mut self, now_ms: u64) {
         self.discovered.retain(|_, peer| now_ms < peer.at_ms + DISCOVERED_RETENTION_MS);
     }
 
@@ -147,7 +147,7 @@
     /// discovered exactly these three are the founders.
     pub fn bootstrap_members(&self, own: Member) -> Option<Vec<Member>> {
         let peers = self.discovered.values();
-        let (ids, required_count): (BTreeSet<MemberId>, usize) = match &self.founders {
+        let (ids, required_count): (BTreeSet<MemberId>, usize) = match &self.bootstrap_addresses {
             None => (self.known_peers(own.id), VOTERS),
             Some(founders) if !founders.contains(&own.address) => return None,
             Some(founders) => {
@@ -157,7 +157,7 @@
             }
         };
         let mut others = peers.clone().filter(|peer| ids.contains(&peer.member.id));
-        let all_agree = match self.founders {
+        let all_agree = match self.bootstrap_addresses {
             None => others.all(|peer| peer.known_peers == ids),
             Some(_) => others.all(|peer| peer.known_peers.is_superset(&ids)),
         };
--- a/crates/controller/src/routing_updates.rs
+++ b/crates/controller/src/routing_updates.rs
@@ -2,7 +2,7 @@
 //! too far behind.
 
 use postbarrow_membership::{Delivery, Relay, UpdateEntry};
-use postbarrow_messages::{EncodedImage, Message};
+use postbarrow_messages::{ImageEncoder, Message};
 use postbarrow_state::{Record, State};
 use postbarrow_transactions::{BatchRecord, encode};
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
     /// Log offset of the image: that of the last update outside an open transaction.
     image_offset: u64,
     relay: Relay,
-    encoded_image: EncodedImage,
+    encoded_image: ImageEncoder,
 }
 
 impl RoutingUpdates {
@@ -56,7 +56,8 @@
         if updates.is_empty() {
             return;
         }
-        let entry = UpdateEntry { prev: self.update_offset, offset, bytes: encode(&updates) };
+        let entry =
+            UpdateEntry { previous_offset: self.update_offset, offset, bytes: encode(&updates) };
         self.relay.push(entry);
         self.update_offset = offset;
         if !is_in_transaction {
@@ -72,7 +73,7 @@
     /// with the subscriber's address.
     pub fn messages(&mut self, now_ms: u64, committed: &State) -> Vec<(SocketAddr, Message)> {
         let offset = self.image_offset;
-        self.encoded_image.forget_before(offset);
+        self.encoded_image.drop_older_than(offset);
         let deliveries = self.relay.deliver(now_ms, self.update_offset, offset);
         let mut messages = Vec::with_capacity(deliveries.len());
         for delivery in deliveries {
--- a/crates/controller/src/submission_check.rs
+++ b/crates/controller/src/submission_check.rs
@@ -30,7 +30,7 @@
     /// A plan of the same version was accepted with another text or on another base.
     OtherText,
     /// Another plan was accepted on the same base.
-    BaseBuiltUpon,
+    BaseSuperseded,
     /// The plan's base was never accepted. It may be accepted later, so this refusal is recorded.
     BaseNeverAccepted,
     /// The same plan was refused before its base was accepted.
@@ -41,7 +41,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             RefusalReason::OtherText => "this version was taken with another text",
-            RefusalReason::BaseBuiltUpon => "the base is not the plan in force",
+            RefusalReason::BaseSuperseded => "the base is not the plan in force",
             RefusalReason::BaseNeverAccepted => "the base was never in force",
             RefusalReason::RefusedBefore => {
                 "this plan was refused before its base was in force; it needs a new version"
@@ -68,9 +68,9 @@
             SubmissionDecision::Refused(RefusalReason::RefusedBefore)
         } else if state.plan_version() == base {
             SubmissionDecision::Proceed
-        } else if state.is_built_upon(base) {
-            SubmissionDecision::Refused(RefusalReason::BaseBuiltUpon)
-        } else if state.remembers_every_plan() {
+        } else if state.has_plan_based_on(base) {
+            SubmissionDecision::Refused(RefusalReason::BaseSuperseded)
+        } else if state.has_complete_plan_history() {
             SubmissionDecision::Refused(RefusalReason::BaseNeverAccepted)
         } else {
             SubmissionDecision::Unknown
@@ -116,7 +116,7 @@
             SubmissionDecision::Proceed
         }
         SubmissionDecision::AlreadyAccepted { .. } | SubmissionDecision::Unknown => {
-            SubmissionDecision::Refused(RefusalReason::BaseBuiltUpon)
+            SubmissionDecision::Refused(RefusalReason::BaseSuperseded)
         }
         SubmissionDecision::Proceed | SubmissionDecision::Refused(_) => decision,
     }
--- a/crates/controller/tests/cluster/mod.rs
+++ b/crates/controller/tests/cluster/mod.rs
@@ -78,7 +78,7 @@
     /// Delivers a follower's response with a higher term, which deposes the leader.
     pub fn receive_higher_term(&mut self) {
         let term = self.harness.node.consensus().term() + 1;
-        let response = AppendResponse { term, matched: None, hint: 0, sent_ms: 0 };
+        let response = AppendResponse { term, match_index: None, next_index_hint: 0, sent_ms: 0 };
         let from: Member = member(2);
         let message = LogMessage::AppendResponse(response);
         self.harness.receive(Message::Consensus { from, to: 1, message });
@@ -107,8 +107,8 @@
         LogMessage::Vote(request) => LogMessage::VoteResponse { term: request.term, granted: true },
         LogMessage::Append(append) => LogMessage::AppendResponse(AppendResponse {
             term: append.term,
-            matched: Some(append.prev_index + append.entries.len() as u64),
-            hint: 0,
+            match_index: Some(append.prev_index + append.entries.len() as u64),
+            next_index_hint: 0,
             sent_ms: append.sent_ms,
         }),
         _ => return None,
--- a/crates/controller/tests/contact.rs
+++ b/crates/controller/tests/contact.rs
@@ -28,7 +28,7 @@
         prev_index: 0,
         prev_term: 0,
         entries: Vec::new(),
-        commit: 0,
+        commit_index: 0,
         sent_ms: harness.now_ms,
     };
     let message = LogMessage::Append(append);
@@ -43,9 +43,9 @@
     for _ in 0..(ELECTION_MIN_MS + ELECTION_SPREAD_MS) / 20 {
         harness.tick(20);
     }
-    assert_eq!(contact(&harness), Contact::Silent { since_ms: contact_ms });
+    assert_eq!(contact(&harness), Contact::NoLeader { since_ms: contact_ms });
     (0..TICKS_IN_20_S).for_each(|_| harness.tick(20));
-    assert_eq!(contact(&harness), Contact::Silent { since_ms: contact_ms });
+    assert_eq!(contact(&harness), Contact::NoLeader { since_ms: contact_ms });
     assert_eq!(harness.node.consensus().term(), 3, "pre-vote does not raise the term");
     receive_heartbeat(&mut harness);
     assert_eq!(contact(&harness), Contact::Leader(member(2).address));
@@ -55,7 +55,7 @@
 fn a_follower_that_was_suspended_does_not_count_that_time_as_lost_contact() {
     let mut harness = follower();
     harness.tick(20_000);
-    let Contact::Silent { since_ms } = contact(&harness) else {
+    let Contact::NoLeader { since_ms } = contact(&harness) else {
         panic!("the node still has a leader")
     };
     assert!(
@@ -63,7 +63,7 @@
         "suspended time was counted, though messages may be queued"
     );
     (0..CONTACT_LOST_MS / 20).for_each(|_| harness.tick(20));
-    assert_eq!(contact(&harness), Contact::Silent { since_ms });
+    assert_eq!(contact(&harness), Contact::NoLeader { since_ms });
 }
 
 #[test]
@@ -77,7 +77,7 @@
         cluster.harness.sync();
         let is_own_contact = contact(&cluster.harness) == Contact::Leader(member(1).address);
         assert_eq!(is_own_contact, cluster.harness.node.has_lease(cluster.harness.now_ms));
-        if let Contact::Silent { since_ms } = contact(&cluster.harness) {
+        if let Contact::NoLeader { since_ms } = contact(&cluster.harness) {
             silent.push(since_ms);
         }
     }
@@ -93,12 +93,12 @@
     let mut harness = Harness::new(recovered(&[1, 2, 3], Vec::new(), 3));
     let start_ms = harness.now_ms;
     (0..100).for_each(|_| harness.tick(20));
-    assert_eq!(contact(&harness), Contact::Silent { since_ms: start_ms });
+    assert_eq!(contact(&harness), Contact::NoLeader { since_ms: start_ms });
 }
 
 #[test]
 fn a_node_without_membership_has_no_contact() {
     let mut harness = Harness::new(RecoveredState::default());
     (0..100).for_each(|_| harness.tick(20));
-    assert_eq!(contact(&harness), Contact::Outside);
+    assert_eq!(contact(&harness), Contact::NotMember);
 }
--- a/crates/controller/tests/golden_bytes.rs
+++ b/crates/controller/tests/golden_bytes.rs
@@ -79,7 +79,7 @@
     let sent_ms = cluster.harness.now_ms;
     let entries = Vec::new();
     let append =
-        AppendRequest { term: 1, prev_index: 0, prev_term: 0, entries, commit: 0, sent_ms };
+        AppendRequest { term: 1, prev_index: 0, prev_term: 0, entries, commit_index: 0, sent_ms };
     let request = TimeoutNow { term: 1, sent_ms, handover_state: handover };
     for message in [LogMessage::Append(append), LogMessage::TimeoutNow(request)] {
         cluster.harness.receive(Message::Consensus { from: member(2), to: 1, message });
--- a/crates/controller/tests/golden_folder.rs
+++ b/crates/controller/tests/golden_folder.rs
@@ -12,7 +12,7 @@
 use postbarrow_controller::Input;
 use postbarrow_messages::{Request, Response};
 use postbarrow_state::{Call, Key, Name, Outcome, Settlement, State, StoredResponse, Ticket};
-use postbarrow_storage::{FolderDisk, LOGS, Opened, SLOTS, Storage, open};
+use postbarrow_storage::{FolderDisk, LOG_FILES, OpenResult, SLOT_FILES, Storage, open};
 use std::path::{Path, PathBuf};
 use std::sync::Once;
 
@@ -124,14 +124,14 @@
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(copy_name);
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
-    for file in SLOTS.into_iter().chain(LOGS) {
+    for file in SLOT_FILES.into_iter().chain(LOG_FILES) {
         std::fs::copy(fixture().join(file), folder.join(file))
             .expect("the fixture is missing in the repository");
     }
     match open(FolderDisk::new(folder).expect("a folder")).expect("the folder opens") {
-        Opened::Recovered { storage, recovered } => (storage.id(), recovered),
-        Opened::Damaged { damage, .. } => panic!("damaged: {damage}"),
-        Opened::Empty(_) => panic!("the folder has no slot"),
+        OpenResult::Recovered { storage, recovered } => (storage.id(), recovered),
+        OpenResult::Damaged { damage, .. } => panic!("damaged: {damage}"),
+        OpenResult::Empty(_) => panic!("the folder has no slot"),
     }
 }
 
@@ -177,7 +177,7 @@
     assert_eq!(state.plan_text(), second_plan().into_bytes());
     assert_eq!((state.routes.len(), state.services.len()), (3, 1));
     assert_eq!((state.targets.len(), state.nodes.len()), (3, 1));
-    assert!(state.accepted_plan("v1").is_some() && state.remembers_every_plan());
+    assert!(state.accepted_plan("v1").is_some() && state.has_complete_plan_history());
     check_records(state, "old", 201, 1);
     check_records(state, "new", 202, 2);
 
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -169,7 +169,7 @@
             prev_index: prev,
             prev_term,
             entries,
-            commit: prev + 1,
+            commit_index: prev + 1,
             sent_ms: 1,
         };
         let message = LogMessage::Append(append);
@@ -200,10 +200,10 @@
         let request = LeaseRequest {
             number: self.now_ms,
             node: node(incarnation),
-            published: 0,
+            image_offset: 0,
             version: None,
             ready: false,
-            failing: Vec::new(),
+            failing_targets: Vec::new(),
             suspects: Vec::new(),
             samples: Vec::new(),
             request_count: 0,
--- a/crates/controller/tests/leader_work.rs
+++ b/crates/controller/tests/leader_work.rs
@@ -82,7 +82,7 @@
     assert_eq!(known.response.as_deref(), Some(&stored));
     harness.tick(TICKET_RETENTION_MS + 2 * ERA_MS);
     harness.sync();
-    harness.tick(RETENTION_MS);
+    harness.tick(RETENTION_INTERVAL_MS);
     harness.sync();
     assert!(harness.state().tickets.is_empty());
 }
@@ -116,7 +116,7 @@
     assert_eq!(known_targets(&harness).len(), 3, "an incomplete scan removes no target");
     harness.answer_fetch(Fetched::Failed("gone".into()));
     assert_eq!(known_targets(&harness).len(), 3, "a failed scan removes no target");
-    harness.answer_fetch(Fetched::Limited { wait_ms: 1_000 });
+    harness.answer_fetch(Fetched::RateLimited { wait_ms: 1_000 });
     harness.answer_page(&[Harness::row("catalogue-1", "catalogue", false)], None);
     assert_eq!(
         known_targets(&harness).len(),
@@ -266,7 +266,7 @@
         call(&mut harness, key, Call::Next { name: "n".into(), by: 1 });
     }
     let entries = harness.entries.clone();
-    let bytes: usize = entries.iter().map(|entry| entry.size()).sum();
+    let bytes: usize = entries.iter().map(|entry| entry.size_bytes()).sum();
     let mut restarted = Harness::new(recovered(&[1], entries, harness.node.consensus().term()));
     restarted.set_log_bound(bytes as u64);
     restarted.become_leader();
--- a/crates/controller/tests/node_without_log.rs
+++ b/crates/controller/tests/node_without_log.rs
@@ -61,15 +61,17 @@
         Message::DiscoveryAnnouncement(_) | Message::Bootstrap(_)
     )));
     let control = vec![member(3).address];
-    let message = Message::Introduction { control, formed: true };
+    let message = Message::Introduction { control_addresses: control, log_exists: true };
     observer.handle(4_000, Input::Receive(Envelope { from: member(1).address, message }));
-    assert!(observer.introduced().contains(&member(3).address));
+    assert!(observer.known_control_addresses().contains(&member(3).address));
     let introduce = Envelope { from: client(), message: Message::Introduce };
     let introduction =
         observer.handle(4_020, Input::Receive(introduce)).into_iter().find_map(|effect| {
             let postbarrow_controller::Effect::Send { to, message } = effect else { return None };
             match message {
-                Message::Introduction { control, formed } if to == client() => {
+                Message::Introduction { control_addresses: control, log_exists: formed }
+                    if to == client() =>
+                {
                     Some((control, formed))
                 }
                 _ => None,
--- a/crates/controller/tests/plan_deltas.rs
+++ b/crates/controller/tests/plan_deltas.rs
@@ -107,7 +107,12 @@
     let mut restarted = Harness::new(recovered(&[1], harness.entries.clone(), 9));
     restarted.become_leader();
     let (state, original) = (restarted.state(), harness.state());
-    assert!(state.has_plan_of(original), "plan {:?} instead of {:?}", state.plan, original.plan);
+    assert!(
+        state.has_same_plan_as(original),
+        "plan {:?} instead of {:?}",
+        state.plan,
+        original.plan
+    );
     assert_eq!(state.plan_text(), text(5, &deadlines_ms).into_bytes());
 }
 
@@ -122,7 +127,7 @@
     harness.request(2, Request::Submit(dry));
     harness.run_until_idle();
     assert_eq!(harness.status(2), Some(200));
-    assert!(harness.state().has_plan_of(&before));
+    assert!(harness.state().has_same_plan_as(&before));
     harness.submit(3, &text(2, &deadlines_ms));
     harness.run_until_idle();
     assert_eq!(harness.state().plan_text(), text(2, &deadlines_ms).into_bytes());
--- a/crates/controller/tests/space_bounds.rs
+++ b/crates/controller/tests/space_bounds.rs
@@ -60,7 +60,7 @@
 #[test]
 fn at_the_ticket_limit_new_keys_are_shed_and_old_ones_retained() {
     let mut state = State::default();
-    for at in 0..TICKETS {
+    for at in 0..TICKETS_MAX {
         let key = Name::from(format!("old-{at}"));
         let known = Ticket { settlement: Some(Settlement::Ran), ..ticket(&key, 1) };
         state.tickets.insert(key, Arc::new(known));
@@ -77,7 +77,7 @@
     );
     assert_eq!(
         harness.state().tickets.len(),
-        TICKETS,
+        TICKETS_MAX,
         "a ticket was removed before its retention ended"
     );
     harness.request(3, Request::Status);
@@ -116,7 +116,7 @@
     assert_eq!(harness.state().stored_response_bytes, 700);
     harness.tick(TICKET_RETENTION_MS + 2 * ERA_MS);
     harness.run_until_idle();
-    harness.tick(RETENTION_MS);
+    harness.tick(RETENTION_INTERVAL_MS);
     harness.run_until_idle();
     assert_eq!((harness.state().tickets.len(), harness.state().stored_response_bytes), (0, 0));
 }
@@ -124,8 +124,8 @@
 #[test]
 fn writing_calls_are_shed_at_the_limit_of_stored_outcomes() {
     let mut state = State::default();
-    for at in 0..STORED_RESULTS {
-        state.repeats.insert(Name::from(format!("r{at}")), Arc::new(Outcome::Freed));
+    for at in 0..STORED_OUTCOMES_MAX {
+        state.stored_outcomes.insert(Name::from(format!("r{at}")), Arc::new(Outcome::Freed));
     }
     let mut harness = harness_with_state(state);
     let next = Call::Next { name: "n".into(), by: 1 };
@@ -149,9 +149,9 @@
     harness.request(1, Request::Call { id: Some("once".into()), call });
     harness.run_until_idle();
     let mut elapsed_ms = 0;
-    while harness.state().repeats.contains_key("once") {
+    while harness.state().stored_outcomes.contains_key("once") {
         assert!(
-            elapsed_ms < STORED_RESULT_RETENTION_MS + 12 * ERA_MS,
+            elapsed_ms < STORED_OUTCOME_RETENTION_MS + 12 * ERA_MS,
             "the outcome is never removed"
         );
         for _ in 0..22 {
@@ -166,6 +166,6 @@
         harness.become_leader();
         elapsed_ms += 2_000;
     }
-    assert!(elapsed_ms >= STORED_RESULT_RETENTION_MS, "removed after {elapsed_ms} ms");
-    assert!(harness.state().repeat_queue.is_empty());
+    assert!(elapsed_ms >= STORED_OUTCOME_RETENTION_MS, "removed after {elapsed_ms} ms");
+    assert!(harness.state().stored_outcome_queue.is_empty());
 }
--- a/crates/controller/tests/submission_check.rs
+++ b/crates/controller/tests/submission_check.rs
@@ -1,6 +1,6 @@
 //! Decisions on a submission, which depend on the accepted and refused plans in the state.
 
-use postbarrow_constants::plans::ACCEPTED_PLANS;
+use postbarrow_constants::plans::ACCEPTED_PLANS_MAX;
 use postbarrow_controller::{RefusalReason, SubmissionDecision, decide_submission};
 use postbarrow_messages::Submission;
 use postbarrow_state::{Digest, Name, Record, RefusedPlan, State};
@@ -69,7 +69,7 @@
 #[test]
 fn a_base_that_was_built_upon_is_refused() {
     let state = plan_chain(5);
-    let decision = refused(RefusalReason::BaseBuiltUpon);
+    let decision = refused(RefusalReason::BaseSuperseded);
     assert_eq!(decide_submission(&state, &submission("x", Some("v2")), &TEXT), decision);
     assert_eq!(decide_submission(&state, &submission("x", None), &TEXT), decision);
 }
@@ -92,12 +92,12 @@
 
 #[test]
 fn a_plan_that_may_precede_the_retained_plans_is_unknown() {
-    let state = plan_chain(ACCEPTED_PLANS + 3);
+    let state = plan_chain(ACCEPTED_PLANS_MAX + 3);
     let (first, second) = (submission("v0", None), submission("v1", Some("v0")));
     assert_eq!(decide_submission(&state, &first, &TEXT), SubmissionDecision::Unknown);
     assert_eq!(decide_submission(&state, &second, &TEXT), SubmissionDecision::Unknown);
     assert_eq!(decide_submission(&state, &submission("v3", Some("v2")), &TEXT), accepted(30));
-    let decision = refused(RefusalReason::BaseBuiltUpon);
+    let decision = refused(RefusalReason::BaseSuperseded);
     assert_eq!(decide_submission(&state, &submission("x", Some("v2")), &TEXT), decision);
 }
 
@@ -111,7 +111,7 @@
     assert_eq!(decide_submission(&state, &submission("v5", Some("v4")), &digest), decision);
     let decision = refused(RefusalReason::OtherText);
     assert_eq!(decide_submission(&state, &submission("v5", Some("v4")), &TEXT), decision);
-    let decision = refused(RefusalReason::BaseBuiltUpon);
+    let decision = refused(RefusalReason::BaseSuperseded);
     assert_eq!(decide_submission(&state, &submission("x", Some("v4")), &TEXT), decision);
     let decision = SubmissionDecision::Unknown;
     assert_eq!(decide_submission(&state, &submission("v4", Some("v3")), &TEXT), decision);
@@ -124,8 +124,8 @@
     let proceed = SubmissionDecision::Proceed;
     assert_eq!(decide_submission(&state, &dry("v5", Some("v4")), &TEXT), proceed);
     assert_eq!(decide_submission(&state, &dry("v4", Some("v3")), &TEXT), proceed);
-    let decision = refused(RefusalReason::BaseBuiltUpon);
+    let decision = refused(RefusalReason::BaseSuperseded);
     assert_eq!(decide_submission(&state, &dry("v3", Some("v2")), &TEXT), decision);
-    let state = plan_chain(ACCEPTED_PLANS + 3);
+    let state = plan_chain(ACCEPTED_PLANS_MAX + 3);
     assert_eq!(decide_submission(&state, &dry("v1", Some("v0")), &TEXT), decision);
 }
--- a/crates/controller/tests/transactions.rs
+++ b/crates/controller/tests/transactions.rs
@@ -68,9 +68,9 @@
     assert_eq!(harness.state().plan_version(), None);
     assert_eq!(harness.state().routes.len(), 0);
     assert!(
-        (480..=560).contains(&harness.node.stall_ms()),
+        (480..=560).contains(&harness.node.longest_stall_ms()),
         "longest stall: {} ms",
-        harness.node.stall_ms()
+        harness.node.longest_stall_ms()
     );
 }
 
@@ -109,7 +109,7 @@
     assert_eq!(markers(&harness), ["Abort the controller that began it is gone"]);
     assert_eq!(harness.state().plan_version(), None);
     assert!(harness.state().plan_text.is_empty());
-    assert!(!harness.node.tail().is_open());
+    assert!(!harness.node.tail().has_open_transaction());
 }
 
 #[test]
@@ -125,7 +125,7 @@
     assert_eq!(harness.response(3), Some(&Response::NotController { controller: None }));
     assert_eq!(harness.state().plan_version(), Some("v1"));
     assert_eq!(harness.state().numbers.get("n"), Some(&4), "the new term's entry is replayed");
-    assert!(!harness.node.tail().is_open(), "the uncommitted entries are dropped");
+    assert!(!harness.node.tail().has_open_transaction(), "the uncommitted entries are dropped");
 }
 
 #[test]
--- a/crates/downstream/src/client_watch.rs
+++ b/crates/downstream/src/client_watch.rs
@@ -57,7 +57,7 @@
 
     /// Returns a watch without a client, for work that no client's departure may cancel; it never
     /// reports a departure.
-    pub fn nobody() -> ClientWatch<'static> {
+    pub fn without_client() -> ClientWatch<'static> {
         ClientWatch { stream: None, departed: Cell::new(false), has_unread: Cell::new(false) }
     }
 
--- a/crates/downstream/src/client_watch/tests.rs
+++ b/crates/downstream/src/client_watch/tests.rs
@@ -82,7 +82,7 @@
 #[test]
 fn a_watch_without_a_client_never_reports_a_departure() {
     let (other, mut far) = connected_pair();
-    let watch = ClientWatch::nobody();
+    let watch = ClientWatch::without_client();
     assert!(!watch.has_departed());
     far.write_all(b"a").unwrap();
     let until_ms = clock_ms() + HANG_TIMEOUT_MS;
@@ -102,6 +102,6 @@
     drop(client);
     assert_eq!(watch.receive(&messages, until_ms), Err(ReceiveError::ClientDeparted));
     drop(sender);
-    let nobody = ClientWatch::nobody();
+    let nobody = ClientWatch::without_client();
     assert_eq!(nobody.receive(&messages, until_ms), Err(ReceiveError::Disconnected));
 }
--- a/crates/downstream/src/connection.rs
+++ b/crates/downstream/src/connection.rs
@@ -233,7 +233,7 @@
     /// Closes the sending side, then discards what the client still sends for a short time, so that
     /// the client can read its rejection: a close with unread bytes would reset the connection
     /// (RFC 9112, 9.6).
-    pub fn linger(&mut self) {
+    pub fn close_after_rejection(&mut self) {
         let _ = self.stream.shutdown(std::net::Shutdown::Write);
         let until_ms = clock_ms() + 2 * PEER_CLOSED_CHECK_MS;
         let mut received = [0; READ_BYTES];
--- a/crates/downstream/src/head.rs
+++ b/crates/downstream/src/head.rs
@@ -1,7 +1,7 @@
 //! Parses request heads (RFC 9112, sections 2 to 6).
 
 pub use crate::reject::Reject;
-use postbarrow_constants::traffic::HEADERS;
+use postbarrow_constants::traffic::HEADERS_MAX;
 
 /// The framing of a request body, which determines where the body ends (RFC 9112, 6.3).
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -67,7 +67,7 @@
 /// # Errors
 /// Fails if the bytes are not a valid head, or if two recipients could interpret them differently.
 pub fn parse(bytes: &[u8]) -> Result<Option<(Head, usize)>, Reject> {
-    let mut fields = [httparse::EMPTY_HEADER; HEADERS];
+    let mut fields = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut parsed = httparse::Request::new(&mut fields);
     let length = match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
--- a/crates/membership/src/update_log.rs
+++ b/crates/membership/src/update_log.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UpdateEntry {
     /// Log offset of the previous batch that contains routing updates; 0 if there is none.
-    pub prev: u64,
+    pub previous_offset: u64,
     /// Log offset of the batch.
     pub offset: u64,
     /// The encoded batch, reduced to its routing updates.
@@ -28,7 +28,7 @@
     /// Appends an entry, and removes the oldest beyond the bounds in number and size. If the entry
     /// doesn't follow the last one, all earlier entries are removed first.
     pub fn push(&mut self, entry: UpdateEntry) {
-        if self.entries.back().is_some_and(|last| last.offset != entry.prev) {
+        if self.entries.back().is_some_and(|last| last.offset != entry.previous_offset) {
             self.clear();
         }
         self.retained_bytes += entry.bytes.len();
@@ -53,7 +53,7 @@
     /// a larger entry has a frame of its own. Returns `None` if no retained entry directly follows
     /// the offset.
     pub fn frames_after(&self, offset: u64) -> Option<Vec<Vec<UpdateEntry>>> {
-        let first = self.entries.iter().position(|entry| entry.prev == offset)?;
+        let first = self.entries.iter().position(|entry| entry.previous_offset == offset)?;
         let mut frames = Vec::new();
         let mut frame = Vec::new();
         let mut size_bytes = 0;
--- a/crates/membership/tests/relay.rs
+++ b/crates/membership/tests/relay.rs
@@ -10,7 +10,7 @@
 }
 
 fn entry(offset: u64, size_bytes: usize) -> UpdateEntry {
-    UpdateEntry { prev: offset - 1, offset, bytes: vec![7; size_bytes] }
+    UpdateEntry { previous_offset: offset - 1, offset, bytes: vec![7; size_bytes] }
 }
 
 /// Returns the offsets of the updates that were sent, and the number of images.
@@ -91,7 +91,7 @@
     assert!(relay.retained_bytes() > UPDATES_RETAINED_BYTES / 2);
     relay.on_tail(0, child(1), 380);
     assert_eq!(sent(&relay.deliver(0, 399, 399)).0.len(), 19, "updates since offset 380");
-    relay.push(UpdateEntry { prev: 500, offset: 501, bytes: vec![1] });
+    relay.push(UpdateEntry { previous_offset: 500, offset: 501, bytes: vec![1] });
     assert_eq!(relay.retained_bytes(), 1, "entries before a gap are removed");
 }
 
--- a/crates/messages/src/encoded_image.rs
+++ b/crates/messages/src/encoded_image.rs
@@ -8,12 +8,12 @@
 /// Encodes an image once for all subscribers that it is sent to. An image of another offset
 /// replaces it.
 #[derive(Default)]
-pub struct EncodedImage {
+pub struct ImageEncoder {
     retained: Option<ImageFrame>,
-    encodings: u64,
+    encoded_count: u64,
 }
 
-impl EncodedImage {
+impl ImageEncoder {
     /// Returns the frame of the image with this log offset. `state` is called only if that image
     /// isn't encoded yet.
     ///
@@ -28,13 +28,13 @@
         }
         let bytes = rmp_serde::to_vec(&state()).expect("encoding a state into memory succeeds");
         let frame = ImageFrame { offset, state: Arc::new(ByteBuf::from(bytes)) };
-        self.encodings += 1;
+        self.encoded_count += 1;
         self.retained = Some(frame.clone());
         frame
     }
 
     /// Releases the memory of the retained image if its log offset is below this one.
-    pub fn forget_before(&mut self, offset: u64) {
+    pub fn drop_older_than(&mut self, offset: u64) {
         if self.retained.as_ref().is_some_and(|retained| retained.offset < offset) {
             self.retained = None;
         }
@@ -42,6 +42,6 @@
 
     /// Returns the number of images that were encoded so far.
     pub fn encodings(&self) -> u64 {
-        self.encodings
+        self.encoded_count
     }
 }
--- a/crates/messages/src/lib.rs
+++ b/crates/messages/src/lib.rs
@@ -21,7 +21,7 @@
 mod message;
 mod request;
 
-pub use encoded_image::EncodedImage;
+pub use encoded_image::ImageEncoder;
 pub use frame::{FrameError, read_frame, to_frame};
 pub use message::{
     DiscoveryAnnouncement, Envelope, ImageFrame, LeaseRequest, LeaseResponse, Message,
--- a/crates/messages/src/message.rs
+++ b/crates/messages/src/message.rs
@@ -43,9 +43,9 @@
     /// Names the control nodes that the sender knows.
     Introduction {
         /// Addresses of the control nodes.
-        control: Vec<SocketAddr>,
+        control_addresses: Vec<SocketAddr>,
         /// Whether the sender knows that a log exists.
-        formed: bool,
+        log_exists: bool,
     },
     /// A data node requests or renews its lease.
     #[serde(rename = "Fresh")]
@@ -114,13 +114,13 @@
     /// The data node that requests the lease.
     pub node: Node,
     /// Log offset of the image from which the node serves requests.
-    pub published: u64,
+    pub image_offset: u64,
     /// Version of the plan that the node follows; `None` if it has no plan.
     pub version: Option<Name>,
     /// Whether the node serves requests.
     pub ready: bool,
     /// Instances of the targets that fail the node's health probes.
-    pub failing: Vec<Name>,
+    pub failing_targets: Vec<Name>,
     /// Watched nodes from which the node misses heartbeats.
     pub suspects: Vec<Incarnation>,
     /// Samples of the client requests since the node's last lease request.
--- a/crates/messages/tests/golden_bytes.rs
+++ b/crates/messages/tests/golden_bytes.rs
@@ -118,10 +118,10 @@
     LeaseRequest {
         number: 17,
         node: state_values::node(),
-        published: 43,
+        image_offset: 43,
         version: Some(name("v2")),
         ready,
-        failing: vec![name("ledger-2")],
+        failing_targets: vec![name("ledger-2")],
         suspects: vec![6, 8],
         samples: vec![state_values::sample()],
         request_count: 99,
@@ -129,21 +129,25 @@
 }
 
 fn image_frame() -> ImageFrame {
-    let state = EncodedImage::default().frame(44, state_values::state).state;
+    let state = ImageEncoder::default().frame(44, state_values::state).state;
     ImageFrame { offset: 44, state: Arc::new(ByteBuf::from(state.to_vec())) }
 }
 
 fn messages() -> Named<Message> {
     let announcement =
         DiscoveryAnnouncement { member: member(3), uninitialized: true, known_peers: vec![3, 2] };
-    let entries = vec![UpdateEntry { prev: 42, offset: 44, bytes: b"news\xff".to_vec() }];
+    let entries =
+        vec![UpdateEntry { previous_offset: 42, offset: 44, bytes: b"news\xff".to_vec() }];
     let mut messages = named([
         ("Greet", Message::DiscoveryAnnouncement(announcement)),
         ("Form", Message::Bootstrap(vec![member(1), member(2)])),
         ("Introduce", Message::Introduce),
         (
             "Introduction",
-            Message::Introduction { control: vec![socket(1), socket(2)], formed: true },
+            Message::Introduction {
+                control_addresses: vec![socket(1), socket(2)],
+                log_exists: true,
+            },
         ),
         ("Fresh", Message::LeaseRequest(lease_request(true))),
         ("Tail", Message::Tail { after: 43 }),
--- a/crates/messages/tests/mutated_input.rs
+++ b/crates/messages/tests/mutated_input.rs
@@ -6,7 +6,7 @@
 use postbarrow_constants::traffic::FRAME_BYTES;
 use postbarrow_messages::*;
 use postbarrow_simulation::{Random, SimDisk};
-use postbarrow_storage::{Disk, LOGS, Opened, SLOTS, Storage, open};
+use postbarrow_storage::{Disk, LOG_FILES, OpenResult, SLOT_FILES, Storage, open};
 
 fn mutate(random: &mut Random, bytes: &[u8]) -> Vec<u8> {
     let mut bytes = bytes.to_vec();
@@ -35,7 +35,7 @@
         prev_index: 8,
         prev_term: 2,
         entries,
-        commit: 7,
+        commit_index: 7,
         sent_ms: 1_000,
     };
     let from = postbarrow_consensus::Member { id: 1, address: "10.0.0.1:1".parse().unwrap() };
@@ -111,18 +111,19 @@
             let hard = HardState { term: 1, voted_for: Some(3) };
             storage.apply(vec![Write::HardState(hard), Write::Append(vec![entry])]).unwrap();
         }
-        let file = [SLOTS[0], SLOTS[1], LOGS[0], LOGS[1]][random.below(4) as usize];
+        let file =
+            [SLOT_FILES[0], SLOT_FILES[1], LOG_FILES[0], LOG_FILES[1]][random.below(4) as usize];
         let mutated = mutate(&mut random, &disk.read(file).unwrap());
         disk.truncate(file, 0).unwrap();
         disk.write(file, 0, &mutated).unwrap();
         match open(disk).unwrap() {
-            Opened::Recovered { recovered, .. } => {
+            OpenResult::Recovered { recovered, .. } => {
                 let indexes: Vec<u64> = recovered.entries.iter().map(|entry| entry.index).collect();
                 assert_eq!(indexes, (1..=indexes.len() as u64).collect::<Vec<_>>(), "seed {seed}");
                 opened[0] += 1;
             }
-            Opened::Empty(_) => opened[1] += 1,
-            Opened::Damaged { damage, .. } => {
+            OpenResult::Empty(_) => opened[1] += 1,
+            OpenResult::Damaged { damage, .. } => {
                 assert!(!damage.to_string().is_empty());
                 opened[2] += 1;
             }
--- a/crates/node/src/data_node.rs
+++ b/crates/node/src/data_node.rs
@@ -48,7 +48,7 @@
     }
 
     /// Sets how long a granted lease is valid; the default is `NODE_LEASE_MS`.
-    pub fn with_lease(mut self, lease_ms: u64) -> Self {
+    pub fn with_lease_duration_ms(mut self, lease_ms: u64) -> Self {
         self.lease.set_duration_ms(lease_ms);
         self
     }
@@ -63,7 +63,9 @@
                 self.push_client_effects(effects);
             }
             Input::Withdraw { key } => self.controller_client.withdraw(key),
-            Input::Probed { instance, sound } => self.probe_failures.on_probed(instance, sound),
+            Input::Probed { instance, identified: sound } => {
+                self.probe_failures.on_probed(instance, sound)
+            }
             Input::Sampled { samples, observed } => self.samples.add(samples, observed),
             Input::Seeds(seeds) => self.seeds = seeds,
             Input::Stop => self.is_stopping = true,
@@ -79,7 +81,7 @@
             Message::LeaseResponse { number, response } => {
                 self.on_lease_response(now_ms, from, number, response)
             }
-            Message::Introduction { control, formed } => {
+            Message::Introduction { control_addresses: control, log_exists: formed } => {
                 if formed {
                     self.lease.on_introduction(&control);
                 }
@@ -87,7 +89,10 @@
             Message::Introduce | Message::DiscoveryAnnouncement(_) => {
                 let control = self.lease.members().to_vec();
                 let formed = !control.is_empty();
-                self.send(from, Message::Introduction { control, formed });
+                self.send(
+                    from,
+                    Message::Introduction { control_addresses: control, log_exists: formed },
+                );
             }
             Message::Tail { after } => self.image_tail.on_child_tail(now_ms, from, after),
             Message::Updates { entries } => {
@@ -126,7 +131,7 @@
             return;
         }
         if self.lease.drop_unresponsive_controller(now_ms) {
-            self.controller_client.suspect_controller();
+            self.controller_client.forget_controller();
         }
         let renewal = self.lease.renew(now_ms, &self.seeds);
         if renewal.is_search {
@@ -137,10 +142,10 @@
         let request = LeaseRequest {
             number: renewal.number,
             node: self.own.clone(),
-            published: self.published(),
+            image_offset: self.published(),
             version: self.image().plan.as_ref().map(|plan| plan.version.clone()),
             ready: self.is_ready(now_ms),
-            failing: self.probe_failures.failing(self.image_tail.image()),
+            failing_targets: self.probe_failures.failing(self.image_tail.image()),
             suspects: self.failure_detector.suspects(now_ms),
             samples: std::mem::take(&mut self.samples.samples),
             request_count: std::mem::take(&mut self.samples.observed),
@@ -261,7 +266,7 @@
     }
 
     /// Returns the number of requests to the controller that await a response.
-    pub fn pending_requests(&self) -> usize {
+    pub fn pending_request_count(&self) -> usize {
         self.controller_client.pending_count()
     }
 }
--- a/crates/node/src/flow_step.rs
+++ b/crates/node/src/flow_step.rs
@@ -43,7 +43,7 @@
     /// The target may have run the request.
     Unknown {
         /// Whether the time for the response had passed.
-        late: bool,
+        timed_out: bool,
         /// The failure that was observed.
         reason: String,
     },
@@ -132,9 +132,9 @@
     /// The routing table of the current image.
     pub table: &'a Table,
     /// Whether the node has a lease.
-    pub serves: bool,
+    pub has_lease: bool,
     /// A ticket number that this incarnation of the node has not used before.
-    pub number: u64,
+    pub ticket_number: u64,
     /// Whether the client of the request has departed; no further attempt is started then.
     pub client_departed: bool,
 }
--- a/crates/node/src/image_tail.rs
+++ b/crates/node/src/image_tail.rs
@@ -7,7 +7,7 @@
 use crate::Effect;
 use postbarrow_constants::nodes::{DIRECT_TAIL_MS, RELAY_LAG_MS, TAIL_RENEW_MS, TAIL_RETRY_MS};
 use postbarrow_membership::{Delivery, Relay, UpdateEntry, parent};
-use postbarrow_messages::{EncodedImage, ImageFrame, Message};
+use postbarrow_messages::{ImageEncoder, ImageFrame, Message};
 use postbarrow_state::{Incarnation, State};
 use postbarrow_transactions::{BatchOutcome, Tail, decode};
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
     /// Whether updates could not be applied, so that a complete image is needed.
     needs_image: bool,
     relay: Relay,
-    encoded: EncodedImage,
+    encoded: ImageEncoder,
     subscription: Subscription,
 }
 
@@ -53,7 +53,7 @@
             has_image: false,
             needs_image: false,
             relay: Relay::default(),
-            encoded: EncodedImage::default(),
+            encoded: ImageEncoder::default(),
             subscription: Subscription::default(),
         }
     }
@@ -150,7 +150,7 @@
             if entry.offset <= self.tail.offset() {
                 continue;
             }
-            if entry.prev != self.tail.offset() {
+            if entry.previous_offset != self.tail.offset() {
                 let due_ms = &mut self.subscription.due_ms;
                 *due_ms = (*due_ms).min(now_ms + TAIL_RETRY_MS);
                 break;
@@ -213,7 +213,7 @@
         if !self.has_image || self.needs_image {
             return Vec::new();
         }
-        self.encoded.forget_before(self.published);
+        self.encoded.drop_older_than(self.published);
         let mut effects = Vec::new();
         for delivery in self.relay.deliver(now_ms, self.tail.offset(), self.published) {
             effects.push(match delivery {
--- a/crates/node/src/input.rs
+++ b/crates/node/src/input.rs
@@ -29,7 +29,7 @@
         /// The target's instance.
         instance: Name,
         /// Whether the target proved its identity.
-        sound: bool,
+        identified: bool,
     },
     /// Reports the client requests that arrived since the last `Sampled` input.
     Sampled {
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -16,7 +16,7 @@
 //! grants a lease.
 
 use postbarrow_constants::nodes::{
-    CONTROLLER_SEARCH_MS, CONTROLLER_WAIT_MS, INTRODUCTIONS, LEASE_RENEW_MS, NODE_LEASE_MS,
+    CONTROLLER_SEARCH_MS, CONTROLLER_WAIT_MS, INTRODUCTIONS_MAX, LEASE_RENEW_MS, NODE_LEASE_MS,
 };
 use postbarrow_state::Incarnation;
 use std::collections::{BTreeMap, VecDeque};
@@ -161,7 +161,7 @@
     pub fn on_introduction(&mut self, control: &[SocketAddr]) {
         for address in control {
             let is_known = self.members.contains(address) || self.introduced.contains(address);
-            if !is_known && self.introduced.len() < INTRODUCTIONS {
+            if !is_known && self.introduced.len() < INTRODUCTIONS_MAX {
                 self.introduced.push(*address);
             }
         }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -34,5 +34,5 @@
 pub use flow_step::{AttemptOutcome, Event, FlowContext, RequestContext, Step, TicketSettlement};
 pub use input::Input;
 pub use request_flow::RequestFlow;
-pub use response::{KEY, OUTCOME, REPLAYED};
+pub use response::{KEY_HEADER, OUTCOME_HEADER, REPLAYED_HEADER};
 pub use target_response::TargetResponse;
--- a/crates/node/src/request_flow/connect.rs
+++ b/crates/node/src/request_flow/connect.rs
@@ -20,7 +20,7 @@
         if context.client_departed {
             return self.finish(RequestOutcome::ClientDeparted, None);
         }
-        let ticket = self.ticket_for(&selected.target, context.number);
+        let ticket = self.ticket_for(&selected.target, context.ticket_number);
         let request = TicketRequest { ticket: ticket.clone(), requested_ms: context.now_ms };
         self.phase = Phase::RequestTicket(selected, request);
         Step::RequestTicket { ticket, wait_ms: self.remaining_ms(context).min(TICKET_USE_MS) }
@@ -46,7 +46,10 @@
     /// departed.
     pub(super) fn may_forward(&self, context: &FlowContext<'_>, target: &Target) -> bool {
         let is_allowed = context.table.allows(&self.entry.route().service, &target.instance);
-        context.serves && is_allowed && self.remaining_ms(context) > 0 && !context.client_departed
+        context.has_lease
+            && is_allowed
+            && self.remaining_ms(context) > 0
+            && !context.client_departed
     }
 
     fn ticket_for(&self, target: &Target, number: u64) -> Ticket {
--- a/crates/node/src/request_flow/read_response.rs
+++ b/crates/node/src/request_flow/read_response.rs
@@ -36,7 +36,7 @@
                 self.last_failure = reason;
                 self.settle_unsent(context, ticket)
             }
-            AttemptOutcome::Unknown { late, reason } => {
+            AttemptOutcome::Unknown { timed_out: late, reason } => {
                 self.may_have_run = true;
                 if context.client_departed {
                     return self.finish_unknown(RequestOutcome::ClientDeparted, ticket);
--- a/crates/node/src/request_flow/retry.rs
+++ b/crates/node/src/request_flow/retry.rs
@@ -7,7 +7,7 @@
 
 use super::RequestFlow;
 use crate::{FlowContext, RequestOutcome, Step};
-use postbarrow_constants::traffic::{ATTEMPTS, TICKETED_ATTEMPTS};
+use postbarrow_constants::traffic::{ATTEMPTS_MAX, TICKETED_ATTEMPTS};
 
 impl RequestFlow {
     pub(super) fn retry(&mut self, context: &FlowContext<'_>) -> Step {
@@ -24,7 +24,7 @@
     }
 
     fn max_attempts(&self) -> usize {
-        let default = if self.is_one_time() { TICKETED_ATTEMPTS } else { ATTEMPTS };
+        let default = if self.is_one_time() { TICKETED_ATTEMPTS } else { ATTEMPTS_MAX };
         self.entry.route().max_attempts.map_or(default, |attempts| attempts as usize)
     }
 }
--- a/crates/node/src/request_flow/select_target.rs
+++ b/crates/node/src/request_flow/select_target.rs
@@ -11,7 +11,7 @@
         if context.client_departed {
             return self.finish(RequestOutcome::ClientDeparted, None);
         }
-        if !context.serves {
+        if !context.has_lease {
             return self.finish(RequestOutcome::Unready, None);
         }
         if self.remaining_ms(context) == 0 {
--- a/crates/node/src/response.rs
+++ b/crates/node/src/response.rs
@@ -11,11 +11,11 @@
 use postbarrow_state::{Settlement, Ticket};
 
 /// Name of the header that says whether the request ran: `ran`, `not-run`, `unknown` or `pending`.
-pub const OUTCOME: &str = "Postbarrow-Outcome";
+pub const OUTCOME_HEADER: &str = "Postbarrow-Outcome";
 /// Name of the header with the generated key under which the client can safely repeat the request.
-pub const KEY: &str = "Postbarrow-Key";
+pub const KEY_HEADER: &str = "Postbarrow-Key";
 /// Name of the header that marks a response which was stored with an earlier request's ticket.
-pub const REPLAYED: &str = "Postbarrow-Replayed";
+pub const REPLAYED_HEADER: &str = "Postbarrow-Replayed";
 
 const RAN: &str = "ran";
 const NOT_RUN: &str = "not-run";
@@ -74,7 +74,7 @@
         if outcome == UNKNOWN
             && let Some(key) = self.key
         {
-            response.headers.push((KEY.into(), key.to_string()));
+            response.headers.push((KEY_HEADER.into(), key.to_string()));
         }
         response
     }
@@ -113,7 +113,7 @@
         status,
         headers: vec![
             ("Content-Type".into(), "application/json".into()),
-            (OUTCOME.into(), outcome.into()),
+            (OUTCOME_HEADER.into(), outcome.into()),
         ],
         body: facet_json::to_vec(&body).unwrap_or_default(),
     }
@@ -123,7 +123,7 @@
 /// names are removed.
 fn mark_as_ran(mut response: TargetResponse) -> TargetResponse {
     response.headers.retain(|(name, _)| !is_own_header(name));
-    response.headers.push((OUTCOME.into(), RAN.into()));
+    response.headers.push((OUTCOME_HEADER.into(), RAN.into()));
     response
 }
 
@@ -135,7 +135,7 @@
                 headers: stored.headers.clone(),
                 body: stored.body.clone(),
             });
-            response.headers.push((REPLAYED.into(), "true".into()));
+            response.headers.push((REPLAYED_HEADER.into(), "true".into()));
             response
         }
         (Some(Settlement::Ran), None) => {
--- a/crates/node/tests/lease.rs
+++ b/crates/node/tests/lease.rs
@@ -78,7 +78,7 @@
     }
 
     fn receive_updates(&mut self, prev: u64, offset: u64, records: &[BatchRecord<Record>]) {
-        let entries = vec![UpdateEntry { prev, offset, bytes: encode(records) }];
+        let entries = vec![UpdateEntry { previous_offset, offset, bytes: encode(records) }];
         self.receive(Message::Updates { entries });
     }
 }
@@ -178,7 +178,8 @@
     test_node.receive_updates(0, 4, &[plan("v1")]);
     test_node.receive_grant(test_node.lease_requests[0].0, 1, 4);
     test_node.tick(5 * NODE_LEASE_MS);
-    test_node.receive(Message::Introduction { control: vec![address(44)], formed: true });
+    test_node
+        .receive(Message::Introduction { control_addresses: vec![address(44)], log_exists: true });
     test_node.lease_request_receivers.clear();
     test_node.tick(LEASE_RENEW_MS);
     assert!(
--- a/crates/plan/src/delta.rs
+++ b/crates/plan/src/delta.rs
@@ -17,7 +17,7 @@
     if encoded_bytes(&records) >= encoded_bytes(submitted) {
         return None;
     }
-    applied(in_force.clone(), &records).has_plan_of(&submitted_state).then_some(records)
+    applied(in_force.clone(), &records).has_same_plan_as(&submitted_state).then_some(records)
 }
 
 fn applied(mut state: State, records: &[Record]) -> State {
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -30,7 +30,7 @@
 pub use pattern::{Pattern, PatternError, Segment};
 pub use plan::Plan;
 pub use rehearsal::{Rehearsal, ServiceRehearsal};
-pub use weighted_services::{NoWeight, weights};
+pub use weighted_services::{NoWeight, first_weighted_service};
 
 /// The method name in a plan that matches every method.
 pub const ANY_METHOD: &str = "*";
--- a/crates/plan/src/limits_reader.rs
+++ b/crates/plan/src/limits_reader.rs
@@ -1,7 +1,7 @@
 //! Reads the limits of a route, and the limits that apply to every client.
 
 use postbarrow_constants::plans::*;
-use postbarrow_reading::{Fields, Reading};
+use postbarrow_reading::{DocumentReader, Fields};
 use postbarrow_state::ClientLimits;
 
 /// Largest rate (in requests per second) and concurrency of a route.
@@ -16,12 +16,12 @@
 }
 
 /// Reads the field `limits` of a route; absent limits have their defaults.
-pub(crate) fn read_route_limits(route: &mut Fields<'_>, reading: &mut Reading) -> Limits {
+pub(crate) fn read_route_limits(route: &mut Fields<'_>, reading: &mut DocumentReader) -> Limits {
     let mut limits = Limits {
-        body_bytes: ROUTE_BODY_BYTES,
+        body_bytes: ROUTE_BODY_DEFAULT_BYTES,
         rate_per_s: None,
         concurrency: None,
-        deadline_ms: ROUTE_DEADLINE_MS,
+        deadline_ms: ROUTE_DEADLINE_DEFAULT_MS,
     };
     let json_path = route.path_of("limits");
     let Some(value) = route.get("limits") else { return limits };
@@ -39,7 +39,10 @@
 }
 
 /// Reads the field `callers` of a plan: the limits that apply to every client.
-pub(crate) fn read_client_limits(plan: &mut Fields<'_>, reading: &mut Reading) -> ClientLimits {
+pub(crate) fn read_client_limits(
+    plan: &mut Fields<'_>,
+    reading: &mut DocumentReader,
+) -> ClientLimits {
     let json_path = plan.path_of("callers");
     let Some(value) = plan.get("callers") else { return ClientLimits::default() };
     let Some(mut fields) = Fields::of(value, &json_path, reading) else {
--- a/crates/plan/src/plan.rs
+++ b/crates/plan/src/plan.rs
@@ -3,7 +3,7 @@
 use crate::plan_reader::read_plan;
 use compact_str::CompactString;
 use postbarrow_constants::plans::{PLAN_TEXT_BYTES, TEXT_CHUNK_BYTES};
-use postbarrow_reading::{Findings, Reading};
+use postbarrow_reading::{DocumentReader, Findings};
 use postbarrow_state::{ClientLimits, Record, Route, Service};
 
 /// A plan that was read and checked.
@@ -36,7 +36,7 @@
         let submitted = std::str::from_utf8(submitted).map_err(|error| {
             Findings::without_position("$", format!("is not UTF-8 at byte {}", error.valid_up_to()))
         })?;
-        let (value, mut reading) = Reading::parse(submitted)?;
+        let (value, mut reading) = DocumentReader::parse(submitted)?;
         let plan = read_plan(&value, submitted, &mut reading);
         match plan {
             Some(plan) => reading.finish(plan),
--- a/crates/plan/src/plan_reader.rs
+++ b/crates/plan/src/plan_reader.rs
@@ -4,12 +4,16 @@
 use crate::{Pattern, Plan, Segment, limits_reader};
 use compact_str::CompactString;
 use postbarrow_constants::plans::VERSION_BYTES;
-use postbarrow_reading::{Fields, Reading, Value, text};
+use postbarrow_reading::{DocumentReader, Fields, Value, text};
 use postbarrow_state::{Labels, Name, Route, Service};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Reads a plan; none if a required part can't be read, which is then reported as a finding.
-pub(crate) fn read_plan(value: &Value, submitted: &str, reading: &mut Reading) -> Option<Plan> {
+pub(crate) fn read_plan(
+    value: &Value,
+    submitted: &str,
+    reading: &mut DocumentReader,
+) -> Option<Plan> {
     let mut fields = Fields::of(value, "$", reading)?;
     let (version, base) = read_versions(&mut fields, reading);
     let mut services = BTreeMap::new();
@@ -33,19 +37,19 @@
 
 fn read_versions(
     fields: &mut Fields<'_>,
-    reading: &mut Reading,
+    reading: &mut DocumentReader,
 ) -> (Option<String>, Option<String>) {
     let version = fields.text("version", reading).map(str::to_string);
-    let base = fields.text_or_none("base", reading).map(str::to_string);
+    let base = fields.optional_text("base", reading).map(str::to_string);
     for (field, name) in [("version", &version), ("base", &base)] {
         let Some(name) = name else { continue };
         if name.is_empty() || name.len() > VERSION_BYTES {
             let message = format!("must have 1 to {VERSION_BYTES} bytes");
-            reading.find(&fields.path_of(field), message);
+            reading.add_finding(&fields.path_of(field), message);
         }
     }
     if version.is_some() && version == base {
-        reading.find("$.base", "is the plan's own version".into());
+        reading.add_finding("$.base", "is the plan's own version".into());
     }
     (version, base)
 }
@@ -54,7 +58,7 @@
     name: &str,
     json_path: &str,
     value: &Value,
-    reading: &mut Reading,
+    reading: &mut DocumentReader,
 ) -> Option<Service> {
     let mut fields = Fields::of(value, json_path, reading)?;
     let mut labels = Labels::new();
@@ -64,7 +68,7 @@
         }
     }
     if labels.is_empty() {
-        reading.find(json_path, "chooses by no label, which would be every target".into());
+        reading.add_finding(json_path, "chooses by no label, which would be every target".into());
     }
     fields.finish(reading);
     Some(Service { name: CompactString::from(name), labels })
@@ -77,14 +81,14 @@
     route: &Route,
     earlier_keys: &mut BTreeSet<RouteKey>,
     json_path: &str,
-    reading: &mut Reading,
+    reading: &mut DocumentReader,
 ) {
     for method in &route.methods {
         let shape = Pattern::read(&route.path).map(|pattern| pattern.shape());
         let key = (shape.ok(), method.clone(), route.when.clone(), route.host.clone());
         if !earlier_keys.insert(key) {
             let message = format!("has {method} {} a second time", route.path);
-            reading.find(json_path, message);
+            reading.add_finding(json_path, message);
         }
     }
 }
--- a/crates/plan/src/rehearsal.rs
+++ b/crates/plan/src/rehearsal.rs
@@ -47,7 +47,7 @@
 impl Rehearsal {
     /// Compares the states of the plan in force and the staged plan. Routes that both states share
     /// are not compared in detail.
-    pub fn of(before: &State, staged: &State) -> Rehearsal {
+    pub fn compare(before: &State, staged: &State) -> Rehearsal {
         let (old, new) = changed_routes(before, staged);
         let (routes_added, routes_removed, routes_changed) = compare_by_name(&old, &new);
         let services = |state: &State| -> BTreeMap<String, _> {
--- a/crates/plan/src/route_options.rs
+++ b/crates/plan/src/route_options.rs
@@ -2,7 +2,7 @@
 
 use compact_str::CompactString;
 use postbarrow_constants::plans::*;
-use postbarrow_reading::{Fields, Reading};
+use postbarrow_reading::{DocumentReader, Fields};
 use postbarrow_state::Name;
 
 /// The optional fields of a route that concern the balancing of its requests.
@@ -14,10 +14,10 @@
 }
 
 /// Reads the fields `host`, `tries`, `goalMs` and `precedence` of a route.
-pub(crate) fn read(route: &mut Fields<'_>, reading: &mut Reading) -> RouteOptions {
-    let host = route.text_or_none("host", reading).map(str::to_ascii_lowercase);
+pub(crate) fn read(route: &mut Fields<'_>, reading: &mut DocumentReader) -> RouteOptions {
+    let host = route.optional_text("host", reading).map(str::to_ascii_lowercase);
     if host.as_ref().is_some_and(|host| !is_host(host)) {
-        reading.find(&route.path_of("host"), "must be a host's name without a port".into());
+        reading.add_finding(&route.path_of("host"), "must be a host's name without a port".into());
     }
     RouteOptions {
         host: host.map(CompactString::from),
--- a/crates/plan/src/route_reader.rs
+++ b/crates/plan/src/route_reader.rs
@@ -2,7 +2,7 @@
 
 use crate::{ANY_METHOD, Pattern, limits_reader, route_options, weighted_services};
 use compact_str::CompactString;
-use postbarrow_reading::{Fields, Reading, Value, text};
+use postbarrow_reading::{DocumentReader, Fields, Value, text};
 use postbarrow_rules::Rule;
 use postbarrow_state::{Name, Route, RouteKind, Service};
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
     json_path: &str,
     value: &Value,
     services: &BTreeMap<String, Service>,
-    reading: &mut Reading,
+    reading: &mut DocumentReader,
 ) -> Option<Route> {
     let mut fields = Fields::of(value, json_path, reading)?;
     let path = read_path(&mut fields, reading);
@@ -43,30 +43,30 @@
     })
 }
 
-fn read_path(fields: &mut Fields<'_>, reading: &mut Reading) -> Option<Name> {
+fn read_path(fields: &mut Fields<'_>, reading: &mut DocumentReader) -> Option<Name> {
     let path = fields.text("path", reading)?;
     if let Err(error) = Pattern::read(path) {
-        reading.find(&fields.path_of("path"), error.to_string());
+        reading.add_finding(&fields.path_of("path"), error.to_string());
     }
     if path == "/ready" || path.starts_with("/coordination/") {
-        reading.find(&fields.path_of("path"), "is kept for the nodes themselves".into());
+        reading.add_finding(&fields.path_of("path"), "is kept for the nodes themselves".into());
     }
     Some(CompactString::from(path))
 }
 
-fn read_methods(fields: &mut Fields<'_>, reading: &mut Reading) -> Vec<Name> {
+fn read_methods(fields: &mut Fields<'_>, reading: &mut DocumentReader) -> Vec<Name> {
     let mut methods = Vec::new();
     for (json_path, value) in fields.array("methods", reading) {
         let Some(method) = text(value, &json_path, reading) else { continue };
         let is_token = !method.is_empty() && method.bytes().all(|byte| byte.is_ascii_uppercase());
         if method != ANY_METHOD && (!is_token || method == "CONNECT") {
             let message = "must be a method in capitals, and not CONNECT, or *";
-            reading.find(&json_path, message.into());
+            reading.add_finding(&json_path, message.into());
         }
         methods.push(CompactString::from(method));
     }
     if methods.is_empty() {
-        reading.find(&fields.path_of("methods"), "must name a method".into());
+        reading.add_finding(&fields.path_of("methods"), "must name a method".into());
     }
     methods
 }
@@ -76,7 +76,7 @@
 fn read_kind(
     fields: &mut Fields<'_>,
     methods: &[Name],
-    reading: &mut Reading,
+    reading: &mut DocumentReader,
 ) -> Option<RouteKind> {
     let name = fields.text("kind", reading)?;
     let kind = match name {
@@ -84,22 +84,22 @@
         "one-time" => Some(RouteKind::OneTime),
         _ => {
             let message = "must be lookup, repeatable or one-time";
-            reading.find(&fields.path_of("kind"), message.into());
+            reading.add_finding(&fields.path_of("kind"), message.into());
             None
         }
     };
     let is_safe = |method: &Name| matches!(method.as_str(), "GET" | "HEAD" | "OPTIONS");
     if name == "lookup" && !methods.iter().all(is_safe) {
         let message = "a lookup may run again, so it takes GET, HEAD and OPTIONS only";
-        reading.find(&fields.path_of("methods"), message.into());
+        reading.add_finding(&fields.path_of("methods"), message.into());
     }
     kind
 }
 
-fn read_rule(fields: &mut Fields<'_>, reading: &mut Reading) -> Option<String> {
-    let rule = fields.text_or_none("when", reading)?;
+fn read_rule(fields: &mut Fields<'_>, reading: &mut DocumentReader) -> Option<String> {
+    let rule = fields.optional_text("when", reading)?;
     if let Err(error) = Rule::compile(rule) {
-        reading.find(&fields.path_of("when"), error.to_string());
+        reading.add_finding(&fields.path_of("when"), error.to_string());
     }
     Some(rule.to_string())
 }
--- a/crates/plan/src/weighted_services.rs
+++ b/crates/plan/src/weighted_services.rs
@@ -2,7 +2,7 @@
 
 use compact_str::CompactString;
 use postbarrow_constants::plans::WEIGHT_MAX;
-use postbarrow_reading::{Fields, Reading, Value};
+use postbarrow_reading::{DocumentReader, Fields, Value};
 use postbarrow_state::{Name, WeightedService};
 
 /// No service of a route has a weight above 0, so no service would get the route's requests.
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 /// Returns [`NoWeight`] if no weight is above 0.
-pub fn weights(services: &[WeightedService]) -> Result<CompactString, NoWeight> {
+pub fn first_weighted_service(services: &[WeightedService]) -> Result<CompactString, NoWeight> {
     let first = services.iter().find(|service| service.weight > 0);
     first.map(|service| service.service.clone()).ok_or(NoWeight)
 }
@@ -24,23 +24,23 @@
 pub(crate) fn read(
     route: &mut Fields<'_>,
     is_service: &dyn Fn(&str) -> bool,
-    reading: &mut Reading,
+    reading: &mut DocumentReader,
 ) -> (Option<Name>, Vec<WeightedService>) {
     if route.get("shares").is_none() {
         let service = read_name(route, is_service, reading);
         return (service.map(CompactString::from), Vec::new());
     }
     if route.get("service").is_some() {
-        reading.find(&route.path_of("service"), "stands beside shares".into());
+        reading.add_finding(&route.path_of("service"), "stands beside shares".into());
     }
     let rows = route.array("shares", reading).into_iter();
     let services: Vec<WeightedService> = rows
         .filter_map(|(json_path, value)| read_weighted(&json_path, value, is_service, reading))
         .collect();
-    match weights(&services) {
+    match first_weighted_service(&services) {
         Ok(first) => (Some(first), services),
         Err(error) => {
-            reading.find(&route.path_of("shares"), error.to_string());
+            reading.add_finding(&route.path_of("shares"), error.to_string());
             (None, services)
         }
     }
@@ -50,7 +50,7 @@
     json_path: &str,
     value: &Value,
     is_service: &dyn Fn(&str) -> bool,
-    reading: &mut Reading,
+    reading: &mut DocumentReader,
 ) -> Option<WeightedService> {
     let mut fields = Fields::of(value, json_path, reading)?;
     let service = read_name(&mut fields, is_service, reading);
@@ -63,12 +63,12 @@
 fn read_name<'v>(
     fields: &mut Fields<'v>,
     is_service: &dyn Fn(&str) -> bool,
-    reading: &mut Reading,
+    reading: &mut DocumentReader,
 ) -> Option<&'v str> {
     let service = fields.text("service", reading);
     if let Some(name) = service.filter(|name| !is_service(name)) {
         let message = format!("names {name:?}, which is not among the services");
-        reading.find(&fields.path_of("service"), message);
+        reading.add_finding(&fields.path_of("service"), message);
     }
     service
 }
--- a/crates/plan/tests/rehearsal.rs
+++ b/crates/plan/tests/rehearsal.rs
@@ -85,8 +85,8 @@
             records.extend([Record::ServiceGone("s1".into()), service(5)]);
         }
         let staged = applied(&before, &records);
-        let rehearsal = Rehearsal::of(&before, &staged);
-        assert_eq!(rehearsal, Rehearsal::of(&unshared(&before), &staged), "change {number}");
+        let rehearsal = Rehearsal::compare(&before, &staged);
+        assert_eq!(rehearsal, Rehearsal::compare(&unshared(&before), &staged), "change {number}");
         let is_unchanged = rehearsal.routes_added.is_empty()
             && rehearsal.routes_removed.is_empty()
             && rehearsal.routes_changed.is_empty();
@@ -101,13 +101,13 @@
     let mut staged = before.clone();
     let first = staged.routes.remove(0);
     staged.routes.insert(1, first);
-    let rehearsal = Rehearsal::of(&before, &staged);
+    let rehearsal = Rehearsal::compare(&before, &staged);
     assert_eq!(
         rehearsal.routes_changed,
         ["GET /r0", "PUT /r0"],
         "the order of a route with a rule and one without changed"
     );
-    assert_eq!(rehearsal, Rehearsal::of(&unshared(&before), &staged));
+    assert_eq!(rehearsal, Rehearsal::compare(&unshared(&before), &staged));
 }
 
 #[test]
--- a/crates/reading/src/fields.rs
+++ b/crates/reading/src/fields.rs
@@ -3,7 +3,7 @@
 //! A required field that is absent, a field of another type or out of bounds, and a field that is
 //! never requested become findings.
 
-use crate::{Reading, Value};
+use crate::{DocumentReader, Value};
 use std::collections::BTreeSet;
 
 /// The fields of one object of the document, with those that were requested so far.
@@ -15,9 +15,9 @@
 
 impl<'v> Fields<'v> {
     /// Returns the fields of a value; `None`, with a finding, if the value is not an object.
-    pub fn of(value: &'v Value, json_path: &str, reading: &mut Reading) -> Option<Self> {
+    pub fn of(value: &'v Value, json_path: &str, reading: &mut DocumentReader) -> Option<Self> {
         if !value.is_object() {
-            reading.find(json_path, "must be an object".into());
+            reading.add_finding(json_path, "must be an object".into());
             return None;
         }
         Some(Fields { value, path: json_path.into(), requested: BTreeSet::new() })
@@ -35,24 +35,32 @@
     }
 
     /// Returns a field's value; `None`, with a finding, if the field is absent or null.
-    pub fn required(&mut self, field: &'static str, reading: &mut Reading) -> Option<&'v Value> {
+    pub fn required(
+        &mut self,
+        field: &'static str,
+        reading: &mut DocumentReader,
+    ) -> Option<&'v Value> {
         let found = self.get(field);
         if found.is_none() {
-            reading.find(&self.path_of(field), "is missing".into());
+            reading.add_finding(&self.path_of(field), "is missing".into());
         }
         found
     }
 
     /// Returns a field's string; `None`, with a finding, if the field is absent, null or not a
     /// string.
-    pub fn text(&mut self, field: &'static str, reading: &mut Reading) -> Option<&'v str> {
+    pub fn text(&mut self, field: &'static str, reading: &mut DocumentReader) -> Option<&'v str> {
         let value = self.required(field, reading)?;
         text(value, &self.path_of(field), reading)
     }
 
     /// Returns a field's string; `None` if the field is absent or null, and with a finding if it is
     /// not a string.
-    pub fn text_or_none(&mut self, field: &'static str, reading: &mut Reading) -> Option<&'v str> {
+    pub fn optional_text(
+        &mut self,
+        field: &'static str,
+        reading: &mut DocumentReader,
+    ) -> Option<&'v str> {
         let value = self.get(field)?;
         text(value, &self.path_of(field), reading)
     }
@@ -63,7 +71,7 @@
         &mut self,
         field: &'static str,
         bounds: std::ops::RangeInclusive<u64>,
-        reading: &mut Reading,
+        reading: &mut DocumentReader,
     ) -> Option<u64> {
         let value = self.get(field)?;
         let number = value.as_number().and_then(|number| number.to_u64());
@@ -71,7 +79,7 @@
         if in_bounds.is_none() {
             let message =
                 format!("must be a whole number from {} to {}", bounds.start(), bounds.end());
-            reading.find(&self.path_of(field), message);
+            reading.add_finding(&self.path_of(field), message);
         }
         in_bounds
     }
@@ -81,12 +89,12 @@
     pub fn array(
         &mut self,
         field: &'static str,
-        reading: &mut Reading,
+        reading: &mut DocumentReader,
     ) -> Vec<(String, &'v Value)> {
         let Some(value) = self.required(field, reading) else { return Vec::new() };
         let json_path = self.path_of(field);
         let Some(array) = value.as_array() else {
-            reading.find(&json_path, "must be an array".into());
+            reading.add_finding(&json_path, "must be an array".into());
             return Vec::new();
         };
         let items = array.iter().enumerate();
@@ -98,12 +106,12 @@
     pub fn named(
         &mut self,
         field: &'static str,
-        reading: &mut Reading,
+        reading: &mut DocumentReader,
     ) -> Vec<(String, String, &'v Value)> {
         let Some(value) = self.required(field, reading) else { return Vec::new() };
         let json_path = self.path_of(field);
         let Some(object) = value.as_object() else {
-            reading.find(&json_path, "must be an object".into());
+            reading.add_finding(&json_path, "must be an object".into());
             return Vec::new();
         };
         let members = object.iter().map(|(name, value)| {
@@ -119,33 +127,37 @@
         &mut self,
         field: &'static str,
         expected: &str,
-        reading: &mut Reading,
+        reading: &mut DocumentReader,
     ) -> Option<T> {
         let value = self.text(field, reading)?;
         let parsed = value.parse().ok();
         if parsed.is_none() {
-            reading.find(&self.path_of(field), format!("must be {expected}"));
+            reading.add_finding(&self.path_of(field), format!("must be {expected}"));
         }
         parsed
     }
 
     /// Adds a finding for each field that was never requested.
-    pub fn finish(self, reading: &mut Reading) {
+    pub fn finish(self, reading: &mut DocumentReader) {
         let Some(object) = self.value.as_object() else { return };
         for (name, _) in object.iter() {
             if !self.requested.contains(name.as_str()) {
                 let json_path = format!("{}.{}", self.path, name.as_str());
-                reading.find(&json_path, "is not a known field".into());
+                reading.add_finding(&json_path, "is not a known field".into());
             }
         }
     }
 }
 
 /// Returns the string that a value is; `None`, with a finding, if the value is not a string.
-pub fn text<'v>(value: &'v Value, json_path: &str, reading: &mut Reading) -> Option<&'v str> {
+pub fn text<'v>(
+    value: &'v Value,
+    json_path: &str,
+    reading: &mut DocumentReader,
+) -> Option<&'v str> {
     let found = value.as_string().map(|text| text.as_str());
     if found.is_none() {
-        reading.find(json_path, "must be a string".into());
+        reading.add_finding(json_path, "must be a string".into());
     }
     found
 }
--- a/crates/reading/src/lib.rs
+++ b/crates/reading/src/lib.rs
@@ -9,4 +9,4 @@
 pub use facet_value::Value;
 pub use fields::{Fields, text};
 pub use findings::{Finding, Findings};
-pub use reading::Reading;
+pub use reading::DocumentReader;
--- a/crates/reading/src/positions.rs
+++ b/crates/reading/src/positions.rs
@@ -3,12 +3,12 @@
 //! `facet-json` parses the values; this scan only records positions, so it accepts malformed text
 //! too.
 
-use postbarrow_constants::plans::DEPTH;
+use postbarrow_constants::plans::DOCUMENT_DEPTH_MAX;
 use std::collections::HashMap;
 
 /// The error that the text is nested deeper than `DEPTH`, so that it can't be parsed.
 #[derive(Debug, thiserror::Error)]
-#[error("nested deeper than {DEPTH}")]
+#[error("nested deeper than {DOCUMENT_DEPTH_MAX}")]
 pub(crate) struct NestedTooDeep {
     /// Offset in bytes of the first bracket that is nested too deep.
     pub offset: usize,
@@ -133,7 +133,7 @@
 
     fn on_opening(&mut self, bracket: u8, start: usize) -> Result<(), NestedTooDeep> {
         self.on_value(start);
-        if self.levels.len() >= DEPTH {
+        if self.levels.len() >= DOCUMENT_DEPTH_MAX {
             return Err(NestedTooDeep { offset: start });
         }
         self.path_lengths.push(self.path.len());
--- a/crates/reading/src/reading.rs
+++ b/crates/reading/src/reading.rs
@@ -2,39 +2,39 @@
 
 use crate::positions::Positions;
 use crate::{Finding, Findings, Value};
-use postbarrow_constants::plans::FINDINGS;
+use postbarrow_constants::plans::FINDINGS_MAX;
 
 /// Collects the findings of one document, with their lines and offsets.
-pub struct Reading {
+pub struct DocumentReader {
     positions: Positions,
     findings: Vec<Finding>,
     /// Number of findings beyond `FINDINGS`, which are only counted.
     dropped: usize,
 }
 
-impl Reading {
+impl DocumentReader {
     /// Parses a JSON text; a key that occurs twice in an object is added as a finding.
     ///
     /// # Errors
     /// A single finding, if the text can't be parsed.
-    pub fn parse(text: &str) -> Result<(Value, Reading), Findings> {
+    pub fn parse(text: &str) -> Result<(Value, DocumentReader), Findings> {
         let positions = Positions::scan(text)
             .map_err(|error| Findings::at_offset(text, error.offset, "$", error.to_string()))?;
         let value: Value = facet_json::from_str(text).map_err(|error| {
             let offset = error.span.map_or(0, |span| span.offset as usize);
             Findings::at_offset(text, offset, "$", error.kind.to_string())
         })?;
-        let mut reading = Reading { positions, findings: Vec::new(), dropped: 0 };
+        let mut reading = DocumentReader { positions, findings: Vec::new(), dropped: 0 };
         for json_path in std::mem::take(&mut reading.positions.duplicates) {
-            reading.find(&json_path, "stands twice".into());
+            reading.add_finding(&json_path, "stands twice".into());
         }
         Ok((value, reading))
     }
 
     /// Adds a finding about the value at this JSON path; beyond `FINDINGS` findings are only
     /// counted.
-    pub fn find(&mut self, json_path: &str, message: String) {
-        if self.findings.len() >= FINDINGS {
+    pub fn add_finding(&mut self, json_path: &str, message: String) {
+        if self.findings.len() >= FINDINGS_MAX {
             self.dropped += 1;
             return;
         }
--- a/crates/routing/src/ejection.rs
+++ b/crates/routing/src/ejection.rs
@@ -12,7 +12,7 @@
 //! ejections if all untried targets are ejected: an attempt at an ejected target is better than
 //! none.
 
-use postbarrow_constants::traffic::{EJECTION_MAX_MS, EJECTION_MS, REJECTION_PAUSE_MS};
+use postbarrow_constants::traffic::{EJECTION_MAX_MS, EJECTION_MS, REJECTION_EJECTION_MS};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 /// Largest number of doublings: more would overflow, and this many already exceed the maximum by
@@ -37,7 +37,7 @@
 
     /// Ejects the target briefly after it rejected a request for lack of capacity.
     pub fn on_rejection(&self, now_ms: u64) {
-        let until_ms = now_ms + REJECTION_PAUSE_MS;
+        let until_ms = now_ms + REJECTION_EJECTION_MS;
         self.until_ms.fetch_max(until_ms, Relaxed);
     }
 
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     /// Returns the limit that the request exceeds; the request is not counted then.
-    pub fn enter(&self, now_ms: u64, nodes: u64) -> Result<(), LimitExceeded> {
+    pub fn try_acquire(&self, now_ms: u64, nodes: u64) -> Result<(), LimitExceeded> {
         let nodes = nodes.max(1);
         if let Some(limit) = self.concurrency {
             let node_limit = limit.div_ceil(nodes);
@@ -66,7 +66,7 @@
         if let Some(bucket) = &self.rate
             && !bucket.take(now_ms, nodes)
         {
-            self.leave();
+            self.release();
             return Err(LimitExceeded::Rate);
         }
         Ok(())
@@ -78,7 +78,7 @@
     }
 
     /// Releases an admitted request that has ended, so that it no longer counts as in flight.
-    pub fn leave(&self) {
+    pub fn release(&self) {
         self.in_flight.fetch_sub(1, Relaxed);
     }
 }
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -28,12 +28,12 @@
 
 impl Load {
     /// Counts a request of this node at the target, from the target's selection on.
-    pub fn enter(&self) {
+    pub fn request_started(&self) {
         self.in_flight.fetch_add(1, Relaxed);
     }
 
     /// Removes a request of this node that has ended from the count.
-    pub fn leave(&self) {
+    pub fn request_ended(&self) {
         self.in_flight.fetch_sub(1, Relaxed);
     }
 
@@ -43,13 +43,13 @@
     }
 
     /// Stores the number of other nodes' requests that a target without known slots reported.
-    pub fn report(&self, in_flight: u64) {
+    pub fn store_report(&self, in_flight: u64) {
         self.reported.store(in_flight, Relaxed);
     }
 
     /// Stores the number of other nodes' requests that a target with known slots reported; the
     /// weight of this report decreases with its age.
-    pub fn report_slots_used(&self, now_ms: u64, in_flight: u64) {
+    pub fn store_report_with_slots(&self, now_ms: u64, in_flight: u64) {
         self.reported.store(in_flight, Relaxed);
         self.reported_ms.store(now_ms, Relaxed);
     }
--- a/crates/routing/src/traffic_rehearsal.rs
+++ b/crates/routing/src/traffic_rehearsal.rs
@@ -81,7 +81,7 @@
     }
 
     /// Runs recent requests through both plans; stops after [`REHEARSAL_MS`].
-    pub fn of(before: &Plan, after: &Plan, recent: &RecentRequests) -> Traffic {
+    pub fn compare(before: &Plan, after: &Plan, recent: &RecentRequests) -> Traffic {
         let mut comparison = Comparison::new(build_table(before), build_table(after));
         let mut traffic =
             Traffic { observed: recent.observed, seconds: recent.seconds, ..Traffic::default() };
--- a/crates/routing/tests/table_reuse.rs
+++ b/crates/routing/tests/table_reuse.rs
@@ -1,6 +1,6 @@
 //! A new table reuses what its image shares with the previous one, and rebuilds the rest.
 
-use postbarrow_constants::plans::ROUTE_DEADLINE_MS;
+use postbarrow_constants::plans::ROUTE_DEADLINE_DEFAULT_MS;
 use postbarrow_routing::{BuildStatistics, RouteMatch, Table};
 use postbarrow_state::*;
 use postbarrow_transactions::Image as _;
@@ -16,7 +16,7 @@
         body_bytes: 1,
         rate_per_s: None,
         concurrency: None,
-        deadline_ms: ROUTE_DEADLINE_MS,
+        deadline_ms: ROUTE_DEADLINE_DEFAULT_MS,
         host: None,
         weighted_services: Vec::new(),
         max_attempts: None,
--- a/crates/routing/tests/traffic_rehearsal.rs
+++ b/crates/routing/tests/traffic_rehearsal.rs
@@ -43,7 +43,7 @@
         sample("POST", "/transfers", 50),
         sample("POST", "/transfers", 500),
     ];
-    let traffic = Traffic::of(&plan(BEFORE), &plan(AFTER), &recent(samples, 70, 10));
+    let traffic = Traffic::compare(&plan(BEFORE), &plan(AFTER), &recent(samples, 70, 10));
     let row = |route: &str| traffic.routes.iter().find(|row| row.route == route).cloned().unwrap();
     assert_eq!(
         (traffic.compared, traffic.observed, traffic.lose_route, traffic.gain_route),
@@ -66,18 +66,21 @@
 fn a_new_rate_is_compared_with_all_observed_requests_and_not_with_the_sample_alone() {
     let samples = || vec![sample("GET", "/prices", 0), sample("GET", "/stock/1", 0)];
     let limited = |observed| {
-        Traffic::of(&plan(BEFORE), &plan(AFTER), &recent(samples(), observed, 10)).limited
+        Traffic::compare(&plan(BEFORE), &plan(AFTER), &recent(samples(), observed, 10)).limited
     };
     assert_eq!((limited(30), limited(60)), (0, 1), "half of 60 requests in 10 s exceed 2 a second");
 }
 
 #[test]
 fn an_identical_plan_changes_nothing_and_an_empty_sample_is_reported_as_missing() {
-    let same =
-        Traffic::of(&plan(BEFORE), &plan(BEFORE), &recent(vec![sample("GET", "/old", 0)], 1, 1));
+    let same = Traffic::compare(
+        &plan(BEFORE),
+        &plan(BEFORE),
+        &recent(vec![sample("GET", "/old", 0)], 1, 1),
+    );
     assert_eq!((same.lose_route, same.changed, same.limited), (0, 0, 0));
     assert!(same.missing.is_empty(), "{:?}", same.missing);
-    let empty = Traffic::of(&plan(BEFORE), &plan(AFTER), &recent(Vec::new(), 0, 0));
+    let empty = Traffic::compare(&plan(BEFORE), &plan(AFTER), &recent(Vec::new(), 0, 0));
     assert!(empty.missing.iter().any(|reason| reason.contains("no node")), "{:?}", empty.missing);
 }
 
@@ -88,8 +91,11 @@
         r#"{{"path":"/r","methods":["GET"],"kind":"lookup","service":"stock","when":"{rule}"}}"#
     );
     let text = AFTER.replace(r#""routes":["#, &format!(r#""routes":[{route},"#));
-    let traffic =
-        Traffic::of(&plan(BEFORE), &plan(&text), &recent(vec![sample("GET", "/old", 0)], 1, 1));
+    let traffic = Traffic::compare(
+        &plan(BEFORE),
+        &plan(&text),
+        &recent(vec![sample("GET", "/old", 0)], 1, 1),
+    );
     let missing_headers: Vec<&str> =
         traffic.missing.iter().filter_map(|reason| reason.split('"').nth(1)).collect();
     assert_eq!(missing_headers, ["host", "x-a", "x-c", "x-store"]);
--- a/crates/rules/src/bounds.rs
+++ b/crates/rules/src/bounds.rs
@@ -22,7 +22,7 @@
             return Err(RuleError::BracketsTooDeep);
         }
         if operators > 2 * RULE_BRACKETS {
-            return Err(RuleError::TooManySigns);
+            return Err(RuleError::TooManyOperators);
         }
     }
     Ok(())
--- a/crates/rules/src/error.rs
+++ b/crates/rules/src/error.rs
@@ -17,7 +17,7 @@
     /// The text has more than twice `RULE_BRACKETS` of the operators `?`, `!` and `-`, on which the
     /// parser recurses.
     #[error("has more than {} of ? ! -", 2 * RULE_BRACKETS)]
-    TooManySigns,
+    TooManyOperators,
     /// The text does not parse; the parser's message, on one line.
     #[error("{0}")]
     Syntax(String),
--- a/crates/simulation/src/search/forwarded/log.rs
+++ b/crates/simulation/src/search/forwarded/log.rs
@@ -7,7 +7,7 @@
 //! check is omitted: a partitioned node answers from its own state, so that the search covers more
 //! behaviour than the real nodes have.
 
-use postbarrow_controller::decide;
+use postbarrow_controller::decide_call;
 use postbarrow_messages::Response;
 use postbarrow_state::{Call, Name, Outcome, Record, State};
 use postbarrow_transactions::Image;
@@ -72,10 +72,10 @@
     /// Decides a write as the controller does; returns the reply unless it must wait for a commit.
     pub fn accept_write(&mut self, origin: Origin, write: Write<'_>) -> Vec<Reply> {
         let state = state_of(&self.log);
-        if let Some(known) = write.id.as_ref().and_then(|id| state.repeats.get(id)) {
+        if let Some(known) = write.id.as_ref().and_then(|id| state.stored_outcomes.get(id)) {
             return self.reply(origin, Response::Outcome(known.as_ref().clone()));
         }
-        let (outcome, mut records) = decide(&state, write.call);
+        let (outcome, mut records) = decide_call(&state, write.call);
         if records.is_empty() {
             return self.reply(origin, Response::Outcome(outcome));
         }
--- a/crates/simulation/src/search/request/flow.rs
+++ b/crates/simulation/src/search/request/flow.rs
@@ -180,8 +180,8 @@
         let context = FlowContext {
             now_ms: input.now_ms,
             table: &table,
-            serves: input.has_lease,
-            number: number as u64,
+            has_lease: input.has_lease,
+            ticket_number: number as u64,
             client_departed: input.client_departed,
         };
         let step = flows[input.client].handle(&context, node_event(&input.event));
@@ -230,7 +230,7 @@
                 "the target responded that it did not run the request".into(),
             ),
             AttemptEnd::Unknown { late } => {
-                AttemptOutcome::Unknown { late: *late, reason: "connection lost".into() }
+                AttemptOutcome::Unknown { timed_out: *late, reason: "connection lost".into() }
             }
         }),
     }
@@ -245,7 +245,7 @@
         }
         AttemptOutcome::Unsent(_) => AttemptEnd::Unsent,
         AttemptOutcome::NotRun(_) => AttemptEnd::NotRun,
-        AttemptOutcome::Unknown { late, .. } => AttemptEnd::Unknown { late: *late },
+        AttemptOutcome::Unknown { timed_out: late, .. } => AttemptEnd::Unknown { late: *late },
     })
 }
 
--- a/crates/simulation/src/search/request/wire.rs
+++ b/crates/simulation/src/search/request/wire.rs
@@ -139,7 +139,8 @@
     /// reused if there are any. Returns `None` if there is no such response and the connection is
     /// open.
     pub fn read(&mut self, client: usize, reads_ahead: bool, requires_name: bool) -> Option<Read> {
-        let unknown = |reason: &str| AttemptOutcome::Unknown { late: false, reason: reason.into() };
+        let unknown =
+            |reason: &str| AttemptOutcome::Unknown { timed_out: false, reason: reason.into() };
         while !self.inbox.is_empty() {
             let message = self.inbox.remove(0);
             let classification = self.classify(client, message, requires_name);
--- a/crates/simulation/src/world/control.rs
+++ b/crates/simulation/src/world/control.rs
@@ -7,7 +7,7 @@
 use postbarrow_consensus::{Member, RecoveredState, Write};
 use postbarrow_constants::consensus::DISK_FULL_PAUSE_MS;
 use postbarrow_controller::{ControlNode, Effect, Input};
-use postbarrow_storage::{Opened, Storage, WriteError, is_full, open};
+use postbarrow_storage::{OpenResult, Storage, WriteError, is_full, open};
 use std::io;
 
 /// Time after which a process whose disk failed or accepts no writes starts again, in microseconds.
@@ -21,8 +21,8 @@
 /// id if the disk has no intact storage.
 fn open_or_create(disk: SimDisk, id: u64) -> io::Result<(Storage<SimDisk>, RecoveredState)> {
     open(disk).and_then(|opened| match opened {
-        Opened::Recovered { storage, recovered } => Ok((storage, recovered)),
-        Opened::Empty(disk) | Opened::Damaged { disk, .. } => {
+        OpenResult::Recovered { storage, recovered } => Ok((storage, recovered)),
+        OpenResult::Empty(disk) | OpenResult::Damaged { disk, .. } => {
             Storage::create(disk, id).map(|storage| (storage, RecoveredState::default()))
         }
     })
@@ -61,7 +61,7 @@
         machine.targets = OrdMap::new();
         let node = ControlNode::new(own, recovered, &seeds, seed, now_ms);
         let node = node.with_log_bound(LOG_BOUND_BYTES);
-        let node = node.with_losses(self.losses).with_voter_dead(self.voter_dead_ms);
+        let node = node.with_tolerated_losses(self.losses).with_voter_dead_ms(self.voter_dead_ms);
         machine.node = Some(if machine.observer { node.as_observer() } else { node });
         let incarnation = machine.incarnation;
         self.schedule(0, Event::Tick { process: ProcessId::Control(at), incarnation });
--- a/crates/simulation/src/world/data.rs
+++ b/crates/simulation/src/world/data.rs
@@ -148,7 +148,7 @@
                 .target_at(target.address)
                 .is_some_and(|found| !found.frozen && found.instance == instance.as_str());
             let instance = instance.clone();
-            self.data_input(at, Input::Probed { instance, sound });
+            self.data_input(at, Input::Probed { instance, identified: sound });
         }
         self.schedule(500_000, Event::Probe { data: at, incarnation });
     }
--- a/crates/simulation/src/world/departure.rs
+++ b/crates/simulation/src/world/departure.rs
@@ -80,7 +80,7 @@
                 postbarrow_node::Event::ControllerResponded(Response::TimedOut)
             }
             Awaits::Target if is_lookup => {
-                let outcome = AttemptOutcome::Unknown { late: false, reason: reason() };
+                let outcome = AttemptOutcome::Unknown { timed_out: false, reason: reason() };
                 postbarrow_node::Event::AttemptEnded(outcome)
             }
             Awaits::Sending | Awaits::Target => return,
--- a/crates/simulation/src/world/endpoint_list.rs
+++ b/crates/simulation/src/world/endpoint_list.rs
@@ -30,7 +30,8 @@
         match self.list.permits(self.now_us, read_us) {
             true => self.schedule(read_us, event),
             false => {
-                let result = PageResult { number, fetched: Fetched::Limited { wait_ms: RETRY_MS } };
+                let result =
+                    PageResult { number, fetched: Fetched::RateLimited { wait_ms: RETRY_MS } };
                 self.schedule(read_us, Event::Page { at, incarnation, result });
             }
         }
--- a/crates/simulation/src/world/forwarding.rs
+++ b/crates/simulation/src/world/forwarding.rs
@@ -48,7 +48,7 @@
         }
         self.check_forward(request, data);
         let Some(run) = self.requests.get_mut(&request) else { return };
-        load.enter();
+        load.request_started();
         let Some(instance) = run.connected.clone() else { return };
         let delay_us = self.random.between(200, 900);
         self.schedule(delay_us, Event::Run { request, data, incarnation, instance });
@@ -60,7 +60,7 @@
         let Some(run) = self.requests.get(&request) else { return };
         let (id, service) = (run.id, run.service);
         if let Some((_, load)) = &run.target {
-            load.leave();
+            load.request_ended();
         }
         let draw = self.random.below(1_000);
         let target = self.targets.iter().find(|target| target.instance == instance);
@@ -70,7 +70,7 @@
             return;
         };
         let unknown_outcome =
-            |late, reason: &str| AttemptOutcome::Unknown { late, reason: reason.into() };
+            |late, reason: &str| AttemptOutcome::Unknown { timed_out: late, reason: reason.into() };
         let (took_us, outcome) = if !alive {
             (300, unknown_outcome(false, "broken"))
         } else if frozen {
--- a/crates/simulation/src/world/membership.rs
+++ b/crates/simulation/src/world/membership.rs
@@ -19,7 +19,8 @@
         self.voter_dead_ms = voter_dead_ms;
         for machine in &mut self.control {
             let node = machine.node.take();
-            machine.node = node.map(|node| node.with_losses(losses).with_voter_dead(voter_dead_ms));
+            machine.node = node
+                .map(|node| node.with_tolerated_losses(losses).with_voter_dead_ms(voter_dead_ms));
         }
     }
 
--- a/crates/simulation/src/world/operator.rs
+++ b/crates/simulation/src/world/operator.rs
@@ -127,7 +127,7 @@
     /// Submits an order after dropping the known controller's address, so that the request may go
     /// through another control machine.
     fn submit_through_any_member(&mut self, submitted: SubmittedOrder) {
-        self.operator.controller_client.suspect_controller();
+        self.operator.controller_client.forget_controller();
         self.submit(submitted);
     }
 
--- a/crates/simulation/src/world/pinned.rs
+++ b/crates/simulation/src/world/pinned.rs
@@ -137,11 +137,11 @@
         let consensus = node.consensus();
         let members: Vec<_> = consensus.members().iter().map(|member| member.address).collect();
         match node.contact(now_ms) {
-            Contact::Outside => pinned.controller_client.on_members(now_ms, None, &members),
+            Contact::NotMember => pinned.controller_client.on_members(now_ms, None, &members),
             Contact::Leader(leader) => {
                 pinned.controller_client.on_members(now_ms, Some(leader), &members)
             }
-            Contact::Silent { since_ms } => pinned.controller_client.on_leader_lost(since_ms),
+            Contact::NoLeader { since_ms } => pinned.controller_client.on_leader_lost(since_ms),
         }
         let effects = pinned.controller_client.tick(now_ms);
         self.apply_pinned_effects(at, effects);
--- a/crates/simulation/src/world/requests.rs
+++ b/crates/simulation/src/world/requests.rs
@@ -173,8 +173,8 @@
         let now = FlowContext {
             now_ms,
             table: &table,
-            serves,
-            number,
+            has_lease: serves,
+            ticket_number: number,
             client_departed: departure_observed,
         };
         match flow.handle(&now, event) {
@@ -245,7 +245,7 @@
             let found = response.headers.iter().find(|(known, _)| known.eq_ignore_ascii_case(name));
             found.map(|(_, value)| value.clone())
         };
-        let outcome = match header(OUTCOME).as_deref() {
+        let outcome = match header(OUTCOME_HEADER).as_deref() {
             Some("ran") if response.status == 200 => ClientOutcome::Ran,
             Some("not-run") => ClientOutcome::NotRun,
             Some("pending") => ClientOutcome::Pending,
--- a/crates/simulation/src/world/rolling_restart.rs
+++ b/crates/simulation/src/world/rolling_restart.rs
@@ -52,7 +52,7 @@
             }
             ProcessId::Data(at) => {
                 let machine = &self.data[at];
-                let pending = machine.node.as_ref().map_or(0, |node| node.pending_requests());
+                let pending = machine.node.as_ref().map_or(0, |node| node.pending_request_count());
                 let in_flight = self.requests.values().any(|request| request.is_in_flight(at));
                 (
                     machine.incarnation == incarnation,
--- a/crates/simulation/src/world/slow.rs
+++ b/crates/simulation/src/world/slow.rs
@@ -7,7 +7,7 @@
 
 /// Returns the total size of log entries in bytes.
 fn size_bytes(entries: &[Entry]) -> u64 {
-    entries.iter().map(|entry| entry.size() as u64).sum()
+    entries.iter().map(|entry| entry.size_bytes() as u64).sum()
 }
 
 impl World {
--- a/crates/simulation/tests/fleet/mod.rs
+++ b/crates/simulation/tests/fleet/mod.rs
@@ -143,7 +143,7 @@
         process.running = if process_index < self.control_count {
             let own = Member { id, address: process.address };
             let node = ControlNode::new(own, Default::default(), &seeds, id, now_ms);
-            let node = node.with_founders(&seeds).with_losses(tolerated_losses);
+            let node = node.with_bootstrap_members(&seeds).with_tolerated_losses(tolerated_losses);
             let node = if process.incarnation == 1 { node } else { node.with_known_log() };
             RunningNode::Control(Box::new(node))
         } else {
@@ -237,7 +237,7 @@
                 let targets = self.targets.chunks(PAGE_TARGETS).nth(page).unwrap_or(&[]).to_vec();
                 let has_more = (page + 1) * PAGE_TARGETS < self.targets.len();
                 let next = has_more.then(|| (page + 1).to_string());
-                let fetched = Fetched::Listed(ListPage { targets, next });
+                let fetched = Fetched::Parsed(ListPage { targets, next });
                 Input::Page(PageResult { number, fetched })
             }
         }
--- a/crates/simulation/tests/many_changes.rs
+++ b/crates/simulation/tests/many_changes.rs
@@ -1,7 +1,7 @@
 //! A thousand changes of the plan occupy no more space than the first few hundred, and a member
 //! that joins late catches up while changes continue.
 
-use postbarrow_constants::plans::ACCEPTED_PLANS;
+use postbarrow_constants::plans::ACCEPTED_PLANS_MAX;
 use postbarrow_simulation::{Fault, SlowMachine, World};
 
 /// Number of changes that are measured, in windows.
@@ -104,12 +104,12 @@
     /// Runs until the maximum number of accepted plans is retained. Figures can only level off
     /// after that.
     fn fill_accepted_plans(&mut self) {
-        while self.world.operator.acknowledged <= ACCEPTED_PLANS as u64 {
+        while self.world.operator.acknowledged <= ACCEPTED_PLANS_MAX as u64 {
             self.step();
         }
         let leader = &self.world.control[self.leader().expect("the cluster has a leader")];
         let retained = leader.node.as_ref().map(|node| node.committed().accepted_plans.len());
-        assert_eq!(retained, Some(ACCEPTED_PLANS));
+        assert_eq!(retained, Some(ACCEPTED_PLANS_MAX));
     }
 
     fn check(&self) {
@@ -155,7 +155,7 @@
     figures.state_bytes = rmp_serde::to_vec(leader.committed()).unwrap().len() as u64;
     let log = leader.consensus().log();
     let entries = log.range(log.last_index().saturating_sub(200), log.last_index());
-    figures.entry_bytes = entries.iter().map(|entry| entry.size() as u64).sum::<u64>() / 200;
+    figures.entry_bytes = entries.iter().map(|entry| entry.size_bytes() as u64).sum::<u64>() / 200;
     run.world.end_control(follower, false);
     run.run_ms(100);
     figures.catch_up_ms = run.start_and_catch_up_ms(follower);
--- a/crates/startup/src/bounds.rs
+++ b/crates/startup/src/bounds.rs
@@ -68,7 +68,7 @@
 
     /// Returns how long a stopping node is unready before it closes its listener, and after how
     /// long the process has exited at the latest, both in milliseconds from the request to stop.
-    pub fn stop_ms(&self) -> (u64, u64) {
+    pub fn shutdown_times_ms(&self) -> (u64, u64) {
         match self.grace_ms {
             0 => (STOP_UNREADY_MS, STOP_UNREADY_MS + STOP_WAIT_MS),
             grace_ms => (grace_ms * UNREADY_PERCENT / 100, grace_ms * STOP_PERCENT / 100),
--- a/crates/startup/src/bounds/tests.rs
+++ b/crates/startup/src/bounds/tests.rs
@@ -6,7 +6,7 @@
 fn bounds_that_a_deployment_does_not_set_have_the_constants_as_defaults() {
     let defaults = Bounds::default();
     assert_eq!(defaults.node_lease_ms(), NODE_LEASE_MS);
-    assert_eq!(defaults.stop_ms(), (STOP_UNREADY_MS, STOP_UNREADY_MS + STOP_WAIT_MS));
+    assert_eq!(defaults.shutdown_times_ms(), (STOP_UNREADY_MS, STOP_UNREADY_MS + STOP_WAIT_MS));
     assert_eq!(defaults.retry_budget(), (RETRY_PERCENT, RETRIES_PER_S, RETRY_BURST));
     assert_eq!((defaults.bodies_bytes(), defaults.log_bytes()), (BODIES_BYTES as u64, LOG_BYTES));
 }
@@ -30,7 +30,7 @@
             "{}",
             bounds.node_lease_ms()
         );
-        let (unready_ms, end_ms) = bounds.stop_ms();
+        let (unready_ms, end_ms) = bounds.shutdown_times_ms();
         assert!(unready_ms * 2 < end_ms && end_ms + 200 <= grace_ms, "{unready_ms} {end_ms}");
     }
     let bounds =
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -12,8 +12,8 @@
 
 pub use bounds::Bounds;
 pub use error::{LogError, SettingsError};
-pub use run::with_checked;
-pub use settings::{Flags, ProgramKind, Startup};
+pub use run::run_if_valid;
+pub use settings::{ProgramKind, Startup, UncheckedSettings};
 pub use signals::stop_requested;
 
 use logs::start_logs;
--- a/crates/startup/src/run.rs
+++ b/crates/startup/src/run.rs
@@ -2,7 +2,8 @@
 
 use crate::error::SettingsError;
 use crate::{
-    Flags, ProgramKind, Startup, reload_requested, start_logs, stop_requested, watch_signals,
+    ProgramKind, Startup, UncheckedSettings, reload_requested, start_logs, stop_requested,
+    watch_signals,
 };
 use postbarrow_constants::traffic::SIGNAL_CHECK_MS;
 use std::fmt::Display;
@@ -21,7 +22,7 @@
     pub fn load(
         program: ProgramKind,
         file: Option<&str>,
-        flags: &Flags,
+        flags: &UncheckedSettings,
     ) -> Result<Startup, SettingsError> {
         let text = match file {
             Some(file) => std::fs::read_to_string(file)
@@ -73,7 +74,7 @@
 
 /// Calls `then` with valid settings and returns its exit status. For invalid settings, prints the
 /// error to standard error and returns exit status 2.
-pub fn with_checked<E: Display>(
+pub fn run_if_valid<E: Display>(
     loaded: Result<Startup, E>,
     then: impl FnOnce(&Startup) -> ExitCode,
 ) -> ExitCode {
--- a/crates/startup/src/settings.rs
+++ b/crates/startup/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of a process, from a file (JSON) and from flags, which override it.
 
 use crate::Bounds;
-use postbarrow_reading::{Fields, Finding, Findings, Reading, Value, text};
+use postbarrow_reading::{DocumentReader, Fields, Finding, Findings, Value, text};
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 
@@ -41,7 +41,7 @@
     pub may_bootstrap: bool,
     /// Whether this control node is an observer: its data folder is not persistent, so it is never
     /// a member of the log.
-    pub observer: bool,
+    pub is_observer: bool,
     /// The control nodes that bootstrap the log together; none: any three with empty disks.
     pub bootstrap_members: Option<Vec<SocketAddr>>,
     /// The URL of the platform's endpoint list, which only a control node reads.
@@ -58,7 +58,7 @@
 /// Settings that are not checked yet, from the file or from the command line. Each field is named
 /// after its key, except `endpoint_list_url`; none or empty if it was not given.
 #[derive(Clone, Debug, Default)]
-pub struct Flags {
+pub struct UncheckedSettings {
     /// The process's name, `name`.
     pub name: Option<String>,
     /// The zone of the process's machine, `zone`.
@@ -100,8 +100,12 @@
     ///
     /// # Errors
     /// The file or the flags have findings; all of them are returned.
-    pub fn read(program: ProgramKind, file: &str, flags: &Flags) -> Result<Startup, Findings> {
-        let (value, mut reading) = Reading::parse(file)?;
+    pub fn read(
+        program: ProgramKind,
+        file: &str,
+        flags: &UncheckedSettings,
+    ) -> Result<Startup, Findings> {
+        let (value, mut reading) = DocumentReader::parse(file)?;
         let from_file = read_fields(&value, &mut reading);
         let merged = merge(from_file, flags);
         match check(program, merged, &mut reading) {
@@ -118,10 +122,10 @@
     }
 }
 
-fn read_fields(value: &Value, reading: &mut Reading) -> Flags {
-    let mut flags = Flags::default();
+fn read_fields(value: &Value, reading: &mut DocumentReader) -> UncheckedSettings {
+    let mut flags = UncheckedSettings::default();
     let Some(mut fields) = Fields::of(value, "$", reading) else { return flags };
-    let mut take = |field| fields.text_or_none(field, reading).map(str::to_string);
+    let mut take = |field| fields.optional_text(field, reading).map(str::to_string);
     flags.name = take("name");
     flags.zone = take("zone");
     flags.address = take("address");
@@ -142,9 +146,9 @@
     flags
 }
 
-fn merge(file: Flags, flags: &Flags) -> Flags {
+fn merge(file: UncheckedSettings, flags: &UncheckedSettings) -> UncheckedSettings {
     let pick = |flag: &Option<String>, file: Option<String>| flag.clone().or(file);
-    Flags {
+    UncheckedSettings {
         name: pick(&flags.name, file.name),
         zone: pick(&flags.zone, file.zone),
         address: pick(&flags.address, file.address),
@@ -159,13 +163,17 @@
 }
 
 /// Checks every field. The report lists the findings in the order of these checks.
-fn check(program: ProgramKind, flags: Flags, reading: &mut Reading) -> Option<Startup> {
+fn check(
+    program: ProgramKind,
+    flags: UncheckedSettings,
+    reading: &mut DocumentReader,
+) -> Option<Startup> {
     let address = required_address("address", flags.address.as_ref(), reading);
     let http = required_address("http", flags.http.as_ref(), reading);
     let bind = flags.bind.as_ref().and_then(|bind| parse_address("bind", bind, reading));
     let seeds = check_seeds(&flags.seeds, reading);
     if address.is_some() && address == http {
-        reading.find("$.http", "is the same as $.address".into());
+        reading.add_finding("$.http", "is the same as $.address".into());
     }
     check_names(&flags, reading);
     check_data(program, flags.data.as_ref(), reading);
@@ -181,7 +189,7 @@
         seeds,
         data: flags.data.map(PathBuf::from),
         may_bootstrap: true,
-        observer: false,
+        is_observer: false,
         bootstrap_members: None,
         endpoint_list_url: flags.endpoint_list_url,
         log: flags.log.map(PathBuf::from),
@@ -190,10 +198,10 @@
     })
 }
 
-fn parse_address(field: &str, text: &str, reading: &mut Reading) -> Option<SocketAddr> {
+fn parse_address(field: &str, text: &str, reading: &mut DocumentReader) -> Option<SocketAddr> {
     let address = text.parse().ok();
     if address.is_none() {
-        reading.find(&format!("$.{field}"), "must be an IP address and port".into());
+        reading.add_finding(&format!("$.{field}"), "must be an IP address and port".into());
     }
     address
 }
@@ -201,62 +209,63 @@
 fn required_address(
     field: &str,
     text: Option<&String>,
-    reading: &mut Reading,
+    reading: &mut DocumentReader,
 ) -> Option<SocketAddr> {
     if text.is_none() {
-        reading.find(&format!("$.{field}"), "is missing".into());
+        reading.add_finding(&format!("$.{field}"), "is missing".into());
     }
     parse_address(field, text?, reading)
 }
 
-fn check_seeds(texts: &[String], reading: &mut Reading) -> Vec<SocketAddr> {
+fn check_seeds(texts: &[String], reading: &mut DocumentReader) -> Vec<SocketAddr> {
     let mut seeds = Vec::new();
     for (index, seed) in texts.iter().enumerate() {
         seeds.extend(parse_address(&format!("seeds[{index}]"), seed, reading));
     }
     if texts.is_empty() {
-        reading
-            .find("$.seeds", "must name at least one other process, and should name three".into());
+        reading.add_finding(
+            "$.seeds",
+            "must name at least one other process, and should name three".into(),
+        );
     }
     seeds
 }
 
-fn check_names(flags: &Flags, reading: &mut Reading) {
+fn check_names(flags: &UncheckedSettings, reading: &mut DocumentReader) {
     for (field, text) in [("name", &flags.name), ("zone", &flags.zone)] {
         match text {
             Some(text) if (1..=64).contains(&text.len()) => {}
-            Some(_) => reading.find(&format!("$.{field}"), "must have 1 to 64 bytes".into()),
-            None => reading.find(&format!("$.{field}"), "is missing".into()),
+            Some(_) => reading.add_finding(&format!("$.{field}"), "must have 1 to 64 bytes".into()),
+            None => reading.add_finding(&format!("$.{field}"), "is missing".into()),
         }
     }
 }
 
-fn check_data(program: ProgramKind, data: Option<&String>, reading: &mut Reading) {
+fn check_data(program: ProgramKind, data: Option<&String>, reading: &mut DocumentReader) {
     match (program, data) {
-        (ProgramKind::ControlPlane, None) => reading.find("$.data", "is missing".into()),
-        (ProgramKind::DataPlane, Some(_)) => {
-            reading.find("$.data", "is for the control plane: data nodes have no disk".into())
-        }
+        (ProgramKind::ControlPlane, None) => reading.add_finding("$.data", "is missing".into()),
+        (ProgramKind::DataPlane, Some(_)) => reading
+            .add_finding("$.data", "is for the control plane: data nodes have no disk".into()),
         _ => {}
     }
 }
 
-fn check_endpoint_list(program: ProgramKind, url: Option<&str>, reading: &mut Reading) {
+fn check_endpoint_list(program: ProgramKind, url: Option<&str>, reading: &mut DocumentReader) {
     match (program, url) {
-        (ProgramKind::ControlPlane, None) => reading.find("$.list", "is missing".into()),
+        (ProgramKind::ControlPlane, None) => reading.add_finding("$.list", "is missing".into()),
         (ProgramKind::ControlPlane, Some(url)) if !url.starts_with("http://") => {
-            reading.find("$.list", "must begin with http://".into())
+            reading.add_finding("$.list", "must begin with http://".into())
         }
         (ProgramKind::DataPlane, Some(_)) => {
-            reading.find("$.list", "is for the control plane".into())
+            reading.add_finding("$.list", "is for the control plane".into())
         }
         _ => {}
     }
 }
 
-fn check_level(level: Option<&str>, reading: &mut Reading) -> log::LevelFilter {
+fn check_level(level: Option<&str>, reading: &mut DocumentReader) -> log::LevelFilter {
     level.unwrap_or("info").parse().unwrap_or_else(|_| {
-        reading.find("$.level", "must be off, error, warn, info, debug or trace".into());
+        reading.add_finding("$.level", "must be off, error, warn, info, debug or trace".into());
         log::LevelFilter::Info
     })
 }
--- a/crates/startup/tests/signals.rs
+++ b/crates/startup/tests/signals.rs
@@ -1,20 +1,20 @@
 //! Signals to a process that `Startup::serve` runs.
 
-use postbarrow_startup::{Flags, ProgramKind, SettingsError, Startup};
+use postbarrow_startup::{ProgramKind, SettingsError, Startup, UncheckedSettings};
 use std::process::ExitCode;
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
 fn startup(seed: &str) -> Startup {
     let text = |text: &str| Some(text.to_string());
-    let flags = Flags {
+    let flags = UncheckedSettings {
         name: text("n"),
         zone: text("a"),
         address: text("127.0.0.1:7001"),
         http: text("127.0.0.1:8001"),
         seeds: vec![seed.to_string()],
         level: text("off"),
-        ..Flags::default()
+        ..UncheckedSettings::default()
     };
     Startup::read(ProgramKind::DataPlane, "{}", &flags).unwrap()
 }
--- a/crates/state/src/accepted_plans.rs
+++ b/crates/state/src/accepted_plans.rs
@@ -2,7 +2,7 @@
 //! gets the same response.
 
 use crate::{Digest, Name, State};
-use postbarrow_constants::plans::{ACCEPTED_PLANS, REFUSED_PLANS};
+use postbarrow_constants::plans::{ACCEPTED_PLANS_MAX, REFUSED_PLANS_MAX};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -40,7 +40,7 @@
             self.accepted_plans.clear();
         }
         self.accepted_plans.push_back(Arc::new(accepted));
-        while self.accepted_plans.len() > ACCEPTED_PLANS {
+        while self.accepted_plans.len() > ACCEPTED_PLANS_MAX {
             self.accepted_plans.pop_front();
         }
     }
@@ -48,7 +48,7 @@
     /// Adds a refused plan and removes the oldest beyond `REFUSED_PLANS`.
     pub(crate) fn retain_refused_plan(&mut self, refused: RefusedPlan) {
         self.refused_plans.push_back(refused);
-        while self.refused_plans.len() > REFUSED_PLANS {
+        while self.refused_plans.len() > REFUSED_PLANS_MAX {
             self.refused_plans.pop_front();
         }
     }
@@ -59,7 +59,7 @@
     }
 
     /// Returns whether the plan in force or a retained accepted plan was made from this base.
-    pub fn is_built_upon(&self, base: Option<&str>) -> bool {
+    pub fn has_plan_based_on(&self, base: Option<&str>) -> bool {
         let in_force = self.plan.as_ref().map(|plan| &plan.base);
         let accepted = self.accepted_plans.iter().map(|accepted| &accepted.base);
         accepted.chain(in_force).any(|known| known.as_deref() == base)
@@ -67,7 +67,7 @@
 
     /// Returns whether the retained accepted plans are complete: from the first plan to the one in
     /// force.
-    pub fn remembers_every_plan(&self) -> bool {
+    pub fn has_complete_plan_history(&self) -> bool {
         let newest = self.accepted_plans.back().map(|accepted| accepted.version.as_str());
         let first = self.accepted_plans.front();
         newest == self.plan_version() && first.is_none_or(|first| first.base.is_none())
--- a/crates/state/src/apply_record/coordination.rs
+++ b/crates/state/src/apply_record/coordination.rs
@@ -44,17 +44,17 @@
     }
 
     pub(super) fn store_outcome(&mut self, id: &Name, outcome: &Outcome) {
-        self.repeats.insert(id.clone(), Arc::new(outcome.clone()));
-        self.repeat_queue.push_back((self.era, id.clone()));
+        self.stored_outcomes.insert(id.clone(), Arc::new(outcome.clone()));
+        self.stored_outcome_queue.push_back((self.era, id.clone()));
     }
 
     pub(super) fn remove_outcomes(&mut self, ids: &[Name]) {
         for id in ids {
-            self.repeats.remove(id);
+            self.stored_outcomes.remove(id);
         }
-        let stored = &self.repeats;
-        while self.repeat_queue.front().is_some_and(|(_, id)| !stored.contains_key(id)) {
-            self.repeat_queue.pop_front();
+        let stored = &self.stored_outcomes;
+        while self.stored_outcome_queue.front().is_some_and(|(_, id)| !stored.contains_key(id)) {
+            self.stored_outcome_queue.pop_front();
         }
     }
 }
--- a/crates/state/src/state.rs
+++ b/crates/state/src/state.rs
@@ -32,7 +32,7 @@
     /// Values of the keys, by name.
     pub keys: OrdMap<Name, Arc<Key>>,
     /// Stored outcomes of calls, by call id; a repeated call gets the stored outcome.
-    pub repeats: OrdMap<Name, Arc<Outcome>>,
+    pub stored_outcomes: OrdMap<Name, Arc<Outcome>>,
     /// Retained events of locks, numbers and keys, oldest first.
     pub history: Vector<Arc<Event>>,
     /// Highest revision whose event is no longer available.
@@ -49,7 +49,7 @@
     pub stored_response_bytes: u64,
     /// Call ids of `repeats`, oldest first, each with the era in which its outcome was stored.
     #[serde(default)]
-    pub repeat_queue: Vector<(u64, Name)>,
+    pub stored_outcome_queue: Vector<(u64, Name)>,
     /// Limits of the plan in force for each client connection.
     #[serde(default)]
     pub client_limits: ClientLimits,
@@ -69,7 +69,7 @@
 
     /// Returns whether both states have the same plan, including its text and the offset of the
     /// batch that began it.
-    pub fn has_plan_of(&self, other: &State) -> bool {
+    pub fn has_same_plan_as(&self, other: &State) -> bool {
         self.plan == other.plan
             && self.client_limits == other.client_limits
             && self.services == other.services
--- a/crates/state/tests/accepted_plans.rs
+++ b/crates/state/tests/accepted_plans.rs
@@ -2,7 +2,7 @@
 //! number is bounded, each is the base of the next, and there are none in a state stored by an
 //! older release.
 
-use postbarrow_constants::plans::{ACCEPTED_PLANS, REFUSED_PLANS};
+use postbarrow_constants::plans::{ACCEPTED_PLANS_MAX, REFUSED_PLANS_MAX};
 use postbarrow_state::*;
 use postbarrow_transactions::{BatchRecord, Image, Tail};
 
@@ -36,25 +36,25 @@
         BatchRecord::Data(accepted("v1", Some("v0"))),
     ];
     tail.apply(2, 10, &batch).unwrap();
-    assert!(tail.staged().unwrap().accepted_plan("v1").is_some());
+    assert!(tail.pending_image().unwrap().accepted_plan("v1").is_some());
     tail.apply(3, 10, &[BatchRecord::abort("no")]).unwrap();
     assert_eq!(*tail.image().as_ref(), initial);
 }
 
 #[test]
 fn retained_plans_are_bounded_and_the_oldest_is_removed_first() {
-    let state = plan_chain(ACCEPTED_PLANS);
-    assert!(state.remembers_every_plan() && state.accepted_plan("v0").is_some());
-    let state = plan_chain(ACCEPTED_PLANS + 1);
-    assert_eq!(state.accepted_plans.len(), ACCEPTED_PLANS);
+    let state = plan_chain(ACCEPTED_PLANS_MAX);
+    assert!(state.has_complete_plan_history() && state.accepted_plan("v0").is_some());
+    let state = plan_chain(ACCEPTED_PLANS_MAX + 1);
+    assert_eq!(state.accepted_plans.len(), ACCEPTED_PLANS_MAX);
     assert!(state.accepted_plan("v0").is_none() && state.accepted_plan("v1").is_some());
-    assert!(!state.remembers_every_plan());
+    assert!(!state.has_complete_plan_history());
     let mut state = State::default();
-    for number in 0..=REFUSED_PLANS {
+    for number in 0..=REFUSED_PLANS_MAX {
         let refused = RefusedPlan { version: format!("v{number}").into(), digest: [1; 32] };
         state.apply(1, &Record::PlanRefused(refused));
     }
-    assert_eq!(state.refused_plans.len(), REFUSED_PLANS);
+    assert_eq!(state.refused_plans.len(), REFUSED_PLANS_MAX);
     assert!(!state.is_refused("v0", &[1; 32]) && state.is_refused("v1", &[1; 32]));
     assert!(!state.is_refused("v1", &[2; 32]));
 }
@@ -65,15 +65,15 @@
     state.apply(9, &start("v9", Some("v8")));
     state.apply(9, &accepted("v9", Some("v8")));
     assert_eq!(state.accepted_plans.len(), 1);
-    assert!(!state.remembers_every_plan());
+    assert!(!state.has_complete_plan_history());
 }
 
 #[test]
 fn history_is_incomplete_while_the_plan_in_force_is_not_retained() {
     let mut state = State::default();
-    assert!(state.remembers_every_plan());
+    assert!(state.has_complete_plan_history());
     state.apply(1, &start("v1", None));
-    assert!(!state.remembers_every_plan());
+    assert!(!state.has_complete_plan_history());
 }
 
 #[test]
@@ -95,7 +95,7 @@
     old_bytes[2] -= 2;
     let decoded: State = rmp_serde::from_slice(&old_bytes).unwrap();
     assert_eq!(decoded, state);
-    assert!(!decoded.remembers_every_plan());
+    assert!(!decoded.has_complete_plan_history());
 }
 
 #[test]
--- a/crates/storage/src/append_log.rs
+++ b/crates/storage/src/append_log.rs
@@ -1,7 +1,7 @@
 //! Appends pending writes to the log of the current generation.
 
 use crate::log_record::{LogRecord, encode_record};
-use crate::{Disk, LOGS, Storage, WriteError};
+use crate::{Disk, LOG_FILES, Storage, WriteError};
 use postbarrow_consensus::Write;
 
 impl<D: Disk> Storage<D> {
@@ -24,7 +24,7 @@
             let record = encode_record(self.generation, sequence, self.synced, &record);
             bytes.extend(record.map_err(WriteError::Failed)?);
         }
-        let file = LOGS[self.file_index()];
+        let file = LOG_FILES[self.file_index()];
         self.disk.write(file, self.log_bytes, &bytes).map_err(WriteError::before_sync)?;
         self.disk.sync(file).map_err(WriteError::Failed)?;
         self.log_bytes += bytes.len() as u64;
--- a/crates/storage/src/create.rs
+++ b/crates/storage/src/create.rs
@@ -1,7 +1,7 @@
 //! Prepares a disk for a new member.
 
 use crate::slot::decode_slot;
-use crate::{Disk, LOGS, SLOTS, Storage};
+use crate::{Disk, LOG_FILES, SLOT_FILES, Storage};
 use postbarrow_consensus::{HardState, MemberId};
 use std::io;
 
@@ -27,7 +27,7 @@
 /// Creates both slot files and both log files and makes their names durable, which must precede the
 /// acknowledgement of any write to them.
 pub(crate) fn create_files<D: Disk>(disk: &mut D) -> io::Result<()> {
-    for file in SLOTS.iter().chain(&LOGS) {
+    for file in SLOT_FILES.iter().chain(&LOG_FILES) {
         disk.create(file)?;
     }
     disk.sync_names()
@@ -37,10 +37,10 @@
 /// before the logs, whose records show that a slot is missing.
 fn erasure_order<D: Disk>(disk: &mut D) -> io::Result<Vec<&'static str>> {
     let mut slots = Vec::new();
-    for file in SLOTS {
+    for file in SLOT_FILES {
         let generation = decode_slot(&disk.read(file)?).map(|body| body.generation);
         slots.push((generation, file));
     }
     slots.sort_unstable();
-    Ok(slots.into_iter().map(|(_, file)| file).chain(LOGS).collect())
+    Ok(slots.into_iter().map(|(_, file)| file).chain(LOG_FILES).collect())
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -19,14 +19,14 @@
 pub use disk::Disk;
 pub use error::{WriteError, is_full};
 pub use folder_disk::FolderDisk;
-pub use open::{Opened, open};
+pub use open::{OpenResult, open};
 pub use reserve::Reservation;
 pub use storage::Storage;
 
 /// Names of the two slot files; the slot of generation `n` is in the file at index `n % 2`.
-pub const SLOTS: [&str; 2] = ["slot-a", "slot-b"];
+pub const SLOT_FILES: [&str; 2] = ["slot-a", "slot-b"];
 /// Names of the two log files; each log follows the slot of its generation, at the same index.
-pub const LOGS: [&str; 2] = ["log-a", "log-b"];
+pub const LOG_FILES: [&str; 2] = ["log-a", "log-b"];
 
 /// Returns the index of a generation's files in the two arrays of file names.
 fn file_index(generation: u64) -> usize {
--- a/crates/storage/src/open.rs
+++ b/crates/storage/src/open.rs
@@ -3,12 +3,12 @@
 use crate::create::create_files;
 use crate::slot::{SlotBody, decode_slot};
 use crate::torn_tail::{Replayed, continues_newer_slot, replay, without_torn_tail};
-use crate::{Damage, Disk, LOGS, SLOTS, Storage, file_index};
+use crate::{Damage, Disk, LOG_FILES, SLOT_FILES, Storage, file_index};
 use postbarrow_consensus::RecoveredState;
 use std::io;
 
 /// The result of reading a disk at the start of a process.
-pub enum Opened<D> {
+pub enum OpenResult<D> {
     /// No write to this disk was ever acknowledged.
     Empty(D),
     /// Synced data is missing: a process on this disk must not vote as the member that the disk
@@ -40,26 +40,26 @@
 ///
 /// Errors of the disk. If the error is one of a full disk, the disk may be opened again once it has
 /// space.
-pub fn open<D: Disk>(mut disk: D) -> io::Result<Opened<D>> {
+pub fn open<D: Disk>(mut disk: D) -> io::Result<OpenResult<D>> {
     let files = Files {
-        slots: [disk.read(SLOTS[0])?, disk.read(SLOTS[1])?],
-        logs: [disk.read(LOGS[0])?, disk.read(LOGS[1])?],
+        slots: [disk.read(SLOT_FILES[0])?, disk.read(SLOT_FILES[1])?],
+        logs: [disk.read(LOG_FILES[0])?, disk.read(LOG_FILES[1])?],
     };
     let slots = [decode_slot(&files.slots[0]), decode_slot(&files.slots[1])];
     let newest = slots.into_iter().flatten().max_by_key(|body| body.generation);
     let Some(slot) = newest else {
         if files.logs.iter().any(|log| continues_newer_slot(log, 0)) {
-            return Ok(Opened::Damaged { disk, damage: Damage::NoIntactSlot });
+            return Ok(OpenResult::Damaged { disk, damage: Damage::NoIntactSlot });
         }
-        return Ok(Opened::Empty(disk));
+        return Ok(OpenResult::Empty(disk));
     };
     let index = file_index(slot.generation);
     if continues_newer_slot(&files.logs[1 - index], slot.generation) {
-        let damage = Damage::LostSlot { slot: SLOTS[1 - index] };
-        return Ok(Opened::Damaged { disk, damage });
+        let damage = Damage::LostSlot { slot: SLOT_FILES[1 - index] };
+        return Ok(OpenResult::Damaged { disk, damage });
     }
     match replay(&slot, &files.logs[index]) {
-        Err(damage) => Ok(Opened::Damaged { disk, damage }),
+        Err(damage) => Ok(OpenResult::Damaged { disk, damage }),
         Ok(replayed) => recover_storage(disk, &slot, &files, replayed),
     }
 }
@@ -70,7 +70,7 @@
     slot: &SlotBody,
     files: &Files,
     replayed: Replayed,
-) -> io::Result<Opened<D>> {
+) -> io::Result<OpenResult<D>> {
     let mut storage = Storage {
         generation: slot.generation,
         log_bytes: replayed.log_bytes,
@@ -82,9 +82,9 @@
     let disk = &mut storage.disk;
     create_files(disk)?;
     let log = without_torn_tail(&files.logs[index], &replayed, slot.generation);
-    rewrite(disk, LOGS[index], &log)?;
-    rewrite(disk, SLOTS[index], &files.slots[index])?;
-    Ok(Opened::Recovered { storage, recovered: replayed.recovered })
+    rewrite(disk, LOG_FILES[index], &log)?;
+    rewrite(disk, SLOT_FILES[index], &files.slots[index])?;
+    Ok(OpenResult::Recovered { storage, recovered: replayed.recovered })
 }
 
 /// Writes and syncs bytes that were read from the file. After a failed sync they may be in the page
--- a/crates/storage/src/reserve.rs
+++ b/crates/storage/src/reserve.rs
@@ -1,6 +1,6 @@
 //! Allocation of disk space before it is needed.
 
-use crate::{Disk, LOGS, SLOTS, Storage, WriteError};
+use crate::{Disk, LOG_FILES, SLOT_FILES, Storage, WriteError};
 
 /// Bytes to allocate for each of the two logs and each of the two slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,8 +19,8 @@
     ///
     /// After `WriteError::Full` the stored data is unchanged, and the call may be repeated.
     pub fn reserve(&mut self, reservation: Reservation) -> Result<(), WriteError> {
-        let logs = LOGS.map(|file| (file, reservation.log_bytes));
-        let slots = SLOTS.map(|file| (file, reservation.slot_bytes));
+        let logs = LOG_FILES.map(|file| (file, reservation.log_bytes));
+        let slots = SLOT_FILES.map(|file| (file, reservation.slot_bytes));
         for (file, bytes) in logs.into_iter().chain(slots) {
             self.disk.reserve(file, bytes).map_err(WriteError::before_sync)?;
         }
--- a/crates/storage/src/torn_tail.rs
+++ b/crates/storage/src/torn_tail.rs
@@ -3,7 +3,7 @@
 
 use crate::log_record::{LogRecord, decode_record};
 use crate::slot::SlotBody;
-use crate::{Damage, LOGS, file_index};
+use crate::{Damage, LOG_FILES, file_index};
 use postbarrow_consensus::RecoveredState;
 
 /// The result of applying a log's intact records to the state of its slot.
@@ -33,7 +33,7 @@
         offset += length;
         replay_record(&mut recovered, framed.record);
     }
-    let file = LOGS[file_index(slot.generation)];
+    let file = LOG_FILES[file_index(slot.generation)];
     if sequence == 0 {
         return Err(Damage::LostLogStart { log: file });
     }
--- a/crates/storage/src/write_slot.rs
+++ b/crates/storage/src/write_slot.rs
@@ -2,7 +2,7 @@
 
 use crate::log_record::{LogRecord, encode_record};
 use crate::slot::{SlotBody, encode_slot};
-use crate::{Disk, LOGS, SLOTS, Storage, WriteError, file_index};
+use crate::{Disk, LOG_FILES, SLOT_FILES, Storage, WriteError, file_index};
 use postbarrow_consensus::{Entry, HardState, Snapshot};
 use std::sync::Arc;
 
@@ -23,10 +23,10 @@
         let log = encode_record(generation, 1, 0, &start).map_err(WriteError::Failed)?;
         let body = SlotBody { generation, id: self.id, hard_state, snapshot };
         let slot = encode_slot(&body).map_err(WriteError::Failed)?;
-        self.disk.write(LOGS[index], 0, &log).map_err(WriteError::before_sync)?;
-        self.disk.sync(LOGS[index]).map_err(WriteError::Failed)?;
-        self.disk.write(SLOTS[index], 0, &slot).map_err(WriteError::before_sync)?;
-        self.disk.sync(SLOTS[index]).map_err(WriteError::Failed)?;
+        self.disk.write(LOG_FILES[index], 0, &log).map_err(WriteError::before_sync)?;
+        self.disk.sync(LOG_FILES[index]).map_err(WriteError::Failed)?;
+        self.disk.write(SLOT_FILES[index], 0, &slot).map_err(WriteError::before_sync)?;
+        self.disk.sync(SLOT_FILES[index]).map_err(WriteError::Failed)?;
         self.generation = generation;
         self.log_bytes = log.len() as u64;
         self.sequence = 1;
--- a/crates/storage/tests/every_power_loss.rs
+++ b/crates/storage/tests/every_power_loss.rs
@@ -3,7 +3,7 @@
 
 use postbarrow_consensus::{Entry, HardState, Member, Payload, RecoveredState, Snapshot, Write};
 use postbarrow_simulation::SimDisk;
-use postbarrow_storage::{Disk, LOGS, Opened, Reservation, SLOTS, Storage, open};
+use postbarrow_storage::{Disk, LOG_FILES, OpenResult, Reservation, SLOT_FILES, Storage, open};
 use std::sync::Arc;
 
 const MEMBER: u64 = 9;
@@ -134,7 +134,7 @@
 /// Opens the disk, which must recover a contiguous log of the member.
 fn recover(disk: &SimDisk, context: &str) -> (Storage<SimDisk>, MemberState) {
     match open(disk.clone()).unwrap() {
-        Opened::Recovered { storage, recovered } => {
+        OpenResult::Recovered { storage, recovered } => {
             assert_eq!(storage.id(), MEMBER, "{context}: another member was recovered");
             let indexes: Vec<u64> = recovered.entries.iter().map(|entry| entry.index).collect();
             let first = indexes.first().copied().unwrap_or(1);
@@ -142,8 +142,8 @@
             assert_eq!(indexes, in_order, "{context}: entries are missing or repeated");
             (storage, MemberState::of(&recovered))
         }
-        Opened::Empty(_) => panic!("{context}: opened as empty"),
-        Opened::Damaged { damage, .. } => panic!("{context}: opened as damaged: {damage}"),
+        OpenResult::Empty(_) => panic!("{context}: opened as empty"),
+        OpenResult::Damaged { damage, .. } => panic!("{context}: opened as damaged: {damage}"),
     }
 }
 
@@ -174,7 +174,9 @@
         for (mask, survivor) in power_loss_survivors(&disk) {
             cases += 1;
             let context = format!("power lost after {fuse} operations, surviving {mask:b}");
-            if !run.created && !matches!(open(survivor.copy()).unwrap(), Opened::Recovered { .. }) {
+            if !run.created
+                && !matches!(open(survivor.copy()).unwrap(), OpenResult::Recovered { .. })
+            {
                 continue;
             }
             let (_, recovered_state) = recover(&survivor.copy(), &context);
@@ -232,19 +234,19 @@
 /// A new member on a damaged disk never recovers as the member that was on it.
 #[test]
 fn create_on_a_damaged_disk_never_recovers_the_former_member() {
-    for damaged in LOGS.iter().chain(&SLOTS) {
+    for damaged in LOG_FILES.iter().chain(&SLOT_FILES) {
         for fuse in 0.. {
             let disk = SimDisk::default();
             assert!(run_script(&disk, u64::MAX).complete);
             disk.lose_power_keeping(|_| true);
             disk.damage(damaged, 30);
-            let Opened::Damaged { disk: old, .. } = open(disk.clone()).unwrap() else { break };
+            let OpenResult::Damaged { disk: old, .. } = open(disk.clone()).unwrap() else { break };
             disk.set_fuse(fuse);
             let created = Storage::create(old, NEW_MEMBER).is_ok();
             for (mask, survivor) in power_loss_survivors(&disk) {
                 let context = format!("{damaged}, {fuse} operations, surviving {mask:b}");
                 match open(survivor).unwrap() {
-                    Opened::Recovered { storage, .. } => {
+                    OpenResult::Recovered { storage, .. } => {
                         assert_eq!(
                             storage.id(),
                             NEW_MEMBER,
@@ -269,12 +271,12 @@
     let mut storage = Storage::create(disk.clone(), MEMBER).unwrap();
     let torn = storage.log_bytes();
     storage.apply(vec![append(1, 1), append(1, 2), hard_state(8)]).unwrap();
-    let mut group = disk.read(LOGS[1]).unwrap().split_off(torn as usize);
+    let mut group = disk.read(LOG_FILES[1]).unwrap().split_off(torn as usize);
     group[20] ^= 0x55;
     let mut disk = SimDisk::default();
     drop(Storage::create(disk.clone(), MEMBER).unwrap());
-    disk.write(LOGS[1], torn, &group).unwrap();
-    disk.sync(LOGS[1]).unwrap();
+    disk.write(LOG_FILES[1], torn, &group).unwrap();
+    disk.sync(LOG_FILES[1]).unwrap();
 
     let (mut storage, recovered_state) = recover(&disk, "after the loss of power");
     assert_eq!(recovered_state, INITIAL_STATE, "nothing of the torn group was acknowledged");
--- a/crates/storage/tests/full.rs
+++ b/crates/storage/tests/full.rs
@@ -33,9 +33,9 @@
 
 fn reopen(disk: &SimDisk) -> (Storage<SimDisk>, RecoveredState) {
     match open(disk.clone()).unwrap() {
-        Opened::Recovered { storage, recovered } => (storage, recovered),
-        Opened::Empty(_) => panic!("the disk is empty"),
-        Opened::Damaged { damage, .. } => panic!("the disk is damaged: {damage}"),
+        OpenResult::Recovered { storage, recovered } => (storage, recovered),
+        OpenResult::Empty(_) => panic!("the disk is empty"),
+        OpenResult::Damaged { damage, .. } => panic!("the disk is damaged: {damage}"),
     }
 }
 
@@ -180,9 +180,12 @@
     let reservation = Reservation { log_bytes: 1 << 20, slot_bytes: 1 << 19 };
     storage.reserve(reservation).unwrap();
     for group_number in 0..4 {
-        for file in LOGS.iter().chain(&SLOTS) {
-            let min_bytes =
-                if LOGS.contains(file) { reservation.log_bytes } else { reservation.slot_bytes };
+        for file in LOG_FILES.iter().chain(&SLOT_FILES) {
+            let min_bytes = if LOG_FILES.contains(file) {
+                reservation.log_bytes
+            } else {
+                reservation.slot_bytes
+            };
             let metadata = std::fs::metadata(folder.join(file)).unwrap();
             let allocated = metadata.blocks() * STAT_BLOCK_BYTES;
             assert!(
@@ -202,6 +205,6 @@
     let inner = top.join("one/two");
     drop(Storage::create(FolderDisk::new(inner.clone()).unwrap(), MEMBER).unwrap());
     let opened = open(FolderDisk::new(inner).unwrap()).unwrap();
-    assert!(matches!(opened, Opened::Recovered { .. }));
+    assert!(matches!(opened, OpenResult::Recovered { .. }));
     std::fs::remove_dir_all(top).unwrap();
 }
--- a/crates/storage/tests/golden_bytes.rs
+++ b/crates/storage/tests/golden_bytes.rs
@@ -15,7 +15,7 @@
 use consensus_values::{entries, hard_state, snapshot};
 use golden::{fixture_path, to_hex, writes_fixtures};
 use postbarrow_consensus::{Entry, RecoveredState, Write};
-use postbarrow_storage::{Disk, FolderDisk, LOGS, Opened, SLOTS, Storage, open};
+use postbarrow_storage::{Disk, FolderDisk, LOG_FILES, OpenResult, SLOT_FILES, Storage, open};
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Once};
 
@@ -37,7 +37,7 @@
 }
 
 fn files() -> impl Iterator<Item = &'static str> {
-    SLOTS.into_iter().chain(LOGS)
+    SLOT_FILES.into_iter().chain(LOG_FILES)
 }
 
 fn empty_folder(name: &str) -> PathBuf {
@@ -84,9 +84,9 @@
     match open(FolderDisk::new(folder.to_path_buf()).expect("the folder opens"))
         .expect("the folder is read")
     {
-        Opened::Recovered { storage, recovered } => (storage, recovered),
-        Opened::Damaged { damage, .. } => panic!("damaged: {damage}"),
-        Opened::Empty(_) => panic!("the folder opened as empty"),
+        OpenResult::Recovered { storage, recovered } => (storage, recovered),
+        OpenResult::Damaged { damage, .. } => panic!("damaged: {damage}"),
+        OpenResult::Empty(_) => panic!("the folder opened as empty"),
     }
 }
 
@@ -125,7 +125,7 @@
 
 #[test]
 fn older_slot_and_its_log_are_recovered_without_the_newer() {
-    let older = [SLOTS[1], LOGS[1]];
+    let older = [SLOT_FILES[1], LOG_FILES[1]];
     let folder = copy_of_fixture("golden-older", older);
     let (storage, recovered) = open_intact(&folder);
     assert_eq!(storage.id(), MEMBER);
@@ -145,10 +145,10 @@
     let (mut storage, before) = open_intact(&folder);
     storage.apply(vec![Write::Append(entries(46))]).expect("the write succeeds");
     let mut disk = storage.into_disk();
-    let log = disk.read(LOGS[0]).expect("the log is read");
-    assert!(
-        log.starts_with(&std::fs::read(fixture().join(LOGS[0])).expect("the fixture is committed"))
-    );
+    let log = disk.read(LOG_FILES[0]).expect("the log is read");
+    assert!(log.starts_with(
+        &std::fs::read(fixture().join(LOG_FILES[0])).expect("the fixture is committed")
+    ));
     let (_, after) = open_intact(&folder);
     assert_eq!(after.entries, before.entries.into_iter().chain(entries(46)).collect::<Vec<_>>());
 }
