--- a/crates/storage/tests/power.rs
+++ b/crates/storage/tests/power.rs
@@ -2,7 +2,7 @@
 
 use postbarrow_consensus::{Entry, HardState, Member, Payload, RecoveredState, Snapshot, Write};
 use postbarrow_simulation::{DiskFault, Random, SimDisk};
-use postbarrow_storage::{Disk, LOGS, Opened, SLOTS, Storage, open};
+use postbarrow_storage::{Disk, LOG_FILES, OpenResult, SLOT_FILES, Storage, open};
 use std::sync::Arc;
 
 fn entry(term: u64, index: u64) -> Entry {
@@ -11,9 +11,9 @@
 
 fn reopen(disk: &SimDisk) -> (Storage<SimDisk>, RecoveredState) {
     match open(disk.clone()).unwrap() {
-        Opened::Recovered { storage, recovered } => (storage, recovered),
-        Opened::Empty(_) => panic!("the disk is empty"),
-        Opened::Damaged { damage, .. } => panic!("the disk is damaged: {damage}"),
+        OpenResult::Recovered { storage, recovered } => (storage, recovered),
+        OpenResult::Empty(_) => panic!("the disk is empty"),
+        OpenResult::Damaged { damage, .. } => panic!("the disk is damaged: {damage}"),
     }
 }
 
@@ -105,26 +105,26 @@
 
 #[test]
 fn damage_to_synced_bytes_is_reported_and_never_mistaken_for_a_torn_tail() {
-    for file in LOGS.iter().chain(&SLOTS) {
+    for file in LOG_FILES.iter().chain(&SLOT_FILES) {
         let disk = SimDisk::default();
         let mut storage = Storage::create(disk.clone(), 9).unwrap();
         storage.apply(vec![slot(0, 1, Vec::new())]).unwrap();
         for index in 1..=5 {
             storage.apply(vec![Write::Append(vec![entry(1, index)])]).unwrap();
         }
-        let is_current = disk.length(file) > 0 && (*file == LOGS[0] || *file == SLOTS[0]);
+        let is_current = disk.length(file) > 0 && (*file == LOG_FILES[0] || *file == SLOT_FILES[0]);
         let at = if file.starts_with("log") { 150 } else { 30 };
         disk.damage(file, at);
         match open(disk.clone()).unwrap() {
-            Opened::Damaged { damage, .. } => assert!(
+            OpenResult::Damaged { damage, .. } => assert!(
                 is_current,
                 "{file}: not of the current generation, but reported as {damage}"
             ),
-            Opened::Recovered { recovered, .. } => {
+            OpenResult::Recovered { recovered, .. } => {
                 assert!(!is_current, "{file}: the damage was not detected");
                 assert_eq!(recovered.entries.len(), 5);
             }
-            Opened::Empty(_) => panic!("{file}: opened as empty"),
+            OpenResult::Empty(_) => panic!("{file}: opened as empty"),
         }
     }
 }
@@ -132,8 +132,8 @@
 #[test]
 fn torn_first_slot_opens_as_empty() {
     let mut disk = SimDisk::default();
-    disk.write(SLOTS[1], 0, b"PBSLOT01 half").unwrap();
-    assert!(matches!(open(disk).unwrap(), Opened::Empty(_)));
+    disk.write(SLOT_FILES[1], 0, b"PBSLOT01 half").unwrap();
+    assert!(matches!(open(disk).unwrap(), OpenResult::Empty(_)));
 }
 
 /// After a failed sync the operating system may treat dirty pages as written: reads return them
--- a/crates/transactions/src/error.rs
+++ b/crates/transactions/src/error.rs
@@ -13,7 +13,7 @@
     NotOpen,
     /// The batches of the writer's transaction exceed `DELTA_BYTES`.
     #[error("the transaction exceeds {DELTA_BYTES} bytes")]
-    OverDelta,
+    DeltaTooLarge,
     /// A batch has a format that this release doesn't read.
     #[error("batch of unknown format {0:?}")]
     UnknownFormat(
@@ -53,7 +53,7 @@
     },
     /// An End or Abort marker outside a transaction.
     #[error("offset {offset} record {position}: End or Abort without Begin")]
-    CloseWithoutBegin {
+    EndWithoutBegin {
         /// The batch's log offset.
         offset: u64,
         /// Index of the marker in its batch, from 0.
--- a/crates/transactions/src/tail.rs
+++ b/crates/transactions/src/tail.rs
@@ -120,7 +120,7 @@
                     });
                 }
                 (BatchRecord::End | BatchRecord::Abort { .. }, None) => {
-                    return Err(TransactionError::CloseWithoutBegin { offset, position });
+                    return Err(TransactionError::EndWithoutBegin { offset, position });
                 }
             }
         }
@@ -143,7 +143,7 @@
     }
 
     /// Returns whether a transaction is in progress.
-    pub fn is_open(&self) -> bool {
+    pub fn has_open_transaction(&self) -> bool {
         self.pending.is_some()
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// Returns the state with the records of the transaction in progress; `None` outside one.
-    pub fn staged(&self) -> Option<&I> {
+    pub fn pending_image(&self) -> Option<&I> {
         self.pending.as_ref().map(|delta| &delta.image)
     }
 }
--- a/crates/transactions/src/writer.rs
+++ b/crates/transactions/src/writer.rs
@@ -14,14 +14,14 @@
 /// and during a transaction also the state at Begin, to which an abort returns.
 pub struct Writer<I> {
     term: u64,
-    current: I,
+    proposed_state: I,
     open: Option<OpenTransaction<I>>,
 }
 
 impl<I: Image> Writer<I> {
     /// Creates the writer of a leader's term, which starts from the committed state.
     pub fn new(term: u64, committed: I) -> Self {
-        Writer { term, current: committed, open: None }
+        Writer { term, proposed_state: committed, open: None }
     }
 
     /// Starts a transaction and returns its Begin marker for the log.
@@ -37,7 +37,7 @@
         if self.open.is_some() {
             return Err(TransactionError::AlreadyOpen);
         }
-        let rollback = self.current.clone();
+        let rollback = self.proposed_state.clone();
         self.open = Some(OpenTransaction { since_ms: now_ms, size_bytes: 0, rollback });
         Ok(BatchRecord::begin(&truncate_marker_text(name)))
     }
@@ -48,15 +48,15 @@
     ///
     /// `NotOpen` if no transaction is open; another error if the transaction exceeds the bound,
     /// after which it must be aborted.
-    pub fn grow(&mut self, size_bytes: usize) -> Result<(), TransactionError> {
+    pub fn add_bytes(&mut self, size_bytes: usize) -> Result<(), TransactionError> {
         let open = self.open.as_mut().ok_or(TransactionError::NotOpen)?;
         open.size_bytes += size_bytes;
-        if open.size_bytes > DELTA_BYTES { Err(TransactionError::OverDelta) } else { Ok(()) }
+        if open.size_bytes > DELTA_BYTES { Err(TransactionError::DeltaTooLarge) } else { Ok(()) }
     }
 
     /// Applies a record that is proposed at this log offset.
     pub fn apply(&mut self, offset: u64, record: &I::Record) {
-        self.current.apply(offset, record);
+        self.proposed_state.apply(offset, record);
     }
 
     /// Commits the open transaction and returns its End marker for the log.
@@ -75,12 +75,12 @@
     /// `NotOpen` if no transaction is open.
     pub fn abort(&mut self, reason: &str) -> Result<BatchRecord<I::Record>, TransactionError> {
         let open = self.open.take().ok_or(TransactionError::NotOpen)?;
-        self.current = open.rollback;
+        self.proposed_state = open.rollback;
         Ok(BatchRecord::abort(reason))
     }
 
     /// Returns whether a transaction has been open for `TRANSACTION_OPEN_MS` or longer.
-    pub fn is_overdue(&self, now_ms: u64) -> bool {
+    pub fn is_transaction_overdue(&self, now_ms: u64) -> bool {
         self.open.as_ref().is_some_and(|open| now_ms >= open.since_ms + TRANSACTION_OPEN_MS)
     }
 
@@ -91,16 +91,16 @@
 
     /// Returns the state with every record proposed so far.
     pub fn current(&self) -> &I {
-        &self.current
+        &self.proposed_state
     }
 
     /// Returns the state to which an abort returns; `None` if no transaction is open.
-    pub fn rollback(&self) -> Option<&I> {
+    pub fn state_before_transaction(&self) -> Option<&I> {
         self.open.as_ref().map(|open| &open.rollback)
     }
 
     /// Returns whether a transaction is in progress.
-    pub fn is_open(&self) -> bool {
+    pub fn has_open_transaction(&self) -> bool {
         self.open.is_some()
     }
 
--- a/crates/transactions/tests/framing.rs
+++ b/crates/transactions/tests/framing.rs
@@ -26,7 +26,7 @@
     assert_eq!(tail.apply(2, 1, &[BatchRecord::begin("plan"), data(2)]), Ok(BatchOutcome::Pending));
     assert_eq!(tail.apply(3, 1, &[data(3)]), Ok(BatchOutcome::Pending));
     assert_eq!(tail.image().0, [1]);
-    assert_eq!(tail.staged().map(|staged| staged.0.clone()), Some(vec![1, 2, 3]));
+    assert_eq!(tail.pending_image().map(|staged| staged.0.clone()), Some(vec![1, 2, 3]));
     let aborted = tail.apply(4, 1, &[data(4), BatchRecord::abort("broken")]);
     assert_eq!(aborted, Ok(BatchOutcome::Aborted { reason: Some("broken".into()) }));
     assert_eq!(tail.image().0, [1]);
@@ -71,15 +71,15 @@
     assert_eq!(writer.begin(100, "other"), Err(TransactionError::AlreadyOpen));
     writer.apply(2, &2);
     assert_eq!(writer.current().0, [1, 2]);
-    assert_eq!(writer.rollback().map(|rollback| rollback.0.clone()), Some(vec![1]));
-    assert!(!writer.is_overdue(100 + TRANSACTION_OPEN_MS - 1));
-    assert!(writer.is_overdue(100 + TRANSACTION_OPEN_MS));
+    assert_eq!(writer.state_before_transaction().map(|rollback| rollback.0.clone()), Some(vec![1]));
+    assert!(!writer.is_transaction_overdue(100 + TRANSACTION_OPEN_MS - 1));
+    assert!(writer.is_transaction_overdue(100 + TRANSACTION_OPEN_MS));
     assert_eq!(writer.abort("late"), Ok(BatchRecord::abort("late")));
     assert_eq!(writer.current().0, [1]);
     assert_eq!(writer.end(), Err(TransactionError::NotOpen));
     writer.begin(200, "big").unwrap();
-    writer.grow(DELTA_BYTES).unwrap();
-    assert_eq!(writer.grow(1), Err(TransactionError::OverDelta));
+    writer.add_bytes(DELTA_BYTES).unwrap();
+    assert_eq!(writer.add_bytes(1), Err(TransactionError::DeltaTooLarge));
 }
 
 #[test]
--- a/crates/transport/src/listen.rs
+++ b/crates/transport/src/listen.rs
@@ -2,7 +2,7 @@
 
 use crate::enable_keepalive;
 use log::{debug, warn};
-use postbarrow_constants::traffic::{LINKS, STACK_BYTES};
+use postbarrow_constants::traffic::{INCOMING_LINKS_MAX, STACK_BYTES};
 use postbarrow_messages::{Envelope, FrameError, read_frame};
 use std::io::BufReader;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -24,8 +24,8 @@
     let links = Arc::new(AtomicUsize::new(0));
     thread::Builder::new().name("listen".into()).spawn(move || {
         for stream in listener.incoming().flatten() {
-            if links.load(Relaxed) >= LINKS {
-                warn!("link: too many incoming links max={LINKS}");
+            if links.load(Relaxed) >= INCOMING_LINKS_MAX {
+                warn!("link: too many incoming links max={INCOMING_LINKS_MAX}");
                 continue;
             }
             links.fetch_add(1, Relaxed);
--- a/examples/replicated-sum/src/lib.rs
+++ b/examples/replicated-sum/src/lib.rs
@@ -9,7 +9,7 @@
 };
 use postbarrow_constants::consensus::TICK_MS;
 use postbarrow_messages::{Envelope, Message};
-use postbarrow_storage::{FolderDisk, Opened, Storage, open};
+use postbarrow_storage::{FolderDisk, OpenResult, Storage, open};
 use postbarrow_transport::{Links, clock_ms, listen, random};
 use std::collections::VecDeque;
 use std::io;
@@ -72,8 +72,8 @@
     /// The folder can't be opened, the address can't be bound, or a thread can't be started.
     pub fn start(folder: PathBuf, address: SocketAddr) -> io::Result<Sum> {
         let (storage, recovered) = match open(FolderDisk::new(folder)?)? {
-            Opened::Recovered { storage, recovered } => (storage, recovered),
-            Opened::Empty(disk) | Opened::Damaged { disk, .. } => {
+            OpenResult::Recovered { storage, recovered } => (storage, recovered),
+            OpenResult::Empty(disk) | OpenResult::Damaged { disk, .. } => {
                 (Storage::create(disk, random())?, RecoveredState::default())
             }
         };
@@ -149,7 +149,7 @@
                 }
                 Ok(Command::Read { reply }) => {
                     let has_lease =
-                        self.consensus.is_ready() && clock_ms() < self.consensus.lease_until();
+                        self.consensus.is_ready() && clock_ms() < self.consensus.lease_until_ms();
                     let _ = reply.send(has_lease.then_some(self.sum));
                 }
                 Ok(Command::Add { reply, .. }) => drop(reply.send(None)),
--- a/programs/control-plane/src/cli.rs
+++ b/programs/control-plane/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line. Its names and help texts are the operators' interface.
 
 use gumdrop::Options;
-use postbarrow_startup::Flags;
+use postbarrow_startup::UncheckedSettings;
 
 /// Keeps the replicated log; its commands are the operator's.
 #[derive(Debug, Options)]
@@ -98,8 +98,8 @@
 
 impl SettingsFlags {
     /// Returns the settings that were given as flags, without the path of the settings file.
-    pub fn flags(&self) -> Flags {
-        Flags {
+    pub fn flags(&self) -> UncheckedSettings {
+        UncheckedSettings {
             name: self.name.clone(),
             zone: self.zone.clone(),
             address: self.address.clone(),
--- a/programs/control-plane/src/client_listener.rs
+++ b/programs/control-plane/src/client_listener.rs
@@ -125,7 +125,7 @@
         if reject != body::CLIENT_DEPARTED {
             let response = self.handler.reject(reject.status, reject.reason);
             let _ = connection.write(&response, "GET", true);
-            connection.linger();
+            connection.close_after_rejection();
         }
     }
 }
--- a/programs/control-plane/src/control_loop.rs
+++ b/programs/control-plane/src/control_loop.rs
@@ -108,14 +108,15 @@
         let consensus = self.node.consensus();
         let members: Vec<SocketAddr> =
             consensus.members().iter().map(|member| member.address).collect();
-        let members = if members.is_empty() { self.node.introduced() } else { members };
+        let members =
+            if members.is_empty() { self.node.known_control_addresses() } else { members };
         let leader = consensus.leader().map(|member| member.address);
         match self.node.contact(now_ms) {
-            Contact::Outside => self.controller_client.on_members(now_ms, leader, &members),
+            Contact::NotMember => self.controller_client.on_members(now_ms, leader, &members),
             Contact::Leader(leader) => {
                 self.controller_client.on_members(now_ms, Some(leader), &members)
             }
-            Contact::Silent { since_ms } => self.controller_client.on_leader_lost(since_ms),
+            Contact::NoLeader { since_ms } => self.controller_client.on_leader_lost(since_ms),
         }
         let effects = self.controller_client.tick(now_ms);
         self.carry_out(effects);
--- a/programs/control-plane/src/control_plane.rs
+++ b/programs/control-plane/src/control_plane.rs
@@ -47,7 +47,7 @@
         dialect: Arc<dyn Dialect>,
     ) -> io::Result<ControlPlane> {
         let folder = startup.data.clone().ok_or(io::ErrorKind::InvalidInput)?;
-        let (storage, recovered) = data_folder::open_folder(&folder, !startup.observer)?;
+        let (storage, recovered) = data_folder::open_folder(&folder, !startup.is_observer)?;
         let (listener, address) = startup.listen()?;
         let this_member = Member { id: storage.id(), address };
         info!(
@@ -55,7 +55,7 @@
             startup.name, this_member.id, this_member.address
         );
         let (commands, queue) = channel();
-        let reservation = (!startup.observer).then(|| data_folder::reservation(&startup.bounds));
+        let reservation = (!startup.is_observer).then(|| data_folder::reservation(&startup.bounds));
         let disk = DiskWriter::start(storage, reservation, commands.clone())?;
         let page_requests = endpoint_list_fetcher::start(
             startup.endpoint_list_url.clone().unwrap_or_default(),
@@ -120,11 +120,11 @@
     let mut node = ControlNode::new(this_member, recovered, &startup.seeds, random(), clock_ms());
     let bounds = &startup.bounds;
     node = node.with_bounds(bounds.list_gap_ms(), bounds.history_ms(), bounds.log_bytes());
-    node = node.with_losses(bounds.max_losses).with_voter_dead(bounds.voter_dead_ms());
+    node = node.with_tolerated_losses(bounds.max_losses).with_voter_dead_ms(bounds.voter_dead_ms());
     if let Some(members) = &startup.bootstrap_members {
-        node = node.with_founders(members);
+        node = node.with_bootstrap_members(members);
     }
-    if startup.observer {
+    if startup.is_observer {
         info!(
             "control: observer without a persistent disk, only forwards requests name={}",
             startup.name
--- a/programs/control-plane/src/data_folder.rs
+++ b/programs/control-plane/src/data_folder.rs
@@ -4,7 +4,7 @@
 use postbarrow_consensus::RecoveredState;
 use postbarrow_constants::consensus::DISK_FULL_PAUSE_MS;
 use postbarrow_startup::{Bounds, stop_requested};
-use postbarrow_storage::{FolderDisk, Opened, Reservation, Storage, is_full, open};
+use postbarrow_storage::{FolderDisk, OpenResult, Reservation, Storage, is_full, open};
 use postbarrow_transport::random;
 use std::fs::File;
 use std::io;
@@ -38,12 +38,12 @@
 
 fn open_disk(folder: &Path) -> io::Result<(Storage<FolderDisk>, RecoveredState)> {
     match open(FolderDisk::new(folder.to_path_buf())?)? {
-        Opened::Recovered { storage, recovered } => Ok((storage, recovered)),
-        Opened::Empty(disk) => {
+        OpenResult::Recovered { storage, recovered } => Ok((storage, recovered)),
+        OpenResult::Empty(disk) => {
             info!("disk: empty, starting as a new member folder={}", folder.display());
             Ok((Storage::create(disk, random())?, RecoveredState::default()))
         }
-        Opened::Damaged { disk, damage } => {
+        OpenResult::Damaged { disk, damage } => {
             error!("disk: damaged, starting as a new member finding={damage}");
             Ok((Storage::create(disk, random())?, RecoveredState::default()))
         }
--- a/programs/control-plane/src/endpoint_list_fetcher.rs
+++ b/programs/control-plane/src/endpoint_list_fetcher.rs
@@ -77,11 +77,11 @@
                     Ok(bytes) => self
                         .dialect
                         .parse_page(&bytes)
-                        .map_or_else(|error| Fetched::Failed(error.findings), Fetched::Listed),
+                        .map_or_else(|error| Fetched::Failed(error.findings), Fetched::Parsed),
                     Err(error) => Fetched::Failed(error.to_string()),
                 }
             }
-            429 | 503 => Fetched::Limited { wait_ms: retry_after_ms(&response) },
+            429 | 503 => Fetched::RateLimited { wait_ms: retry_after_ms(&response) },
             status => Fetched::Failed(format!("status {status}")),
         }
     }
--- a/programs/control-plane/src/graceful_shutdown.rs
+++ b/programs/control-plane/src/graceful_shutdown.rs
@@ -2,7 +2,7 @@
 //! transferred.
 
 use postbarrow_constants::consensus::LEADERSHIP_TRANSFER_MS;
-use postbarrow_constants::coordination::{ANSWER_WRITE_MS, SUBMIT_WAIT_MS};
+use postbarrow_constants::coordination::{RESPONSE_WRITE_MS, SUBMIT_WAIT_MS};
 
 /// Decides when a stopping process may exit. Its waits for pending requests and for the transfers
 /// both start when the stop is requested, so that they don't add up within the process's grace
@@ -43,7 +43,7 @@
             return now_ms >= self.requests_deadline_ms;
         }
         let idle_since_ms = *self.idle_since_ms.get_or_insert(now_ms);
-        now_ms >= idle_since_ms + ANSWER_WRITE_MS
+        now_ms >= idle_since_ms + RESPONSE_WRITE_MS
     }
 }
 
--- a/programs/control-plane/src/graceful_shutdown/tests.rs
+++ b/programs/control-plane/src/graceful_shutdown/tests.rs
@@ -6,8 +6,8 @@
 fn a_process_may_exit_once_responses_are_written_and_leadership_is_transferred() {
     let mut shutdown = GracefulShutdown::new(1_000);
     assert!(!shutdown.may_exit(1_000, 0, true), "the last response may still be written");
-    assert!(!shutdown.may_exit(1_000 + ANSWER_WRITE_MS, 0, false), "no other member leads yet");
-    assert!(shutdown.may_exit(1_000 + ANSWER_WRITE_MS, 0, true));
+    assert!(!shutdown.may_exit(1_000 + RESPONSE_WRITE_MS, 0, false), "no other member leads yet");
+    assert!(shutdown.may_exit(1_000 + RESPONSE_WRITE_MS, 0, true));
 }
 
 #[test]
@@ -23,7 +23,7 @@
     assert!(!shutdown.may_exit(1_010, 0, true));
     assert!(!shutdown.may_exit(1_020, 1, true));
     assert!(!shutdown.may_exit(1_030, 0, true), "its response may still be written");
-    assert!(shutdown.may_exit(1_030 + ANSWER_WRITE_MS, 0, true));
+    assert!(shutdown.may_exit(1_030 + RESPONSE_WRITE_MS, 0, true));
 }
 
 #[test]
--- a/programs/control-plane/src/main.rs
+++ b/programs/control-plane/src/main.rs
@@ -6,7 +6,7 @@
 use gumdrop::Options;
 use postbarrow_control_plane::{ControlPlane, operator_client};
 use postbarrow_plan::Plan;
-use postbarrow_startup::{ProgramKind, SettingsError, Startup, with_checked};
+use postbarrow_startup::{ProgramKind, SettingsError, Startup, run_if_valid};
 use std::process::ExitCode;
 
 /// Exit status when the command line, or a file that it names, is invalid.
@@ -47,7 +47,7 @@
 ) -> ExitCode {
     let flags = settings.flags();
     let load = || Startup::load(ProgramKind::ControlPlane, settings.startup.as_deref(), &flags);
-    with_checked(load(), |startup| then(startup, &load))
+    run_if_valid(load(), |startup| then(startup, &load))
 }
 
 /// Submits a plan. It is checked before it is sent, so that each finding can be shown at its place
--- a/programs/control-plane/src/operator_handler/tests.rs
+++ b/programs/control-plane/src/operator_handler/tests.rs
@@ -16,7 +16,7 @@
         head: &head,
         body: if method == "POST" { PLAN.as_bytes() } else { &[] },
         request_sender: &RequestSender::new(commands),
-        client: &ClientWatch::nobody(),
+        client: &ClientWatch::without_client(),
     };
     let response = serve(&request, &|_| controller.clone());
     let has_retry_after = response.headers.iter().any(|(name, _)| name == "Retry-After");
--- a/programs/control-plane/src/rehearsal.rs
+++ b/programs/control-plane/src/rehearsal.rs
@@ -108,7 +108,7 @@
     };
     Ok(match Plan::read(&text) {
         Ok(in_force) => {
-            Traffic::of(&in_force, plan, &RecentRequests { samples, observed: seen, seconds })
+            Traffic::compare(&in_force, plan, &RecentRequests { samples, observed: seen, seconds })
         }
         Err(_) => Traffic::unknown("the plan in force can't be read by this version"),
     })
--- a/programs/control-plane/src/request_sender.rs
+++ b/programs/control-plane/src/request_sender.rs
@@ -2,7 +2,7 @@
 //! process.
 
 use crate::command::Command;
-use postbarrow_constants::coordination::CONTROLLER_ANSWER_SLACK_MS;
+use postbarrow_constants::coordination::CONTROLLER_RESPONSE_SLACK_MS;
 use postbarrow_downstream::client_watch::{ClientWatch, ReceiveError};
 use postbarrow_messages::{Request, Response};
 use postbarrow_transport::{RequestKeys, clock_ms, random};
@@ -46,7 +46,7 @@
         if self.commands.send(Command::Request { key, request, wait_ms, reply }).is_err() {
             return Response::Unavailable;
         }
-        match client.receive(&response, clock_ms() + wait_ms + CONTROLLER_ANSWER_SLACK_MS) {
+        match client.receive(&response, clock_ms() + wait_ms + CONTROLLER_RESPONSE_SLACK_MS) {
             Ok(response) => response,
             Err(ReceiveError::ClientDeparted) => {
                 let _ = self.commands.send(Command::Withdraw { key });
--- a/programs/control-plane/tests/local/mod.rs
+++ b/programs/control-plane/tests/local/mod.rs
@@ -18,7 +18,7 @@
         seeds,
         data,
         may_bootstrap: true,
-        observer: false,
+        is_observer: false,
         bootstrap_members: None,
         endpoint_list_url: None,
         log: None,
--- a/programs/data-plane/src/admission.rs
+++ b/programs/data-plane/src/admission.rs
@@ -41,14 +41,14 @@
 
 impl RoutePermit {
     fn acquire(entry: &Arc<Entry>, nodes: u64) -> Result<RoutePermit, LimitExceeded> {
-        entry.compiled.limits.enter(clock_ms(), nodes)?;
+        entry.compiled.limits.try_acquire(clock_ms(), nodes)?;
         Ok(RoutePermit(entry.clone()))
     }
 }
 
 impl Drop for RoutePermit {
     fn drop(&mut self) {
-        self.0.compiled.limits.leave();
+        self.0.compiled.limits.release();
     }
 }
 
@@ -108,8 +108,13 @@
 pub fn admit_connection(counters: &AdmissionCounters, client: IpAddr) -> bool {
     let previous = counters.connections.fetch_add(1, SeqCst);
     let client_connections = counters.connections_by_client.for_client(client).load(SeqCst) + 1;
-    let is_admitted = previous < DOWNSTREAMS
-        && !is_over_share(previous, client_connections, DOWNSTREAMS, CLIENT_SHARE_PERCENT);
+    let is_admitted = previous < DOWNSTREAM_CONNECTIONS_MAX
+        && !is_over_share(
+            previous,
+            client_connections,
+            DOWNSTREAM_CONNECTIONS_MAX,
+            CLIENT_SHARE_PERCENT,
+        );
     if !is_admitted {
         release_connection(counters);
     }
--- a/programs/data-plane/src/balancing.rs
+++ b/programs/data-plane/src/balancing.rs
@@ -17,7 +17,7 @@
 impl LoadPermit {
     /// Adds one request to a target's load.
     pub fn acquire(load: Arc<Load>) -> LoadPermit {
-        load.enter();
+        load.request_started();
         LoadPermit(load)
     }
 
@@ -30,12 +30,12 @@
 
 impl Drop for LoadPermit {
     fn drop(&mut self) {
-        self.0.leave();
+        self.0.request_ended();
     }
 }
 
 /// Records the number of requests in flight that a target's response states, less those that this
 /// node itself has in flight there.
 pub fn report_in_flight(load: &Load, in_flight: u64) {
-    load.report_slots_used(clock_ms(), in_flight.saturating_sub(load.in_flight()));
+    load.store_report_with_slots(clock_ms(), in_flight.saturating_sub(load.in_flight()));
 }
--- a/programs/data-plane/src/command.rs
+++ b/programs/data-plane/src/command.rs
@@ -30,7 +30,7 @@
         /// The instance name of the target.
         instance: Name,
         /// Whether the process at the target's address identified itself as that target.
-        sound: bool,
+        identified: bool,
     },
     /// Replaces the seed addresses, through which the node finds the control plane.
     Seeds(Vec<SocketAddr>),
--- a/programs/data-plane/src/control_loop.rs
+++ b/programs/data-plane/src/control_loop.rs
@@ -48,7 +48,7 @@
                 Err(RecvTimeoutError::Timeout) => {}
             }
             if let Some((until_ms, done)) = &self.pending_end
-                && (self.node.pending_requests() == 0 || clock_ms() >= *until_ms)
+                && (self.node.pending_request_count() == 0 || clock_ms() >= *until_ms)
             {
                 let _ = done.send(());
                 return;
@@ -78,8 +78,8 @@
                 self.replies.remove(&key);
                 self.handle(now_ms, Input::Withdraw { key });
             }
-            Command::Probed { instance, sound } => {
-                self.handle(now_ms, Input::Probed { instance, sound })
+            Command::Probed { instance, identified: sound } => {
+                self.handle(now_ms, Input::Probed { instance, identified: sound })
             }
             Command::Seeds(seeds) => self.handle(now_ms, Input::Seeds(seeds)),
             Command::Stop => self.handle(now_ms, Input::Stop),
--- a/programs/data-plane/src/coordination.rs
+++ b/programs/data-plane/src/coordination.rs
@@ -31,7 +31,7 @@
         Err(invalid) => return error(invalid.status(), &invalid.to_string()),
     };
     if matches!(call, Call::Watch { .. }) {
-        let Some(_permit) = Permit::acquire_below(&shared.admission.watches, WATCHES) else {
+        let Some(_permit) = Permit::acquire_below(&shared.admission.watches, WATCHES_MAX) else {
             return error(503, "too many watches at this node");
         };
         return watch(shared, call, client);
@@ -64,7 +64,7 @@
     let mut response = error(504, reason);
     if let Some(key) = synthesized_key {
         response.headers.retain(|(name, _)| name != "Retry-After");
-        response.headers.push((postbarrow_node::KEY.into(), key.to_string()));
+        response.headers.push((postbarrow_node::KEY_HEADER.into(), key.to_string()));
     }
     response
 }
--- a/programs/data-plane/src/coordination/read_call.rs
+++ b/programs/data-plane/src/coordination/read_call.rs
@@ -2,7 +2,7 @@
 
 use crate::error::CallError;
 use postbarrow_downstream::head::Head;
-use postbarrow_reading::{Fields, Reading};
+use postbarrow_reading::{DocumentReader, Fields};
 use postbarrow_state::{Call, Name, ResourceKind};
 
 /// Reads the coordination call in an HTTP request.
@@ -18,7 +18,7 @@
     let path = head.path().strip_prefix("/coordination/").unwrap_or_default();
     let (resource, name) = path.split_once('/').unwrap_or((path, ""));
     let name = unescape(name)?;
-    let (value, mut reading) = Reading::parse(text)?;
+    let (value, mut reading) = DocumentReader::parse(text)?;
     let Some(fields) = Fields::of(&value, "$", &mut reading) else {
         let findings =
             reading.finish(()).expect_err("a body that is not an object must result in a finding");
@@ -57,7 +57,7 @@
 /// The fields of a call's body, with the findings so far.
 struct CallBody<'v> {
     fields: Fields<'v>,
-    reading: Reading,
+    reading: DocumentReader,
 }
 
 impl CallBody<'_> {
--- a/programs/data-plane/src/dialect.rs
+++ b/programs/data-plane/src/dialect.rs
@@ -25,7 +25,7 @@
     /// The target states that it did not run the request and never will. The field is the reason.
     NotRun(String),
     /// The response violates the dialect, and the request may have run. The field is the reason.
-    Unsound(String),
+    Invalid(String),
     /// The response belongs to an earlier request on the same connection.
     Misdirected,
 }
--- a/programs/data-plane/src/json_response.rs
+++ b/programs/data-plane/src/json_response.rs
@@ -21,7 +21,7 @@
 pub fn rejection(status: u16, outcome: &str, reason: &str) -> TargetResponse {
     let body = Rejection { error: Some(reason.into()), outcome: Some(outcome.into()) };
     let mut response = json(status, &body);
-    response.headers.push((postbarrow_node::OUTCOME.into(), outcome.into()));
+    response.headers.push((postbarrow_node::OUTCOME_HEADER.into(), outcome.into()));
     response
 }
 
--- a/programs/data-plane/src/lib.rs
+++ b/programs/data-plane/src/lib.rs
@@ -94,7 +94,8 @@
         let (commands, queue) = channel();
         let shared = Arc::new(Shared::new(own.clone(), dialect, &startup.bounds, commands));
         let lease_ms = startup.bounds.node_lease_ms();
-        let node = DataNode::new(own, startup.seeds.clone(), clock_ms()).with_lease(lease_ms);
+        let node =
+            DataNode::new(own, startup.seeds.clone(), clock_ms()).with_lease_duration_ms(lease_ms);
         let control_loop = ControlLoop::new(node, shared.clone());
         thread::Builder::new().name("node".into()).spawn(move || control_loop.run(queue))?;
         let link_shared = shared.clone();
@@ -110,11 +111,11 @@
             accept::listen(TcpListener::bind(readiness_address)?, shared.clone())?;
         }
         accept::listen(http, shared.clone())?;
-        Ok(DataPlane { shared, stop_ms: startup.bounds.stop_ms() })
+        Ok(DataPlane { shared, stop_ms: startup.bounds.shutdown_times_ms() })
     }
 
     /// Replaces the seed addresses, through which the node finds the control plane.
-    pub fn seeds(&self, seeds: Vec<SocketAddr>) {
+    pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         self.shared.control_loop.send(Command::Seeds(seeds));
     }
 
--- a/programs/data-plane/src/main.rs
+++ b/programs/data-plane/src/main.rs
@@ -4,7 +4,7 @@
 
 use gumdrop::Options;
 use postbarrow_data_plane::DataPlane;
-use postbarrow_startup::{Flags, ProgramKind, Startup, with_checked};
+use postbarrow_startup::{ProgramKind, Startup, UncheckedSettings, run_if_valid};
 use std::process::ExitCode;
 
 /// Takes requests over HTTP and passes each to a target that the plan in force allows.
@@ -46,7 +46,7 @@
         println!("postbarrow-data-plane {}", env!("CARGO_PKG_VERSION"));
         return ExitCode::SUCCESS;
     }
-    let flags = Flags {
+    let flags = UncheckedSettings {
         name: cli.name,
         zone: cli.zone,
         address: cli.address,
@@ -55,14 +55,14 @@
         seeds: cli.seed,
         log: cli.log,
         level: cli.level,
-        ..Flags::default()
+        ..UncheckedSettings::default()
     };
     let load = || Startup::load(ProgramKind::DataPlane, cli.startup.as_deref(), &flags);
-    with_checked(load(), |startup| {
+    run_if_valid(load(), |startup| {
         if cli.check {
             println!("the settings are sound");
             return ExitCode::SUCCESS;
         }
-        startup.serve(DataPlane::start, load, DataPlane::seeds, DataPlane::stop)
+        startup.serve(DataPlane::start, load, DataPlane::set_seeds, DataPlane::stop)
     })
 }
--- a/programs/data-plane/src/phases/connect.rs
+++ b/programs/data-plane/src/phases/connect.rs
@@ -4,7 +4,7 @@
 use crate::balancing::LoadPermit;
 use crate::error::Result;
 use crate::target_connection::TargetConnection;
-use postbarrow_constants::traffic::PROOF_WAIT_MS;
+use postbarrow_constants::traffic::IDENTITY_TIMEOUT_MS;
 use postbarrow_node::Event;
 use postbarrow_routing::Load;
 use postbarrow_state::Target;
@@ -49,8 +49,8 @@
     let until_ms = clock_ms() + wait_ms;
     let mut connection = TargetConnection::open(target.address, until_ms, client)?;
     if request.shared.dialect.target_identification().is_none() {
-        let until_ms = until_ms.min(clock_ms() + PROOF_WAIT_MS);
-        load.report(connection.identify(target, until_ms, client)?);
+        let until_ms = until_ms.min(clock_ms() + IDENTITY_TIMEOUT_MS);
+        load.store_report(connection.identify(target, until_ms, client)?);
     }
     Ok(connection)
 }
--- a/programs/data-plane/src/phases/retry_or_finish.rs
+++ b/programs/data-plane/src/phases/retry_or_finish.rs
@@ -15,8 +15,8 @@
     let context = FlowContext {
         now_ms: clock_ms(),
         table: &table,
-        serves: shared.lease.is_valid(),
-        number: shared.keys.next_number(),
+        has_lease: shared.lease.is_valid(),
+        ticket_number: shared.keys.next_number(),
         client_departed: request.incoming.client.is_known_departed(),
     };
     flow.handle(&context, event)
--- a/programs/data-plane/src/phases/write_response.rs
+++ b/programs/data-plane/src/phases/write_response.rs
@@ -49,5 +49,5 @@
             let _ = connection.write(&response, method, true);
         }
     }
-    connection.linger();
+    connection.close_after_rejection();
 }
--- a/programs/data-plane/src/probe.rs
+++ b/programs/data-plane/src/probe.rs
@@ -6,7 +6,7 @@
 use crate::shared::Shared;
 use crate::target_connection::TargetConnection;
 use postbarrow_constants::nodes::PROBE_INTERVAL_MS;
-use postbarrow_constants::traffic::{PROOF_WAIT_MS, STACK_BYTES};
+use postbarrow_constants::traffic::{IDENTITY_TIMEOUT_MS, STACK_BYTES};
 use postbarrow_downstream::client_watch::ClientWatch;
 use postbarrow_state::{Name, Target};
 use postbarrow_transport::clock_ms;
@@ -53,7 +53,7 @@
         let in_flight = probe(shared, &target);
         let sound = in_flight.is_ok();
         if let (Ok(in_flight), Some(load)) = (in_flight, table.loads().get(instance)) {
-            load.report(in_flight);
+            load.store_report(in_flight);
         }
         let current_table = shared.routing.load();
         if current_table
@@ -62,7 +62,9 @@
             .get(instance)
             .is_none_or(|current_target| current_target.address == target.address)
         {
-            shared.control_loop.send(Command::Probed { instance: instance.clone(), sound });
+            shared
+                .control_loop
+                .send(Command::Probed { instance: instance.clone(), identified: sound });
         }
         if shared.lifecycle.is_stopping() {
             return;
@@ -77,8 +79,8 @@
 /// Returns how many requests the target has in flight.
 fn probe(shared: &Shared, target: &Target) -> Result<u64> {
     let pools = shared.pools.load();
-    let no_client = ClientWatch::nobody();
-    let until_ms = clock_ms() + PROOF_WAIT_MS;
+    let no_client = ClientWatch::without_client();
+    let until_ms = clock_ms() + IDENTITY_TIMEOUT_MS;
     if let Some(mut connection) = pools.take(target)
         && let Ok(in_flight) = connection.identify(target, until_ms, &no_client)
     {
--- a/programs/data-plane/src/response_parser.rs
+++ b/programs/data-plane/src/response_parser.rs
@@ -39,7 +39,7 @@
 /// # Errors
 /// Fails if the bytes are not an HTTP/1.1 response with one unambiguous length.
 pub fn parse_head(bytes: &[u8], method: &str) -> Result<Option<ResponseHead>, ParseError> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut parsed = httparse::Response::new(&mut headers);
     let length = match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
--- a/programs/data-plane/src/shared/control_loop_handle.rs
+++ b/programs/data-plane/src/shared/control_loop_handle.rs
@@ -1,7 +1,7 @@
 //! Sends commands to the control loop, and through it requests to the controller.
 
 use crate::command::Command;
-use postbarrow_constants::coordination::CONTROLLER_ANSWER_SLACK_MS;
+use postbarrow_constants::coordination::CONTROLLER_RESPONSE_SLACK_MS;
 use postbarrow_downstream::client_watch::{ClientWatch, ReceiveError};
 use postbarrow_messages::{Request, Response};
 use postbarrow_transport::{RequestKeys, clock_ms, random};
@@ -31,7 +31,7 @@
         if self.commands.send(command).is_err() {
             return Response::TimedOut;
         }
-        match client.receive(&response, clock_ms() + wait_ms + CONTROLLER_ANSWER_SLACK_MS) {
+        match client.receive(&response, clock_ms() + wait_ms + CONTROLLER_RESPONSE_SLACK_MS) {
             Ok(response) => response,
             Err(ReceiveError::ClientDeparted) => {
                 self.send(Command::Withdraw { key });
--- a/programs/data-plane/src/target_connection.rs
+++ b/programs/data-plane/src/target_connection.rs
@@ -60,7 +60,7 @@
 impl<'a> Cancellation<'a> {
     /// Returns a cancellation by the departure of this client within this scope.
     pub fn new(client: &'a ClientWatch<'a>, scope: CancelScope) -> Cancellation<'a> {
-        Cancellation { client, no_client: ClientWatch::nobody(), scope }
+        Cancellation { client, no_client: ClientWatch::without_client(), scope }
     }
 
     /// Returns the watch to use while the request is sent.
--- a/programs/data-plane/src/target_connection/identify.rs
+++ b/programs/data-plane/src/target_connection/identify.rs
@@ -4,7 +4,7 @@
 use crate::dialect::ResponseJudgement;
 use crate::error::{Result, UpstreamError};
 use crate::target_identity::read_identity;
-use postbarrow_constants::traffic::{HEAD_BYTES, PROOF_PATH};
+use postbarrow_constants::traffic::{HEAD_BYTES, IDENTITY_PATH};
 use postbarrow_downstream::client_watch::ClientWatch;
 use postbarrow_downstream::memory_budget::MemoryBudget;
 use postbarrow_node::{AttemptOutcome, TargetResponse};
@@ -26,7 +26,7 @@
         let host = ("Host".to_string(), target.address.to_string());
         let request = OutgoingRequest {
             method: "GET",
-            path: PROOF_PATH,
+            path: IDENTITY_PATH,
             headers: &[host],
             body: &[],
             until_ms,
--- a/programs/data-plane/src/target_connection/receive.rs
+++ b/programs/data-plane/src/target_connection/receive.rs
@@ -37,7 +37,7 @@
                 Err(error) => {
                     let late = matches!(error, UpstreamError::DeadlinePassed);
                     let reason = error.during("reading");
-                    return (AttemptOutcome::Unknown { late, reason }, false);
+                    return (AttemptOutcome::Unknown { timed_out: late, reason }, false);
                 }
             };
             let judgement = (expected.judge)(&response, self.awaits_first_response);
@@ -45,10 +45,10 @@
             let outcome = match judgement {
                 ResponseJudgement::Misdirected if is_persistent => continue,
                 ResponseJudgement::Misdirected => {
-                    AttemptOutcome::Unknown { late: false, reason: "another's".into() }
+                    AttemptOutcome::Unknown { timed_out: false, reason: "another's".into() }
                 }
-                ResponseJudgement::Unsound(reason) => {
-                    return (AttemptOutcome::Unknown { late: false, reason }, false);
+                ResponseJudgement::Invalid(reason) => {
+                    return (AttemptOutcome::Unknown { timed_out: false, reason }, false);
                 }
                 ResponseJudgement::NotRun(reason) => AttemptOutcome::NotRun(reason),
                 ResponseJudgement::Complete => AttemptOutcome::Complete(response),
--- a/programs/data-plane/src/target_connection/send.rs
+++ b/programs/data-plane/src/target_connection/send.rs
@@ -52,7 +52,7 @@
             let reason = error.during("sending");
             match sent_bytes {
                 0 => AttemptOutcome::Unsent(reason),
-                _ => AttemptOutcome::Unknown { late: false, reason },
+                _ => AttemptOutcome::Unknown { timed_out: false, reason },
             }
         })
     }
--- a/programs/data-plane/src/target_identity.rs
+++ b/programs/data-plane/src/target_identity.rs
@@ -1,7 +1,7 @@
 //! Reads the identity that a target states in its JSON response.
 
 use crate::error::{Result, UpstreamError};
-use postbarrow_reading::{Fields, Reading, text};
+use postbarrow_reading::{DocumentReader, Fields, text};
 use postbarrow_state::Labels;
 
 /// The identity that a target states.
@@ -21,7 +21,8 @@
 /// # Errors
 /// Returns all findings in the JSON together.
 pub fn read_identity(json: &str) -> Result<TargetIdentity> {
-    let (value, mut reading) = Reading::parse(json).map_err(UpstreamError::IdentityNotJson)?;
+    let (value, mut reading) =
+        DocumentReader::parse(json).map_err(UpstreamError::IdentityNotJson)?;
     let mut identity = None;
     if let Some(mut fields) = Fields::of(&value, "$", &mut reading) {
         let instance = fields.text("instance", &mut reading).unwrap_or_default().to_string();
--- a/programs/data-plane/src/tests/admission.rs
+++ b/programs/data-plane/src/tests/admission.rs
@@ -44,7 +44,7 @@
         panic!("no route")
     };
     for _ in 0..REQUESTS_IN_FLIGHT * ROUTE_SHARE_PERCENT / 100 {
-        entry.compiled.limits.enter(1, 1).unwrap();
+        entry.compiled.limits.try_acquire(1, 1).unwrap();
     }
     rig.shared.admission.requests.store(REQUESTS_IN_FLIGHT / 2 + 1, Relaxed);
     assert!(rig.get("/look/1").starts_with("HTTP/1.1 503"));
--- a/programs/data-plane/src/tests/execution_evidence.rs
+++ b/programs/data-plane/src/tests/execution_evidence.rs
@@ -76,7 +76,7 @@
 /// Sends a one-time request to a target over a new connection on which the target identified
 /// itself.
 fn exchange(to: &Target, body: &[u8], may_send: &dyn Fn() -> bool) -> (AttemptOutcome, bool) {
-    let nobody = ClientWatch::nobody();
+    let nobody = ClientWatch::without_client();
     let until_ms = clock_ms() + 60_000;
     let mut connection = TargetConnection::open(to.address, until_ms, &nobody).unwrap();
     connection.identify(to, until_ms, &nobody).unwrap();
--- a/programs/data-plane/src/tests/named_targets.rs
+++ b/programs/data-plane/src/tests/named_targets.rs
@@ -61,7 +61,7 @@
             _ if header(response, "Not-Run").is_some() => {
                 ResponseJudgement::NotRun("the target states Not-Run".into())
             }
-            (None, _) => ResponseJudgement::Unsound("no request id".into()),
+            (None, _) => ResponseJudgement::Invalid("no request id".into()),
             _ => ResponseJudgement::Complete,
         }
     }
--- a/programs/data-plane/src/tests/requests.rs
+++ b/programs/data-plane/src/tests/requests.rs
@@ -176,7 +176,10 @@
     while rig.shared.admission.connections.load(Relaxed) > 0 {
         std::thread::yield_now();
     }
-    rig.shared.admission.connections.store(postbarrow_constants::traffic::DOWNSTREAMS, Relaxed);
+    rig.shared
+        .admission
+        .connections
+        .store(postbarrow_constants::traffic::DOWNSTREAM_CONNECTIONS_MAX, Relaxed);
     let mut stream = std::net::TcpStream::connect(rig.http).unwrap();
     let mut reply = String::new();
     let _ = std::io::Read::read_to_string(&mut stream, &mut reply);
--- a/programs/data-plane/src/tests/rig.rs
+++ b/programs/data-plane/src/tests/rig.rs
@@ -181,14 +181,14 @@
     /// Returns the number of requests to the controller that were withdrawn so far. The `Show`
     /// request is queued behind them and so answered after them.
     pub fn withdrawn(&self) -> usize {
-        self.shared.control_loop.request(Request::Show, 60_000, &ClientWatch::nobody());
+        self.shared.control_loop.request(Request::Show, 60_000, &ClientWatch::without_client());
         self.withdrawn.load(Relaxed)
     }
 
     /// Returns all settlements so far. The `Show` request is queued behind them and so answered
     /// after them.
     pub fn settlements(&self) -> Vec<Settlement> {
-        self.shared.control_loop.request(Request::Show, 60_000, &ClientWatch::nobody());
+        self.shared.control_loop.request(Request::Show, 60_000, &ClientWatch::without_client());
         let requested = self.requested.lock().unwrap();
         let settlements = requested.iter().filter_map(|request| match request {
             Request::Settle { settlement, .. } => Some(*settlement),
--- a/programs/data-plane/src/tests/scripted.rs
+++ b/programs/data-plane/src/tests/scripted.rs
@@ -1,6 +1,6 @@
 //! Targets on real sockets that respond by a script.
 
-use postbarrow_constants::traffic::PROOF_PATH;
+use postbarrow_constants::traffic::IDENTITY_PATH;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::AsRawFd;
@@ -78,7 +78,7 @@
             let mut buffer = Vec::new();
             let (head, _) = read_request(&mut stream, &mut buffer)
                 .expect("an identity request must come first");
-            assert!(head.contains(PROOF_PATH), "{head}");
+            assert!(head.contains(IDENTITY_PATH), "{head}");
             stream.write_all(complete(&identity(instance, service)).as_bytes()).unwrap();
             let mut first = [0; 4];
             stream.read_exact(&mut first).unwrap();
@@ -256,7 +256,7 @@
     let mut buffer = Vec::new();
     stream.set_nodelay(true).unwrap();
     while let Some((head, body)) = read_request(&mut stream, &mut buffer) {
-        if head.contains(PROOF_PATH) {
+        if head.contains(IDENTITY_PATH) {
             if let Some(observer) = &unidentified {
                 return observer.hang(&mut stream);
             }
--- a/programs/data-plane/src/tests/unresponsive_named_targets.rs
+++ b/programs/data-plane/src/tests/unresponsive_named_targets.rs
@@ -160,7 +160,7 @@
     let text = b"POST /post/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: p\r\nContent-Length: 1\r\n\r\n";
     let (head, _) = parse(text).unwrap().unwrap();
     let until_ms = clock_ms() + 60_000;
-    let nobody = ClientWatch::nobody();
+    let nobody = ClientWatch::without_client();
     let request = OutgoingRequest {
         method: &head.method,
         path: &head.target,
--- a/tools/stand-ins/src/target.rs
+++ b/tools/stand-ins/src/target.rs
@@ -5,7 +5,7 @@
 use crate::http::{HttpRequest, read_request, write_response};
 use facet::Facet;
 use gumdrop::Options;
-use postbarrow_constants::traffic::PROOF_PATH;
+use postbarrow_constants::traffic::IDENTITY_PATH;
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
@@ -112,7 +112,7 @@
     /// Executes one request, or reports the target's identity. The caller closes the connection
     /// after an error.
     fn handle(&self, stream: &mut TcpStream, request: &HttpRequest) -> io::Result<()> {
-        if request.target == PROOF_PATH {
+        if request.target == IDENTITY_PATH {
             let identity = TargetIdentity {
                 instance: self.options.instance.clone(),
                 service: self.options.service.clone(),
