--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -70,7 +70,7 @@
 
     /// Sets the number of voters such that a majority remains after `losses` of them are lost at
     /// once; it is never set below `VOTERS`.
-    pub fn set_losses(&mut self, losses: usize) {
+    pub fn set_tolerated_losses(&mut self, losses: usize) {
         self.voter_policy.set_losses(losses);
     }
 
@@ -233,7 +233,7 @@
     /// Returns when the last message of a leader arrived, in milliseconds of this member's clock.
     /// The start of the process counts as such a message. A leader that steps down counts as having
     /// been in contact with itself until `ELECTION_MIN_MS` before that.
-    pub fn leader_contact_ms(&self) -> u64 {
+    pub fn last_leader_contact_ms(&self) -> u64 {
         self.contact.last_contact_ms
     }
 
--- a/crates/consensus/tests/replacement/cluster.rs
+++ b/crates/consensus/tests/replacement/cluster.rs
@@ -98,7 +98,7 @@
     pub fn start(&mut self, id: MemberId) {
         let disk = self.machines.remove(&id).map_or_else(RecoveredState::default, |old| old.disk);
         let mut node = Consensus::new(id, disk.clone(), id * 7_919, self.now_ms);
-        node.set_losses(self.losses);
+        node.set_tolerated_losses(self.losses);
         node.set_voter_dead_ms(self.voter_dead_ms);
         let applied =
             disk.snapshot.as_ref().map_or_else(BTreeSet::new, |snapshot| decode(&snapshot.state));
--- a/crates/controller/src/control_node/contact.rs
+++ b/crates/controller/src/control_node/contact.rs
@@ -21,7 +21,7 @@
                 self.contact.on_own_lease(now_ms)
             }
             Contact::Leader(_) => {
-                self.contact.on_leader_contact(self.consensus.leader_contact_ms())
+                self.contact.on_leader_contact(self.consensus.last_leader_contact_ms())
             }
             Contact::NotMember | Contact::NoLeader { .. } => {
                 self.contact.on_no_contact(now_ms, gap_ms)
--- a/crates/controller/src/control_node/settings.rs
+++ b/crates/controller/src/control_node/settings.rs
@@ -44,7 +44,7 @@
     /// Sets how many members may be lost at once; the number of voters is what a majority needs
     /// after that loss.
     pub fn with_tolerated_losses(mut self, losses: usize) -> Self {
-        self.consensus.set_losses(losses);
+        self.consensus.set_tolerated_losses(losses);
         self
     }
 
--- a/crates/node/tests/lease.rs
+++ b/crates/node/tests/lease.rs
@@ -77,7 +77,12 @@
         self.receive(Message::LeaseResponse { number, response });
     }
 
-    fn receive_updates(&mut self, prev: u64, offset: u64, records: &[BatchRecord<Record>]) {
+    fn receive_updates(
+        &mut self,
+        previous_offset: u64,
+        offset: u64,
+        records: &[BatchRecord<Record>],
+    ) {
         let entries = vec![UpdateEntry { previous_offset, offset, bytes: encode(records) }];
         self.receive(Message::Updates { entries });
     }
--- a/crates/simulation/src/world/control.rs
+++ b/crates/simulation/src/world/control.rs
@@ -7,7 +7,7 @@
 use postbarrow_consensus::{Member, RecoveredState, Write};
 use postbarrow_constants::consensus::DISK_FULL_PAUSE_MS;
 use postbarrow_controller::{ControlNode, Effect, Input};
-use postbarrow_storage::{OpenResult, Storage, WriteError, is_full, open};
+use postbarrow_storage::{OpenResult, Storage, WriteError, is_out_of_space, open};
 use std::io;
 
 /// Time after which a process whose disk failed or accepts no writes starts again, in microseconds.
@@ -48,7 +48,7 @@
         }
         let (storage, recovered) = match open_or_create(machine.disk.clone(), id) {
             Ok(opened) => opened,
-            Err(error) if is_full(&error) => return self.schedule_start(at),
+            Err(error) if is_out_of_space(&error) => return self.schedule_start(at),
             Err(error) => return self.disk_failed(at, &error),
         };
         let machine = &mut self.control[at];
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -19,7 +19,7 @@
 impl WriteError {
     /// Classifies the error of a write before any sync of that write.
     pub(crate) fn before_sync(error: io::Error) -> Self {
-        if is_full(&error) { WriteError::Full(error) } else { WriteError::Failed(error) }
+        if is_out_of_space(&error) { WriteError::Full(error) } else { WriteError::Failed(error) }
     }
 }
 
@@ -33,7 +33,7 @@
 
 /// Returns whether a write was refused for lack of space: the disk is full, or a quota or the limit
 /// on a file's size is reached.
-pub fn is_full(error: &io::Error) -> bool {
+pub fn is_out_of_space(error: &io::Error) -> bool {
     use io::ErrorKind::{FileTooLarge, QuotaExceeded, StorageFull};
     matches!(error.kind(), StorageFull | QuotaExceeded | FileTooLarge)
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -17,7 +17,7 @@
 
 pub use damage::Damage;
 pub use disk::Disk;
-pub use error::{WriteError, is_full};
+pub use error::{WriteError, is_out_of_space};
 pub use folder_disk::FolderDisk;
 pub use open::{OpenResult, open};
 pub use reserve::Reservation;
--- a/crates/storage/tests/full.rs
+++ b/crates/storage/tests/full.rs
@@ -83,7 +83,7 @@
     storage.apply(vec![append(1)]).unwrap();
     disk.set_fault(Some(DiskFault::Full));
     let Err(error) = open(disk.clone()) else { panic!("a full disk was not reported") };
-    assert!(is_full(&error), "the error of open is not that of a full disk: {error}");
+    assert!(is_out_of_space(&error), "the error of open is not that of a full disk: {error}");
     disk.set_fault(None);
     assert_eq!(last_index(&reopen(&disk).1), 1);
 }
--- a/programs/control-plane/src/data_folder.rs
+++ b/programs/control-plane/src/data_folder.rs
@@ -4,7 +4,7 @@
 use postbarrow_consensus::RecoveredState;
 use postbarrow_constants::consensus::DISK_FULL_PAUSE_MS;
 use postbarrow_startup::{Bounds, stop_requested};
-use postbarrow_storage::{FolderDisk, OpenResult, Reservation, Storage, is_full, open};
+use postbarrow_storage::{FolderDisk, OpenResult, Reservation, Storage, is_out_of_space, open};
 use postbarrow_transport::random;
 use std::fs::File;
 use std::io;
@@ -57,7 +57,7 @@
     let mut is_logged = false;
     loop {
         match step() {
-            Err(error) if is_full(&error) && !stop_requested() => {
+            Err(error) if is_out_of_space(&error) && !stop_requested() => {
                 if !std::mem::replace(&mut is_logged, true) {
                     warn!("disk: full, the start waits for space error={error}");
                 }
