--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -57,7 +57,7 @@
         self.lose(split, |_| random.borrow_mut().chance(500));
     }
 
-    /// Loses power; `keeps` returns, for the index of each unit that `unsynced` counts, whether
+    /// Loses power; `keeps` returns, for the index of each unit that `unsynced_units` counts, whether
     /// that unit survives. The two units of a write are its halves.
     pub fn lose_power_keeping(&self, keeps: impl FnMut(usize) -> bool) {
         self.lose(|length| length / 2, keeps);
@@ -91,7 +91,7 @@
     /// Returns the number of units that a power loss would now keep or lose independently: one for
     /// each unsynced directory entry, two for each unsynced write, one for each unsynced
     /// truncation.
-    pub fn unsynced(&self) -> usize {
+    pub fn unsynced_units(&self) -> usize {
         let files = self.0.borrow();
         let count = |file: &SimFile| {
             let fragments = file.unsynced.iter().map(Op::fragment_count).sum::<usize>();
@@ -116,7 +116,7 @@
     }
 
     /// Schedules a power loss: after this many further operations, every operation fails.
-    pub fn set_fuse(&self, operations: u64) {
+    pub fn set_power_loss_after(&self, operations: u64) {
         self.0.borrow_mut().power_loss_after = Some(operations);
     }
 
--- a/crates/simulation/src/world/control.rs
+++ b/crates/simulation/src/world/control.rs
@@ -91,7 +91,7 @@
             && let Some(operations) = power_loss_after
             && !machine.writes.is_empty()
         {
-            machine.disk.set_fuse(operations);
+            machine.disk.set_power_loss_after(operations);
             let in_storage = std::mem::take(&mut machine.in_storage);
             let writes =
                 machine.writes.drain(..).map(|(_, write)| write).skip(in_storage).collect();
--- a/crates/storage/tests/every_power_loss.rs
+++ b/crates/storage/tests/every_power_loss.rs
@@ -83,7 +83,7 @@
 
 /// Runs the script on a disk that loses power after `fuse` operations.
 fn run_script(disk: &SimDisk, fuse: u64) -> ScriptRun {
-    disk.set_fuse(fuse);
+    disk.set_power_loss_after(fuse);
     let mut run = ScriptRun {
         created: false,
         acknowledged: INITIAL_STATE,
@@ -118,7 +118,7 @@
 /// Returns a copy of the disk after a loss of power for each combination of unsynced names and
 /// writes that survive, with the combination as a bit mask.
 fn power_loss_survivors(disk: &SimDisk) -> impl Iterator<Item = (u64, SimDisk)> {
-    let unsynced = disk.unsynced();
+    let unsynced = disk.unsynced_units();
     assert!(
         unsynced <= 12,
         "{unsynced} unsynced writes and names are too many to test all combinations"
@@ -205,7 +205,7 @@
         for (mask, survivor) in power_loss_survivors(&disk).filter(|_| run.created) {
             for second_fuse in 0..8 {
                 let recovering = survivor.copy();
-                recovering.set_fuse(second_fuse);
+                recovering.set_power_loss_after(second_fuse);
                 let opened = open(recovering.clone()).is_ok();
                 for (second_mask, after) in power_loss_survivors(&recovering) {
                     let context = format!(
@@ -239,7 +239,7 @@
             disk.lose_power_keeping(|_| true);
             disk.damage(damaged, 30);
             let Opened::Damaged { disk: old, .. } = open(disk.clone()).unwrap() else { break };
-            disk.set_fuse(fuse);
+            disk.set_power_loss_after(fuse);
             let created = Storage::create(old, NEW_MEMBER).is_ok();
             for (mask, survivor) in power_loss_survivors(&disk) {
                 let context = format!("{damaged}, {fuse} operations, surviving {mask:b}");
--- a/crates/storage/tests/power.rs
+++ b/crates/storage/tests/power.rs
@@ -69,7 +69,7 @@
             storage.apply(vec![model.next_write(&mut random)]).unwrap();
         }
         let Model { last_index, term, durable_term, .. } = model;
-        disk.set_fuse(random.below(5));
+        disk.set_power_loss_after(random.below(5));
         let outcome = storage.apply(vec![
             Write::Append(vec![entry(term, last_index + 1)]),
             slot(last_index, term, vec![entry(term, last_index + 1)]),
