--- a/crates/simulation/src/client/operator.rs
+++ b/crates/simulation/src/client/operator.rs
@@ -47,11 +47,11 @@
     pub acknowledged: u64,
     /// Number of refusals of plans.
     pub refusals: u64,
-    /// The text of the plan in force, as last requested with `World::show`; `None` before a
+    /// The text of the plan in force, as last requested with `World::request_plan_in_force`; `None` before a
     /// response.
-    pub shown: Option<String>,
+    pub shown_plan: Option<String>,
     /// Texts of submitted plans of which it is not known whether they are in force.
-    pub unsure: BTreeSet<String>,
+    pub possibly_in_force: BTreeSet<String>,
     /// Texts of all plans that were prepared, by version; an acknowledged text replaces another
     /// one.
     pub texts: BTreeMap<String, String>,
@@ -73,8 +73,8 @@
             version: None,
             acknowledged: 0,
             refusals: 0,
-            shown: None,
-            unsure: BTreeSet::new(),
+            shown_plan: None,
+            possibly_in_force: BTreeSet::new(),
             texts: BTreeMap::new(),
             controller_client: ControllerClient::default(),
             submitted: BTreeMap::new(),
--- a/crates/simulation/src/scenario/contact_loss.rs
+++ b/crates/simulation/src/scenario/contact_loss.rs
@@ -99,7 +99,7 @@
         let undisturbed = world.leader() == Some(leader) && world.term(leader) == term;
         world.run_until(loss_us + CONTACT_LOSS_US + SETTLING_US);
         let undisturbed = undisturbed && world.term(leader) == term;
-        world.quiet = true;
+        world.plans_paused = true;
         let recovery_ms = recover(&mut world);
         let quiet_us = world.now_us + 3_500_000;
         world.run_until(quiet_us);
--- a/crates/simulation/src/scenario/injection.rs
+++ b/crates/simulation/src/scenario/injection.rs
@@ -29,7 +29,7 @@
         let mut world = World::new(self.seed, 5, 12);
         world.request_pause_us = 50_000;
         world.run_until(6_000_000);
-        world.quiet = true;
+        world.plans_paused = true;
         let InjectionPoint { operation, fault, at, .. } = *self;
         world.injection = Some(Injection {
             operation,
@@ -55,7 +55,7 @@
             result.violations.push("the plan was never acknowledged".into());
         }
         let lost = at as usize % 3;
-        world.operator.shown = None;
+        world.operator.shown_plan = None;
         world.inject(Fault::ReplaceControl(lost));
         recover(&mut world);
         read_back_plan(&mut world, &mut result, " after a disk was lost");
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -122,7 +122,7 @@
         world.run_until(START_US);
         let formed = world.has_full_service();
         self.inject_faults(&mut world);
-        world.quiet = true;
+        world.plans_paused = true;
         world.inject(Fault::Heal);
         if let Some(last) = self.last {
             let stable_us = world.now_us + 5_000_000;
@@ -133,7 +133,7 @@
         world.request_pause_us = 0;
         let end_us = world.now_us + 6_000_000;
         world.run_until(end_us);
-        world.show();
+        world.request_plan_in_force();
         world.run_until(end_us + 2_000_000);
         if !formed {
             result.violations.push("no service before any fault".into());
@@ -229,12 +229,12 @@
 
 /// Checks that the plan last shown is the newest acknowledged one or one of unknown outcome.
 fn check_plan(world: &mut World) {
-    let Some(shown) = world.operator.shown.clone() else {
+    let Some(shown) = world.operator.shown_plan.clone() else {
         return world.ledger.report("the plan does not read back".into());
     };
     let last =
         world.operator.version.as_ref().and_then(|version| world.operator.texts.get(version));
-    let may_be_in_force = world.operator.unsure.iter().any(|text| *text == shown);
+    let may_be_in_force = world.operator.possibly_in_force.iter().any(|text| *text == shown);
     if last != Some(&shown) && !may_be_in_force {
         world.ledger.report("the plan in force is not the one last acknowledged".into());
     }
@@ -245,10 +245,10 @@
 pub(crate) fn read_back_plan(world: &mut World, result: &mut RunResult, when: &str) {
     let until_us = world.now_us + 6_000_000;
     world.run_until(until_us);
-    world.show();
+    world.request_plan_in_force();
     world.run_until(until_us + 2_000_000);
     let last = world.operator.version.as_ref().and_then(|name| world.operator.texts.get(name));
-    if last.is_none() || world.operator.shown.as_ref() != last {
+    if last.is_none() || world.operator.shown_plan.as_ref() != last {
         result.violations.push(format!("the plan acknowledged last does not read back{when}"));
     }
 }
--- a/crates/simulation/src/scenario/replacement.rs
+++ b/crates/simulation/src/scenario/replacement.rs
@@ -80,7 +80,7 @@
             let vote_ms = self.replace_once(&mut world);
             replacement_result.vote_ms.push(vote_ms);
         }
-        world.quiet = true;
+        world.plans_paused = true;
         world
             .control_voters(true)
             .into_iter()
--- a/crates/simulation/src/world/calls.rs
+++ b/crates/simulation/src/world/calls.rs
@@ -31,7 +31,7 @@
             }
             return;
         }
-        if self.quiet && self.request_pause_us == 0 {
+        if self.plans_paused && self.request_pause_us == 0 {
             return;
         }
         let call = match caller {
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -87,7 +87,7 @@
     /// Mean pause between two requests of the clients, in microseconds.
     pub request_pause_us: u64,
     /// Whether the operators submit no more plans, because the run only waits for full service.
-    pub quiet: bool,
+    pub plans_paused: bool,
     /// The lines of the run's log; `None` if it is not recorded.
     pub log: Option<Vec<String>>,
     /// A digest of the times and the order of all events handled so far.
@@ -104,7 +104,7 @@
     /// Milliseconds after which an unresponsive voter counts as lost.
     pub voter_dead_ms: u64,
     /// The control machine on a slow link and disk, if the run has one.
-    pub slow: Option<SlowMachine>,
+    pub slow_machine: Option<SlowMachine>,
     /// The fault to inject at a chosen step of an operation, if the run has one.
     pub(crate) injection: Option<Injection>,
     /// Numbers of completed syncs of control machines and of the writes that they covered.
@@ -139,7 +139,7 @@
             freeze_before: None,
             last_request_id: 0,
             request_pause_us: 12_000,
-            quiet: false,
+            plans_paused: false,
             log: None,
             digest: 0,
             snapshots: 0,
@@ -147,7 +147,7 @@
             losses: 1,
             control_seeds_only: false,
             voter_dead_ms: VOTER_DEAD_MS,
-            slow: None,
+            slow_machine: None,
             injection: None,
             synced: (0, 0),
             disk_failures: 0,
--- a/crates/simulation/src/world/operator.rs
+++ b/crates/simulation/src/world/operator.rs
@@ -38,7 +38,9 @@
         let has_pinned_clients = self.pinned.is_some();
         let has_pinned_order = self.pinned.as_ref().is_some_and(|pinned| pinned.has_order());
         let idle = self.operator.submitted.is_empty() && !has_pinned_order;
-        if idle && (self.operator.version.is_none() || (!self.quiet && self.random.chance(25))) {
+        if idle
+            && (self.operator.version.is_none() || (!self.plans_paused && self.random.chance(25)))
+        {
             match self.random.below(12) {
                 _ if self.operator.version.is_none() => self.submit_plan(0, false, false),
                 0 => self.submit_plan(0, true, false),
@@ -145,14 +147,14 @@
         self.operator.key += 1;
         let key = self.operator.key;
         if submitted.purpose != Purpose::Repeat {
-            self.operator.unsure.insert(order.text.clone());
+            self.operator.possibly_in_force.insert(order.text.clone());
         }
         self.operator.submitted.insert(key, submitted);
         self.send_operator_request(key, Request::Submit(submission));
     }
 
-    /// Requests the plan in force; the response is stored in `Operator::shown`.
-    pub fn show(&mut self) {
+    /// Requests the plan in force; the response is stored in `Operator::shown_plan`.
+    pub fn request_plan_in_force(&mut self) {
         self.operator.key += 1;
         let key = self.operator.key;
         self.send_operator_request(key, Request::Show);
@@ -185,7 +187,7 @@
             match effect {
                 Effect::Send { to, message } => self.transmit(from, to, message),
                 Effect::Answer { response: Response::Plan { text, .. }, .. } => {
-                    self.operator.shown = String::from_utf8(text).ok();
+                    self.operator.shown_plan = String::from_utf8(text).ok();
                 }
                 Effect::Answer { key, response } => {
                     if let Some(submitted) = self.operator.submitted.remove(&key) {
@@ -206,10 +208,11 @@
         let order = submitted.order.clone();
         match (status, submitted.purpose) {
             (200, Purpose::DryRun) => {
-                self.operator.unsure.remove(&order.text);
+                self.operator.possibly_in_force.remove(&order.text);
             }
             (200, purpose) => {
-                let lost = !self.quiet && self.random.chance(ACKNOWLEDGEMENTS_LOST_PER_MILLE);
+                let lost =
+                    !self.plans_paused && self.random.chance(ACKNOWLEDGEMENTS_LOST_PER_MILLE);
                 let violations = self.ledger.orders.acknowledged(&order);
                 violations.into_iter().for_each(|text| self.ledger.report(text));
                 if lost && purpose == Purpose::Change {
@@ -218,11 +221,11 @@
                         ..submitted
                     });
                 }
-                self.operator.unsure.remove(&order.text);
+                self.operator.possibly_in_force.remove(&order.text);
                 self.order_acknowledged(order, &text);
             }
             (_, purpose) => {
-                self.operator.unsure.remove(&order.text);
+                self.operator.possibly_in_force.remove(&order.text);
                 if purpose != Purpose::DryRun {
                     let violations = self.ledger.orders.refused(&order);
                     violations.into_iter().for_each(|text| self.ledger.report(text));
--- a/crates/simulation/src/world/pinned.rs
+++ b/crates/simulation/src/world/pinned.rs
@@ -66,7 +66,7 @@
     /// after `RETRY_US`.
     fn drive_pinned_order(&mut self) {
         let now_us = self.now_us;
-        let idle = self.operator.is_idle() && !self.quiet && self.random.chance(30);
+        let idle = self.operator.is_idle() && !self.plans_paused && self.random.chance(30);
         let Some(pinned) = &mut self.pinned else { return };
         match pinned.order.take() {
             Some((since_us, submitted)) if now_us > since_us + RETRY_US => self.submit(submitted),
@@ -78,7 +78,7 @@
                 let base = self.operator.version.clone();
                 let text = plan_text(&version, base.as_deref(), 0, false);
                 self.operator.texts.insert(version.clone(), text.clone());
-                self.operator.unsure.insert(text.clone());
+                self.operator.possibly_in_force.insert(text.clone());
                 let order = Order { version, base, text };
                 let submitted =
                     SubmittedOrder { order, routes: FIXED_ROUTES, purpose: Purpose::Change };
--- a/crates/simulation/src/world/pinned_checks.rs
+++ b/crates/simulation/src/world/pinned_checks.rs
@@ -49,7 +49,7 @@
             200 => {
                 self.check_majority(submitted, body);
                 if self.pinned.as_ref().is_some_and(|pinned| pinned.is_order(submitted)) {
-                    self.operator.unsure.remove(&order.text);
+                    self.operator.possibly_in_force.remove(&order.text);
                     let violations = self.ledger.orders.acknowledged(order);
                     violations.into_iter().for_each(|text| self.ledger.report(text));
                     self.order_acknowledged(order.clone(), body);
--- a/crates/simulation/src/world/requests.rs
+++ b/crates/simulation/src/world/requests.rs
@@ -37,7 +37,7 @@
 impl World {
     /// Sends a new request, sometimes twice at once under one key, and schedules the next one.
     pub fn send_next_request(&mut self) {
-        if self.quiet && self.request_pause_us == 0 {
+        if self.plans_paused && self.request_pause_us == 0 {
             return;
         }
         self.last_request_id += 1;
--- a/crates/simulation/src/world/slow.rs
+++ b/crates/simulation/src/world/slow.rs
@@ -14,7 +14,7 @@
     /// Returns for how many microseconds a frame to `to` waits for a slow link and then occupies
     /// it; 0 on other links.
     pub(crate) fn link_wait_us(&mut self, to: SocketAddr, envelope: &Envelope) -> u64 {
-        let Some(slow) = &mut self.slow else { return 0 };
+        let Some(slow) = &mut self.slow_machine else { return 0 };
         let own = self.control[slow.at].address;
         if own != to && own != envelope.from {
             return 0;
@@ -28,7 +28,9 @@
     /// Returns for how many microseconds a sync of control machine `at` takes, given its duration
     /// on an ordinary disk.
     pub(crate) fn sync_us(&self, at: usize, usual_us: u64) -> u64 {
-        let Some(slow) = self.slow.as_ref().filter(|slow| slow.at == at) else { return usual_us };
+        let Some(slow) = self.slow_machine.as_ref().filter(|slow| slow.at == at) else {
+            return usual_us;
+        };
         let bytes: u64 = self.control[at]
             .writes()
             .map(|write| match write {
--- a/crates/simulation/tests/disk_and_power_loss.rs
+++ b/crates/simulation/tests/disk_and_power_loss.rs
@@ -255,7 +255,7 @@
     });
     run_for(&mut world, OBSERVER_START_US);
     assert!(world.has_full_service(), "seed {seed}: no full service before the loss");
-    world.quiet = true;
+    world.plans_paused = true;
     world.slow_disks = seed.is_multiple_of(2);
     world
 }
@@ -314,12 +314,12 @@
     if !world.operator.is_idle() {
         found.push(format!("an order has no conclusive response {when}"));
     }
-    world.operator.shown = None;
-    world.show();
+    world.operator.shown_plan = None;
+    world.request_plan_in_force();
     run_for(world, STABLE_US);
     let version = world.operator.version.as_ref();
     let acknowledged_text = version.and_then(|version| world.operator.texts.get(version));
-    if acknowledged_text.is_none() || world.operator.shown.as_ref() != acknowledged_text {
+    if acknowledged_text.is_none() || world.operator.shown_plan.as_ref() != acknowledged_text {
         found.push(format!("plan {version:?}, acknowledged last, is not shown {when}"));
     }
 }
--- a/crates/simulation/tests/many_changes.rs
+++ b/crates/simulation/tests/many_changes.rs
@@ -36,7 +36,7 @@
 impl Run {
     fn new(seed: u64, routes: u64) -> Run {
         let mut world = World::new(seed, 1, 3);
-        world.quiet = true;
+        world.plans_paused = true;
         world.request_pause_us = 0;
         world.run_until(8_000_000);
         let mut run = Run { world, submitted: 0, routes, pause_us: 0, next_change_us: 0 };
@@ -75,7 +75,9 @@
 
     /// Runs one step, and submits the next change if none is pending and its time has come.
     fn step(&mut self) {
-        if self.world.operator.unsure.is_empty() && self.world.now_us >= self.next_change_us {
+        if self.world.operator.possibly_in_force.is_empty()
+            && self.world.now_us >= self.next_change_us
+        {
             self.next_change_us = self.world.now_us + self.pause_us;
             self.submitted += 1;
             self.world.submit_plan(self.routes + self.submitted % 5, false, false);
@@ -245,7 +247,7 @@
         let mut run = Run::new(seed, 40);
         run.pause_us = 50_000;
         let slow = run.follower();
-        run.world.slow = Some(SlowMachine::new(slow, 462_500, 3_300_000, 30));
+        run.world.slow_machine = Some(SlowMachine::new(slow, 462_500, 3_300_000, 30));
         for _ in 0..2 {
             run.world.end_control(slow, true);
             let until_us = run.world.now_us + 6_000_000;
