--- a/crates/simulation/src/checker/calls.rs
+++ b/crates/simulation/src/checker/calls.rs
@@ -19,12 +19,12 @@
 /// Returns the violations.
 pub fn check_calls(callers: &Callers) -> Vec<String> {
     let mut by_name: BTreeMap<String, Vec<Operation>> = BTreeMap::new();
-    for completed in &callers.done {
+    for completed in &callers.completed {
         if let Some((name, operation)) = operation(completed) {
             by_name.entry(name).or_default().push(operation);
         }
     }
-    let mut violations = linearizability::check(&callers.done);
+    let mut violations = linearizability::check(&callers.completed);
     by_name.iter().for_each(|(name, operations)| check_name(name, operations, &mut violations));
     check_watch(callers, &mut violations);
     violations
@@ -80,11 +80,10 @@
     let from = callers.watch_from.unwrap_or(u64::MAX);
     let last = watched_revisions.last().copied().unwrap_or(0);
     let received: BTreeSet<u64> = watched_revisions.iter().copied().collect();
-    let puts =
-        callers.done.iter().filter_map(|completed| match (&completed.call, &completed.outcome) {
-            (Call::Put { .. }, Outcome::Key(key)) => Some(key.revision),
-            _ => None,
-        });
+    let puts = callers.completed.iter().filter_map(|call| match (&call.call, &call.outcome) {
+        (Call::Put { .. }, Outcome::Key(key)) => Some(key.revision),
+        _ => None,
+    });
     for revision in puts.filter(|revision| *revision > from && *revision <= last) {
         if !received.contains(&revision) && callers.too_old == 0 {
             violations.push(format!("a watch never received revision {revision}"));
--- a/crates/simulation/src/checker/ledger.rs
+++ b/crates/simulation/src/checker/ledger.rs
@@ -95,7 +95,7 @@
     /// Number of times that a request was forwarded to a target.
     pub forwards: u64,
     /// The true times at which targets ran requests, in microseconds.
-    pub ran_us: Vec<u64>,
+    pub run_times_us: Vec<u64>,
     /// For each acknowledged plan, the true time of the acknowledgement in microseconds and the log
     /// offset of the plan's Begin.
     pub in_force: Vec<(u64, u64)>,
--- a/crates/simulation/src/checker/linearizability.rs
+++ b/crates/simulation/src/checker/linearizability.rs
@@ -43,9 +43,11 @@
             return true;
         }
         let remaining = || history.iter().enumerate().filter(|(at, _)| !linearized[*at]);
-        let first_end = remaining().map(|(_, done)| done.end_us).min().unwrap_or(u64::MAX);
-        for (at, done) in remaining().filter(|(_, done)| done.start_us <= first_end) {
-            if let Some(next) = apply(register, &done.call, &done.outcome) {
+        let first_end =
+            remaining().map(|(_, completed)| completed.end_us).min().unwrap_or(u64::MAX);
+        for (at, completed) in remaining().filter(|(_, completed)| completed.start_us <= first_end)
+        {
+            if let Some(next) = apply(register, &completed.call, &completed.outcome) {
                 let mut next_linearized = linearized.clone();
                 next_linearized[at] = true;
                 if visited.insert((next_linearized.clone(), next)) {
@@ -69,13 +71,13 @@
 /// Returns a violation for each name whose history is not linearizable.
 pub fn check(calls: &[CompletedCall]) -> Vec<String> {
     let mut by_name: BTreeMap<String, Vec<&CompletedCall>> = BTreeMap::new();
-    for done in calls {
-        if let Some(name) = name_of(&done.call) {
-            by_name.entry(name).or_default().push(done);
+    for completed in calls {
+        if let Some(name) = name_of(&completed.call) {
+            by_name.entry(name).or_default().push(completed);
         }
     }
     let violations = by_name.into_iter().filter_map(|(name, mut history)| {
-        history.sort_by_key(|done| done.start_us);
+        history.sort_by_key(|completed| completed.start_us);
         (!is_linearizable(&history))
             .then(|| format!("{name}: {} calls have no order", history.len()))
     });
--- a/crates/simulation/src/checker/orders.rs
+++ b/crates/simulation/src/checker/orders.rs
@@ -17,7 +17,7 @@
 impl OrderLedger {
     /// Records an acknowledgement and returns the violations that follow: another text acknowledged
     /// for the version, another version on the base, or a refusal of the same order.
-    pub fn acknowledged(&mut self, order: &Order) -> Vec<String> {
+    pub fn record_acknowledgement(&mut self, order: &Order) -> Vec<String> {
         let mut violations = Vec::new();
         let known = self.by_version.entry(order.version.clone()).or_insert(order.text.clone());
         if *known != order.text {
@@ -35,7 +35,7 @@
     }
 
     /// Records a refusal and returns a violation if the same order was acknowledged before.
-    pub fn refused(&mut self, order: &Order) -> Vec<String> {
+    pub fn record_refusal(&mut self, order: &Order) -> Vec<String> {
         let mut violations = Vec::new();
         if self.accepted.contains(order) {
             violations.push(format!("{} was refused after it was acknowledged", order.version));
--- a/crates/simulation/src/client/calls.rs
+++ b/crates/simulation/src/client/calls.rs
@@ -36,7 +36,7 @@
 #[derive(Default)]
 pub struct Callers {
     /// The completed calls, in the order in which their outcomes arrived.
-    pub done: Vec<CompletedCall>,
+    pub completed: Vec<CompletedCall>,
     /// The revisions of the events that the watch received, in the order of arrival.
     pub watched_revisions: Vec<u64>,
     /// The revision after which the watch started; `None` before its first outcome.
@@ -62,20 +62,21 @@
     /// Returns the highest number or revision of the call's name that was acknowledged before this
     /// true time; 0 if there is none.
     pub fn max_acknowledged(&self, call: &Call, before_us: u64) -> u64 {
-        let finished = self.done.iter().filter(|done| done.end_us < before_us);
-        let values = finished.filter_map(|done| match (call, &done.call, &done.outcome) {
-            (
-                Call::ReadNumber { name },
-                Call::Next { name: other, .. } | Call::ReadNumber { name: other },
-                Outcome::Number(value),
-            ) if name == other => Some(*value),
-            (
-                Call::ReadKey { name } | Call::Put { name, .. },
-                Call::Put { name: other, .. } | Call::ReadKey { name: other },
-                Outcome::Key(key),
-            ) if name == other => Some(key.revision),
-            _ => None,
-        });
+        let finished = self.completed.iter().filter(|completed| completed.end_us < before_us);
+        let values =
+            finished.filter_map(|completed| match (call, &completed.call, &completed.outcome) {
+                (
+                    Call::ReadNumber { name },
+                    Call::Next { name: other, .. } | Call::ReadNumber { name: other },
+                    Outcome::Number(value),
+                ) if name == other => Some(*value),
+                (
+                    Call::ReadKey { name } | Call::Put { name, .. },
+                    Call::Put { name: other, .. } | Call::ReadKey { name: other },
+                    Outcome::Key(key),
+                ) if name == other => Some(key.revision),
+                _ => None,
+            });
         values.max().unwrap_or(0)
     }
 }
--- a/crates/simulation/src/client/requests.rs
+++ b/crates/simulation/src/client/requests.rs
@@ -29,7 +29,7 @@
     pub target: Option<(Arc<Target>, Arc<Load>)>,
     /// The instance that ran at the target's address when the node connected to it; it may be
     /// another one than the target's.
-    pub connected: Option<String>,
+    pub connected_instance: Option<String>,
     /// Whether the client has closed its connection.
     pub client_departed: bool,
     /// Whether the node has observed that the client closed its connection.
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -175,7 +175,8 @@
     while world.now_us < start_us + 2 * RECOVERY_MS * 1_000 {
         let next_us = world.now_us + 50_000;
         world.run_until(next_us);
-        let ran = world.ledger.ran_us.last().is_some_and(|ran_us| ran_us + 500_000 > world.now_us);
+        let ran =
+            world.ledger.run_times_us.last().is_some_and(|run_us| run_us + 500_000 > world.now_us);
         match (world.has_full_service() && ran, full_service_us) {
             (true, None) => full_service_us = Some(world.now_us),
             (true, Some(since_us)) if world.now_us > since_us + 1_000_000 => break,
@@ -204,7 +205,7 @@
     result.forwards = world.ledger.forwards;
     result.plans = world.operator.acknowledged;
     result.refusals = world.operator.refusals;
-    result.calls = world.callers.done.len();
+    result.calls = world.callers.completed.len();
     result.events = world.callers.watched_revisions.len();
     result.extra = (lookups, extra);
     result.max_departure_lag_ms = world.ledger.max_departure_lag_us / 1_000;
--- a/crates/simulation/src/world/calls.rs
+++ b/crates/simulation/src/world/calls.rs
@@ -110,7 +110,7 @@
         self.callers.pending.remove(&caller);
         self.apply_outcome(caller, &pending, &outcome);
         let (start_us, end_us) = (pending.start_us, self.now_us);
-        self.callers.done.push(CompletedCall {
+        self.callers.completed.push(CompletedCall {
             caller,
             start_us,
             end_us,
--- a/crates/simulation/src/world/forwarding.rs
+++ b/crates/simulation/src/world/forwarding.rs
@@ -12,7 +12,7 @@
         let incarnation = self.data[data].incarnation;
         let found = self.target_at(target.address).map(|found| found.instance.clone());
         if let Some(run) = self.requests.get_mut(&request) {
-            run.connected = found;
+            run.connected_instance = found;
         }
         let (took_us, event) = match self.target_at(target.address) {
             None => (600, postbarrow_node::Event::ConnectFailed("refused".into())),
@@ -49,7 +49,7 @@
         self.check_forward(request, data);
         let Some(run) = self.requests.get_mut(&request) else { return };
         load.enter();
-        let Some(instance) = run.connected.clone() else { return };
+        let Some(instance) = run.connected_instance.clone() else { return };
         let delay_us = self.random.between(200, 900);
         self.schedule(delay_us, Event::Run { request, data, incarnation, instance });
     }
@@ -75,11 +75,11 @@
             (300, unknown_outcome(false, "broken"))
         } else if frozen {
             self.ledger.record_run(id, request, instance, &target_service, service);
-            self.ledger.ran_us.push(self.now_us);
+            self.ledger.run_times_us.push(self.now_us);
             (4_000_000, unknown_outcome(true, "late"))
         } else {
             self.ledger.record_run(id, request, instance, &target_service, service);
-            self.ledger.ran_us.push(self.now_us);
+            self.ledger.run_times_us.push(self.now_us);
             let took_us = self.random.between(1_000, 6_000);
             if draw < lost_per_mille {
                 (took_us, unknown_outcome(false, "the response is lost"))
--- a/crates/simulation/src/world/operator.rs
+++ b/crates/simulation/src/world/operator.rs
@@ -213,7 +213,7 @@
             (200, purpose) => {
                 let lost =
                     !self.plans_paused && self.random.chance(ACKNOWLEDGEMENTS_LOST_PER_MILLE);
-                let violations = self.ledger.orders.acknowledged(&order);
+                let violations = self.ledger.orders.record_acknowledgement(&order);
                 violations.into_iter().for_each(|text| self.ledger.report(text));
                 if lost && purpose == Purpose::Change {
                     return self.submit_through_any_member(SubmittedOrder {
@@ -227,7 +227,7 @@
             (_, purpose) => {
                 self.operator.possibly_in_force.remove(&order.text);
                 if purpose != Purpose::DryRun {
-                    let violations = self.ledger.orders.refused(&order);
+                    let violations = self.ledger.orders.record_refusal(&order);
                     violations.into_iter().for_each(|text| self.ledger.report(text));
                 }
                 self.order_refused(&submitted, &text);
--- a/crates/simulation/src/world/pinned_checks.rs
+++ b/crates/simulation/src/world/pinned_checks.rs
@@ -50,7 +50,7 @@
                 self.check_majority(submitted, body);
                 if self.pinned.as_ref().is_some_and(|pinned| pinned.is_order(submitted)) {
                     self.operator.possibly_in_force.remove(&order.text);
-                    let violations = self.ledger.orders.acknowledged(order);
+                    let violations = self.ledger.orders.record_acknowledgement(order);
                     violations.into_iter().for_each(|text| self.ledger.report(text));
                     self.order_acknowledged(order.clone(), body);
                     self.pinned.iter_mut().for_each(|pinned| pinned.order = None);
--- a/crates/simulation/src/world/requests.rs
+++ b/crates/simulation/src/world/requests.rs
@@ -83,7 +83,7 @@
             answer_due_us: u64::MAX,
             flow: None,
             target: None,
-            connected: None,
+            connected_instance: None,
             client_departed: false,
             departure_observed: false,
             awaits: Awaits::Connection,
--- a/crates/simulation/tests/disk_and_power_loss.rs
+++ b/crates/simulation/tests/disk_and_power_loss.rs
@@ -189,8 +189,9 @@
         let count = match self.step {
             Step::PlanAcknowledged => world.operator.acknowledged as usize,
             Step::CallAcknowledged => {
-                let done = world.callers.done.iter();
-                done.filter(|call| history::is_acknowledged_change(&call.call, &call.outcome))
+                let completed = world.callers.completed.iter();
+                completed
+                    .filter(|call| history::is_acknowledged_change(&call.call, &call.outcome))
                     .count()
             }
             Step::RequestAnswered => answered_requests(world),
@@ -275,7 +276,7 @@
 /// Returns the number of one-time requests that were forwarded to a target and have ended.
 fn answered_requests(world: &World) -> usize {
     let one_time = world.requests.values().filter(|run| run.service != "catalogue");
-    let forwarded = one_time.filter(|run| run.connected.is_some());
+    let forwarded = one_time.filter(|run| run.connected_instance.is_some());
     forwarded.filter(|run| !(0..DATA_NODES).any(|index| run.is_in_flight(index))).count()
 }
 
@@ -286,7 +287,8 @@
     let mut since_us = None;
     while since_us.is_some() || world.now_us <= start_us + RECOVERY_US {
         run_for(world, POLL_US);
-        let ran = world.ledger.ran_us.last().is_some_and(|at_us| at_us + 500_000 > world.now_us);
+        let ran =
+            world.ledger.run_times_us.last().is_some_and(|at_us| at_us + 500_000 > world.now_us);
         match (world.has_full_service() && ran, since_us) {
             (true, None) => since_us = Some(world.now_us),
             (true, Some(since_us)) if world.now_us > since_us + STABLE_US => return true,
--- a/crates/simulation/tests/orders.rs
+++ b/crates/simulation/tests/orders.rs
@@ -11,8 +11,8 @@
     let mut ledger = OrderLedger::default();
     let (accepted, refused) = (order("v1", None, "a"), order("v1", None, "b"));
     for _ in 0..2 {
-        assert!(ledger.acknowledged(&accepted).is_empty());
-        assert!(ledger.refused(&refused).is_empty());
+        assert!(ledger.record_acknowledgement(&accepted).is_empty());
+        assert!(ledger.record_refusal(&refused).is_empty());
     }
     assert_eq!(ledger.accepted_orders(), [&accepted]);
     assert_eq!(ledger.refused_orders(), [&refused]);
@@ -21,23 +21,23 @@
 #[test]
 fn two_texts_of_one_version_are_a_violation() {
     let mut ledger = OrderLedger::default();
-    assert!(ledger.acknowledged(&order("v1", None, "a")).is_empty());
-    assert_eq!(ledger.acknowledged(&order("v1", None, "b")).len(), 1);
+    assert!(ledger.record_acknowledgement(&order("v1", None, "a")).is_empty());
+    assert_eq!(ledger.record_acknowledgement(&order("v1", None, "b")).len(), 1);
 }
 
 #[test]
 fn two_versions_on_one_base_are_a_violation() {
     let mut ledger = OrderLedger::default();
-    assert!(ledger.acknowledged(&order("v2", Some("v1"), "a")).is_empty());
-    assert_eq!(ledger.acknowledged(&order("v3", Some("v1"), "b")).len(), 1);
+    assert!(ledger.record_acknowledgement(&order("v2", Some("v1"), "a")).is_empty());
+    assert_eq!(ledger.record_acknowledgement(&order("v3", Some("v1"), "b")).len(), 1);
 }
 
 #[test]
 fn an_accepted_order_refused_and_a_refused_one_accepted_are_violations() {
     let mut ledger = OrderLedger::default();
     let (accepted, refused) = (order("v1", None, "a"), order("v2", Some("v1"), "b"));
-    assert!(ledger.acknowledged(&accepted).is_empty());
-    assert_eq!(ledger.refused(&accepted).len(), 1);
-    assert!(ledger.refused(&refused).is_empty());
-    assert_eq!(ledger.acknowledged(&refused).len(), 1);
+    assert!(ledger.record_acknowledgement(&accepted).is_empty());
+    assert_eq!(ledger.record_refusal(&accepted).len(), 1);
+    assert!(ledger.record_refusal(&refused).is_empty());
+    assert_eq!(ledger.record_acknowledgement(&refused).len(), 1);
 }
--- a/crates/simulation/tests/support/history.rs
+++ b/crates/simulation/tests/support/history.rs
@@ -55,9 +55,10 @@
 /// Returns the observations of the run so far, by kind and name.
 fn observations(world: &World) -> BTreeMap<String, Vec<Observation>> {
     let mut by_name: BTreeMap<String, Vec<Observation>> = BTreeMap::new();
-    for done in &world.callers.done {
-        if let Some((name, value, is_created)) = observed_value(&done.call, &done.outcome) {
-            let (start_us, end_us) = (done.start_us, done.end_us);
+    for completed in &world.callers.completed {
+        if let Some((name, value, is_created)) = observed_value(&completed.call, &completed.outcome)
+        {
+            let (start_us, end_us) = (completed.start_us, completed.end_us);
             let observation = Observation { start_us, end_us, value, is_created };
             by_name.entry(name).or_default().push(observation);
         }
@@ -124,9 +125,9 @@
 /// Checks that each fencing token belongs to one owner.
 fn check_fence_owners(world: &World, found: &mut Vec<String>) {
     let mut owners = BTreeMap::new();
-    for done in &world.callers.done {
+    for completed in &world.callers.completed {
         if let (Call::Lock { name, holder, .. }, Outcome::Locked { fence, .. }) =
-            (&done.call, &done.outcome)
+            (&completed.call, &completed.outcome)
         {
             let owner = owners.entry((name, *fence)).or_insert(holder);
             if *owner != holder {
