--- a/crates/simulation/src/client/pinned.rs
+++ b/crates/simulation/src/client/pinned.rs
@@ -40,14 +40,14 @@
     /// Number of requests answered with `Unavailable`.
     pub unavailable: usize,
     /// Number of requests answered with `TimedOut`.
-    pub unclear: usize,
+    pub timed_out: usize,
     /// For each request answered with `Unavailable`, the true time at which it was sent and how
     /// long it waited, in microseconds.
     pub waits_us: Vec<(u64, u64)>,
     /// The values of `OWN_NUMBER` that were acknowledged, in the order of their responses.
-    pub numbers: Vec<u64>,
+    pub acknowledged_numbers: Vec<u64>,
     /// Number of increments of `OWN_NUMBER` of which it is unknown whether they were applied.
-    pub numbers_unclear: usize,
+    pub unknown_increments: usize,
     /// Number of orders that were prepared.
     pub orders: usize,
     /// The incarnation of the control machine's process that received the pending requests.
@@ -69,10 +69,10 @@
             at,
             answered: 0,
             unavailable: 0,
-            unclear: 0,
+            timed_out: 0,
             waits_us: Vec::new(),
-            numbers: Vec::new(),
-            numbers_unclear: 0,
+            acknowledged_numbers: Vec::new(),
+            unknown_increments: 0,
             orders: 0,
             incarnation,
             controller_client: ControllerClient::default(),
--- a/crates/simulation/src/fault/mod.rs
+++ b/crates/simulation/src/fault/mod.rs
@@ -102,7 +102,7 @@
 
 /// The faults that `Scenario::everything` draws from. A seed draws an index into this array, so
 /// that its order is part of what a seed determines.
-pub const ALL: [Fault; 39] = [
+pub const ALL_FAULTS: [Fault; 39] = [
     Fault::KillControl,
     Fault::PowerLoss,
     Fault::PowerLossOfAll,
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -19,7 +19,7 @@
 pub use client::operator::Order;
 pub use disk::{DiskFault, SimDisk};
 pub use fault::injection::{INJECTED_FAULTS, InjectedFault, OPERATIONS, Operation};
-pub use fault::{ALL, Fault, Stage};
+pub use fault::{ALL_FAULTS, Fault, Stage};
 pub use node::control::ControlMachine;
 pub use node::endpoint_list::ListFault;
 pub use node::slow::SlowMachine;
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -120,12 +120,12 @@
                         return;
                     }
                     let mut scenario = Scenario::everything(seed);
-                    scenario.count = cli.faults;
+                    scenario.fault_count = cli.faults;
                     scenario.data_nodes = cli.nodes;
                     scenario.targets = cli.targets;
                     scenario.zone_us = cli.zone_us;
                     scenario.log = cli.log;
-                    scenario.last = cli.kill_controller.then_some(Fault::KillController);
+                    scenario.last_fault = cli.kill_controller.then_some(Fault::KillController);
                     let result = scenario.run();
                     for line in &result.log {
                         println!("{seed}: {line}");
--- a/crates/simulation/src/scenario/contact_loss.rs
+++ b/crates/simulation/src/scenario/contact_loss.rs
@@ -51,7 +51,7 @@
     /// Number of the pinned clients' requests answered with `Unavailable`.
     pub unavailable: usize,
     /// Number of the pinned clients' requests answered with `TimedOut`.
-    pub unclear: usize,
+    pub timed_out: usize,
     /// The longest wait for `Unavailable`, in milliseconds, of requests sent at least 2.5 s after
     /// the loss and before contact returned.
     pub longest_wait_ms: u64,
@@ -61,7 +61,7 @@
     pub plans: u64,
     /// Whether the leader and its term were unchanged when contact returned, and the term still was
     /// three seconds later.
-    pub undisturbed: bool,
+    pub leadership_unchanged: bool,
 }
 
 /// True time at which the pinned clients start, in microseconds; by then the cluster has formed.
@@ -96,14 +96,14 @@
         world.run_until(loss_us + CONTACT_LOSS_US);
         world.deliver_requests_before_ticks(ProcessId::Control(at));
         world.inject(Fault::Heal);
-        let undisturbed = world.leader() == Some(leader) && world.term(leader) == term;
+        let leadership_unchanged = world.leader() == Some(leader) && world.term(leader) == term;
         world.run_until(loss_us + CONTACT_LOSS_US + SETTLING_US);
-        let undisturbed = undisturbed && world.term(leader) == term;
+        let leadership_unchanged = leadership_unchanged && world.term(leader) == term;
         world.plans_paused = true;
         let recovery_ms = recover(&mut world);
-        let quiet_us = world.now_us + 3_500_000;
-        world.run_until(quiet_us);
-        self.collect_result(world, loss_us, recovery_ms, undisturbed)
+        let until_us = world.now_us + 3_500_000;
+        world.run_until(until_us);
+        self.collect_result(world, loss_us, recovery_ms, leadership_unchanged)
     }
 
     /// Starts the loss of contact of control machine `at`.
@@ -144,7 +144,7 @@
         mut world: World,
         loss_us: u64,
         recovery_ms: u64,
-        undisturbed: bool,
+        leadership_unchanged: bool,
     ) -> ContactLossResult {
         check_history(&mut world);
         if recovery_ms == u64::MAX {
@@ -165,11 +165,11 @@
             violations: std::mem::take(&mut world.ledger.violations),
             answered: pinned.answered,
             unavailable: pinned.unavailable,
-            unclear: pinned.unclear,
+            timed_out: pinned.timed_out,
             longest_wait_ms: waits.map(|(_, wait_us)| wait_us / 1_000).max().unwrap_or(0),
             orders: pinned.orders,
             plans: world.operator.acknowledged,
-            undisturbed,
+            leadership_unchanged,
         }
     }
 }
@@ -177,15 +177,17 @@
 /// Checks that each acknowledged increment of `OWN_NUMBER` was applied once, and that no increment
 /// answered as unavailable was applied.
 fn check_numbers(world: &mut World, pinned: &PinnedClients) {
-    let mut acknowledged = pinned.numbers.clone();
+    let mut acknowledged = pinned.acknowledged_numbers.clone();
     acknowledged.sort_unstable();
     acknowledged.dedup();
     let Some(node) = world.leader().and_then(|at| world.control[at].node.as_ref()) else { return };
     let applied = node.committed().numbers.get(OWN_NUMBER).copied().unwrap_or(0) as usize;
-    let max = acknowledged.len() + pinned.numbers_unclear;
-    if acknowledged.len() != pinned.numbers.len() || !(acknowledged.len()..=max).contains(&applied)
+    let max = acknowledged.len() + pinned.unknown_increments;
+    if acknowledged.len() != pinned.acknowledged_numbers.len()
+        || !(acknowledged.len()..=max).contains(&applied)
     {
-        let (acknowledged, unclear) = (pinned.numbers.len(), pinned.numbers_unclear);
+        let (acknowledged, unclear) =
+            (pinned.acknowledged_numbers.len(), pinned.unknown_increments);
         world.ledger.report(format!(
             "{applied} were counted, {acknowledged} acknowledged, {unclear} unclear"
         ));
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -7,7 +7,7 @@
 use crate::checker::calls::check_calls;
 use crate::checker::ledger::OutcomeCounts;
 use crate::event::Event;
-use crate::fault::{ALL, Fault};
+use crate::fault::{ALL_FAULTS, Fault};
 use crate::random::Random;
 use crate::world::World;
 
@@ -20,7 +20,7 @@
     pub faults: Vec<Fault>,
     /// Number of faults drawn from `faults`; with a probability of one half each, a fault is healed
     /// before the next, otherwise it overlaps with the next.
-    pub count: usize,
+    pub fault_count: usize,
     /// Number of data nodes.
     pub data_nodes: usize,
     /// Number of targets at the start.
@@ -29,7 +29,7 @@
     pub log: bool,
     /// A last fault, injected after all others are healed and itself not healed; the cluster must
     /// recover from it alone.
-    pub last: Option<Fault>,
+    pub last_fault: Option<Fault>,
     /// Faults injected before any drawn one, each with its pause after the previous one in
     /// milliseconds.
     pub script: Vec<(u64, Fault)>,
@@ -63,7 +63,7 @@
     pub events: usize,
     /// Number of attempts of lookups, and number of their runs at targets beyond one for each
     /// attempt.
-    pub extra: (usize, usize),
+    pub extra_lookup_runs: (usize, usize),
     /// The longest time for which a target received requests after the endpoint list showed its
     /// departure, in milliseconds.
     pub max_departure_lag_ms: u64,
@@ -89,26 +89,26 @@
 const RECOVERY_MS: u64 = 15_000;
 
 impl Scenario {
-    /// Creates a scenario of five data nodes and twelve targets that draws `count` of these faults.
-    pub fn new(seed: u64, faults: &[Fault], count: usize) -> Self {
+    /// Creates a scenario of five data nodes and twelve targets that draws `fault_count` of these faults.
+    pub fn new(seed: u64, faults: &[Fault], fault_count: usize) -> Self {
         let faults = faults.to_vec();
         Scenario {
             seed,
             faults,
-            count,
+            fault_count,
             data_nodes: 5,
             targets: 12,
             log: false,
-            last: None,
+            last_fault: None,
             script: Vec::new(),
             lost_per_mille: 5,
             zone_us: 0,
         }
     }
 
-    /// Creates a scenario that draws six of all faults in `ALL`.
+    /// Creates a scenario that draws six of all faults in `ALL_FAULTS`.
     pub fn everything(seed: u64) -> Self {
-        Scenario::new(seed, &ALL, 6)
+        Scenario::new(seed, &ALL_FAULTS, 6)
     }
 
     /// Runs the scenario; the same scenario gives the same result.
@@ -124,10 +124,10 @@
         self.inject_faults(&mut world);
         world.plans_paused = true;
         world.inject(Fault::Heal);
-        if let Some(last) = self.last {
+        if let Some(last_fault) = self.last_fault {
             let stable_us = world.now_us + 5_000_000;
             world.run_until(stable_us);
-            world.inject(last);
+            world.inject(last_fault);
         }
         let mut result = RunResult { recovery_ms: recover(&mut world), ..RunResult::default() };
         world.request_pause_us = 0;
@@ -152,7 +152,7 @@
             world.run_until(at_us);
             world.schedule(0, Event::Fault(*fault));
         }
-        for _ in 0..self.count {
+        for _ in 0..self.fault_count {
             let fault = self.faults[random.below(self.faults.len() as u64) as usize];
             world.schedule(0, Event::Fault(fault));
             at_us += random.between(300_000, 4_000_000);
@@ -207,7 +207,7 @@
     result.refusals = world.operator.refusals;
     result.calls = world.callers.completed.len();
     result.events = world.callers.watched_revisions.len();
-    result.extra = (lookups, extra);
+    result.extra_lookup_runs = (lookups, extra);
     result.max_departure_lag_ms = world.ledger.max_departure_lag_us / 1_000;
     let leader = world.leader().and_then(|at| world.control[at].node.as_ref());
     result.members = leader.map_or_else(Vec::new, |node| {
--- a/crates/simulation/src/scenario/replacement.rs
+++ b/crates/simulation/src/scenario/replacement.rs
@@ -19,9 +19,9 @@
     pub leader: bool,
     /// Whether the first new machine of each replacement is lost while it joins, so that another
     /// one starts.
-    pub newcomer_dies: bool,
+    pub new_machine_is_lost: bool,
     /// Whether the only seed address of the new machines is that of a replaced machine.
-    pub seeds_depart: bool,
+    pub seeds_are_replaced: bool,
     /// Number of replacements, one after another.
     pub rounds: usize,
 }
@@ -104,12 +104,12 @@
             replaced.iter().for_each(|at| world.lose_and_retire(*at));
             world.run_for(START_DELAY_US);
         }
-        if self.seeds_depart {
+        if self.seeds_are_replaced {
             world.control_seeds_only = true;
             world.seeds = vec![world.control[replaced[0]].address; 3];
         }
         let mut new_machines: Vec<usize> = replaced.iter().map(|_| world.add_control()).collect();
-        if self.newcomer_dies {
+        if self.new_machine_is_lost {
             world.run_for(JOINING_US);
             world.lose_and_retire(new_machines[0]);
             new_machines[0] = world.add_control();
--- a/crates/simulation/src/world/pinned.rs
+++ b/crates/simulation/src/world/pinned.rs
@@ -121,7 +121,7 @@
         pinned.incarnation = incarnation;
         pinned.controller_client = ControllerClient::default();
         for pending in std::mem::take(&mut pinned.pending).into_values() {
-            pinned.numbers_unclear += usize::from(increments_own_number(&pending.request));
+            pinned.unknown_increments += usize::from(increments_own_number(&pending.request));
         }
     }
 
@@ -183,8 +183,8 @@
                 pinned.waits_us.push((pending.start_us, now_us - pending.start_us));
             }
             Response::TimedOut => {
-                pinned.unclear += 1;
-                pinned.numbers_unclear += usize::from(is_increment);
+                pinned.timed_out += 1;
+                pinned.unknown_increments += usize::from(is_increment);
             }
             response => {
                 pinned.answered += 1;
--- a/crates/simulation/src/world/pinned_checks.rs
+++ b/crates/simulation/src/world/pinned_checks.rs
@@ -83,7 +83,10 @@
     fn check_outcome(&mut self, start_us: u64, call: &Call, outcome: &Outcome) {
         let value = match (call, outcome) {
             (Call::Next { .. }, Outcome::Number(value)) => {
-                return self.pinned.iter_mut().for_each(|pinned| pinned.numbers.push(*value));
+                return self
+                    .pinned
+                    .iter_mut()
+                    .for_each(|pinned| pinned.acknowledged_numbers.push(*value));
             }
             (Call::ReadNumber { .. }, Outcome::Number(value)) => *value,
             (Call::ReadKey { .. }, Outcome::Key(key)) => key.revision,
--- a/crates/simulation/tests/contact_loss.rs
+++ b/crates/simulation/tests/contact_loss.rs
@@ -41,7 +41,7 @@
     let results = run(ContactLoss::Full, false);
     assert_unavailable_immediately(&results);
     assert!(
-        results.iter().all(|result| result.undisturbed),
+        results.iter().all(|result| result.leadership_unchanged),
         "the leader or its term changed: {results:?}"
     );
 }
@@ -54,9 +54,9 @@
 #[test]
 fn follower_without_outbound_contact_times_out_and_keeps_the_leader() {
     let results = run(ContactLoss::Outbound, false);
-    assert!(results.iter().all(|result| result.unclear > 400), "too few timeouts: {results:?}");
+    assert!(results.iter().all(|result| result.timed_out > 400), "too few timeouts: {results:?}");
     assert!(
-        results.iter().all(|result| result.undisturbed),
+        results.iter().all(|result| result.leadership_unchanged),
         "the leader or its term changed: {results:?}"
     );
 }
@@ -71,7 +71,7 @@
     let results = run(ContactLoss::Inbound, false);
     assert_unavailable_immediately(&results);
     assert!(
-        results.iter().all(|result| result.undisturbed),
+        results.iter().all(|result| result.leadership_unchanged),
         "the leader or its term changed: {results:?}"
     );
 }
@@ -85,7 +85,7 @@
 fn leader_partitioned_from_data_nodes_still_answers_every_request() {
     let results = run(ContactLoss::Data, true);
     assert!(
-        results.iter().all(|result| result.unavailable + result.unclear == 0),
+        results.iter().all(|result| result.unavailable + result.timed_out == 0),
         "a request was unavailable or timed out: {results:?}"
     );
 }
@@ -99,7 +99,7 @@
 fn frozen_follower_keeps_the_leader_after_it_wakes() {
     let results = run(ContactLoss::Frozen, false);
     assert!(
-        results.iter().all(|result| result.undisturbed),
+        results.iter().all(|result| result.leadership_unchanged),
         "the leader or its term changed: {results:?}"
     );
 }
--- a/crates/simulation/tests/failures.rs
+++ b/crates/simulation/tests/failures.rs
@@ -1,7 +1,7 @@
 //! Each fault, injected into simulated clusters over fixed seeds. The program `simulate` runs any
 //! number of seeds.
 
-use postbarrow_simulation::{ALL, DiskFault, Fault, ListFault, RunResult, Scenario, Stage};
+use postbarrow_simulation::{ALL_FAULTS, DiskFault, Fault, ListFault, RunResult, Scenario, Stage};
 
 /// Runs a scenario; asserts that it has no violations and that enough requests and calls ran.
 fn run_checked(name: &str, scenario: &Scenario) -> RunResult {
@@ -86,7 +86,7 @@
 
 #[test]
 fn every_fault_has_a_test() {
-    assert_eq!(TESTED, ALL);
+    assert_eq!(TESTED, ALL_FAULTS);
 }
 
 /// A member with a full disk loses its vote until there is space again, but its process never ends.
@@ -102,7 +102,7 @@
 #[test]
 fn new_processes_join_by_old_seeds_after_all_seed_machines_are_replaced() {
     for seed in 1..=3 {
-        let mut scenario = Scenario::new(seed, &ALL, 0);
+        let mut scenario = Scenario::new(seed, &ALL_FAULTS, 0);
         scenario.script = vec![
             (500, Fault::ReplaceControl(0)),
             (9_000, Fault::ReplaceControl(1)),
@@ -126,7 +126,7 @@
 #[test]
 fn a_disk_lost_twice_in_a_row_leaves_a_majority() {
     for seed in 1..=3 {
-        let mut scenario = Scenario::new(seed, &ALL, 0);
+        let mut scenario = Scenario::new(seed, &ALL_FAULTS, 0);
         let replacements = [500, 3_800].map(|pause_ms| (pause_ms, Fault::ReplaceControl(0)));
         scenario.script = replacements.to_vec();
         run_checked("disk lost twice", &scenario);
@@ -136,7 +136,7 @@
 #[test]
 fn a_rolling_restart_of_all_processes_drops_and_sheds_nothing() {
     for seed in 1..=6 {
-        let mut scenario = Scenario::new(seed, &ALL, 0);
+        let mut scenario = Scenario::new(seed, &ALL_FAULTS, 0);
         scenario.lost_per_mille = 0;
         let data = (0..scenario.data_nodes).map(Fault::RollingRestartData);
         let control = [0, 1, 2, 0, 1, 2].map(Fault::RollingRestartControl);
@@ -200,7 +200,7 @@
 
 #[test]
 fn nothing_is_lost_or_late_without_faults() {
-    let mut scenario = Scenario::new(5, &ALL, 0);
+    let mut scenario = Scenario::new(5, &ALL_FAULTS, 0);
     scenario.lost_per_mille = 0;
     let result = run_checked("without faults", &scenario);
     assert_eq!((result.outcomes.not_run, result.outcomes.unknown), (0, 0));
--- a/crates/simulation/tests/replacements.rs
+++ b/crates/simulation/tests/replacements.rs
@@ -8,8 +8,8 @@
     losses: 1,
     planned: false,
     leader: false,
-    newcomer_dies: false,
-    seeds_depart: false,
+    new_machine_is_lost: false,
+    seeds_are_replaced: false,
     rounds: 2,
 };
 /// The time within which another machine must lead after the loss of the leader: two elections.
@@ -66,13 +66,14 @@
 #[test]
 fn a_new_machine_joins_although_all_its_seeds_depart() {
     let planned = Replacement { seed: 2, leader: true, planned: true, ..DEFAULT };
-    check("seeds depart", Replacement { seeds_depart: true, ..planned });
+    check("seeds depart", Replacement { seeds_are_replaced: true, ..planned });
 }
 
 #[test]
 fn a_new_machine_that_is_lost_while_it_joins_is_replaced() {
     for (seed, planned) in [(1, false), (2, true)] {
-        let replacement = Replacement { seed, planned, newcomer_dies: true, rounds: 2, ..DEFAULT };
+        let replacement =
+            Replacement { seed, planned, new_machine_is_lost: true, rounds: 2, ..DEFAULT };
         check("new machine lost", replacement);
     }
 }
