--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -57,8 +57,8 @@
         self.lose(split, |_| random.borrow_mut().chance(500));
     }
 
-    /// Loses power; `keeps` returns, for the index of each unit that `unsynced_units` counts, whether
-    /// that unit survives. The two units of a write are its halves.
+    /// Loses power; `keeps` returns, for the index of each unit that `unsynced_units` counts,
+    /// whether that unit survives. The two units of a write are its halves.
     pub fn lose_power_keeping(&self, keeps: impl FnMut(usize) -> bool) {
         self.lose(|length| length / 2, keeps);
     }
--- a/crates/simulation/src/fault/injection.rs
+++ b/crates/simulation/src/fault/injection.rs
@@ -38,7 +38,8 @@
 pub(crate) struct Injection {
     pub(crate) operation: Operation,
     pub(crate) fault: InjectedFault,
-    /// Number of the operation's writes and syncs still to come before the fault is injected.
+    /// Number of the operation's writes and syncs still to come before the fault is injected; not
+    /// used with `Operation::Snapshot`, where the fault comes at the first one.
     pub(crate) remaining: u64,
     /// For `InjectedFault::Power`, the number of disk operations of the pending writes that are
     /// carried out before the power is lost.
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -52,7 +52,8 @@
 }
 
 /// Injects each fault at each step of each operation, one step per run, until the operation has no
-/// further step; for snapshots, in twelve runs at most. Prints the violations.
+/// further step; for snapshots, where the fault always comes at the first step, in twelve runs at
+/// most. Prints the violations.
 fn inject_at_every_step(cli: &Cli) -> ExitCode {
     let combinations: Vec<(Operation, InjectedFault)> = OPERATIONS
         .into_iter()
--- a/crates/simulation/src/scenario/contact_loss.rs
+++ b/crates/simulation/src/scenario/contact_loss.rs
@@ -59,8 +59,8 @@
     pub orders: usize,
     /// Number of acknowledgements of plans in the whole run.
     pub plans: u64,
-    /// Whether the leader and its term were unchanged when contact returned, and the term still was
-    /// three seconds later.
+    /// Whether the leader and its term were unchanged when contact returned, and the old leader's
+    /// term was still unchanged three seconds later.
     pub leadership_unchanged: bool,
 }
 
@@ -186,10 +186,10 @@
     if acknowledged.len() != pinned.acknowledged_numbers.len()
         || !(acknowledged.len()..=max).contains(&applied)
     {
-        let (acknowledged, unclear) =
+        let (acknowledged, unknown) =
             (pinned.acknowledged_numbers.len(), pinned.unknown_increments);
         world.ledger.report(format!(
-            "{applied} were counted, {acknowledged} acknowledged, {unclear} unclear"
+            "{applied} increments were applied, {acknowledged} acknowledged, {unknown} unknown"
         ));
     }
 }
--- a/crates/simulation/src/scenario/injection.rs
+++ b/crates/simulation/src/scenario/injection.rs
@@ -14,8 +14,10 @@
     pub operation: Operation,
     /// The kind of fault that is injected.
     pub fault: InjectedFault,
-    /// The number of the operation's write or sync at which the fault is injected, counted from 0;
-    /// with `InjectedFault::Power` also the number of disk operations that are still carried out.
+    /// The number of the operation's write or sync at which the fault is injected, counted from 0.
+    /// With `Operation::Snapshot` it is always injected at the first one, whatever this number.
+    /// With `InjectedFault::Power` this is also the number of disk operations that are still
+    /// carried out.
     pub at: u64,
 }
 
@@ -23,8 +25,8 @@
 const ADDITIONAL_ROUTES: u64 = 6_000;
 
 impl InjectionPoint {
-    /// Runs the simulation; returns `None` if the operation had fewer steps, so that no fault was
-    /// injected.
+    /// Runs the simulation; returns `None` if the operation had fewer writes and syncs, so that no
+    /// fault was injected.
     pub fn run(&self) -> Option<RunResult> {
         let mut world = World::new(self.seed, 5, 12);
         world.request_pause_us = 50_000;
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -1,4 +1,5 @@
-//! Runs of a world with drawn faults, a wait for full service and final checks.
+//! Runs of a simulated cluster: a phase with drawn faults, a wait for full service, and the final
+//! checks.
 
 pub mod contact_loss;
 pub mod injection;
@@ -89,7 +90,8 @@
 const RECOVERY_MS: u64 = 15_000;
 
 impl Scenario {
-    /// Creates a scenario of five data nodes and twelve targets that draws `fault_count` of these faults.
+    /// Creates a scenario of five data nodes and twelve targets that draws `fault_count` of these
+    /// faults.
     pub fn new(seed: u64, faults: &[Fault], fault_count: usize) -> Self {
         let faults = faults.to_vec();
         Scenario {
@@ -228,7 +230,8 @@
     }
 }
 
-/// Checks that the plan last shown is the newest acknowledged one or one of unknown outcome.
+/// Checks that the plan in force, as last requested, is the newest acknowledged one or one whose
+/// order has no conclusive response.
 fn check_plan(world: &mut World) {
     let Some(shown) = world.operator.shown_plan.clone() else {
         return world.ledger.report("the plan does not read back".into());
@@ -241,8 +244,8 @@
     }
 }
 
-/// Runs for eight seconds, requests the plan in force meanwhile, and checks that it is the one
-/// acknowledged last; `when` ends the text of the violation.
+/// Runs for six seconds, requests the plan in force, and checks two seconds later that it is the
+/// one acknowledged last; `when` ends the text of the violation.
 pub(crate) fn read_back_plan(world: &mut World, result: &mut RunResult, when: &str) {
     let until_us = world.now_us + 6_000_000;
     world.run_until(until_us);
--- a/crates/simulation/src/scenario/replacement.rs
+++ b/crates/simulation/src/scenario/replacement.rs
@@ -9,8 +9,7 @@
 pub struct Replacement {
     /// The run's seed.
     pub seed: u64,
-    /// Number of simultaneous losses to tolerate; the group has twice as many machines and one
-    /// more.
+    /// Number of simultaneous losses to tolerate; the group has `2 * losses + 1` machines.
     pub losses: usize,
     /// Whether the replacements are planned: the new machine starts first, and the old process
     /// shuts down gracefully. Otherwise the old machines are lost first.
@@ -29,7 +28,7 @@
 /// The result of a run with replacements.
 #[derive(Debug, Default)]
 pub struct ReplacementResult {
-    /// The result that every kind of run has.
+    /// The violations, counters and recovery time of the run.
     pub result: RunResult,
     /// For each replacement, the milliseconds from the start of the new machines until all of them
     /// vote and the replaced ones do not; `u64::MAX` if that took longer than the time to catch up.
@@ -46,7 +45,8 @@
 /// replacement, in microseconds.
 const OVERLAP_US: u64 = 1_000_000;
 
-/// Time for which a new machine that is lost while it joins has run, in microseconds.
+/// Time between the start and the loss of a new machine that is lost while it joins, in
+/// microseconds.
 const JOINING_US: u64 = 700_000;
 
 /// Mean pause between two requests, in microseconds: short enough to observe that each node serves.
