--- a/crates/simulation/src/checker/invariants.rs
+++ b/crates/simulation/src/checker/invariants.rs
@@ -48,8 +48,8 @@
     }
 
     /// Checks that data node `at` does not forward a request by a plan that is older than the
-    /// newest one acknowledged at least `MAX_PLAN_LAG_US` ago. A plan's age is the log offset of
-    /// its Begin.
+    /// newest one acknowledged at least `MAX_PLAN_LAG_US` ago. Plans are ordered by the log offset
+    /// of their Begin.
     pub fn check_plan(&mut self, now_us: u64, at: usize, request: u64, began_at: u64) {
         let mandatory = self.in_force.iter().filter(|(at_us, _)| at_us + MAX_PLAN_LAG_US <= now_us);
         if let Some(newest) = mandatory.map(|(_, offset)| *offset).max()
--- a/crates/simulation/src/checker/ledger.rs
+++ b/crates/simulation/src/checker/ledger.rs
@@ -99,8 +99,8 @@
     /// For each acknowledged plan, the true time of the acknowledgement in microseconds and the log
     /// offset of the plan's Begin.
     pub in_force: Vec<(u64, u64)>,
-    /// Version and number of routes of each refused plan and dry run, by which one is recognised in
-    /// the routing table of a data node.
+    /// Version and number of routes of each refused plan and dry run, by which such a plan is
+    /// recognised in the routing table of a data node.
     pub refused: BTreeSet<(String, usize)>,
     /// The record of responses to operators' orders.
     pub orders: OrderLedger,
--- a/crates/simulation/src/client/operator.rs
+++ b/crates/simulation/src/client/operator.rs
@@ -47,13 +47,14 @@
     pub acknowledged: u64,
     /// Number of refusals of plans.
     pub refusals: u64,
-    /// The text of the plan in force, as last requested with `World::request_plan_in_force`; `None` before a
-    /// response.
+    /// The text of the plan in force, as last requested with `World::request_plan_in_force`; `None`
+    /// before a response.
     pub shown_plan: Option<String>,
-    /// Texts of submitted plans of which it is not known whether they are in force.
+    /// Texts of submitted plans whose order has no conclusive response yet, so that they may be in
+    /// force.
     pub possibly_in_force: BTreeSet<String>,
-    /// Texts of all plans that were prepared, by version; an acknowledged text replaces another
-    /// one.
+    /// Texts of all plans that were prepared, by version. Of several plans with one version, the
+    /// one prepared last counts until one is acknowledged, and then the acknowledged one.
     pub texts: BTreeMap<String, String>,
     /// The client through which the operators send requests to the controller.
     pub(crate) controller_client: ControllerClient,
--- a/crates/simulation/src/client/pinned.rs
+++ b/crates/simulation/src/client/pinned.rs
@@ -44,11 +44,11 @@
     /// For each request answered with `Unavailable`, the true time at which it was sent and how
     /// long it waited, in microseconds.
     pub waits_us: Vec<(u64, u64)>,
-    /// The values of `OWN_NUMBER` that were acknowledged, in the order of their responses.
+    /// The values of `OWN_NUMBER` that increments returned, in the order of their responses.
     pub acknowledged_numbers: Vec<u64>,
     /// Number of increments of `OWN_NUMBER` of which it is unknown whether they were applied.
     pub unknown_increments: usize,
-    /// Number of orders that were prepared.
+    /// Number of orders that the clients have prepared to submit.
     pub orders: usize,
     /// The incarnation of the control machine's process that received the pending requests.
     pub(crate) incarnation: u64,
--- a/crates/simulation/src/node/data.rs
+++ b/crates/simulation/src/node/data.rs
@@ -42,7 +42,8 @@
     /// The random incarnation that the process announces to the controller; `incarnation` counts
     /// starts and ends instead.
     pub announced_incarnation: u64,
-    /// The newest number drawn for a request to the controller or a step of a request's flow.
+    /// A counter that numbers the node's requests to the controller, clients' requests and the
+    /// steps of their flows; its newest value.
     pub number: u64,
     /// The recipients of pending responses, by the key of the request to the controller.
     pub response_recipients: BTreeMap<u64, ResponseRecipient>,
--- a/crates/simulation/src/world/departure.rs
+++ b/crates/simulation/src/world/departure.rs
@@ -88,8 +88,9 @@
         self.resume_request(request, data, event);
     }
 
-    /// Returns whether the client is still connected, as the last check before the first byte; the
-    /// node then waits for the target.
+    /// Makes the last check before the first byte: returns whether the client is still connected.
+    /// If it is, the attempt waits for the target from now on; if not, the node has now observed
+    /// the departure.
     pub fn check_client_before_send(&mut self, request: u64) -> bool {
         let Some(run) = self.requests.get_mut(&request) else { return false };
         run.departure_observed |= run.client_departed;
--- a/crates/simulation/src/world/forwarding.rs
+++ b/crates/simulation/src/world/forwarding.rs
@@ -42,7 +42,7 @@
         let is_client_connected = self.check_client_before_send(request);
         if !(is_client_connected && allowed && now_ms < until_ms && self.serves(data)) {
             let event = postbarrow_node::Event::AttemptEnded(AttemptOutcome::Unsent(
-                "the gate is shut".into(),
+                "a last check failed".into(),
             ));
             return self.schedule(0, Event::Resume { request, data, incarnation, event });
         }
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -86,7 +86,8 @@
     pub last_request_id: u64,
     /// Mean pause between two requests of the clients, in microseconds.
     pub request_pause_us: u64,
-    /// Whether the operators submit no more plans, because the run only waits for full service.
+    /// Whether the operators submit no more plans on their own, because the run only waits for full
+    /// service. If `request_pause_us` is 0 too, clients and callers send nothing new either.
     pub plans_paused: bool,
     /// The lines of the run's log; `None` if it is not recorded.
     pub log: Option<Vec<String>>,
@@ -96,7 +97,7 @@
     pub snapshots: usize,
     /// Whether every sync takes 10 to 50 ms instead of 0.3 to 4 ms.
     pub slow_disks: bool,
-    /// Number of simultaneous losses of machines that the control nodes must tolerate.
+    /// Number of simultaneous losses of control machines that the control nodes must tolerate.
     pub losses: usize,
     /// Whether a starting process has only control machines, and no data machine, among its
     /// `seeds`.
--- a/crates/simulation/src/world/pinned.rs
+++ b/crates/simulation/src/world/pinned.rs
@@ -62,8 +62,8 @@
     }
 
     /// Prepares an order for the pinned clients if no order is pending in the whole cluster, so
-    /// that each order is valid; passes an order without a clear response to the other operators
-    /// after `RETRY_US`.
+    /// that each order is valid; passes an order that was neither acknowledged nor refused to the
+    /// other operators after `RETRY_US`.
     fn drive_pinned_order(&mut self) {
         let now_us = self.now_us;
         let idle = self.operator.is_idle() && !self.plans_paused && self.random.chance(30);
--- a/crates/simulation/src/world/pinned_checks.rs
+++ b/crates/simulation/src/world/pinned_checks.rs
@@ -29,13 +29,14 @@
         }
     }
 
-    /// Checks that the plan shown, whose Begin has this log offset, is not older than any plan
-    /// acknowledged before the request.
+    /// Checks that the plan in a response, whose Begin has this log offset, is not older than any
+    /// plan acknowledged before the request; the offset is 0 if the response has no plan.
     fn check_shown(&mut self, start_us: u64, offset: u64) {
         let before = self.ledger.in_force.iter().filter(|(at_us, _)| *at_us <= start_us);
         let newest = before.map(|(_, offset)| *offset).max().unwrap_or(0);
         if offset < newest {
-            self.ledger.report(format!("a plan of {offset} was shown after {newest} was in force"));
+            self.ledger
+                .report(format!("the plan shown began at {offset}, one acknowledged at {newest}"));
         }
     }
 
@@ -67,7 +68,7 @@
         let Some(began) = began_at(body) else {
             return self
                 .ledger
-                .report(format!("{} is in force from nowhere", submitted.order.version));
+                .report(format!("{} has no beganAt in its response", submitted.order.version));
         };
         let has_begin = |machine: &&ControlMachine| {
             machine.node.as_ref().is_some_and(|node| node.consensus().last_index() >= began)
