--- a/crates/simulation/src/search/forwarded/state.rs
+++ b/crates/simulation/src/search/forwarded/state.rs
@@ -8,7 +8,8 @@
 use std::net::SocketAddr;
 
 /// A frame in flight. A state lists its frames in the order of their printed forms, which begin
-/// with the variants' names.
+/// with the variants' names, so that these names decide the order in which a search takes the
+/// frames.
 #[derive(Clone, Debug)]
 pub enum Frame {
     /// A request in flight to the member with index `to`.
--- a/crates/simulation/src/search/request/flow.rs
+++ b/crates/simulation/src/search/request/flow.rs
@@ -36,8 +36,7 @@
     Unsent,
     /// The target stated that it did not run the request.
     NotRun,
-    /// The attempt ended without a valid response; `late` tells whether because the deadline
-    /// passed.
+    /// The attempt ended without a valid response; `late` is set if the deadline passed.
     Unknown { late: bool },
 }
 
@@ -112,8 +111,8 @@
     fingerprint: String,
 }
 
-/// All states of the two flows reached so far, and the transitions between them, so that each
-/// transition is replayed only once. A state is identified by its index.
+/// All states of the two flows reached so far, and the transitions between them, so that the flows
+/// are replayed only once for each transition. A state is identified by its index.
 pub struct FlowStates {
     kinds: [Kind; 2],
     uses_ticket_log: bool,
@@ -121,7 +120,8 @@
     states: Vec<(FlowState, Vec<FlowInput>)>,
     /// The index of each state in `states`.
     indexes: HashMap<FlowState, usize>,
-    /// The index of the state after an input in the state with an index.
+    /// The index of the state that an input leads to, by the index of the state before it and the
+    /// input.
     transitions: HashMap<(usize, FlowInput), usize>,
 }
 
--- a/crates/simulation/src/search/request/mod.rs
+++ b/crates/simulation/src/search/request/mod.rs
@@ -101,8 +101,8 @@
         self.feed(state, client, FlowEvent::Connected);
     }
 
-    /// Performs the data plane's exchange up to the last byte sent: its last checks and the
-    /// sending.
+    /// Makes the data plane's last checks before the first byte, and sends the request if they
+    /// allow it.
     fn send_request(&self, state: &mut RequestState, client: usize) {
         let Some(index) = state.connection_of(client) else { return };
         let connection = &mut state.connections[index];
