--- a/crates/simulation/tests/forwarded.rs
+++ b/crates/simulation/tests/forwarded.rs
@@ -11,7 +11,7 @@
 const SECOND_KEY_SEED: u64 = 0x2545_f491_4f6c_dd1d;
 
 /// Asserts that the model violates no invariant and that the search is complete.
-fn covers(name: &str, model: &ForwardedCalls) {
+fn assert_no_violation(name: &str, model: &ForwardedCalls) {
     let started = std::time::Instant::now();
     match search(model, BOUNDS) {
         Ok(coverage) => {
@@ -64,7 +64,7 @@
         concurrent_records: vec![Record::LockFreed { name: "lock".into() }],
         ..with_faults(vec![forwarded_call(0, Some("start-1"), lock("one"))])
     };
-    covers("a lock of another owner", &model);
+    assert_no_violation("a lock of another owner", &model);
 }
 
 #[test]
@@ -73,7 +73,7 @@
         concurrent_records: vec![Record::LockFreed { name: "lock".into() }],
         ..with_faults(vec![forwarded_call(0, Some("start-1"), lock("one"))])
     };
-    covers("a freed lock", &model);
+    assert_no_violation("a freed lock", &model);
 }
 
 #[test]
@@ -82,7 +82,10 @@
         forwarded_call(0, Some("start-1"), lock("one")),
         forwarded_call(1, Some("start-2"), lock("two")),
     ];
-    covers("two owners", &ForwardedCalls { frame_losses: 0, retry_ticks: 1, ..with_faults(calls) });
+    assert_no_violation(
+        "two owners",
+        &ForwardedCalls { frame_losses: 0, retry_ticks: 1, ..with_faults(calls) },
+    );
 }
 
 #[test]
@@ -92,7 +95,7 @@
         concurrent_records: vec![Record::Key { name: "k".into(), key: None }],
         ..with_faults(vec![forwarded_call(0, Some("put-1"), put(1, 0))])
     };
-    covers("a refused put", &model);
+    assert_no_violation("a refused put", &model);
 }
 
 #[test]
@@ -101,13 +104,19 @@
         log_starts_full: true,
         ..with_faults(vec![forwarded_call(0, None, next())])
     };
-    covers("a full log", &model);
+    assert_no_violation("a full log", &model);
 }
 
 #[test]
 fn two_callers_of_one_number_get_distinct_increasing_values() {
-    covers("numbers, one leader", &ForwardedCalls { allows_election: false, ..two_numbers() });
-    covers("numbers, two leaders", &ForwardedCalls { retry_ticks: 0, ..two_numbers() });
+    assert_no_violation(
+        "numbers, one leader",
+        &ForwardedCalls { allows_election: false, ..two_numbers() },
+    );
+    assert_no_violation(
+        "numbers, two leaders",
+        &ForwardedCalls { retry_ticks: 0, ..two_numbers() },
+    );
 }
 
 fn two_numbers() -> ForwardedCalls {
@@ -119,7 +128,7 @@
 #[test]
 #[ignore = "takes about a minute: a larger search than the other tests"]
 fn two_callers_of_one_number_get_distinct_increasing_values_with_two_leaders_and_repeats() {
-    covers("numbers, two leaders with repeats", &two_numbers());
+    assert_no_violation("numbers, two leaders with repeats", &two_numbers());
 }
 
 /// Returns the model of a call before a restart, and one after it with this key seed.
@@ -130,7 +139,7 @@
 
 #[test]
 fn a_response_to_an_earlier_incarnation_is_delivered_to_no_caller() {
-    covers("two incarnations", &calls_across_a_restart(SECOND_KEY_SEED));
+    assert_no_violation("two incarnations", &calls_across_a_restart(SECOND_KEY_SEED));
 }
 
 #[test]
--- a/crates/simulation/tests/many_changes.rs
+++ b/crates/simulation/tests/many_changes.rs
@@ -13,7 +13,7 @@
 /// Maximum of a later window's figure, in per cent of the first window's.
 const STEADY_MAX_PERCENT: u64 = 105;
 /// The same maximum for the bytes written, the log and the bytes read at a start. These vary more,
-/// because a window contains a dozen snapshots or one more.
+/// because a window contains two snapshots of a member or three.
 const VARYING_MAX_PERCENT: u64 = 120;
 const WRITTEN: &str = "written";
 const STEP_US: u64 = 5_000;
@@ -166,7 +166,8 @@
 
 impl Figures {
     /// Returns the bytes, for each change of the window, that one more snapshot writes: the
-    /// snapshot and the log behind it. Since changes are small, a window has one snapshot or two.
+    /// snapshot and the log behind it. Since changes are small, a window has only two snapshots of
+    /// a member or three, so that one more is a large part of what is written.
     fn extra_snapshot_bytes(&self) -> u64 {
         (self.snapshot_bytes + self.log_bytes) / WINDOW_CHANGES
     }
--- a/crates/simulation/tests/replacements.rs
+++ b/crates/simulation/tests/replacements.rs
@@ -64,9 +64,9 @@
 }
 
 #[test]
-fn a_new_machine_joins_although_all_its_seeds_depart() {
+fn a_new_machine_joins_although_all_its_seeds_are_replaced() {
     let planned = Replacement { seed: 2, leader: true, planned: true, ..DEFAULT };
-    check("seeds depart", Replacement { seeds_are_replaced: true, ..planned });
+    check("seeds replaced", Replacement { seeds_are_replaced: true, ..planned });
 }
 
 #[test]
--- a/crates/simulation/tests/search.rs
+++ b/crates/simulation/tests/search.rs
@@ -8,11 +8,11 @@
 const WIDE_BOUNDS: Bounds = Bounds { depth: 60, states: 2_000_000 };
 
 /// Asserts that the model violates no invariant and that the search is complete.
-fn covers<M: Model>(name: &str, model: &M) -> Coverage {
-    covers_within(BOUNDS, name, model)
+fn assert_no_violation<M: Model>(name: &str, model: &M) -> Coverage {
+    assert_no_violation_within(BOUNDS, name, model)
 }
 
-fn covers_within<M: Model>(bounds: Bounds, name: &str, model: &M) -> Coverage {
+fn assert_no_violation_within<M: Model>(bounds: Bounds, name: &str, model: &M) -> Coverage {
     let started = std::time::Instant::now();
     match search(model, bounds) {
         Ok(coverage) => {
@@ -40,7 +40,7 @@
 #[test]
 fn a_second_response_or_garbage_breaks_no_guarantee() {
     for kinds in [BOTH_ONE_TIME, MIXED] {
-        covers(
+        assert_no_violation(
             "stray responses",
             &Requests::new(kinds, false, Faults { stray_responses: 1, ..NONE }),
         );
@@ -49,7 +49,7 @@
 
 #[test]
 fn a_reset_before_during_or_after_a_response_breaks_no_guarantee() {
-    covers(
+    assert_no_violation(
         "closed connections",
         &Requests::new(MIXED, false, Faults { closed_connections: 1, ..NONE }),
     );
@@ -57,7 +57,7 @@
 
 #[test]
 fn a_target_replaced_under_its_address_breaks_no_guarantee() {
-    covers(
+    assert_no_violation(
         "replaced targets",
         &Requests::new(MIXED, false, Faults { replaced_targets: 1, ..NONE }),
     );
@@ -65,17 +65,20 @@
 
 #[test]
 fn a_frozen_node_breaks_no_guarantee() {
-    covers("freezes", &Requests::new(MIXED, false, Faults { freezes: true, ..NONE }));
+    assert_no_violation("freezes", &Requests::new(MIXED, false, Faults { freezes: true, ..NONE }));
 }
 
 #[test]
 fn log_tickets_break_no_guarantee_with_a_frozen_node() {
-    covers("tickets, freezes", &Requests::new(MIXED, true, Faults { freezes: true, ..NONE }));
+    assert_no_violation(
+        "tickets, freezes",
+        &Requests::new(MIXED, true, Faults { freezes: true, ..NONE }),
+    );
 }
 
 #[test]
 fn log_tickets_break_no_guarantee_with_a_reset() {
-    covers(
+    assert_no_violation(
         "tickets, closed connections",
         &Requests::new(MIXED, true, Faults { closed_connections: 1, ..NONE }),
     );
@@ -83,7 +86,7 @@
 
 #[test]
 fn log_tickets_break_no_guarantee_with_a_replaced_target() {
-    covers(
+    assert_no_violation(
         "tickets, replaced targets",
         &Requests::new(MIXED, true, Faults { replaced_targets: 1, ..NONE }),
     );
@@ -92,8 +95,8 @@
 #[test]
 fn clients_that_depart_at_any_time_break_no_guarantee() {
     let departures = Faults { departures: true, ..NONE };
-    covers("departures", &Requests::new(MIXED, false, departures));
-    covers(
+    assert_no_violation("departures", &Requests::new(MIXED, false, departures));
+    assert_no_violation(
         "departures and closed connections",
         &Requests::new(MIXED, false, Faults { closed_connections: 1, ..departures }),
     );
@@ -102,7 +105,7 @@
 #[test]
 fn log_tickets_break_no_guarantee_with_departing_clients() {
     let departures = Faults { departures: true, ..NONE };
-    covers("tickets, departures", &Requests::new(MIXED, true, departures));
+    assert_no_violation("tickets, departures", &Requests::new(MIXED, true, departures));
 }
 
 #[test]
@@ -122,25 +125,29 @@
 #[ignore = "takes about a minute: four searches with wider bounds than the other tests"]
 fn two_faults_at_once_break_no_guarantee() {
     let faults = Faults { stray_responses: 1, closed_connections: 1, ..NONE };
-    covers_within(
+    assert_no_violation_within(
         WIDE_BOUNDS,
         "stray responses and closed connections",
         &Requests::new(MIXED, false, faults),
     );
     let faults = Faults { closed_connections: 1, replaced_targets: 1, ..NONE };
-    covers_within(
+    assert_no_violation_within(
         WIDE_BOUNDS,
         "tickets, closed connections and replaced targets",
         &Requests::new(BOTH_ONE_TIME, true, faults),
     );
     let faults = Faults { closed_connections: 1, departures: true, ..NONE };
-    covers_within(
+    assert_no_violation_within(
         WIDE_BOUNDS,
         "tickets, closed connections and departures",
         &Requests::new(MIXED, true, faults),
     );
     let faults = Faults { freezes: true, departures: true, ..NONE };
-    covers_within(WIDE_BOUNDS, "freezes and departures", &Requests::new(MIXED, false, faults));
+    assert_no_violation_within(
+        WIDE_BOUNDS,
+        "freezes and departures",
+        &Requests::new(MIXED, false, faults),
+    );
 }
 
 #[test]
