--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -183,7 +183,7 @@
             None => {}
         }
         match &mut files.power_loss_after {
-            Some(0) => Err(io::Error::other("the power is gone")),
+            Some(0) => Err(io::Error::other("the disk has lost power")),
             Some(remaining) => {
                 *remaining -= 1;
                 Ok(())
--- a/crates/simulation/src/node/endpoint_list.rs
+++ b/crates/simulation/src/node/endpoint_list.rs
@@ -69,7 +69,8 @@
     pub(crate) permitted_us: VecDeque<u64>,
     /// Whether the fault of a first page is still due for the next read of that page.
     pub(crate) faulty_page_due: bool,
-    /// Time spans, from and to in microseconds, in which fetches were refused or failed.
+    /// Time spans, from and to in microseconds, in which the rate limit or a fault kept control
+    /// nodes from reading the whole list.
     pub unavailable: Vec<(u64, u64)>,
     /// The time since which the active fault keeps control nodes from reading the whole list, in
     /// microseconds; `None` without such a fault.
@@ -88,8 +89,9 @@
         self.rows.remove("a-passing-row");
     }
 
-    /// Returns the sum of the spans, cut to the given one, in which fetches were refused or failed,
-    /// in microseconds.
+    /// Returns the sum, in microseconds, of the spans between these two times in which the rate
+    /// limit or a fault kept control nodes from reading the whole list; where spans overlap, each
+    /// counts.
     pub fn unavailable_us(&self, from_us: u64, to_us: u64) -> u64 {
         let open = self.down_us.map(|since_us| (since_us, to_us));
         let spans = self.unavailable.iter().copied().chain(open);
--- a/crates/simulation/src/search/forwarded/mod.rs
+++ b/crates/simulation/src/search/forwarded/mod.rs
@@ -313,9 +313,9 @@
     fn check(&self, state: &ForwardedState) -> Result<(), Violation> {
         for (call_index, progress) in state.progress.iter().enumerate() {
             if let Progress::Answered { number_when_sent, .. } = progress {
-                self.check_answered(state, call_index, *number_when_sent)?;
+                self.check_response(state, call_index, *number_when_sent)?;
             }
-            self.check_once(state, call_index)?;
+            self.check_single_effect(state, call_index)?;
         }
         Ok(())
     }
--- a/crates/simulation/src/search/forwarded/rules.rs
+++ b/crates/simulation/src/search/forwarded/rules.rs
@@ -13,7 +13,7 @@
     /// has no committed entry, and a reported number, fence or key is in one of its own.
     /// `number_when_sent` is the committed value of the number when the call was sent, which a
     /// reported number must exceed.
-    pub(in crate::search) fn check_answered(
+    pub(in crate::search) fn check_response(
         &self,
         state: &ForwardedState,
         call: usize,
@@ -56,7 +56,7 @@
 
     /// Checks that the call with index `call` has at most one revision, if it is a put, or one
     /// fence, if it is a lock, however often its request arrives.
-    pub(in crate::search) fn check_once(
+    pub(in crate::search) fn check_single_effect(
         &self,
         state: &ForwardedState,
         call: usize,
--- a/crates/simulation/src/world/calls.rs
+++ b/crates/simulation/src/world/calls.rs
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Records that a caller holds a lock, unless its time to live has passed since the caller sent
-    /// the request; checks that no other caller holds it.
+    /// Records that a caller holds a lock, unless its time to live has passed since the caller first
+    /// sent the request; checks that no other caller holds it.
     fn acquire_lock(&mut self, caller: usize, name: Name, fence: u64, requested_us: u64) {
         let until_us = requested_us + LOCK_TTL_MS * 1_000;
         if self.now_us >= until_us {
