--- a/crates/simulation/tests/search.rs
+++ b/crates/simulation/tests/search.rs
@@ -27,7 +27,7 @@
 /// Number of events from the initial state to a one-time request that ran and was reported as not
 /// run.
 const EVENTS_TO_A_FALSE_REFUSAL: usize = 11;
-const NONE: Faults = Faults {
+const NO_FAULTS: Faults = Faults {
     stray_responses: 0,
     closed_connections: 0,
     replaced_targets: 0,
@@ -35,14 +35,14 @@
     departures: false,
 };
 const BOTH_ONE_TIME: [Kind; 2] = [Kind::OneTime, Kind::OneTime];
-const MIXED: [Kind; 2] = [Kind::OneTime, Kind::Lookup];
+const ONE_TIME_AND_LOOKUP: [Kind; 2] = [Kind::OneTime, Kind::Lookup];
 
 #[test]
 fn a_second_response_or_garbage_breaks_no_guarantee() {
-    for kinds in [BOTH_ONE_TIME, MIXED] {
+    for kinds in [BOTH_ONE_TIME, ONE_TIME_AND_LOOKUP] {
         assert_no_violation(
             "stray responses",
-            &Requests::new(kinds, false, Faults { stray_responses: 1, ..NONE }),
+            &Requests::new(kinds, false, Faults { stray_responses: 1, ..NO_FAULTS }),
         );
     }
 }
@@ -51,7 +51,7 @@
 fn a_reset_before_during_or_after_a_response_breaks_no_guarantee() {
     assert_no_violation(
         "closed connections",
-        &Requests::new(MIXED, false, Faults { closed_connections: 1, ..NONE }),
+        &Requests::new(ONE_TIME_AND_LOOKUP, false, Faults { closed_connections: 1, ..NO_FAULTS }),
     );
 }
 
@@ -59,20 +59,23 @@
 fn a_target_replaced_under_its_address_breaks_no_guarantee() {
     assert_no_violation(
         "replaced targets",
-        &Requests::new(MIXED, false, Faults { replaced_targets: 1, ..NONE }),
+        &Requests::new(ONE_TIME_AND_LOOKUP, false, Faults { replaced_targets: 1, ..NO_FAULTS }),
     );
 }
 
 #[test]
 fn a_frozen_node_breaks_no_guarantee() {
-    assert_no_violation("freezes", &Requests::new(MIXED, false, Faults { freezes: true, ..NONE }));
+    assert_no_violation(
+        "freezes",
+        &Requests::new(ONE_TIME_AND_LOOKUP, false, Faults { freezes: true, ..NO_FAULTS }),
+    );
 }
 
 #[test]
 fn log_tickets_break_no_guarantee_with_a_frozen_node() {
     assert_no_violation(
         "tickets, freezes",
-        &Requests::new(MIXED, true, Faults { freezes: true, ..NONE }),
+        &Requests::new(ONE_TIME_AND_LOOKUP, true, Faults { freezes: true, ..NO_FAULTS }),
     );
 }
 
@@ -80,7 +83,7 @@
 fn log_tickets_break_no_guarantee_with_a_reset() {
     assert_no_violation(
         "tickets, closed connections",
-        &Requests::new(MIXED, true, Faults { closed_connections: 1, ..NONE }),
+        &Requests::new(ONE_TIME_AND_LOOKUP, true, Faults { closed_connections: 1, ..NO_FAULTS }),
     );
 }
 
@@ -88,29 +91,32 @@
 fn log_tickets_break_no_guarantee_with_a_replaced_target() {
     assert_no_violation(
         "tickets, replaced targets",
-        &Requests::new(MIXED, true, Faults { replaced_targets: 1, ..NONE }),
+        &Requests::new(ONE_TIME_AND_LOOKUP, true, Faults { replaced_targets: 1, ..NO_FAULTS }),
     );
 }
 
 #[test]
 fn clients_that_depart_at_any_time_break_no_guarantee() {
-    let departures = Faults { departures: true, ..NONE };
-    assert_no_violation("departures", &Requests::new(MIXED, false, departures));
+    let departures = Faults { departures: true, ..NO_FAULTS };
+    assert_no_violation("departures", &Requests::new(ONE_TIME_AND_LOOKUP, false, departures));
     assert_no_violation(
         "departures and closed connections",
-        &Requests::new(MIXED, false, Faults { closed_connections: 1, ..departures }),
+        &Requests::new(ONE_TIME_AND_LOOKUP, false, Faults { closed_connections: 1, ..departures }),
     );
 }
 
 #[test]
 fn log_tickets_break_no_guarantee_with_departing_clients() {
-    let departures = Faults { departures: true, ..NONE };
-    assert_no_violation("tickets, departures", &Requests::new(MIXED, true, departures));
+    let departures = Faults { departures: true, ..NO_FAULTS };
+    assert_no_violation(
+        "tickets, departures",
+        &Requests::new(ONE_TIME_AND_LOOKUP, true, departures),
+    );
 }
 
 #[test]
 fn without_a_last_client_check_a_request_is_sent_after_its_client_departed() {
-    let model = Requests::new(MIXED, false, Faults { departures: true, ..NONE });
+    let model = Requests::new(ONE_TIME_AND_LOOKUP, false, Faults { departures: true, ..NO_FAULTS });
     let found = search(&model.without_client_check(), BOUNDS);
     let found = found.expect_err("the search finds the violation within its bounds");
     assert!(
@@ -124,35 +130,35 @@
 #[test]
 #[ignore = "takes about a minute: four searches with wider bounds than the other tests"]
 fn two_faults_at_once_break_no_guarantee() {
-    let faults = Faults { stray_responses: 1, closed_connections: 1, ..NONE };
+    let faults = Faults { stray_responses: 1, closed_connections: 1, ..NO_FAULTS };
     assert_no_violation_within(
         WIDE_BOUNDS,
         "stray responses and closed connections",
-        &Requests::new(MIXED, false, faults),
+        &Requests::new(ONE_TIME_AND_LOOKUP, false, faults),
     );
-    let faults = Faults { closed_connections: 1, replaced_targets: 1, ..NONE };
+    let faults = Faults { closed_connections: 1, replaced_targets: 1, ..NO_FAULTS };
     assert_no_violation_within(
         WIDE_BOUNDS,
         "tickets, closed connections and replaced targets",
         &Requests::new(BOTH_ONE_TIME, true, faults),
     );
-    let faults = Faults { closed_connections: 1, departures: true, ..NONE };
+    let faults = Faults { closed_connections: 1, departures: true, ..NO_FAULTS };
     assert_no_violation_within(
         WIDE_BOUNDS,
         "tickets, closed connections and departures",
-        &Requests::new(MIXED, true, faults),
+        &Requests::new(ONE_TIME_AND_LOOKUP, true, faults),
     );
-    let faults = Faults { freezes: true, departures: true, ..NONE };
+    let faults = Faults { freezes: true, departures: true, ..NO_FAULTS };
     assert_no_violation_within(
         WIDE_BOUNDS,
         "freezes and departures",
-        &Requests::new(MIXED, false, faults),
+        &Requests::new(ONE_TIME_AND_LOOKUP, false, faults),
     );
 }
 
 #[test]
 fn accepting_an_unnamed_refusal_on_a_reused_connection_lets_a_request_run_twice() {
-    let model = Requests::new(BOTH_ONE_TIME, false, Faults { stray_responses: 1, ..NONE });
+    let model = Requests::new(BOTH_ONE_TIME, false, Faults { stray_responses: 1, ..NO_FAULTS });
     let found = search(&model.accepting_unnamed_refusals(), BOUNDS);
     let found = found.expect_err("the search finds the violation within its bounds");
     assert!(found.violation.0.contains("reported as 'not run' and ran"), "{}", found.violation);
