--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -52,7 +52,8 @@
 }
 
 /// Injects each fault at each step of each operation, one step per run, until the operation has no
-/// further step; for snapshots, in twelve runs at most. Prints the violations.
+/// further step; for snapshots, where the fault always comes at the first step, in twelve runs at
+/// most. Prints the violations.
 fn inject_at_every_step(cli: &Cli) -> ExitCode {
     let combinations: Vec<(Operation, InjectedFault)> = OPERATIONS
         .into_iter()
@@ -120,12 +121,12 @@
                         return;
                     }
                     let mut scenario = Scenario::everything(seed);
-                    scenario.count = cli.faults;
+                    scenario.fault_count = cli.faults;
                     scenario.data_nodes = cli.nodes;
                     scenario.targets = cli.targets;
                     scenario.zone_us = cli.zone_us;
                     scenario.log = cli.log;
-                    scenario.last = cli.kill_controller.then_some(Fault::KillController);
+                    scenario.last_fault = cli.kill_controller.then_some(Fault::KillController);
                     let result = scenario.run();
                     for line in &result.log {
                         println!("{seed}: {line}");
--- a/crates/simulation/src/scenario/injection.rs
+++ b/crates/simulation/src/scenario/injection.rs
@@ -14,8 +14,10 @@
     pub operation: Operation,
     /// The kind of fault that is injected.
     pub fault: InjectedFault,
-    /// The number of the operation's write or sync at which the fault is injected, counted from 0;
-    /// with `InjectedFault::Power` also the number of disk operations that are still carried out.
+    /// The number of the operation's write or sync at which the fault is injected, counted from 0.
+    /// With `Operation::Snapshot` it is always injected at the first one, whatever this number.
+    /// With `InjectedFault::Power` this is also the number of disk operations that are still
+    /// carried out.
     pub at: u64,
 }
 
@@ -23,13 +25,13 @@
 const ADDITIONAL_ROUTES: u64 = 6_000;
 
 impl InjectionPoint {
-    /// Runs the simulation; returns `None` if the operation had fewer steps, so that no fault was
-    /// injected.
+    /// Runs the simulation; returns `None` if the operation had fewer writes and syncs, so that no
+    /// fault was injected.
     pub fn run(&self) -> Option<RunResult> {
         let mut world = World::new(self.seed, 5, 12);
         world.request_pause_us = 50_000;
         world.run_until(6_000_000);
-        world.quiet = true;
+        world.plans_paused = true;
         let InjectionPoint { operation, fault, at, .. } = *self;
         world.injection = Some(Injection {
             operation,
@@ -55,7 +57,7 @@
             result.violations.push("the plan was never acknowledged".into());
         }
         let lost = at as usize % 3;
-        world.operator.shown = None;
+        world.operator.shown_plan = None;
         world.inject(Fault::ReplaceControl(lost));
         recover(&mut world);
         read_back_plan(&mut world, &mut result, " after a disk was lost");
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -1,4 +1,5 @@
-//! Runs of a world with drawn faults, a wait for full service and final checks.
+//! Runs of a simulated cluster: a phase with drawn faults, a wait for full service, and the final
+//! checks.
 
 pub mod contact_loss;
 pub mod injection;
@@ -7,7 +8,7 @@
 use crate::checker::calls::check_calls;
 use crate::checker::ledger::OutcomeCounts;
 use crate::event::Event;
-use crate::fault::{ALL, Fault};
+use crate::fault::{ALL_FAULTS, Fault};
 use crate::random::Random;
 use crate::world::World;
 
@@ -20,7 +21,7 @@
     pub faults: Vec<Fault>,
     /// Number of faults drawn from `faults`; with a probability of one half each, a fault is healed
     /// before the next, otherwise it overlaps with the next.
-    pub count: usize,
+    pub fault_count: usize,
     /// Number of data nodes.
     pub data_nodes: usize,
     /// Number of targets at the start.
@@ -29,7 +30,7 @@
     pub log: bool,
     /// A last fault, injected after all others are healed and itself not healed; the cluster must
     /// recover from it alone.
-    pub last: Option<Fault>,
+    pub last_fault: Option<Fault>,
     /// Faults injected before any drawn one, each with its pause after the previous one in
     /// milliseconds.
     pub script: Vec<(u64, Fault)>,
@@ -63,7 +64,7 @@
     pub events: usize,
     /// Number of attempts of lookups, and number of their runs at targets beyond one for each
     /// attempt.
-    pub extra: (usize, usize),
+    pub extra_lookup_runs: (usize, usize),
     /// The longest time for which a target received requests after the endpoint list showed its
     /// departure, in milliseconds.
     pub max_departure_lag_ms: u64,
@@ -89,26 +90,27 @@
 const RECOVERY_MS: u64 = 15_000;
 
 impl Scenario {
-    /// Creates a scenario of five data nodes and twelve targets that draws `count` of these faults.
-    pub fn new(seed: u64, faults: &[Fault], count: usize) -> Self {
+    /// Creates a scenario of five data nodes and twelve targets that draws `fault_count` of these
+    /// faults.
+    pub fn new(seed: u64, faults: &[Fault], fault_count: usize) -> Self {
         let faults = faults.to_vec();
         Scenario {
             seed,
             faults,
-            count,
+            fault_count,
             data_nodes: 5,
             targets: 12,
             log: false,
-            last: None,
+            last_fault: None,
             script: Vec::new(),
             lost_per_mille: 5,
             zone_us: 0,
         }
     }
 
-    /// Creates a scenario that draws six of all faults in `ALL`.
+    /// Creates a scenario that draws six of all faults in `ALL_FAULTS`.
     pub fn everything(seed: u64) -> Self {
-        Scenario::new(seed, &ALL, 6)
+        Scenario::new(seed, &ALL_FAULTS, 6)
     }
 
     /// Runs the scenario; the same scenario gives the same result.
@@ -122,18 +124,18 @@
         world.run_until(START_US);
         let formed = world.has_full_service();
         self.inject_faults(&mut world);
-        world.quiet = true;
+        world.plans_paused = true;
         world.inject(Fault::Heal);
-        if let Some(last) = self.last {
+        if let Some(last_fault) = self.last_fault {
             let stable_us = world.now_us + 5_000_000;
             world.run_until(stable_us);
-            world.inject(last);
+            world.inject(last_fault);
         }
         let mut result = RunResult { recovery_ms: recover(&mut world), ..RunResult::default() };
         world.request_pause_us = 0;
         let end_us = world.now_us + 6_000_000;
         world.run_until(end_us);
-        world.show();
+        world.request_plan_in_force();
         world.run_until(end_us + 2_000_000);
         if !formed {
             result.violations.push("no service before any fault".into());
@@ -152,7 +154,7 @@
             world.run_until(at_us);
             world.schedule(0, Event::Fault(*fault));
         }
-        for _ in 0..self.count {
+        for _ in 0..self.fault_count {
             let fault = self.faults[random.below(self.faults.len() as u64) as usize];
             world.schedule(0, Event::Fault(fault));
             at_us += random.between(300_000, 4_000_000);
@@ -175,7 +177,8 @@
     while world.now_us < start_us + 2 * RECOVERY_MS * 1_000 {
         let next_us = world.now_us + 50_000;
         world.run_until(next_us);
-        let ran = world.ledger.ran_us.last().is_some_and(|ran_us| ran_us + 500_000 > world.now_us);
+        let ran =
+            world.ledger.run_times_us.last().is_some_and(|run_us| run_us + 500_000 > world.now_us);
         match (world.has_full_service() && ran, full_service_us) {
             (true, None) => full_service_us = Some(world.now_us),
             (true, Some(since_us)) if world.now_us > since_us + 1_000_000 => break,
@@ -204,9 +207,9 @@
     result.forwards = world.ledger.forwards;
     result.plans = world.operator.acknowledged;
     result.refusals = world.operator.refusals;
-    result.calls = world.callers.done.len();
+    result.calls = world.callers.completed.len();
     result.events = world.callers.watched_revisions.len();
-    result.extra = (lookups, extra);
+    result.extra_lookup_runs = (lookups, extra);
     result.max_departure_lag_ms = world.ledger.max_departure_lag_us / 1_000;
     let leader = world.leader().and_then(|at| world.control[at].node.as_ref());
     result.members = leader.map_or_else(Vec::new, |node| {
@@ -227,28 +230,29 @@
     }
 }
 
-/// Checks that the plan last shown is the newest acknowledged one or one of unknown outcome.
+/// Checks that the plan in force, as last requested, is the newest acknowledged one or one whose
+/// order has no conclusive response.
 fn check_plan(world: &mut World) {
-    let Some(shown) = world.operator.shown.clone() else {
+    let Some(shown) = world.operator.shown_plan.clone() else {
         return world.ledger.report("the plan does not read back".into());
     };
     let last =
         world.operator.version.as_ref().and_then(|version| world.operator.texts.get(version));
-    let may_be_in_force = world.operator.unsure.iter().any(|text| *text == shown);
+    let may_be_in_force = world.operator.possibly_in_force.iter().any(|text| *text == shown);
     if last != Some(&shown) && !may_be_in_force {
         world.ledger.report("the plan in force is not the one last acknowledged".into());
     }
 }
 
-/// Runs for eight seconds, requests the plan in force meanwhile, and checks that it is the one
-/// acknowledged last; `when` ends the text of the violation.
+/// Runs for six seconds, requests the plan in force, and checks two seconds later that it is the
+/// one acknowledged last; `when` ends the text of the violation.
 pub(crate) fn read_back_plan(world: &mut World, result: &mut RunResult, when: &str) {
     let until_us = world.now_us + 6_000_000;
     world.run_until(until_us);
-    world.show();
+    world.request_plan_in_force();
     world.run_until(until_us + 2_000_000);
     let last = world.operator.version.as_ref().and_then(|name| world.operator.texts.get(name));
-    if last.is_none() || world.operator.shown.as_ref() != last {
+    if last.is_none() || world.operator.shown_plan.as_ref() != last {
         result.violations.push(format!("the plan acknowledged last does not read back{when}"));
     }
 }
--- a/crates/simulation/src/scenario/replacement.rs
+++ b/crates/simulation/src/scenario/replacement.rs
@@ -9,8 +9,7 @@
 pub struct Replacement {
     /// The run's seed.
     pub seed: u64,
-    /// Number of simultaneous losses to tolerate; the group has twice as many machines and one
-    /// more.
+    /// Number of simultaneous losses to tolerate; the group has `2 * losses + 1` machines.
     pub losses: usize,
     /// Whether the replacements are planned: the new machine starts first, and the old process
     /// shuts down gracefully. Otherwise the old machines are lost first.
@@ -19,9 +18,9 @@
     pub leader: bool,
     /// Whether the first new machine of each replacement is lost while it joins, so that another
     /// one starts.
-    pub newcomer_dies: bool,
+    pub new_machine_is_lost: bool,
     /// Whether the only seed address of the new machines is that of a replaced machine.
-    pub seeds_depart: bool,
+    pub seeds_are_replaced: bool,
     /// Number of replacements, one after another.
     pub rounds: usize,
 }
@@ -29,7 +28,7 @@
 /// The result of a run with replacements.
 #[derive(Debug, Default)]
 pub struct ReplacementResult {
-    /// The result that every kind of run has.
+    /// The violations, counters and recovery time of the run.
     pub result: RunResult,
     /// For each replacement, the milliseconds from the start of the new machines until all of them
     /// vote and the replaced ones do not; `u64::MAX` if that took longer than the time to catch up.
@@ -46,7 +45,8 @@
 /// replacement, in microseconds.
 const OVERLAP_US: u64 = 1_000_000;
 
-/// Time for which a new machine that is lost while it joins has run, in microseconds.
+/// Time between the start and the loss of a new machine that is lost while it joins, in
+/// microseconds.
 const JOINING_US: u64 = 700_000;
 
 /// Mean pause between two requests, in microseconds: short enough to observe that each node serves.
@@ -80,7 +80,7 @@
             let vote_ms = self.replace_once(&mut world);
             replacement_result.vote_ms.push(vote_ms);
         }
-        world.quiet = true;
+        world.plans_paused = true;
         world
             .control_voters(true)
             .into_iter()
@@ -104,12 +104,12 @@
             replaced.iter().for_each(|at| world.lose_and_retire(*at));
             world.run_for(START_DELAY_US);
         }
-        if self.seeds_depart {
+        if self.seeds_are_replaced {
             world.control_seeds_only = true;
             world.seeds = vec![world.control[replaced[0]].address; 3];
         }
         let mut new_machines: Vec<usize> = replaced.iter().map(|_| world.add_control()).collect();
-        if self.newcomer_dies {
+        if self.new_machine_is_lost {
             world.run_for(JOINING_US);
             world.lose_and_retire(new_machines[0]);
             new_machines[0] = world.add_control();
--- a/crates/simulation/src/world/calls.rs
+++ b/crates/simulation/src/world/calls.rs
@@ -31,7 +31,7 @@
             }
             return;
         }
-        if self.quiet && self.request_pause_us == 0 {
+        if self.plans_paused && self.request_pause_us == 0 {
             return;
         }
         let call = match caller {
@@ -110,7 +110,7 @@
         self.callers.pending.remove(&caller);
         self.apply_outcome(caller, &pending, &outcome);
         let (start_us, end_us) = (pending.start_us, self.now_us);
-        self.callers.done.push(CompletedCall {
+        self.callers.completed.push(CompletedCall {
             caller,
             start_us,
             end_us,
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Records that a caller holds a lock, unless its time to live has passed since the caller sent
-    /// the request; checks that no other caller holds it.
+    /// Records that a caller holds a lock, unless its time to live has passed since the caller first
+    /// sent the request; checks that no other caller holds it.
     fn acquire_lock(&mut self, caller: usize, name: Name, fence: u64, requested_us: u64) {
         let until_us = requested_us + LOCK_TTL_MS * 1_000;
         if self.now_us >= until_us {
--- a/crates/simulation/src/world/forwarding.rs
+++ b/crates/simulation/src/world/forwarding.rs
@@ -12,7 +12,7 @@
         let incarnation = self.data[data].incarnation;
         let found = self.target_at(target.address).map(|found| found.instance.clone());
         if let Some(run) = self.requests.get_mut(&request) {
-            run.connected = found;
+            run.connected_instance = found;
         }
         let (took_us, event) = match self.target_at(target.address) {
             None => (600, postbarrow_node::Event::ConnectFailed("refused".into())),
@@ -42,14 +42,14 @@
         let is_client_connected = self.check_client_before_send(request);
         if !(is_client_connected && allowed && now_ms < until_ms && self.serves(data)) {
             let event = postbarrow_node::Event::AttemptEnded(AttemptOutcome::Unsent(
-                "the gate is shut".into(),
+                "a last check failed".into(),
             ));
             return self.schedule(0, Event::Resume { request, data, incarnation, event });
         }
         self.check_forward(request, data);
         let Some(run) = self.requests.get_mut(&request) else { return };
         load.request_started();
-        let Some(instance) = run.connected.clone() else { return };
+        let Some(instance) = run.connected_instance.clone() else { return };
         let delay_us = self.random.between(200, 900);
         self.schedule(delay_us, Event::Run { request, data, incarnation, instance });
     }
@@ -75,11 +75,11 @@
             (300, unknown_outcome(false, "broken"))
         } else if frozen {
             self.ledger.record_run(id, request, instance, &target_service, service);
-            self.ledger.ran_us.push(self.now_us);
+            self.ledger.run_times_us.push(self.now_us);
             (4_000_000, unknown_outcome(true, "late"))
         } else {
             self.ledger.record_run(id, request, instance, &target_service, service);
-            self.ledger.ran_us.push(self.now_us);
+            self.ledger.run_times_us.push(self.now_us);
             let took_us = self.random.between(1_000, 6_000);
             if draw < lost_per_mille {
                 (took_us, unknown_outcome(false, "the response is lost"))
--- a/crates/simulation/src/world/pinned.rs
+++ b/crates/simulation/src/world/pinned.rs
@@ -62,11 +62,11 @@
     }
 
     /// Prepares an order for the pinned clients if no order is pending in the whole cluster, so
-    /// that each order is valid; passes an order without a clear response to the other operators
-    /// after `RETRY_US`.
+    /// that each order is valid; passes an order that was neither acknowledged nor refused to the
+    /// other operators after `RETRY_US`.
     fn drive_pinned_order(&mut self) {
         let now_us = self.now_us;
-        let idle = self.operator.is_idle() && !self.quiet && self.random.chance(30);
+        let idle = self.operator.is_idle() && !self.plans_paused && self.random.chance(30);
         let Some(pinned) = &mut self.pinned else { return };
         match pinned.order.take() {
             Some((since_us, submitted)) if now_us > since_us + RETRY_US => self.submit(submitted),
@@ -78,7 +78,7 @@
                 let base = self.operator.version.clone();
                 let text = plan_text(&version, base.as_deref(), 0, false);
                 self.operator.texts.insert(version.clone(), text.clone());
-                self.operator.unsure.insert(text.clone());
+                self.operator.possibly_in_force.insert(text.clone());
                 let order = Order { version, base, text };
                 let submitted =
                     SubmittedOrder { order, routes: FIXED_ROUTES, purpose: Purpose::Change };
@@ -121,7 +121,7 @@
         pinned.incarnation = incarnation;
         pinned.controller_client = ControllerClient::default();
         for pending in std::mem::take(&mut pinned.pending).into_values() {
-            pinned.numbers_unclear += usize::from(increments_own_number(&pending.request));
+            pinned.unknown_increments += usize::from(increments_own_number(&pending.request));
         }
     }
 
@@ -183,8 +183,8 @@
                 pinned.waits_us.push((pending.start_us, now_us - pending.start_us));
             }
             Response::TimedOut => {
-                pinned.unclear += 1;
-                pinned.numbers_unclear += usize::from(is_increment);
+                pinned.timed_out += 1;
+                pinned.unknown_increments += usize::from(is_increment);
             }
             response => {
                 pinned.answered += 1;
--- a/crates/simulation/src/world/pinned_checks.rs
+++ b/crates/simulation/src/world/pinned_checks.rs
@@ -29,13 +29,14 @@
         }
     }
 
-    /// Checks that the plan shown, whose Begin has this log offset, is not older than any plan
-    /// acknowledged before the request.
+    /// Checks that the plan in a response, whose Begin has this log offset, is not older than any
+    /// plan acknowledged before the request; the offset is 0 if the response has no plan.
     fn check_shown(&mut self, start_us: u64, offset: u64) {
         let before = self.ledger.in_force.iter().filter(|(at_us, _)| *at_us <= start_us);
         let newest = before.map(|(_, offset)| *offset).max().unwrap_or(0);
         if offset < newest {
-            self.ledger.report(format!("a plan of {offset} was shown after {newest} was in force"));
+            self.ledger
+                .report(format!("the plan shown began at {offset}, one acknowledged at {newest}"));
         }
     }
 
@@ -49,8 +50,8 @@
             200 => {
                 self.check_majority(submitted, body);
                 if self.pinned.as_ref().is_some_and(|pinned| pinned.is_order(submitted)) {
-                    self.operator.unsure.remove(&order.text);
-                    let violations = self.ledger.orders.acknowledged(order);
+                    self.operator.possibly_in_force.remove(&order.text);
+                    let violations = self.ledger.orders.record_acknowledgement(order);
                     violations.into_iter().for_each(|text| self.ledger.report(text));
                     self.order_acknowledged(order.clone(), body);
                     self.pinned.iter_mut().for_each(|pinned| pinned.order = None);
@@ -67,7 +68,7 @@
         let Some(began) = began_at(body) else {
             return self
                 .ledger
-                .report(format!("{} is in force from nowhere", submitted.order.version));
+                .report(format!("{} has no beganAt in its response", submitted.order.version));
         };
         let has_begin = |machine: &&ControlMachine| {
             machine.node.as_ref().is_some_and(|node| node.consensus().last_index() >= began)
@@ -83,7 +84,10 @@
     fn check_outcome(&mut self, start_us: u64, call: &Call, outcome: &Outcome) {
         let value = match (call, outcome) {
             (Call::Next { .. }, Outcome::Number(value)) => {
-                return self.pinned.iter_mut().for_each(|pinned| pinned.numbers.push(*value));
+                return self
+                    .pinned
+                    .iter_mut()
+                    .for_each(|pinned| pinned.acknowledged_numbers.push(*value));
             }
             (Call::ReadNumber { .. }, Outcome::Number(value)) => *value,
             (Call::ReadKey { .. }, Outcome::Key(key)) => key.revision,
