--- a/crates/consensus/tests/golden/values.rs
+++ b/crates/consensus/tests/golden/values.rs
@@ -78,15 +78,8 @@
 }
 
 fn snapshot_response() -> SnapshotResponse {
-    let (received, sent_ms) = (1_500, 123_456);
-    SnapshotResponse {
-        term: 5,
-        index: 40,
-        received_bytes: received,
-        done: true,
-        sent_ms,
-        offset: 1_000,
-    }
+    let (received_bytes, sent_ms) = (1_500, 123_456);
+    SnapshotResponse { term: 5, index: 40, received_bytes, done: true, sent_ms, offset: 1_000 }
 }
 
 fn append() -> AppendRequest {
--- a/crates/controller/src/control_node.rs
+++ b/crates/controller/src/control_node.rs
@@ -137,8 +137,8 @@
             }
             Message::Bootstrap(members) => self.step(now_ms, consensus::Input::Bootstrap(members)),
             Message::Introduce => self.send_introduction(from),
-            Message::Introduction { control_addresses: control, log_exists: formed } => {
-                self.on_introduction(control, formed)
+            Message::Introduction { control_addresses, log_exists } => {
+                self.on_introduction(control_addresses, log_exists)
             }
             Message::LeaseRequest(request) => self.on_lease_request(now_ms, from, request),
             Message::Tail { after } => {
--- a/crates/controller/src/control_node/discovery.rs
+++ b/crates/controller/src/control_node/discovery.rs
@@ -90,12 +90,12 @@
     /// that knows only observers must find the members through them.
     pub(super) fn send_introduction(&mut self, from: SocketAddr) {
         let is_uninitialized = self.consensus.is_uninitialized();
-        let formed = !is_uninitialized || self.directory.is_log_known();
-        let mut control = self.member_addresses();
+        let log_exists = !is_uninitialized || self.directory.is_log_known();
+        let mut control_addresses = self.member_addresses();
         if is_uninitialized {
-            control.extend(self.directory.addresses());
+            control_addresses.extend(self.directory.addresses());
         }
-        self.send(from, Message::Introduction { control_addresses: control, log_exists: formed });
+        self.send(from, Message::Introduction { control_addresses, log_exists });
     }
 
     /// Sends the members' addresses to the seeds that are not members. Such a seed may have
@@ -108,16 +108,16 @@
         let members = self.member_addresses();
         let seeds = self.directory.seeds().to_vec();
         for seed in seeds.into_iter().filter(|seed| !members.contains(seed)) {
-            let control = members.clone();
-            self.send(seed, Message::Introduction { control_addresses: control, log_exists: true });
+            let control_addresses = members.clone();
+            self.send(seed, Message::Introduction { control_addresses, log_exists: true });
         }
     }
 
-    pub(super) fn on_introduction(&mut self, control: Vec<SocketAddr>, formed: bool) {
-        if formed {
+    pub(super) fn on_introduction(&mut self, control_addresses: Vec<SocketAddr>, log_exists: bool) {
+        if log_exists {
             self.directory.on_log_known();
         }
-        for address in control.into_iter().take(INTRODUCTIONS_MAX) {
+        for address in control_addresses.into_iter().take(INTRODUCTIONS_MAX) {
             self.directory.add(address);
         }
     }
--- a/crates/controller/tests/node_without_log.rs
+++ b/crates/controller/tests/node_without_log.rs
@@ -60,8 +60,8 @@
         message,
         Message::DiscoveryAnnouncement(_) | Message::Bootstrap(_)
     )));
-    let control = vec![member(3).address];
-    let message = Message::Introduction { control_addresses: control, log_exists: true };
+    let control_addresses = vec![member(3).address];
+    let message = Message::Introduction { control_addresses, log_exists: true };
     observer.handle(4_000, Input::Receive(Envelope { from: member(1).address, message }));
     assert!(observer.known_control_addresses().contains(&member(3).address));
     let introduce = Envelope { from: client(), message: Message::Introduce };
@@ -69,15 +69,13 @@
         observer.handle(4_020, Input::Receive(introduce)).into_iter().find_map(|effect| {
             let postbarrow_controller::Effect::Send { to, message } = effect else { return None };
             match message {
-                Message::Introduction { control_addresses: control, log_exists: formed }
-                    if to == client() =>
-                {
-                    Some((control, formed))
+                Message::Introduction { control_addresses, log_exists } if to == client() => {
+                    Some((control_addresses, log_exists))
                 }
                 _ => None,
             }
         });
-    let (control, formed) = introduction.expect("no introduction was sent");
-    assert!(control.contains(&member(3).address));
-    assert!(formed, "a node that knows only observers must learn of the log from them");
+    let (control_addresses, log_exists) = introduction.expect("no introduction was sent");
+    assert!(control_addresses.contains(&member(3).address));
+    assert!(log_exists, "a node that knows only observers must learn of the log from them");
 }
--- a/crates/node/src/data_node.rs
+++ b/crates/node/src/data_node.rs
@@ -63,8 +63,8 @@
                 self.push_client_effects(effects);
             }
             Input::Withdraw { key } => self.controller_client.withdraw(key),
-            Input::Probed { instance, identified: sound } => {
-                self.probe_failures.on_probed(instance, sound)
+            Input::Probed { instance, identified } => {
+                self.probe_failures.on_probed(instance, identified)
             }
             Input::Sampled { samples, observed } => self.samples.add(samples, observed),
             Input::Seeds(seeds) => self.seeds = seeds,
@@ -81,18 +81,15 @@
             Message::LeaseResponse { number, response } => {
                 self.on_lease_response(now_ms, from, number, response)
             }
-            Message::Introduction { control_addresses: control, log_exists: formed } => {
-                if formed {
-                    self.lease.on_introduction(&control);
+            Message::Introduction { control_addresses, log_exists } => {
+                if log_exists {
+                    self.lease.on_introduction(&control_addresses);
                 }
             }
             Message::Introduce | Message::DiscoveryAnnouncement(_) => {
-                let control = self.lease.members().to_vec();
-                let formed = !control.is_empty();
-                self.send(
-                    from,
-                    Message::Introduction { control_addresses: control, log_exists: formed },
-                );
+                let control_addresses = self.lease.members().to_vec();
+                let log_exists = !control_addresses.is_empty();
+                self.send(from, Message::Introduction { control_addresses, log_exists });
             }
             Message::Tail { after } => self.image_tail.on_child_tail(now_ms, from, after),
             Message::Updates { entries } => {
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -157,9 +157,9 @@
         known
     }
 
-    /// Stores control nodes that another process named, up to `INTRODUCTIONS` of them.
-    pub fn on_introduction(&mut self, control: &[SocketAddr]) {
-        for address in control {
+    /// Stores control nodes that another process named, up to `INTRODUCTIONS_MAX` of them.
+    pub fn on_introduction(&mut self, control_addresses: &[SocketAddr]) {
+        for address in control_addresses {
             let is_known = self.members.contains(address) || self.introduced.contains(address);
             if !is_known && self.introduced.len() < INTRODUCTIONS_MAX {
                 self.introduced.push(*address);
--- a/crates/node/src/request_flow/read_response.rs
+++ b/crates/node/src/request_flow/read_response.rs
@@ -36,13 +36,13 @@
                 self.last_failure = reason;
                 self.settle_unsent(context, ticket)
             }
-            AttemptOutcome::Unknown { timed_out: late, reason } => {
+            AttemptOutcome::Unknown { timed_out, reason } => {
                 self.may_have_run = true;
                 if context.client_departed {
                     return self.finish_unknown(RequestOutcome::ClientDeparted, ticket);
                 }
                 selected.load.on_failure(context.now_ms);
-                if late {
+                if timed_out {
                     return self.finish_unknown(RequestOutcome::TargetTimedOut(reason), ticket);
                 }
                 if self.is_one_time() {
--- a/crates/simulation/src/search/request/flow.rs
+++ b/crates/simulation/src/search/request/flow.rs
@@ -245,7 +245,7 @@
         }
         AttemptOutcome::Unsent(_) => AttemptEnd::Unsent,
         AttemptOutcome::NotRun(_) => AttemptEnd::NotRun,
-        AttemptOutcome::Unknown { timed_out: late, .. } => AttemptEnd::Unknown { late: *late },
+        AttemptOutcome::Unknown { timed_out, .. } => AttemptEnd::Unknown { late: *timed_out },
     })
 }
 
--- a/crates/simulation/src/world/data.rs
+++ b/crates/simulation/src/world/data.rs
@@ -144,11 +144,11 @@
         }
         let table = self.data[at].table.clone();
         for (instance, target) in &table.state.targets {
-            let sound = self
+            let identified = self
                 .target_at(target.address)
                 .is_some_and(|found| !found.frozen && found.instance == instance.as_str());
             let instance = instance.clone();
-            self.data_input(at, Input::Probed { instance, identified: sound });
+            self.data_input(at, Input::Probed { instance, identified });
         }
         self.schedule(500_000, Event::Probe { data: at, incarnation });
     }
--- a/crates/simulation/src/world/forwarding.rs
+++ b/crates/simulation/src/world/forwarding.rs
@@ -70,7 +70,7 @@
             return;
         };
         let unknown_outcome =
-            |late, reason: &str| AttemptOutcome::Unknown { timed_out: late, reason: reason.into() };
+            |timed_out, reason: &str| AttemptOutcome::Unknown { timed_out, reason: reason.into() };
         let (took_us, outcome) = if !alive {
             (300, unknown_outcome(false, "broken"))
         } else if frozen {
--- a/crates/simulation/src/world/requests.rs
+++ b/crates/simulation/src/world/requests.rs
@@ -163,9 +163,9 @@
     /// Passes an event to the flow of an attempt and carries out the step that it returns.
     pub fn resume_request(&mut self, request: u64, data: usize, event: postbarrow_node::Event) {
         let now_ms = self.local_ms(ProcessId::Data(data));
-        let serves = self.serves(data);
+        let has_lease = self.serves(data);
         self.data[data].number += 1;
-        let number = self.data[data].number;
+        let ticket_number = self.data[data].number;
         let table = self.data[data].table.clone();
         let Some(run) = self.requests.get_mut(&request) else { return };
         let Some(flow) = &mut run.flow else { return };
@@ -173,8 +173,8 @@
         let now = FlowContext {
             now_ms,
             table: &table,
-            has_lease: serves,
-            ticket_number: number,
+            has_lease,
+            ticket_number,
             client_departed: departure_observed,
         };
         match flow.handle(&now, event) {
--- a/programs/data-plane/src/control_loop.rs
+++ b/programs/data-plane/src/control_loop.rs
@@ -78,8 +78,8 @@
                 self.replies.remove(&key);
                 self.handle(now_ms, Input::Withdraw { key });
             }
-            Command::Probed { instance, identified: sound } => {
-                self.handle(now_ms, Input::Probed { instance, identified: sound })
+            Command::Probed { instance, identified } => {
+                self.handle(now_ms, Input::Probed { instance, identified })
             }
             Command::Seeds(seeds) => self.handle(now_ms, Input::Seeds(seeds)),
             Command::Stop => self.handle(now_ms, Input::Stop),
--- a/programs/data-plane/src/probe.rs
+++ b/programs/data-plane/src/probe.rs
@@ -51,7 +51,7 @@
         let table = shared.routing.load_full();
         let Some(target) = table.state.targets.get(instance).cloned() else { return };
         let in_flight = probe(shared, &target);
-        let sound = in_flight.is_ok();
+        let identified = in_flight.is_ok();
         if let (Ok(in_flight), Some(load)) = (in_flight, table.loads().get(instance)) {
             load.store_report(in_flight);
         }
@@ -62,9 +62,7 @@
             .get(instance)
             .is_none_or(|current_target| current_target.address == target.address)
         {
-            shared
-                .control_loop
-                .send(Command::Probed { instance: instance.clone(), identified: sound });
+            shared.control_loop.send(Command::Probed { instance: instance.clone(), identified });
         }
         if shared.lifecycle.is_stopping() {
             return;
--- a/programs/data-plane/src/target_connection/receive.rs
+++ b/programs/data-plane/src/target_connection/receive.rs
@@ -35,9 +35,9 @@
             let (response, is_persistent) = match self.receive_one(expected, client, memory) {
                 Ok(received) => received,
                 Err(error) => {
-                    let late = matches!(error, UpstreamError::DeadlinePassed);
+                    let timed_out = matches!(error, UpstreamError::DeadlinePassed);
                     let reason = error.during("reading");
-                    return (AttemptOutcome::Unknown { timed_out: late, reason }, false);
+                    return (AttemptOutcome::Unknown { timed_out, reason }, false);
                 }
             };
             let judgement = (expected.judge)(&response, self.awaits_first_response);
