--- a/crates/constants/src/coordination.rs
+++ b/crates/constants/src/coordination.rs
@@ -11,7 +11,7 @@
 pub const REQUEST_RETRY_MS: u64 = 300;
 /// How long a settled ticket is retained: a client's retries arrive within minutes.
 pub const TICKET_RETENTION_MS: u64 = 15 * 60 * 1_000;
-/// Length of an era, the unit in which the log itself counts time; the ages of tickets and results
+/// Length of an era, the unit in which the log itself counts time; the ages of tickets and outcomes
 /// are counted in eras. A change of leader may lose one era.
 pub const ERA_MS: u64 = 30_000;
 /// Largest number of tickets: twice what deployment Kutch needs at 170 tickets a second for fifteen
@@ -26,10 +26,10 @@
 pub const STORED_RESPONSE_BYTES: usize = 2 * 1024;
 /// Largest value of an Idempotency-Key header.
 pub const TICKET_KEY_BYTES: usize = 200;
-/// Largest number of results of coordination calls stored for repeats; beyond it calls that change
+/// Largest number of outcomes of coordination calls stored for repeats; beyond it calls that change
 /// anything are shed.
 pub const STORED_OUTCOMES_MAX: usize = 60_000;
-/// How long the result of a coordination call is retained for repeats.
+/// How long the outcome of a coordination call is retained for repeats.
 pub const STORED_OUTCOME_RETENTION_MS: u64 = 120_000;
 /// Shortest time that watch events are retained; the users' requirements name about 20 s.
 pub const HISTORY_RETENTION_MS: u64 = 25_000;
@@ -52,9 +52,9 @@
 pub const NAME_BYTES: usize = 256;
 /// Largest value of a key.
 pub const VALUE_BYTES: usize = 16 * 1024;
-/// Interval at which expired tickets, results and events are removed.
+/// Interval at which expired tickets, outcomes and events are removed.
 pub const RETENTION_INTERVAL_MS: u64 = 1_000;
-/// Largest number of tickets, and of results, that are removed at once.
+/// Largest number of tickets, and of outcomes, that are removed at once.
 pub const RETENTION_RECORDS: usize = 2_000;
 /// How long an operator's submission waits for its outcome.
 pub const SUBMIT_WAIT_MS: u64 = 5_000;
--- a/crates/node/src/request_flow/retry.rs
+++ b/crates/node/src/request_flow/retry.rs
@@ -1,7 +1,7 @@
 //! Retry: decides whether another attempt is allowed.
 //!
 //! A plan may set the largest number of attempts of a route's requests (`tries`). If it sets none,
-//! a request has at most [`ATTEMPTS`] attempts, or [`TICKETED_ATTEMPTS`] if it is a one-time
+//! a request has at most [`ATTEMPTS_MAX`] attempts, or [`TICKETED_ATTEMPTS`] if it is a one-time
 //! request. Each retry is also charged to the service's retry budget
 //! (`postbarrow_routing::retry_budget`). There is no retry after the client has departed.
 
--- a/crates/reading/src/positions.rs
+++ b/crates/reading/src/positions.rs
@@ -6,7 +6,7 @@
 use postbarrow_constants::plans::DOCUMENT_DEPTH_MAX;
 use std::collections::HashMap;
 
-/// The error that the text is nested deeper than `DEPTH`, so that it can't be parsed.
+/// The error that the text is nested deeper than `DOCUMENT_DEPTH_MAX`, so that it can't be parsed.
 #[derive(Debug, thiserror::Error)]
 #[error("nested deeper than {DOCUMENT_DEPTH_MAX}")]
 pub(crate) struct NestedTooDeep {
@@ -26,7 +26,7 @@
     /// Records the positions of all values and keys.
     ///
     /// # Errors
-    /// Brackets are nested deeper than `DEPTH`.
+    /// Brackets are nested deeper than `DOCUMENT_DEPTH_MAX`.
     pub fn scan(text: &str) -> Result<Self, NestedTooDeep> {
         let bytes = text.as_bytes().iter().enumerate();
         let newlines = bytes.filter(|(_, byte)| **byte == b'\n').map(|(offset, _)| offset);
--- a/crates/reading/src/reading.rs
+++ b/crates/reading/src/reading.rs
@@ -8,7 +8,7 @@
 pub struct DocumentReader {
     positions: Positions,
     findings: Vec<Finding>,
-    /// Number of findings beyond `FINDINGS`, which are only counted.
+    /// Number of findings beyond `FINDINGS_MAX`, which are only counted.
     dropped: usize,
 }
 
@@ -31,7 +31,7 @@
         Ok((value, reading))
     }
 
-    /// Adds a finding about the value at this JSON path; beyond `FINDINGS` findings are only
+    /// Adds a finding about the value at this JSON path; beyond `FINDINGS_MAX` findings are only
     /// counted.
     pub fn add_finding(&mut self, json_path: &str, message: String) {
         if self.findings.len() >= FINDINGS_MAX {
--- a/crates/routing/src/ejection.rs
+++ b/crates/routing/src/ejection.rs
@@ -3,7 +3,7 @@
 //! | event | duration of the ejection |
 //! | --- | --- |
 //! | a failure: no connection, or no complete response | [`EJECTION_MS`] (1 s), doubled by each consecutive failure, at most [`EJECTION_MAX_MS`] (8 s) |
-//! | a rejection: the target says that it did not run the request | [`REJECTION_PAUSE_MS`] (200 ms); never shortens a longer ejection |
+//! | a rejection: the target says that it did not run the request | [`REJECTION_EJECTION_MS`] (200 ms); never shortens a longer ejection |
 //! | a complete response | ends the ejection and resets the count of consecutive failures |
 //!
 //! The duration doubles because a target that fails again soon after its ejection has probably not
--- a/crates/state/src/accepted_plans.rs
+++ b/crates/state/src/accepted_plans.rs
@@ -31,9 +31,9 @@
 }
 
 impl State {
-    /// Adds an accepted plan and removes the oldest beyond `ACCEPTED_PLANS`. If the newest retained
-    /// plan is not the base of this one, all earlier ones are removed: they say nothing about the
-    /// plans that were accepted in between.
+    /// Adds an accepted plan and removes the oldest beyond `ACCEPTED_PLANS_MAX`. If the newest
+    /// retained plan is not the base of this one, all earlier ones are removed: they say nothing
+    /// about the plans that were accepted in between.
     pub(crate) fn retain_accepted_plan(&mut self, accepted: AcceptedPlan) {
         let newest = self.accepted_plans.back().map(|newest| &newest.version);
         if newest != accepted.base.as_ref() {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Adds a refused plan and removes the oldest beyond `REFUSED_PLANS`.
+    /// Adds a refused plan and removes the oldest beyond `REFUSED_PLANS_MAX`.
     pub(crate) fn retain_refused_plan(&mut self, refused: RefusedPlan) {
         self.refused_plans.push_back(refused);
         while self.refused_plans.len() > REFUSED_PLANS_MAX {
--- a/crates/state/src/state.rs
+++ b/crates/state/src/state.rs
@@ -47,7 +47,8 @@
     /// Total size in bytes of the responses stored with tickets.
     #[serde(default)]
     pub stored_response_bytes: u64,
-    /// Call ids of `repeats`, oldest first, each with the era in which its outcome was stored.
+    /// Call ids of `stored_outcomes`, oldest first, each with the era in which its outcome was
+    /// stored.
     #[serde(default)]
     pub stored_outcome_queue: Vector<(u64, Name)>,
     /// Limits of the plan in force for each client connection.
--- a/crates/transport/src/listen.rs
+++ b/crates/transport/src/listen.rs
@@ -46,7 +46,8 @@
 }
 
 /// Sets the options of an incoming link. Its peer is probed, because a peer whose machine vanished
-/// does not close the connection: without probes the link would count towards `LINKS` for ever.
+/// does not close the connection: without probes the link would count towards
+/// `INCOMING_LINKS_MAX` for ever.
 fn set_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     enable_keepalive(stream)
--- a/programs/data-plane/src/shared/control_loop_handle.rs
+++ b/programs/data-plane/src/shared/control_loop_handle.rs
@@ -21,9 +21,9 @@
 
     /// Sends a request to the controller and returns the response. While there is no response, the
     /// request is resent for `wait_ms` milliseconds; `TimedOut` is returned
-    /// `CONTROLLER_ANSWER_SLACK_MS` after that at the latest. If the client departs, the request is
-    /// no longer resent; it may already have been applied, so its outcome is unknown and `TimedOut`
-    /// is returned.
+    /// `CONTROLLER_RESPONSE_SLACK_MS` after that at the latest. If the client departs, the request
+    /// is no longer resent; it may already have been applied, so its outcome is unknown and
+    /// `TimedOut` is returned.
     pub fn request(&self, request: Request, wait_ms: u64, client: &ClientWatch) -> Response {
         let (reply, response) = sync_channel(1);
         let (key, wait_ms) = (self.request_keys.next(), wait_ms.max(1));
