--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -27,7 +27,7 @@
 impl VoterPolicy {
     /// Sets the number of voters such that a majority remains after `losses` of them are lost at
     /// once.
-    pub fn set_losses(&mut self, losses: usize) {
+    pub fn set_tolerated_losses(&mut self, losses: usize) {
         self.target_voters = VOTERS.max(2 * losses + 1);
     }
 }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -71,7 +71,7 @@
     /// Sets the number of voters such that a majority remains after `losses` of them are lost at
     /// once; it is never set below `VOTERS`.
     pub fn set_tolerated_losses(&mut self, losses: usize) {
-        self.voter_policy.set_losses(losses);
+        self.voter_policy.set_tolerated_losses(losses);
     }
 
     /// Sets the time in milliseconds after which a voter that does not respond may be replaced by a
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -123,8 +123,8 @@
         let Some(progress) = self.leader_state.progress.get_mut(&from.id) else { return };
         progress.on_response(now_ms, response.sent_ms);
         match response.match_index {
-            Some(matched) => {
-                progress.on_confirmed(matched, response.sent_ms);
+            Some(match_index) => {
+                progress.on_confirmed(match_index, response.sent_ms);
                 self.advance_commit();
                 self.send_append(now_ms, from.id, false);
             }
--- a/crates/controller/src/control_node/settings.rs
+++ b/crates/controller/src/control_node/settings.rs
@@ -23,8 +23,8 @@
 
     /// Sets the addresses of the one, two or three nodes that bootstrap the log together; all other
     /// nodes join that log.
-    pub fn with_bootstrap_members(mut self, founders: &[SocketAddr]) -> Self {
-        self.directory.set_bootstrap_addresses(founders);
+    pub fn with_bootstrap_members(mut self, addresses: &[SocketAddr]) -> Self {
+        self.directory.set_bootstrap_addresses(addresses);
         self
     }
 
--- a/crates/controller/src/leader_state/log_writer.rs
+++ b/crates/controller/src/leader_state/log_writer.rs
@@ -22,7 +22,7 @@
 
     /// Returns the committed state with all proposed records applied; `None` before serving starts.
     pub fn proposed_state(&self) -> Option<&State> {
-        self.writer.as_ref().map(Writer::current)
+        self.writer.as_ref().map(Writer::proposed_state)
     }
 
     /// Returns the state before the open transaction; `None` if none is open.
--- a/crates/controller/src/peer_directory.rs
+++ b/crates/controller/src/peer_directory.rs
@@ -60,8 +60,8 @@
         }
     }
 
-    pub fn set_bootstrap_addresses(&mut self, founders: &[SocketAddr]) {
-        self.bootstrap_addresses = Some(founders.iter().copied().collect());
+    pub fn set_bootstrap_addresses(&mut self, addresses: &[SocketAddr]) {
+        self.bootstrap_addresses = Some(addresses.iter().copied().collect());
     }
 
     pub fn set_observer(&mut self) {
@@ -141,19 +141,19 @@
         self.discovered.keys().copied().chain([own]).collect()
     }
 
-    /// Returns the sorted members of a new log if this node is to bootstrap it. The founder with
-    /// the lowest id does so once all founders have discovered each other and none of the nodes
-    /// reached knows of a log. Without configured founders, any three uninitialized nodes that have
-    /// discovered exactly these three are the founders.
+    /// Returns the sorted members of a new log if this node is to bootstrap it. The bootstrap
+    /// member with the lowest id does so once all bootstrap members have discovered each other and
+    /// none of the nodes reached knows of a log. Without configured bootstrap addresses, any three
+    /// uninitialized nodes that have discovered exactly these three are the bootstrap members.
     pub fn bootstrap_members(&self, own: Member) -> Option<Vec<Member>> {
         let peers = self.discovered.values();
         let (ids, required_count): (BTreeSet<MemberId>, usize) = match &self.bootstrap_addresses {
             None => (self.known_peers(own.id), VOTERS),
-            Some(founders) if !founders.contains(&own.address) => return None,
-            Some(founders) => {
-                let present = peers.clone().filter(|peer| founders.contains(&peer.member.address));
+            Some(addresses) if !addresses.contains(&own.address) => return None,
+            Some(addresses) => {
+                let present = peers.clone().filter(|peer| addresses.contains(&peer.member.address));
                 let ids = present.map(|peer| peer.member.id).chain([own.id]);
-                (ids.collect(), founders.len())
+                (ids.collect(), addresses.len())
             }
         };
         let mut others = peers.clone().filter(|peer| ids.contains(&peer.member.id));
--- a/crates/controller/src/routing_updates.rs
+++ b/crates/controller/src/routing_updates.rs
@@ -7,7 +7,7 @@
 use postbarrow_transactions::{BatchRecord, encode};
 use std::net::SocketAddr;
 
-/// The newest routing updates, their subscribers, and the newest encoded image.
+/// The newest routing updates, their subscribers, and the encoder of the images sent to them.
 #[derive(Default)]
 pub(crate) struct RoutingUpdates {
     /// Log offset of the last routing update.
@@ -15,7 +15,7 @@
     /// Log offset of the image: that of the last update outside an open transaction.
     image_offset: u64,
     relay: Relay,
-    encoded_image: ImageEncoder,
+    image_encoder: ImageEncoder,
 }
 
 impl RoutingUpdates {
@@ -29,7 +29,7 @@
 
     /// Returns the number of images that were encoded so far.
     pub fn images_encoded(&self) -> u64 {
-        self.encoded_image.encodings()
+        self.image_encoder.encoded_count()
     }
 
     /// Restarts from a snapshot whose last update has this log offset.
@@ -73,7 +73,7 @@
     /// with the subscriber's address.
     pub fn messages(&mut self, now_ms: u64, committed: &State) -> Vec<(SocketAddr, Message)> {
         let offset = self.image_offset;
-        self.encoded_image.drop_older_than(offset);
+        self.image_encoder.drop_older_than(offset);
         let deliveries = self.relay.deliver(now_ms, self.update_offset, offset);
         let mut messages = Vec::with_capacity(deliveries.len());
         for delivery in deliveries {
@@ -82,7 +82,7 @@
                     messages.push((to, Message::Updates { entries }));
                 }
                 Delivery::Image { to } => {
-                    let frame = self.encoded_image.frame(offset, || committed.routing_view());
+                    let frame = self.image_encoder.frame(offset, || committed.routing_view());
                     messages.push((to, Message::Image(frame)));
                     self.relay.on_image_sent(now_ms, to, offset);
                 }
--- a/crates/controller/tests/submission_check.rs
+++ b/crates/controller/tests/submission_check.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_base_that_was_built_upon_is_refused() {
+fn a_superseded_base_is_refused() {
     let state = plan_chain(5);
     let decision = refused(RefusalReason::BaseSuperseded);
     assert_eq!(decide_submission(&state, &submission("x", Some("v2")), &TEXT), decision);
--- a/crates/downstream/src/client_watch/tests.rs
+++ b/crates/downstream/src/client_watch/tests.rs
@@ -102,6 +102,6 @@
     drop(client);
     assert_eq!(watch.receive(&messages, until_ms), Err(ReceiveError::ClientDeparted));
     drop(sender);
-    let nobody = ClientWatch::without_client();
-    assert_eq!(nobody.receive(&messages, until_ms), Err(ReceiveError::Disconnected));
+    let no_client = ClientWatch::without_client();
+    assert_eq!(no_client.receive(&messages, until_ms), Err(ReceiveError::Disconnected));
 }
--- a/crates/messages/src/encoded_image.rs
+++ b/crates/messages/src/encoded_image.rs
@@ -41,7 +41,7 @@
     }
 
     /// Returns the number of images that were encoded so far.
-    pub fn encodings(&self) -> u64 {
+    pub fn encoded_count(&self) -> u64 {
         self.encoded_count
     }
 }
--- a/crates/node/src/image_tail.rs
+++ b/crates/node/src/image_tail.rs
@@ -40,7 +40,7 @@
     /// Whether updates could not be applied, so that a complete image is needed.
     needs_image: bool,
     relay: Relay,
-    encoded: ImageEncoder,
+    image_encoder: ImageEncoder,
     subscription: Subscription,
 }
 
@@ -53,7 +53,7 @@
             has_image: false,
             needs_image: false,
             relay: Relay::default(),
-            encoded: ImageEncoder::default(),
+            image_encoder: ImageEncoder::default(),
             subscription: Subscription::default(),
         }
     }
@@ -213,7 +213,7 @@
         if !self.has_image || self.needs_image {
             return Vec::new();
         }
-        self.encoded.drop_older_than(self.published);
+        self.image_encoder.drop_older_than(self.published);
         let mut effects = Vec::new();
         for delivery in self.relay.deliver(now_ms, self.tail.offset(), self.published) {
             effects.push(match delivery {
@@ -222,7 +222,8 @@
                 }
                 Delivery::Image { to } => {
                     let offset = self.published;
-                    let frame = self.encoded.frame(offset, || self.tail.image().as_ref().clone());
+                    let frame =
+                        self.image_encoder.frame(offset, || self.tail.image().as_ref().clone());
                     self.relay.on_image_sent(now_ms, to, offset);
                     Effect::Send { to, message: Message::Image(frame) }
                 }
--- a/crates/startup/src/settings.rs
+++ b/crates/startup/src/settings.rs
@@ -123,27 +123,27 @@
 }
 
 fn read_fields(value: &Value, reading: &mut DocumentReader) -> UncheckedSettings {
-    let mut flags = UncheckedSettings::default();
-    let Some(mut fields) = Fields::of(value, "$", reading) else { return flags };
+    let mut settings = UncheckedSettings::default();
+    let Some(mut fields) = Fields::of(value, "$", reading) else { return settings };
     let mut take = |field| fields.optional_text(field, reading).map(str::to_string);
-    flags.name = take("name");
-    flags.zone = take("zone");
-    flags.address = take("address");
-    flags.bind = take("bind");
-    flags.http = take("http");
-    flags.data = take("data");
-    flags.endpoint_list_url = take("list");
-    flags.log = take("log");
-    flags.level = take("level");
+    settings.name = take("name");
+    settings.zone = take("zone");
+    settings.address = take("address");
+    settings.bind = take("bind");
+    settings.http = take("http");
+    settings.data = take("data");
+    settings.endpoint_list_url = take("list");
+    settings.log = take("log");
+    settings.level = take("level");
     if fields.get("seeds").is_some() {
         for (field_path, value) in fields.array("seeds", reading) {
             if let Some(seed) = text(value, &field_path, reading) {
-                flags.seeds.push(seed.to_string());
+                settings.seeds.push(seed.to_string());
             }
         }
     }
     fields.finish(reading);
-    flags
+    settings
 }
 
 fn merge(file: UncheckedSettings, flags: &UncheckedSettings) -> UncheckedSettings {
@@ -165,34 +165,34 @@
 /// Checks every field. The report lists the findings in the order of these checks.
 fn check(
     program: ProgramKind,
-    flags: UncheckedSettings,
+    settings: UncheckedSettings,
     reading: &mut DocumentReader,
 ) -> Option<Startup> {
-    let address = required_address("address", flags.address.as_ref(), reading);
-    let http = required_address("http", flags.http.as_ref(), reading);
-    let bind = flags.bind.as_ref().and_then(|bind| parse_address("bind", bind, reading));
-    let seeds = check_seeds(&flags.seeds, reading);
+    let address = required_address("address", settings.address.as_ref(), reading);
+    let http = required_address("http", settings.http.as_ref(), reading);
+    let bind = settings.bind.as_ref().and_then(|bind| parse_address("bind", bind, reading));
+    let seeds = check_seeds(&settings.seeds, reading);
     if address.is_some() && address == http {
         reading.add_finding("$.http", "is the same as $.address".into());
     }
-    check_names(&flags, reading);
-    check_data(program, flags.data.as_ref(), reading);
-    check_endpoint_list(program, flags.endpoint_list_url.as_deref(), reading);
-    let level = check_level(flags.level.as_deref(), reading);
+    check_names(&settings, reading);
+    check_data(program, settings.data.as_ref(), reading);
+    check_endpoint_list(program, settings.endpoint_list_url.as_deref(), reading);
+    let level = check_level(settings.level.as_deref(), reading);
     Some(Startup {
-        name: flags.name?,
-        zone: flags.zone?,
+        name: settings.name?,
+        zone: settings.zone?,
         address: address?,
         bind,
         http: http?,
         readiness: None,
         seeds,
-        data: flags.data.map(PathBuf::from),
+        data: settings.data.map(PathBuf::from),
         may_bootstrap: true,
         is_observer: false,
         bootstrap_members: None,
-        endpoint_list_url: flags.endpoint_list_url,
-        log: flags.log.map(PathBuf::from),
+        endpoint_list_url: settings.endpoint_list_url,
+        log: settings.log.map(PathBuf::from),
         level,
         bounds: Bounds::default(),
     })
@@ -231,8 +231,8 @@
     seeds
 }
 
-fn check_names(flags: &UncheckedSettings, reading: &mut DocumentReader) {
-    for (field, text) in [("name", &flags.name), ("zone", &flags.zone)] {
+fn check_names(settings: &UncheckedSettings, reading: &mut DocumentReader) {
+    for (field, text) in [("name", &settings.name), ("zone", &settings.zone)] {
         match text {
             Some(text) if (1..=64).contains(&text.len()) => {}
             Some(_) => reading.add_finding(&format!("$.{field}"), "must have 1 to 64 bytes".into()),
--- a/crates/transactions/src/writer.rs
+++ b/crates/transactions/src/writer.rs
@@ -7,7 +7,7 @@
 struct OpenTransaction<I> {
     since_ms: u64,
     size_bytes: usize,
-    rollback: I,
+    state_before: I,
 }
 
 /// The log's single writer. It has the state with all records proposed so far, committed or not,
@@ -37,8 +37,8 @@
         if self.open.is_some() {
             return Err(TransactionError::AlreadyOpen);
         }
-        let rollback = self.proposed_state.clone();
-        self.open = Some(OpenTransaction { since_ms: now_ms, size_bytes: 0, rollback });
+        let state_before = self.proposed_state.clone();
+        self.open = Some(OpenTransaction { since_ms: now_ms, size_bytes: 0, state_before });
         Ok(BatchRecord::begin(&truncate_marker_text(name)))
     }
 
@@ -75,7 +75,7 @@
     /// `NotOpen` if no transaction is open.
     pub fn abort(&mut self, reason: &str) -> Result<BatchRecord<I::Record>, TransactionError> {
         let open = self.open.take().ok_or(TransactionError::NotOpen)?;
-        self.proposed_state = open.rollback;
+        self.proposed_state = open.state_before;
         Ok(BatchRecord::abort(reason))
     }
 
@@ -90,13 +90,13 @@
     }
 
     /// Returns the state with every record proposed so far.
-    pub fn current(&self) -> &I {
+    pub fn proposed_state(&self) -> &I {
         &self.proposed_state
     }
 
     /// Returns the state to which an abort returns; `None` if no transaction is open.
     pub fn state_before_transaction(&self) -> Option<&I> {
-        self.open.as_ref().map(|open| &open.rollback)
+        self.open.as_ref().map(|open| &open.state_before)
     }
 
     /// Returns whether a transaction is in progress.
--- a/crates/transactions/tests/framing.rs
+++ b/crates/transactions/tests/framing.rs
@@ -70,12 +70,12 @@
     assert_eq!(writer.begin(100, "plan"), Ok(BatchRecord::begin("plan")));
     assert_eq!(writer.begin(100, "other"), Err(TransactionError::AlreadyOpen));
     writer.apply(2, &2);
-    assert_eq!(writer.current().0, [1, 2]);
-    assert_eq!(writer.state_before_transaction().map(|rollback| rollback.0.clone()), Some(vec![1]));
+    assert_eq!(writer.proposed_state().0, [1, 2]);
+    assert_eq!(writer.state_before_transaction().map(|state| state.0.clone()), Some(vec![1]));
     assert!(!writer.is_transaction_overdue(100 + TRANSACTION_OPEN_MS - 1));
     assert!(writer.is_transaction_overdue(100 + TRANSACTION_OPEN_MS));
     assert_eq!(writer.abort("late"), Ok(BatchRecord::abort("late")));
-    assert_eq!(writer.current().0, [1]);
+    assert_eq!(writer.proposed_state().0, [1]);
     assert_eq!(writer.end(), Err(TransactionError::NotOpen));
     writer.begin(200, "big").unwrap();
     writer.add_bytes(DELTA_BYTES).unwrap();
--- a/programs/data-plane/src/tests/execution_evidence.rs
+++ b/programs/data-plane/src/tests/execution_evidence.rs
@@ -76,10 +76,10 @@
 /// Sends a one-time request to a target over a new connection on which the target identified
 /// itself.
 fn exchange(to: &Target, body: &[u8], may_send: &dyn Fn() -> bool) -> (AttemptOutcome, bool) {
-    let nobody = ClientWatch::without_client();
+    let no_client = ClientWatch::without_client();
     let until_ms = clock_ms() + 60_000;
-    let mut connection = TargetConnection::open(to.address, until_ms, &nobody).unwrap();
-    connection.identify(to, until_ms, &nobody).unwrap();
+    let mut connection = TargetConnection::open(to.address, until_ms, &no_client).unwrap();
+    connection.identify(to, until_ms, &no_client).unwrap();
     let request = OutgoingRequest {
         method: "POST",
         path: "/post/1",
@@ -90,7 +90,7 @@
     };
     let terms = ExchangeTerms {
         may_send,
-        cancellation: Cancellation::new(&nobody, CancelScope::Never),
+        cancellation: Cancellation::new(&no_client, CancelScope::Never),
         judge: &|_, _| ResponseJudgement::Complete,
     };
     connection.exchange(&request, &terms, &mut reserve_response_memory())
--- a/programs/data-plane/src/tests/unresponsive_named_targets.rs
+++ b/programs/data-plane/src/tests/unresponsive_named_targets.rs
@@ -160,7 +160,7 @@
     let text = b"POST /post/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: p\r\nContent-Length: 1\r\n\r\n";
     let (head, _) = parse(text).unwrap().unwrap();
     let until_ms = clock_ms() + 60_000;
-    let nobody = ClientWatch::without_client();
+    let no_client = ClientWatch::without_client();
     let request = OutgoingRequest {
         method: &head.method,
         path: &head.target,
@@ -173,10 +173,10 @@
     let mut exchange = |allowed: bool| {
         let terms = ExchangeTerms {
             may_send: &|| allowed,
-            cancellation: Cancellation::new(&nobody, CancelScope::Never),
+            cancellation: Cancellation::new(&no_client, CancelScope::Never),
             judge: &|response, first| RequestIdDialect.judge_response(&head, response, first),
         };
-        let mut connection = TargetConnection::open(one.address, until_ms, &nobody).unwrap();
+        let mut connection = TargetConnection::open(one.address, until_ms, &no_client).unwrap();
         connection.exchange(&request, &terms, &mut memory)
     };
     let (outcome, is_reusable) = exchange(false);
