--- a/crates/constants/src/traffic.rs
+++ b/crates/constants/src/traffic.rs
@@ -29,8 +29,8 @@
 /// Longest time for a client to read its response, in addition to the time that
 /// `DOWNSTREAM_BYTES_PER_MS` allows for the body.
 pub const DOWNSTREAM_WRITE_MS: u64 = 10_000;
-/// Bytes of a response for each further millisecond that the client may take to read it: 256 KiB a
-/// second, slower than the link of any till.
+/// Bytes of a response for each further millisecond that the client may take to read it: 256 kB a
+/// second, slower than the link of any client.
 pub const DOWNSTREAM_BYTES_PER_MS: u64 = 256;
 /// Largest write to a client; the deadline is checked between writes.
 pub const WRITE_BYTES: usize = 64 * 1024;
--- a/crates/simulation/src/client/requests.rs
+++ b/crates/simulation/src/client/requests.rs
@@ -35,12 +35,12 @@
     /// Whether the node has observed that the client closed its connection.
     pub(crate) departure_observed: bool,
     /// The event that the flow waits for.
-    pub(crate) awaits: Awaits,
+    pub(crate) awaited_event: AwaitedEvent,
 }
 
 /// The event that an attempt waits for at its data node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Awaits {
+pub enum AwaitedEvent {
     /// A connection to a target, on which the target has proven its identity.
     Connection,
     /// The controller's response to the node's request of this key.
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::io;
 use std::rc::Rc;
-use unsynced::{Op, SimFile, apply_op};
+use unsynced::{FileChange, SimFile, apply_file_change};
 
 /// The files of one disk, its faults and its counters.
 #[derive(Clone, Default)]
@@ -75,10 +75,10 @@
         };
         files.files.retain(|_, file| {
             let entry_survives = file.entry_durable || survives();
-            for op in std::mem::take(&mut file.unsynced) {
-                for fragment in op.fragments(&mut split) {
+            for change in std::mem::take(&mut file.unsynced) {
+                for fragment in change.fragments(&mut split) {
                     if survives() {
-                        apply_op(&mut file.durable, &fragment);
+                        apply_file_change(&mut file.durable, &fragment);
                     }
                 }
             }
@@ -94,7 +94,7 @@
     pub fn unsynced_units(&self) -> usize {
         let files = self.0.borrow();
         let count = |file: &SimFile| {
-            let fragments = file.unsynced.iter().map(Op::fragment_count).sum::<usize>();
+            let fragments = file.unsynced.iter().map(FileChange::fragment_count).sum::<usize>();
             usize::from(!file.entry_durable) + fragments
         };
         files.files.values().map(count).sum()
@@ -193,23 +193,23 @@
     }
 
     /// Applies a change to the named file as an operation, with the disk's faults.
-    fn change(&self, name: &str, op: Op) -> io::Result<()> {
+    fn change(&self, name: &str, change: FileChange) -> io::Result<()> {
         self.count_operation()?;
-        if let Op::Write { offset, bytes } = &op
+        if let FileChange::Write { offset, bytes } = &change
             && *offset + bytes.len() as u64 > self.reserved(name)
             && self.consume_fault(DiskFault::Full)
         {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        let op = match op {
-            Op::Write { offset, bytes } if self.consume_fault(DiskFault::WriteFails) => {
+        let change = match change {
+            FileChange::Write { offset, bytes } if self.consume_fault(DiskFault::WriteFails) => {
                 let fragment = bytes[..bytes.len() / 2].to_vec();
-                self.apply_change(name, Op::Write { offset, bytes: fragment });
+                self.apply_change(name, FileChange::Write { offset, bytes: fragment });
                 return Err(io::Error::other("the write failed"));
             }
-            op => op,
+            change => change,
         };
-        self.apply_change(name, op);
+        self.apply_change(name, change);
         Ok(())
     }
 
@@ -219,17 +219,17 @@
     }
 
     /// Applies a change to the named file, visible at once and durable after a sync.
-    fn apply_change(&self, name: &str, op: Op) {
+    fn apply_change(&self, name: &str, change: FileChange) {
         let mut files = self.0.borrow_mut();
-        if let Op::Write { bytes, .. } = &op {
+        if let FileChange::Write { bytes, .. } = &change {
             files.written_bytes += bytes.len() as u64;
         }
         let file = files.files.entry(name.to_string()).or_default();
-        if let Op::Truncate { .. } = op {
+        if let FileChange::Truncate { .. } = change {
             file.reserved = 0;
         }
-        apply_op(&mut file.visible, &op);
-        file.unsynced.push(op);
+        apply_file_change(&mut file.visible, &change);
+        file.unsynced.push(change);
     }
 }
 
@@ -251,11 +251,11 @@
     }
 
     fn write(&mut self, file: &str, offset: u64, bytes: &[u8]) -> io::Result<()> {
-        self.change(file, Op::Write { offset, bytes: bytes.to_vec() })
+        self.change(file, FileChange::Write { offset, bytes: bytes.to_vec() })
     }
 
     fn truncate(&mut self, file: &str, length: u64) -> io::Result<()> {
-        self.change(file, Op::Truncate { length })
+        self.change(file, FileChange::Truncate { length })
     }
 
     fn sync(&mut self, file: &str) -> io::Result<()> {
@@ -268,8 +268,8 @@
         if failed {
             return Err(io::Error::other("the sync failed"));
         }
-        for op in &unsynced {
-            apply_op(&mut file.durable, op);
+        for change in &unsynced {
+            apply_file_change(&mut file.durable, change);
         }
         Ok(())
     }
--- a/crates/simulation/src/disk/unsynced.rs
+++ b/crates/simulation/src/disk/unsynced.rs
@@ -2,7 +2,7 @@
 
 /// One change of a file's content.
 #[derive(Clone)]
-pub(super) enum Op {
+pub(super) enum FileChange {
     Write { offset: u64, bytes: Vec<u8> },
     Truncate { length: u64 },
 }
@@ -15,7 +15,7 @@
     /// The content as it now reads, with the unsynced changes.
     pub visible: Vec<u8>,
     /// The changes since the last sync, oldest first.
-    pub unsynced: Vec<Op>,
+    pub unsynced: Vec<FileChange>,
     /// Whether the file's directory entry is durable.
     pub entry_durable: bool,
     /// Number of bytes for which space is reserved, from the start of the file.
@@ -23,40 +23,41 @@
 }
 
 /// Applies a change to a file's content; a write beyond the end extends it.
-pub(super) fn apply_op(content: &mut Vec<u8>, op: &Op) {
-    match op {
-        Op::Write { offset, bytes } => {
+pub(super) fn apply_file_change(content: &mut Vec<u8>, change: &FileChange) {
+    match change {
+        FileChange::Write { offset, bytes } => {
             let end = *offset as usize + bytes.len();
             if content.len() < end {
                 content.resize(end, 0);
             }
             content[*offset as usize..end].copy_from_slice(bytes);
         }
-        Op::Truncate { length } => content.resize(*length as usize, 0),
+        FileChange::Truncate { length } => content.resize(*length as usize, 0),
     }
 }
 
-impl Op {
+impl FileChange {
     /// Returns the fragments that survive a power loss independently: two of a write, as if it
     /// covered two blocks of the disk, and one of a truncation. `split` returns the length of a
     /// write's first fragment.
-    pub fn fragments(&self, split: &mut impl FnMut(usize) -> usize) -> Vec<Op> {
+    pub fn fragments(&self, split: &mut impl FnMut(usize) -> usize) -> Vec<FileChange> {
         match self {
-            Op::Write { offset, bytes } => {
+            FileChange::Write { offset, bytes } => {
                 let (first, second) = bytes.split_at(split(bytes.len()));
                 let second_offset = offset + first.len() as u64;
-                let fragment = |offset, bytes: &[u8]| Op::Write { offset, bytes: bytes.to_vec() };
+                let fragment =
+                    |offset, bytes: &[u8]| FileChange::Write { offset, bytes: bytes.to_vec() };
                 vec![fragment(*offset, first), fragment(second_offset, second)]
             }
-            Op::Truncate { .. } => vec![self.clone()],
+            FileChange::Truncate { .. } => vec![self.clone()],
         }
     }
 
     /// Returns the number of fragments that `fragments` returns.
     pub fn fragment_count(&self) -> usize {
         match self {
-            Op::Write { .. } => 2,
-            Op::Truncate { .. } => 1,
+            FileChange::Write { .. } => 2,
+            FileChange::Truncate { .. } => 1,
         }
     }
 }
--- a/crates/simulation/src/world/departure.rs
+++ b/crates/simulation/src/world/departure.rs
@@ -1,6 +1,6 @@
 //! Clients that close their connection (depart) before the response.
 
-use crate::client::requests::Awaits;
+use crate::client::requests::AwaitedEvent;
 use crate::event::Event;
 use crate::world::World;
 use postbarrow_constants::traffic::CLIENT_CLOSED_CHECK_MS;
@@ -72,18 +72,18 @@
         run.departure_observed = true;
         let is_lookup = run.service == "catalogue";
         let reason = || "the client left".to_string();
-        let event = match run.awaits {
-            Awaits::Connection => postbarrow_node::Event::ConnectFailed(reason()),
-            Awaits::Controller { key } => {
+        let event = match run.awaited_event {
+            AwaitedEvent::Connection => postbarrow_node::Event::ConnectFailed(reason()),
+            AwaitedEvent::Controller { key } => {
                 self.data[data].response_recipients.remove(&key);
                 self.data_input(data, Input::Withdraw { key });
                 postbarrow_node::Event::ControllerResponded(Response::TimedOut)
             }
-            Awaits::Target if is_lookup => {
+            AwaitedEvent::Target if is_lookup => {
                 let outcome = AttemptOutcome::Unknown { timed_out: false, reason: reason() };
                 postbarrow_node::Event::AttemptEnded(outcome)
             }
-            Awaits::Sending | Awaits::Target => return,
+            AwaitedEvent::Sending | AwaitedEvent::Target => return,
         };
         self.resume_request(request, data, event);
     }
@@ -95,7 +95,7 @@
         let Some(run) = self.requests.get_mut(&request) else { return false };
         run.departure_observed |= run.client_departed;
         if !run.client_departed {
-            run.awaits = Awaits::Target;
+            run.awaited_event = AwaitedEvent::Target;
         }
         !run.client_departed
     }
--- a/crates/simulation/src/world/requests.rs
+++ b/crates/simulation/src/world/requests.rs
@@ -1,7 +1,7 @@
 //! Clients' requests to data nodes and their flow through the nodes.
 
 use crate::checker::ledger::ClientOutcome;
-use crate::client::requests::{Awaits, RequestRun};
+use crate::client::requests::{AwaitedEvent, RequestRun};
 use crate::event::{Event, ProcessId};
 use crate::node::data::ResponseRecipient;
 use crate::world::World;
@@ -86,7 +86,7 @@
             connected_instance: None,
             client_departed: false,
             departure_observed: false,
-            awaits: Awaits::Connection,
+            awaited_event: AwaitedEvent::Connection,
         };
         self.requests.insert(request, run);
         self.schedule(500, Event::Arrive { request, data, incarnation });
@@ -180,7 +180,7 @@
         match flow.handle(&now, event) {
             Step::Connect { target, load, .. } => {
                 run.target = Some((target.clone(), load));
-                run.awaits = Awaits::Connection;
+                run.awaited_event = AwaitedEvent::Connection;
                 self.connect(request, data, &target);
             }
             Step::RequestTicket { ticket, wait_ms } => {
@@ -190,7 +190,7 @@
                 self.request_controller(request, data, settlement.into(), wait_ms);
             }
             Step::Forward { until_ms, .. } => {
-                run.awaits = Awaits::Sending;
+                run.awaited_event = AwaitedEvent::Sending;
                 let incarnation = self.data[data].incarnation;
                 self.schedule(20, Event::Send { request, data, incarnation, until_ms });
             }
@@ -220,7 +220,7 @@
     ) {
         let key = self.next_request_key(data);
         if let Some(run) = self.requests.get_mut(&request) {
-            run.awaits = Awaits::Controller { key };
+            run.awaited_event = AwaitedEvent::Controller { key };
         }
         self.send_keyed_request(
             data,
--- a/tools/fleet-runner/src/partitions.rs
+++ b/tools/fleet-runner/src/partitions.rs
@@ -40,11 +40,11 @@
         if links.is_empty() {
             return Err(FleetError::NoLink);
         }
-        self.relays.change_rules(|rules| rules.cut.extend(links));
+        self.relays.change_rules(|rules| rules.dropped_links.extend(links));
         sleep(Duration::from_millis(PARTITION_MS));
         self.relays.change_rules(|rules| {
-            rules.cut.clear();
-            rules.unreachable.clear();
+            rules.dropped_links.clear();
+            rules.isolated_targets.clear();
         });
         Ok(())
     }
@@ -112,7 +112,7 @@
         if targets.is_empty() {
             return Err(FleetError::ZoneWithoutTargets(zone.into()));
         }
-        self.relays.change_rules(|rules| rules.unreachable.extend(targets));
+        self.relays.change_rules(|rules| rules.isolated_targets.extend(targets));
         self.partition(self.links_around(&separated))
     }
 }
--- a/tools/fleet-runner/src/relay.rs
+++ b/tools/fleet-runner/src/relay.rs
@@ -23,9 +23,9 @@
     /// The zone of each control and data node, by its advertised address.
     pub zones: BTreeMap<SocketAddr, String>,
     /// The links on which frames are dropped.
-    pub cut: BTreeSet<Link>,
+    pub dropped_links: BTreeSet<Link>,
     /// The targets whose bytes are dropped in both directions, as those of an isolated zone.
-    pub unreachable: BTreeSet<SocketAddr>,
+    pub isolated_targets: BTreeSet<SocketAddr>,
     /// The delay of a message from one zone to another.
     pub zone_delay: Duration,
 }
@@ -103,7 +103,7 @@
         let mut chunk = vec![0; CHUNK_BYTES];
         while let Ok(length @ 1..) = from.read(&mut chunk) {
             let is_unreachable =
-                self.rules.read().is_ok_and(|rules| rules.unreachable.contains(&target));
+                self.rules.read().is_ok_and(|rules| rules.isolated_targets.contains(&target));
             if !is_unreachable && to.write_all(&chunk[..length]).is_err() {
                 break;
             }
@@ -131,7 +131,7 @@
     /// Returns the delay of a frame on this link; `None` if the link is cut.
     fn delay(&self, from: SocketAddr, to: SocketAddr) -> Option<Duration> {
         let rules = self.rules.read().ok()?;
-        if rules.cut.contains(&(from, to)) {
+        if rules.dropped_links.contains(&(from, to)) {
             return None;
         }
         let is_same_zone = rules.zones.get(&from) == rules.zones.get(&to);
--- a/tools/load-generator/src/workload.rs
+++ b/tools/load-generator/src/workload.rs
@@ -34,22 +34,22 @@
 
 /// The kind of an item of the load.
 #[derive(Clone, Copy)]
-enum Work {
+enum ItemKind {
     Request(Kind),
     /// A lookup that is sent directly to a target, to compare its latency with the gateway's.
     Direct,
     Call,
 }
 
-struct ScheduledWork {
+struct ScheduledItem {
     /// When the item is due, in seconds from the start of the load.
     due_s: f64,
-    work: Work,
+    kind: ItemKind,
 }
 
 /// The items of the load in the order of their due times. Each worker takes the next one.
 struct Schedule {
-    items: Vec<ScheduledWork>,
+    items: Vec<ScheduledItem>,
     /// The number of calls of `take` so far, which is the index of the next item.
     next: AtomicU64,
 }
@@ -57,19 +57,19 @@
 impl Schedule {
     fn new(cli: &Cli) -> Schedule {
         let rates = [
-            (cli.lookups, Work::Request(Kind::Lookup)),
-            (cli.postings, Work::Request(Kind::Posting)),
-            (cli.uploads, Work::Request(Kind::Upload)),
-            (cli.calls, Work::Call),
-            (if cli.direct.is_some() { DIRECT_PER_S } else { 0.0 }, Work::Direct),
+            (cli.lookups, ItemKind::Request(Kind::Lookup)),
+            (cli.postings, ItemKind::Request(Kind::Posting)),
+            (cli.uploads, ItemKind::Request(Kind::Upload)),
+            (cli.calls, ItemKind::Call),
+            (if cli.direct.is_some() { DIRECT_PER_S } else { 0.0 }, ItemKind::Direct),
         ];
         let mut items = Vec::new();
-        for (stream, (rate, work)) in rates.into_iter().enumerate() {
+        for (stream, (rate, kind)) in rates.into_iter().enumerate() {
             let count = (rate * cli.seconds as f64) as u64;
             for index in 0..count {
                 let jitter =
                     (mix(cli.seed ^ (index << 3) ^ stream as u64) % 1_000) as f64 / 1_000.0;
-                items.push(ScheduledWork { due_s: (index as f64 + jitter) / rate, work });
+                items.push(ScheduledItem { due_s: (index as f64 + jitter) / rate, kind });
             }
         }
         items.sort_by(|a, b| a.due_s.total_cmp(&b.due_s));
@@ -77,7 +77,7 @@
     }
 
     /// Returns the next item and its number; `None` if all items were taken.
-    fn take(&self) -> Option<(u64, &ScheduledWork)> {
+    fn take(&self) -> Option<(u64, &ScheduledItem)> {
         let number = self.next.fetch_add(1, Relaxed);
         self.items.get(number as usize).map(|item| (number, item))
     }
@@ -134,10 +134,10 @@
             let due = Duration::from_secs_f64(item.due_s);
             thread::sleep(due.saturating_sub(start.elapsed()));
             let seed = mix(self.cli.seed ^ (number << 8));
-            match item.work {
-                Work::Request(kind) => results.requests.push(self.request(kind, number, seed)),
-                Work::Direct => results.direct.extend(self.direct(number)),
-                Work::Call => results.calls.extend(coordination_client.call(seed)),
+            match item.kind {
+                ItemKind::Request(kind) => results.requests.push(self.request(kind, number, seed)),
+                ItemKind::Direct => results.direct.extend(self.direct(number)),
+                ItemKind::Call => results.calls.extend(coordination_client.call(seed)),
             }
         }
         results
