--- a/crates/consensus/src/campaign.rs
+++ b/crates/consensus/src/campaign.rs
@@ -15,12 +15,12 @@
     votes: BTreeSet<MemberId>,
     /// Whether the candidacy follows a probe round in which no member led.
     pub leaderless: bool,
-    /// State of the xorshift generator that randomizes the election time-outs.
+    /// State of the xorshift generator that randomizes the election timeouts.
     generator_state: u64,
 }
 
 impl Election {
-    /// Returns the state at the start of an incarnation, with the first random time-out.
+    /// Returns the state at the start of an incarnation, with the first random timeout.
     pub fn new(seed: u64, now_ms: u64) -> Self {
         let mut election = Election {
             due_ms: 0,
@@ -33,7 +33,7 @@
         election
     }
 
-    /// Restarts the timer with a time-out drawn at random (thesis, 3.4).
+    /// Restarts the timer with a timeout drawn at random (thesis, 3.4).
     pub fn reset_timer(&mut self, now_ms: u64) {
         let spread_ms = self.next_random() % ELECTION_SPREAD_MS;
         self.due_ms = now_ms + ELECTION_MIN_MS + spread_ms;
--- a/crates/consensus/src/fingerprint.rs
+++ b/crates/consensus/src/fingerprint.rs
@@ -1,5 +1,5 @@
 //! Fingerprints of a member's state, for searches over many states: equal fingerprints mean equal
-//! behaviour from there on, except for the random part of election time-outs.
+//! behaviour from there on, except for the random part of election timeouts.
 
 use crate::{Consensus, Message};
 use std::hash::{Hash, Hasher};
--- a/crates/constants/src/consensus.rs
+++ b/crates/constants/src/consensus.rs
@@ -7,12 +7,12 @@
 pub const HEARTBEAT_MS: u64 = 75;
 /// Duration of the leader's lease, counted from when the acknowledged heartbeat was sent.
 pub const LEADER_LEASE_MS: u64 = 450;
-/// Shortest election time-out: a voter grants no vote for this long after the last message that it
+/// Shortest election timeout: a voter grants no vote for this long after the last message that it
 /// received from a leader. Longer than `LEADER_LEASE_MS`, to allow for clock drift.
 pub const ELECTION_MIN_MS: u64 = 600;
-/// Range of the random part of the election time-out, so that three machines rarely split the vote.
+/// Range of the random part of the election timeout, so that three machines rarely split the vote.
 pub const ELECTION_SPREAD_MS: u64 = 300;
-/// Time without a leader after which a member counts as partitioned: the longest election time-out,
+/// Time without a leader after which a member counts as partitioned: the longest election timeout,
 /// and another `ELECTION_SPREAD_MS` for the votes and the first entry.
 pub const CONTACT_LOST_MS: u64 = ELECTION_MIN_MS + 2 * ELECTION_SPREAD_MS;
 /// Largest size of the entries in one append frame, unless a single entry is larger. Such a frame
--- a/crates/constants/src/coordination.rs
+++ b/crates/constants/src/coordination.rs
@@ -2,9 +2,9 @@
 
 /// Time from the request of a ticket within which the ticket must be used if it is granted.
 pub const TICKET_USE_MS: u64 = 1_500;
-/// Time-out of a request to the controller; a request without a response has an unknown outcome.
+/// Timeout of a request to the controller; a request without a response has an unknown outcome.
 pub const CONTROLLER_REQUEST_MS: u64 = 2_500;
-/// Time that a requester waits beyond its request's time-out, for the response that the request
+/// Time that a requester waits beyond its request's timeout, for the response that the request
 /// expired.
 pub const CONTROLLER_RESPONSE_SLACK_MS: u64 = 200;
 /// Interval at which a request without a response is sent again; the controller deduplicates.
@@ -12,7 +12,7 @@
 /// How long a settled ticket is retained: a client's retries arrive within minutes.
 pub const TICKET_RETENTION_MS: u64 = 15 * 60 * 1_000;
 /// Length of an era, the unit in which the log itself counts time; the ages of tickets and outcomes
-/// are counted in eras. A change of leader may lose one era.
+/// are counted in eras. A change of leader may lose the time since the last recorded era.
 pub const ERA_MS: u64 = 30_000;
 /// Largest number of tickets: twice what deployment Kutch needs at 170 tickets a second for fifteen
 /// minutes. Beyond it new one-time requests are shed; a retained key is never dropped before
--- a/crates/constants/src/nodes.rs
+++ b/crates/constants/src/nodes.rs
@@ -98,7 +98,7 @@
 /// Lower bound of the time after which a page is requested again, which is four times the slowest
 /// page of the last scan.
 pub const LIST_PAGE_FIRST_WAIT_MS: u64 = 600;
-/// Time-out of one page, and upper bound of the time after which it is requested again.
+/// Timeout of one page, and upper bound of the time after which it is requested again.
 pub const LIST_PAGE_WAIT_MS: u64 = 2_000;
 /// Largest number of pages in one scan; it ends the scan of a list whose cursors form a circle.
 pub const LIST_PAGES_MAX: usize = 1_000;
@@ -108,7 +108,7 @@
 pub const LIST_RETRY_MAX_MS: u64 = 5_000;
 /// Interval at which each node probes each target.
 pub const PROBE_INTERVAL_MS: u64 = 500;
-/// Unused: a probe fails after the time-out of a target's proof of its identity.
+/// Unused: a probe fails after the timeout of a target's proof of its identity.
 pub const PROBE_TIMEOUT_MS: u64 = 700;
 /// Number of failed probes in a row after which a node reports a target as down.
 pub const PROBE_FAILURES: u32 = 2;
--- a/crates/constants/src/traffic.rs
+++ b/crates/constants/src/traffic.rs
@@ -5,9 +5,9 @@
 /// Largest number of pending frames of one link; beyond it the newest frame is dropped, and the
 /// protocols send again.
 pub const LINK_FRAMES: usize = 4_096;
-/// Time-out of a link's connect.
+/// Timeout of a link's connect.
 pub const LINK_CONNECT_MS: u64 = 300;
-/// Time-out of a write on a link; a link whose write blocks longer is closed.
+/// Timeout of a write on a link; a link whose write blocks longer is closed.
 pub const LINK_WRITE_MS: u64 = 1_000;
 /// Pause after a failed connect of a link.
 pub const LINK_RETRY_MS: u64 = 100;
@@ -60,7 +60,7 @@
 pub const CLIENT_BUCKETS: usize = 1_024;
 /// Largest number of coordination calls in flight in one node.
 pub const CALLS_IN_FLIGHT: usize = 256;
-/// Largest number of retries that all nodes together may make, in per cent of a service's requests.
+/// Largest number of retries that all nodes together may make, in percent of a service's requests.
 pub const RETRY_PERCENT: u64 = 20;
 /// Retries per second that all nodes together may make to a service beyond `RETRY_PERCENT`: few, so
 /// that services with little traffic recover.
@@ -74,7 +74,7 @@
 pub const TICKETED_ATTEMPTS: usize = 3;
 /// Largest number of idle connections retained for one target.
 pub const IDLE_CONNECTIONS: usize = 16;
-/// Time-out of a target's proof of its identity, in a probe or on a new connection.
+/// Timeout of a target's proof of its identity, in a probe or on a new connection.
 pub const IDENTITY_TIMEOUT_MS: u64 = 800;
 /// Path at which a target proves its identity.
 pub const IDENTITY_PATH: &str = "/.well-known/postbarrow-target";
@@ -96,7 +96,7 @@
 pub const PEER_CLOSED_CHECK_MS: u64 = 250;
 /// Largest line with the size of a chunk, in chunked transfer coding.
 pub const CHUNK_LINE_BYTES: usize = 1024;
-/// Time-out of a connect to a target, after which another target is selected.
+/// Timeout of a connect to a target, after which another target is selected.
 pub const TARGET_CONNECT_MS: u64 = 500;
 /// Longest idle time after which a connection to a target is still reused, unless the target's
 /// Keep-Alive header names another.
--- a/crates/controller/src/endpoint_list/poller.rs
+++ b/crates/controller/src/endpoint_list/poller.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Restarts the scan if a page has not arrived within its time-out.
+    /// Restarts the scan if a page has not arrived within its timeout.
     ///
     /// # Errors
     /// A page is overdue.
--- a/crates/controller/src/endpoint_list/scan.rs
+++ b/crates/controller/src/endpoint_list/scan.rs
@@ -155,7 +155,7 @@
         self.pages.iter().position(|page| page.number == number && page.content.is_none())
     }
 
-    /// Restarts the scan if a page has not arrived within its time-out, which depends on the
+    /// Restarts the scan if a page has not arrived within its timeout, which depends on the
     /// slowest page of the last scan. Returns whether it did.
     pub fn restart_if_page_overdue(&mut self, now_ms: u64) -> bool {
         let is_overdue = |page: &Page| {
--- a/crates/controller/src/endpoint_list/scan_timing.rs
+++ b/crates/controller/src/endpoint_list/scan_timing.rs
@@ -1,4 +1,4 @@
-//! The start times of scans and the time-out of their pages, adapted to the duration of earlier
+//! The start times of scans and the timeout of their pages, adapted to the duration of earlier
 //! scans.
 
 use postbarrow_constants::nodes::*;
@@ -10,7 +10,7 @@
     due_ms: u64,
     /// Start of the current scan.
     start_ms: u64,
-    /// Time-out of a page.
+    /// Timeout of a page.
     page_wait_ms: u64,
     /// Time from the start of one scan to the start of the next; 0 before the first complete scan.
     cycle_ms: u64,
@@ -48,7 +48,7 @@
         now_ms > requested_ms + self.page_wait_ms
     }
 
-    /// Doubles the time-out of a page, up to `LIST_PAGE_WAIT_MS`, to adapt to a slow list.
+    /// Doubles the timeout of a page, up to `LIST_PAGE_WAIT_MS`, to adapt to a slow list.
     pub fn on_page_overdue(&mut self) {
         self.page_wait_ms = (2 * self.page_wait_ms).min(LIST_PAGE_WAIT_MS);
     }
--- a/crates/controller/src/error.rs
+++ b/crates/controller/src/error.rs
@@ -26,7 +26,7 @@
     /// two requests from now on.
     #[error("refuses; asked every {gap_ms} ms from now on")]
     RateLimited { gap_ms: u64 },
-    /// A page did not arrive within its time-out.
+    /// A page did not arrive within its timeout.
     #[error("a page never came")]
     PageTimeout,
     /// A page names a cursor that this scan has already followed.
--- a/crates/membership/src/subscription.rs
+++ b/crates/membership/src/subscription.rs
@@ -1,4 +1,4 @@
-//! A child's position in the log, and the time-outs after which updates are sent to it again.
+//! A child's position in the log, and the timeouts after which updates are sent to it again.
 
 use postbarrow_constants::nodes::{SUBSCRIPTION_TIMEOUT_MS, TAIL_RESEND_MAX_MS, TAIL_RESEND_MS};
 
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -10,7 +10,7 @@
 use postbarrow_constants::traffic::{RETRIES_PER_S, RETRY_BURST, RETRY_PERCENT};
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering::Relaxed};
 
-/// One retry in the unit in which retries are saved: small enough to count one per cent of a retry,
+/// One retry in the unit in which retries are saved: small enough to count one percent of a retry,
 /// and a node's part of the rate.
 const ONE_RETRY: i64 = 100_000;
 /// Shortest interval between two refills by time.
@@ -33,7 +33,7 @@
 /// The retries that the whole fleet may make at one service.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryAllowance {
-    /// Retries in per cent of the service's requests.
+    /// Retries in percent of the service's requests.
     pub percent: u64,
     /// Additional retries per second, independent of the requests.
     pub per_s: u64,
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Sets the retry allowance: retries in per cent of the requests, retries per second, and the
+    /// Sets the retry allowance: retries in percent of the requests, retries per second, and the
     /// largest number of saved retries. Tables built from this one inherit it.
     pub fn with_retry_allowance(mut self, (percent, per_s, saved): (u64, u64, u64)) -> Self {
         self.retry_allowance = RetryAllowance { percent, per_s, saved };
--- a/crates/simulation/src/event.rs
+++ b/crates/simulation/src/event.rs
@@ -53,7 +53,7 @@
     NextRequest,
     /// A caller sends its next call.
     NextCall { caller: usize },
-    /// The operators handle time-outs of their requests and may submit a plan.
+    /// The operators handle timeouts of their requests and may submit a plan.
     OperatorsTick,
     /// The pinned clients send their next request.
     SendPinned,
--- a/crates/simulation/src/search/request/plan.rs
+++ b/crates/simulation/src/search/request/plan.rs
@@ -12,7 +12,7 @@
 /// The deadline of both requests, in milliseconds after their arrival.
 pub const DEADLINE_MS: u64 = 4_000;
 
-/// A retry allowance that no search exhausts: per cent of requests, retries a second and retries
+/// A retry allowance that no search exhausts: percent of requests, retries a second and retries
 /// that may be saved up.
 const RETRY_ALLOWANCE: (u64, u64, u64) = (100, 100, 100);
 
--- a/crates/simulation/src/world/operator.rs
+++ b/crates/simulation/src/world/operator.rs
@@ -26,7 +26,7 @@
 const LARGE_PLAN_ROUTES_PINNED: u64 = 30;
 
 impl World {
-    /// Handles time-outs of pending requests and sometimes submits a plan; runs twenty times a
+    /// Handles timeouts of pending requests and sometimes submits a plan; runs twenty times a
     /// second.
     pub fn operators_tick(&mut self) {
         let now_ms = self.now_us / 1_000;
--- a/crates/simulation/tests/many_changes.rs
+++ b/crates/simulation/tests/many_changes.rs
@@ -10,7 +10,7 @@
 const WINDOW_CHANGES: u64 = 250;
 const LOGS: [&str; 2] = ["log-a", "log-b"];
 const SLOTS: [&str; 2] = ["slot-a", "slot-b"];
-/// Maximum of a later window's figure, in per cent of the first window's.
+/// Maximum of a later window's figure, in percent of the first window's.
 const STEADY_MAX_PERCENT: u64 = 105;
 /// The same maximum for the bytes written, the log and the bytes read at a start. These vary more,
 /// because a window contains two snapshots of a member or three.
@@ -173,7 +173,7 @@
     }
 }
 
-/// The limit of one figure: its maximum in later windows in per cent of that in the first.
+/// The limit of one figure: its maximum in later windows in percent of that in the first.
 struct FigureLimit {
     name: &'static str,
     max_percent: u64,
--- a/crates/transport/src/link/tests.rs
+++ b/crates/transport/src/link/tests.rs
@@ -4,9 +4,9 @@
 use crate::listen;
 use std::net::TcpListener;
 
-/// Time-out of each wait: far longer than any event here takes, and reached only if a wait hangs.
+/// Timeout of each wait: far longer than any event here takes, and reached only if a wait hangs.
 const HANG_TIMEOUT: Duration = Duration::from_secs(10);
-/// Idle time-out of the links under test, and interval at which their end is checked.
+/// Idle timeout of the links under test, and interval at which their end is checked.
 const SHORT_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Starts a peer; returns its address and the messages that it receives.
--- a/crates/transport/src/poll/tests.rs
+++ b/crates/transport/src/poll/tests.rs
@@ -4,7 +4,7 @@
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener};
 
-/// Time-out of each wait, reached only if a wait hangs.
+/// Timeout of each wait, reached only if a wait hangs.
 const HANG_TIMEOUT_MS: u64 = 60_000;
 
 fn connected_pair() -> (TcpStream, TcpStream) {
--- a/crates/transport/src/tcp_timeouts.rs
+++ b/crates/transport/src/tcp_timeouts.rs
@@ -1,4 +1,4 @@
-//! TCP time-outs for peers that vanish without closing the connection: a machine that lost its
+//! TCP timeouts for peers that vanish without closing the connection: a machine that lost its
 //! power or is behind a partition.
 
 use postbarrow_constants::traffic::{KEEPALIVE_IDLE_MS, KEEPALIVE_INTERVAL_MS, KEEPALIVE_PROBES};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Makes the connection fail once sent bytes are not acknowledged for `wait_ms` milliseconds
-/// (`TCP_USER_TIMEOUT`, RFC 5482); 0 sets the system's default. Without this time-out, bytes to a
+/// (`TCP_USER_TIMEOUT`, RFC 5482); 0 sets the system's default. Without this timeout, bytes to a
 /// machine that lost its power are lost for minutes before the connection fails.
 ///
 /// # Errors
