--- a/deploy/sites/vary.py
+++ b/deploy/sites/vary.py
@@ -1,18 +1,22 @@
 #!/usr/bin/env python3
-"""Write a variation of a deployment's site file, for hunts on deployments that nobody has seen.
+"""Writes a variation of a deployment's site file, to search for faults on deployments that
+were not played before.
 
     deploy/sites/vary.py SITE OUT --name NAME [--every-trouble] [--zones N] [--core N] [--losses N]
         [--sync-ms X] [--core-cpu X] [--link-mbps X] [--twice] [--drawn-days N] [--seed S] [--troubles T]
         [--kinds FILE]
 
-SITE is a site file as the bench reads it; OUT is written beside a copy of SITE's folder's wire.json.
---every-trouble lets drawn days draw from every kind and variant that the contracts allow.
---zones, --core: so many zones, and core machines in each; the other machines are spread anew.
---losses: core machines that may be lost at once. --twice: twice the machines and targets.
---drawn-days: N days take the place of the standard ones, each with T troubles drawn by seed S from
-every kind and variant, at any moment, and a drawn closing fault.
---kinds: what `fleetbench kinds SITE` printed; only kinds that it names are drawn, for a bench plays no
-others on that deployment.
+SITE is a site file as the bench reads it. OUT is written beside a copy of the wire.json in SITE's
+folder.
+--every-trouble: lets drawn days draw from every kind and variant that the contracts allow.
+--zones, --core: the number of zones, and of core machines in each zone; the other machines are
+distributed over the new zones.
+--losses: the number of core machines that may be lost at once.
+--twice: doubles the machines that are not core machines, the targets and the traffic.
+--drawn-days: replaces the standard days by N days, each with T troubles that are drawn with seed S
+from every kind and variant, at any time, and a drawn closing fault.
+--kinds: a file with the output of `fleetbench kinds SITE`; only kinds that it names are drawn,
+because a bench plays no others on that deployment.
 """
 import argparse
 import copy
@@ -21,7 +25,7 @@
 import shutil
 import tomllib
 
-# Every kind of trouble with its variants; what a kind needs beside them stands in SHAPE.
+# Every kind of trouble, with its variants. PARAMETERS has the other parameters of each kind.
 TROUBLES = {
     "after_ack_kill": ["", "kill", "timed", "taken", "taken gone", "kill timed"],
     "after_ack_wipe": ["", "timed", "taken", "oldest", "oldest taken"],
@@ -58,14 +62,14 @@
     "srv_crash": ["", "dark", "across", "gone"],
     "srv_slow": [""],
 }
-HEALTH = {
+HEALTH_TROUBLES = {
     "srv_grey": ["errors", "shed", "busy", "hang", "reset", "mute", "slow"],
     "srv_lying_health": ["errors", "hang", "reset", "bad"],
     "srv_flap": [""],
 }
-POOL = {"idle_race": [""]}
-ON_CORE = ("leader", "reader", "seed", "meet", "race", "hard")
-SHAPE = {
+POOL_TROUBLES = {"idle_race": [""]}
+CORE_WORDS = ("leader", "reader", "seed", "meet", "race", "hard")
+PARAMETERS = {
     "after_ack_kill": {"for_s": 2.0},
     "after_ack_wipe": {"for_s": 2.0},
     "answer_lost": {"share": 0.5, "x": 0.05, "for_s": 5.0},
@@ -105,7 +109,7 @@
 
 
 def listed_kinds(path):
-    """The kinds that a bench lists, each at the start of a line; none where no list is given."""
+    """Returns the kinds that a bench lists, each at the start of a line; None without a list."""
     if path is None:
         return None
     with open(path) as file:
@@ -113,16 +117,16 @@
 
 
 def every_trouble(contracts, listed):
-    """Every kind and variant that these contracts allow, as entries of a site's list."""
+    """Returns every kind and variant that these contracts allow, as entries of a site's list."""
     kinds = dict(TROUBLES)
-    kinds.update(HEALTH if "health" in contracts else {})
-    kinds.update(POOL if "pool" in contracts else {})
+    kinds.update(HEALTH_TROUBLES if "health" in contracts else {})
+    kinds.update(POOL_TROUBLES if "pool" in contracts else {})
     kinds = {kind: variants for kind, variants in kinds.items() if listed is None or kind in listed}
     entries = []
     for kind, variants in kinds.items():
         for how in variants:
-            entry = {"kind": kind, **SHAPE.get(kind, {})}
-            if kind in ("node_kill", "node_freeze") and any(word in how.split() for word in ON_CORE):
+            entry = {"kind": kind, **PARAMETERS.get(kind, {})}
+            if kind in ("node_kill", "node_freeze") and any(word in how.split() for word in CORE_WORDS):
                 del entry["share"]
                 entry.update(on="core", count=1)
             if how:
@@ -131,13 +135,13 @@
     return entries
 
 
-def spread(count, places, at):
-    """How many of `count` things stand at place number `at` of `places`."""
+def count_at(count, places, at):
+    """Returns how many of `count` items, distributed evenly over `places`, place number `at` gets."""
     return count // places + (at < count % places)
 
 
-def lay_out(site, zones, core):
-    """Spread the machines, targets and clients over so many zones, with `core` disk machines in each."""
+def distribute_over_zones(site, zones, core):
+    """Distributes the machines, targets and clients over `zones`, with `core` disk machines in each."""
     names = [f"zone-{chr(ord('a') + at)}" for at in range(zones)]
     region = site["zones"][0]["region"]
     site["zones"] = [{"name": name, "region": region} for name in names]
@@ -147,70 +151,70 @@
     site["machines"] = []
     for at, name in enumerate(names):
         site["machines"].append({**disk, "zone": name, "count": core, "spare": 1})
-        site["machines"].append({**plain, "zone": name, "count": max(1, spread(count, zones, at)), "spare": 2})
+        site["machines"].append({**plain, "zone": name, "count": max(1, count_at(count, zones, at)), "spare": 2})
     for service in site["services"]:
         targets = sum(row["count"] for row in service["servers"])
-        counts = [spread(targets, zones, at) for at in range(zones)]
+        counts = [count_at(targets, zones, at) for at in range(zones)]
         service["servers"] = [{"zone": name, "count": count} for name, count in zip(names, counts) if count]
-    for holder in [site, *site["day"]]:
-        holder["traffic"] = lay_traffic(holder["traffic"], names)
+    for table in [site, *site["day"]]:
+        table["traffic"] = distribute_traffic(table["traffic"], names)
     site["cloud"]["zone"] = names[0]
 
 
-def lay_traffic(rows, names):
+def distribute_traffic(rows, names):
     rate = sum(row["per_s"] for row in rows)
     clients = sum(row["clients"] for row in rows)
-    one = {**rows[0], "per_s": rate / len(names), "clients": max(1, clients // len(names))}
-    return [{**copy.deepcopy(one), "zone": name} for name in names]
+    zone_row = {**rows[0], "per_s": rate / len(names), "clients": max(1, clients // len(names))}
+    return [{**copy.deepcopy(zone_row), "zone": name} for name in names]
 
 
-def twice(site):
+def double(site):
     for row in site["machines"]:
         row["count"] *= 1 if row.get("counted") else 2
     for service in site["services"]:
         for row in service["servers"]:
             row["count"] *= 2
-    for holder in [site, *site["day"]]:
-        for row in holder["traffic"]:
+    for table in [site, *site["day"]]:
+        for row in table["traffic"]:
             row["per_s"] *= 2
             row["clients"] *= 2
 
 
-PLANNED = ("config_change", "config_race", "bad_config", "big_config", "release", "roll_term", "scale_in", "scale_out")
+PLANNED_KINDS = ("config_change", "config_race", "bad_config", "big_config", "release", "roll_term", "scale_in", "scale_out")
 CLOSINGS = [("power_off_all", how) for how in ("", "timed", "taken")]
 CLOSINGS += [("kill_all", how) for how in ("", "timed", "taken")]
 CLOSINGS += [("wipe_after_ack", how) for how in ("", "timed", "taken", "oldest", "oldest timed", "aimed")]
 
 
-def drawn_day(site, number, draw, troubles, listed):
-    """One day with so many troubles; its marks are those of the first standard day."""
+def drawn_day(site, number, rng, troubles, listed):
+    """Returns a day with drawn troubles, and otherwise the fields of the first standard day."""
     first = site["day"][0]
     end_s = site["length_s"] - 3.0
-    entries = draw.sample(every_trouble(site["contracts"], listed), troubles)
-    timed = [{"at": round(draw.uniform(1.0, end_s), 2), **entry} for entry in entries]
-    timed += [{"at": round(draw.uniform(1.0, end_s), 2), "kind": "config_race", "count": 6, "gap_s": 1.5}]
+    entries = rng.sample(every_trouble(site["contracts"], listed), troubles)
+    timed = [{"at": round(rng.uniform(1.0, end_s), 2), **entry} for entry in entries]
+    timed += [{"at": round(rng.uniform(1.0, end_s), 2), "kind": "config_race", "count": 6, "gap_s": 1.5}]
     timed.sort(key=lambda entry: entry["at"])
-    kind, how = draw.choice(CLOSINGS)
+    kind, how = rng.choice(CLOSINGS)
     planned = [entry for entry in timed if is_planned(entry)]
     return {
         **first,
         "name": f"drawn-{number}",
         "slot": "trouble",
-        "seed": draw.randrange(1 << 30),
+        "seed": rng.randrange(1 << 30),
         "light": True,
         "wall": 6.0,
         "plan": planned,
         "faults": [entry for entry in timed if not is_planned(entry)],
-        "closing": {"kind": kind, "down_s": round(draw.uniform(0.5, 1.5), 2), **({"how": how} if how else {})},
+        "closing": {"kind": kind, "down_s": round(rng.uniform(0.5, 1.5), 2), **({"how": how} if how else {})},
     }
 
 
 def is_planned(entry):
-    return entry["kind"] in PLANNED or (entry["kind"] == "replace_core" and "planned" in entry.get("how", ""))
+    return entry["kind"] in PLANNED_KINDS or (entry["kind"] == "replace_core" and "planned" in entry.get("how", ""))
 
 
 def inline(value):
-    """One TOML value on one line."""
+    """Returns a value as TOML on one line."""
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, (int, float)):
@@ -218,8 +222,8 @@
     if isinstance(value, str):
         return '"' + value.replace("\\", "\\\\").replace('"', '\\"') + '"'
     if isinstance(value, list):
-        return "[" + ", ".join(inline(one) for one in value) + "]"
-    return "{ " + ", ".join(f"{key} = {inline(one)}" for key, one in value.items()) + " }"
+        return "[" + ", ".join(inline(item) for item in value) + "]"
+    return "{ " + ", ".join(f"{key} = {inline(item)}" for key, item in value.items()) + " }"
 
 
 def dump(site):
@@ -249,36 +253,36 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--troubles", type=int, default=9)
     parser.add_argument("--kinds")
-    given = parser.parse_args()
-    with open(given.site, "rb") as file:
+    arguments = parser.parse_args()
+    with open(arguments.site, "rb") as file:
         site = tomllib.load(file)
-    site["name"] = given.name
-    if given.zones:
-        lay_out(site, given.zones, given.core)
-    if given.twice:
-        twice(site)
-    if given.losses is not None:
-        site["tolerate"]["machines"] = given.losses
+    site["name"] = arguments.name
+    if arguments.zones:
+        distribute_over_zones(site, arguments.zones, arguments.core)
+    if arguments.twice:
+        double(site)
+    if arguments.losses is not None:
+        site["tolerate"]["machines"] = arguments.losses
     for row in site["machines"]:
         if row.get("counted"):
-            row["disk"]["sync_ms"] = given.sync_ms or row["disk"]["sync_ms"]
-            row["cpu_share"] = given.core_cpu or row["cpu_share"]
+            row["disk"]["sync_ms"] = arguments.sync_ms or row["disk"]["sync_ms"]
+            row["cpu_share"] = arguments.core_cpu or row["cpu_share"]
         else:
-            row["link_mbps"] = given.link_mbps or row["link_mbps"]
-    listed = listed_kinds(given.kinds)
-    if given.every_trouble:
+            row["link_mbps"] = arguments.link_mbps or row["link_mbps"]
+    listed = listed_kinds(arguments.kinds)
+    if arguments.every_trouble:
         site["troubles"] = every_trouble(site["contracts"], listed)
-    if given.drawn_days:
-        draw = random.Random(given.seed)
-        numbers = range(1, given.drawn_days + 1)
-        site["day"] = [drawn_day(site, number, draw, given.troubles, listed) for number in numbers]
-    folder = os.path.dirname(os.path.abspath(given.out))
+    if arguments.drawn_days:
+        rng = random.Random(arguments.seed)
+        numbers = range(1, arguments.drawn_days + 1)
+        site["day"] = [drawn_day(site, number, rng, arguments.troubles, listed) for number in numbers]
+    folder = os.path.dirname(os.path.abspath(arguments.out))
     os.makedirs(folder, exist_ok=True)
-    with open(given.out, "w") as file:
+    with open(arguments.out, "w") as file:
         file.write(dump(site))
     wire = os.path.join(folder, "wire.json")
     if not os.path.exists(wire):
-        shutil.copy(os.path.join(os.path.dirname(given.site), "wire.json"), wire)
+        shutil.copy(os.path.join(os.path.dirname(arguments.site), "wire.json"), wire)
 
 
 if __name__ == "__main__":
